--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -1,16 +1,15 @@
-//! The AMQP front under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in regions and terminals
+//! The AMQP front under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
 //! on loopback round the built program; the cost is the node's own CPU time, which the system counts.
 //!
 //! Prints CPU seconds per 100,000 one-shot deliveries of 256 octets at 1, 64 and 1,000 connections, per
 //! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
-//! latency that the same terminals see at the regions directly, in the same run.
+//! latency that the same clients see at the servers directly, in the same run.
 
-#[path = "../tests/peers/mod.rs"]
+#[path = "../tests/support/mod.rs"]
 #[allow(unused_imports)]
-mod peers;
+mod support;
 
 use hdrhistogram::Histogram;
-use peers::{listener, message, Bench};
 use rustix::event::epoll;
 use sparbank_amqp::*;
 use std::io::{Read, Write};
@@ -19,9 +18,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
+use support::{listener, message, Bench};
 
 const CLASS: &str = "live-readings";
-const REGIONS: usize = 4;
+const SERVERS: usize = 4;
 
 fn settings() -> Settings {
     // As wide as a stand-in can be, so that only the node's own bounds count.
@@ -107,8 +107,8 @@
     }
 }
 
-/// A region that accepts everything at once.
-fn region(listener: TcpListener, stop: Arc<AtomicBool>) {
+/// A server that accepts everything at once.
+fn server(listener: TcpListener, stop: Arc<AtomicBool>) {
     listener.set_nonblocking(true).expect("non-blocking");
     let poll = Poll::new();
     poll.add(&listener, 0);
@@ -150,7 +150,7 @@
     }
 }
 
-/// How a run of terminals went.
+/// How a run of clients went.
 struct Run {
     /// From when all links were attached.
     seconds: f64,
@@ -159,10 +159,10 @@
     latency: Histogram<u64>,
 }
 
-/// So many terminals send so many deliveries in all, each with at most `ahead` unanswered; paced to
+/// So many clients send so many deliveries in all, each with at most `ahead` unanswered; paced to
 /// `rate` a second in all where it is given.
 #[allow(clippy::too_many_arguments)]
-fn terminals(
+fn clients(
     pid: u32,
     addr: SocketAddr,
     count: usize,
@@ -203,22 +203,22 @@
     let (poll, started) = (Poll::new(), Instant::now());
     let now = || started.elapsed().as_nanos() as u64;
     let mut latency = Histogram::new(3).expect("a histogram");
-    struct Terminal {
+    struct Client {
         end: End,
         link: Option<LinkId>,
         out: u64,
     }
-    let mut terminals: Vec<Terminal> = (0..count)
+    let mut clients: Vec<Client> = (0..count)
         .map(|at| {
             let stream = TcpStream::connect(addr).expect("it listens");
             let conn = Connection::dial(0, settings(), Some(Credentials::Anonymous));
             let end = End::new(stream, conn);
             poll.add(&end.stream, at);
-            Terminal { end, link: None, out: 0 }
+            Client { end, link: None, out: 0 }
         })
         .collect();
-    for terminal in &mut terminals {
-        terminal.end.write();
+    for client in &mut clients {
+        client.end.write();
     }
     let (mut chunk, mut open, mut allowed, mut turn) = (vec![0; 256 * 1024], 0u64, 0f64, 0usize);
     let mut paced_from = now();
@@ -239,7 +239,7 @@
         let places: Vec<usize> = if all { (0..count).map(|at| (at + turn) % count).collect() } else { woken };
         turn += 1;
         for at in places {
-            let Terminal { end, link, out } = &mut terminals[at];
+            let Client { end, link, out } = &mut clients[at];
             loop {
                 let before = end.input.len();
                 end.read(&mut chunk);
@@ -306,9 +306,9 @@
     line.split_whitespace().nth(1).and_then(|kb| kb.parse::<f64>().ok()).expect("kB") / 1024.0
 }
 
-fn node(regions: Vec<TcpListener>) -> Bench {
+fn node(servers: Vec<TcpListener>) -> Bench {
     let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
-    Bench::with_args(regions, Some(on), &[], |text| {
+    Bench::with_args(servers, Some(on), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
     })
 }
@@ -317,22 +317,22 @@
     let quick = std::env::args().any(|arg| arg.eq_ignore_ascii_case("quick"));
     let items = if quick { 20_000 } else { 200_000 };
     let stop = Arc::new(AtomicBool::new(false));
-    let regions: Vec<TcpListener> = (0..REGIONS).map(|_| listener()).collect();
-    let direct = regions[0].local_addr().expect("bound");
-    for region_at in &regions {
-        let (copy, stop) = (region_at.try_clone().expect("a second handle"), stop.clone());
-        std::thread::spawn(move || region(copy, stop));
+    let servers: Vec<TcpListener> = (0..SERVERS).map(|_| listener()).collect();
+    let direct = servers[0].local_addr().expect("bound");
+    for server_at in &servers {
+        let (copy, stop) = (server_at.try_clone().expect("a second handle"), stop.clone());
+        std::thread::spawn(move || server(copy, stop));
     }
-    let bench = node(regions);
+    let bench = node(servers);
     let (pid, addr) = (bench.child.id(), bench.amqp.expect("the front is on"));
     let small = message(60_000, "7f3a", &[7; 200]);
-    println!("{} octets a message, {REGIONS} regions", small.len());
-    terminals(pid, addr, 4, items / 10, &small, 64, None);
-    // The same number in hand at each terminal, and the same over all, however many there are.
+    println!("{} octets a message, {SERVERS} servers", small.len());
+    clients(pid, addr, 4, items / 10, &small, 64, None);
+    // The same number in hand at each client, and the same over all, however many there are.
     let each = [1, 64, 1000].map(|count| (count, 16));
     let over_all = [1, 64, 1000].map(|count| (count, (4096 / count as u64).clamp(1, 256)));
     for (count, ahead) in each.into_iter().chain(over_all) {
-        let run = terminals(pid, addr, count, items, &small, ahead, None);
+        let run = clients(pid, addr, count, items, &small, ahead, None);
         let used = run.cpu;
         println!(
             "{count:>5} connections, {ahead:>3} in hand at each: {:.3} CPU s per 100,000 deliveries ({:.0} a CPU second), {:.0} a second",
@@ -343,13 +343,13 @@
     }
     let large = message(60_000, "7f3a", &vec![7; 64 * 1024]);
     let count = if quick { 1_000 } else { 8_000 };
-    let run = terminals(pid, addr, 64, count, &large, 2, None);
+    let run = clients(pid, addr, 64, count, &large, 2, None);
     let gb = count as f64 * large.len() as f64 / 1e9;
     let used = run.cpu;
     println!("64 KiB messages: {:.2} CPU s per GB, {:.2} GB a second", used / gb, gb / run.seconds);
     let rate = 20_000.0;
-    let through = terminals(pid, addr, 64, items / 4, &small, 64, Some(rate)).latency;
-    let without = terminals(pid, direct, 64, items / 4, &small, 64, Some(rate)).latency;
+    let through = clients(pid, addr, 64, items / 4, &small, 64, Some(rate)).latency;
+    let without = clients(pid, direct, 64, items / 4, &small, 64, Some(rate)).latency;
     for part in [0.5, 0.99, 0.999] {
         let ms = |h: &Histogram<u64>| h.value_at_quantile(part) as f64 / 1e6;
         println!(
--- a/crates/shares/benches/shares.rs
+++ b/crates/quota/benches/division.rs
@@ -1,6 +1,6 @@
 //! What the gate costs a request, and what a division costs a grantor: `cargo bench -p sparbank-shares`.
 
-use sparbank_shares::*;
+use sparbank_quota::*;
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/shares/src/granter.rs
+++ b/crates/quota/src/grantor.rs
@@ -1,6 +1,6 @@
 //! When a grantor may take a part back: the only thing about granting that needs a clock.
 
-use crate::book::{Answer, Batch, Book, Free, HolderId};
+use crate::lease_table::{Answer, Batch, Book, Free, HolderId};
 use crate::plan::Plan;
 use crate::Nanos;
 use std::collections::BTreeMap;
--- a/crates/shares/src/holder.rs
+++ b/crates/quota/src/holder.rs
@@ -1,6 +1,6 @@
 //! One node's parts: what it may use now, what it asks for, what it gives back.
 
-use crate::book::{Answer, Ask, HolderId};
+use crate::lease_table::{Answer, Ask, HolderId};
 use crate::plan::Plan;
 use crate::Nanos;
 
--- a/crates/shares/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -12,18 +12,18 @@
 //! The book has no clock: it is a state machine that several grantors can keep agreed through a log. Nothing
 //! here does I/O; time is handed in, in nanoseconds of whoever calls.
 
-mod book;
 mod divide;
 mod gate;
-mod granter;
+mod grantor;
 mod holder;
+mod lease_table;
 mod plan;
 
-pub use book::{Answer, Ask, Batch, Book, Free, HolderId};
 pub use divide::divide;
 pub use gate::{Gate, Party, Use};
-pub use granter::Granter;
+pub use grantor::Granter;
 pub use holder::{Holder, Reading, Refusal};
+pub use lease_table::{Answer, Ask, Batch, Book, Free, HolderId};
 pub use plan::{Budget, Limits, Plan, PlanError, Seat};
 
 /// Nanoseconds, of the clock of whoever calls: no two clocks are compared.
--- a/crates/shares/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -26,7 +26,7 @@
     /// How long a part may be used after its holder asked for it, milliseconds.
     pub lease_ms: u64,
     /// How long after its lease connections over a holder's floor may still stand, milliseconds: the time in
-    /// which it ends them, or in which regions end those of a node that stands still.
+    /// which it ends them, or in which servers end those of a node that stands still.
     pub clear_ms: u64,
     /// How far apart two nodes' clocks may run, in millionths.
     #[serde(default = "thousand")]
@@ -75,7 +75,7 @@
 pub enum Limits {
     /// Connections that stand or are being set up: a level.
     Connections,
-    /// Attempts sent to regions: a rate, which the session ledger bears.
+    /// Attempts sent to servers: a rate, which the session ledger bears.
     Setups,
     /// Attempts that are not a request's first: a rate.
     Retries,
--- a/crates/shares/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -3,7 +3,7 @@
 //! grantors write every 50 ms, connections live 1 s on the mean. `SHARES_SEEDS` sets the seeds.
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
-use sparbank_shares::*;
+use sparbank_quota::*;
 
 const MS: u64 = 1_000_000;
 const NODES: usize = 12;
--- a/crates/shares/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -2,7 +2,7 @@
 //! which either leads, messages lost, doubled and out of order, clocks that tick apart, a grantor started anew.
 //! The holders, books and granters are the program's own; the checker only chooses what happens next.
 
-use sparbank_shares::*;
+use sparbank_quota::*;
 use stateright::{Checker, Model, Property};
 
 const MS: u64 = 1_000_000;
--- a/crates/shares/tests/schedules.rs
+++ b/crates/quota/tests/schedules.rs
@@ -3,7 +3,7 @@
 //! auditor counts what was really opened and spent. `SHARES_SEEDS` and `SHARES_STEPS` set what is played.
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
-use sparbank_shares::*;
+use sparbank_quota::*;
 
 const MS: u64 = 1_000_000;
 const SEATS: u64 = 6;
@@ -288,7 +288,7 @@
         let mut asks = Vec::new();
         for node in self.nodes.iter_mut().flatten() {
             if let Some(at) = node.stopped {
-                // Regions end the connections of a node that stands still.
+                // Servers end the connections of a node that stands still.
                 if self.t >= at + self.plan.clear_ms * MS {
                     (0..std::mem::take(&mut node.standing)).for_each(|_| node.holder.ended(&[0]));
                 }
--- a/src/operator/call.rs
+++ b/src/admin/call.rs
@@ -10,9 +10,9 @@
 pub enum Call {
     /// Whether this process can serve.
     Ready,
-    /// Send terminals away.
+    /// Send clients away.
     Drain,
-    /// Take terminals again.
+    /// Take clients again.
     Resume,
 }
 
--- a/src/operator/mod.rs
+++ b/src/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The second address: operators' calls over HTTP/1.1, one to a connection, on the loop.
 //!
-//! Callers have descriptors of their own ([`Net::listen_reserved`]), so that no crowd of terminals takes
+//! Callers have descriptors of their own ([`Net::listen_reserved`]), so that no crowd of clients takes
 //! them; among callers the longest idle makes room. What a call does is the loop's to say.
 
 mod call;
@@ -8,8 +8,8 @@
 pub use call::{Answer, Call};
 
 use crate::front::Due;
-use crate::interface::Nanos;
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::vocabulary::Nanos;
 use call::Head;
 use std::collections::HashSet;
 use std::io;
@@ -39,7 +39,7 @@
 impl Operator {
     /// Listens there; says where.
     pub fn open(net: &mut Net, at: SocketAddr) -> io::Result<(Operator, SocketAddr)> {
-        let at = net.listen_reserved(at, Owner::Operator, MOST_CALLERS)?;
+        let at = net.listen_reserved(at, Owner::Admin, MOST_CALLERS)?;
         Ok((Operator { callers: HashSet::new(), counts: Counts::default() }, at))
     }
 
@@ -55,7 +55,7 @@
         match notice.kind {
             Kind::Accepted => {
                 self.callers.insert(token);
-                wheel.at(now + WHOLE_WITHIN, Due::Operator(token));
+                wheel.at(now + WHOLE_WITHIN, Due::Admin(token));
                 None
             }
             Kind::Evicted => {
--- a/src/bin/sparbank-simhost.rs
+++ b/src/bin/sparbank-simulator.rs
@@ -1,7 +1,7 @@
 //! Hosts instances of the decision module on the wire: a batch a line in, a reply a line out.
 #![forbid(unsafe_code)]
 
-use sparbank::wire::Host;
+use sparbank::simulator::Host;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -30,6 +30,6 @@
 }
 
 fn stop(why: &str) -> ExitCode {
-    eprintln!("sparbank-simhost: {why}");
+    eprintln!("sparbank-simulator: {why}");
     ExitCode::FAILURE
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,7 +4,7 @@
 use crate::front::amqp::{add_user, Rights};
 use crate::front::{Files, OPTIONAL};
 use lexopt::prelude::*;
-use sparbank_shares::Plan;
+use sparbank_quota::Plan;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
@@ -26,7 +26,7 @@
             },
             Err(problem) => stop(&problem, 2),
         },
-        Ok(Command::CheckFleet(file)) => match crate::budgets::read(&file) {
+        Ok(Command::CheckFleet(file)) => match crate::quota::read(&file) {
             Ok(plan) => {
                 println!(
                     "{}: {} seats, {} budgets: right",
@@ -67,9 +67,9 @@
 /// All that is configured is right, or nothing starts.
 fn prepared(options: &Options) -> Result<Prepared, String> {
     let loaded = Loaded::read(&options.fronts)?;
-    let seat = |file: &PathBuf| crate::budgets::seat(file, &loaded.node.name, loaded.node.sockets);
+    let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.sockets);
     let fleet = options.fleet.as_ref().map(seat).transpose()?;
-    Ok((loaded, crate::takeover::passed()?, fleet))
+    Ok((loaded, crate::handover::passed()?, fleet))
 }
 
 /// What is off by default.
--- a/src/config.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,11 @@
 //! What a node is told at its start: `NODE_CONFIG` and the variables beside it.
 
+pub mod json;
+pub mod settings;
+
+use crate::discovery::List;
 use crate::front::{Files, ReadFiles, OPTIONAL};
-use crate::interface::{Discovery, Nanos, Settings};
-use crate::service_table::List;
-use crate::wire;
+use crate::vocabulary::{Discovery, Nanos, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -154,15 +156,15 @@
 
     /// Decodes the text of the file.
     pub fn parse(text: &str) -> Result<Config, String> {
-        let file: File = wire::parse(text)?;
+        let file: File = json::parse(text)?;
         crate::log::trace(format_args!("trace settings {}", file.settings.get()));
         let in_settings = |e: String| e.replacen("field ", "field settings.", 1);
-        let mut settings = wire::settings_from(file.settings.get()).map_err(in_settings)?;
-        let facts: Facts = wire::parse(file.settings.get()).map_err(in_settings)?;
+        let mut settings = settings::settings_from(file.settings.get()).map_err(in_settings)?;
+        let facts: Facts = json::parse(file.settings.get()).map_err(in_settings)?;
         settings.dial_timeout = facts.limits.dial_timeout_ns;
         // On sockets nothing comes unasked: what is pushed waits at the machine's agent until a watch asks for it.
-        if settings.discovery == Discovery::Unasked {
-            settings.discovery = Discovery::Agent;
+        if settings.discovery == Discovery::Pushed {
+            settings.discovery = Discovery::LocalAgent;
         }
         settings.check().map_err(|e| format!("field settings.{}: {}", e.field, e.problem))?;
         let seed = if file.seed.is_empty() {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,6 +1,6 @@
 //! What the node took in, sent and answered, printed on SIGUSR1 and at exit.
 
-use crate::interface::Outcome;
+use crate::vocabulary::Outcome;
 use std::fmt;
 
 macro_rules! counters {
@@ -20,31 +20,31 @@
 }
 
 counters! {
-    /// Transactions taken in.
+    /// Requests taken in.
     taken,
     /// Connections handed over at the start of a run.
     resumed,
-    /// Routed tasks sent.
+    /// Attempts sent.
     sent,
-    /// Of these: the region took it.
+    /// Of these: the server took it.
     up,
     /// Answered served.
     served,
     /// Answered refused.
     refused,
-    /// Of these, with no attempt made: it waited for its turn, or no region could be drawn.
+    /// Of these, with no attempt made: it waited for its turn, or no server could be drawn.
     refused_unsent,
     /// Answered failed.
     failed,
-    /// The terminal left before an answer.
+    /// The client left before an answer.
     left,
-    /// Served transactions that either side ended.
+    /// Served requests that either side ended.
     ended,
     /// Standing connections moved by this node.
     moved,
-    /// Routed tasks that ended in an error answer.
+    /// Attempts that ended in an error answer.
     task_error,
-    /// Turned away by the region.
+    /// Turned away by the server.
     task_full,
     /// Gave no answer in time.
     task_timeout,
@@ -60,7 +60,7 @@
     silent,
     /// Turned away because descriptors run short.
     over_budget,
-    /// Probes sent to regions (`STATS`), where the settings allow them.
+    /// Probes sent to servers (`STATS`), where the settings allow them.
     probes,
     /// Calls to discovery.
     list_calls,
@@ -76,7 +76,7 @@
     /// Attempts that the fleet's budgets turned away, and standing connections moved over them.
     budget_refused,
     budget_moved,
-    /// Operators' calls that sent terminals away, and that took them again.
+    /// Operators' calls that sent clients away, and that took them again.
     drains,
     resumes,
     /// Operators' calls answered yes, answered no, and never whole.
@@ -86,12 +86,12 @@
 }
 
 impl Counters {
-    /// Counts how a routed task ended before it stood.
+    /// Counts how an attempt ended before it stood.
     pub fn task(&mut self, outcome: Outcome) {
         let count = match outcome {
-            Outcome::Ok | Outcome::Moot => return,
+            Outcome::Ok | Outcome::NotSent => return,
             Outcome::Error => &mut self.task_error,
-            Outcome::Full => &mut self.task_full,
+            Outcome::Rejected => &mut self.task_full,
             Outcome::Timeout => &mut self.task_timeout,
             Outcome::ConnectFailed => &mut self.task_connect_failed,
             Outcome::Reset => &mut self.task_reset,
--- a/src/service_table.rs
+++ b/src/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Discovery's list of regions: the watch, its parser, and what it means to the module.
+//! Discovery's list of servers: the watch, its parser, and what it means to the module.
 
-use crate::interface::*;
+use crate::config::json;
 use crate::net::{Flow, Net, Owner, Token};
-use crate::wire;
+use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -45,12 +45,12 @@
     1.0
 }
 
-/// A region, at the number that the module knows it by.
-pub struct Region {
+/// A server, at the number that the module knows it by.
+pub struct RegistryEntry {
     entry: Entry,
 }
 
-impl Region {
+impl RegistryEntry {
     /// Discovery's name for it.
     pub fn name(&self) -> &str {
         &self.entry.instance_id
@@ -105,11 +105,11 @@
 const MOST_PASSED: usize = 8 * 1024;
 
 /// The table.
-pub struct ServiceTable {
+pub struct EndpointRegistry {
     discovery: SocketAddr,
     zones: Vec<String>,
     generation: u64,
-    regions: Vec<Region>,
+    servers: Vec<RegistryEntry>,
     numbers: HashMap<String, ServerId>,
     watch: Option<Watch>,
     /// Calls made so far.
@@ -120,37 +120,37 @@
     before: Option<u64>,
 }
 
-impl ServiceTable {
-    pub fn new(discovery: SocketAddr, zones: Vec<String>) -> ServiceTable {
-        let (regions, numbers) = (Vec::new(), HashMap::new());
+impl EndpointRegistry {
+    pub fn new(discovery: SocketAddr, zones: Vec<String>) -> EndpointRegistry {
+        let (servers, numbers) = (Vec::new(), HashMap::new());
         let (generation, watch, calls, backs, before) = (0, None, 0, 0, None);
-        ServiceTable { discovery, zones, generation, regions, numbers, watch, calls, backs, before }
+        EndpointRegistry { discovery, zones, generation, servers, numbers, watch, calls, backs, before }
     }
 
-    /// A region by its number.
-    pub fn region(&self, server: ServerId) -> Option<&Region> {
-        self.regions.get(server.0 as usize)
+    /// A server by its number.
+    pub fn entry(&self, server: ServerId) -> Option<&RegistryEntry> {
+        self.servers.get(server.0 as usize)
     }
 
-    /// A region by discovery's name for it.
+    /// A server by discovery's name for it.
     pub fn named(&self, name: &str) -> Option<ServerId> {
         self.numbers.get(name).copied()
     }
 
-    /// Regions that get nothing new.
+    /// Servers that get nothing new.
     pub fn stopped(&self) -> Vec<ServerId> {
-        let ids = (0..self.regions.len()).map(|at| ServerId(at as u32));
-        ids.filter(|id| !self.regions[id.0 as usize].serving()).collect()
+        let ids = (0..self.servers.len()).map(|at| ServerId(at as u32));
+        ids.filter(|id| !self.servers[id.0 as usize].serving()).collect()
     }
 
     /// Takes the list that the node last held.
     pub fn saved(&mut self, list: &List) -> Event {
-        Event::Members(ListKind::Saved, self.take(list, true))
+        Event::EndpointList(ListKind::Saved, self.take(list, true))
     }
 
     /// All that is known, for a process that takes this one's place.
     pub fn list(&self) -> List {
-        let instances = self.regions.iter().map(|region| region.entry.clone()).collect();
+        let instances = self.servers.iter().map(|server| server.entry.clone()).collect();
         List { generation: self.generation, reset: true, instances }
     }
 
@@ -181,14 +181,14 @@
     ) -> Event {
         let members = self.take(list, true);
         let watch = watch.and_then(|(fd, state, flow)| {
-            let token = net.receive(fd, flow, Owner::Table).ok()?;
+            let token = net.receive(fd, flow, Owner::Discovery).ok()?;
             let WatchState { heard, moved, lines, answer } = state;
             Some(Watch { token, heard, moved, answer, lines })
         });
         self.watch = watch;
         // A list that no watch keeps up is what was saved of it.
         let kind = if self.watch.is_some() { ListKind::Full } else { ListKind::Saved };
-        Event::Members(kind, members)
+        Event::EndpointList(kind, members)
     }
 
     /// What the watch has brought by now, before it is let go: what was told there counts.
@@ -214,7 +214,7 @@
         if self.watch.is_some() {
             return None;
         }
-        let Ok(token) = net.connect(self.discovery, Owner::Table) else { return Some(failed()) };
+        let Ok(token) = net.connect(self.discovery, Owner::Discovery) else { return Some(failed()) };
         let (from, host) = (self.generation, self.discovery);
         let ask = format!("GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {host}\r\n\r\n");
         net.send(token, ask.as_bytes());
@@ -242,7 +242,7 @@
             if line.is_empty() {
                 nothing_new |= watch.lines == 1;
             } else {
-                lists.push(wire::parse::<List>(line).map_err(|_| AnswerError::NotJson)?);
+                lists.push(json::parse::<List>(line).map_err(|_| AnswerError::NotJson)?);
             }
             Ok(())
         });
@@ -253,12 +253,12 @@
         let mut events = Vec::new();
         // An answer that begins with an empty line says that nothing changed since the version asked from.
         if nothing_new && lists.is_empty() && self.generation > 0 {
-            events.push(Event::Members(ListKind::Incremental, Vec::new()));
+            events.push(Event::EndpointList(ListKind::Incremental, Vec::new()));
         }
         for list in lists {
             let back = list.generation < self.generation;
             let kind = if list.reset && !back { ListKind::Full } else { ListKind::Incremental };
-            events.push(Event::Members(kind, self.take(&list, list.reset)));
+            events.push(Event::EndpointList(kind, self.take(&list, list.reset)));
         }
         if let Err(error) = sound {
             crate::log::line(format_args!("list-lost reason={error:?}"));
@@ -285,7 +285,7 @@
 
     /// What a list changes. One whose version goes back is no news: what it leaves out stays, and what has
     /// been told to stop since is not revived by it.
-    fn take(&mut self, list: &List, whole: bool) -> Vec<Member> {
+    fn take(&mut self, list: &List, whole: bool) -> Vec<Endpoint> {
         // The first whole list from another address may be older than what the one before it told: it sets the
         // version anew, and revives nothing either.
         let before = if whole { self.before.take() } else { self.before };
@@ -298,61 +298,61 @@
         self.generation = self.generation.max(list.generation);
         for entry in &list.instances {
             crate::log::trace(format_args!(
-                "trace entry region={} zone={} lifecycle={:?} weight={} started_ms={}",
+                "trace entry server={} zone={} lifecycle={:?} weight={} started_ms={}",
                 entry.instance_id, entry.zone, entry.lifecycle, entry.weight, entry.started_at_ms
             ));
         }
         let news = |entry: &&Entry| !((back || older) && self.has_stopped(entry));
         let news: Vec<Entry> = list.instances.iter().filter(news).cloned().collect();
         if whole && !back {
-            self.regions.iter_mut().for_each(|r| r.entry.lifecycle = Lifecycle::Gone);
+            self.servers.iter_mut().for_each(|r| r.entry.lifecycle = Lifecycle::Gone);
         }
         news.iter().map(|entry| self.member(entry)).collect()
     }
 
-    /// Whether this very process of a region has been told to stop, or a later one is known.
+    /// Whether this very process of a server has been told to stop, or a later one is known.
     fn has_stopped(&self, entry: &Entry) -> bool {
-        let known = self.numbers.get(&entry.instance_id).map(|server| &self.regions[server.0 as usize]);
-        known.is_some_and(|region| {
-            let known = region.entry.started_at_ms;
-            known > entry.started_at_ms || (known == entry.started_at_ms && !region.serving())
+        let known = self.numbers.get(&entry.instance_id).map(|server| &self.servers[server.0 as usize]);
+        known.is_some_and(|server| {
+            let known = server.entry.started_at_ms;
+            known > entry.started_at_ms || (known == entry.started_at_ms && !server.serving())
         })
     }
 
-    fn member(&mut self, entry: &Entry) -> Member {
+    fn member(&mut self, entry: &Entry) -> Endpoint {
         let name = &entry.instance_id;
-        let region = Region { entry: entry.clone() };
+        let known = RegistryEntry { entry: entry.clone() };
         let server = match self.numbers.get(name) {
             Some(server) => {
-                self.regions[server.0 as usize] = region;
+                self.servers[server.0 as usize] = known;
                 *server
             }
             None => {
-                let server = ServerId(self.regions.len() as u32);
-                self.regions.push(region);
+                let server = ServerId(self.servers.len() as u32);
+                self.servers.push(known);
                 self.numbers.insert(name.clone(), server);
                 server
             }
         };
-        Member {
+        Endpoint {
             server,
-            tag: wire::tag(name),
+            tag: crate::hash::fnv1a(name),
             zone: self.zones.iter().position(|z| *z == entry.zone).unwrap_or(self.zones.len()) as u32,
             cell: entry.cell,
             nominal: entry.weight,
             // The module's clock is Unix time too, in nanoseconds; zero stays long ago.
-            born: entry.started_at_ms.saturating_mul(1_000_000),
+            started_at: entry.started_at_ms.saturating_mul(1_000_000),
             status: match entry.lifecycle {
                 Lifecycle::Ready => Status::Serving,
                 Lifecycle::Draining => Status::Draining,
-                Lifecycle::Gone => Status::Gone,
+                Lifecycle::Gone => Status::Removed,
             },
         }
     }
 }
 
 fn failed() -> Event {
-    Event::Members(ListKind::Failed, Vec::new())
+    Event::EndpointList(ListKind::Failed, Vec::new())
 }
 
 /// Why an answer cannot go on.
@@ -554,7 +554,7 @@
     /// so is what it stops.
     #[test]
     fn a_version_that_goes_back_revives_nothing() {
-        let mut table = ServiceTable::new(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
+        let mut table = EndpointRegistry::new(SocketAddr::from(([127, 0, 0, 1], 1)), Vec::new());
         table.take(&list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9)]), true);
         table.take(&list(6, false, &[("a", "draining", 0)]), false);
         table.take(&list(7, false, &[("b", "gone", 0), ("c", "ready", 10)]), false);
@@ -562,7 +562,8 @@
             list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9), ("d", "ready", 0)]);
         let news = table.take(&old, true);
         assert_eq!(news.iter().map(|m| m.server).collect::<Vec<_>>(), [ServerId(3)], "only what nobody knew");
-        let serves = |name| table.named(name).and_then(|s| table.region(s)).is_some_and(Region::serving);
+        let serves =
+            |name| table.named(name).and_then(|s| table.entry(s)).is_some_and(RegistryEntry::serving);
         assert_eq!(["a", "b", "c", "d"].map(serves), [false, false, true, true]);
         assert_eq!((table.generation, table.backs), (7, 1));
         let stops = table.take(&list(6, false, &[("d", "draining", 0)]), false);
--- a/src/flow_export.rs
+++ b/src/flow_export.rs
@@ -3,9 +3,9 @@
 //! One template of IANA's own elements. A collector that is away costs its records, nothing else.
 
 use crate::config::Facts;
-use crate::core::{Flow, FlowResult};
-use crate::interface::Nanos;
-use crate::service_table::ServiceTable;
+use crate::discovery::EndpointRegistry;
+use crate::requests::{Flow, FlowResult};
+use crate::vocabulary::Nanos;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
 
@@ -16,9 +16,9 @@
     (152, 8),      // flowStartMilliseconds
     (153, 8),      // flowEndMilliseconds
     (136, 1),      // flowEndReason
-    (12, 4),       // destinationIPv4Address: the region, or 0.0.0.0
+    (12, 4),       // destinationIPv4Address: the server, or 0.0.0.0
     (11, 2),       // destinationTransportPort
-    (278, 4),      // connectionCountNew: routed tasks sent
+    (278, 4),      // connectionCountNew: attempts sent
     (96, 0xffff),  // applicationName: the class
     (94, 0xffff),  // applicationDescription: the front
     (372, 0xffff), // applicationCategoryName: how it ended
@@ -47,7 +47,7 @@
     }
 
     /// Sends flows that have ended, at the module's time (Unix time in nanoseconds).
-    pub fn send(&mut self, now: Nanos, flows: &[Flow], table: &ServiceTable, facts: &Facts) {
+    pub fn send(&mut self, now: Nanos, flows: &[Flow], registry: &EndpointRegistry, facts: &Facts) {
         let due = |at: Nanos| now.saturating_sub(at) >= TEMPLATE_EVERY;
         if !flows.is_empty() && self.template_at.is_none_or(due) {
             self.template_at = Some(now);
@@ -55,7 +55,7 @@
         }
         let (mut records, mut count) = (Vec::new(), 0);
         for flow in flows {
-            let record = record(flow, table, facts);
+            let record = record(flow, registry, facts);
             if records.len() + record.len() + 20 > MOST {
                 self.message(now, TEMPLATE, &records, count);
                 (records, count) = (Vec::new(), 0);
@@ -95,8 +95,8 @@
     out
 }
 
-fn record(flow: &Flow, table: &ServiceTable, facts: &Facts) -> Vec<u8> {
-    let addr = flow.region.and_then(|region| table.region(region)).map(|region| region.addr());
+fn record(flow: &Flow, registry: &EndpointRegistry, facts: &Facts) -> Vec<u8> {
+    let addr = flow.server.and_then(|server| registry.entry(server)).map(|server| server.addr());
     let ip = match addr.map(|a| a.ip()) {
         Some(IpAddr::V4(ip)) => ip,
         _ => Ipv4Addr::UNSPECIFIED,
@@ -112,7 +112,7 @@
     };
     let class = facts.classes.get(flow.class).map_or("", |c| c.name.as_str());
     let mut out = Vec::new();
-    out.extend(flow.txn.0.to_be_bytes());
+    out.extend(flow.request_id.0.to_be_bytes());
     out.extend((flow.began / 1_000_000).to_be_bytes());
     out.extend((flow.ended / 1_000_000).to_be_bytes());
     out.push(reason);
--- a/src/front/amqp/terminals.rs
+++ b/src/front/amqp/clients.rs
@@ -1,4 +1,4 @@
-//! The terminals' connections and links: the table, credit, and what is written to them.
+//! The clients' connections and links: the table, credit, and what is written to them.
 
 use super::access::Who;
 use super::config::AmqpConfig;
@@ -6,18 +6,18 @@
 use super::recovery::Key;
 use crate::front::tls::Tls;
 use crate::front::Ctx;
-use crate::interface::{Nanos, RequestId};
 use crate::net::{Token, SLOW};
+use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{Connection, LinkId, Tag};
 use std::collections::HashSet;
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// A terminal's connection.
-pub struct Terminal {
+/// A client's connection.
+pub struct Client {
     pub conn: Connection,
     pub links: Map<LinkId, Use>,
-    /// Transactions of its that are open.
+    /// Requests of its that are open.
     pub live: usize,
     pub who: Rc<Who>,
     ip: Option<IpAddr>,
@@ -26,20 +26,20 @@
     pub clear: Vec<u8>,
     /// There may be something to write.
     dirty: bool,
-    /// Transactions whose link is going, until it is known whether it may come again.
+    /// Requests whose link is going, until it is known whether it may come again.
     pub dropped: Vec<RequestId>,
-    /// A relay has more for it than is written at one time.
+    /// A forwarder has more for it than is written at one time.
     pub stalled: bool,
     /// A wrong password is answered at this time, not before.
     pub refuse_at: Option<Nanos>,
 }
 
-/// What a terminal's link is for.
+/// What a client's link is for.
 pub enum Use {
-    /// Its deliveries are transactions.
+    /// Its deliveries are requests.
     Intake(Intake),
-    /// A relay's deliveries go out on it: a standing connection, or a node for replies.
-    Relay(u64),
+    /// A forwarder's deliveries go out on it: a standing connection, or a node for replies.
+    Forwarder(u64),
 }
 
 /// A link on which deliveries come in.
@@ -63,7 +63,7 @@
     None,
     /// Its head has not come whole.
     Gathering(Vec<u8>),
-    /// It is a transaction.
+    /// It is a request.
     Running(RequestId),
     /// It was answered before its end.
     Ignored,
@@ -71,8 +71,8 @@
 
 /// The table.
 #[derive(Default)]
-pub struct Terminals {
-    map: Map<Token, Box<Terminal>>,
+pub struct Clients {
+    map: Map<Token, Box<Client>>,
     by_ip: Map<IpAddr, usize>,
     /// Links that take credit, by subscriber.
     links: Map<String, u32>,
@@ -81,7 +81,7 @@
     paused: Vec<Token>,
 }
 
-impl Terminals {
+impl Clients {
     /// Takes a connection in. False where its address holds as many as it may.
     pub fn insert(
         &mut self,
@@ -101,27 +101,26 @@
         let (links, who) = (Map::default(), Rc::new(Who::default()));
         let (dirty, stalled, refuse_at) = (false, false, None);
         let (dropped, clear) = (Vec::new(), Vec::new());
-        let terminal =
-            Terminal { conn, links, live: 0, who, ip, tls, clear, dirty, dropped, stalled, refuse_at };
-        self.map.insert(token, Box::new(terminal));
+        let client = Client { conn, links, live: 0, who, ip, tls, clear, dirty, dropped, stalled, refuse_at };
+        self.map.insert(token, Box::new(client));
         true
     }
 
-    pub fn remove(&mut self, token: Token) -> Option<Box<Terminal>> {
-        let terminal = self.map.remove(&token)?;
-        if let Some(count) = terminal.ip.and_then(|ip| self.by_ip.get_mut(&ip)) {
+    pub fn remove(&mut self, token: Token) -> Option<Box<Client>> {
+        let client = self.map.remove(&token)?;
+        if let Some(count) = client.ip.and_then(|ip| self.by_ip.get_mut(&ip)) {
             *count -= 1;
             if *count == 0 {
-                terminal.ip.map(|ip| self.by_ip.remove(&ip));
+                client.ip.map(|ip| self.by_ip.remove(&ip));
             }
         }
-        let intakes = terminal.links.values().filter(|l| matches!(l, Use::Intake(_))).count() as u32;
-        self.count_links(terminal.who.subscriber(), -i64::from(intakes));
-        Some(terminal)
+        let intakes = client.links.values().filter(|l| matches!(l, Use::Intake(_))).count() as u32;
+        self.count_links(client.who.subscriber(), -i64::from(intakes));
+        Some(client)
     }
 
-    pub fn get(&mut self, token: Token) -> Option<&mut Terminal> {
-        self.map.get_mut(&token).map(|terminal| &mut **terminal)
+    pub fn get(&mut self, token: Token) -> Option<&mut Client> {
+        self.map.get_mut(&token).map(|client| &mut **client)
     }
 
     pub fn is_empty(&self) -> bool {
@@ -151,27 +150,27 @@
 
     /// A link for deliveries is attached.
     pub fn add_intake(&mut self, token: Token, link: LinkId, intake: Intake) {
-        let Some(terminal) = self.map.get_mut(&token) else { return };
-        terminal.links.insert(link, Use::Intake(intake));
-        let who = terminal.who.clone();
+        let Some(client) = self.map.get_mut(&token) else { return };
+        client.links.insert(link, Use::Intake(intake));
+        let who = client.who.clone();
         self.count_links(who.subscriber(), 1);
     }
 
     /// A link is gone: what it was for.
     pub fn remove_link(&mut self, token: Token, link: LinkId) -> Option<Use> {
-        let terminal = self.map.get_mut(&token)?;
-        let gone = terminal.links.remove(&link)?;
-        let who = terminal.who.clone();
+        let client = self.map.get_mut(&token)?;
+        let gone = client.links.remove(&link)?;
+        let who = client.who.clone();
         if matches!(gone, Use::Intake(_)) {
             self.count_links(who.subscriber(), -1);
         }
         Some(gone)
     }
 
-    /// There may be something to write to this terminal.
+    /// There may be something to write to this client.
     pub fn touch(&mut self, token: Token) {
-        if let Some(terminal) = self.map.get_mut(&token).filter(|t| !t.dirty) {
-            terminal.dirty = true;
+        if let Some(client) = self.map.get_mut(&token).filter(|t| !t.dirty) {
+            client.dirty = true;
             self.dirty.push(token);
         }
     }
@@ -184,14 +183,14 @@
     pub fn take_dirty(&mut self) -> Vec<Token> {
         let dirty = std::mem::take(&mut self.dirty);
         for token in &dirty {
-            if let Some(terminal) = self.map.get_mut(token) {
-                terminal.dirty = false;
+            if let Some(client) = self.map.get_mut(token) {
+                client.dirty = false;
             }
         }
         dirty
     }
 
-    /// This terminal is not read on until there is room again.
+    /// This client is not read on until there is room again.
     pub fn pause(&mut self, token: Token) {
         if !self.paused.contains(&token) {
             self.paused.push(token);
@@ -206,46 +205,46 @@
     /// is the subscriber's credit over its links, and shrinks with the octets that are held: half full it
     /// starts to, and at nine tenths there is none.
     pub fn grant(&mut self, token: Token, link: LinkId, config: &AmqpConfig, held: usize) {
-        let Some(terminal) = self.map.get_mut(&token) else { return };
-        let links = self.links.get(terminal.who.subscriber()).copied().unwrap_or(1).max(1);
+        let Some(client) = self.map.get_mut(&token) else { return };
+        let links = self.links.get(client.who.subscriber()).copied().unwrap_or(1).max(1);
         let fair = (config.subscriber_credit / links).clamp(1, config.credit);
         let credit = shrunk(fair, held, config.max_held);
-        let now = terminal.conn.credit(link);
+        let now = client.conn.credit(link);
         if credit > now && now <= credit / 2 {
-            terminal.conn.grant(link, credit);
+            client.conn.grant(link, credit);
             self.touch(token);
         }
     }
 
     /// No link gets any more credit, and what it had is taken back.
     pub fn stop_credit(&mut self, token: Token) {
-        let Some(terminal) = self.map.get_mut(&token) else { return };
-        for (link, kind) in &terminal.links {
+        let Some(client) = self.map.get_mut(&token) else { return };
+        for (link, kind) in &client.links {
             if matches!(kind, Use::Intake(_)) {
-                terminal.conn.grant(*link, 0);
+                client.conn.grant(*link, 0);
             }
         }
         self.touch(token);
     }
 
-    /// Whether relays had more for a terminal than was written at one time, and there is room again. Where
+    /// Whether forwarders had more for a client than was written at one time, and there is room again. Where
     /// the socket took it all at once, no notice says so.
     pub fn takes_more(&mut self, ctx: &Ctx, token: Token) -> bool {
-        let Some(terminal) = self.map.get_mut(&token) else { return false };
-        let more = terminal.stalled && ctx.net.unwritten(token) < SLOW;
-        terminal.stalled &= !more;
+        let Some(client) = self.map.get_mut(&token) else { return false };
+        let more = client.stalled && ctx.net.unwritten(token) < SLOW;
+        client.stalled &= !more;
         more
     }
 
     /// Writes what there is. False where the connection is over with it.
     pub fn flush(&mut self, ctx: &mut Ctx, token: Token) -> bool {
-        let Some(terminal) = self.map.get_mut(&token) else { return true };
-        terminal.say(ctx, token);
-        !terminal.conn.is_closed()
+        let Some(client) = self.map.get_mut(&token) else { return true };
+        client.say(ctx, token);
+        !client.conn.is_closed()
     }
 }
 
-impl Terminal {
+impl Client {
     /// Sends what there is to say.
     pub fn say(&mut self, ctx: &mut Ctx, token: Token) {
         let mut out = self.conn.take_out(ctx.now);
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -1,9 +1,9 @@
 //! The AMQP front's own file, such as `deploy/amqp.json`.
 
 use super::access::Users;
+use crate::config::json;
 use crate::front::tls::TlsFile;
-use crate::interface::Nanos;
-use crate::wire;
+use crate::vocabulary::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
 use std::collections::HashMap;
@@ -17,7 +17,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AmqpConfig {
-    /// Where AMQP terminals connect; port 0 lets the system pick one.
+    /// Where AMQP clients connect; port 0 lets the system pick one.
     pub listen: SocketAddr,
     /// The largest frame taken, in octets.
     pub max_frame: u32,
@@ -44,27 +44,31 @@
     pub max_held: usize,
     /// Connections that one address may hold.
     pub peer_connections: usize,
-    /// Terminals that are silent for this long are closed.
+    /// Clients that are silent for this long are closed.
     pub idle_ms: u32,
-    /// Regions that are silent for this long are given up.
-    pub region_idle_ms: u32,
-    /// Connections to one region.
-    pub region_connections: usize,
-    /// Links to one region for one class: a long message holds up its own link and no other.
-    pub region_lanes: usize,
+    /// Servers that are silent for this long are given up.
+    #[serde(alias = "region_idle_ms")]
+    pub server_idle_ms: u32,
+    /// Connections to one server.
+    #[serde(alias = "region_connections")]
+    pub server_connections: usize,
+    /// Links to one server for one class: a long message holds up its own link and no other.
+    #[serde(alias = "region_lanes")]
+    pub server_lanes: usize,
     /// Links that are remembered while they may come again.
     pub resume_links: usize,
     /// For no longer than this, whatever they ask for.
     pub resume_ms: u32,
-    /// Where regions speak AMQP, by instance id. A region that is not named is met at discovery's address.
-    pub regions: HashMap<String, Place>,
+    /// Where servers speak AMQP, by instance id. A server that is not named is met at discovery's address.
+    #[serde(alias = "regions")]
+    pub servers: HashMap<String, Place>,
     /// Who may come in, as `sparbank amqp-user` writes it. Without it everyone may, unnamed.
     pub users: Option<PathBuf>,
     /// PLAIN passwords may come over connections that are not encrypted.
     pub plain_unencrypted: bool,
-    /// Where terminals connect under TLS.
+    /// Where clients connect under TLS.
     pub tls: Option<TlsFile>,
-    /// When the node leaves, terminals are told to go there.
+    /// When the node leaves, clients are told to go there.
     pub redirect: Option<Redirect>,
     /// What [`AmqpConfig::users`] holds.
     #[serde(skip)]
@@ -74,11 +78,11 @@
     pub tls_config: Option<Arc<rustls::ServerConfig>>,
 }
 
-/// Where a region speaks AMQP, and how the node makes itself known there.
+/// Where a server speaks AMQP, and how the node makes itself known there.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum Place {
-    /// An address alone: SASL ANONYMOUS, or none where the region has no SASL.
+    /// An address alone: SASL ANONYMOUS, or none where the server has no SASL.
     Address(SocketAddr),
     /// An address and more.
     Full(FullPlace),
@@ -102,7 +106,7 @@
     pub sasl: Sasl,
 }
 
-/// How to come to a region.
+/// How to come to a server.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sasl {
@@ -116,7 +120,7 @@
     None,
 }
 
-/// Where terminals are sent when the node leaves (part 2, 2.8.16).
+/// Where clients are sent when the node leaves (part 2, 2.8.16).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
@@ -145,12 +149,12 @@
             max_held: 8 * 1024 * 1024,
             peer_connections: 1024,
             idle_ms: 10_000,
-            region_idle_ms: 4_500,
-            region_connections: 4,
-            region_lanes: 4,
+            server_idle_ms: 4_500,
+            server_connections: 4,
+            server_lanes: 4,
             resume_links: 256,
             resume_ms: 30_000,
-            regions: HashMap::new(),
+            servers: HashMap::new(),
             users: None,
             plain_unencrypted: false,
             tls: None,
@@ -166,7 +170,7 @@
     pub fn read(path: &Path) -> Result<AmqpConfig, String> {
         let name = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-        let mut config: AmqpConfig = wire::parse(&text).map_err(|e| format!("{name}: {e}"))?;
+        let mut config: AmqpConfig = json::parse(&text).map_err(|e| format!("{name}: {e}"))?;
         let wrong = |field: &str, problem: &str| Err(format!("{name}: field {field}: {problem}"));
         if config.max_frame < 512 {
             return wrong("max_frame", "at least 512");
@@ -177,8 +181,8 @@
         if config.window == 0 || config.credit == 0 || config.unsettled == 0 || config.max_links == 0 {
             return wrong("window, credit, unsettled, max_links", "at least 1");
         }
-        if config.region_lanes == 0 || config.region_connections == 0 {
-            return wrong("region_lanes, region_connections", "at least 1");
+        if config.server_lanes == 0 || config.server_connections == 0 {
+            return wrong("server_lanes, server_connections", "at least 1");
         }
         if config.max_held < config.keep {
             return wrong("max_held", "at least keep");
@@ -194,8 +198,8 @@
         Ok(config)
     }
 
-    /// What terminals' connections are bound by.
-    pub fn terminal(&self, container: &str) -> Settings {
+    /// What clients' connections are bound by.
+    pub fn client(&self, container: &str) -> Settings {
         Settings {
             container: container.to_string(),
             hostname: None,
@@ -217,15 +221,15 @@
         super::recovery::Bounds { links: self.resume_links, ended, timeout: Nanos::from(self.resume_ms) * MS }
     }
 
-    /// What the connections to regions are bound by.
-    pub fn region(&self, container: &str) -> Settings {
-        let idle = Nanos::from(self.region_idle_ms) * MS;
-        Settings { idle, links: usize::MAX, handle_max: 1023, ..self.terminal(container) }
+    /// What the connections to servers are bound by.
+    pub fn server(&self, container: &str) -> Settings {
+        let idle = Nanos::from(self.server_idle_ms) * MS;
+        Settings { idle, links: usize::MAX, handle_max: 1023, ..self.client(container) }
     }
 
-    /// How to come to a region: its address, and how the node makes itself known.
+    /// How to come to a server: its address, and how the node makes itself known.
     pub fn place(&self, name: &str, addr: SocketAddr, nonce: &str) -> (SocketAddr, Option<Credentials>) {
-        match self.regions.get(name) {
+        match self.servers.get(name) {
             None => (addr, Some(Credentials::Anonymous)),
             Some(Place::Address(addr)) => (*addr, Some(Credentials::Anonymous)),
             Some(Place::Full(place)) => {
--- a/src/front/amqp/from_terminals.rs
+++ b/src/front/amqp/from_clients.rs
@@ -1,13 +1,13 @@
-//! What terminals say.
+//! What clients say.
 
+use super::clients::{Client, Intake, Partial, Use};
 use super::items::Item;
 use super::recovery::{Fate, Key};
-use super::terminals::{Intake, Partial, Terminal, Use};
 use super::*;
 use crate::front::tls::Tls;
 use crate::front::{Ctx, Due, ANSWER_MARGIN};
+use crate::hash::fnv1a;
 use crate::net::{Kind, Notice, Token, SLOW};
-use crate::wire::tag;
 use sparbank_amqp::{
     condition, Asked, Attach, Connection, DecodeError, Error, Event, Head, LinkId, Message, Part, Role,
     Source, State, Target, Terminus, Value,
@@ -22,8 +22,8 @@
 /// A wrong password is answered after this.
 const WRONG_PASSWORD_COSTS: Nanos = 1_000 * MS;
 
-/// The attach that asks a region for what a terminal asked for.
-pub(super) fn towards_region(attach: &Attach) -> Attach {
+/// The attach that asks a server for what a client asked for.
+pub(super) fn towards_server(attach: &Attach) -> Attach {
     Attach {
         snd_settle_mode: attach.snd_settle_mode,
         rcv_settle_mode: attach.rcv_settle_mode,
@@ -36,25 +36,25 @@
 }
 
 impl AmqpFront {
-    pub(super) fn terminal_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn client_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
         let token = notice.token;
         match notice.kind {
             Kind::Accepted => return self.accept(ctx, token),
             Kind::Evicted | Kind::Overdue => {
-                ctx.core.counters.silent += 1;
+                ctx.requests.counters.silent += 1;
                 ctx.net.close(token);
-                return self.terminal_gone(ctx, token);
+                return self.client_gone(ctx, token);
             }
-            Kind::Broken(_) => return self.terminal_gone(ctx, token),
+            Kind::Broken(_) => return self.client_gone(ctx, token),
             Kind::Drained => self.forward_all(ctx, token),
             Kind::Readable => {}
         }
-        self.read_terminal(ctx, token);
+        self.read_client(ctx, token);
     }
 
     fn accept(&mut self, ctx: &mut Ctx, token: Token) {
         if ctx.net.is_short() && !ctx.net.make_room() {
-            ctx.core.counters.over_budget += 1;
+            ctx.requests.counters.over_budget += 1;
             return ctx.net.close(token);
         }
         let under_tls = self.tls_listener.is_some() && ctx.net.came_to(token) == self.tls_listener;
@@ -65,27 +65,27 @@
         let external = under_tls && self.config.tls.as_ref().is_some_and(|tls| tls.client_ca.is_some());
         let plain = self.config.plain_unencrypted || under_tls;
         let offered = self.config.known.as_ref().map(|users| users.mechanisms(plain, external));
-        let conn = Connection::accept(ctx.now, self.config.terminal(&self.container), offered);
+        let conn = Connection::accept(ctx.now, self.config.client(&self.container), offered);
         ctx.net.read_ahead(token, self.config.max_frame as usize + 1024);
         let ip = ctx.net.peer(token).map(|peer| peer.ip());
-        if !self.terminals.insert(token, conn, tls, ip, self.config.peer_connections) {
-            ctx.core.counters.over_budget += 1;
+        if !self.clients.insert(token, conn, tls, ip, self.config.peer_connections) {
+            ctx.requests.counters.over_budget += 1;
             ctx.net.close(token);
         }
     }
 
-    /// Takes what has come, unless the terminal does not read its answers or there is no room.
-    pub(super) fn read_terminal(&mut self, ctx: &mut Ctx, token: Token) {
+    /// Takes what has come, unless the client does not read its answers or there is no room.
+    pub(super) fn read_client(&mut self, ctx: &mut Ctx, token: Token) {
         if ctx.net.unwritten(token) >= SLOW {
             return ctx.net.rearm(token);
         }
         // What is in the clear and waits for room is bounded as what waits in the socket is.
         let most = self.config.max_frame as usize + 1024;
-        let full = self.terminals.get(token).is_some_and(|t| t.tls.is_some() && t.clear.len() >= most);
+        let full = self.clients.get(token).is_some_and(|t| t.tls.is_some() && t.clear.len() >= most);
         let input = ctx.net.input(token).filter(|_| !full);
         let mut bytes = input.map(std::mem::take).unwrap_or_default();
         let mut fault = None;
-        if let Some(Terminal { tls: Some(tls), clear, .. }) = self.terminals.get(token) {
+        if let Some(Client { tls: Some(tls), clear, .. }) = self.clients.get(token) {
             let mut all = std::mem::take(clear);
             if let Err(words) = tls.read(&bytes, &mut all) {
                 fault = Some(sparbank_amqp::fault(condition::FRAMING_ERROR, words));
@@ -93,13 +93,13 @@
             bytes = all;
         }
         let mut left = &bytes[..];
-        while let Some(terminal) = self.terminals.get(token).filter(|_| fault.is_none()) {
+        while let Some(client) = self.clients.get(token).filter(|_| fault.is_none()) {
             if self.items.held() >= self.config.max_held {
-                self.terminals.pause(token);
+                self.clients.pause(token);
                 break;
             }
-            match terminal.conn.next(ctx.now, &mut left) {
-                Ok(Some(event)) => self.terminal_event(ctx, token, event),
+            match client.conn.next(ctx.now, &mut left) {
+                Ok(Some(event)) => self.client_event(ctx, token, event),
                 Ok(None) => break,
                 Err(why) => {
                     fault = Some(why);
@@ -108,66 +108,66 @@
             }
         }
         let taken = bytes.len() - left.len();
-        let Some(terminal) = self.terminals.get(token) else { return ctx.net.close(token) };
+        let Some(client) = self.clients.get(token) else { return ctx.net.close(token) };
         if taken < bytes.len() {
             bytes.drain(..taken);
-            if terminal.tls.is_some() {
-                terminal.clear = bytes;
+            if client.tls.is_some() {
+                client.clear = bytes;
             } else if let Some(input) = ctx.net.input(token) {
                 *input = bytes;
             }
         }
         if let Some(why) = fault {
-            ctx.core.counters.malformed += 1;
-            crate::log::line(format_args!("amqp-terminal-fault condition={} {}", why.condition, why.words));
-            terminal.conn.close(Some(Box::new(why.into())));
+            ctx.requests.counters.malformed += 1;
+            crate::log::line(format_args!("amqp-client-error condition={} {}", why.condition, why.words));
+            client.conn.close(Some(Box::new(why.into())));
         }
-        let room = full && terminal.clear.len() < most;
-        self.terminals.touch(token);
+        let room = full && client.clear.len() < most;
+        self.clients.touch(token);
         if room && ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
             // No notice comes again for what is here already.
-            return self.read_terminal(ctx, token);
+            return self.read_client(ctx, token);
         }
         if ctx.net.at_end(token) {
-            return self.terminal_gone(ctx, token);
+            return self.client_gone(ctx, token);
         }
         ctx.net.rearm(token);
     }
 
-    fn terminal_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
+    fn client_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
         match event {
             Event::Asked(asked) => self.asked(ctx, token, asked),
             Event::Opened {} => {
                 ctx.net.prove(token);
                 let anonymous = self.config.known.as_ref().and_then(|users| users.anonymous());
-                if let (Some(terminal), Some(who)) = (self.terminals.get(token), anonymous) {
-                    if terminal.who.name.is_none() {
-                        terminal.who = who;
+                if let (Some(client), Some(who)) = (self.clients.get(token), anonymous) {
+                    if client.who.name.is_none() {
+                        client.who = who;
                     }
                 }
             }
             Event::Asks { link, role: Role::Receiver, attach } => self.sends(ctx, token, link, &attach),
             Event::Asks { link, role: Role::Sender, attach } => self.receives(ctx, token, link, attach),
             Event::Credit { link } => {
-                if let Some(relay) = self.relay_at(token, link) {
-                    self.relays.forward(ctx, relay, sides(&mut self.terminals, &mut self.regions));
+                if let Some(forwarder) = self.forwarder_at(token, link) {
+                    self.forwarders.forward(ctx, forwarder, sides(&mut self.clients, &mut self.servers));
                 }
             }
             Event::Room { channel } => {
-                for relay in self.relays.on(token, channel) {
-                    self.relays.forward(ctx, relay, sides(&mut self.terminals, &mut self.regions));
+                for forwarder in self.forwarders.on(token, channel) {
+                    self.forwarders.forward(ctx, forwarder, sides(&mut self.clients, &mut self.servers));
                 }
             }
             Event::Transfer { link, part } => self.part(ctx, token, link, part),
             Event::Settled { link, key, state, .. } => {
-                if let Some(relay) = self.relay_at(token, link) {
-                    self.relays.settled(relay, key, state, &mut self.regions);
+                if let Some(forwarder) = self.forwarder_at(token, link) {
+                    self.forwarders.settled(forwarder, key, state, &mut self.servers);
                 }
             }
             Event::Forgotten { key, .. } => self.left(ctx, RequestId(key)),
             Event::Dropped { role: Role::Receiver, key, .. } => {
-                if let Some(terminal) = self.terminals.get(token) {
-                    terminal.dropped.push(RequestId(key));
+                if let Some(client) = self.clients.get(token) {
+                    client.dropped.push(RequestId(key));
                 }
             }
             Event::Detached { link, closed, .. } => self.link_gone(ctx, token, link, closed),
@@ -175,22 +175,22 @@
         }
     }
 
-    fn relay_at(&mut self, token: Token, link: LinkId) -> Option<u64> {
-        match self.terminals.get(token)?.links.get(&link)? {
-            Use::Relay(relay) => Some(*relay),
+    fn forwarder_at(&mut self, token: Token, link: LinkId) -> Option<u64> {
+        match self.clients.get(token)?.links.get(&link)? {
+            Use::Forwarder(forwarder) => Some(*forwarder),
             Use::Intake(_) => None,
         }
     }
 
-    /// A slow terminal has read what there was: what waits for it goes on.
+    /// A slow client has read what there was: what waits for it goes on.
     pub(super) fn forward_all(&mut self, ctx: &mut Ctx, token: Token) {
-        let Some(terminal) = self.terminals.get(token) else { return };
-        let relays =
-            terminal.links.values().filter_map(|u| if let Use::Relay(r) = u { Some(*r) } else { None });
-        let mut relays: Vec<u64> = relays.collect();
-        relays.sort_unstable();
-        for relay in relays {
-            self.relays.forward(ctx, relay, sides(&mut self.terminals, &mut self.regions));
+        let Some(client) = self.clients.get(token) else { return };
+        let forwarders =
+            client.links.values().filter_map(|u| if let Use::Forwarder(r) = u { Some(*r) } else { None });
+        let mut forwarders: Vec<u64> = forwarders.collect();
+        forwarders.sort_unstable();
+        for forwarder in forwarders {
+            self.forwarders.forward(ctx, forwarder, sides(&mut self.clients, &mut self.servers));
         }
     }
 
@@ -201,13 +201,13 @@
     }
 
     fn refuse_link(&mut self, token: Token, link: LinkId, condition: &str, words: &str) {
-        if let Some(terminal) = self.terminals.get(token) {
-            terminal.conn.refuse_link(link, Error::new(condition, words));
+        if let Some(client) = self.clients.get(token) {
+            client.conn.refuse_link(link, Error::new(condition, words));
         }
-        self.terminals.touch(token);
+        self.clients.touch(token);
     }
 
-    /// A terminal wants to send: to a class, or to the anonymous terminus, where `to` names it.
+    /// A client wants to send: to a class, or to the anonymous terminus, where `to` names it.
     fn sends(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, attach: &Attach) {
         let target = match &attach.target {
             Some(Terminus::Target(target)) => target.clone(),
@@ -235,8 +235,8 @@
                 }
             },
         };
-        let Some(terminal) = self.terminals.get(token) else { return };
-        if class.is_some_and(|class| !terminal.who.may(&self.classes[class])) {
+        let Some(client) = self.clients.get(token) else { return };
+        if class.is_some_and(|class| !client.who.may(&self.classes[class])) {
             let words = "this user may not attach to this class";
             return self.refuse_link(token, link, condition::UNAUTHORIZED_ACCESS, words);
         }
@@ -260,28 +260,28 @@
             unsettled,
             ..Attach::default()
         };
-        if let Some(terminal) = self.terminals.get(token) {
-            terminal.conn.accept_link(link, answer);
+        if let Some(client) = self.clients.get(token) {
+            client.conn.accept_link(link, answer);
         }
         let (remembered, unknown) = (self.recovery.knows(&key), found.unknown);
         let key = Rc::new(key);
         let intake = Intake { class, key, remembered, unknown, partial: Partial::None };
-        self.terminals.add_intake(token, link, intake);
-        for txn in found.forgotten {
-            self.left(ctx, txn);
+        self.clients.add_intake(token, link, intake);
+        for request_id in found.forgotten {
+            self.left(ctx, request_id);
         }
         self.grant(token, link);
-        self.terminals.touch(token);
+        self.clients.touch(token);
     }
 
     /// What a link goes by, on whichever connection it comes.
     fn key(&mut self, token: Token, link: LinkId) -> Option<Key> {
-        let terminal = self.terminals.get(token)?;
-        let container = terminal.conn.peer().container.clone();
-        Some(Key { container, user: terminal.who.name.clone(), name: terminal.conn.name(link).to_string() })
+        let client = self.clients.get(token)?;
+        let container = client.conn.peer().container.clone();
+        Some(Key { container, user: client.who.name.clone(), name: client.conn.name(link).to_string() })
     }
 
-    /// A terminal wants to receive: what a class sends, or replies.
+    /// A client wants to receive: what a class sends, or replies.
     fn receives(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, attach: Box<Attach>) {
         let source = attach.source.clone().unwrap_or_default();
         if source.dynamic == Some(true) {
@@ -292,15 +292,15 @@
             let words = "the source address names no class";
             return self.refuse_link(token, link, condition::NOT_FOUND, words);
         };
-        let Some(terminal) = self.terminals.get(token) else { return };
-        if !terminal.who.may(&self.classes[class]) {
+        let Some(client) = self.clients.get(token) else { return };
+        if !client.who.may(&self.classes[class]) {
             let words = "this user may not attach to this class";
             return self.refuse_link(token, link, condition::UNAUTHORIZED_ACCESS, words);
         }
         if self.leaving {
             let why = come_again(condition::RESOURCE_LIMIT_EXCEEDED, "the node leaves", COME_AGAIN);
-            terminal.conn.refuse_link(link, why);
-            return self.terminals.touch(token);
+            client.conn.refuse_link(link, why);
+            return self.clients.touch(token);
         }
         let properties = attach.properties.clone().unwrap_or(Value::Null);
         let property = |name: &str| match properties.get(name) {
@@ -311,83 +311,83 @@
         };
         let limit = ctx.classes.get(class).map_or(0, |c| c.hard_limit);
         let arrival = arrival(class, limit, property, properties.get("again") == Some(&Value::Bool(true)));
-        let txn = ctx.core.arrive(ctx.now, self.id, arrival);
-        let relay = self.relays.insert(Some(txn), token, link, attach);
-        terminal.links.insert(link, Use::Relay(relay));
+        let request_id = ctx.requests.arrive(ctx.now, self.id, arrival);
+        let forwarder = self.forwarders.insert(Some(request_id), token, link, attach);
+        client.links.insert(link, Use::Forwarder(forwarder));
     }
 
-    /// A dynamic source: a node to which regions may send replies, as long as its link lasts.
+    /// A dynamic source: a node to which servers may send replies, as long as its link lasts.
     fn receives_replies(&mut self, token: Token, link: LinkId, attach: Box<Attach>, source: Source) {
-        let Some(terminal) = self.terminals.get(token) else { return };
+        let Some(client) = self.clients.get(token) else { return };
         let answer_target = attach.target.clone();
-        let relay = self.relays.insert(None, token, link, attach);
+        let forwarder = self.forwarders.insert(None, token, link, attach);
         // The address is given to requests in the clear: it is not to be guessed by others.
-        let address = format!("reply/{relay}/{}", access::nonce());
+        let address = format!("reply/{forwarder}/{}", access::nonce());
         let source = Source { address: Some(address.clone()), dynamic: Some(true), ..source };
         let answer = Attach { source: Some(source), target: answer_target, ..Attach::default() };
-        terminal.conn.accept_link(link, answer);
-        terminal.links.insert(link, Use::Relay(relay));
-        self.relays.name(address, relay);
-        self.terminals.touch(token);
+        client.conn.accept_link(link, answer);
+        client.links.insert(link, Use::Forwarder(forwarder));
+        self.forwarders.name(address, forwarder);
+        self.clients.touch(token);
     }
 
-    /// A terminal's link is gone. Unless it may come again, nobody waits for what was on it.
+    /// A client's link is gone. Unless it may come again, nobody waits for what was on it.
     fn link_gone(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, closed: bool) {
-        let dropped = self.terminals.get(token).map(|t| std::mem::take(&mut t.dropped)).unwrap_or_default();
+        let dropped = self.clients.get(token).map(|t| std::mem::take(&mut t.dropped)).unwrap_or_default();
         // The connection has let the link's name go: it is kept with what it was for.
-        match self.terminals.remove_link(token, link) {
+        match self.clients.remove_link(token, link) {
             Some(Use::Intake(intake)) => {
                 let (key, bounds) = (intake.key, self.config.recovery());
                 // Without a time-out a link lasts as long as its session (3.5.6).
-                let session = self.terminals.get(token).is_some_and(|t| t.conn.has_begun(link.channel));
+                let session = self.clients.get(token).is_some_and(|t| t.conn.has_begun(link.channel));
                 let may = !closed && (intake.remembered || session);
                 let again = may && self.recovery.suspend(bounds, &key, token, ctx.now);
-                for txn in dropped {
-                    if again && self.items.get(txn).is_some_and(|item| item.whole) {
-                        self.suspend(&key, txn);
+                for request_id in dropped {
+                    if again && self.items.get(request_id).is_some_and(|item| item.whole) {
+                        self.suspend(&key, request_id);
                     } else {
-                        self.left(ctx, txn);
+                        self.left(ctx, request_id);
                     }
                 }
                 if !again {
-                    for txn in self.recovery.forget(&key) {
-                        self.left(ctx, txn);
+                    for request_id in self.recovery.forget(&key) {
+                        self.left(ctx, request_id);
                     }
                 }
                 if let Partial::Gathering(bytes) = intake.partial {
                     self.items.uncount(bytes.len());
                 }
             }
-            Some(Use::Relay(relay)) => self.relay_left(ctx, relay),
+            Some(Use::Forwarder(forwarder)) => self.forwarder_left(ctx, forwarder),
             None => {}
         }
     }
 
-    /// The terminal of a relay is gone.
-    fn relay_left(&mut self, ctx: &mut Ctx, relay: u64) {
-        if let Some(gone) = self.relays.remove(relay, &mut self.regions) {
-            if let Some(txn) = gone.txn {
-                ctx.core.left(ctx.now, txn);
+    /// The client of a forwarder is gone.
+    fn forwarder_left(&mut self, ctx: &mut Ctx, forwarder: u64) {
+        if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
+            if let Some(request_id) = gone.request_id {
+                ctx.requests.left(ctx.now, request_id);
             }
         }
     }
 
-    pub(super) fn refuse_relay(&mut self, txn: RequestId, error: Error) {
-        let Some(relay) = self.relays.of(txn) else { return };
-        let Some(gone) = self.relays.remove(relay, &mut self.regions) else { return };
-        self.terminals.remove_link(gone.terminal, gone.link);
-        if let Some(terminal) = self.terminals.get(gone.terminal) {
-            terminal.conn.refuse_link(gone.link, error);
+    pub(super) fn refuse_forwarder(&mut self, request_id: RequestId, error: Error) {
+        let Some(forwarder) = self.forwarders.of(request_id) else { return };
+        let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) else { return };
+        self.clients.remove_link(gone.client, gone.link);
+        if let Some(client) = self.clients.get(gone.client) {
+            client.conn.refuse_link(gone.link, error);
         }
-        self.terminals.touch(gone.terminal);
+        self.clients.touch(gone.client);
     }
 
     // ---- Deliveries --------------------------------------------------------------------------------------
 
     /// A part of a delivery has come.
     fn part(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, part: Part<'_>) {
-        let Some(terminal) = self.terminals.get(token) else { return };
-        let Some(Use::Intake(intake)) = terminal.links.get_mut(&link) else { return };
+        let Some(client) = self.clients.get(token) else { return };
+        let Some(Use::Intake(intake)) = client.links.get_mut(&link) else { return };
         let class = intake.class;
         let partial = std::mem::take(&mut intake.partial);
         let asks = part.resume || intake.remembered || !intake.unknown.is_empty();
@@ -396,7 +396,7 @@
         } else if part.aborted {
             match partial {
                 Partial::Gathering(bytes) => self.items.uncount(bytes.len()),
-                Partial::Running(txn) => self.left(ctx, txn),
+                Partial::Running(request_id) => self.left(ctx, request_id),
                 Partial::None | Partial::Ignored => {}
             }
             Partial::None
@@ -407,20 +407,22 @@
                     self.items.uncount(bytes.len());
                     self.begins(ctx, token, link, class, &part, bytes)
                 }
-                Partial::Running(txn) => match self.items.extend(txn, part.payload, part.last) {
-                    Some(item) => {
-                        if let Some(region) = item.task.as_ref().map(|task| task.region) {
-                            self.regions.touch(region);
+                Partial::Running(request_id) => {
+                    match self.items.extend(request_id, part.payload, part.last) {
+                        Some(item) => {
+                            if let Some(server) = item.task.as_ref().map(|task| task.server) {
+                                self.servers.touch(server);
+                            }
+                            Partial::Running(request_id)
                         }
-                        Partial::Running(txn)
+                        None => Partial::Ignored,
                     }
-                    None => Partial::Ignored,
-                },
+                }
                 Partial::Ignored => Partial::Ignored,
             }
         };
         if !part.last {
-            let links = self.terminals.get(token).map(|terminal| &mut terminal.links);
+            let links = self.clients.get(token).map(|client| &mut client.links);
             if let Some(Use::Intake(intake)) = links.and_then(|links| links.get_mut(&link)) {
                 intake.partial = next;
             }
@@ -430,17 +432,17 @@
 
     /// A delivery that was here before is not run again: what became of it is told.
     fn is_resumed(&mut self, token: Token, link: LinkId, part: &Part<'_>) -> bool {
-        let Some(terminal) = self.terminals.get(token) else { return false };
-        let Some(Use::Intake(intake)) = terminal.links.get_mut(&link) else { return false };
+        let Some(client) = self.clients.get(token) else { return false };
+        let Some(Use::Intake(intake)) = client.links.get_mut(&link) else { return false };
         let state = match self.recovery.fate(&intake.key, &part.tag) {
             Some(Fate::Ended(state)) => state.clone(),
-            Some(Fate::Runs(txn)) => {
+            Some(Fate::Runs(request_id)) => {
                 // Its answer goes to where it came from last.
-                let txn = *txn;
-                terminal.conn.name_delivery(link.channel, part.id, txn.0);
-                if let Some(item) = self.items.get_mut(txn) {
-                    terminal.live += usize::from(!item.attached);
-                    (item.terminal, item.link, item.delivery) = (token, link, part.id);
+                let request_id = *request_id;
+                client.conn.name_delivery(link.channel, part.id, request_id.0);
+                if let Some(item) = self.items.get_mut(request_id) {
+                    client.live += usize::from(!item.attached);
+                    (item.client, item.link, item.delivery) = (token, link, part.id);
                     item.attached = true;
                 }
                 return true;
@@ -451,8 +453,8 @@
             }
             None => return false,
         };
-        terminal.conn.settle(link.channel, part.id, state);
-        self.terminals.touch(token);
+        client.conn.settle(link.channel, part.id, state);
+        self.clients.touch(token);
         true
     }
 
@@ -482,22 +484,22 @@
             Ok(head) => self.take_in(ctx, token, link, class, part, head, bytes),
         };
         match refusal {
-            Ok(txn) => Partial::Running(txn),
+            Ok(request_id) => Partial::Running(request_id),
             Err(state) => {
                 if matches!(state, State::Rejected(_)) {
-                    ctx.core.counters.malformed += 1;
+                    ctx.requests.counters.malformed += 1;
                 } else {
-                    ctx.core.counters.over_budget += 1;
+                    ctx.requests.counters.over_budget += 1;
                 }
-                if let Some(terminal) = self.terminals.get(token) {
-                    terminal.conn.settle(link.channel, part.id, state);
+                if let Some(client) = self.clients.get(token) {
+                    client.conn.settle(link.channel, part.id, state);
                 }
                 Partial::Ignored
             }
         }
     }
 
-    /// A delivery is a transaction from here on, or is answered at once.
+    /// A delivery is a request from here on, or is answered at once.
     #[allow(clippy::too_many_arguments)]
     fn take_in(
         &mut self,
@@ -515,7 +517,7 @@
             None => {
                 let class = head.to.as_deref().and_then(|to| self.class(to));
                 let class = class.ok_or_else(|| reject(condition::NOT_FOUND, "`to` names no class"))?;
-                let may = self.terminals.get(token).is_some_and(|t| t.who.may(&self.classes[class]));
+                let may = self.clients.get(token).is_some_and(|t| t.who.may(&self.classes[class]));
                 if !may {
                     let words = "this user may not send to this class";
                     return Err(reject(condition::UNAUTHORIZED_ACCESS, words));
@@ -530,29 +532,29 @@
         let grace = head.ttl.map_or(limit, |ms| (Nanos::from(ms) * MS).min(MOST_WAIT));
         let again = head.value(&bytes, "again") == Some(Value::Bool(true));
         let arrival = arrival(class, grace, |name| head.property(&bytes, name), again);
-        let txn = ctx.core.arrive(ctx.now, self.id, arrival);
-        if let Some(terminal) = self.terminals.get(token) {
-            terminal.live += 1;
-            terminal.conn.name_delivery(link.channel, part.id, txn.0);
-            if let Some(Use::Intake(intake)) = terminal.links.get(&link).filter(|_| !part.settled) {
+        let request_id = ctx.requests.arrive(ctx.now, self.id, arrival);
+        if let Some(client) = self.clients.get(token) {
+            client.live += 1;
+            client.conn.name_delivery(link.channel, part.id, request_id.0);
+            if let Some(Use::Intake(intake)) = client.links.get(&link).filter(|_| !part.settled) {
                 if intake.remembered {
-                    self.recovery.runs(&intake.key, part.tag, txn);
+                    self.recovery.runs(&intake.key, part.tag, request_id);
                 }
             }
         }
-        let (terminal, delivery, tag, whole) = (token, part.id, part.tag, part.last);
+        let (client, delivery, tag, whole) = (token, part.id, part.tag, part.last);
         let (attached, base, task) = (true, 0, None);
-        let item = Item { terminal, link, delivery, tag, attached, class, head, bytes, base, whole, task };
-        self.items.insert(txn, item);
-        Ok(txn)
+        let item = Item { client, link, delivery, tag, attached, class, head, bytes, base, whole, task };
+        self.items.insert(request_id, item);
+        Ok(request_id)
     }
 
     // ---- Who it is ---------------------------------------------------------------------------------------
 
     fn asked(&mut self, ctx: &mut Ctx, token: Token, asked: Asked) {
         let Some(users) = &self.config.known else {
-            if let Some(terminal) = self.terminals.get(token) {
-                terminal.conn.verdict(asked == Asked::Anonymous);
+            if let Some(client) = self.clients.get(token) {
+                client.conn.verdict(asked == Asked::Anonymous);
             }
             return;
         };
@@ -563,8 +565,8 @@
             }
             Asked::Keys { user } => {
                 let keys = users.keys(&user).cloned();
-                if let Some(terminal) = self.terminals.get(token) {
-                    terminal.conn.keys(keys, &access::fake_salt(&user), &access::nonce());
+                if let Some(client) = self.clients.get(token) {
+                    client.conn.keys(keys, &access::fake_salt(&user), &access::nonce());
                 }
             }
             Asked::Proven { user, holds } => {
@@ -579,7 +581,7 @@
                 }
             }
             Asked::External => {
-                let name = self.terminals.get(token).and_then(|t| t.tls.as_ref()?.peer_name());
+                let name = self.clients.get(token).and_then(|t| t.tls.as_ref()?.peer_name());
                 let who = name.and_then(|name| users.named(&name));
                 self.verdict(ctx, token, who);
             }
@@ -588,27 +590,27 @@
 
     /// Who is known comes in; who is not is told so later, which costs a guesser time.
     fn verdict(&mut self, ctx: &mut Ctx, token: Token, who: Option<Rc<access::Who>>) {
-        let Some(terminal) = self.terminals.get(token) else { return };
+        let Some(client) = self.clients.get(token) else { return };
         match who {
             Some(who) => {
-                terminal.who = who;
-                terminal.conn.verdict(true);
-                self.terminals.touch(token);
+                client.who = who;
+                client.conn.verdict(true);
+                self.clients.touch(token);
             }
             None => {
                 self.refused_logins += 1;
-                terminal.refuse_at = Some(ctx.now + WRONG_PASSWORD_COSTS);
+                client.refuse_at = Some(ctx.now + WRONG_PASSWORD_COSTS);
                 ctx.wheel.at(ctx.now + WRONG_PASSWORD_COSTS, Due::Timer(self.id, token));
             }
         }
     }
 
     pub(super) fn refuse_due(&mut self, ctx: &mut Ctx, token: Token) {
-        let Some(terminal) = self.terminals.get(token) else { return };
-        if terminal.refuse_at.is_some_and(|at| at <= ctx.now) {
-            terminal.refuse_at = None;
-            terminal.conn.verdict(false);
-            self.terminals.touch(token);
+        let Some(client) = self.clients.get(token) else { return };
+        if client.refuse_at.is_some_and(|at| at <= ctx.now) {
+            client.refuse_at = None;
+            client.conn.verdict(false);
+            self.clients.touch(token);
         }
     }
 
@@ -629,36 +631,36 @@
 
     // ---- Time and the end ----------------------------------------------------------------------------------
 
-    pub(super) fn terminal_gone(&mut self, ctx: &mut Ctx, token: Token) {
-        if let Some(terminal) = self.terminals.get(token) {
-            if let Some(tls) = &mut terminal.tls {
+    pub(super) fn client_gone(&mut self, ctx: &mut Ctx, token: Token) {
+        if let Some(client) = self.clients.get(token) {
+            if let Some(tls) = &mut client.tls {
                 tls.close();
             }
-            terminal.say(ctx, token);
+            client.say(ctx, token);
         }
         ctx.net.close(token);
-        let Some(mut terminal) = self.terminals.remove(token) else { return };
-        for (link, role, key) in terminal.conn.abandon() {
-            let txn = RequestId(key);
-            let key = match terminal.links.get(&link) {
+        let Some(mut client) = self.clients.remove(token) else { return };
+        for (link, role, key) in client.conn.abandon() {
+            let request_id = RequestId(key);
+            let key = match client.links.get(&link) {
                 Some(Use::Intake(intake)) if intake.remembered => Some(intake.key.clone()),
                 _ => None,
             };
-            let whole = self.items.get(txn).is_some_and(|item| item.whole);
+            let whole = self.items.get(request_id).is_some_and(|item| item.whole);
             match key.filter(|_| whole && role == Role::Receiver) {
-                Some(key) => self.suspend(&key, txn),
-                None if role == Role::Receiver => self.left(ctx, txn),
+                Some(key) => self.suspend(&key, request_id),
+                None if role == Role::Receiver => self.left(ctx, request_id),
                 None => {}
             }
         }
-        for txn in self.recovery.lost(token, ctx.now) {
-            self.left(ctx, txn);
+        for request_id in self.recovery.lost(token, ctx.now) {
+            self.left(ctx, request_id);
         }
-        let mut links: Vec<(LinkId, Use)> = terminal.links.drain().collect();
+        let mut links: Vec<(LinkId, Use)> = client.links.drain().collect();
         links.sort_unstable_by_key(|(link, _)| *link);
         for (_, kind) in links {
             match kind {
-                Use::Relay(relay) => self.relay_left(ctx, relay),
+                Use::Forwarder(forwarder) => self.forwarder_left(ctx, forwarder),
                 Use::Intake(intake) => {
                     if let Partial::Gathering(bytes) = intake.partial {
                         self.items.uncount(bytes.len());
@@ -670,27 +672,27 @@
 
     /// Links whose credit shrank while there was no room get it back.
     pub(super) fn grant_all(&mut self) {
-        for token in self.terminals.tokens() {
-            let Some(terminal) = self.terminals.get(token) else { continue };
+        for token in self.clients.tokens() {
+            let Some(client) = self.clients.get(token) else { continue };
             let starved = |(link, kind): (&LinkId, &Use)| {
-                (matches!(kind, Use::Intake(_)) && terminal.conn.credit(*link) == 0).then_some(*link)
+                (matches!(kind, Use::Intake(_)) && client.conn.credit(*link) == 0).then_some(*link)
             };
-            let starved: Vec<LinkId> = terminal.links.iter().filter_map(starved).collect();
+            let starved: Vec<LinkId> = client.links.iter().filter_map(starved).collect();
             starved.into_iter().for_each(|link| self.grant(token, link));
         }
     }
 
-    pub(super) fn look_at_terminals(&mut self, ctx: &mut Ctx) {
+    pub(super) fn look_at_clients(&mut self, ctx: &mut Ctx) {
         let redirect = self.config.redirect.clone();
-        for token in self.terminals.tokens() {
-            let Some(terminal) = self.terminals.get(token) else { continue };
-            let relays = terminal.links.values().any(|kind| matches!(kind, Use::Relay(_)));
-            if let Err(why) = terminal.conn.tick(ctx.now) {
-                terminal.conn.close(Some(Box::new(why.into())));
-            } else if self.leaving && terminal.live == 0 && !relays {
-                terminal.conn.close(Some(Box::new(farewell(redirect.as_ref()))));
+        for token in self.clients.tokens() {
+            let Some(client) = self.clients.get(token) else { continue };
+            let forwarders = client.links.values().any(|kind| matches!(kind, Use::Forwarder(_)));
+            if let Err(why) = client.conn.tick(ctx.now) {
+                client.conn.close(Some(Box::new(why.into())));
+            } else if self.leaving && client.live == 0 && !forwarders {
+                client.conn.close(Some(Box::new(farewell(redirect.as_ref()))));
             }
-            self.terminals.touch(token);
+            self.clients.touch(token);
         }
     }
 }
@@ -711,16 +713,16 @@
 
 /// What the core is told of a request; `property` looks up its key and its group.
 fn arrival(class: usize, grace: Nanos, property: impl Fn(&str) -> Option<String>, again: bool) -> Arrival {
-    let key = property("key").map(|key| u64::from_str_radix(&key, 16).unwrap_or_else(|_| tag(&key)));
+    let key = property("key").map(|key| u64::from_str_radix(&key, 16).unwrap_or_else(|_| fnv1a(&key)));
     Arrival {
         id: RequestId(0),
         class,
         grace: grace.saturating_sub(ANSWER_MARGIN),
         cost: None,
         key,
-        group: property("group").map(|group| tag(&group)),
-        came_back: again,
-        repeated: false,
+        group: property("group").map(|group| fnv1a(&group)),
+        reconnect: again,
+        client_retry: false,
         rerouted: false,
     }
 }
--- a/src/front/amqp/items.rs
+++ b/src/front/amqp/items.rs
@@ -1,7 +1,7 @@
-//! One-shot deliveries that are not answered yet: what has come of each, and where its routed task is.
+//! One-shot deliveries that are not answered yet: what has come of each, and where its attempt is.
 
-use crate::interface::{Nanos, RequestId, ServerId};
 use crate::net::Token;
+use crate::vocabulary::{Nanos, RequestId, ServerId};
 use sparbank_amqp::{Head, LinkId, Tag};
 use std::collections::HashMap;
 
@@ -10,7 +10,7 @@
 /// A delivery that is not answered yet.
 pub struct Item {
     /// Where it came from, and where its answer goes.
-    pub terminal: Token,
+    pub client: Token,
     pub link: LinkId,
     pub delivery: u32,
     pub tag: Tag,
@@ -27,14 +27,14 @@
     pub task: Option<Task>,
 }
 
-/// The routed task of a delivery.
+/// The attempt of a delivery.
 pub struct Task {
-    pub region: ServerId,
+    pub server: ServerId,
     pub until: Nanos,
     pub stage: Stage,
 }
 
-/// How far a routed task is.
+/// How far an attempt is.
 pub enum Stage {
     /// No byte has gone out: it never ran.
     Queued,
@@ -61,38 +61,38 @@
 }
 
 impl Items {
-    pub fn insert(&mut self, txn: RequestId, item: Item) {
+    pub fn insert(&mut self, request_id: RequestId, item: Item) {
         self.count(item.bytes.len());
-        self.map.insert(txn, item);
+        self.map.insert(request_id, item);
     }
 
-    pub fn get(&self, txn: RequestId) -> Option<&Item> {
-        self.map.get(&txn)
+    pub fn get(&self, request_id: RequestId) -> Option<&Item> {
+        self.map.get(&request_id)
     }
 
-    pub fn get_mut(&mut self, txn: RequestId) -> Option<&mut Item> {
-        self.map.get_mut(&txn)
+    pub fn get_mut(&mut self, request_id: RequestId) -> Option<&mut Item> {
+        self.map.get_mut(&request_id)
     }
 
-    pub fn remove(&mut self, txn: RequestId) -> Option<Item> {
-        let item = self.map.remove(&txn)?;
+    pub fn remove(&mut self, request_id: RequestId) -> Option<Item> {
+        let item = self.map.remove(&request_id)?;
         self.held -= item.bytes.len();
         Some(item)
     }
 
     /// More of a delivery has come.
-    pub fn extend(&mut self, txn: RequestId, bytes: &[u8], last: bool) -> Option<&Item> {
-        let item = self.map.get_mut(&txn)?;
+    pub fn extend(&mut self, request_id: RequestId, bytes: &[u8], last: bool) -> Option<&Item> {
+        let item = self.map.get_mut(&request_id)?;
         item.bytes.extend_from_slice(bytes);
         item.whole |= last;
         self.held += bytes.len();
         self.most_held = self.most_held.max(self.held);
-        self.map.get(&txn)
+        self.map.get(&request_id)
     }
 
     /// What has gone out of a delivery larger than `keep` is let go.
-    pub fn let_go(&mut self, txn: RequestId, keep: usize) {
-        let Some(item) = self.map.get_mut(&txn) else { return };
+    pub fn let_go(&mut self, request_id: RequestId, keep: usize) {
+        let Some(item) = self.map.get_mut(&request_id) else { return };
         let Some(Task { stage: Stage::Sending { at, .. }, .. }) = item.task else { return };
         if item.base + item.bytes.len() <= keep {
             return;
@@ -110,7 +110,7 @@
         self.held
     }
 
-    /// Octets that are gathered outside a transaction.
+    /// Octets that are gathered outside a request.
     pub fn count(&mut self, octets: usize) {
         self.held += octets;
         self.most_held = self.most_held.max(self.held);
@@ -120,22 +120,22 @@
         self.held -= octets;
     }
 
-    /// Transactions whose routed task at one of these regions has not gone whole, in order.
-    pub fn unsent(&self, regions: &[ServerId]) -> Vec<RequestId> {
+    /// Requests whose attempt at one of these servers has not gone whole, in order.
+    pub fn unsent(&self, servers: &[ServerId]) -> Vec<RequestId> {
         let unsent =
-            |task: &Task| regions.contains(&task.region) && !matches!(task.stage, Stage::Sent { .. });
+            |task: &Task| servers.contains(&task.server) && !matches!(task.stage, Stage::Sent { .. });
         let mut found: Vec<RequestId> = self
             .map
             .iter()
             .filter(|(_, item)| item.task.as_ref().is_some_and(unsent))
-            .map(|(txn, _)| *txn)
+            .map(|(request_id, _)| *request_id)
             .collect();
         found.sort_unstable();
         found
     }
 }
 
-/// Who waits for a region's links of one class: terminals take turns, so that no one's many deliveries
+/// Who waits for a server's links of one class: clients take turns, so that no one's many deliveries
 /// hold up another's one.
 #[derive(Default)]
 pub struct Turns {
@@ -145,36 +145,36 @@
 }
 
 impl Turns {
-    pub fn push(&mut self, terminal: Token, txn: RequestId) {
-        let queue = self.waiting.entry(terminal).or_default();
+    pub fn push(&mut self, client: Token, request_id: RequestId) {
+        let queue = self.waiting.entry(client).or_default();
         if queue.is_empty() {
-            self.order.push_back(terminal);
+            self.order.push_back(client);
         }
-        queue.push_back(txn);
+        queue.push_back(request_id);
         self.len += 1;
     }
 
     pub fn pop(&mut self) -> Option<RequestId> {
-        let terminal = self.order.pop_front()?;
-        let queue = self.waiting.get_mut(&terminal)?;
-        let txn = queue.pop_front();
+        let client = self.order.pop_front()?;
+        let queue = self.waiting.get_mut(&client)?;
+        let request_id = queue.pop_front();
         if queue.is_empty() {
-            self.waiting.remove(&terminal);
+            self.waiting.remove(&client);
         } else {
-            self.order.push_back(terminal);
+            self.order.push_back(client);
         }
-        self.len -= usize::from(txn.is_some());
-        txn
+        self.len -= usize::from(request_id.is_some());
+        request_id
     }
 
-    pub fn remove(&mut self, terminal: Token, txn: RequestId) {
-        let Some(queue) = self.waiting.get_mut(&terminal) else { return };
+    pub fn remove(&mut self, client: Token, request_id: RequestId) {
+        let Some(queue) = self.waiting.get_mut(&client) else { return };
         let before = queue.len();
-        queue.retain(|waiting| *waiting != txn);
+        queue.retain(|waiting| *waiting != request_id);
         self.len -= before - queue.len();
         if queue.is_empty() {
-            self.waiting.remove(&terminal);
-            self.order.retain(|waiting| *waiting != terminal);
+            self.waiting.remove(&client);
+            self.order.retain(|waiting| *waiting != client);
         }
     }
 
@@ -194,14 +194,14 @@
     use crate::net::tests_token as token;
 
     #[test]
-    fn one_terminals_many_deliveries_do_not_hold_up_anothers_one() {
+    fn one_clients_many_deliveries_do_not_hold_up_anothers_one() {
         let mut turns = Turns::default();
         (0..5).for_each(|n| turns.push(token(1), RequestId(n)));
         turns.push(token(2), RequestId(10));
         turns.push(token(3), RequestId(20));
         turns.remove(token(3), RequestId(20));
         turns.remove(token(1), RequestId(1));
-        let order: Vec<u64> = turns.drain().into_iter().map(|txn| txn.0).collect();
+        let order: Vec<u64> = turns.drain().into_iter().map(|request_id| request_id.0).collect();
         assert_eq!(order, [0, 10, 2, 3, 4]);
         assert!(turns.is_empty() && turns.pop().is_none());
     }
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -1,33 +1,33 @@
-//! AMQP 1.0. A terminal's delivery is a transaction whose answer is its outcome; a terminal's receiving
-//! link is a transaction that stands once its region sends. The protocol is `sparbank-amqp`'s.
+//! AMQP 1.0. A client's delivery is a request whose answer is its outcome; a client's receiving
+//! link is a request that stands once its server sends. The protocol is `sparbank-amqp`'s.
 //!
-//! `terminals`, `regions`, `items` and `relays` each own one table; here is what passes between them.
+//! `clients`, `servers`, `items` and `forwarders` each own one table; here is what passes between them.
 
 mod access;
+mod clients;
 mod config;
-mod from_regions;
-mod from_terminals;
+mod forwarders;
+mod from_clients;
+mod from_servers;
 mod items;
 mod recovery;
-mod regions;
-mod relays;
-mod terminals;
+mod servers;
 
 pub use access::{add_user, Rights};
 
 use super::{Ctx, Front, Opened, Optional};
 use crate::config::Facts;
-use crate::core::FrontId;
-use crate::interface::{Arrival, Nanos, Outcome, RequestId, ServerId};
 use crate::net::{Net, Notice, Owner, Token};
+use crate::requests::FrontId;
+use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
+use clients::Clients;
 use config::AmqpConfig;
+use forwarders::{Forwarders, Sides};
 use items::{Items, Stage, Task};
 use recovery::Recovery;
-use regions::{Happened, Regions};
-use relays::{Relays, Sides};
+use servers::{Happened, Servers};
 use sparbank_amqp::{condition, Error, State, Value};
 use std::any::Any;
-use terminals::Terminals;
 
 /// How this front is turned on.
 pub const OPTIONAL: Optional = Optional {
@@ -48,10 +48,10 @@
     config: AmqpConfig,
     container: String,
     classes: Vec<String>,
-    terminals: Terminals,
-    regions: Regions,
+    clients: Clients,
+    servers: Servers,
     items: Items,
-    relays: Relays,
+    forwarders: Forwarders,
     recovery: Recovery,
     checks: access::Checks,
     tls_listener: Option<Token>,
@@ -82,12 +82,12 @@
         let front = AmqpFront {
             id,
             container: name.to_string(),
-            regions: Regions::new(id, name, classes.clone()),
+            servers: Servers::new(id, name, classes.clone()),
             classes,
             config,
-            terminals: Terminals::default(),
+            clients: Clients::default(),
             items: Items::default(),
-            relays: Relays::default(),
+            forwarders: Forwarders::default(),
             recovery: Recovery::default(),
             checks: access::Checks::default(),
             tls_listener,
@@ -99,92 +99,95 @@
         Ok((Box::new(front), line))
     }
 
-    // ---- What happened at the regions ------------------------------------------------------------
+    // ---- What happened at the servers ------------------------------------------------------------
 
     fn happened(&mut self, ctx: &mut Ctx, happened: Vec<Happened>) {
         for what in happened {
             match what {
-                Happened::Over(txn, outcome) => self.over(ctx, txn, outcome),
-                Happened::NoRelay(relay) => self.relay_failed(ctx, relay, Outcome::ConnectFailed),
+                Happened::Over(request_id, outcome) => self.over(ctx, request_id, outcome),
+                Happened::NoForwarder(forwarder) => {
+                    self.forwarder_failed(ctx, forwarder, Outcome::ConnectFailed)
+                }
             }
         }
     }
 
-    /// The routed task of a delivery is over.
-    fn over(&mut self, ctx: &mut Ctx, txn: RequestId, outcome: Outcome) {
-        let Some(item) = self.items.get_mut(txn) else { return };
+    /// The attempt of a delivery is over.
+    fn over(&mut self, ctx: &mut Ctx, request_id: RequestId, outcome: Outcome) {
+        let Some(item) = self.items.get_mut(request_id) else { return };
         item.task = None;
         let again = item.is_repeatable();
-        if outcome != Outcome::Ok && !again && ctx.core.spent(ctx.now, txn, outcome) {
-            return self.answer(ctx, txn, failed());
+        if outcome != Outcome::Ok && !again && ctx.requests.spent(ctx.now, request_id, outcome) {
+            return self.answer(ctx, request_id, failed());
         }
-        if ctx.core.task_ended(ctx.now, txn, outcome) {
-            self.answer(ctx, txn, State::Accepted);
+        if ctx.requests.task_ended(ctx.now, request_id, outcome) {
+            self.answer(ctx, request_id, State::Accepted);
         }
     }
 
-    /// The routed task of a relay is over before it stood: another may be tried.
-    fn relay_failed(&mut self, ctx: &mut Ctx, relay: u64, outcome: Outcome) {
-        self.relays.take_back(relay, &mut self.regions);
-        if let Some(txn) = self.relays.get(relay).filter(|r| !r.up).and_then(|r| r.txn) {
-            ctx.core.task_ended(ctx.now, txn, outcome);
+    /// The attempt of a forwarder is over before it stood: another may be tried.
+    fn forwarder_failed(&mut self, ctx: &mut Ctx, forwarder: u64, outcome: Outcome) {
+        self.forwarders.take_back(forwarder, &mut self.servers);
+        if let Some(request_id) = self.forwarders.get(forwarder).filter(|r| !r.up).and_then(|r| r.request_id)
+        {
+            ctx.requests.task_ended(ctx.now, request_id, outcome);
         }
     }
 
     // ---- Answers -------------------------------------------------------------------------------------
 
     /// The final answer to a delivery.
-    fn answer(&mut self, _ctx: &mut Ctx, txn: RequestId, state: State) {
-        let Some(item) = self.items.remove(txn) else { return };
-        self.recovery.ended(self.config.recovery(), txn, &state);
-        if let Some(terminal) = self.terminals.get(item.terminal).filter(|_| item.attached) {
-            terminal.live -= 1;
-            terminal.conn.settle(item.link.channel, item.delivery, state);
-            self.terminals.touch(item.terminal);
-            self.grant(item.terminal, item.link);
+    fn answer(&mut self, _ctx: &mut Ctx, request_id: RequestId, state: State) {
+        let Some(item) = self.items.remove(request_id) else { return };
+        self.recovery.ended(self.config.recovery(), request_id, &state);
+        if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
+            client.live -= 1;
+            client.conn.settle(item.link.channel, item.delivery, state);
+            self.clients.touch(item.client);
+            self.grant(item.client, item.link);
         }
     }
 
     fn grant(&mut self, token: Token, link: sparbank_amqp::LinkId) {
         if !self.leaving {
-            self.terminals.grant(token, link, &self.config, self.items.held());
+            self.clients.grant(token, link, &self.config, self.items.held());
         }
     }
 
-    /// The terminal gave a transaction up, or is gone.
-    fn left(&mut self, ctx: &mut Ctx, txn: RequestId) {
-        self.give_up(ctx, txn);
-        ctx.core.left(ctx.now, txn);
-        self.recovery.left(txn);
-        if let Some(item) = self.items.remove(txn) {
-            if let Some(terminal) = self.terminals.get(item.terminal).filter(|_| item.attached) {
-                terminal.live -= 1;
+    /// The client gave a request up, or is gone.
+    fn left(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+        self.give_up(ctx, request_id);
+        ctx.requests.left(ctx.now, request_id);
+        self.recovery.left(request_id);
+        if let Some(item) = self.items.remove(request_id) {
+            if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
+                client.live -= 1;
             }
         }
     }
 
-    /// The link of a transaction is gone and may come again: it goes on, and its answer is remembered.
-    fn suspend(&mut self, key: &recovery::Key, txn: RequestId) {
-        let Some(item) = self.items.get_mut(txn).filter(|item| item.attached) else { return };
+    /// The link of a request is gone and may come again: it goes on, and its answer is remembered.
+    fn suspend(&mut self, key: &recovery::Key, request_id: RequestId) {
+        let Some(item) = self.items.get_mut(request_id).filter(|item| item.attached) else { return };
         item.attached = false;
-        let (terminal, tag) = (item.terminal, item.tag);
-        if let Some(terminal) = self.terminals.get(terminal) {
-            terminal.live -= 1;
+        let (client, tag) = (item.client, item.tag);
+        if let Some(client) = self.clients.get(client) {
+            client.live -= 1;
         }
-        self.recovery.runs(key, tag, txn);
+        self.recovery.runs(key, tag, request_id);
     }
 
-    /// A standing connection ends at its terminal: detached between two deliveries, with the reason.
-    fn end_terminal_link(&mut self, token: Token, link: sparbank_amqp::LinkId, error: Option<Error>) {
-        self.terminals.remove_link(token, link);
-        if let Some(terminal) = self.terminals.get(token) {
-            if terminal.conn.is_sending(link) {
+    /// A standing connection ends at its client: detached between two deliveries, with the reason.
+    fn end_client_link(&mut self, token: Token, link: sparbank_amqp::LinkId, error: Option<Error>) {
+        self.clients.remove_link(token, link);
+        if let Some(client) = self.clients.get(token) {
+            if client.conn.is_sending(link) {
                 self.aborted += 1;
-                terminal.conn.abort(link);
+                client.conn.abort(link);
             }
-            terminal.conn.detach(link, true, error.map(Box::new));
+            client.conn.detach(link, true, error.map(Box::new));
         }
-        self.terminals.touch(token);
+        self.clients.touch(token);
     }
 }
 
@@ -215,54 +218,54 @@
 
 impl Front for AmqpFront {
     fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
-        match self.regions.of(notice.token) {
-            Some(_) => self.region_notice(ctx, notice),
-            None => self.terminal_notice(ctx, notice),
+        match self.servers.of(notice.token) {
+            Some(_) => self.server_notice(ctx, notice),
+            None => self.client_notice(ctx, notice),
         }
     }
 
-    fn start(&mut self, ctx: &mut Ctx, txn: RequestId, region: ServerId, wait: Nanos) {
-        if let Some(id) = self.relays.of(txn) {
-            if let Some(relay) = self.relays.get(id) {
-                relay.region = Some(region);
-                let attach = from_terminals::towards_region(&relay.attach);
-                self.regions.relay(region, id, Box::new(attach));
+    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+        if let Some(id) = self.forwarders.of(request_id) {
+            if let Some(forwarder) = self.forwarders.get(id) {
+                forwarder.server = Some(server);
+                let attach = from_clients::towards_server(&forwarder.attach);
+                self.servers.forwarder(server, id, Box::new(attach));
             }
             return;
         }
-        if let Some(item) = self.items.get_mut(txn) {
-            item.task = Some(Task { region, until: ctx.now + wait, stage: Stage::Queued });
-            self.regions.queue(region, item.class, item.terminal, txn);
+        if let Some(item) = self.items.get_mut(request_id) {
+            item.task = Some(Task { server, until: ctx.now + wait, stage: Stage::Queued });
+            self.servers.queue(server, item.class, item.client, request_id);
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx, txn: RequestId) -> Outcome {
-        if let Some(relay) = self.relays.of(txn) {
-            let unsent = self.relays.take_back(relay, &mut self.regions);
+    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+        if let Some(forwarder) = self.forwarders.of(request_id) {
+            let unsent = self.forwarders.take_back(forwarder, &mut self.servers);
             return if unsent { Outcome::ConnectFailed } else { Outcome::Timeout };
         }
-        let Some(item) = self.items.get_mut(txn) else { return Outcome::Cancelled };
+        let Some(item) = self.items.get_mut(request_id) else { return Outcome::Cancelled };
         let Some(task) = item.task.take() else { return Outcome::Cancelled };
-        let (region, class) = (task.region, item.class);
+        let (server, class) = (task.server, item.class);
         let outcome = match task.stage {
             Stage::Queued => {
-                self.regions.unqueue(region, class, item.terminal, txn);
+                self.servers.unqueue(server, class, item.client, request_id);
                 Outcome::ConnectFailed
             }
             Stage::Sending { token, link, .. } => {
                 self.aborted += 1;
-                if let Some(at) = self.regions.get(token) {
+                if let Some(at) = self.servers.get(token) {
                     at.conn.abort(link);
                 }
-                self.regions.free_lane(region, class, txn);
+                self.servers.free_lane(server, class, request_id);
                 Outcome::ConnectFailed
             }
             Stage::Sent { token, link, id, end } => {
                 let written = ctx.net.written(token) >= end;
-                if let Some(at) = self.regions.get(token) {
+                if let Some(at) = self.servers.get(token) {
                     at.conn.forget(link, id);
                 }
-                self.regions.touch(region);
+                self.servers.touch(server);
                 if written {
                     Outcome::Timeout
                 } else {
@@ -273,43 +276,43 @@
         outcome
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, txn: RequestId, cool_down: Nanos) {
+    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
         let after = (cool_down / 1_000_000) as u32;
         let words = "no region takes it now; come again";
-        self.refuse_relay(txn, come_again(condition::RESOURCE_LIMIT_EXCEEDED, words, after));
-        self.answer(ctx, txn, refused(after));
+        self.refuse_forwarder(request_id, come_again(condition::RESOURCE_LIMIT_EXCEEDED, words, after));
+        self.answer(ctx, request_id, refused(after));
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, txn: RequestId) {
-        self.refuse_relay(txn, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
-        self.answer(ctx, txn, failed());
+    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+        self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
+        self.answer(ctx, request_id, failed());
     }
 
-    fn send_away(&mut self, _ctx: &mut Ctx, txn: RequestId) {
-        let Some(relay) = self.relays.of(txn) else { return };
-        if let Some(gone) = self.relays.remove(relay, &mut self.regions) {
+    fn migrate(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
+        let Some(forwarder) = self.forwarders.of(request_id) else { return };
+        if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
             let error = come_again(condition::DETACH_FORCED, "moved: come again", 0);
-            self.end_terminal_link(gone.terminal, gone.link, Some(error));
+            self.end_client_link(gone.client, gone.link, Some(error));
         }
     }
 
     fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
-        for txn in self.items.unsent(stopped) {
-            self.give_up(ctx, txn);
-            self.over(ctx, txn, Outcome::ConnectFailed);
+        for request_id in self.items.unsent(stopped) {
+            self.give_up(ctx, request_id);
+            self.over(ctx, request_id, Outcome::ConnectFailed);
         }
-        for (_, relay) in self.relays.unsent(stopped) {
-            self.relay_failed(ctx, relay, Outcome::ConnectFailed);
+        for (_, forwarder) in self.forwarders.unsent(stopped) {
+            self.forwarder_failed(ctx, forwarder, Outcome::ConnectFailed);
         }
     }
 
     fn is_idle(&self) -> bool {
-        self.terminals.is_empty()
+        self.clients.is_empty()
     }
 
     fn dial_due(&mut self, ctx: &mut Ctx, token: Token) {
-        if self.regions.is_late(token) {
-            self.lose_region(ctx, token);
+        if self.servers.is_late(token) {
+            self.lose_server(ctx, token);
         }
     }
 
@@ -319,10 +322,10 @@
     }
 
     fn look(&mut self, ctx: &mut Ctx) {
-        self.look_at_terminals(ctx);
-        self.look_at_regions(ctx);
-        for txn in self.recovery.expire(ctx.now) {
-            self.left(ctx, txn);
+        self.look_at_clients(ctx);
+        self.look_at_servers(ctx);
+        for request_id in self.recovery.expire(ctx.now) {
+            self.left(ctx, request_id);
         }
         if self.items.held() < self.config.max_held / 2 {
             self.grant_all();
@@ -331,18 +334,18 @@
 
     fn flush(&mut self, ctx: &mut Ctx) {
         // What one side writes may make room for the other: both are gone through until neither has more.
-        while self.regions.is_dirty() || self.terminals.is_dirty() {
-            let happened = self.regions.flush(ctx, &self.config, &mut self.items);
+        while self.servers.is_dirty() || self.clients.is_dirty() {
+            let happened = self.servers.flush(ctx, &self.config, &mut self.items);
             self.happened(ctx, happened);
             if self.items.held() < self.config.max_held / 4 * 3 {
-                for token in self.terminals.take_paused() {
-                    self.read_terminal(ctx, token);
+                for token in self.clients.take_paused() {
+                    self.read_client(ctx, token);
                 }
             }
-            for token in self.terminals.take_dirty() {
-                if !self.terminals.flush(ctx, token) {
-                    self.terminal_gone(ctx, token);
-                } else if self.terminals.takes_more(ctx, token) {
+            for token in self.clients.take_dirty() {
+                if !self.clients.flush(ctx, token) {
+                    self.client_gone(ctx, token);
+                } else if self.clients.takes_more(ctx, token) {
                     self.forward_all(ctx, token);
                 }
             }
@@ -351,11 +354,11 @@
 
     fn leave(&mut self, ctx: &mut Ctx) {
         if !std::mem::replace(&mut self.leaving, true) {
-            for token in self.terminals.tokens() {
-                self.terminals.stop_credit(token);
+            for token in self.clients.tokens() {
+                self.clients.stop_credit(token);
             }
         }
-        self.look_at_terminals(ctx);
+        self.look_at_clients(ctx);
     }
 
     fn stay(&mut self, _ctx: &mut Ctx) {
@@ -377,12 +380,12 @@
 
     fn counters(&self) -> Option<String> {
         Some(format!(
-            "terminals={} regions={} relays={} relayed={} held={} held_most={} aborted={} \
+            "clients={} servers={} forwarders={} forwarded={} held={} held_most={} aborted={} \
              logins_refused={} remembered={} resumed={} fate_unknown={}",
-            self.terminals.len(),
-            self.regions.len(),
-            self.relays.len(),
-            self.relays.relayed,
+            self.clients.len(),
+            self.servers.len(),
+            self.forwarders.len(),
+            self.forwarders.relayed,
             self.items.held(),
             self.items.most_held,
             self.aborted,
@@ -394,7 +397,7 @@
     }
 }
 
-/// What is passed between the sides of a relay.
-fn sides<'a>(terminals: &'a mut Terminals, regions: &'a mut Regions) -> Sides<'a> {
-    Sides { terminals, regions }
+/// What is passed between the sides of a forwarder.
+fn sides<'a>(clients: &'a mut Clients, servers: &'a mut Servers) -> Sides<'a> {
+    Sides { clients, servers }
 }
--- a/src/front/amqp/recovery.rs
+++ b/src/front/amqp/recovery.rs
@@ -6,8 +6,8 @@
 //! as its connection lasts.
 
 use super::items::Map;
-use crate::interface::{Nanos, RequestId};
 use crate::net::Token;
+use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{State, Tag};
 use std::collections::{HashSet, VecDeque};
 
@@ -22,7 +22,7 @@
 /// What became of a delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Fate {
-    /// It is a transaction that is not answered yet.
+    /// It is a request that is not answered yet.
     Runs(RequestId),
     /// It was answered with this.
     Ended(State),
@@ -63,12 +63,12 @@
 /// What a link finds when it attaches.
 #[derive(Debug, Default, PartialEq)]
 pub struct Found {
-    /// The deliveries that the peer asks about and that are known, with their terminal state or none.
+    /// The deliveries that the peer asks about and that are known, with their client state or none.
     pub known: Vec<(Tag, Option<State>)>,
     /// The deliveries that the peer asks about while nothing at all is known of its link: whether they ran
     /// cannot be told.
     pub unknown: HashSet<Tag>,
-    /// Transactions that the peer does not ask about any more.
+    /// Requests that the peer does not ask about any more.
     pub forgotten: Vec<RequestId>,
 }
 
@@ -99,8 +99,8 @@
                 }
                 let asked: HashSet<Tag> = asked.iter().copied().collect();
                 memory.fates.retain(|tag, fate| {
-                    if let (Fate::Runs(txn), false) = (&fate, asked.contains(tag)) {
-                        found.forgotten.push(*txn);
+                    if let (Fate::Runs(request_id), false) = (&fate, asked.contains(tag)) {
+                        found.forgotten.push(*request_id);
                     }
                     asked.contains(tag)
                 });
@@ -114,8 +114,8 @@
                 }
             }
         }
-        for txn in &found.forgotten {
-            self.runs.remove(txn);
+        for request_id in &found.forgotten {
+            self.runs.remove(request_id);
         }
         found
     }
@@ -140,17 +140,17 @@
         self.links.get(key)?.fates.get(tag)
     }
 
-    /// A delivery on a link that is remembered is a transaction.
-    pub fn runs(&mut self, key: &Key, tag: Tag, txn: RequestId) {
+    /// A delivery on a link that is remembered is a request.
+    pub fn runs(&mut self, key: &Key, tag: Tag, request_id: RequestId) {
         if let Some(memory) = self.links.get_mut(key) {
-            memory.fates.insert(tag, Fate::Runs(txn));
-            self.runs.insert(txn, (key.clone(), tag));
+            memory.fates.insert(tag, Fate::Runs(request_id));
+            self.runs.insert(request_id, (key.clone(), tag));
         }
     }
 
-    /// A transaction has its answer.
-    pub fn ended(&mut self, bounds: Bounds, txn: RequestId, state: &State) {
-        let Some((key, tag)) = self.runs.remove(&txn) else { return };
+    /// A request has its answer.
+    pub fn ended(&mut self, bounds: Bounds, request_id: RequestId, state: &State) {
+        let Some((key, tag)) = self.runs.remove(&request_id) else { return };
         let Some(memory) = self.links.get_mut(&key) else { return };
         memory.fates.insert(tag, Fate::Ended(state.clone()));
         memory.ended.push_back(tag);
@@ -161,9 +161,9 @@
         }
     }
 
-    /// A transaction is of no interest any more.
-    pub fn left(&mut self, txn: RequestId) {
-        if let Some((key, tag)) = self.runs.remove(&txn) {
+    /// A request is of no interest any more.
+    pub fn left(&mut self, request_id: RequestId) {
+        if let Some((key, tag)) = self.runs.remove(&request_id) {
             if let Some(memory) = self.links.get_mut(&key) {
                 memory.fates.remove(&tag);
             }
@@ -182,7 +182,7 @@
         true
     }
 
-    /// A connection is gone. Gives the transactions that nobody can ask about any more.
+    /// A connection is gone. Gives the requests that nobody can ask about any more.
     pub fn lost(&mut self, token: Token, now: Nanos) -> Vec<RequestId> {
         let mut gone = Vec::new();
         for (key, memory) in &mut self.links {
@@ -197,7 +197,7 @@
         self.forget_all(gone)
     }
 
-    /// A link is closed, or its time is over. Gives the transactions that nobody can ask about any more.
+    /// A link is closed, or its time is over. Gives the requests that nobody can ask about any more.
     pub fn forget(&mut self, key: &Key) -> Vec<RequestId> {
         self.forget_all(vec![key.clone()])
     }
@@ -215,9 +215,9 @@
         for key in keys {
             let Some(memory) = self.links.remove(&key) else { continue };
             for fate in memory.fates.into_values() {
-                if let Fate::Runs(txn) = fate {
-                    self.runs.remove(&txn);
-                    left.push(txn);
+                if let Fate::Runs(request_id) = fate {
+                    self.runs.remove(&request_id);
+                    left.push(request_id);
                 }
             }
         }
--- a/src/front/amqp/regions.rs
+++ b/src/front/amqp/servers.rs
@@ -1,12 +1,12 @@
-//! The regions' side: connections, sessions and lanes. A lane is a sending link for one class; a long
+//! The servers' side: connections, sessions and lanes. A lane is a sending link for one class; a long
 //! message fills its lane and no other.
 
 use super::config::AmqpConfig;
 use super::items::{Items, Map, Stage, Turns};
-use crate::core::FrontId;
 use crate::front::{Ctx, Due};
-use crate::interface::{Outcome, RequestId, ServerId};
 use crate::net::{Owner, Token};
+use crate::requests::FrontId;
+use crate::vocabulary::{Outcome, RequestId, ServerId};
 use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Outgoing, Role, Source, Target, Terminus};
 
 /// A lane sends no more than this before the next one has its turn.
@@ -14,21 +14,21 @@
 /// With so much unwritten a connection is full.
 const AHEAD: usize = 64 * 1024;
 
-/// A connection to a region.
+/// A connection to a server.
 pub struct Link {
-    pub region: ServerId,
+    pub server: ServerId,
     pub conn: Connection,
     /// What its links are for.
     pub uses: Map<LinkId, Use>,
 }
 
-/// What a link to a region is for.
+/// What a link to a server is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Use {
     /// Deliveries of a class go out on it.
     Lane(usize),
-    /// A relay's deliveries come in on it.
-    Relay(u64),
+    /// A forwarder's deliveries come in on it.
+    Forwarder(u64),
 }
 
 /// A sending link.
@@ -45,13 +45,13 @@
     lanes: Vec<Lane>,
 }
 
-/// A region.
+/// A server.
 #[derive(Default)]
-struct Region {
+struct Server {
     conns: Vec<Token>,
     outlets: Vec<Outlet>,
-    /// Relays that wait for a session.
-    relays: Vec<(u64, Box<Attach>)>,
+    /// Forwarders that wait for a session.
+    forwarders: Vec<(u64, Box<Attach>)>,
     /// It answered SASL with AMQP: it has none.
     no_sasl: bool,
     dirty: bool,
@@ -59,64 +59,64 @@
     turn: usize,
 }
 
-/// What became of things at the regions.
+/// What became of things at the servers.
 pub enum Happened {
-    /// A routed task is over.
+    /// An attempt is over.
     Over(RequestId, Outcome),
-    /// A relay never got its link: no connection, or no room.
-    NoRelay(u64),
+    /// A forwarder never got its link: no connection, or no room.
+    NoForwarder(u64),
 }
 
 /// The table.
-pub struct Regions {
+pub struct Servers {
     front: FrontId,
     container: String,
     classes: Vec<String>,
-    map: Map<ServerId, Region>,
+    map: Map<ServerId, Server>,
     links: Map<Token, Link>,
     dirty: Vec<ServerId>,
     /// A message's first octets, put together for its first frame.
     scratch: Vec<u8>,
 }
 
-impl Regions {
-    pub fn new(front: FrontId, container: &str, classes: Vec<String>) -> Regions {
+impl Servers {
+    pub fn new(front: FrontId, container: &str, classes: Vec<String>) -> Servers {
         let container = container.to_string();
         let (map, links, dirty, scratch) = (Map::default(), Map::default(), Vec::new(), Vec::new());
-        Regions { front, container, classes, map, links, dirty, scratch }
+        Servers { front, container, classes, map, links, dirty, scratch }
     }
 
-    /// The region whose connection this is.
+    /// The server whose connection this is.
     pub fn of(&self, token: Token) -> Option<ServerId> {
-        self.links.get(&token).map(|link| link.region)
+        self.links.get(&token).map(|link| link.server)
     }
 
     pub fn get(&mut self, token: Token) -> Option<&mut Link> {
         self.links.get_mut(&token)
     }
 
-    /// A routed task waits for a lane.
-    pub fn queue(&mut self, region: ServerId, class: usize, terminal: Token, txn: RequestId) {
+    /// An attempt waits for a lane.
+    pub fn queue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
         let classes = self.classes.len();
-        let at = self.map.entry(region).or_default();
+        let at = self.map.entry(server).or_default();
         if at.outlets.is_empty() {
             at.outlets.resize_with(classes, Outlet::default);
         }
-        at.outlets[class].turns.push(terminal, txn);
-        self.touch(region);
+        at.outlets[class].turns.push(client, request_id);
+        self.touch(server);
     }
 
-    /// A relay wants a receiving link: its attach is sent as soon as there is a session.
-    pub fn relay(&mut self, region: ServerId, relay: u64, attach: Box<Attach>) {
-        self.map.entry(region).or_default().relays.push((relay, attach));
-        self.touch(region);
+    /// A forwarder wants a receiving link: its attach is sent as soon as there is a session.
+    pub fn forwarder(&mut self, server: ServerId, forwarder: u64, attach: Box<Attach>) {
+        self.map.entry(server).or_default().forwarders.push((forwarder, attach));
+        self.touch(server);
     }
 
-    /// There may be something to do for a region at the end of the turn.
-    pub fn touch(&mut self, region: ServerId) {
-        if let Some(at) = self.map.get_mut(&region).filter(|at| !at.dirty) {
+    /// There may be something to do for a server at the end of the turn.
+    pub fn touch(&mut self, server: ServerId) {
+        if let Some(at) = self.map.get_mut(&server).filter(|at| !at.dirty) {
             at.dirty = true;
-            self.dirty.push(region);
+            self.dirty.push(server);
         }
     }
 
@@ -127,25 +127,25 @@
 
     /// There may be something to write on a connection.
     pub fn touch_link(&mut self, token: Token) {
-        if let Some(region) = self.of(token) {
-            self.touch(region);
+        if let Some(server) = self.of(token) {
+            self.touch(server);
         }
     }
 
     // ---- Connections -----------------------------------------------------------------------------
 
-    fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, region: ServerId) -> bool {
-        let Some(known) = ctx.table.region(region) else { return false };
+    fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId) -> bool {
+        let Some(known) = ctx.registry.entry(server) else { return false };
         let (addr, mut credentials) = config.place(known.name(), known.addr(), &super::access::nonce());
-        let Some(at) = self.map.get_mut(&region) else { return false };
+        let Some(at) = self.map.get_mut(&server) else { return false };
         if at.no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
         }
         let Ok(token) = ctx.net.connect(addr, Owner::Front(self.front)) else { return false };
         ctx.net.read_ahead(token, config.max_frame as usize + 1024);
-        let conn = Connection::dial(ctx.now, config.region(&self.container), credentials);
+        let conn = Connection::dial(ctx.now, config.server(&self.container), credentials);
         at.conns.push(token);
-        self.links.insert(token, Link { region, conn, uses: Map::default() });
+        self.links.insert(token, Link { server, conn, uses: Map::default() });
         ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
         self.write(ctx, token);
         true
@@ -162,44 +162,50 @@
 
     /// A connection is over. What was on it never ran where its last byte was not written.
     pub fn lose(&mut self, ctx: &mut Ctx, token: Token, items: &Items) -> (Vec<Happened>, Vec<u64>) {
-        let (mut happened, mut relays) = (Vec::new(), Vec::new());
+        let (mut happened, mut forwarders) = (Vec::new(), Vec::new());
         let written = ctx.net.written(token);
         ctx.net.close(token);
-        let Some(mut link) = self.links.remove(&token) else { return (happened, relays) };
+        let Some(mut link) = self.links.remove(&token) else { return (happened, forwarders) };
         for (at, role, key) in link.conn.abandon() {
             if let (Some(Use::Lane(_)), Role::Sender) = (link.uses.get(&at), role) {
-                let txn = RequestId(key);
-                let stage = items.get(txn).and_then(|i| i.task.as_ref()).map(|t| &t.stage);
+                let request_id = RequestId(key);
+                let stage = items.get(request_id).and_then(|i| i.task.as_ref()).map(|t| &t.stage);
                 let ran = matches!(stage, Some(Stage::Sent { end, .. }) if *end <= written);
                 let outcome = if ran { Outcome::Reset } else { Outcome::ConnectFailed };
-                happened.push(Happened::Over(txn, outcome));
+                happened.push(Happened::Over(request_id, outcome));
             }
         }
-        relays.extend(link.uses.values().filter_map(|u| if let Use::Relay(r) = u { Some(*r) } else { None }));
-        relays.sort_unstable();
-        let Some(region) = self.map.get_mut(&link.region) else { return (happened, relays) };
-        region.conns.retain(|conn| *conn != token);
-        for outlet in &mut region.outlets {
+        forwarders.extend(link.uses.values().filter_map(|u| {
+            if let Use::Forwarder(r) = u {
+                Some(*r)
+            } else {
+                None
+            }
+        }));
+        forwarders.sort_unstable();
+        let Some(server) = self.map.get_mut(&link.server) else { return (happened, forwarders) };
+        server.conns.retain(|conn| *conn != token);
+        for outlet in &mut server.outlets {
             outlet.lanes.retain(|lane| lane.token != token);
         }
-        if link.conn.peer_has_no_sasl() && !std::mem::replace(&mut region.no_sasl, true) {
+        if link.conn.peer_has_no_sasl() && !std::mem::replace(&mut server.no_sasl, true) {
             // Once more without SASL: what waits there goes on waiting.
-            self.touch(link.region);
-            return (happened, relays);
+            self.touch(link.server);
+            return (happened, forwarders);
         }
-        if region.conns.is_empty() {
-            let Some(region) = self.map.remove(&link.region) else { return (happened, relays) };
-            let (no_sasl, waiting) = (region.no_sasl, region.relays);
-            for mut outlet in region.outlets {
+        if server.conns.is_empty() {
+            let Some(server) = self.map.remove(&link.server) else { return (happened, forwarders) };
+            let (no_sasl, waiting) = (server.no_sasl, server.forwarders);
+            for mut outlet in server.outlets {
                 let queued = outlet.turns.drain().into_iter();
-                happened.extend(queued.map(|txn| Happened::Over(txn, Outcome::ConnectFailed)));
+                happened.extend(queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)));
             }
-            happened.extend(waiting.into_iter().map(|(relay, _)| Happened::NoRelay(relay)));
+            happened.extend(waiting.into_iter().map(|(forwarder, _)| Happened::NoForwarder(forwarder)));
             if no_sasl {
-                self.map.insert(link.region, Region { no_sasl, ..Region::default() });
+                self.map.insert(link.server, Server { no_sasl, ..Server::default() });
             }
         }
-        (happened, relays)
+        (happened, forwarders)
     }
 
     /// Whether a connection should be open by now and is not.
@@ -217,10 +223,10 @@
         self.links.len()
     }
 
-    /// A connection that serves nothing and whose region gets nothing new.
+    /// A connection that serves nothing and whose server gets nothing new.
     pub fn is_done(&self, ctx: &Ctx, token: Token) -> bool {
         let Some(link) = self.links.get(&token) else { return false };
-        let leaving = ctx.table.region(link.region).is_none_or(|region| !region.serving());
+        let leaving = ctx.registry.entry(link.server).is_none_or(|server| !server.serving());
         leaving
             && link.conn.is_open()
             && link
@@ -237,12 +243,12 @@
         &mut self,
         ctx: &mut Ctx,
         config: &AmqpConfig,
-        region: ServerId,
+        server: ServerId,
         name: &str,
         role: Role,
         attach: &Attach,
     ) -> Result<Option<(Token, LinkId)>, ()> {
-        let conns = self.map.get(&region).map_or(Vec::new(), |at| at.conns.clone());
+        let conns = self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone());
         for token in &conns {
             let Some(link) = self.links.get_mut(token) else { continue };
             if !link.conn.is_open() {
@@ -260,7 +266,7 @@
                 return Ok(None);
             }
         }
-        if conns.len() < config.region_connections && self.dial(ctx, config, region) {
+        if conns.len() < config.server_connections && self.dial(ctx, config, server) {
             return Ok(None);
         }
         Err(())
@@ -270,10 +276,10 @@
         &mut self,
         ctx: &mut Ctx,
         config: &AmqpConfig,
-        region: ServerId,
+        server: ServerId,
         class: usize,
     ) -> Result<(), ()> {
-        let count = self.map.get(&region).map_or(0, |at| at.outlets[class].lanes.len());
+        let count = self.map.get(&server).map_or(0, |at| at.outlets[class].lanes.len());
         let address = self.classes[class].clone();
         let name = if count == 0 { address.clone() } else { format!("{address}#{count}") };
         let target = Target { address: Some(address), ..Target::default() };
@@ -284,13 +290,13 @@
             target: Some(Terminus::Target(target)),
             ..Attach::default()
         };
-        let Some((token, link)) = self.place(ctx, config, region, &name, Role::Sender, &attach)? else {
+        let Some((token, link)) = self.place(ctx, config, server, &name, Role::Sender, &attach)? else {
             return Ok(());
         };
         if let Some(at) = self.links.get_mut(&token) {
             at.uses.insert(link, Use::Lane(class));
         }
-        if let Some(at) = self.map.get_mut(&region) {
+        if let Some(at) = self.map.get_mut(&server) {
             at.outlets[class].lanes.push(Lane { token, link, current: None });
         }
         Ok(())
@@ -298,31 +304,31 @@
 
     /// A lane's link is gone. What waits for it goes on waiting where there is another.
     pub fn lane_gone(&mut self, token: Token, link: LinkId, class: usize) -> Vec<Happened> {
-        let Some(region) = self.of(token) else { return Vec::new() };
-        let Some(at) = self.map.get_mut(&region) else { return Vec::new() };
+        let Some(server) = self.of(token) else { return Vec::new() };
+        let Some(at) = self.map.get_mut(&server) else { return Vec::new() };
         let outlet = &mut at.outlets[class];
         outlet.lanes.retain(|lane| (lane.token, lane.link) != (token, link));
         if !outlet.lanes.is_empty() {
-            self.touch(region);
+            self.touch(server);
             return Vec::new();
         }
         let queued = outlet.turns.drain().into_iter();
-        queued.map(|txn| Happened::Over(txn, Outcome::ConnectFailed)).collect()
+        queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)).collect()
     }
 
     /// A delivery was answered before it had gone whole: its lane is free again.
-    pub fn free_lane(&mut self, region: ServerId, class: usize, txn: RequestId) {
-        if let Some(at) = self.map.get_mut(&region) {
-            for lane in at.outlets[class].lanes.iter_mut().filter(|lane| lane.current == Some(txn)) {
+    pub fn free_lane(&mut self, server: ServerId, class: usize, request_id: RequestId) {
+        if let Some(at) = self.map.get_mut(&server) {
+            for lane in at.outlets[class].lanes.iter_mut().filter(|lane| lane.current == Some(request_id)) {
                 lane.current = None;
             }
         }
-        self.touch(region);
+        self.touch(server);
     }
 
-    pub fn unqueue(&mut self, region: ServerId, class: usize, terminal: Token, txn: RequestId) {
-        if let Some(at) = self.map.get_mut(&region) {
-            at.outlets[class].turns.remove(terminal, txn);
+    pub fn unqueue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
+        if let Some(at) = self.map.get_mut(&server) {
+            at.outlets[class].turns.remove(client, request_id);
         }
     }
 
@@ -331,12 +337,12 @@
     /// The end of a turn: everything that credit, windows and sockets take goes out.
     pub fn flush(&mut self, ctx: &mut Ctx, config: &AmqpConfig, items: &mut Items) -> Vec<Happened> {
         let mut happened = Vec::new();
-        for region in std::mem::take(&mut self.dirty) {
-            if let Some(at) = self.map.get_mut(&region) {
+        for server in std::mem::take(&mut self.dirty) {
+            if let Some(at) = self.map.get_mut(&server) {
                 at.dirty = false;
             }
-            let full = self.pump(ctx, config, region, items, &mut happened);
-            let conns = self.map.get(&region).map_or(Vec::new(), |at| at.conns.clone());
+            let full = self.pump(ctx, config, server, items, &mut happened);
+            let conns = self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone());
             let mut room = false;
             for token in conns {
                 self.write(ctx, token);
@@ -344,7 +350,7 @@
             }
             // Where the socket took it all at once, no notice will say that there is room again.
             if full && room {
-                self.touch(region);
+                self.touch(server);
             }
         }
         happened
@@ -355,14 +361,14 @@
         &mut self,
         ctx: &mut Ctx,
         config: &AmqpConfig,
-        region: ServerId,
+        server: ServerId,
         items: &mut Items,
         happened: &mut Vec<Happened>,
     ) -> bool {
-        self.attach_relays(ctx, config, region, happened);
-        self.widen(ctx, config, region, happened);
+        self.attach_forwarders(ctx, config, server, happened);
+        self.widen(ctx, config, server, happened);
         let classes = self.classes.len();
-        let Some(at) = self.map.get_mut(&region).filter(|at| !at.outlets.is_empty()) else { return false };
+        let Some(at) = self.map.get_mut(&server).filter(|at| !at.outlets.is_empty()) else { return false };
         at.turn = at.turn.wrapping_add(1);
         let mut full = false;
         // Every lane of every class sends one chunk a round, until none can.
@@ -374,12 +380,12 @@
                 for lane in lanes {
                     let Some(link) = self.links.get_mut(&lane.token) else { continue };
                     let (scratch, conn) = (&mut self.scratch, &mut link.conn);
-                    match feed(ctx, config, scratch, region, turns, lane, conn, items) {
+                    match feed(ctx, config, scratch, server, turns, lane, conn, items) {
                         Fed::Still => {}
                         Fed::Full => full = true,
                         Fed::Moved => moved = true,
-                        Fed::TooLarge(txn) => {
-                            happened.push(Happened::Over(txn, Outcome::Full));
+                        Fed::TooLarge(request_id) => {
+                            happened.push(Happened::Over(request_id, Outcome::Rejected));
                             moved = true;
                         }
                     }
@@ -391,80 +397,82 @@
         }
         let stuck = |o: &Outlet| !o.turns.is_empty() && o.lanes.iter().all(|lane| lane.current.is_some());
         if at.outlets.iter().any(stuck) {
-            self.widen(ctx, config, region, happened);
+            self.widen(ctx, config, server, happened);
         }
         full
     }
 
     /// Opens a lane for each class that has something waiting and no lane that could take it: the first,
     /// or another where long messages hold all there are.
-    fn widen(&mut self, ctx: &mut Ctx, config: &AmqpConfig, region: ServerId, happened: &mut Vec<Happened>) {
-        for class in 0..self.map.get(&region).map_or(0, |at| at.outlets.len()) {
-            let Some(outlet) = self.map.get(&region).map(|at| &at.outlets[class]) else { return };
+    fn widen(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId, happened: &mut Vec<Happened>) {
+        for class in 0..self.map.get(&server).map_or(0, |at| at.outlets.len()) {
+            let Some(outlet) = self.map.get(&server).map(|at| &at.outlets[class]) else { return };
             let held = outlet.lanes.iter().all(|lane| lane.current.is_some());
-            if outlet.turns.is_empty() || !held || outlet.lanes.len() >= config.region_lanes {
+            if outlet.turns.is_empty() || !held || outlet.lanes.len() >= config.server_lanes {
                 continue;
             }
             let first = outlet.lanes.is_empty();
-            if self.add_lane(ctx, config, region, class).is_err() && first {
-                if let Some(at) = self.map.get_mut(&region) {
+            if self.add_lane(ctx, config, server, class).is_err() && first {
+                if let Some(at) = self.map.get_mut(&server) {
                     let queued = at.outlets[class].turns.drain().into_iter();
-                    happened.extend(queued.map(|txn| Happened::Over(txn, Outcome::ConnectFailed)));
+                    happened
+                        .extend(queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)));
                 }
             }
         }
     }
 
-    fn attach_relays(
+    fn attach_forwarders(
         &mut self,
         ctx: &mut Ctx,
         config: &AmqpConfig,
-        region: ServerId,
+        server: ServerId,
         happened: &mut Vec<Happened>,
     ) {
-        let waiting = self.map.get_mut(&region).map_or(Vec::new(), |at| std::mem::take(&mut at.relays));
-        for (relay, attach) in waiting {
-            let name = format!("{}/{relay}", self.container);
-            match self.place(ctx, config, region, &name, Role::Receiver, &attach) {
+        let waiting = self.map.get_mut(&server).map_or(Vec::new(), |at| std::mem::take(&mut at.forwarders));
+        for (forwarder, attach) in waiting {
+            let name = format!("{}/{forwarder}", self.container);
+            match self.place(ctx, config, server, &name, Role::Receiver, &attach) {
                 Ok(Some((token, link))) => {
                     if let Some(at) = self.links.get_mut(&token) {
-                        at.uses.insert(link, Use::Relay(relay));
+                        at.uses.insert(link, Use::Forwarder(forwarder));
                     }
                 }
                 Ok(None) => {
-                    if let Some(at) = self.map.get_mut(&region) {
-                        at.relays.push((relay, attach));
+                    if let Some(at) = self.map.get_mut(&server) {
+                        at.forwarders.push((forwarder, attach));
                     }
                 }
-                Err(()) => happened.push(Happened::NoRelay(relay)),
+                Err(()) => happened.push(Happened::NoForwarder(forwarder)),
             }
         }
     }
 
-    /// A relay that does not stand is given up: its link, if it was asked for, is detached. True where
+    /// A forwarder that does not stand is given up: its link, if it was asked for, is detached. True where
     /// nothing had gone out.
-    pub fn drop_relay(&mut self, region: ServerId, relay: u64) -> bool {
-        if self.forget_relay(region, relay) {
+    pub fn drop_forwarder(&mut self, server: ServerId, forwarder: u64) -> bool {
+        if self.forget_forwarder(server, forwarder) {
             return true;
         }
-        for token in self.map.get(&region).map_or(Vec::new(), |at| at.conns.clone()) {
+        for token in self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone()) {
             let Some(link) = self.links.get_mut(&token) else { continue };
-            let asked = link.uses.iter().find(|(_, kind)| **kind == Use::Relay(relay)).map(|(at, _)| *at);
+            let asked =
+                link.uses.iter().find(|(_, kind)| **kind == Use::Forwarder(forwarder)).map(|(at, _)| *at);
             if let Some(at) = asked {
                 link.uses.remove(&at);
                 link.conn.detach(at, true, None);
-                self.touch(region);
+                self.touch(server);
             }
         }
         false
     }
 
-    /// A relay that waits for a session waits no more. False where its attach has gone out.
-    fn forget_relay(&mut self, region: ServerId, relay: u64) -> bool {
-        let Some(at) = self.map.get_mut(&region) else { return false };
-        let before = at.relays.len();
-        at.relays.retain(|(waiting, _)| *waiting != relay);
-        at.relays.len() < before
+    /// A forwarder that waits for a session waits no more. False where its attach has gone out.
+    fn forget_forwarder(&mut self, server: ServerId, forwarder: u64) -> bool {
+        let Some(at) = self.map.get_mut(&server) else { return false };
+        let before = at.forwarders.len();
+        at.forwarders.retain(|(waiting, _)| *waiting != forwarder);
+        at.forwarders.len() < before
     }
 }
 
@@ -476,7 +484,7 @@
     Full,
     /// Something moved: it may go on.
     Moved,
-    /// This delivery is larger than the region takes.
+    /// This delivery is larger than the server takes.
     TooLarge(RequestId),
 }
 
@@ -485,11 +493,11 @@
     if lane.current.is_some() {
         return lane.current;
     }
-    let txn = if conn.can_send(lane.link) { turns.pop() } else { None };
-    if turns.is_empty() && txn.is_none() {
+    let request_id = if conn.can_send(lane.link) { turns.pop() } else { None };
+    if turns.is_empty() && request_id.is_none() {
         conn.drained(lane.link);
     }
-    txn
+    request_id
 }
 
 /// Sends one chunk on a lane.
@@ -498,7 +506,7 @@
     ctx: &mut Ctx,
     config: &AmqpConfig,
     scratch: &mut Vec<u8>,
-    region: ServerId,
+    server: ServerId,
     turns: &mut Turns,
     lane: &mut Lane,
     conn: &mut Connection,
@@ -509,17 +517,17 @@
         return if lane.current.is_some() || !turns.is_empty() { Fed::Full } else { Fed::Still };
     }
     let room = room.min(conn.pending() + CHUNK);
-    let Some(txn) = next(turns, lane, conn) else { return Fed::Still };
+    let Some(request_id) = next(turns, lane, conn) else { return Fed::Still };
     let (token, link) = (lane.token, lane.link);
     lane.current = None;
-    let Some(item) = items.get_mut(txn) else { return Fed::Moved };
-    let Some(task) = item.task.as_mut().filter(|task| task.region == region) else { return Fed::Moved };
-    let delivery = Outgoing { key: txn.0, tag: txn.0.into(), settled: false };
+    let Some(item) = items.get_mut(request_id) else { return Fed::Moved };
+    let Some(task) = item.task.as_mut().filter(|task| task.server == server) else { return Fed::Moved };
+    let delivery = Outgoing { key: request_id.0, tag: request_id.0.into(), settled: false };
     let (sent, id, at) = match task.stage {
         Stage::Sent { .. } => return Fed::Moved,
         Stage::Queued => {
             if conn.most_message(link).is_some_and(|most| item.bytes.len() as u64 > most) {
-                return Fed::TooLarge(txn);
+                return Fed::TooLarge(request_id);
             }
             let ttl = task.until.saturating_sub(ctx.now) / 1_000_000;
             scratch.clear();
@@ -529,7 +537,7 @@
             let id = conn.next_delivery(link.channel);
             let sent = conn.send(link, delivery, scratch, item.whole, room);
             if !sent.begun {
-                turns.push(item.terminal, txn);
+                turns.push(item.client, request_id);
                 return Fed::Still;
             }
             // A header has fewer octets than any frame: it has gone with the first.
@@ -547,8 +555,8 @@
         return Fed::Moved;
     }
     task.stage = Stage::Sending { token, link, id, at };
-    lane.current = Some(txn);
-    items.let_go(txn, config.keep);
+    lane.current = Some(request_id);
+    items.let_go(request_id, config.keep);
     if sent.taken > 0 {
         Fed::Moved
     } else {
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The fronts. Each turns its wire into transactions and outcomes, and carries out commands.
+//! The fronts. Each turns its wire into requests and outcomes, and carries out commands.
 //!
 //! The loop and the core know a front by its [`FrontId`] alone. A further one is a folder here, an
 //! implementation of [`Front`], and a line in [`OPTIONAL`].
@@ -8,10 +8,10 @@
 pub mod tls;
 
 use crate::config::Facts;
-use crate::core::{Core, FrontId};
-use crate::interface::{Class, Nanos, Outcome, RequestId, ServerId};
+use crate::discovery::EndpointRegistry;
 use crate::net::{Net, Notice, Token, Wheel};
-use crate::service_table::ServiceTable;
+use crate::requests::{FrontId, RequestTable};
+use crate::vocabulary::{Class, Nanos, Outcome, RequestId, ServerId};
 use std::any::Any;
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
@@ -20,13 +20,13 @@
 pub struct Ctx<'a> {
     pub now: Nanos,
     pub net: &'a mut Net,
-    pub core: &'a mut Core,
-    pub table: &'a ServiceTable,
+    pub requests: &'a mut RequestTable,
+    pub registry: &'a EndpointRegistry,
     pub wheel: &'a mut Wheel<Due>,
     pub facts: &'a Facts,
     pub classes: &'a [Class],
-    /// Whether whoever deals terminals out is to send some here.
-    pub takes_terminals: bool,
+    /// Whether whoever deals clients out is to send some here.
+    pub takes_clients: bool,
     /// Whether the process is about to end: what comes now is answered and not sent on.
     pub closing: bool,
 }
@@ -35,24 +35,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Due {
     /// A timer of the module's.
-    Module(u64),
-    /// The time-out of a transaction's routed task, by its number.
-    Task(RequestId, u32),
+    Policy(u64),
+    /// The time-out of a request's attempt, by its number.
+    AttemptTimeout(RequestId, u32),
     /// A connection should be up by now.
     Dial(FrontId, Token),
     /// A front's own timer for one of its sockets.
     Timer(FrontId, Token),
     /// Time to look after things that are watched coarsely.
     Look,
-    /// The next step of sending terminals away.
-    Leave,
+    /// The next step of sending clients away.
+    Drain,
     /// The next turn of the talk about the fleet's budgets.
-    Fleet,
+    Quota,
     /// An operator's call should be whole by now.
-    Operator(Token),
+    Admin(Token),
 }
 
-/// Answers arrive before the deadline: the wheel, the loop and the way back to the terminal take this
+/// Answers arrive before the deadline: the wheel, the loop and the way back to the client take this
 /// much of it at most.
 pub const ANSWER_MARGIN: Nanos = 12_000_000;
 
@@ -60,27 +60,27 @@
 pub trait Front {
     /// Something happened at one of its sockets.
     fn notice(&mut self, ctx: &mut Ctx, notice: Notice);
-    /// Start the one routed task of a transaction, for at most this long.
-    fn start(&mut self, ctx: &mut Ctx, txn: RequestId, region: ServerId, wait: Nanos);
-    /// Take a routed task back and say what that makes of it: unsent, it never ran.
-    fn give_up(&mut self, ctx: &mut Ctx, txn: RequestId) -> Outcome;
+    /// Start the one attempt of a request, for at most this long.
+    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos);
+    /// Take an attempt back and say what that makes of it: unsent, it never ran.
+    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome;
     /// The final answer: refused, come again after this.
-    fn refuse(&mut self, ctx: &mut Ctx, txn: RequestId, cool_down: Nanos);
+    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos);
     /// The final answer: failed.
-    fn fail(&mut self, ctx: &mut Ctx, txn: RequestId);
-    /// Ask the terminal of a standing connection to come again. The core has already let it go.
-    fn send_away(&mut self, ctx: &mut Ctx, txn: RequestId);
-    /// These regions get nothing new: what has not been sent to them is called off.
+    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId);
+    /// Ask the client of a standing connection to come again. The core has already let it go.
+    fn migrate(&mut self, ctx: &mut Ctx, request_id: RequestId);
+    /// These servers get nothing new: what has not been sent to them is called off.
     fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]);
-    /// Whether no terminal is held.
+    /// Whether no client is held.
     fn is_idle(&self) -> bool;
 
     /// A connection should be up by now.
     fn dial_due(&mut self, _ctx: &mut Ctx, _token: Token) {}
-    /// Asks a region for its load report, in the platform's protocol: the core hears of it as
-    /// [`Event::Probed`](crate::interface::Event::Probed). A front that cannot says so at once.
-    fn probe(&mut self, ctx: &mut Ctx, region: crate::interface::ServerId) {
-        ctx.core.tell(crate::interface::Event::Probed { server: region, over: None });
+    /// Asks a server for its load report, in the platform's protocol: the core hears of it as
+    /// [`Event::HealthCheckResult`](crate::vocabulary::Event::HealthCheckResult). A front that cannot says so at once.
+    fn probe(&mut self, ctx: &mut Ctx, server: crate::vocabulary::ServerId) {
+        ctx.requests.tell(crate::vocabulary::Event::HealthCheckResult { server, over: None });
     }
     /// One of its own timers is due.
     fn timer_due(&mut self, _ctx: &mut Ctx, _token: Token) {}
@@ -88,16 +88,16 @@
     fn look(&mut self, _ctx: &mut Ctx) {}
     /// The end of a turn: what was gathered for the same socket is written in one go.
     fn flush(&mut self, _ctx: &mut Ctx) {}
-    /// Terminals are sent away, for a while or for good; called at each step.
+    /// Clients are sent away, for a while or for good; called at each step.
     fn leave(&mut self, _ctx: &mut Ctx) {}
     /// Lets connections go, no more than so many, for the process that takes this one's place. What is not
     /// passed on is left to end here.
-    fn pass_on(&mut self, _ctx: &mut Ctx, _most: usize) -> Vec<Luggage> {
+    fn pass_on(&mut self, _ctx: &mut Ctx, _most: usize) -> Vec<TransferredConnection> {
         Vec::new()
     }
     /// Goes on with a connection of the process before this one.
-    fn take_in(&mut self, _ctx: &mut Ctx, _luggage: Luggage) {}
-    /// The node takes terminals again.
+    fn take_in(&mut self, _ctx: &mut Ctx, _transferred_connection: TransferredConnection) {}
+    /// The node takes clients again.
     fn stay(&mut self, _ctx: &mut Ctx) {}
     /// Takes a newer file over, which [`Optional::read`] gave. Names what only a restart could change.
     fn take_over(&mut self, _new: Box<dyn Any>) -> Vec<&'static str> {
@@ -110,10 +110,10 @@
 }
 
 /// A connection on its way from one process to the next.
-pub struct Luggage {
+pub struct TransferredConnection {
     /// What the front said of it, as JSON.
     pub text: String,
-    /// Its descriptors, the terminal's first.
+    /// Its descriptors, the client's first.
     pub fds: Vec<OwnedFd>,
 }
 
@@ -198,7 +198,7 @@
         Some(FrontId { index: index as u8, name: self.names[index] })
     }
 
-    /// Whether none holds a terminal.
+    /// Whether none holds a client.
     pub fn are_idle(&self) -> bool {
         self.list.iter().flatten().all(|front| front.is_idle())
     }
--- a/src/front/text/first_line.rs
+++ b/src/front/text/first_line.rs
@@ -1,13 +1,13 @@
-//! A terminal's first line: read whole and checked before the core hears of it.
+//! A client's first line: read whole and checked before the core hears of it.
 
 use crate::config::Facts;
-use crate::interface::{Class, Nanos};
-use crate::wire::tag;
+use crate::hash::fnv1a;
+use crate::vocabulary::{Class, Nanos};
 use std::ops::Range;
 
 /// The longest id.
 const MOST_ID: usize = 64;
-/// The longest wait that a terminal can mean, in milliseconds. Terminals that were there before the run
+/// The longest wait that a client can mean, in milliseconds. Clients that were there before the run
 /// come with more (4,294,967 was seen): they wait for no placement.
 const MOST_WAIT: u64 = 3_600_000;
 /// The largest load that a hint can mean, in microseconds of work a second.
@@ -30,15 +30,15 @@
     pub grace: Nanos,
     pub key: u64,
     pub group: Option<u64>,
-    pub came_back: bool,
-    /// The terminal repeats a try that failed.
-    pub repeated: bool,
+    pub reconnect: bool,
+    /// The client repeats a try that failed.
+    pub client_retry: bool,
     pub hint: Option<Nanos>,
     pub at: Option<String>,
 }
 
 impl FirstLine {
-    /// Reads a line with its end. None is one that no region could use: it is answered here, at once.
+    /// Reads a line with its end. None is one that no server could use: it is answered here, at once.
     pub fn parse(line: &[u8], facts: &Facts, classes: &[Class]) -> Option<FirstLine> {
         let text = std::str::from_utf8(line).ok()?;
         let text = text.strip_suffix('\n').unwrap_or(text);
@@ -62,7 +62,7 @@
             return None;
         }
         let (mut class, mut wait, mut d, mut at) = (None, None, None, None);
-        let (mut came_back, mut repeated, mut hint, mut group) = (false, false, None, None);
+        let (mut reconnect, mut client_retry, mut hint, mut group) = (false, false, None, None);
         let mut start = line.len() - list.len();
         for pair in list.split(',') {
             let (name, value) = pair.split_once('=')?;
@@ -74,9 +74,9 @@
                 }
                 "at" if at.is_none() => at = Some(value.to_string()),
                 "h" if hint.is_none() => hint = Some(load(value)?),
-                "g" => group = Some(tag(value)),
-                "again" => came_back = flag(value)?,
-                "r" => repeated = flag(value)?,
+                "g" => group = Some(fnv1a(value)),
+                "again" => reconnect = flag(value)?,
+                "r" => client_retry = flag(value)?,
                 // The same thing said twice has no one meaning.
                 "c" | "d" | "at" | "h" => return None,
                 _ => {}
@@ -88,9 +88,9 @@
             return None;
         }
         let grace = wait.map_or(classes.get(class)?.hard_limit, |ms| ms * 1_000_000);
-        let (id, key) = (id.to_string(), u64::from_str_radix(key, 16).unwrap_or_else(|_| tag(key)));
+        let (id, key) = (id.to_string(), u64::from_str_radix(key, 16).unwrap_or_else(|_| fnv1a(key)));
         let line = line.to_string();
-        Some(Open { id, line, d, class, grace, key, group, came_back, repeated, hint, at })
+        Some(Open { id, line, d, class, grace, key, group, reconnect, client_retry, hint, at })
     }
 
     /// The line as it came, without its end.
@@ -98,8 +98,8 @@
         &self.line
     }
 
-    /// The line for the region: as it came, but for how long the node will wait.
-    pub fn for_region(&self, wait: Nanos) -> String {
+    /// The line for the server: as it came, but for how long the node will wait.
+    pub fn for_server(&self, wait: Nanos) -> String {
         match &self.d {
             Some(d) => {
                 let ms = (wait / 1_000_000).max(1);
