--- a/src/front/text.rs
+++ b/src/front/text/mod.rs
@@ -1,11 +1,11 @@
 //! The platform's protocol: lines of text over TCP.
 //!
-//! A terminal's first line opens a transaction. Once its region has said `UP`, lines pass both ways.
-//! Only whole lines go to a terminal, so that `MOVE` can always follow.
+//! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
+//! Only whole lines go to a client, so that `MOVE` can always follow.
 
-use super::{Ctx, Due, Front, Luggage, ANSWER_MARGIN, TEXT};
-use crate::interface::*;
+use super::{Ctx, Due, Front, TransferredConnection, ANSWER_MARGIN, TEXT};
 use crate::net::{Flow, Kind, Notice, Owner, Token, SLOW};
+use crate::vocabulary::*;
 use first_line::{FirstLine, Open};
 use probe::{Ask, Probes, PROBE_WAIT, STATS};
 use serde::{Deserialize, Serialize};
@@ -16,48 +16,48 @@
 
 /// The longest line, its end included.
 const MOST_LINE: usize = 4096;
-/// A terminal may ask this often whether the node is there, on one connection.
+/// A client may ask this often whether the node is there, on one connection.
 const PINGS: u32 = 8;
-/// A line of the terminal's that a standing region leaves unanswered for this long: the terminal is
-/// moved. Terminals send one every 2 s and the rule allows 7 s from the last answer.
+/// A line of the client's that a standing server leaves unanswered for this long: the client is
+/// moved. Clients send one every 2 s and the rule allows 7 s from the last answer.
 const SILENT_AFTER: Nanos = 4_500_000_000;
-/// A region that was told of its terminal's end has this long to end its own side.
+/// A server that was told of its client's end has this long to end its own side.
 const HALF_OPEN: Nanos = 2_000_000_000;
 
 enum Side {
     /// Accepted; no request yet, but so many `PING`s.
     Fresh(u32),
-    /// A terminal with a transaction.
-    Terminal,
-    /// The routed task of that terminal.
+    /// A client with a request.
+    Client,
+    /// The attempt of that client.
     Task(Token),
-    /// A connection for probes of a region.
+    /// A connection for probes of a server.
     Probe,
 }
 
 struct Session {
     open: Open,
     /// None while a connection from before the run is being restored.
-    txn: Option<RequestId>,
-    region: Option<ServerId>,
+    request_id: Option<RequestId>,
+    server: Option<ServerId>,
     task: Option<Token>,
     up: bool,
-    /// The oldest line that the region has not answered.
+    /// The oldest line that the server has not answered.
     asked: Option<Nanos>,
-    /// The region's last line, where it says how the connection ends.
+    /// The server's last line, where it says how the connection ends.
     last: Ending,
-    /// The load that the region told last.
+    /// The load that the server told last.
     load: Option<Nanos>,
 }
 
 impl Session {
     fn trace(&self, what: &str, ctx: &Ctx) {
         if crate::log::tracing() {
-            let (txn, open) = (self.txn.map_or(0, |txn| txn.0), &self.open);
-            let region = self.region.and_then(|region| ctx.table.region(region)).map_or("-", |r| r.name());
+            let (request_id, open) = (self.request_id.map_or(0, |request_id| request_id.0), &self.open);
+            let server = self.server.and_then(|server| ctx.registry.entry(server)).map_or("-", |r| r.name());
             crate::log::line(format_args!(
-                "trace terminal {what} txn={txn} key={:x} group={:x} class={} region={region} again={} repeat={} up={}",
-                open.key, open.group.unwrap_or(0), open.class, open.came_back, open.repeated, self.up
+                "trace client {what} request={request_id} key={:x} group={:x} class={} server={server} again={} repeat={} up={}",
+                open.key, open.group.unwrap_or(0), open.class, open.reconnect, open.client_retry, self.up
             ));
         }
     }
@@ -71,12 +71,14 @@
     /// It stands.
     Standing {
         line: String,
-        region: String,
+        #[serde(rename = "region")]
+        server: String,
         began: Nanos,
         asked: Option<Nanos>,
         last: Ending,
         load: Option<Nanos>,
-        terminal: Flow,
+        #[serde(rename = "terminal")]
+        client: Flow,
         task: Flow,
     },
 }
@@ -88,7 +90,7 @@
     Moved,
 }
 
-/// How long messages take at a region, for notes once a second.
+/// How long messages take at a server, for notes once a second.
 #[derive(Default, Clone, Copy)]
 struct Delay {
     latest: Option<Nanos>,
@@ -99,8 +101,8 @@
 pub struct TextFront {
     sides: HashMap<Token, Side>,
     sessions: HashMap<Token, Session>,
-    terminals: HashMap<RequestId, Token>,
-    /// The ids of all that is open: a terminal that comes with one of them is not the one that opened it.
+    clients: HashMap<RequestId, Token>,
+    /// The ids of all that is open: a client that comes with one of them is not the one that opened it.
     ids: HashSet<String>,
     delays: HashMap<ServerId, Delay>,
     noted: Nanos,
@@ -112,7 +114,7 @@
         TextFront {
             sides: HashMap::new(),
             sessions: HashMap::new(),
-            terminals: HashMap::new(),
+            clients: HashMap::new(),
             ids: HashSet::new(),
             delays: HashMap::new(),
             noted: 0,
@@ -120,7 +122,7 @@
         }
     }
 
-    // ---- The terminal's side -------------------------------------------------------------------
+    // ---- The client's side -------------------------------------------------------------------
 
     fn fresh(&mut self, ctx: &mut Ctx, token: Token) {
         while let Some(input) = ctx.net.input(token) {
@@ -138,8 +140,8 @@
                             Some(Side::Fresh(pings)) if *pings < PINGS => *pings += 1,
                             _ => return self.malformed(ctx, token),
                         }
-                        // What is not PONG tells the front that deals terminals out to send none here.
-                        let word: &[u8] = if ctx.takes_terminals { b"PONG\r\n" } else { b"BUSY\r\n" };
+                        // What is not PONG tells the front that deals clients out to send none here.
+                        let word: &[u8] = if ctx.takes_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
                         ctx.net.send(token, word);
                     }
                     Some(FirstLine::Open(open)) => return self.open(ctx, token, open),
@@ -149,9 +151,9 @@
         }
     }
 
-    /// Nothing that a region could use: the answer is given here, at once.
+    /// Nothing that a server could use: the answer is given here, at once.
     fn malformed(&mut self, ctx: &mut Ctx, token: Token) {
-        ctx.core.counters.malformed += 1;
+        ctx.requests.counters.malformed += 1;
         self.answer(ctx, token, b"ERR\r\n");
     }
 
@@ -162,7 +164,7 @@
         ctx.net.look(token);
         self.fresh(ctx, token);
         if let Some(Side::Fresh(pings)) = self.sides.get(&token) {
-            ctx.core.counters.silent += 1;
+            ctx.requests.counters.silent += 1;
             // Whoever asked whether the node is there has had its answer.
             if *pings == 0 {
                 ctx.net.send(token, b"BUSY\r\n");
@@ -173,8 +175,8 @@
     }
 
     fn open(&mut self, ctx: &mut Ctx, token: Token, open: Open) {
-        // The id of another's open transaction, or more after the one line, after which a terminal waits:
-        // regions close on the one and cannot use the other.
+        // The id of another's open request, or more after the one line, after which a client waits:
+        // servers close on the one and cannot use the other.
         let more = ctx.net.input(token).is_some_and(|input| !input.is_empty());
         if more || self.ids.contains(&open.id) {
             return self.malformed(ctx, token);
@@ -185,55 +187,55 @@
             return self.answer(ctx, token, b"BUSY\r\n");
         }
         if !ctx.net.make_room() {
-            ctx.core.counters.over_budget += 1;
+            ctx.requests.counters.over_budget += 1;
             return self.answer(ctx, token, b"BUSY 500\r\n");
         }
         let arrival = arrival(&open);
         self.ids.insert(open.id.clone());
-        self.sides.insert(token, Side::Terminal);
+        self.sides.insert(token, Side::Client);
         let at = open.at.clone();
-        let (txn, region, task, up) = (None, None, None, false);
+        let (request_id, server, task, up) = (None, None, None, false);
         let (asked, last, load) = (None, Ending::Broken, None);
-        let session = Session { open, txn, region, task, up, asked, last, load };
+        let session = Session { open, request_id, server, task, up, asked, last, load };
         self.sessions.insert(token, session);
         match at {
             Some(name) => self.restore(ctx, token, &name),
             None => {
-                let txn = ctx.core.arrive(ctx.now, TEXT, arrival);
-                self.terminals.insert(txn, token);
+                let request_id = ctx.requests.arrive(ctx.now, TEXT, arrival);
+                self.clients.insert(request_id, token);
                 if let Some(session) = self.sessions.get_mut(&token) {
-                    session.txn = Some(txn);
+                    session.request_id = Some(request_id);
                     session.trace("came", ctx);
                 }
-                self.terminal(ctx, token, false);
+                self.client(ctx, token, false);
             }
         }
     }
 
-    /// A connection open since before the run: it goes to the region that held it, not to a placement.
+    /// A connection open since before the run: it goes to the server that held it, not to a placement.
     fn restore(&mut self, ctx: &mut Ctx, token: Token, name: &str) {
-        let Some(region) = ctx.table.named(name) else { return self.malformed(ctx, token) };
+        let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
         ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
-        if !self.dial(ctx, token, region, wait) {
+        if !self.dial(ctx, token, server, wait) {
             self.answer(ctx, token, b"ERR\r\n");
         }
     }
 
-    /// Connects to a region and sends it the terminal's line.
-    fn dial(&mut self, ctx: &mut Ctx, terminal: Token, region: ServerId, wait: Nanos) -> bool {
-        let Some(session) = self.sessions.get_mut(&terminal) else { return true };
-        let Some(addr) = ctx.table.region(region).map(|r| r.addr()) else { return false };
+    /// Connects to a server and sends it the client's line.
+    fn dial(&mut self, ctx: &mut Ctx, client: Token, server: ServerId, wait: Nanos) -> bool {
+        let Some(session) = self.sessions.get_mut(&client) else { return true };
+        let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
         let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
-        ctx.net.send(task, session.open.for_region(wait).as_bytes());
+        ctx.net.send(task, session.open.for_server(wait).as_bytes());
         ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
         session.task = Some(task);
-        session.region = Some(region);
-        self.sides.insert(task, Side::Task(terminal));
+        session.server = Some(server);
+        self.sides.insert(task, Side::Task(client));
         true
     }
 
-    fn terminal(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
+    fn client(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         if let (true, Some(task)) = (session.up, session.task) {
             if ctx.net.unwritten(task) < SLOW {
@@ -252,34 +254,34 @@
             }
         } else if ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
             // It waits for UP and may say nothing before it: nobody could say what its lines belong to.
-            if let Some(txn) = session.txn {
-                ctx.core.left(ctx.now, txn);
+            if let Some(request_id) = session.request_id {
+                ctx.requests.left(ctx.now, request_id);
             }
             self.malformed(ctx, token);
         } else if broken || ctx.net.at_end(token) {
             // It gave up. Its line is owed an answer as long as anyone may read one.
-            if let Some(txn) = session.txn {
-                ctx.core.left(ctx.now, txn);
+            if let Some(request_id) = session.request_id {
+                ctx.requests.left(ctx.now, request_id);
             }
             self.answer(ctx, token, b"BUSY\r\n");
         }
     }
 
-    /// The final answer of a terminal that has none, and its end.
+    /// The final answer of a client that has none, and its end.
     fn answer(&mut self, ctx: &mut Ctx, token: Token, answer: &[u8]) {
         ctx.net.send(token, answer);
         self.forget(ctx, token);
         ctx.net.close(token);
     }
 
-    /// Drops what is known of a terminal, and its routed task.
+    /// Drops what is known of a client, and its attempt.
     fn forget(&mut self, ctx: &mut Ctx, token: Token) {
         self.sides.remove(&token);
         if let Some(session) = self.sessions.remove(&token) {
             session.trace("over", ctx);
             self.ids.remove(&session.open.id);
-            if let Some(txn) = session.txn {
-                self.terminals.remove(&txn);
+            if let Some(request_id) = session.request_id {
+                self.clients.remove(&request_id);
             }
             if let Some(task) = session.task {
                 self.end_task(ctx, task, session.up);
@@ -287,7 +289,7 @@
         }
     }
 
-    /// Ends the routed task's connection. What is left of a first line must not go out any more: whole, it would
+    /// Ends the attempt's connection. What is left of a first line must not go out any more: whole, it would
     /// be an attempt.
     fn end_task(&mut self, ctx: &mut Ctx, task: Token, up: bool) {
         self.sides.remove(&task);
@@ -299,21 +301,21 @@
     }
 
     /// A standing connection is over: both sides end, the same way.
-    fn end(&mut self, ctx: &mut Ctx, terminal: Token, outcome: Outcome, by_reset: bool) {
-        let Some(session) = self.sessions.get(&terminal) else { return };
-        if let Some(txn) = session.txn {
-            ctx.core.task_ended(ctx.now, txn, outcome);
+    fn end(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+        let Some(session) = self.sessions.get(&client) else { return };
+        if let Some(request_id) = session.request_id {
+            ctx.requests.task_ended(ctx.now, request_id, outcome);
         }
         let task = session.task;
         if by_reset {
-            for token in [Some(terminal), task].into_iter().flatten() {
+            for token in [Some(client), task].into_iter().flatten() {
                 if ctx.net.unwritten(token) == 0 {
                     ctx.net.reset(token);
                 }
             }
         }
-        self.forget(ctx, terminal);
-        ctx.net.close(terminal);
+        self.forget(ctx, client);
+        ctx.net.close(client);
     }
 
     // ---- Probes --------------------------------------------------------------------------------
@@ -329,13 +331,13 @@
                     let over = match probe::answer(&String::from_utf8_lossy(&line)) {
                         Ok(report) => report.and_then(|report| report.get(probe::OVER)),
                         Err(wrong) => {
-                            crate::log::line(format_args!("region-garbage reason=probe: {wrong}"));
+                            crate::log::line(format_args!("server-protocol-error reason=probe: {wrong}"));
                             None
                         }
                     };
-                    let name = ctx.table.region(server).map_or("?", |r| r.name());
-                    crate::log::trace(format_args!("trace probe region={name} over={over:?}"));
-                    ctx.core.tell(Event::Probed { server, over });
+                    let name = ctx.registry.entry(server).map_or("?", |r| r.name());
+                    crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
+                    ctx.requests.tell(Event::HealthCheckResult { server, over });
                 }
             }
         }
@@ -349,27 +351,27 @@
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
-            ctx.core.tell(Event::Probed { server, over: None });
+            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
         }
     }
 
-    // ---- The region's side ---------------------------------------------------------------------
+    // ---- The server's side ---------------------------------------------------------------------
 
-    fn task(&mut self, ctx: &mut Ctx, terminal: Token, task: Token, broken: Option<bool>) {
-        while let Some(session) = self.sessions.get_mut(&terminal) {
+    fn task(&mut self, ctx: &mut Ctx, client: Token, task: Token, broken: Option<bool>) {
+        while let Some(session) = self.sessions.get_mut(&client) {
             if session.task != Some(task) {
                 break;
             }
-            if session.up && ctx.net.unwritten(terminal) >= SLOW {
+            if session.up && ctx.net.unwritten(client) >= SLOW {
                 return;
             }
             let Some(input) = ctx.net.input(task) else { break };
             match take_line(input) {
-                Line::Whole(line) if session.up => pass(ctx, session, &mut self.delays, terminal, &line),
-                Line::Whole(line) => self.first_answer(ctx, terminal, &line),
+                Line::Whole(line) if session.up => pass(ctx, session, &mut self.delays, client, &line),
+                Line::Whole(line) => self.first_answer(ctx, client, &line),
                 Line::TooLong => {
-                    crate::log::line(format_args!("region-garbage reason=line-too-long"));
-                    return self.over(ctx, terminal, Outcome::Error, true);
+                    crate::log::line(format_args!("server-protocol-error reason=line-too-long"));
+                    return self.over(ctx, client, Outcome::Error, true);
                 }
                 Line::None => break,
             }
@@ -377,85 +379,80 @@
         if !self.sides.contains_key(&task) {
             return;
         }
-        let up = self.sessions.get(&terminal).is_some_and(|s| s.up);
+        let up = self.sessions.get(&client).is_some_and(|s| s.up);
         match broken {
             None if ctx.net.at_end(task) => {
                 if up {
                     let rest = ctx.net.input(task).map(std::mem::take).unwrap_or_default();
-                    ctx.net.send(terminal, &rest);
+                    ctx.net.send(client, &rest);
                 }
                 let written = ctx.net.unwritten(task) == 0;
-                self.over(
-                    ctx,
-                    terminal,
-                    if written { Outcome::Reset } else { Outcome::ConnectFailed },
-                    false,
-                );
+                self.over(ctx, client, if written { Outcome::Reset } else { Outcome::ConnectFailed }, false);
             }
-            None if up => self.terminal(ctx, terminal, false),
+            None if up => self.client(ctx, client, false),
             None => {}
             // Before its last byte was written the line cannot have run; after that it may have.
-            Some(false) if !up => self.over(ctx, terminal, Outcome::ConnectFailed, true),
-            Some(_) => self.over(ctx, terminal, Outcome::Reset, true),
+            Some(false) if !up => self.over(ctx, client, Outcome::ConnectFailed, true),
+            Some(_) => self.over(ctx, client, Outcome::Reset, true),
         }
     }
 
-    fn first_answer(&mut self, ctx: &mut Ctx, terminal: Token, line: &[u8]) {
-        let Some(session) = self.sessions.get_mut(&terminal) else { return };
+    fn first_answer(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+        let Some(session) = self.sessions.get_mut(&client) else { return };
         let word = line.split(|b| b.is_ascii_whitespace()).next().unwrap_or(b"");
         if word == b"UP" {
-            match (session.txn, session.region) {
-                (Some(txn), _) => ctx.core.up(ctx.now, txn),
-                (None, Some(region)) => {
-                    let txn = ctx.core.resume(ctx.now, TEXT, arrival(&session.open), region);
-                    session.txn = Some(txn);
-                    self.terminals.insert(txn, terminal);
+            match (session.request_id, session.server) {
+                (Some(request_id), _) => ctx.requests.up(ctx.now, request_id),
+                (None, Some(server)) => {
+                    let request_id = ctx.requests.resume(ctx.now, TEXT, arrival(&session.open), server);
+                    session.request_id = Some(request_id);
+                    self.clients.insert(request_id, client);
                 }
                 (None, None) => return,
             }
             session.up = true;
             session.trace("stands", ctx);
-            ctx.net.send(terminal, line);
-            return self.terminal(ctx, terminal, false);
+            ctx.net.send(client, line);
+            return self.client(ctx, client, false);
         }
         let outcome = match word {
-            b"BUSY" => said_report(line, "BUSY", Outcome::Full),
+            b"BUSY" => said_report(line, "BUSY", Outcome::Rejected),
             b"MOVE" => Outcome::Cancelled,
             b"ERR" => said_report(line, "ERR", Outcome::Error),
             _ => {
-                crate::log::line(format_args!("region-garbage reason=first-line"));
+                crate::log::line(format_args!("server-protocol-error reason=first-line"));
                 Outcome::Error
             }
         };
-        self.over(ctx, terminal, outcome, false);
+        self.over(ctx, client, outcome, false);
     }
 
-    /// The routed task is over, before or after it stood.
-    fn over(&mut self, ctx: &mut Ctx, terminal: Token, outcome: Outcome, by_reset: bool) {
-        let Some(session) = self.sessions.get_mut(&terminal) else { return };
+    /// The attempt is over, before or after it stood.
+    fn over(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+        let Some(session) = self.sessions.get_mut(&client) else { return };
         if session.up {
             return match session.last {
-                Ending::Bye => self.end(ctx, terminal, Outcome::Ok, false),
-                Ending::Moved => self.end(ctx, terminal, Outcome::Cancelled, false),
-                // The terminal ended first; the region follows.
-                Ending::Broken if ctx.net.at_end(terminal) => {
-                    self.end(ctx, terminal, Outcome::Cancelled, by_reset)
+                Ending::Bye => self.end(ctx, client, Outcome::Ok, false),
+                Ending::Moved => self.end(ctx, client, Outcome::Cancelled, false),
+                // The client ended first; the server follows.
+                Ending::Broken if ctx.net.at_end(client) => {
+                    self.end(ctx, client, Outcome::Cancelled, by_reset)
                 }
-                Ending::Broken => self.end(ctx, terminal, Outcome::Reset, by_reset),
+                Ending::Broken => self.end(ctx, client, Outcome::Reset, by_reset),
             };
         }
-        self.drop_task(ctx, terminal);
-        match self.sessions.get(&terminal).and_then(|s| s.txn) {
-            Some(txn) => {
-                ctx.core.task_ended(ctx.now, txn, outcome);
+        self.drop_task(ctx, client);
+        match self.sessions.get(&client).and_then(|s| s.request_id) {
+            Some(request_id) => {
+                ctx.requests.task_ended(ctx.now, request_id, outcome);
             }
-            None if outcome == Outcome::Full => self.answer(ctx, terminal, b"BUSY\r\n"),
-            None => self.answer(ctx, terminal, b"ERR\r\n"),
+            None if outcome == Outcome::Rejected => self.answer(ctx, client, b"BUSY\r\n"),
+            None => self.answer(ctx, client, b"ERR\r\n"),
         }
     }
 
-    fn drop_task(&mut self, ctx: &mut Ctx, terminal: Token) {
-        if let Some(session) = self.sessions.get_mut(&terminal) {
+    fn drop_task(&mut self, ctx: &mut Ctx, client: Token) {
+        if let Some(session) = self.sessions.get_mut(&client) {
             if let Some(task) = session.task.take() {
                 let up = session.up;
                 self.end_task(ctx, task, up);
@@ -466,22 +463,22 @@
     // ---- From one process to the next ----------------------------------------------------------
 
     /// Whether a connection can go on in another process as it is.
-    fn can_pass(&self, ctx: &Ctx, terminal: Token) -> bool {
+    fn can_pass(&self, ctx: &Ctx, client: Token) -> bool {
         let goes = |token: Token| ctx.net.can_release(token) && ctx.net.unwritten(token) < 2 * SLOW;
-        match (self.sides.get(&terminal), self.sessions.get(&terminal)) {
-            (Some(Side::Fresh(_)), _) => goes(terminal),
-            (Some(Side::Terminal), Some(s)) => s.up && goes(terminal) && s.task.is_some_and(goes),
+        match (self.sides.get(&client), self.sessions.get(&client)) {
+            (Some(Side::Fresh(_)), _) => goes(client),
+            (Some(Side::Client), Some(s)) => s.up && goes(client) && s.task.is_some_and(goes),
             _ => false,
         }
     }
 
-    fn pack(&mut self, ctx: &mut Ctx, token: Token) -> Option<Luggage> {
+    fn pack(&mut self, ctx: &mut Ctx, token: Token) -> Option<TransferredConnection> {
         let side = self.sides.remove(&token)?;
-        let (fd, terminal) = ctx.net.release(token)?;
+        let (fd, client) = ctx.net.release(token)?;
         let Some(session) = self.sessions.get_mut(&token) else {
             let Side::Fresh(pings) = side else { return None };
-            let text = serde_json::to_string(&Passed::Fresh(pings, terminal)).ok()?;
-            return Some(Luggage { text, fds: vec![fd] });
+            let text = serde_json::to_string(&Passed::Fresh(pings, client)).ok()?;
+            return Some(TransferredConnection { text, fds: vec![fd] });
         };
         let (task_fd, task) = session.task.take().and_then(|task| {
             self.sides.remove(&task);
@@ -489,44 +486,45 @@
         })?;
         let (line, asked, last, load) =
             (session.open.line().to_string(), session.asked, session.last, session.load);
-        let region = session.region.and_then(|region| ctx.table.region(region))?.name().to_string();
-        let began = session.txn.and_then(|txn| ctx.core.passed_on(txn))?;
+        let server = session.server.and_then(|server| ctx.registry.entry(server))?.name().to_string();
+        let began = session.request_id.and_then(|request_id| ctx.requests.passed_on(request_id))?;
         self.forget(ctx, token);
-        let passed = Passed::Standing { line, region, began, asked, last, load, terminal, task };
-        Some(Luggage { text: serde_json::to_string(&passed).ok()?, fds: vec![fd, task_fd] })
+        let passed = Passed::Standing { line, server, began, asked, last, load, client, task };
+        Some(TransferredConnection { text: serde_json::to_string(&passed).ok()?, fds: vec![fd, task_fd] })
     }
 
-    fn unpack(&mut self, ctx: &mut Ctx, luggage: Luggage) -> Option<()> {
-        let mut fds = luggage.fds.into_iter();
+    fn unpack(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) -> Option<()> {
+        let mut fds = transferred_connection.fds.into_iter();
         let mut fd = || fds.next();
-        match serde_json::from_str(&luggage.text).ok()? {
-            Passed::Fresh(pings, terminal) => {
-                let token = ctx.net.receive(fd()?, terminal, Owner::Front(TEXT)).ok()?;
+        match serde_json::from_str(&transferred_connection.text).ok()? {
+            Passed::Fresh(pings, client) => {
+                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
                 self.sides.insert(token, Side::Fresh(pings));
                 self.fresh(ctx, token);
                 ctx.net.rearm(token);
             }
-            Passed::Standing { line, region, began, asked, last, load, terminal, task } => {
-                let token = ctx.net.receive(fd()?, terminal, Owner::Front(TEXT)).ok()?;
+            Passed::Standing { line, server, began, asked, last, load, client, task } => {
+                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
                 let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT)).ok()?;
                 let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
-                let (Some(open), Some(region)) = (open, ctx.table.named(&region)) else {
+                let (Some(open), Some(server)) = (open, ctx.registry.named(&server)) else {
                     // It was placed under other classes, or where nobody knows of: it is placed anew.
                     ctx.net.send(token, b"MOVE\r\n");
                     ctx.net.close(token);
                     ctx.net.close(task);
                     return Some(());
                 };
-                let txn = ctx.core.taken_over((ctx.now, began), TEXT, arrival(&open), region, load);
+                let request_id =
+                    ctx.requests.taken_over((ctx.now, began), TEXT, arrival(&open), server, load);
                 self.ids.insert(open.id.clone());
-                self.sides.insert(token, Side::Terminal);
+                self.sides.insert(token, Side::Client);
                 self.sides.insert(task, Side::Task(token));
-                self.terminals.insert(txn, token);
-                let (txn, region, up) = (Some(txn), Some(region), true);
-                let session = Session { open, txn, region, task: Some(task), up, asked, last, load };
+                self.clients.insert(request_id, token);
+                let (request_id, server, up) = (Some(request_id), Some(server), true);
+                let session = Session { open, request_id, server, task: Some(task), up, asked, last, load };
                 session.trace("took", ctx);
                 self.sessions.insert(token, session);
                 self.task(ctx, token, task, None);
@@ -538,7 +536,7 @@
     }
 
     fn note_delays(&mut self, ctx: &mut Ctx) {
-        let aim = ctx.classes.iter().filter_map(|c| c.message_aim).min().unwrap_or(Nanos::MAX);
+        let aim = ctx.classes.iter().filter_map(|c| c.message_latency_objective).min().unwrap_or(Nanos::MAX);
         let mut notes: Vec<(ServerId, Nanos)> = Vec::new();
         for (server, delay) in &mut self.delays {
             let Some(latest) = delay.latest.take() else { continue };
@@ -550,13 +548,13 @@
         }
         notes.sort_unstable();
         for (server, delay) in notes {
-            ctx.core.tell(Event::DelayNote { server, delay });
+            ctx.requests.tell(Event::LatencyReport { server, delay });
         }
     }
 }
 
 impl Front for TextFront {
-    /// Whether no terminal is held.
+    /// Whether no client is held.
     fn is_idle(&self) -> bool {
         self.sessions.is_empty()
     }
@@ -569,7 +567,7 @@
             return;
         }
         if notice.kind == Kind::Evicted {
-            ctx.core.counters.silent += 1;
+            ctx.requests.counters.silent += 1;
             self.sides.remove(&token);
             return;
         }
@@ -591,38 +589,38 @@
                 ctx.net.close(token);
             }
             Some(Side::Fresh(_)) => self.fresh(ctx, token),
-            Some(Side::Terminal) => self.terminal(ctx, token, broken.is_some()),
-            Some(Side::Task(terminal)) => {
-                let terminal = *terminal;
-                self.task(ctx, terminal, token, broken);
+            Some(Side::Client) => self.client(ctx, token, broken.is_some()),
+            Some(Side::Task(client)) => {
+                let client = *client;
+                self.task(ctx, client, token, broken);
             }
             Some(Side::Probe) => self.probed(ctx, token, broken.is_some()),
         }
         ctx.net.rearm(token);
     }
 
-    fn start(&mut self, ctx: &mut Ctx, txn: RequestId, region: ServerId, wait: Nanos) {
-        let Some(terminal) = self.terminals.get(&txn).copied() else { return };
-        // Nothing is begun for a client that has gone by now, nor at a region that has been told to stop in this
+    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+        let Some(client) = self.clients.get(&request_id).copied() else { return };
+        // Nothing is begun for a client that has gone by now, nor at a server that has been told to stop in this
         // very turn, after the pick.
-        ctx.net.look(terminal);
-        let said = ctx.net.input(terminal).is_none_or(|input| !input.is_empty());
-        if said || ctx.net.at_end(terminal) || ctx.net.is_broken(terminal) {
-            return self.terminal(ctx, terminal, ctx.net.is_broken(terminal));
+        ctx.net.look(client);
+        let said = ctx.net.input(client).is_none_or(|input| !input.is_empty());
+        if said || ctx.net.at_end(client) || ctx.net.is_broken(client) {
+            return self.client(ctx, client, ctx.net.is_broken(client));
         }
-        if !ctx.net.has_room() || !ctx.table.region(region).is_some_and(|r| r.serving()) {
-            ctx.core.task_ended(ctx.now, txn, Outcome::Full);
-        } else if !self.dial(ctx, terminal, region, wait) {
-            ctx.core.task_ended(ctx.now, txn, Outcome::ConnectFailed);
+        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
+            ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
+        } else if !self.dial(ctx, client, server, wait) {
+            ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
         }
     }
 
-    /// Takes a routed task back and says what that makes of it: unsent, it never ran.
-    fn give_up(&mut self, ctx: &mut Ctx, txn: RequestId) -> Outcome {
-        let Some(terminal) = self.terminals.get(&txn).copied() else { return Outcome::Cancelled };
-        let task = self.sessions.get(&terminal).and_then(|s| s.task);
+    /// Takes an attempt back and says what that makes of it: unsent, it never ran.
+    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+        let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
+        let task = self.sessions.get(&client).and_then(|s| s.task);
         let unsent = task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.unwritten(task) > 0);
-        self.drop_task(ctx, terminal);
+        self.drop_task(ctx, client);
         if unsent {
             Outcome::ConnectFailed
         } else {
@@ -630,50 +628,50 @@
         }
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, txn: RequestId, cool_down: Nanos) {
-        if let Some(terminal) = self.terminals.get(&txn).copied() {
+    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+        if let Some(client) = self.clients.get(&request_id).copied() {
             let busy = match cool_down / 1_000_000 {
                 0 => "BUSY\r\n".to_string(),
                 ms => format!("BUSY {ms}\r\n"),
             };
-            self.answer(ctx, terminal, busy.as_bytes());
+            self.answer(ctx, client, busy.as_bytes());
         }
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, txn: RequestId) {
-        if let Some(terminal) = self.terminals.get(&txn).copied() {
-            self.answer(ctx, terminal, b"ERR\r\n");
+    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+        if let Some(client) = self.clients.get(&request_id).copied() {
+            self.answer(ctx, client, b"ERR\r\n");
         }
     }
 
-    /// `STATS` to the region, on its probe connection or a new one.
-    fn probe(&mut self, ctx: &mut Ctx, region: ServerId) {
-        let token = match self.probes.ask(ctx.now, region) {
+    /// `STATS` to the server, on its probe connection or a new one.
+    fn probe(&mut self, ctx: &mut Ctx, server: ServerId) {
+        let token = match self.probes.ask(ctx.now, server) {
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
-                let addr = ctx.table.region(region).map(|r| r.addr());
+                let addr = ctx.registry.entry(server).map(|r| r.addr());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
-                    return ctx.core.tell(Event::Probed { server: region, over: None });
+                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
                 };
-                self.probes.dialled(ctx.now, region, token);
+                self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
                 token
             }
         };
-        ctx.core.counters.probes += 1;
+        ctx.requests.counters.probes += 1;
         ctx.net.send(token, STATS);
         ctx.wheel.at(ctx.now + PROBE_WAIT, Due::Timer(TEXT, token));
     }
 
-    /// Asks a terminal to come again. The core has already let it go.
-    fn send_away(&mut self, ctx: &mut Ctx, txn: RequestId) {
-        if let Some(terminal) = self.terminals.get(&txn).copied() {
-            self.answer(ctx, terminal, b"MOVE\r\n");
+    /// Asks a client to come again. The core has already let it go.
+    fn migrate(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+        if let Some(client) = self.clients.get(&request_id).copied() {
+            self.answer(ctx, client, b"MOVE\r\n");
         }
     }
 
-    fn pass_on(&mut self, ctx: &mut Ctx, most: usize) -> Vec<Luggage> {
+    fn pass_on(&mut self, ctx: &mut Ctx, most: usize) -> Vec<TransferredConnection> {
         let mut tokens: Vec<Token> =
             self.sides.keys().filter(|token| self.can_pass(ctx, **token)).copied().collect();
         tokens.sort_unstable();
@@ -681,42 +679,42 @@
         tokens.into_iter().filter_map(|token| self.pack(ctx, token)).collect()
     }
 
-    fn take_in(&mut self, ctx: &mut Ctx, luggage: Luggage) {
-        if self.unpack(ctx, luggage).is_none() {
+    fn take_in(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) {
+        if self.unpack(ctx, transferred_connection).is_none() {
             crate::log::line(format_args!("takeover-lost a connection that cannot be read"));
         }
     }
 
     /// A connection should be up by now.
     fn dial_due(&mut self, ctx: &mut Ctx, task: Token) {
-        if let (true, Some(Side::Task(terminal))) = (ctx.net.is_connecting(task), self.sides.get(&task)) {
-            let terminal = *terminal;
-            self.over(ctx, terminal, Outcome::ConnectFailed, true);
+        if let (true, Some(Side::Task(client))) = (ctx.net.is_connecting(task), self.sides.get(&task)) {
+            let client = *client;
+            self.over(ctx, client, Outcome::ConnectFailed, true);
         }
     }
 
-    /// A terminal's time is up: to stand again, or to end its other half.
+    /// A client's time is up: to stand again, or to end its other half.
     fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
         if self.probes.is_late(token, (ctx.now + 1).saturating_sub(PROBE_WAIT)) {
             return self.end_probe(ctx, token);
         }
         let Some(session) = self.sessions.get(&token) else { return };
-        if session.txn.is_none() {
+        if session.request_id.is_none() {
             self.answer(ctx, token, b"ERR\r\n");
         } else if session.up && ctx.net.at_end(token) {
             self.end(ctx, token, Outcome::Cancelled, false);
         }
     }
 
-    /// Regions that get nothing new: connections to them on which no byte has gone out are called off.
+    /// Servers that get nothing new: connections to them on which no byte has gone out are called off.
     fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
-        let unsent = |(terminal, s): (&Token, &Session)| {
+        let unsent = |(client, s): (&Token, &Session)| {
             let task = s.task.filter(|task| !s.up && !ctx.net.has_written(*task))?;
-            s.region.filter(|region| stopped.contains(region)).map(|_| (*terminal, task))
+            s.server.filter(|server| stopped.contains(server)).map(|_| (*client, task))
         };
         let unsent: Vec<_> = self.sessions.iter().filter_map(unsent).collect();
-        for (terminal, _) in unsent {
-            self.over(ctx, terminal, Outcome::ConnectFailed, true);
+        for (client, _) in unsent {
+            self.over(ctx, client, Outcome::ConnectFailed, true);
         }
     }
 
@@ -730,17 +728,17 @@
         }
     }
 
-    /// Once in a while: silent regions and notes of delay.
+    /// Once in a while: silent servers and notes of delay.
     fn look(&mut self, ctx: &mut Ctx) {
         let now = ctx.now;
         let silent =
             |s: &Session| s.up && s.asked.is_some_and(|asked| now.saturating_sub(asked) > SILENT_AFTER);
         let silent: Vec<RequestId> =
-            self.sessions.values().filter(|s| silent(s)).filter_map(|s| s.txn).collect();
-        for txn in silent {
-            crate::log::trace(format_args!("trace silent txn={}", txn.0));
-            ctx.core.moved(now, txn, Outcome::Reset);
-            self.send_away(ctx, txn);
+            self.sessions.values().filter(|s| silent(s)).filter_map(|s| s.request_id).collect();
+        for request_id in silent {
+            crate::log::trace(format_args!("trace silent request={}", request_id.0));
+            ctx.requests.moved(now, request_id, Outcome::Reset);
+            self.migrate(ctx, request_id);
         }
         if ctx.facts.family_info.tells_delay && now.saturating_sub(self.noted) >= 1_000_000_000 {
             self.noted = now;
@@ -749,12 +747,12 @@
     }
 }
 
-/// Passes a region's line on and notes what it says.
+/// Passes a server's line on and notes what it says.
 fn pass(
     ctx: &mut Ctx,
     session: &mut Session,
     delays: &mut HashMap<ServerId, Delay>,
-    terminal: Token,
+    client: Token,
     line: &[u8],
 ) {
     let text = line.trim_ascii_end();
@@ -767,34 +765,34 @@
     if word == b"BYE" {
         said_report(text, "BYE", ());
     }
-    match (text.strip_prefix(b"LOAD "), session.txn) {
+    match (text.strip_prefix(b"LOAD "), session.request_id) {
         // The protocol's one meaning of it: the connection's load now. Nothing on a socket tells a delay.
         (Some(value), Some(id)) => {
             let told = std::str::from_utf8(value).ok().and_then(|text| first_line::load(text.trim()));
             if let Some(cost) = told {
-                crate::log::trace(format_args!("trace load txn={} us={}", id.0, cost / 1_000));
+                crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
                 session.load = Some(cost);
-                ctx.core.tell(Event::LoadNote { id, cost });
+                ctx.requests.tell(Event::LoadReport { id, cost });
             }
         }
         _ => {
-            if let (Some(asked), Some(region)) = (session.asked.take(), session.region) {
+            if let (Some(asked), Some(server)) = (session.asked.take(), session.server) {
                 let took = ctx.now.saturating_sub(asked);
-                let delay = delays.entry(region).or_default();
+                let delay = delays.entry(server).or_default();
                 delay.latest = delay.latest.max(Some(took));
-                let name = ctx.table.region(region).map_or("?", |r| r.name());
-                crate::log::trace(format_args!("trace line region={name} took_ms={}", took / 1_000_000));
+                let name = ctx.registry.entry(server).map_or("?", |r| r.name());
+                crate::log::trace(format_args!("trace line server={name} took_ms={}", took / 1_000_000));
             }
         }
     }
-    ctx.net.send(terminal, line);
+    ctx.net.send(client, line);
 }
 
-/// A load report at the end of a region's answer is read, and one that is wrong is named in the log; the
+/// A load report at the end of a server's answer is read, and one that is wrong is named in the log; the
 /// answer means what its word says.
 fn said_report<T>(line: &[u8], word: &str, meaning: T) -> T {
     if let Some(Err(wrong)) = probe::trailing(&String::from_utf8_lossy(line), word) {
-        crate::log::line(format_args!("region-garbage reason=report after {word}: {wrong}"));
+        crate::log::line(format_args!("server-protocol-error reason=report after {word}: {wrong}"));
     }
     meaning
 }
@@ -807,8 +805,8 @@
         cost: open.hint,
         key: Some(open.key),
         group: open.group,
-        came_back: open.came_back,
-        repeated: open.repeated,
+        reconnect: open.reconnect,
+        client_retry: open.client_retry,
         rerouted: false,
     }
 }
--- a/src/front/text/probe.rs
+++ b/src/front/text/probe.rs
@@ -1,29 +1,29 @@
-//! Probes of regions, and the load reports that regions write.
+//! Probes of servers, and the load reports that servers write.
 //!
-//! Where the settings allow probes, a connection to a region may begin with `STATS`, which the region answers
-//! `PONG` with its load report after it, or `ERR`; the connection may go on so. Elsewhere a region answers
+//! Where the settings allow probes, a connection to a server may begin with `STATS`, which the server answers
+//! `PONG` with its load report after it, or `ERR`; the connection may go on so. Elsewhere a server answers
 //! `NO`. A report is `name=value` pairs apart by commas, as in `PONG avg_ms=12.5,rps=40,active=3,x0=0.8`;
 //! `BYE`, `ERR` and `BUSY` may end with one where the settings say that answers hold reports.
 //!
-//! The node keeps one probe connection a region at most and one probe out on it at a time, so what probes
-//! hold is bounded by the regions in the service table.
+//! The node keeps one probe connection a server at most and one probe out on it at a time, so what probes
+//! hold is bounded by the servers in the endpoint registry.
 
-use crate::interface::{Nanos, ServerId};
 use crate::net::Token;
+use crate::vocabulary::{Nanos, ServerId};
 use std::collections::HashMap;
 use std::fmt;
 
-/// A report holds at most this many values: the settings name four or fewer, and a region may add some.
+/// A report holds at most this many values: the settings name four or fewer, and a server may add some.
 pub const MOST_VALUES: usize = 16;
-/// The report's value of the load asked of a region over what it can do.
+/// The report's value of the load asked of a server over what it can do.
 pub const OVER: &str = "x0";
 /// What a probe is sent as.
 pub const STATS: &[u8] = b"STATS\r\n";
-/// A probe that has no answer after this is given up, and its connection with it: a region that takes longer
+/// A probe that has no answer after this is given up, and its connection with it: a server that takes longer
 /// to answer a probe than the aim of a message is no better for knowing why.
 pub const PROBE_WAIT: Nanos = 250_000_000;
 
-/// The values of a load report, by the names that the region gave them.
+/// The values of a load report, by the names that the server gave them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report(Vec<(String, f64)>);
 
@@ -82,7 +82,7 @@
     Some(report(rest))
 }
 
-/// A probe's answer: the report, or None where the region answered `ERR` or `NO`.
+/// A probe's answer: the report, or None where the server answered `ERR` or `NO`.
 pub fn answer(line: &str) -> Result<Option<Report>, ReportError> {
     let line = line.trim_end();
     let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
@@ -93,11 +93,11 @@
     }
 }
 
-/// The probe connections of the node, one a region at most.
+/// The probe connections of the node, one a server at most.
 #[derive(Default)]
 pub struct Probes {
     lines: HashMap<ServerId, (Token, Option<Nanos>)>,
-    regions: HashMap<Token, ServerId>,
+    servers: HashMap<Token, ServerId>,
 }
 
 /// What to do for a probe that is asked for.
@@ -112,9 +112,9 @@
 }
 
 impl Probes {
-    /// A probe of this region is wanted at `now`.
-    pub fn ask(&mut self, now: Nanos, region: ServerId) -> Ask {
-        match self.lines.get_mut(&region) {
+    /// A probe of this server is wanted at `now`.
+    pub fn ask(&mut self, now: Nanos, server: ServerId) -> Ask {
+        match self.lines.get_mut(&server) {
             Some((_, Some(_))) => Ask::Out,
             Some((token, asked)) => {
                 *asked = Some(now);
@@ -125,33 +125,33 @@
     }
 
     /// A connection was opened for a probe sent at `now`.
-    pub fn dialled(&mut self, now: Nanos, region: ServerId, token: Token) {
-        self.lines.insert(region, (token, Some(now)));
-        self.regions.insert(token, region);
+    pub fn dialled(&mut self, now: Nanos, server: ServerId, token: Token) {
+        self.lines.insert(server, (token, Some(now)));
+        self.servers.insert(token, server);
     }
 
-    /// The region of a probe connection.
-    pub fn region(&self, token: Token) -> Option<ServerId> {
-        self.regions.get(&token).copied()
+    /// The server of a probe connection.
+    pub fn server(&self, token: Token) -> Option<ServerId> {
+        self.servers.get(&token).copied()
     }
 
-    /// A line came on a probe connection: the region, where a probe was out on it.
+    /// A line came on a probe connection: the server, where a probe was out on it.
     pub fn answered(&mut self, token: Token) -> Option<ServerId> {
-        let region = self.region(token)?;
-        self.lines.get_mut(&region)?.1.take().map(|_| region)
+        let server = self.server(token)?;
+        self.lines.get_mut(&server)?.1.take().map(|_| server)
     }
 
     /// Whether the probe out on this connection, if any, was sent before `before`.
     pub fn is_late(&self, token: Token, before: Nanos) -> bool {
-        let asked = self.region(token).and_then(|r| self.lines.get(&r)).and_then(|(_, asked)| *asked);
+        let asked = self.server(token).and_then(|r| self.lines.get(&r)).and_then(|(_, asked)| *asked);
         asked.is_some_and(|asked| asked < before)
     }
 
-    /// The connection is over: its region, and whether a probe was out on it.
+    /// The connection is over: its server, and whether a probe was out on it.
     pub fn ended(&mut self, token: Token) -> Option<(ServerId, bool)> {
-        let region = self.regions.remove(&token)?;
-        let (_, asked) = self.lines.remove(&region)?;
-        Some((region, asked.is_some()))
+        let server = self.servers.remove(&token)?;
+        let (_, asked) = self.lines.remove(&server)?;
+        Some((server, asked.is_some()))
     }
 }
 
@@ -188,18 +188,18 @@
     }
 
     #[test]
-    fn one_probe_out_a_region_and_its_connection_kept() {
+    fn one_probe_out_a_server_and_its_connection_kept() {
         let mut probes = Probes::default();
-        let (region, token) = (ServerId(3), Token::for_tests(9));
-        assert_eq!(probes.ask(0, region), Ask::Dial);
-        probes.dialled(0, region, token);
-        assert_eq!(probes.ask(5, region), Ask::Out);
+        let (server, token) = (ServerId(3), Token::for_tests(9));
+        assert_eq!(probes.ask(0, server), Ask::Dial);
+        probes.dialled(0, server, token);
+        assert_eq!(probes.ask(5, server), Ask::Out);
         assert!(probes.is_late(token, 1) && !probes.is_late(token, 0));
-        assert_eq!(probes.answered(token), Some(region));
+        assert_eq!(probes.answered(token), Some(server));
         assert_eq!(probes.answered(token), None, "a line that no probe asked for answers nothing");
-        assert_eq!(probes.ask(10, region), Ask::On(token));
-        assert_eq!(probes.ended(token), Some((region, true)));
-        assert_eq!(probes.ask(20, region), Ask::Dial);
+        assert_eq!(probes.ask(10, server), Ask::On(token));
+        assert_eq!(probes.ended(token), Some((server, true)));
+        assert_eq!(probes.ask(20, server), Ask::Dial);
     }
 
     proptest! {
--- a/src/takeover/channel.rs
+++ b/src/handover/channel.rs
@@ -20,7 +20,7 @@
 
 /// A message as it is carried.
 #[derive(Debug)]
-pub struct Parcel {
+pub struct FramedMessage {
     pub bytes: Vec<u8>,
     pub fds: Vec<OwnedFd>,
 }
@@ -70,15 +70,15 @@
 }
 
 /// Sends one message, whole or not at all.
-pub fn send(fd: impl AsFd, parcel: &Parcel) -> Carried<()> {
+pub fn send(fd: impl AsFd, framed_message: &FramedMessage) -> Carried<()> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
     let mut control = SendAncillaryBuffer::new(&mut space);
-    let fds: Vec<_> = parcel.fds.iter().map(|fd| fd.as_fd()).collect();
+    let fds: Vec<_> = framed_message.fds.iter().map(|fd| fd.as_fd()).collect();
     if !fds.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&fds)) {
         return Carried::Over;
     }
     loop {
-        match sendmsg(&fd, &[IoSlice::new(&parcel.bytes)], &mut control, SendFlags::NOSIGNAL) {
+        match sendmsg(&fd, &[IoSlice::new(&framed_message.bytes)], &mut control, SendFlags::NOSIGNAL) {
             Ok(_) => return Carried::Done(()),
             Err(Errno::INTR) => {}
             // The last: too many descriptors are on their way at once.
@@ -89,7 +89,7 @@
 }
 
 /// Receives one message.
-pub fn receive(fd: impl AsFd) -> Carried<Parcel> {
+pub fn receive(fd: impl AsFd) -> Carried<FramedMessage> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut bytes = vec![0; MOST_MESSAGE];
@@ -109,7 +109,7 @@
                     }
                 }
                 bytes.truncate(came.bytes);
-                return Carried::Done(Parcel { bytes, fds });
+                return Carried::Done(FramedMessage { bytes, fds });
             }
             Err(Errno::INTR) => {}
             Err(Errno::AGAIN) => return Carried::Later,
@@ -137,9 +137,9 @@
         let _ = std::fs::remove_file(&path);
         assert!(matches!(receive(&ours), Carried::Later), "nothing yet");
         let (mut near, far) = std::os::unix::net::UnixStream::pair().expect("a pair");
-        let parcel = Parcel { bytes: vec![7; 100_000], fds: vec![OwnedFd::from(far)] };
-        assert!(matches!(send(&ours, &parcel), Carried::Done(())));
-        drop(parcel);
+        let framed_message = FramedMessage { bytes: vec![7; 100_000], fds: vec![OwnedFd::from(far)] };
+        assert!(matches!(send(&ours, &framed_message), Carried::Done(())));
+        drop(framed_message);
         let Carried::Done(mut came) = receive(&theirs) else { panic!("it came") };
         assert_eq!((came.bytes.len(), came.fds.len()), (100_000, 1));
         let mut far = std::os::unix::net::UnixStream::from(came.fds.remove(0));
@@ -159,14 +159,15 @@
         let theirs = connect(&path, Duration::from_secs(5)).expect("it connects");
         let ours = accept(&listener).expect("our own user");
         let _ = std::fs::remove_file(&path);
-        let parcel = |number: u8| Parcel { bytes: vec![number; 10_000], fds: Vec::new() };
-        let sent = (0..).take_while(|n| matches!(send(&ours, &parcel(*n)), Carried::Done(()))).count();
+        let framed_message = |number: u8| FramedMessage { bytes: vec![number; 10_000], fds: Vec::new() };
+        let sent =
+            (0..).take_while(|n| matches!(send(&ours, &framed_message(*n)), Carried::Done(()))).count();
         assert!((1..200).contains(&sent), "{sent}");
         for number in 0..sent {
             let Carried::Done(came) = receive(&theirs) else { panic!("{number} came") };
             assert_eq!((came.bytes[0] as usize, came.bytes.len()), (number, 10_000));
         }
-        assert!(matches!(send(&ours, &parcel(0)), Carried::Done(())), "there is room again");
+        assert!(matches!(send(&ours, &framed_message(0)), Carried::Done(())), "there is room again");
     }
 
     #[test]
--- a/src/takeover/listener.rs
+++ b/src/handover/listener.rs
@@ -1,4 +1,4 @@
-//! The terminals' listening socket, where the platform holds it and every process inherits it.
+//! The clients' listening socket, where the platform holds it and every process inherits it.
 
 use rustix::net::sockopt;
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn what_takes_no_terminals_is_an_error() {
+    fn what_takes_no_clients_is_an_error() {
         let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at: SocketAddr = listener.local_addr().expect("an address");
--- a/src/takeover/message.rs
+++ b/src/handover/message.rs
@@ -8,15 +8,15 @@
 //!         <-- Watch ?     discovery's watch
 //!         <-- Whole
 //! Ready   -->             it serves; the old process takes in nothing more
-//!         <-- Terminal *  connections, as each can be passed on
+//!         <-- Connection *  connections, as each can be passed on
 //!         <-- (the end)   the old process is gone
 //! ```
 //!
 //! An end before `Ready` changes nothing for the old process.
 
-use super::channel::{Parcel, MOST_FDS};
+use super::channel::{FramedMessage, MOST_FDS};
+use crate::discovery::{List, WatchState};
 use crate::net::Flow;
-use crate::service_table::{List, WatchState};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -25,25 +25,38 @@
 pub const VERSION: u32 = 1;
 /// A piece of the state, in octets.
 const PIECE: usize = 32 * 1024;
-/// The longest state, in octets. A list of 10,000 regions and what is known of them takes 5 MB.
+/// The longest state, in octets. A list of 10,000 servers and what is known of them takes 5 MB.
 const MOST_STATE: usize = 16 * 1024 * 1024;
 
 /// A message; descriptors travel beside it.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum Message {
-    Take { version: u32, name: String },
-    State { piece: String },
-    Listener { at: SocketAddr },
+    Take {
+        version: u32,
+        name: String,
+    },
+    State {
+        piece: String,
+    },
+    Listener {
+        at: SocketAddr,
+    },
     Watch(WatchState, Flow),
     Whole,
     Ready,
-    Terminal { front: String, luggage: String, descriptors: usize },
+    #[serde(rename = "Terminal")]
+    Connection {
+        front: String,
+        #[serde(rename = "luggage")]
+        state: String,
+        descriptors: usize,
+    },
 }
 
 /// What one process knew.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct State {
-    /// Operators have sent its terminals away.
+    /// Operators have sent its clients away.
     pub drained: bool,
     pub list: List,
     /// What the module learned, as it wrote it.
@@ -72,21 +85,21 @@
 
 impl Message {
     /// As it is carried, with its descriptors.
-    pub fn pack(&self, fds: Vec<OwnedFd>) -> Result<Parcel, MessageError> {
+    pub fn pack(&self, fds: Vec<OwnedFd>) -> Result<FramedMessage, MessageError> {
         let bytes = serde_json::to_vec(self).map_err(|e| MessageError::NotJson(e.to_string()))?;
-        Ok(Parcel { bytes, fds })
+        Ok(FramedMessage { bytes, fds })
     }
 
-    pub fn unpack(parcel: Parcel) -> Result<(Message, Vec<OwnedFd>), MessageError> {
-        let message: Message =
-            serde_json::from_slice(&parcel.bytes).map_err(|e| MessageError::NotJson(e.to_string()))?;
+    pub fn unpack(framed_message: FramedMessage) -> Result<(Message, Vec<OwnedFd>), MessageError> {
+        let message: Message = serde_json::from_slice(&framed_message.bytes)
+            .map_err(|e| MessageError::NotJson(e.to_string()))?;
         let right = match message {
-            Message::Listener { .. } | Message::Watch(..) => parcel.fds.len() == 1,
-            Message::Terminal { .. } => (1..=MOST_FDS).contains(&parcel.fds.len()),
-            _ => parcel.fds.is_empty(),
+            Message::Listener { .. } | Message::Watch(..) => framed_message.fds.len() == 1,
+            Message::Connection { .. } => (1..=MOST_FDS).contains(&framed_message.fds.len()),
+            _ => framed_message.fds.is_empty(),
         };
         if right {
-            Ok((message, parcel.fds))
+            Ok((message, framed_message.fds))
         } else {
             Err(MessageError::Descriptors)
         }
@@ -145,9 +158,9 @@
             let sent = state(learned.repeat(times));
             let mut pieces = Pieces::default();
             for message in sent.pieces().expect("pieces") {
-                let parcel = message.pack(Vec::new()).expect("packed");
-                prop_assert!(parcel.bytes.len() < crate::takeover::channel::MOST_MESSAGE);
-                let Ok((Message::State { piece }, _)) = Message::unpack(parcel) else { panic!("a piece") };
+                let framed_message = message.pack(Vec::new()).expect("packed");
+                prop_assert!(framed_message.bytes.len() < crate::handover::channel::MOST_MESSAGE);
+                let Ok((Message::State { piece }, _)) = Message::unpack(framed_message) else { panic!("a piece") };
                 pieces.add(&piece).expect("it fits");
             }
             let came = pieces.whole().expect("whole");
@@ -156,7 +169,7 @@
 
         #[test]
         fn what_is_no_message_is_an_error(bytes: Vec<u8>) {
-            let came = Message::unpack(Parcel { bytes, fds: Vec::new() });
+            let came = Message::unpack(FramedMessage { bytes, fds: Vec::new() });
             prop_assert!(came.is_err());
         }
     }
@@ -164,9 +177,9 @@
     #[test]
     fn a_message_without_its_descriptors_is_none() {
         let text = |s: &str| s.to_string();
-        let message = Message::Terminal { front: text("text"), luggage: text(""), descriptors: 0 };
-        let parcel = message.pack(Vec::new()).expect("packed");
-        assert_eq!(Message::unpack(parcel).expect_err("none"), MessageError::Descriptors);
+        let message = Message::Connection { front: text("text"), state: text(""), descriptors: 0 };
+        let framed_message = message.pack(Vec::new()).expect("packed");
+        assert_eq!(Message::unpack(framed_message).expect_err("none"), MessageError::Descriptors);
         let mut pieces = Pieces::default();
         pieces.add(r#"{"drained":"#).expect("it fits");
         assert!(matches!(pieces.whole(), Err(MessageError::NotJson(_))));
--- a/src/takeover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,8 +1,8 @@
 //! A new version under load: two processes are one node for a while.
 //!
-//! Where the platform passes the terminals' listening socket, each process also listens on a Unix socket in
+//! Where the platform passes the clients' listening socket, each process also listens on a Unix socket in
 //! `$TMPDIR`. A process that finds another there asks it for what it knows, and once it serves, for its
-//! connections: they go on as they are, and no terminal hears of it. `message.rs` has the order of things.
+//! connections: they go on as they are, and no client hears of it. `message.rs` has the order of things.
 
 mod channel;
 mod listener;
@@ -11,11 +11,11 @@
 pub use listener::passed;
 pub use message::{Message, State};
 
-use crate::front::Luggage;
+use crate::discovery::WatchState;
+use crate::front::TransferredConnection;
 use crate::log;
 use crate::net::{Flow, Net, Notice, Owner, Token};
-use crate::service_table::WatchState;
-use channel::{Carried, Parcel};
+use channel::{Carried, FramedMessage};
 use message::{MessageError, Pieces, VERSION};
 use std::collections::VecDeque;
 use std::io;
@@ -83,12 +83,12 @@
     let Carried::Done(()) = channel::send(&channel, &take) else { return Err("it does not listen".into()) };
     let (mut pieces, mut listening, mut watch) = (Pieces::default(), Vec::new(), None);
     loop {
-        let parcel = match channel::receive(&channel) {
-            Carried::Done(parcel) => parcel,
+        let framed_message = match channel::receive(&channel) {
+            Carried::Done(framed_message) => framed_message,
             Carried::Later => return Err("it does not answer".into()),
             Carried::Over => return Err("it ended or is of another version".into()),
         };
-        let (message, mut fds) = Message::unpack(parcel).map_err(named)?;
+        let (message, mut fds) = Message::unpack(framed_message).map_err(named)?;
         match (message, fds.pop()) {
             (Message::State { piece }, _) => pieces.add(&piece).map_err(named)?,
             (Message::Listener { at }, Some(fd)) => listening.push((at, fd)),
@@ -101,15 +101,15 @@
 }
 
 /// What the loop has to do.
-pub enum News {
+pub enum HandoverEvent {
     /// A successor wants to know what this process knows.
     Asked,
     /// The successor serves: this process takes in nothing more, and passes on what it can.
     SuccessorServes,
     /// The successor is gone; these were on their way to it.
-    SuccessorGone(Vec<(String, Luggage)>),
+    SuccessorGone(Vec<(String, TransferredConnection)>),
     /// A connection of the process before this one, which still holds so many descriptors.
-    Came { front: String, luggage: Luggage, descriptors: usize },
+    Came { front: String, transferred_connection: TransferredConnection, descriptors: usize },
     /// The process before this one is gone.
     PredecessorGone,
 }
@@ -118,34 +118,34 @@
     token: Token,
     serves: bool,
     /// Not sent yet; bounded by one state and a turn's connections.
-    outbox: VecDeque<Parcel>,
+    outbox: VecDeque<FramedMessage>,
 }
 
 /// The loop's side of it.
-pub struct Takeover {
+pub struct Handover {
     listener: Option<Token>,
     predecessor: Option<Token>,
     successor: Option<Successor>,
 }
 
-impl Takeover {
+impl Handover {
     /// Listens at a place for a successor, and hears what the process before this one still has to pass on.
-    pub fn open(net: &mut Net, path: &Path, predecessor: Option<OwnedFd>) -> Takeover {
-        let listener = channel::listen(path).and_then(|fd| net.watch(fd, Owner::Takeover));
+    pub fn open(net: &mut Net, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
+        let listener = channel::listen(path).and_then(|fd| net.watch(fd, Owner::Handover));
         if let Err(e) = &listener {
             log::line(format_args!("takeover-off reason=listen: {e}"));
         }
-        let predecessor = predecessor.and_then(|fd| net.watch(fd, Owner::Takeover).ok());
-        let mut takeover = Takeover { listener: listener.ok(), predecessor, successor: None };
-        if let Some(token) = takeover.predecessor {
+        let predecessor = predecessor.and_then(|fd| net.watch(fd, Owner::Handover).ok());
+        let mut handover = Handover { listener: listener.ok(), predecessor, successor: None };
+        if let Some(token) = handover.predecessor {
             if let (Some(fd), Ok(ready)) = (net.raw(token), Message::Ready.pack(Vec::new())) {
                 if !matches!(channel::send(fd, &ready), Carried::Done(())) {
-                    takeover.predecessor = None;
+                    handover.predecessor = None;
                     net.close(token);
                 }
             }
         }
-        takeover
+        handover
     }
 
     /// Whether the successor serves and takes more now.
@@ -154,7 +154,7 @@
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, net: &mut Net, notice: Notice) -> Vec<News> {
+    pub fn notice(&mut self, net: &mut Net, notice: Notice) -> Vec<HandoverEvent> {
         if Some(notice.token) == self.listener {
             self.meet(net);
             return Vec::new();
@@ -165,21 +165,21 @@
         for _ in 0..A_TURN {
             let Some(fd) = net.raw(notice.token) else { break };
             let message = match channel::receive(fd) {
-                Carried::Done(parcel) => Message::unpack(parcel).map_err(|e| e.to_string()),
+                Carried::Done(framed_message) => Message::unpack(framed_message).map_err(|e| e.to_string()),
                 Carried::Later => break,
                 Carried::Over => Err("ended".to_string()),
             };
             match message {
-                Ok((Message::Terminal { front, luggage, descriptors }, fds)) if from => {
-                    let luggage = Luggage { text: luggage, fds };
-                    news.push(News::Came { front, luggage, descriptors });
+                Ok((Message::Connection { front, state, descriptors }, fds)) if from => {
+                    let transferred_connection = TransferredConnection { text: state, fds };
+                    news.push(HandoverEvent::Came { front, transferred_connection, descriptors });
                 }
-                Ok((Message::Take { version: VERSION, .. }, _)) if !from => news.push(News::Asked),
+                Ok((Message::Take { version: VERSION, .. }, _)) if !from => news.push(HandoverEvent::Asked),
                 Ok((Message::Ready, _)) if !from => {
                     if let Some(successor) = &mut self.successor {
                         successor.serves = true;
                     }
-                    news.push(News::SuccessorServes);
+                    news.push(HandoverEvent::SuccessorServes);
                 }
                 Ok(_) => {
                     log::line(format_args!("takeover-end reason=a message out of turn"));
@@ -204,27 +204,28 @@
             return;
         };
         if self.successor.is_none() {
-            if let Ok(token) = net.watch(fd, Owner::Takeover) {
+            if let Ok(token) = net.watch(fd, Owner::Handover) {
                 self.successor = Some(Successor { token, serves: false, outbox: VecDeque::new() });
             }
         }
     }
 
     /// The other side is gone.
-    fn end(&mut self, net: &mut Net, token: Token) -> Option<News> {
+    fn end(&mut self, net: &mut Net, token: Token) -> Option<HandoverEvent> {
         net.close(token);
         if self.predecessor == Some(token) {
             self.predecessor = None;
-            return Some(News::PredecessorGone);
+            return Some(HandoverEvent::PredecessorGone);
         }
         let successor = self.successor.take_if(|s| s.token == token)?;
-        let unsent = successor.outbox.into_iter().filter_map(|parcel| match Message::unpack(parcel) {
-            Ok((Message::Terminal { front, luggage, .. }, fds)) => {
-                Some((front, Luggage { text: luggage, fds }))
-            }
-            _ => None,
-        });
-        Some(News::SuccessorGone(unsent.collect()))
+        let unsent =
+            successor.outbox.into_iter().filter_map(|framed_message| match Message::unpack(framed_message) {
+                Ok((Message::Connection { front, state, .. }, fds)) => {
+                    Some((front, TransferredConnection { text: state, fds }))
+                }
+                _ => None,
+            });
+        Some(HandoverEvent::SuccessorGone(unsent.collect()))
     }
 
     /// Tells the successor what this process knows.
@@ -234,7 +235,7 @@
         state: &State,
         listening: Vec<(SocketAddr, OwnedFd)>,
         watch: Option<(OwnedFd, WatchState, Flow)>,
-    ) -> Vec<News> {
+    ) -> Vec<HandoverEvent> {
         let pieces = state.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
         let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
         let watch = watch.into_iter().map(|(fd, state, flow)| (Message::Watch(state, flow), vec![fd]));
@@ -246,25 +247,30 @@
     }
 
     /// Passes connections on.
-    pub fn pass_on(&mut self, net: &mut Net, front: &str, luggage: Vec<Luggage>) -> Vec<News> {
+    pub fn pass_on(
+        &mut self,
+        net: &mut Net,
+        front: &str,
+        transferred_connection: Vec<TransferredConnection>,
+    ) -> Vec<HandoverEvent> {
         let descriptors = net.in_use();
-        for Luggage { text, fds } in luggage {
-            self.post(&Message::Terminal { front: front.to_string(), luggage: text, descriptors }, fds);
+        for TransferredConnection { text, fds } in transferred_connection {
+            self.post(&Message::Connection { front: front.to_string(), state: text, descriptors }, fds);
         }
         self.flush(net).into_iter().collect()
     }
 
     fn post(&mut self, message: &Message, fds: Vec<OwnedFd>) {
-        if let (Some(successor), Ok(parcel)) = (&mut self.successor, message.pack(fds)) {
-            successor.outbox.push_back(parcel);
+        if let (Some(successor), Ok(framed_message)) = (&mut self.successor, message.pack(fds)) {
+            successor.outbox.push_back(framed_message);
         }
     }
 
-    fn flush(&mut self, net: &mut Net) -> Option<News> {
+    fn flush(&mut self, net: &mut Net) -> Option<HandoverEvent> {
         let successor = self.successor.as_mut()?;
         let token = successor.token;
-        while let Some(parcel) = successor.outbox.front() {
-            match channel::send(net.raw(token)?, parcel) {
+        while let Some(framed_message) = successor.outbox.front() {
+            match channel::send(net.raw(token)?, framed_message) {
                 // Its descriptors are closed here with it: the other process has them now.
                 Carried::Done(()) => drop(successor.outbox.pop_front()),
                 Carried::Later => break,
--- a/src/lifecycle.rs
+++ b/src/lifecycle/mod.rs
@@ -1,13 +1,13 @@
-//! What this process does with its terminals: it serves, sends them away (drain), or leaves for good.
+//! What this process does with its clients: it serves, sends them away (drain), or leaves for good.
 //!
 //! Drain, resume, SIGTERM and the hand-over to a successor share one owner here: who is moved by when, what
 //! still waits is answered by when, and when the process ends. No I/O; time comes as an argument.
 
-use crate::interface::Nanos;
+use crate::vocabulary::Nanos;
 
-/// How far apart the steps are in which standing terminals are moved.
+/// How far apart the steps are in which standing clients are moved.
 pub const STEP: Nanos = 25_000_000;
-/// Terminals are moved from this long on, while arrivals still come: moved earlier, they would come back here.
+/// Clients are moved from this long on, while arrivals still come: moved earlier, they would come back here.
 const MOVE_FROM: Nanos = 300_000_000;
 /// A drained node holds nothing any more this long after the call.
 const DRAINED_AFTER: Nanos = 4_000_000_000;
@@ -24,7 +24,7 @@
 /// A process whose successor serves waits so long for SIGTERM.
 const WAITS_FOR_TERM: Nanos = 10_000_000_000;
 
-/// When standing terminals are moved, and when what waits is answered.
+/// When standing clients are moved, and when what waits is answered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Moving {
     from: Nanos,
@@ -69,16 +69,16 @@
     },
 }
 
-/// The process leaves and cannot take terminals again.
+/// The process leaves and cannot take clients again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IsLeaving;
 
 /// What a step of moving asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Step {
-    /// Arrivals have ended: terminals are moved now.
+    /// Arrivals have ended: clients are moved now.
     pub begun: bool,
-    /// So many standing terminals are moved now.
+    /// So many standing clients are moved now.
     pub moves: usize,
     /// What still waits and came before this gets its final answer now; nothing where it is zero.
     pub answers_before: Nanos,
@@ -91,7 +91,7 @@
 }
 
 impl Lifecycle {
-    /// Sends terminals away from now on. False where it already does: a second call changes nothing.
+    /// Sends clients away from now on. False where it already does: a second call changes nothing.
     pub fn drain(&mut self, now: Nanos) -> bool {
         let moving = Moving::until(now, now + DRAINED_AFTER);
         match &mut self.phase {
@@ -108,7 +108,7 @@
         true
     }
 
-    /// Takes terminals again. False where it never stopped.
+    /// Takes clients again. False where it never stopped.
     pub fn resume(&mut self) -> Result<bool, IsLeaving> {
         match self.phase {
             Phase::Serving => Ok(false),
@@ -160,15 +160,15 @@
             Phase::Draining(moving) | Phase::HandedOver { moving, .. } => Some(moving),
             Phase::Serving => None,
         };
-        let drained = !self.takes_terminals();
+        let drained = !self.takes_clients();
         let handed_over = matches!(self.phase, Phase::HandedOver { .. });
         let moving = Moving::until(now, kill).or_earlier(draining);
         self.phase = Phase::Leaving { moving, end: kill - ENDS_BEFORE, drained, handed_over };
         true
     }
 
-    /// Whether the front that deals terminals out is to send some here: what `PING` asks.
-    pub fn takes_terminals(&self) -> bool {
+    /// Whether the front that deals clients out is to send some here: what `PING` asks.
+    pub fn takes_clients(&self) -> bool {
         let (Phase::Leaving { drained, .. } | Phase::HandedOver { drained, .. }) = self.phase else {
             return matches!(self.phase, Phase::Serving);
         };
@@ -245,8 +245,8 @@
     #[case(100_000)]
     fn a_drain_is_spread_over_its_time_and_over_well_before_its_end(#[case] standing: usize) {
         let mut lifecycle = Lifecycle::default();
-        assert!(lifecycle.takes_terminals() && lifecycle.step(S, standing).is_none());
-        assert!(lifecycle.drain(S) && !lifecycle.takes_terminals());
+        assert!(lifecycle.takes_clients() && lifecycle.step(S, standing).is_none());
+        assert!(lifecycle.drain(S) && !lifecycle.takes_clients());
         assert_eq!(lifecycle.step(S + 299 * MS, standing), Some(Step::default()), "they would come back");
         let took = all_moved(&lifecycle, S, standing);
         assert!(took <= 3_600 * MS, "{took}");
@@ -269,7 +269,7 @@
         assert!(!lifecycle.drain(3 * S));
         assert_eq!(lifecycle.phase, before);
         assert_eq!(lifecycle.resume(), Ok(true));
-        assert!(lifecycle.takes_terminals() && lifecycle.step(4 * S, 9).is_none());
+        assert!(lifecycle.takes_clients() && lifecycle.step(4 * S, 9).is_none());
         assert!(lifecycle.drain(10 * S));
         assert_eq!(lifecycle.step(10 * S, 9), Some(Step::default()), "a new drain has its own time");
     }
@@ -286,7 +286,7 @@
         } else {
             assert!(lifecycle.leave(term, 1_200 * MS) && lifecycle.drain(drain));
         }
-        assert!(!lifecycle.leave(term + 1, 0) && !lifecycle.takes_terminals());
+        assert!(!lifecycle.leave(term + 1, 0) && !lifecycle.takes_clients());
         assert_eq!(lifecycle.resume(), Err(IsLeaving));
         assert!(!lifecycle.has_left(told - 1, true));
         assert!(lifecycle.has_left(told.max(term), true));
@@ -304,14 +304,14 @@
             lifecycle.drain(S);
         }
         lifecycle.hand_over(2 * S, 1_200 * MS);
-        assert_eq!((lifecycle.takes_terminals(), lifecycle.is_leaving()), (!drained, true));
+        assert_eq!((lifecycle.takes_clients(), lifecycle.is_leaving()), (!drained, true));
         assert_eq!(lifecycle.resume(), Err(IsLeaving));
         // What cannot be passed on is moved, and it waits for SIGTERM, but not for ever.
         assert!(all_moved(&lifecycle, 2 * S, 100) <= 1_500 * MS);
         assert!(!lifecycle.has_left(11 * S, true) && lifecycle.has_left(12 * S, true));
         let mut alone = lifecycle.clone();
         alone.take_back(3 * S);
-        assert_eq!((alone.takes_terminals(), alone.is_leaving()), (!drained, false));
+        assert_eq!((alone.takes_clients(), alone.is_leaving()), (!drained, false));
         assert!(!alone.has_left(60 * S, true));
         assert!(lifecycle.leave(3 * S, 1_200 * MS));
         assert!(lifecycle.has_left(3 * S, true), "nothing comes any more");
@@ -326,7 +326,7 @@
     #[case(60 * S, 3_700 * MS)]
     fn sigterm_answers_and_moves_before_sigkill(#[case] longest: Nanos, #[case] kill: Nanos) {
         let mut lifecycle = Lifecycle::default();
-        assert!(lifecycle.leave(S, longest) && lifecycle.takes_terminals(), "arrivals still come");
+        assert!(lifecycle.leave(S, longest) && lifecycle.takes_clients(), "arrivals still come");
         assert!(all_moved(&lifecycle, S, 500) <= kill - 400 * MS);
         let answers = |ms| lifecycle.step(S + kill - ms * MS, 0).expect("a step").answers_before;
         assert_eq!((answers(251), answers(250)), (0, Nanos::MAX));
--- a/src/log.rs
+++ b/src/log.rs
@@ -4,7 +4,7 @@
 
 static TRACING: AtomicBool = AtomicBool::new(false);
 
-/// From now on a line is written for each routed task and each call to discovery (`--trace`).
+/// From now on a line is written for each attempt and each call to discovery (`--trace`).
 pub fn trace_on() {
     TRACING.store(true, Ordering::Relaxed);
 }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -1,8 +1,8 @@
 //! The sockets in a slab, watched by one epoll. Reads and writes go through bounded buffers; the
 //! fronts see notices and bytes.
 
-use crate::core::FrontId;
-use crate::interface::Nanos;
+use crate::requests::FrontId;
+use crate::vocabulary::Nanos;
 use rustix::event::{epoll, Timespec};
 use rustix::io::{read, write, Errno};
 use rustix::net::{sockopt, AddressFamily, Shutdown, SocketFlags, SocketType};
@@ -18,16 +18,16 @@
 pub enum Owner {
     /// A front.
     Front(FrontId),
-    /// The service table's watch.
-    Table,
+    /// The endpoint registry's watch.
+    Discovery,
     /// The pipe of a signal.
     Signal,
     /// The operators' address.
-    Operator,
+    Admin,
     /// The process before this one, or the one after it.
-    Takeover,
+    Handover,
     /// The other nodes of the fleet.
-    Fleet,
+    Quota,
 }
 
 /// A socket's place and its generation: a token outlives its socket without naming the next one.
--- a/src/net/wheel.rs
+++ b/src/net/wheel.rs
@@ -1,6 +1,6 @@
 //! Timers: coarse ticks on a wheel.
 
-use crate::interface::Nanos;
+use crate::vocabulary::Nanos;
 
 /// A tick.
 pub const TICK: Nanos = 5_000_000;
--- a/src/node.rs
+++ b/src/node/mod.rs
@@ -1,20 +1,20 @@
 //! The loop: gathers what is ready, gives it to the core in one go, carries out what came back.
 
-use crate::budgets::Budgets;
+use crate::admin::{Answer, Call, Operator};
 use crate::cli::Options;
 use crate::config::{Config, Loaded};
-use crate::core::{Command, Core, FrontId};
-use crate::fleet_talk::{self, FleetTalk};
+use crate::discovery::EndpointRegistry;
 use crate::flow_export::FlowExport;
-use crate::front::{Ctx, Due, Files, Fronts, Luggage, TEXT};
-use crate::interface::*;
+use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
+use crate::handover::{self, Handover, HandoverEvent, Inherited, State};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
-use crate::operator::{Answer, Call, Operator};
-use crate::service_table::ServiceTable;
-use crate::takeover::{self, Inherited, News, State, Takeover};
-use sparbank_shares::Plan;
+use crate::quota::transport::{self, LeaseTransport};
+use crate::quota::QuotaAdmission;
+use crate::requests::{Command, FrontId, RequestTable};
+use crate::vocabulary::*;
+use sparbank_quota::Plan;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
@@ -43,8 +43,8 @@
 struct Node {
     clock: Clock,
     net: Net,
-    core: Core,
-    table: ServiceTable,
+    requests: RequestTable,
+    registry: EndpointRegistry,
     wheel: Wheel<Due>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
@@ -56,9 +56,9 @@
     lifecycle: Lifecycle,
     /// A step of moving is on the wheel.
     stepping: bool,
-    takeover: Option<Takeover>,
+    handover: Option<Handover>,
     /// The talk about the fleet's budgets, where there are any.
-    talk: Option<FleetTalk>,
+    talk: Option<LeaseTransport>,
 }
 
 struct Signals {
@@ -72,12 +72,12 @@
         &mut Ctx {
             now: $node.clock.now(),
             net: &mut $node.net,
-            core: &mut $node.core,
-            table: &$node.table,
+            requests: &mut $node.requests,
+            registry: &$node.registry,
             wheel: &mut $node.wheel,
             facts: &$node.config.facts,
             classes: &$node.config.settings.classes,
-            takes_terminals: $node.lifecycle.takes_terminals(),
+            takes_clients: $node.lifecycle.takes_clients(),
             closing: $node.lifecycle.closes($node.clock.now()),
         }
     };
@@ -102,7 +102,7 @@
     };
 }
 
-/// Serves until it is told to stop. Where the platform holds the terminals' listening socket, it is given.
+/// Serves until it is told to stop. Where the platform holds the clients' listening socket, it is given.
 pub(crate) fn serve(
     loaded: Loaded,
     options: Options,
@@ -119,27 +119,27 @@
         print: signal(&mut net, &[signal_hook::consts::SIGUSR1]).map_err(|e| at("signals", e))?,
         reload: signal(&mut net, &[signal_hook::consts::SIGHUP]).map_err(|e| at("signals", e))?,
     };
-    let mut core = Core::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
-    core.trace.on = log::tracing();
+    let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
+    requests.trace.on = log::tracing();
     let operator = match config.operator {
         Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
-    let mut table = ServiceTable::new(config.discovery, config.facts.zones.clone());
+    let mut registry = EndpointRegistry::new(config.discovery, config.facts.zones.clone());
     // All is in place: from here on the process before this one may be asked for what it has.
-    let place = passed.as_ref().and_then(|_| takeover::meeting_place(&config.name));
-    let inherited = place.as_deref().and_then(|place| takeover::succeed(place, &config.name));
+    let place = passed.as_ref().and_then(|_| handover::meeting_place(&config.name));
+    let inherited = place.as_deref().and_then(|place| handover::succeed(place, &config.name));
     let (mut before, mut channel) = (None, None);
     match inherited {
         Some(Inherited { channel: from, state, listening, watch }) => {
-            core.tell(table.take_over(&mut net, &state.list, watch));
+            requests.tell(registry.take_over(&mut net, &state.list, watch));
             net.inherit(listening);
             (before, channel) = (Some(state), Some(from));
         }
-        None => core.tell(table.saved(&config.known)),
+        None => requests.tell(registry.saved(&config.known)),
     }
     if place.is_some() {
-        net.set_aside(takeover::SUCCESSOR);
+        net.set_aside(handover::SUCCESSOR);
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
@@ -158,29 +158,29 @@
     });
     let mut export = None;
     if let Some(collector) = ipfix {
-        let domain = crate::wire::tag(&config.name) as u32;
+        let domain = crate::hash::fnv1a(&config.name) as u32;
         export = Some(FlowExport::new(config.listen.ip(), collector, domain).map_err(|e| at("ipfix", e))?);
-        core.flows = Some(Vec::new());
+        requests.flows = Some(Vec::new());
         log::line(format_args!("ipfix collector={collector} domain={domain}"));
     }
     let clock = Clock::new();
     let mut talk = None;
     if let Some(plan) = fleet {
-        let (budgets, open) = seated(plan, &config, &mut net, clock.now())?;
-        (core.budgets, talk) = (Some(budgets), Some(open));
+        let (quotas, open) = seated(plan, &config, &mut net, clock.now())?;
+        (requests.quotas, talk) = (Some(quotas), Some(open));
     }
     let mut wheel = Wheel::new(clock.now());
     wheel.at(clock.now(), Due::Look);
     if talk.is_some() {
-        wheel.at(clock.now(), Due::Fleet);
+        wheel.at(clock.now(), Due::Quota);
     }
     let (lifecycle, stepping) = (Lifecycle::default(), false);
-    let takeover = place.map(|place| Takeover::open(&mut net, &place, channel));
+    let handover = place.map(|place| Handover::open(&mut net, &place, channel));
     let mut node = Node {
         clock,
         net,
-        core,
-        table,
+        requests,
+        registry,
         wheel,
         config,
         files,
@@ -190,7 +190,7 @@
         operator,
         lifecycle,
         stepping,
-        takeover,
+        handover,
         talk,
     };
     node.decide();
@@ -206,15 +206,15 @@
     config: &Config,
     net: &mut Net,
     now: Nanos,
-) -> Result<(Budgets, FleetTalk), String> {
-    let talk = FleetTalk::open(net, &plan, seat, now);
+) -> Result<(QuotaAdmission, LeaseTransport), String> {
+    let talk = LeaseTransport::open(net, &plan, seat, now);
     let talk = talk.map_err(|e| format!("--fleet: seats[{seat}].address: {e}"))?;
     match talk.grants_in(now) {
         Some(wait) => log::line(format_args!("budgets seat={seat} grants-in-ms={}", wait / 1_000_000)),
         None => log::line(format_args!("budgets seat={seat}")),
     }
     let classes: Vec<String> = config.facts.classes.iter().map(|c| c.name.clone()).collect();
-    Ok((Budgets::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
+    Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
 fn signal(net: &mut Net, signals: &[i32]) -> io::Result<Token> {
@@ -253,14 +253,14 @@
     fn dispatch(&mut self, notice: Notice) {
         match notice.owner {
             Owner::Front(id) => front!(self, id, notice, notice),
-            Owner::Table => {
+            Owner::Discovery => {
                 let broken = matches!(notice.kind, Kind::Broken(_));
                 let now = self.clock.now();
-                for event in self.table.ready(now, &mut self.net, notice.token, broken) {
+                for event in self.registry.ready(now, &mut self.net, notice.token, broken) {
                     self.listed(event);
                 }
             }
-            Owner::Operator => {
+            Owner::Admin => {
                 let now = self.clock.now();
                 let call = self
                     .operator
@@ -273,13 +273,13 @@
                     }
                 }
             }
-            Owner::Fleet => {
-                if let (Some(talk), Some(budgets)) = (&mut self.talk, &mut self.core.budgets) {
-                    talk.notice(self.clock.now(), &mut self.net, budgets, notice);
+            Owner::Quota => {
+                if let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) {
+                    talk.notice(self.clock.now(), &mut self.net, quotas, notice);
                 }
             }
-            Owner::Takeover => {
-                let news = self.takeover.as_mut().map(|t| t.notice(&mut self.net, notice));
+            Owner::Handover => {
+                let news = self.handover.as_mut().map(|t| t.notice(&mut self.net, notice));
                 self.heard(news.unwrap_or_default());
             }
             Owner::Signal => {
@@ -294,9 +294,9 @@
                 } else if notice.token == self.signals.stop
                     && self.lifecycle.leave(self.clock.now(), self.longest())
                 {
-                    log::line(format_args!("leaving standing={}", self.core.standing().len()));
-                    if let Some(budgets) = &mut self.core.budgets {
-                        budgets.go();
+                    log::line(format_args!("leaving standing={}", self.requests.standing().len()));
+                    if let Some(quotas) = &mut self.requests.quotas {
+                        quotas.go();
                     }
                     self.begin_steps();
                 }
@@ -306,13 +306,13 @@
 
     /// What the process before this one knew: its list has been told already.
     fn take_over(&mut self, state: &State) {
-        if let Err(e) = self.core.learn(&state.learned) {
+        if let Err(e) = self.requests.learn(&state.learned) {
             log::line(format_args!("takeover-unlearned reason={e}"));
         }
         if state.drained && self.lifecycle.drain(self.clock.now()) {
             self.begin_steps();
         }
-        self.core.counters.upgrades += 1;
+        self.requests.counters.upgrades += 1;
         self.held_before(state.descriptors);
         log::line(format_args!("taking-over drained={} descriptors={}", state.drained, state.descriptors));
     }
@@ -326,66 +326,68 @@
         self.config.settings.classes.iter().map(|c| c.hard_limit).max().unwrap_or(0)
     }
 
-    fn heard(&mut self, news: Vec<News>) {
+    fn heard(&mut self, news: Vec<HandoverEvent>) {
         for news in news {
             match news {
-                News::Asked => {
+                HandoverEvent::Asked => {
                     let state = State {
-                        drained: !self.lifecycle.takes_terminals(),
-                        list: self.table.list(),
-                        learned: self.core.learned(),
+                        drained: !self.lifecycle.takes_clients(),
+                        list: self.registry.list(),
+                        learned: self.requests.learned(),
                         descriptors: self.net.in_use(),
                     };
                     let listening = self.net.listening(TEXT);
-                    let watch = self.table.release_watch(&mut self.net);
+                    let watch = self.registry.release_watch(&mut self.net);
                     let told =
-                        self.takeover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
+                        self.handover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
                     self.heard(told.unwrap_or_default());
                 }
-                News::SuccessorServes => {
+                HandoverEvent::SuccessorServes => {
                     self.net.take_in(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
-                    self.core.counters.upgrades += 1;
-                    log::line(format_args!("handing-over standing={}", self.core.standing().len()));
+                    self.requests.counters.upgrades += 1;
+                    log::line(format_args!("handing-over standing={}", self.requests.standing().len()));
                     self.begin_steps();
                 }
-                News::SuccessorGone(unsent) => {
-                    for (front, luggage) in unsent {
-                        self.came(&front, luggage);
+                HandoverEvent::SuccessorGone(unsent) => {
+                    for (front, transferred_connection) in unsent {
+                        self.came(&front, transferred_connection);
                     }
                     self.net.take_in(true);
                     self.lifecycle.take_back(self.clock.now());
                     // The watch went with it.
-                    if !self.table.is_watched() {
-                        self.listed(Event::Members(ListKind::Failed, Vec::new()));
+                    if !self.registry.is_watched() {
+                        self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
                     }
                 }
-                News::Came { front, luggage, descriptors } => {
+                HandoverEvent::Came { front, transferred_connection, descriptors } => {
                     self.held_before(descriptors);
-                    self.came(&front, luggage);
+                    self.came(&front, transferred_connection);
                 }
-                News::PredecessorGone => {
+                HandoverEvent::PredecessorGone => {
                     self.held_before(0);
-                    log::line(format_args!("taken-over standing={}", self.core.standing().len()));
+                    log::line(format_args!("taken-over standing={}", self.requests.standing().len()));
                 }
             }
         }
     }
 
-    fn came(&mut self, front: &str, luggage: Luggage) {
+    fn came(&mut self, front: &str, transferred_connection: TransferredConnection) {
         if let Some(id) = self.fronts.named(front) {
-            front!(self, id, take_in, luggage);
+            front!(self, id, take_in, transferred_connection);
         }
     }
 
     /// Passes on to the successor what can be passed on by now.
     fn pass_on(&mut self) {
-        while self.takeover.as_ref().is_some_and(Takeover::has_room) {
-            let luggage: Vec<Luggage> = front!(self, TEXT, pass_on, takeover::A_TURN);
-            if luggage.is_empty() {
+        while self.handover.as_ref().is_some_and(Handover::has_room) {
+            let transferred_connection: Vec<TransferredConnection> =
+                front!(self, TEXT, pass_on, handover::A_TURN);
+            if transferred_connection.is_empty() {
                 return;
             }
-            let news = self.takeover.as_mut().map(|t| t.pass_on(&mut self.net, TEXT.name, luggage));
+            let news =
+                self.handover.as_mut().map(|t| t.pass_on(&mut self.net, TEXT.name, transferred_connection));
             self.heard(news.unwrap_or_default());
             self.decide();
         }
@@ -397,9 +399,9 @@
             Call::Ready if self.lifecycle.is_leaving() => Answer::new(503, "leaving"),
             Call::Ready => Answer::new(200, "ready"),
             Call::Drain => {
-                let standing = self.core.standing().len();
+                let standing = self.requests.standing().len();
                 if self.lifecycle.drain(now) {
-                    self.core.counters.drains += 1;
+                    self.requests.counters.drains += 1;
                     log::line(format_args!("draining standing={standing}"));
                     self.begin_steps();
                 }
@@ -408,8 +410,8 @@
             Call::Resume => match self.lifecycle.resume() {
                 Ok(drained) => {
                     if drained {
-                        self.core.counters.resumes += 1;
-                        log::line(format_args!("resumed standing={}", self.core.standing().len()));
+                        self.requests.counters.resumes += 1;
+                        log::line(format_args!("resumed standing={}", self.requests.standing().len()));
                         fronts!(self, stay);
                     }
                     Answer::new(200, "serving")
@@ -419,15 +421,15 @@
         }
     }
 
-    /// From now on there are steps, until terminals stay again.
+    /// From now on there are steps, until clients stay again.
     fn begin_steps(&mut self) {
         if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.at(self.clock.now(), Due::Leave);
+            self.wheel.at(self.clock.now(), Due::Drain);
         }
     }
 
     /// SIGHUP: the configuration is read again. What is wrong changes nothing; what is right changes what
-    /// a running node can change. Terminals that stand and regions that are known stay.
+    /// a running node can change. Clients that stand and servers that are known stay.
     fn reload(&mut self) {
         let Loaded { node: new, fronts } = match Loaded::again(&self.config, &self.files) {
             Ok(loaded) => loaded,
@@ -440,57 +442,57 @@
         }
         // Where another process is still there, it says again what it holds.
         self.net.limit(self.config.sockets);
-        self.core.set(self.config.settings.clone());
+        self.requests.set(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
             log::line(format_args!("reload-needs-restart fields={}", fixed.join(",")));
         }
         if moved {
             let now = self.clock.now();
-            for event in self.table.last_words(now, &mut self.net) {
+            for event in self.registry.last_words(now, &mut self.net) {
                 self.listed(event);
             }
-            if let Some(event) = self.table.follow(now, &mut self.net, self.config.discovery) {
+            if let Some(event) = self.registry.follow(now, &mut self.net, self.config.discovery) {
                 self.listed(event);
             }
         }
     }
 
     fn listed(&mut self, event: Event) {
-        if let Event::Members(kind, members) = &event {
+        if let Event::EndpointList(kind, members) = &event {
             log::trace(format_args!("trace list kind={kind:?} entries={}", members.len()));
         }
-        if matches!(event, Event::Members(ListKind::Failed, _)) {
-            self.core.counters.list_failed += 1;
+        if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
+            self.requests.counters.list_failed += 1;
         }
-        self.core.tell(event);
-        let stopped = self.table.stopped();
+        self.requests.tell(event);
+        let stopped = self.registry.stopped();
         fronts!(self, drained, &stopped);
     }
 
     fn due(&mut self, due: Due) {
         match due {
-            Due::Module(token) => self.core.tell(Event::Timer(token)),
-            Due::Task(txn, shot) => {
-                if let Some(front) = self.core.is_out(txn, shot) {
-                    let outcome = self.take_back(front, txn);
-                    self.core.task_ended(self.clock.now(), txn, outcome);
+            Due::Policy(token) => self.requests.tell(Event::Timer(token)),
+            Due::AttemptTimeout(request_id, attempt) => {
+                if let Some(front) = self.requests.is_out(request_id, attempt) {
+                    let outcome = self.take_back(front, request_id);
+                    self.requests.task_ended(self.clock.now(), request_id, outcome);
                 }
             }
             Due::Dial(id, token) => front!(self, id, dial_due, token),
             Due::Timer(id, token) => front!(self, id, timer_due, token),
             Due::Look => {
                 let now = self.clock.now();
-                if let Some(event) = self.table.check(now, &mut self.net) {
+                if let Some(event) = self.registry.check(now, &mut self.net) {
                     self.listed(event);
                 }
                 fronts!(self, look);
                 self.export_flows(now);
                 self.wheel.at(now + LOOK_EVERY, Due::Look);
             }
-            Due::Leave => self.leave(),
-            Due::Fleet => self.fleet(),
-            Due::Operator(token) => {
+            Due::Drain => self.leave(),
+            Due::Quota => self.fleet(),
+            Due::Admin(token) => {
                 if let Some(operator) = &mut self.operator {
                     operator.due(&mut self.net, token);
                 }
@@ -499,14 +501,14 @@
     }
 
     fn export_flows(&mut self, now: Nanos) {
-        if let (Some(export), Some(flows)) = (&mut self.export, &mut self.core.flows) {
-            export.send(now, &std::mem::take(flows), &self.table, &self.config.facts);
+        if let (Some(export), Some(flows)) = (&mut self.export, &mut self.requests.flows) {
+            export.send(now, &std::mem::take(flows), &self.registry, &self.config.facts);
         }
     }
 
-    /// One step of sending terminals away: of those that stand, so many are moved that all have been by the end.
+    /// One step of sending clients away: of those that stand, so many are moved that all have been by the end.
     fn leave(&mut self) {
-        let (now, standing) = (self.clock.now(), self.core.standing());
+        let (now, standing) = (self.clock.now(), self.requests.standing());
         let Some(step) = self.lifecycle.step(now, standing.len()) else {
             self.stepping = false;
             return;
@@ -514,33 +516,33 @@
         if step.begun {
             fronts!(self, leave);
         }
-        for command in self.core.abandon(now, step.answers_before) {
+        for command in self.requests.abandon(now, step.answers_before) {
             self.carry_out(now, command);
         }
-        for txn in standing.into_iter().take(step.moves) {
-            if let Some(id) = self.core.moved(now, txn, Outcome::Cancelled) {
-                front!(self, id, send_away, txn);
+        for request_id in standing.into_iter().take(step.moves) {
+            if let Some(id) = self.requests.moved(now, request_id, Outcome::Cancelled) {
+                front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::STEP, Due::Leave);
+        self.wheel.at(now + lifecycle::STEP, Due::Drain);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
     fn fleet(&mut self) {
         let now = self.clock.now();
-        let (Some(talk), Some(budgets)) = (&mut self.talk, &mut self.core.budgets) else { return };
-        if let Some(line) = talk.turn(now, &mut self.net, budgets) {
+        let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) else { return };
+        if let Some(line) = talk.turn(now, &mut self.net, quotas) {
             log::line(format_args!("{line}"));
         }
-        for command in self.core.shed(now) {
+        for command in self.requests.shed(now) {
             self.carry_out(now, command);
         }
-        self.wheel.at(now + fleet_talk::TURN, Due::Fleet);
+        self.wheel.at(now + transport::TURN, Due::Quota);
     }
 
     fn has_left(&self) -> bool {
         // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
-        let idle = || self.core.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
+        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
         self.lifecycle.is_leaving() && self.lifecycle.has_left(self.clock.now(), idle())
     }
 
@@ -549,15 +551,15 @@
     fn decide(&mut self) {
         loop {
             let now = self.clock.now();
-            let commands = self.core.decide(now);
+            let commands = self.requests.decide(now);
             for command in commands {
                 self.carry_out(now, command);
             }
-            if self.core.has_news() {
+            if self.requests.has_news() {
                 continue;
             }
             fronts!(self, flush);
-            if !self.core.has_news() {
+            if !self.requests.has_news() {
                 return;
             }
         }
@@ -565,35 +567,38 @@
 
     /// The lines of `--trace`.
     fn print_trace(&mut self) {
-        for (txn, server, outcome, waited) in std::mem::take(&mut self.core.trace.tasks) {
-            let region = self.table.region(server).map_or("?", |r| r.name());
+        for (request_id, server, outcome, waited) in std::mem::take(&mut self.requests.trace.tasks) {
+            let server = self.registry.entry(server).map_or("?", |r| r.name());
             let ms = waited / 1_000_000;
             match outcome {
                 Some(outcome) => log::line(format_args!(
-                    "trace task txn={} region={region} ended={outcome:?} after_ms={ms}",
-                    txn.0
+                    "trace attempt request={} server={server} ended={outcome:?} after_ms={ms}",
+                    request_id.0
+                )),
+                None => log::line(format_args!(
+                    "trace attempt request={} server={server} up after_ms={ms}",
+                    request_id.0
                 )),
-                None => log::line(format_args!("trace task txn={} region={region} up after_ms={ms}", txn.0)),
             }
         }
     }
 
     fn print_counters(&mut self) {
-        self.core.counters.list_calls = self.table.calls;
-        self.core.counters.list_back = self.table.backs;
+        self.requests.counters.list_calls = self.registry.calls;
+        self.requests.counters.list_back = self.registry.backs;
         if let Some(counts) = self.operator.as_ref().map(Operator::counts) {
-            let counters = &mut self.core.counters;
+            let counters = &mut self.requests.counters;
             (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
                 (counts.yes, counts.no, counts.unheard);
         }
-        log::line(format_args!("{}", self.core.counters));
-        if let (Some(talk), Some(budgets)) = (&self.talk, &self.core.budgets) {
-            let (c, left) = (talk.counts(), budgets.lease_left(self.clock.now()) / 1_000_000);
+        log::line(format_args!("{}", self.requests.counters));
+        if let (Some(talk), Some(quotas)) = (&self.talk, &self.requests.quotas) {
+            let (c, left) = (talk.counts(), quotas.lease_left(self.clock.now()) / 1_000_000);
             log::line(format_args!(
                 "budgets lease_left_ms={left} asks={} answers={} unread={} written={} freed={}",
                 c.asks, c.answers, c.unread, c.written, c.freed
             ));
-            for (name, r) in budgets.readings() {
+            for (name, r) in quotas.readings() {
                 log::line(format_args!(
                     "budget name={name} whole={} floor={} part={} used={} refused={}",
                     r.whole, r.floor, r.part, r.used, r.refused
@@ -605,31 +610,33 @@
         }
     }
 
-    /// Takes the routed task of a transaction back from its region.
-    fn take_back(&mut self, front: FrontId, txn: RequestId) -> Outcome {
-        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.give_up(ctx!(self), txn))
+    /// Takes the attempt of a request back from its server.
+    fn take_back(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
+        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.give_up(ctx!(self), request_id))
     }
 
     fn carry_out(&mut self, now: Nanos, command: Command) {
-        if let Command::Refuse { txn, cool_down, .. } = &command {
-            log::trace(format_args!("trace refused txn={} ms={}", txn.0, cool_down / 1_000_000));
+        if let Command::Reject { request_id, cool_down, .. } = &command {
+            log::trace(format_args!("trace refused request={} ms={}", request_id.0, cool_down / 1_000_000));
         }
         match command {
-            Command::Start { front, txn, region, wait } => {
-                self.wheel.at(now + wait, Due::Task(txn, self.core.shot(txn)));
-                front!(self, front, start, txn, region, wait)
+            Command::StartAttempt { front, request_id, server, wait } => {
+                self.wheel.at(now + wait, Due::AttemptTimeout(request_id, self.requests.attempt(request_id)));
+                front!(self, front, start, request_id, server, wait)
+            }
+            Command::CancelAttempt { front, request_id } => {
+                self.take_back(front, request_id);
             }
-            Command::Stop { front, txn } => {
-                self.take_back(front, txn);
+            Command::Reject { front, request_id, cool_down } => {
+                front!(self, front, refuse, request_id, cool_down)
             }
-            Command::Refuse { front, txn, cool_down } => front!(self, front, refuse, txn, cool_down),
-            Command::Fail { front, txn } => front!(self, front, fail, txn),
-            Command::Move { front, txn } => front!(self, front, send_away, txn),
-            Command::Probe { region } => front!(self, TEXT, probe, region),
-            Command::Timer { after: 0, token } => self.core.tell(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, Due::Module(token)),
+            Command::Fail { front, request_id } => front!(self, front, fail, request_id),
+            Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
+            Command::HealthCheck { server } => front!(self, TEXT, probe, server),
+            Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
+            Command::Timer { after, token } => self.wheel.at(now + after, Due::Policy(token)),
             Command::Subscribe => {
-                if let Some(event) = self.table.subscribe(now, &mut self.net) {
+                if let Some(event) = self.registry.subscribe(now, &mut self.net) {
                     self.listed(event);
                 }
             }
--- a/src/balance.rs
+++ b/src/policy/balancer.rs
@@ -1,15 +1,15 @@
-//! All decisions of one relay. The vocabulary is in `interface.rs`: Settings, Event, Action, Outcome.
+//! All decisions of one node. The vocabulary is in `interface.rs`: Settings, Event, Action, Outcome.
 //!
 //! A first attempt goes out at once. A placement that fails, or that no server may take, waits one
-//! Full Jitter sleep and is placed again: the best of a few random servers by this relay's own open
+//! Full Jitter sleep and is placed again: the best of a few random servers by this node's own open
 //! connections. Everything else here says which servers may be drawn, and how often.
 
-use crate::asking;
-use crate::fleet::Fleet;
-use crate::interface::*;
 use crate::random::{below, mix, unit, Rng};
-use crate::returns::{backoff, Returns};
-use crate::trust::Trust;
+use crate::resilience::fleet_limits::Fleet;
+use crate::resilience::outlier::Trust;
+use crate::resilience::poll_backoff;
+use crate::resilience::retry_admission::{backoff, Returns};
+use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
 const GROUP_COST: f64 = 0.15;
 /// A server in another hall counts as fuller by this part of what one usually holds of ours: what crosses
 /// halls has a price. The busier they are the less it says, so that a crowded hall sends what comes to the
-/// others. Both are parts, since of a hundred relays each holds a connection or none at a server.
+/// others. Both are parts, since of a hundred nodes each holds a connection or none at a server.
 const FAR: f64 = 0.6;
 /// Timer tokens above all request ids.
 const TOKEN_LIST: u64 = 1 << 62;
@@ -60,10 +60,10 @@
     deadline: Nanos,
     phase: Phase,
     /// Attempts sent.
-    shots: u32,
+    attempts: u32,
     /// The design's counter: placements that failed.
     failed: u32,
-    /// Where its random draw starts: from the key, so that any relay draws the same.
+    /// Where its random draw starts: from the key, so that any node draws the same.
     draw: u64,
     /// Its own random number: whether a cold server is to have it.
     roll: u64,
@@ -71,7 +71,7 @@
     rerouted: bool,
     /// The client comes again: its first attempt waits its turn as a repeat does.
     again: bool,
-    /// It waits for the relay's part of the set-ups.
+    /// It waits for the node's part of the set-ups.
     paced: bool,
     /// Work a second, as hinted or told; zero where it is not known.
     cost: Nanos,
@@ -89,10 +89,11 @@
     zone: u32,
     cell: u32,
     nominal: f64,
-    born: Nanos,
+    #[serde(rename = "born")]
+    started_at: Nanos,
     #[serde(skip)]
     status: Status,
-    /// This relay's own attempts and connections there.
+    /// This node's own attempts and connections there.
     #[serde(skip)]
     held: BTreeSet<RequestId>,
     /// How many of each group are among them.
@@ -102,7 +103,7 @@
     delay: Nanos,
     busy_until: Nanos,
     paced_until: Nanos,
-    /// When this relay last sent there.
+    /// When this node last sent there.
     sent_at: Nanos,
     /// Standing connections of ours that it broke, fewer with time, as of then.
     broken: f64,
@@ -113,7 +114,7 @@
     asked: f64,
 }
 
-/// One relay's decisions: a state machine without clock, I/O or shared state.
+/// One node's decisions: a state machine without clock, I/O or shared state.
 #[derive(Default)]
 pub struct Balancer {
     settings: Settings,
@@ -149,7 +150,7 @@
         self.settings = settings;
     }
 
-    /// What this relay learned of the servers, for a process that takes its place and knows the same ones.
+    /// What this node learned of the servers, for a process that takes its place and knows the same ones.
     pub fn learned(&self) -> String {
         serde_json::to_string(&(self.picked_at, &self.servers)).unwrap_or_default()
     }
@@ -159,7 +160,9 @@
         let servers: Vec<Server>;
         (self.picked_at, servers) = serde_json::from_str(learned)?;
         for s in servers {
-            if let Some(known) = self.servers.iter_mut().find(|k| (k.tag, k.born) == (s.tag, s.born)) {
+            if let Some(known) =
+                self.servers.iter_mut().find(|k| (k.tag, k.started_at) == (s.tag, s.started_at))
+            {
                 let status = known.status;
                 *known = Server { status, ..s };
             }
@@ -176,7 +179,7 @@
         match event {
             Event::Request(arrival) => self.arrived(&arrival, out),
             Event::Resumed(arrival, server) => {
-                self.admit(&arrival, Phase::Open).shots = 1;
+                self.admit(&arrival, Phase::Open).attempts = 1;
                 self.hold(server, arrival.id);
                 self.succeeded(server);
             }
@@ -188,23 +191,25 @@
                 }
                 self.succeeded(server);
             }
-            Event::Response { id, server, outcome, done } => self.responded(id, server, outcome, done, out),
-            Event::Vanished(id) => self.vanished(id, out),
+            Event::AttemptEnded { id, server, outcome, done } => {
+                self.responded(id, server, outcome, done, out)
+            }
+            Event::ClientDisconnected(id) => self.vanished(id, out),
             Event::Timer(token) if token == self.list_timer && !self.subscribed => {
                 out.push(Action::Subscribe)
             }
             Event::Timer(token) => self.woke(RequestId(token), out),
-            Event::Members(kind, members) => self.members(kind, members, out),
-            Event::LoadNote { id, cost } => {
+            Event::EndpointList(kind, members) => self.members(kind, members, out),
+            Event::LoadReport { id, cost } => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     request.cost = cost;
                 }
             }
-            Event::DelayNote { server, delay } => self.delayed(server, delay, out),
-            Event::Probed { server, over } => {
+            Event::LatencyReport { server, delay } => self.delayed(server, delay, out),
+            Event::HealthCheckResult { server, over } => {
                 let part = self.servers.get_mut(server.0 as usize).map(|s| std::mem::take(&mut s.asked));
                 if let (Some(part), true) = (part, over.is_some_and(|over| over > 1.0)) {
-                    self.send_away(server, part, out);
+                    self.migrate(server, part, out);
                 }
             }
         }
@@ -216,12 +221,12 @@
         let class = arrival.class.min(self.settings.classes.len() - 1);
         let random = self.rng.next_u64();
         let group = arrival.group;
-        // A group draws its candidates, alike at every relay, so that it sits at few servers and pays there.
-        let drawn_by = group.or(arrival.key.filter(|_| !arrival.came_back));
+        // A group draws its candidates, alike at every node, so that it sits at few servers and pays there.
+        let drawn_by = group.or(arrival.key.filter(|_| !arrival.reconnect));
         let (draw, roll) = (drawn_by.map_or(random, mix), random);
         let deadline = self.now.saturating_add(arrival.grace);
         let (rerouted, cost) = (arrival.rerouted, arrival.cost.unwrap_or(0));
-        let again = arrival.came_back || arrival.repeated;
+        let again = arrival.reconnect || arrival.client_retry;
         let mut request =
             Request { class, deadline, phase, draw, roll, group, rerouted, cost, ..Request::default() };
         request.again = again;
@@ -249,7 +254,7 @@
         let left = request.deadline.saturating_sub(self.now);
         let nap = below(roll, limit).min(left);
         request.phase = Phase::Sleeping;
-        out.push(Action::Timer { after: nap, token: id.0 });
+        out.push(Action::SetTimer { after: nap, token: id.0 });
     }
 
     fn woke(&mut self, id: RequestId, out: Out) {
@@ -264,33 +269,33 @@
         let late = request.paced && self.returns.too_late(self.now, self.gap(), request.deadline);
         if self.now >= request.deadline
             || late
-            || request.shots >= self.settings.max_attempts
+            || request.attempts >= self.settings.max_attempts
             || !self.may_repeat(request)
         {
             return self.give_up(id, out);
         }
-        let tries_left = u64::from(self.settings.max_attempts - request.shots);
+        let tries_left = u64::from(self.settings.max_attempts - request.attempts);
         let slice = (request.deadline - self.now) / tries_left;
-        let rerouted = request.rerouted && request.shots == 0;
+        let rerouted = request.rerouted && request.attempts == 0;
         let holder = if rerouted { self.holder(id) } else { None };
         let Some(request) = self.requests.get_mut(&id) else { return };
-        let comes_again = request.again || request.shots > 0;
+        let comes_again = request.again || request.attempts > 0;
         let waits = self.returns.wait(self.now, comes_again, &mut request.paced);
         let pick = if waits { None } else { holder.or_else(|| self.pick(id)) };
         self.picked_at = if waits { self.picked_at } else { self.now };
         let Some(request) = self.requests.get_mut(&id) else { return };
         let Some(server) = pick else { return self.sleep(id, out) };
         request.phase = Phase::Trying;
-        request.shots += 1;
+        request.attempts += 1;
         request.sent = self.now;
         request.tried.push(server);
         self.hold(server, id);
         let gap = below(self.rng.next_u64(), 2 * self.gap());
         self.returns.sent(self.now.saturating_add(gap));
-        out.push(Action::Try { id, server, give_up: slice.max(1) });
+        out.push(Action::StartAttempt { id, server, give_up: slice.max(1) });
     }
 
-    /// What this relay's set-ups keep apart.
+    /// What this node's set-ups keep apart.
     fn gap(&self) -> Nanos {
         self.fleet.gap(self.requests.len(), self.returns.part())
     }
@@ -322,7 +327,7 @@
         if harmless {
             let most = self.settings.max_retry_after;
             let cool_down = below(self.rng.next_u64(), most).max(turn.min(most));
-            out.push(Action::Decline { id, cool_down });
+            out.push(Action::Reject { id, cool_down });
         } else {
             out.push(Action::Fail(id));
         }
@@ -337,7 +342,7 @@
             }
             Phase::Trying if self.settings.may_cancel && !request.ended => {
                 request.ended = true;
-                out.push(Action::Recall { id, shot: request.shots - 1 });
+                out.push(Action::CancelAttempt { id, attempt: request.attempts - 1 });
             }
             _ => request.ended = true,
         }
@@ -365,7 +370,7 @@
         match outcome {
             Outcome::Reset if stood => self.broke(server),
             Outcome::Ok => self.succeeded(server),
-            Outcome::Cancelled | Outcome::Moot | Outcome::Full => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::Rejected => {}
             Outcome::Reset if !self.server(server).trust.is_unsure() => {}
             _ => self.failed(server, outcome),
         }
@@ -404,7 +409,7 @@
 
     /// The best of a few random servers, drawn in proportion to their size, by own open connections for
     /// that. The draw is a weighted rendezvous: every server gets a random number from the request's key and
-    /// its own tag, and the first few in that order are the candidates: the same at every relay.
+    /// its own tag, and the first few in that order are the candidates: the same at every node.
     fn pick(&self, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
         let may_take =
@@ -444,7 +449,7 @@
                 drawn.truncate(CANDIDATES);
             }
         }
-        // The rank stands for the one more: where few of ours are held it decides, so relays spread by size.
+        // The rank stands for the one more: where few of ours are held it decides, so nodes spread by size.
         let usual = self.fleet.usual(self.ready.len());
         let crowd = |(rank, server): (f64, ServerId)| {
             let s = self.server(server);
@@ -461,7 +466,7 @@
         least.map(|(_, server)| server)
     }
 
-    /// A connection that another relay carried: its holder is most likely the warm server that its
+    /// A connection that another node carried: its holder is most likely the warm server that its
     /// key draws first. A wrong guess is a placement like any other, so a draining one is no guess.
     fn holder(&self, id: RequestId) -> Option<ServerId> {
         let request = self.requests.get(&id)?;
@@ -517,14 +522,16 @@
     /// Messages there take long: nothing new goes there for now, and while they are later than the
     /// strictest class wants, a part of the connections is asked to come again elsewhere.
     fn delayed(&mut self, server: ServerId, delay: Nanos, out: Out) {
-        let Some(aim) = self.settings.classes.iter().filter_map(|c| c.message_aim).min() else { return };
+        let Some(aim) = self.settings.classes.iter().filter_map(|c| c.message_latency_objective).min() else {
+            return;
+        };
         let Some(s) = self.servers.get_mut(server.0 as usize) else { return };
         let last = if s.busy_until > self.now { s.delay } else { 0 };
         let busy = delay as f64 > aim as f64 * BUSY;
         s.busy_until = if busy { self.now.saturating_add(NOTE_HOLDS) } else { self.now };
         s.delay = delay;
         if busy {
-            s.paced_until = self.now.saturating_add(self.settings.cold_time);
+            s.paced_until = self.now.saturating_add(self.settings.slow_start_duration);
         }
         if delay <= aim || delay < last - last / 16 {
             return;
@@ -533,15 +540,15 @@
         if self.settings.probes && last <= aim {
             // One late note may be a stall: the server's own report tells whether it is over what it can do.
             if std::mem::replace(&mut s.asked, part) == 0.0 {
-                out.push(Action::Probe(server));
+                out.push(Action::HealthCheck(server));
             }
             return;
         }
-        self.send_away(server, part, out);
+        self.migrate(server, part, out);
     }
 
     /// Asks a part of what stands at a server to come again elsewhere: what is worth least for its load first
-    fn send_away(&mut self, server: ServerId, part: f64, out: Out) {
+    fn migrate(&mut self, server: ServerId, part: f64, out: Out) {
         let roll = unit(self.rng.next_u64());
         let mut movable: Vec<(f64, u64, RequestId)> = Vec::new();
         for id in &self.server(server).held {
@@ -555,18 +562,18 @@
         for (.., id) in movable.into_iter().take(leave) {
             if let Some(request) = self.requests.get_mut(&id) {
                 request.ended = true;
-                out.push(Action::GoAway(id));
+                out.push(Action::Migrate(id));
             }
         }
     }
 
     /// What a connection is worth for the load that it brings.
     fn value(&self, request: &Request) -> f64 {
-        let worth = self.settings.classes[request.class].worth;
-        if self.settings.worth_by_work {
-            worth
+        let priority_weight = self.settings.classes[request.class].priority_weight;
+        if self.settings.weight_by_work {
+            priority_weight
         } else {
-            worth / request.cost.max(1) as f64
+            priority_weight / request.cost.max(1) as f64
         }
     }
 
@@ -574,45 +581,46 @@
 
     /// The share of its capacity that a server is sure to have since it started.
     fn warmth(&self, s: &Server) -> f64 {
-        let age = self.now.saturating_sub(s.born);
-        if s.born == 0 || age >= self.settings.cold_time {
+        let age = self.now.saturating_sub(s.started_at);
+        if s.started_at == 0 || age >= self.settings.slow_start_duration {
             return 1.0;
         }
-        let from = self.settings.cold_from;
-        from + (1.0 - from) * age as f64 / self.settings.cold_time as f64
+        let from = self.settings.slow_start_floor;
+        from + (1.0 - from) * age as f64 / self.settings.slow_start_duration as f64
     }
 
     /// Rule 4, kept alone: the part of our placements, for its size, that a server bears which is cold,
-    /// or lately was busy, so that all relays together fill it no faster than it can take. It fills
-    /// over its warm-up; what fills it is its part of what the shares allow all relays to hold, or,
+    /// or lately was busy, so that all nodes together fill it no faster than it can take. It fills
+    /// over its warm-up; what fills it is its part of what the shares allow all nodes to hold, or,
     /// where that is not told, the mean of what we hold for its size; and our share of what reaches it
     /// is our share of that.
     fn bears(&self, s: &Server, warmth: f64) -> f64 {
         if warmth >= 1.0 && self.now >= s.paced_until {
             return f64::INFINITY;
         }
-        let cold = self.settings.cold_time.max(1) as f64;
-        let fill = if warmth < 1.0 { self.settings.fall_multiple * warmth / cold } else { 1.0 / REFILL };
+        let cold = self.settings.slow_start_duration.max(1) as f64;
+        let fill = if warmth < 1.0 { self.settings.overload_multiple * warmth / cold } else { 1.0 / REFILL };
         let holds = self.fleet.fills(self.requests.len(), self.open);
         let bears = fill * holds / self.nominal.max(f64::MIN_POSITIVE);
         // A crowd comes sooner than the rate tells of it: one at a time.
-        let apart = (1.0 / (bears * s.nominal)).min(self.settings.tip_after as f64);
+        let apart = (1.0 / (bears * s.nominal)).min(self.settings.overload_after as f64);
         if (self.now.saturating_sub(s.sent_at) as f64) < apart {
             return 0.0;
         }
         bears * self.unpicked()
     }
 
-    /// How long this relay has picked nobody, but no longer than about the time in which a server falls over:
+    /// How long this node has picked nobody, but no longer than about the time in which a server falls over:
     /// a cold server may have what it bears in that time, however many requests come after one another.
     fn unpicked(&self) -> f64 {
-        let most = self.settings.tip_after.max(2 * self.fleet.gap(self.requests.len(), Some(1.0))).max(1);
+        let most =
+            self.settings.overload_after.max(2 * self.fleet.gap(self.requests.len(), Some(1.0))).max(1);
         self.now.saturating_sub(self.picked_at).min(most) as f64
     }
 
     // ---- Discovery -----------------------------------------------------------------------------
 
-    fn members(&mut self, kind: ListKind, members: Vec<Member>, out: Out) {
+    fn members(&mut self, kind: ListKind, members: Vec<Endpoint>, out: Out) {
         if kind == ListKind::Failed {
             if self.subscribed {
                 out.push(log("the server list is lost: keeping the last"));
@@ -621,7 +629,7 @@
             return self.ask_later(out);
         }
         if matches!(kind, ListKind::Saved | ListKind::Full) {
-            self.servers.iter_mut().for_each(|s| s.status = Status::Gone);
+            self.servers.iter_mut().for_each(|s| s.status = Status::Removed);
         }
         self.servers.iter_mut().for_each(|s| s.trust.confirmed());
         for m in members {
@@ -630,12 +638,12 @@
                 self.servers.resize_with(at + 1, Server::default);
             }
             let s = &mut self.servers[at];
-            let new = m.born != s.born;
+            let new = m.started_at != s.started_at;
             s.broken = if new { 0.0 } else { s.broken };
             s.trust.named(kind == ListKind::Saved, new);
             s.nominal = if m.nominal.is_finite() && m.nominal > 0.0 { m.nominal } else { 1.0 };
             (s.tag, s.zone, s.cell) = (m.tag, m.zone, m.cell);
-            (s.born, s.status) = (m.born, m.status);
+            (s.started_at, s.status) = (m.started_at, m.status);
         }
         let serving = |at: &usize| self.servers[*at].status == Status::Serving;
         self.ready = (0..self.servers.len()).filter(serving).map(|at| ServerId(at as u32)).collect();
@@ -648,10 +656,10 @@
     }
 
     fn ask_later(&mut self, out: Out) {
-        let Some(limit) = asking::again_within(&self.settings, self.list_calls) else { return };
+        let Some(limit) = poll_backoff::again_within(&self.settings, self.list_calls) else { return };
         self.list_timer += 1;
         self.list_calls += 1;
-        out.push(Action::Timer { after: below(self.rng.next_u64(), limit), token: self.list_timer });
+        out.push(Action::SetTimer { after: below(self.rng.next_u64(), limit), token: self.list_timer });
     }
 }
 
--- a/src/budgets.rs
+++ b/src/quota/mod.rs
@@ -1,14 +1,16 @@
 //! The fleet's budgets at this node: the file (`--fleet`, `docs/BUDGETS.md`), and what a request passes.
 
-use crate::interface::Nanos;
-use sparbank_shares::{Answer, Ask, Gate, Holder, HolderId, Limits, Party, Plan, Reading, Refusal, Use};
+pub mod transport;
+
+use crate::vocabulary::Nanos;
+use sparbank_quota::{Answer, Ask, Gate, Holder, HolderId, Limits, Party, Plan, Reading, Refusal, Use};
 use std::path::Path;
 
 /// Reads and checks the file. The error is one line that names the file and the field.
 pub fn read(path: &Path) -> Result<Plan, String> {
     let at = |problem: String| format!("{}: {problem}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
-    let plan: Plan = crate::wire::parse(&text).map_err(at)?;
+    let plan: Plan = crate::config::json::parse(&text).map_err(at)?;
     plan.check().map_err(|e| at(format!("field {e}")))?;
     Ok(plan)
 }
@@ -42,7 +44,7 @@
 }
 
 /// This node's parts, and the ways of its classes' requests into them.
-pub struct Budgets {
+pub struct QuotaAdmission {
     plan: Plan,
     holder: Holder,
     gate: Gate,
@@ -52,13 +54,13 @@
     most_wait: Nanos,
 }
 
-impl Budgets {
+impl QuotaAdmission {
     /// Floors alone until the first answer. `start` tells this start of the seat from others.
-    pub fn new(plan: Plan, seat: usize, now: Nanos, classes: &[String], most_wait: Nanos) -> Budgets {
+    pub fn new(plan: Plan, seat: usize, now: Nanos, classes: &[String], most_wait: Nanos) -> QuotaAdmission {
         let id = HolderId { seat: seat as u16, start: now };
         let gate = Gate::new(&plan, &[String::new()], classes);
         let parties = classes.iter().map(|class| gate.party("", class)).collect();
-        Budgets { holder: Holder::new(id, plan.clone(), now), plan, gate, parties, most_wait }
+        QuotaAdmission { holder: Holder::new(id, plan.clone(), now), plan, gate, parties, most_wait }
     }
 
     fn told(&self, refusal: Refusal) -> Nanos {
--- a/src/fleet_talk.rs
+++ b/src/quota/transport.rs
@@ -4,11 +4,11 @@
 //! sign-in and no TLS: the address belongs on a network of the nodes' own. What comes is bounded in length and
 //! number; whatever cannot be read ends its connection and changes nothing.
 
-use crate::budgets::Budgets;
-use crate::interface::Nanos;
 use crate::net::{Kind, Net, Notice, Owner, Token};
+use crate::quota::QuotaAdmission;
+use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
-use sparbank_shares::{Answer, Ask, Batch, Book, Granter, HolderId, Plan};
+use sparbank_quota::{Answer, Ask, Batch, Book, Granter, HolderId, Plan};
 use std::collections::{BTreeMap, HashMap};
 use std::io;
 use std::net::SocketAddr;
@@ -41,7 +41,7 @@
 }
 
 /// One node's end of the talk.
-pub struct FleetTalk {
+pub struct LeaseTransport {
     grantor: SocketAddr,
     link: Option<Token>,
     dialed_at: Nanos,
@@ -75,9 +75,9 @@
     }
 }
 
-impl FleetTalk {
+impl LeaseTransport {
     /// Listens at this seat's address, which makes the seat this process's own; grants, if it is the grantor's.
-    pub fn open(net: &mut Net, plan: &Plan, seat: usize, now: Nanos) -> io::Result<FleetTalk> {
+    pub fn open(net: &mut Net, plan: &Plan, seat: usize, now: Nanos) -> io::Result<LeaseTransport> {
         let at = plan.seats[seat].address;
         let grantor = plan.seats.iter().find(|s| plan.grantors.contains(&s.name)).map_or(at, |s| s.address);
         let grants = (grantor == at).then(|| Grants {
@@ -86,10 +86,10 @@
             asks: BTreeMap::new(),
         });
         // Nobody has a reason to call others than the grantor.
-        net.listen_reserved(at, Owner::Fleet, if grants.is_some() { plan.seats.len() } else { 1 })?;
+        net.listen_reserved(at, Owner::Quota, if grants.is_some() { plan.seats.len() } else { 1 })?;
         let most_frame = MOST_HEAD + MOST_BUDGET * plan.budgets.len();
         let (callers, counts) = (HashMap::new(), Counts::default());
-        Ok(FleetTalk {
+        Ok(LeaseTransport {
             grantor,
             link: None,
             dialed_at: 0,
@@ -112,7 +112,7 @@
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, now: Nanos, net: &mut Net, budgets: &mut Budgets, notice: Notice) {
+    pub fn notice(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, notice: Notice) {
         let token = notice.token;
         match notice.kind {
             Kind::Accepted => {
@@ -121,7 +121,7 @@
             }
             Kind::Evicted => self.forget(token),
             Kind::Broken(_) | Kind::Overdue => self.end(net, token),
-            Kind::Readable | Kind::Drained => self.read(now, net, budgets, token),
+            Kind::Readable | Kind::Drained => self.read(now, net, quotas, token),
         }
     }
 
@@ -135,7 +135,7 @@
         net.close(token);
     }
 
-    fn read(&mut self, now: Nanos, net: &mut Net, budgets: &mut Budgets, token: Token) {
+    fn read(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, token: Token) {
         let at_end = net.at_end(token);
         let mut messages = Vec::new();
         let Some(input) = net.input(token) else { return };
@@ -151,7 +151,7 @@
             *since = rest.then_some(since.filter(|_| messages.is_empty()).unwrap_or(now));
         }
         for message in messages {
-            self.heard(now, budgets, token, message);
+            self.heard(now, quotas, token, message);
         }
         self.counts.unread += u64::from(!whole);
         if at_end || !whole {
@@ -161,21 +161,21 @@
         }
     }
 
-    fn heard(&mut self, now: Nanos, budgets: &mut Budgets, token: Token, message: Message) {
+    fn heard(&mut self, now: Nanos, quotas: &mut QuotaAdmission, token: Token, message: Message) {
         match (message, &mut self.grants) {
             (Message::Ask(ask), Some(grants)) if grants.granter.book().fits(&ask) => {
                 grants.take(Some(token), ask)
             }
             (Message::Answer(answer), _) if self.link == Some(token) => {
-                self.counts.answers += u64::from(budgets.answered(now, &answer));
+                self.counts.answers += u64::from(quotas.answered(now, &answer));
             }
             _ => self.counts.unread += 1,
         }
     }
 
     /// The next turn: this node's ask if it is due, and what a grantor writes. Gives a line for the people on call.
-    pub fn turn(&mut self, now: Nanos, net: &mut Net, budgets: &mut Budgets) -> Option<&'static str> {
-        if let Some(ask) = budgets.ask(now) {
+    pub fn turn(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission) -> Option<&'static str> {
+        if let Some(ask) = quotas.ask(now) {
             self.counts.asks += 1;
             match &mut self.grants {
                 Some(grants) => grants.take(None, ask),
@@ -189,8 +189,8 @@
             self.counts.unread += 1;
             self.end(net, token);
         }
-        self.write(now, net, budgets);
-        let leased = budgets.lease_left(now) > 0;
+        self.write(now, net, quotas);
+        let leased = quotas.lease_left(now) > 0;
         match (std::mem::replace(&mut self.leased, leased), leased) {
             (false, true) => Some("budgets-leased"),
             (true, false) => {
@@ -200,7 +200,7 @@
         }
     }
 
-    fn write(&mut self, now: Nanos, net: &mut Net, budgets: &mut Budgets) {
+    fn write(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission) {
         let Some(grants) = &mut self.grants else { return };
         let taken = std::mem::take(&mut grants.asks);
         if now < grants.from {
@@ -220,7 +220,7 @@
                 Some(Some(token)) if self.callers.contains_key(token) => {
                     send(net, *token, &Message::Answer(answer));
                 }
-                Some(None) => self.counts.answers += u64::from(budgets.answered(now, &answer)),
+                Some(None) => self.counts.answers += u64::from(quotas.answered(now, &answer)),
                 _ => {}
             }
         }
@@ -233,7 +233,7 @@
         }
         if self.link.is_none() && now.saturating_sub(self.dialed_at) >= DIAL_EVERY {
             self.dialed_at = now;
-            self.link = net.connect(self.grantor, Owner::Fleet).ok();
+            self.link = net.connect(self.grantor, Owner::Quota).ok();
             if let Some(link) = self.link {
                 net.read_ahead(link, 4 + self.most_frame);
             }
@@ -278,7 +278,7 @@
 
     #[test]
     fn frames_are_whole_bounded_and_of_this_version() {
-        let holder = sparbank_shares::HolderId { seat: 1, start: 2 };
+        let holder = sparbank_quota::HolderId { seat: 1, start: 2 };
         let (number, layout, keep, want, leaves) = (3, 4, vec![5, 6], vec![7, 8], false);
         let ask = Ask { holder, number, layout, keep, want, leaves };
         let body = postcard::to_stdvec(&Message::Ask(ask.clone())).expect("it is written");
@@ -295,7 +295,7 @@
         assert!(two.is_empty());
         assert!(frame(&mut bytes.clone(), body.len()).is_err(), "longer than any of the plan");
         let most = vec![u64::MAX; 7];
-        let holder = sparbank_shares::HolderId { seat: u16::MAX, start: u64::MAX };
+        let holder = sparbank_quota::HolderId { seat: u16::MAX, start: u64::MAX };
         let (number, layout) = (u64::MAX, u64::MAX);
         let longest = Ask { holder, number, layout, keep: most.clone(), want: most, leaves: true };
         let longest = postcard::to_stdvec(&Message::Ask(longest)).expect("it is written");
--- a/src/core.rs
+++ b/src/requests/mod.rs
@@ -1,18 +1,18 @@
-//! Transactions and their routed tasks, on no wire in particular.
+//! Requests and their attempts, on no wire in particular.
 //!
 //! Fronts report what happened; the events wait until [`Core::decide`] hands them to the balancer in
-//! one go. A transaction is in the map only while it may still be answered or ended, and its state
-//! holds at most one routed task: a second answer finds no transaction, a second attempt no room.
+//! one go. A request is in the map only while it may still be answered or ended, and its state
+//! holds at most one attempt: a second answer finds no request, a second attempt no room.
 
-use crate::balance::Balancer;
-use crate::budgets::Budgets;
 use crate::counters::Counters;
-use crate::interface::*;
+use crate::policy::Balancer;
+use crate::quota::QuotaAdmission;
+use crate::vocabulary::*;
 use std::collections::HashMap;
 
 type Map<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
 
-/// Which front a transaction came through.
+/// Which front a request came through.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontId {
     /// Its place among the fronts.
@@ -24,21 +24,21 @@
 /// What the node has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Start the one routed task of a transaction, for at most this long.
-    Start { front: FrontId, txn: RequestId, region: ServerId, wait: Nanos },
-    /// Stop the routed task of a transaction: its time is up or it was recalled.
-    Stop { front: FrontId, txn: RequestId },
+    /// Start the one attempt of a request, for at most this long.
+    StartAttempt { front: FrontId, request_id: RequestId, server: ServerId, wait: Nanos },
+    /// Stop the attempt of a request: its time is up or it was recalled.
+    CancelAttempt { front: FrontId, request_id: RequestId },
     /// The final answer: refused, come again after this.
-    Refuse { front: FrontId, txn: RequestId, cool_down: Nanos },
+    Reject { front: FrontId, request_id: RequestId, cool_down: Nanos },
     /// The final answer: failed.
-    Fail { front: FrontId, txn: RequestId },
-    /// Ask the terminal of a standing connection to come again.
-    Move { front: FrontId, txn: RequestId },
-    /// Ask a region for its load report: the balancer hears of it as [`Event::Probed`].
-    Probe { region: ServerId },
+    Fail { front: FrontId, request_id: RequestId },
+    /// Ask the client of a standing connection to come again.
+    Migrate { front: FrontId, request_id: RequestId },
+    /// Ask a server for its load report: the balancer hears of it as [`Event::HealthCheckResult`].
+    HealthCheck { server: ServerId },
     /// Wake the balancer.
     Timer { after: Nanos, token: u64 },
-    /// Start a watch on the service table.
+    /// Start a watch on the endpoint registry.
     Subscribe,
     /// A line for the people on call.
     Log(String),
@@ -46,20 +46,20 @@
 
 #[derive(Clone, Copy)]
 enum State {
-    /// No routed task is out.
+    /// No attempt is out.
     Waiting,
     /// One is out, since then.
-    Trying { region: ServerId, since: Nanos, shot: u32 },
+    Trying { server: ServerId, since: Nanos, attempt: u32 },
     /// It stands.
-    Up { region: ServerId },
+    Up { server: ServerId },
 }
 
-struct Transaction {
+struct Request {
     front: FrontId,
     class: usize,
     began: Nanos,
     deadline: Nanos,
-    shots: u32,
+    attempts: u32,
     state: State,
     /// It has its part of the fleet's budgets, until it is over.
     counted: bool,
@@ -68,10 +68,10 @@
 /// A flow that ended, as it is exported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
-    pub txn: RequestId,
+    pub request_id: RequestId,
     pub front: FrontId,
     pub class: usize,
-    pub region: Option<ServerId>,
+    pub server: Option<ServerId>,
     pub began: Nanos,
     pub ended: Nanos,
     pub attempts: u32,
@@ -90,47 +90,47 @@
 }
 
 /// The core.
-pub struct Core {
+pub struct RequestTable {
     balancer: Balancer,
-    transactions: Map<RequestId, Transaction>,
+    requests: Map<RequestId, Request>,
     next: u64,
     inbox: Vec<Event>,
     /// The fleet's budgets, where there are any.
-    pub budgets: Option<Budgets>,
+    pub quotas: Option<QuotaAdmission>,
     /// What they turned away since the last turn, and when it may come again.
     turned_away: Vec<(RequestId, Nanos)>,
     /// Flows that ended, where they are to be exported.
     pub flows: Option<Vec<Flow>>,
     pub counters: Counters,
-    /// How routed tasks ended or came to stand, where that is logged.
+    /// How attempts ended or came to stand, where that is logged.
     pub trace: Trace,
 }
 
-/// What became of routed tasks, gathered between two turns of the loop; empty unless it is on.
+/// What became of attempts, gathered between two turns of the loop; empty unless it is on.
 #[derive(Default)]
 pub struct Trace {
     /// Whether it is gathered.
     pub on: bool,
-    /// The transaction, its region, how the task ended (none: it stands now), and since when it was out.
+    /// The request, its server, how the task ended (none: it stands now), and since when it was out.
     pub tasks: Vec<(RequestId, ServerId, Option<Outcome>, Nanos)>,
 }
 
 impl Trace {
-    fn task(&mut self, id: RequestId, region: ServerId, outcome: Option<Outcome>, waited: Nanos) {
+    fn task(&mut self, id: RequestId, server: ServerId, outcome: Option<Outcome>, waited: Nanos) {
         if self.on {
-            self.tasks.push((id, region, outcome, waited));
+            self.tasks.push((id, server, outcome, waited));
         }
     }
 }
 
-impl Core {
-    pub fn new(seed: u64, settings: Settings) -> Result<Core, SettingsError> {
-        Ok(Core {
+impl RequestTable {
+    pub fn new(seed: u64, settings: Settings) -> Result<RequestTable, SettingsError> {
+        Ok(RequestTable {
             balancer: Balancer::new(seed, settings)?,
-            transactions: Map::default(),
+            requests: Map::default(),
             next: 0,
             inbox: Vec::new(),
-            budgets: None,
+            quotas: None,
             turned_away: Vec::new(),
             flows: None,
             counters: Counters::default(),
@@ -148,8 +148,8 @@
         arrival.id = RequestId(self.next);
         let deadline = now.saturating_add(arrival.grace);
         let (class, began) = (arrival.class, now);
-        let transaction = Transaction { front, class, began, deadline, shots: 0, state, counted: false };
-        self.transactions.insert(arrival.id, transaction);
+        let request = Request { front, class, began, deadline, attempts: 0, state, counted: false };
+        self.requests.insert(arrival.id, request);
         arrival.id
     }
 
@@ -163,11 +163,11 @@
         self.balancer.learn(learned)
     }
 
-    /// A transaction comes in; its id is dealt here.
+    /// A request comes in; its id is dealt here.
     pub fn arrive(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
         self.counters.taken += 1;
         let id = self.admit(now, front, &mut arrival, State::Waiting);
-        match self.budgets.as_mut().map(|budgets| budgets.first(now, arrival.class)) {
+        match self.quotas.as_mut().map(|quotas| quotas.first(now, arrival.class)) {
             Some(Err(wait)) => {
                 self.turned_away.push((id, wait));
                 return id;
@@ -180,56 +180,56 @@
     }
 
     /// A connection that stood before this node started stands again: no placement.
-    pub fn resume(&mut self, now: Nanos, front: FrontId, arrival: Arrival, region: ServerId) -> RequestId {
+    pub fn resume(&mut self, now: Nanos, front: FrontId, arrival: Arrival, server: ServerId) -> RequestId {
         self.counters.resumed += 1;
-        self.stands(now, front, arrival, region)
+        self.stands(now, front, arrival, server)
     }
 
-    fn stands(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival, region: ServerId) -> RequestId {
-        let id = self.admit(now, front, &mut arrival, State::Up { region });
-        if let Some(budgets) = &mut self.budgets {
-            budgets.stands(arrival.class);
+    fn stands(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival, server: ServerId) -> RequestId {
+        let id = self.admit(now, front, &mut arrival, State::Up { server });
+        if let Some(quotas) = &mut self.quotas {
+            quotas.stands(arrival.class);
             self.counts(id);
         }
-        self.inbox.push(Event::Resumed(arrival, region));
+        self.inbox.push(Event::Resumed(arrival, server));
         id
     }
 
     fn counts(&mut self, id: RequestId) {
-        if let Some(t) = self.transactions.get_mut(&id) {
+        if let Some(t) = self.requests.get_mut(&id) {
             t.counted = true;
         }
     }
 
     /// What has to end since the fleet's budgets no longer bear it: the newest connections first.
     pub fn shed(&mut self, now: Nanos) -> Vec<Command> {
-        let Some(budgets) = &mut self.budgets else { return Vec::new() };
-        if !budgets.is_over(now) {
+        let Some(quotas) = &mut self.quotas else { return Vec::new() };
+        if !quotas.is_over(now) {
             return Vec::new();
         }
-        let up = |(id, t): (&RequestId, &Transaction)| {
+        let up = |(id, t): (&RequestId, &Request)| {
             (t.counted && matches!(t.state, State::Up { .. })).then_some((*id, t.class, t.front))
         };
-        let mut newest: Vec<_> = self.transactions.iter().filter_map(up).collect();
+        let mut newest: Vec<_> = self.requests.iter().filter_map(up).collect();
         newest.sort_unstable_by_key(|(id, ..)| std::cmp::Reverse(*id));
-        let ends = budgets.excess(now, newest.iter().map(|(_, class, _)| *class));
+        let ends = quotas.excess(now, newest.iter().map(|(_, class, _)| *class));
         let mut commands = Vec::new();
-        for ((txn, _, front), _) in newest.into_iter().zip(ends).filter(|(_, ends)| *ends) {
-            self.moved(now, txn, Outcome::Cancelled);
+        for ((request_id, _, front), _) in newest.into_iter().zip(ends).filter(|(_, ends)| *ends) {
+            self.moved(now, request_id, Outcome::Cancelled);
             self.counters.budget_moved += 1;
-            commands.push(Command::Move { front, txn });
+            commands.push(Command::Migrate { front, request_id });
         }
         commands
     }
 
     /// A standing connection goes on in another process. Gives when it began, for a record of the whole of it.
     pub fn passed_on(&mut self, id: RequestId) -> Option<Nanos> {
-        let State::Up { region: server } = self.transactions.get(&id)?.state else { return None };
-        let gone = self.transactions.remove(&id)?;
+        let State::Up { server } = self.requests.get(&id)?.state else { return None };
+        let gone = self.requests.remove(&id)?;
         let began = gone.began;
         self.uncount(&gone);
         self.counters.passed_on += 1;
-        self.inbox.push(Event::Response { id, server, outcome: Outcome::Cancelled, done: true });
+        self.inbox.push(Event::AttemptEnded { id, server, outcome: Outcome::Cancelled, done: true });
         Some(began)
     }
 
@@ -239,25 +239,25 @@
         (now, began): (Nanos, Nanos),
         front: FrontId,
         arrival: Arrival,
-        region: ServerId,
+        server: ServerId,
         load: Option<Nanos>,
     ) -> RequestId {
         self.counters.taken_over += 1;
-        let id = self.stands(now, front, arrival, region);
-        if let Some(t) = self.transactions.get_mut(&id) {
+        let id = self.stands(now, front, arrival, server);
+        if let Some(t) = self.requests.get_mut(&id) {
             t.began = began;
         }
         if let Some(cost) = load {
-            self.inbox.push(Event::LoadNote { id, cost });
+            self.inbox.push(Event::LoadReport { id, cost });
         }
         id
     }
 
-    /// The routed task stands: from here on the terminal has its answer.
+    /// The attempt stands: from here on the client has its answer.
     pub fn up(&mut self, now: Nanos, id: RequestId) {
-        let Some(t) = self.transactions.get_mut(&id) else { return };
-        let State::Trying { region: server, since, .. } = t.state else { return };
-        t.state = State::Up { region: server };
+        let Some(t) = self.requests.get_mut(&id) else { return };
+        let State::Trying { server, since, .. } = t.state else { return };
+        t.state = State::Up { server };
         self.counters.up += 1;
         self.counters.served += 1;
         let waited = now.saturating_sub(since);
@@ -265,20 +265,20 @@
         self.inbox.push(Event::Established { id, server, waited });
     }
 
-    /// The routed task, or the connection that it became, is over. True if that was the final answer.
+    /// The attempt, or the connection that it became, is over. True if that was the final answer.
     pub fn task_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
-        let Some(t) = self.transactions.get_mut(&id) else { return false };
+        let Some(t) = self.requests.get_mut(&id) else { return false };
         let (server, done) = match t.state {
             State::Waiting => return false,
-            State::Trying { region, since, .. } => {
+            State::Trying { server, since, .. } => {
                 t.state = State::Waiting;
                 self.counters.task(outcome);
-                self.trace.task(id, region, Some(outcome), now.saturating_sub(since));
-                (region, outcome == Outcome::Ok)
+                self.trace.task(id, server, Some(outcome), now.saturating_sub(since));
+                (server, outcome == Outcome::Ok)
             }
-            State::Up { region } => {
-                self.trace.task(id, region, Some(outcome), now.saturating_sub(t.began));
-                (region, true)
+            State::Up { server } => {
+                self.trace.task(id, server, Some(outcome), now.saturating_sub(t.began));
+                (server, true)
             }
         };
         if done {
@@ -294,19 +294,19 @@
             self.counters.ended += 1;
             self.finish(now, id, Some(server), result);
         }
-        self.inbox.push(Event::Response { id, server, outcome, done });
+        self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
         done
     }
 
-    /// The routed task is over and the item cannot be sent again: its front no longer holds what it would
+    /// The attempt is over and the item cannot be sent again: its front no longer holds what it would
     /// send. That is the final answer, failed; true if it was still owed.
     pub fn spent(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
-        let Some(t) = self.transactions.get(&id) else { return false };
-        let State::Trying { region: server, .. } = t.state else { return false };
+        let Some(t) = self.requests.get(&id) else { return false };
+        let State::Trying { server, .. } = t.state else { return false };
         self.counters.task(outcome);
         self.counters.failed += 1;
-        self.inbox.push(Event::Vanished(id));
-        self.inbox.push(Event::Response { id, server, outcome, done: true });
+        self.inbox.push(Event::ClientDisconnected(id));
+        self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
         self.finish(now, id, Some(server), FlowResult::Failed);
         true
     }
@@ -316,26 +316,26 @@
         !self.inbox.is_empty() || !self.turned_away.is_empty()
     }
 
-    /// The terminal left; the front has dropped the routed task, if one was out.
+    /// The client left; the front has dropped the attempt, if one was out.
     pub fn left(&mut self, now: Nanos, id: RequestId) {
-        let Some(t) = self.transactions.get(&id) else { return };
+        let Some(t) = self.requests.get(&id) else { return };
         let (outcome, done) = (Outcome::Cancelled, true);
         match t.state {
             State::Waiting => {
                 self.counters.left += 1;
-                self.inbox.push(Event::Vanished(id));
+                self.inbox.push(Event::ClientDisconnected(id));
                 self.finish(now, id, None, FlowResult::Left);
             }
-            State::Trying { region: server, .. } => {
+            State::Trying { server, .. } => {
                 self.counters.left += 1;
                 self.counters.task(outcome);
-                self.inbox.push(Event::Vanished(id));
-                self.inbox.push(Event::Response { id, server, outcome, done });
+                self.inbox.push(Event::ClientDisconnected(id));
+                self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                 self.finish(now, id, Some(server), FlowResult::Left);
             }
-            State::Up { region: server } => {
+            State::Up { server } => {
                 self.counters.ended += 1;
-                self.inbox.push(Event::Response { id, server, outcome, done });
+                self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                 self.finish(now, id, Some(server), FlowResult::Served);
             }
         }
@@ -344,40 +344,39 @@
     /// The node ends or is drained: what came before a time and still waits for an answer gets one, and it
     /// promises nothing.
     pub fn abandon(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
-        let waiting = |t: &Transaction| !matches!(t.state, State::Up { .. }) && t.began < before;
-        let mut ids: Vec<_> =
-            self.transactions.iter().filter(|(_, t)| waiting(t)).map(|(id, _)| *id).collect();
+        let waiting = |t: &Request| !matches!(t.state, State::Up { .. }) && t.began < before;
+        let mut ids: Vec<_> = self.requests.iter().filter(|(_, t)| waiting(t)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
         let mut commands = Vec::new();
         for id in ids {
-            let Some(t) = self.transactions.get(&id) else { continue };
+            let Some(t) = self.requests.get(&id) else { continue };
             let front = t.front;
-            if let State::Trying { region: server, .. } = t.state {
-                commands.push(Command::Stop { front, txn: id });
+            if let State::Trying { server, .. } = t.state {
+                commands.push(Command::CancelAttempt { front, request_id: id });
                 self.counters.task(Outcome::Cancelled);
-                self.inbox.push(Event::Vanished(id));
+                self.inbox.push(Event::ClientDisconnected(id));
                 let (outcome, done) = (Outcome::Cancelled, true);
-                self.inbox.push(Event::Response { id, server, outcome, done });
+                self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
             } else {
-                self.inbox.push(Event::Vanished(id));
+                self.inbox.push(Event::ClientDisconnected(id));
             }
             self.counters.failed += 1;
             self.finish(now, id, None, FlowResult::Failed);
-            commands.push(Command::Fail { front, txn: id });
+            commands.push(Command::Fail { front, request_id: id });
         }
         commands
     }
 
-    /// The node itself moves a standing connection: it leaves, or the region went silent. Gives the front
-    /// that has to tell the terminal.
+    /// The node itself moves a standing connection: it leaves, or the server went silent. Gives the front
+    /// that has to tell the client.
     pub fn moved(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
-        let t = self.transactions.get(&id)?;
-        let State::Up { region: server } = t.state else { return None };
+        let t = self.requests.get(&id)?;
+        let State::Up { server } = t.state else { return None };
         let front = t.front;
         self.counters.moved += 1;
         self.trace.task(id, server, Some(outcome), now.saturating_sub(t.began));
         self.finish(now, id, Some(server), FlowResult::Moved);
-        self.inbox.push(Event::Response { id, server, outcome, done: true });
+        self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
         Some(front)
     }
 
@@ -386,40 +385,40 @@
         self.inbox.push(event);
     }
 
-    /// The time-out of a routed task has come: says whether that very task is still out, and where.
-    pub fn is_out(&self, id: RequestId, shot: u32) -> Option<FrontId> {
-        let t = self.transactions.get(&id)?;
-        matches!(t.state, State::Trying { shot: out, .. } if out == shot).then_some(t.front)
+    /// The time-out of an attempt has come: says whether that very task is still out, and where.
+    pub fn is_out(&self, id: RequestId, attempt: u32) -> Option<FrontId> {
+        let t = self.requests.get(&id)?;
+        matches!(t.state, State::Trying { attempt: out, .. } if out == attempt).then_some(t.front)
     }
 
-    /// The number of the latest routed task, for its time-out.
-    pub fn shot(&self, id: RequestId) -> u32 {
-        self.transactions.get(&id).map_or(0, |t| t.shots)
+    /// The number of the latest attempt, for its time-out.
+    pub fn attempt(&self, id: RequestId) -> u32 {
+        self.requests.get(&id).map_or(0, |t| t.attempts)
     }
 
-    /// Transactions that stand, oldest first.
+    /// Requests that stand, oldest first.
     pub fn standing(&self) -> Vec<RequestId> {
-        let up = |(id, t): (&RequestId, &Transaction)| matches!(t.state, State::Up { .. }).then_some(*id);
-        let mut standing: Vec<_> = self.transactions.iter().filter_map(up).collect();
+        let up = |(id, t): (&RequestId, &Request)| matches!(t.state, State::Up { .. }).then_some(*id);
+        let mut standing: Vec<_> = self.requests.iter().filter_map(up).collect();
         standing.sort_unstable();
         standing
     }
 
     /// Whether nothing is open any more.
     pub fn is_idle(&self) -> bool {
-        self.transactions.is_empty()
+        self.requests.is_empty()
     }
 
     /// Hands the balancer all that was reported and says what it wants done.
     pub fn decide(&mut self, now: Nanos) -> Vec<Command> {
         let mut commands = Vec::new();
         let mut actions = Vec::new();
-        for (txn, cool_down) in std::mem::take(&mut self.turned_away) {
-            if let Some(front) = self.answer(now, txn, FlowResult::Refused) {
+        for (request_id, cool_down) in std::mem::take(&mut self.turned_away) {
+            if let Some(front) = self.answer(now, request_id, FlowResult::Refused) {
                 self.counters.refused += 1;
                 self.counters.refused_unsent += 1;
                 self.counters.budget_refused += 1;
-                commands.push(Command::Refuse { front, txn, cool_down });
+                commands.push(Command::Reject { front, request_id, cool_down });
             }
         }
         while !self.inbox.is_empty() {
@@ -435,59 +434,58 @@
 
     fn carry_out(&mut self, now: Nanos, action: Action) -> Option<Command> {
         match action {
-            Action::Try { id, server, give_up } => {
-                let Some(t) = self.transactions.get_mut(&id).filter(|t| matches!(t.state, State::Waiting))
-                else {
-                    let (outcome, done) = (Outcome::Moot, true);
-                    self.inbox.push(Event::Response { id, server, outcome, done });
+            Action::StartAttempt { id, server, give_up } => {
+                let Some(t) = self.requests.get_mut(&id).filter(|t| matches!(t.state, State::Waiting)) else {
+                    let (outcome, done) = (Outcome::NotSent, true);
+                    self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                     return None;
                 };
                 let class = t.class;
-                let retry = t.shots > 0;
-                if self.budgets.as_mut().is_some_and(|b| retry && b.again(now, class).is_err()) {
-                    let (outcome, done) = (Outcome::Full, false);
+                let retry = t.attempts > 0;
+                if self.quotas.as_mut().is_some_and(|b| retry && b.again(now, class).is_err()) {
+                    let (outcome, done) = (Outcome::Rejected, false);
                     self.counters.budget_refused += 1;
-                    self.inbox.push(Event::Response { id, server, outcome, done });
+                    self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                     return None;
                 }
-                t.shots += 1;
-                t.state = State::Trying { region: server, since: now, shot: t.shots };
+                t.attempts += 1;
+                t.state = State::Trying { server, since: now, attempt: t.attempts };
                 self.counters.sent += 1;
                 let wait = give_up.min(t.deadline.saturating_sub(now));
-                Some(Command::Start { front: t.front, txn: id, region: server, wait })
+                Some(Command::StartAttempt { front: t.front, request_id: id, server, wait })
             }
-            Action::Recall { id, .. } => {
-                let front = self.transactions.get(&id)?.front;
+            Action::CancelAttempt { id, .. } => {
+                let front = self.requests.get(&id)?.front;
                 self.task_ended(now, id, Outcome::Cancelled);
-                Some(Command::Stop { front, txn: id })
+                Some(Command::CancelAttempt { front, request_id: id })
             }
-            Action::Decline { id, cool_down } => {
-                let unsent = self.transactions.get(&id).is_some_and(|t| t.shots == 0);
+            Action::Reject { id, cool_down } => {
+                let unsent = self.requests.get(&id).is_some_and(|t| t.attempts == 0);
                 let front = self.answer(now, id, FlowResult::Refused)?;
                 self.counters.refused += 1;
                 self.counters.refused_unsent += u64::from(unsent);
-                Some(Command::Refuse { front, txn: id, cool_down })
+                Some(Command::Reject { front, request_id: id, cool_down })
             }
             Action::Fail(id) => {
                 let front = self.answer(now, id, FlowResult::Failed)?;
                 self.counters.failed += 1;
-                Some(Command::Fail { front, txn: id })
+                Some(Command::Fail { front, request_id: id })
             }
-            Action::GoAway(id) => {
-                let front = self.transactions.get(&id)?.front;
+            Action::Migrate(id) => {
+                let front = self.requests.get(&id)?.front;
                 self.moved(now, id, Outcome::Cancelled);
-                Some(Command::Move { front, txn: id })
+                Some(Command::Migrate { front, request_id: id })
             }
-            Action::Timer { after, token } => Some(Command::Timer { after, token }),
-            Action::Probe(region) => Some(Command::Probe { region }),
+            Action::SetTimer { after, token } => Some(Command::Timer { after, token }),
+            Action::HealthCheck(server) => Some(Command::HealthCheck { server }),
             Action::Subscribe => Some(Command::Subscribe),
             Action::Log(words) => Some(Command::Log(words)),
         }
     }
 
-    /// The final answer of a transaction that has no routed task out.
+    /// The final answer of a request that has no attempt out.
     fn answer(&mut self, now: Nanos, id: RequestId, result: FlowResult) -> Option<FrontId> {
-        let t = self.transactions.get(&id)?;
+        let t = self.requests.get(&id)?;
         if !matches!(t.state, State::Waiting) {
             return None;
         }
@@ -496,24 +494,24 @@
         Some(front)
     }
 
-    fn uncount(&mut self, gone: &Transaction) {
-        if let (Some(budgets), true) = (&mut self.budgets, gone.counted) {
-            budgets.over(gone.class);
+    fn uncount(&mut self, gone: &Request) {
+        if let (Some(quotas), true) = (&mut self.quotas, gone.counted) {
+            quotas.over(gone.class);
         }
     }
 
-    fn finish(&mut self, now: Nanos, id: RequestId, region: Option<ServerId>, result: FlowResult) {
-        let Some(t) = self.transactions.remove(&id) else { return };
+    fn finish(&mut self, now: Nanos, id: RequestId, server: Option<ServerId>, result: FlowResult) {
+        let Some(t) = self.requests.remove(&id) else { return };
         self.uncount(&t);
         if let Some(flows) = &mut self.flows {
             flows.push(Flow {
-                txn: id,
+                request_id: id,
                 front: t.front,
                 class: t.class,
-                region,
+                server,
                 began: t.began,
                 ended: now,
-                attempts: t.shots,
+                attempts: t.attempts,
                 result,
             });
         }
--- a/src/trust.rs
+++ b/src/resilience/outlier.rs
@@ -1,4 +1,4 @@
-//! How far a relay trusts an entry of the list, and how long it leaves one alone that failed.
+//! How far a node trusts an entry of the list, and how long it leaves one alone that failed.
 //!
 //! What a newer list confirmed, or what answered, is *sure*: its failures eject it for a Full Jitter time from
 //! about a second on. What only a saved list names is *unsure*, and may be long gone: while there are others it
@@ -6,9 +6,9 @@
 //! [`EJECT_CAP`], its second for longer than that. So within any `EJECT_CAP` it costs two attempts, and more only
 //! where all that may be sent to have one out. No clock, no random numbers, no I/O.
 
-use crate::interface::Nanos;
 use crate::random::below;
-use crate::returns::backoff;
+use crate::resilience::retry_admission::backoff;
+use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// Ejection starts at up to this and doubles: about the time of one noticed failure.
--- a/src/asking.rs
+++ b/src/resilience/poll_backoff.rs
@@ -1,7 +1,7 @@
-//! When a relay calls discovery again: the bound of its Full Jitter sleep. Arithmetic alone.
+//! When a node calls discovery again: the bound of its Full Jitter sleep. Arithmetic alone.
 
-use crate::interface::{Discovery, Nanos, Settings};
-use crate::returns::backoff;
+use crate::resilience::retry_admission::backoff;
+use crate::vocabulary::{Discovery, Nanos, Settings};
 
 /// A change counts as told 6 s after discovery had it and could be reached, whatever a failed call allowed: a call
 /// that is given up after 2 s, this long a sleep and the next call's answer fit into that.
@@ -14,9 +14,9 @@
 /// changes come unasked.
 pub fn again_within(settings: &Settings, calls: u32) -> Option<Nanos> {
     let (base, cap) = match settings.discovery {
-        Discovery::Unasked => return None,
-        Discovery::Agent => (AGENT_BASE, AGENT_CAP),
-        Discovery::Asked => (settings.ask_within / 16, settings.ask_within.min(ASKED_CAP)),
+        Discovery::Pushed => return None,
+        Discovery::LocalAgent => (AGENT_BASE, AGENT_CAP),
+        Discovery::Polled => (settings.poll_within / 16, settings.poll_within.min(ASKED_CAP)),
     };
     Some(backoff(base, cap, calls))
 }
--- a/src/returns.rs
+++ b/src/resilience/retry_admission.rs
@@ -1,22 +1,22 @@
 //! The turn of those that come again: returning clients, clients' repeats and attempts after one that failed.
 //!
 //! A new client's first attempt never waits here. The others share a window, which quick set-ups open and late
-//! or failed ones close: what is out at once is bounded, so a relay that knows nothing yet, as after a restart,
-//! begins with one. While set-ups fall short of the relay's part they also keep a gap, and whoever would wait
+//! or failed ones close: what is out at once is bounded, so a node that knows nothing yet, as after a restart,
+//! begins with one. While set-ups fall short of the node's part they also keep a gap, and whoever would wait
 //! longer for it than it can is told so at once. No clock, no random numbers, no I/O.
 
-use crate::interface::Nanos;
+use crate::vocabulary::Nanos;
 
 /// What a quick set-up adds to the window: doubled by two in a row.
 const EASES: f64 = 1.5;
-/// What a late set-up leaves of it, and what a failed one does: one may be its region's doing alone.
+/// What a late set-up leaves of it, and what a failed one does: one may be its server's doing alone.
 const LATE: f64 = 0.7;
 const FAILED: f64 = 0.5;
-/// The widest window: what a relay has out at once when all is well; the next late set-up halves it.
+/// The widest window: what a node has out at once when all is well; the next late set-up halves it.
 const WIDEST: f64 = 64.0;
-/// Below this the gap is kept, by as much less of the relay's part; two failures after a start bring it there.
+/// Below this the gap is kept, by as much less of the node's part; two failures after a start bring it there.
 const SHORT: f64 = 0.5;
-/// It closes no further: half the relay's part always goes.
+/// It closes no further: half the node's part always goes.
 const NARROWEST: f64 = 0.25;
 
 /// The window, and who is out and who waits.
@@ -96,7 +96,7 @@
         }
     }
 
-    /// The part of the relay's part that goes, where set-ups fall short.
+    /// The part of the node's part that goes, where set-ups fall short.
     pub fn part(&self) -> Option<f64> {
         self.short.then_some(self.width / SHORT)
     }
--- a/src/interface.rs
+++ b/src/vocabulary.rs
@@ -1,17 +1,17 @@
-//! What a relay tells the balancer and what the balancer answers: the whole public vocabulary.
+//! What a node tells the balancer and what the balancer answers: the whole public vocabulary.
 //!
-//! Times are nanoseconds on the relay's own clock. Nothing here decides anything.
+//! Times are nanoseconds on the node's own clock. Nothing here decides anything.
 
 use std::fmt;
 
 /// A moment or a span, in nanoseconds.
 pub type Nanos = u64;
 
-/// A client request, as numbered by the relay. Never reused. Below 2^62.
+/// A client request, as numbered by the node. Never reused. Below 2^62.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A server, numbered by the relay in the order in which it first heard of it.
+/// A server, numbered by the node in the order in which it first heard of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
@@ -42,11 +42,11 @@
 pub enum Discovery {
     /// Changes come unasked.
     #[default]
-    Unasked,
+    Pushed,
     /// An agent on this machine has what is pushed to it, and answers calls at once and at no cost.
-    Agent,
-    /// One service for all relays, which works through their calls one at a time.
-    Asked,
+    LocalAgent,
+    /// One service for all nodes, which works through their calls one at a time.
+    Polled,
 }
 
 /// A request class.
@@ -63,24 +63,24 @@
     /// For keyed classes: for how long after the first send that may have run.
     pub window: Nanos,
     /// What a request (or a second of its connection) is worth.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// A message on an open connection is wanted within this time.
-    pub message_aim: Option<Nanos>,
+    pub message_latency_objective: Option<Nanos>,
 }
 
 /// What an instance is told once, at its start.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Number of relays.
+    /// Number of nodes.
     pub instances: u32,
-    /// The zone of this relay.
+    /// The zone of this node.
     pub zone: u32,
     /// The request classes.
     pub classes: Vec<Class>,
     /// How the list of servers comes.
     pub discovery: Discovery,
     /// Worth counts by work rather than by request.
-    pub worth_by_work: bool,
+    pub weight_by_work: bool,
     /// Tries allowed for one request.
     pub max_attempts: u32,
     /// An attempt may be recalled.
@@ -88,21 +88,21 @@
     /// The longest advice to stay away that clients honour; zero where none is passed on.
     pub max_retry_after: Nanos,
     /// Where discovery is asked: an instance that has not asked for this long is deemed told.
-    pub ask_within: Nanos,
+    pub poll_within: Nanos,
     /// A connection that is not up after this has failed: an attempt's line goes out no later.
     pub dial_timeout: Nanos,
     /// A cold server begins at this fraction of its capacity.
-    pub cold_from: f64,
+    pub slow_start_floor: f64,
     /// A cold server is warm after this time.
-    pub cold_time: Nanos,
+    pub slow_start_duration: Nanos,
     /// A cold server sent more than this multiple of its present capacity falls over.
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// And it does so when that lasts this long.
-    pub tip_after: Nanos,
-    /// Connections that all relays together may hold within the tenants' shares; zero where it is not told.
-    pub quota_open: f64,
-    /// New connections a second that all relays together may get within the shares; zero where not told.
-    pub quota_rate: f64,
+    pub overload_after: Nanos,
+    /// Connections that all nodes together may hold within the tenants' shares; zero where it is not told.
+    pub quota_connections: f64,
+    /// New connections a second that all nodes together may get within the shares; zero where not told.
+    pub quota_setups_per_second: f64,
     /// A server may be probed, and its report tells the load asked of it over what it can do.
     pub probes: bool,
 }
@@ -133,15 +133,15 @@
     Draining,
     /// Removed, or not heard of.
     #[default]
-    Gone,
+    Removed,
 }
 
 /// One line of the list of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// The server.
     pub server: ServerId,
-    /// A number drawn from its name, the same at every relay.
+    /// A number drawn from its name, the same at every node.
     pub tag: u64,
     /// Its zone.
     pub zone: u32,
@@ -150,12 +150,12 @@
     /// Its size compared with others. Zero or less counts as one.
     pub nominal: f64,
     /// When its process last started; zero is long ago.
-    pub born: Nanos,
+    pub started_at: Nanos,
     /// Its state.
     pub status: Status,
 }
 
-/// What kind of list a [`Event::Members`] brings.
+/// What kind of list a [`Event::EndpointList`] brings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// The whole list as last held, perhaps stale.
@@ -176,7 +176,7 @@
     /// An error answer; it may have run. Also stands for codes that are not known.
     Error,
     /// Turned away unseen.
-    Full,
+    Rejected,
     /// No answer in time; it may have run.
     Timeout,
     /// No connection came about.
@@ -186,13 +186,13 @@
     /// Recalled, or the client left; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 impl Outcome {
     /// Whether this outcome proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+        matches!(self, Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent)
     }
 }
 
@@ -212,19 +212,19 @@
     /// Those that share work on a server: each server that holds any of them pays for that once.
     pub group: Option<u64>,
     /// The client comes again after a break or a move.
-    pub came_back: bool,
+    pub reconnect: bool,
     /// The client repeats a try that failed or was refused.
-    pub repeated: bool,
-    /// Packets of an open connection that another relay carried until now.
+    pub client_retry: bool,
+    /// Packets of an open connection that another node carried until now.
     pub rerouted: bool,
 }
 
-/// What a relay tells the balancer.
+/// What a node tells the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// A client's request.
     Request(Arrival),
-    /// A connection that already runs through this relay at its start.
+    /// A connection that already runs through this node at its start.
     Resumed(Arrival, ServerId),
     /// The connection stands.
     Established {
@@ -236,28 +236,28 @@
         waited: Nanos,
     },
     /// The load of an open connection is now this, in nanoseconds of work a second.
-    LoadNote {
+    LoadReport {
         /// The request.
         id: RequestId,
         /// Work a second.
         cost: Nanos,
     },
     /// What a probe found: the load asked of the server over what it can do, where it answered with that.
-    Probed {
+    HealthCheckResult {
         /// The server.
         server: ServerId,
         /// Load over capacity; None where the probe failed or the report lacks it.
         over: Option<f64>,
     },
     /// Messages at this server take this long.
-    DelayNote {
+    LatencyReport {
         /// The server.
         server: ServerId,
         /// What a message takes.
         delay: Nanos,
     },
     /// An attempt ended.
-    Response {
+    AttemptEnded {
         /// The request.
         id: RequestId,
         /// The server.
@@ -268,18 +268,18 @@
         done: bool,
     },
     /// The client left.
-    Vanished(RequestId),
-    /// A timer set by [`Action::Timer`] is due.
+    ClientDisconnected(RequestId),
+    /// A timer set by [`Action::SetTimer`] is due.
     Timer(u64),
     /// A list of servers, or the failure to get one.
-    Members(ListKind, Vec<Member>),
+    EndpointList(ListKind, Vec<Endpoint>),
 }
 
 /// What the balancer wants done, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
-    Try {
+    StartAttempt {
         /// The request.
         id: RequestId,
         /// The server.
@@ -288,14 +288,14 @@
         give_up: Nanos,
     },
     /// Stop waiting for an attempt.
-    Recall {
+    CancelAttempt {
         /// The request.
         id: RequestId,
         /// Number of the attempt.
-        shot: u32,
+        attempt: u32,
     },
     /// Final answer: refused, a further try does no harm.
-    Decline {
+    Reject {
         /// The request.
         id: RequestId,
         /// Advice to stay away, zero for none.
@@ -304,11 +304,11 @@
     /// Final answer: failed, nothing is promised.
     Fail(RequestId),
     /// End an open connection politely: the client comes again.
-    GoAway(RequestId),
-    /// Ask a server for its load, once: an [`Event::Probed`] follows.
-    Probe(ServerId),
+    Migrate(RequestId),
+    /// Ask a server for its load, once: an [`Event::HealthCheckResult`] follows.
+    HealthCheck(ServerId),
     /// Ask for an [`Event::Timer`] with this token.
-    Timer {
+    SetTimer {
         /// From now.
         after: Nanos,
         /// Returned as it is.
@@ -329,9 +329,9 @@
             (self.classes.iter().any(|c| c.hard_limit == 0), "hard_limit", "must be above zero"),
             (self.max_attempts == 0, "max_attempts", "must be at least one"),
             (self.instances == 0, "instances", "must be at least one"),
-            (!unit(self.cold_from), "cold_from", "must be a fraction"),
+            (!unit(self.slow_start_floor), "cold_from", "must be a fraction"),
             (
-                !(self.fall_multiple.is_finite() && self.fall_multiple > 0.0),
+                !(self.overload_multiple.is_finite() && self.overload_multiple > 0.0),
                 "fall_multiple",
                 "must be above zero",
             ),
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,13 +1,13 @@
 //! Stories over loopback for the AMQP front, against stand-in clients and servers.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{condition, Detach, Message, Performative, State, Tag, Transfer, Value};
 use std::collections::VecDeque;
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
+use support::*;
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
@@ -16,8 +16,8 @@
     State::Modified { failed, undeliverable_here: false, annotations: None }
 }
 
-fn bench(regions: usize) -> Bench {
-    Bench::with((0..regions).map(|_| listener()).collect(), Some(ON))
+fn bench(servers: usize) -> Bench {
+    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 /// A client with a link to this class.
@@ -51,7 +51,7 @@
     let mut client = client(&bench, CLASS);
     let sent = message(1200, "7f3a", b"wind 12");
     client.deliver(0, &sent);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, payload) = until!(server, Transfer);
     let (came, went) = (Message::decode(&sent).expect("sound"), Message::decode(&payload).expect("sound"));
@@ -68,16 +68,16 @@
 #[case::modified_unfailed(modified(false), "task_full", false)]
 #[case::modified_failed(modified(true), "task_error", true)]
 #[case::rejected(State::Rejected(None), "task_error", true)]
-fn what_a_region_settles_with_decides_whether_it_may_have_run(
+fn what_a_server_settles_with_decides_whether_it_may_have_run(
     #[case] with: State,
     #[case] counter: &str,
     #[case] may_have_run: bool,
 ) {
     let bench = bench(1);
-    // This class must not run twice: a routed task that may have run makes the answer failed.
+    // This class must not run twice: an attempt that may have run makes the answer failed.
     let mut client = client(&bench, "station-notes");
     client.deliver(0, &message(800, "7f3a", b"note"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), with);
@@ -97,7 +97,7 @@
     let bench = bench(1);
     let mut client = client(&bench, "station-notes");
     client.deliver(0, &message(400, "7f3a", b"note"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(u32::from(credit) * 10, 100);
     let state = answer(&mut client);
     assert_eq!((has_failed(&state), is_refusal(&state)), (may_have_run, !may_have_run));
@@ -111,7 +111,7 @@
     let bench = bench(1);
     let mut client = client(&bench, "station-notes");
     client.deliver(0, &message(60_000, "7f3a", b"note"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     until!(server, Transfer);
     if detach {
@@ -129,13 +129,13 @@
     let mut watch = bench.watch();
     let mut client = client(&bench, CLASS);
     client.deliver(0, &message(60_000, "7f3a", &[7; 3000]));
-    let (first, stream) = accept_any(&bench.regions);
+    let (first, stream) = accept_any(&bench.servers);
     // Frames of 512 and room for one of them: the transfer stops in its middle.
     let mut server = AmqpPeer::server(stream, 1, 512);
     server.link(10, 1);
     assert_eq!(until!(server, Transfer).0.more, Some(true));
     bench.change(&mut watch, first, "draining");
-    let mut other = AmqpPeer::server(Peer::accept(&bench.regions[1 - first]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
     other.link(10, 100);
     let (transfer, _) = until!(other, Transfer);
     other.settle(transfer.delivery_id.expect("an id"), State::Accepted);
@@ -180,7 +180,7 @@
 }
 
 #[rstest]
-fn a_terminal_that_aborts_detaches_or_expires_is_owed_nothing_twice() {
+fn a_client_that_aborts_detaches_or_expires_is_owed_nothing_twice() {
     let mut bench = bench(1);
     let mut client = client(&bench, CLASS);
     let (handle, delivery_id) = (Some(0), Some(0));
@@ -189,7 +189,7 @@
     client.put(part);
     client.put(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
     client.deliver(1, &message(60_000, "7f3a", b"gone"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     until!(server, Transfer);
     client.put(Detach { handle, closed: Some(true), error: None });
@@ -197,7 +197,7 @@
     assert_eq!(until!(server, Disposition).0.settled, Some(true));
     until!(client, Detach);
     assert_eq!([bench.counter("taken"), bench.counter("left")], [1, 1]);
-    // Nor does a delivery reach a region after its time.
+    // Nor does a delivery reach a server after its time.
     assert!(client.attach(CLASS).expect("again") > 0);
     client.deliver(2, &message(0, "7f3a", b"late"));
     assert!(is_refusal(&answer(&mut client)));
@@ -205,7 +205,7 @@
 }
 
 #[rstest]
-fn heartbeats_keep_the_terminals_idle_time_out() {
+fn heartbeats_keep_the_clients_idle_time_out() {
     let bench = bench(1);
     let mut client = AmqpPeer::client(bench.amqp.expect("the front is on"), Some(400));
     assert!(matches!(client.frame(), Next::Heartbeat), "an empty frame");
@@ -224,21 +224,21 @@
 }
 
 #[rstest]
-fn a_cold_region_is_sent_little_of_what_comes_at_once() {
+fn a_cold_server_is_sent_little_of_what_comes_at_once() {
     let mut bench = bench(2);
     let mut watch = bench.watch();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    let entry = instance(1, bench.regions[1].local_addr().expect("bound"), "ready")
+    let entry = instance(1, bench.servers[1].local_addr().expect("bound"), "ready")
         .replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, now.as_millis()));
     bench.list(&mut watch, &entry);
     // The watch ends after the list, so that its loss shows that the list was heard.
     watch.say("0\r\n\r\n");
     bench.logged("list-lost");
     let scripts = [Script::default(), Script::default()];
-    for (region, script) in bench.regions.iter().zip(&scripts) {
+    for (server, script) in bench.servers.iter().zip(&scripts) {
         script.lock().expect("fresh").extend([Act::Serve; 12]);
-        let (region, script) = (region.try_clone().expect("a second handle"), script.clone());
-        std::thread::spawn(move || amqp_region(Peer::accept(&region), &script));
+        let (server, script) = (server.try_clone().expect("a second handle"), script.clone());
+        std::thread::spawn(move || amqp_server(Peer::accept(&server), &script));
     }
     let mut client = client(&bench, CLASS);
     for id in 0..12 {
@@ -255,7 +255,7 @@
     let mut bench = bench(1);
     let mut client = client(&bench, CLASS);
     client.deliver(0, &message(1200, "7f3a", b"in hand"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
@@ -269,7 +269,7 @@
     assert!(bench.child.wait().expect("it ends").success());
 }
 
-/// How routed tasks go, in turn, at whichever region they come to.
+/// How attempts go, in turn, at whichever server they come to.
 #[derive(Clone, Copy, PartialEq)]
 enum Act {
     Serve,
@@ -283,7 +283,7 @@
     script.lock().expect("no test thread failed").pop_front().expect("no more routed tasks than planned")
 }
 
-fn text_region(mut task: Peer, script: &Script) {
+fn text_server(mut task: Peer, script: &Script) {
     task.line();
     task.say(match next(script) {
         Act::Serve => "UP r\r\nBYE\r\n",
@@ -292,7 +292,7 @@
     });
 }
 
-fn amqp_region(task: Peer, script: &Script) {
+fn amqp_server(task: Peer, script: &Script) {
     let mut server = AmqpPeer::server(task, 100, 4096);
     server.link(100, 100);
     while let Next::Body(body, _) = server.frame() {
@@ -313,25 +313,25 @@
     let plan: [&[Act]; 5] =
         [&[Serve], &[Full, Serve], &[Fail, Serve], &[Full, Full, Full], &[Fail, Full, Serve]];
     let script = Script::default();
-    // Each region speaks text at discovery's address and AMQP at the one that the front's file names.
-    let (regions, amqp): (Vec<_>, Vec<_>) = (0..4).map(|_| (listener(), listener())).unzip();
+    // Each server speaks text at discovery's address and AMQP at the one that the front's file names.
+    let (servers, amqp): (Vec<_>, Vec<_>) = (0..4).map(|_| (listener(), listener())).unzip();
     let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
     let places: Vec<String> = amqp.iter().enumerate().map(place).collect();
-    let file = format!(r#"{{"listen":"127.0.0.1:0","regions":{{{}}}}}"#, places.join(","));
-    let serve = |listeners: Vec<TcpListener>, region: fn(Peer, &Script)| {
+    let file = format!(r#"{{"listen":"127.0.0.1:0","servers":{{{}}}}}"#, places.join(","));
+    let serve = |listeners: Vec<TcpListener>, server: fn(Peer, &Script)| {
         for listener in listeners {
             let script = script.clone();
             std::thread::spawn(move || loop {
                 let task = Peer::accept(&listener);
                 let script = script.clone();
-                std::thread::spawn(move || region(task, &script));
+                std::thread::spawn(move || server(task, &script));
             });
         }
     };
-    let copies: Vec<TcpListener> = regions.iter().map(|l| l.try_clone().expect("a second handle")).collect();
-    serve(copies, text_region);
-    serve(amqp, amqp_region);
-    let mut bench = Bench::with(regions, Some(&file));
+    let copies: Vec<TcpListener> = servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
+    serve(copies, text_server);
+    serve(amqp, amqp_server);
+    let mut bench = Bench::with(servers, Some(&file));
     let mut client = client(&bench, CLASS);
     let mut counted = Vec::new();
     for text in [true, false] {
@@ -340,9 +340,9 @@
             script.lock().expect("no test thread failed").extend(*acts);
             let served = acts.contains(&Serve);
             if text {
-                let mut terminal = bench.terminal("OPEN 9b1f 7f3a c=live-readings,t=acme,d=60000,g=5c0f");
-                assert_eq!(terminal.line() == "UP r", served);
-                while !terminal.line().is_empty() {}
+                let mut client = bench.client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=60000,g=5c0f");
+                assert_eq!(client.line() == "UP r", served);
+                while !client.line().is_empty() {}
             } else {
                 client.deliver(id as u32, &message(60_000, "7f3a", b"reading"));
                 assert_eq!(answer(&mut client) == State::Accepted, served);
@@ -357,7 +357,7 @@
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` holds a descriptor as a silent terminal of the text front does.
+/// A connection without an `open` holds a descriptor as a silent client of the text front does.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
