--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -1,14 +1,14 @@
 //! Stories of who may come in: users, passwords, classes.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{condition, Asked, Connection, Credentials, Event, Settings, State, Transfer};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
+use support::*;
 
 const CLASS: &str = "live-readings";
 
@@ -159,7 +159,7 @@
     for guesser in &mut guessers {
         guesser.stream.write_all(&bytes).expect("written");
     }
-    let listener = bench.regions[0].try_clone().expect("a second handle");
+    let listener = bench.servers[0].try_clone().expect("a second handle");
     std::thread::spawn(move || {
         let mut server = AmqpPeer::server(Peer::accept(&listener), 1000, 65536);
         server.link(1000, 1000);
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -1,6 +1,6 @@
-//! A public client library against the node, as terminal and as region.
+//! A public client library against the node, as client and as server.
 
-mod peers;
+mod support;
 
 use fe2o3_amqp::acceptor::{
     ConnectionAcceptor, LinkAcceptor, LinkEndpoint, SaslAnonymousMechanism, SessionAcceptor,
@@ -9,17 +9,17 @@
 use fe2o3_amqp::types::messaging::{Body, Outcome};
 use fe2o3_amqp::types::primitives::Value;
 use fe2o3_amqp::{Connection, Receiver, Sender, Session};
-use peers::*;
 use rstest::rstest;
 use std::net::TcpListener;
 use std::time::Duration;
+use support::*;
 
 const CLASS: &str = "live-readings";
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 
-/// A region on the library's own acceptors: it accepts whatever is sent, and sends three readings on each
+/// A server on the library's own acceptors: it accepts whatever is sent, and sends three readings on each
 /// link that asks.
-async fn region(listener: TcpListener, sasl: bool) {
+async fn server(listener: TcpListener, sasl: bool) {
     listener.set_nonblocking(true).expect("non-blocking");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     loop {
@@ -74,14 +74,14 @@
 }
 
 #[rstest]
-#[case::a_region_with_sasl(true)]
-#[case::a_region_without(false)]
+#[case::a_server_with_sasl(true)]
+#[case::a_server_without(false)]
 fn the_library_sends_receives_and_comes_again(#[case] sasl: bool) {
     let mut bench = Bench::with(vec![listener()], Some(ON));
     let addr = bench.amqp.expect("on");
-    let copy = bench.regions[0].try_clone().expect("a second handle");
+    let copy = bench.servers[0].try_clone().expect("a second handle");
     let runtime = runtime();
-    runtime.spawn(region(copy, sasl));
+    runtime.spawn(server(copy, sasl));
     runtime.block_on(within(async {
         let url = format!("amqp://{addr}");
         let mut connection = Connection::open("terminal", url.as_str()).await.expect("open");
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -1,14 +1,14 @@
 //! Sentences of the standard (OASIS AMQP 1.0) that bind this node, each driven through real sockets.
 //! `docs/AMQP-CONFORMANCE.md` lists them all with their sections; here are those that no story shows.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{
     condition, encode, Attach, Begin, Close, Composite, Detach, Disposition, End, Flow, Open, Performative,
     State, Target, Terminus, Transfer, Value,
 };
+use support::*;
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
@@ -277,7 +277,7 @@
     client.put(attach("l", 0));
     until!(client, Flow);
     client.deliver(0, &message(60_000, "7f3a", b"reading"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
     let (role, first, settled) = (Some(false), Some(0), Some(true));
@@ -377,7 +377,7 @@
         let id = (u32::MAX - 1).wrapping_add(n);
         client.send(0, id, &message(60_000, "7f3a", b"reading"));
         let server = server.get_or_insert_with(|| {
-            let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+            let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
             server.link(10, 100);
             server
         });
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -1,20 +1,20 @@
-//! Stories of terminals that receive: a receiving link is a standing connection, and the rules of
+//! Stories of clients that receive: a receiving link is a standing connection, and the rules of
 //! standing connections hold for it.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{
     condition, Attach, Detach, Flow, Performative, Source, State, Tag, Terminus, Transfer, Value,
 };
 use std::time::{Duration, Instant};
+use support::*;
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(regions: usize) -> Bench {
-    Bench::with((0..regions).map(|_| listener()).collect(), Some(ON))
+fn bench(servers: usize) -> Bench {
+    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
@@ -32,11 +32,11 @@
     client.put(Attach { name, handle: Some(handle), role, source, target, ..Default::default() });
 }
 
-/// A client whose link stands at a region, which sends at handle 7.
+/// A client whose link stands at a server, which sends at handle 7.
 fn standing(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
     let mut client = client(bench);
     ask(&mut client, 0);
-    let (at, peer) = accept_any(&bench.regions);
+    let (at, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 1000, 65536);
     assert_eq!(server.source(7).source.expect("passed on").address.as_deref(), Some(CLASS));
     assert!(until!(client, Attach).0.source.is_some());
@@ -44,7 +44,7 @@
 }
 
 #[rstest]
-fn deliveries_flow_by_the_terminals_credit_and_settlements_flow_back() {
+fn deliveries_flow_by_the_clients_credit_and_settlements_flow_back() {
     let bench = bench(1);
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 3);
@@ -105,12 +105,12 @@
 }
 
 #[rstest]
-fn a_region_that_refuses_is_passed_over_and_when_all_do_the_terminal_hears_when_to_come_again() {
+fn a_server_that_refuses_is_passed_over_and_when_all_do_the_client_hears_when_to_come_again() {
     let bench = bench(2);
     let mut client = client(&bench);
     ask(&mut client, 0);
-    // Both regions refuse: each is asked until the attempts are used up.
-    for listener in &bench.regions {
+    // Both servers refuse: each is asked until the attempts are used up.
+    for listener in &bench.servers {
         let listener = listener.try_clone().expect("a second handle");
         std::thread::spawn(move || {
             let mut server = AmqpPeer::server(Peer::accept(&listener), 100, 65536);
@@ -142,14 +142,14 @@
 }
 
 #[rstest]
-fn a_region_that_never_answers_the_attach_is_given_up_for_another() {
+fn a_server_that_never_answers_the_attach_is_given_up_for_another() {
     let bench = bench(2);
     let mut client = client(&bench);
     ask(&mut client, 0);
-    let (at, peer) = accept_any(&bench.regions);
+    let (at, peer) = accept_any(&bench.servers);
     let mut silent = AmqpPeer::server(peer, 100, 65536);
     until!(silent, Attach);
-    let mut other = AmqpPeer::server(Peer::accept(&bench.regions[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.source(7);
     assert!(until!(client, Attach).0.source.is_some());
     // The first one is told that nobody waits there any more.
@@ -159,7 +159,7 @@
 }
 
 #[rstest]
-fn a_killed_region_is_passed_on_within_a_second_and_a_silent_one_within_seven() {
+fn a_killed_server_is_passed_on_within_a_second_and_a_silent_one_within_seven() {
     let mut bench = bench(1);
     let (mut client, _, server) = standing(&bench);
     let killed = Instant::now();
@@ -168,9 +168,9 @@
     assert_eq!(detach.error.expect("why").condition, condition::DETACH_FORCED);
     assert!(killed.elapsed() < Duration::from_secs(1));
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    // It comes again; this time the region says nothing more, not even a heartbeat.
+    // It comes again; this time the server says nothing more, not even a heartbeat.
     ask(&mut client, 0);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 1000, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.source(7);
     until!(client, Attach);
     let silent = Instant::now();
@@ -183,7 +183,7 @@
 #[case::served_to_its_end(None, None)]
 #[case::sent_away(Some(condition::DETACH_FORCED), Some(condition::DETACH_FORCED))]
 #[case::broken(Some(condition::INTERNAL_ERROR), Some(condition::INTERNAL_ERROR))]
-fn what_the_region_ends_ends_the_same_way_at_the_terminal(
+fn what_the_server_ends_ends_the_same_way_at_the_client(
     #[case] says: Option<&str>,
     #[case] hears: Option<&str>,
 ) {
@@ -197,7 +197,7 @@
 }
 
 #[rstest]
-fn sigterm_sends_terminals_away_between_two_deliveries() {
+fn sigterm_sends_clients_away_between_two_deliveries() {
     let mut bench = bench(1);
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 10);
@@ -223,7 +223,7 @@
 }
 
 #[rstest]
-fn when_the_node_leaves_terminals_are_redirected_where_the_settings_say_so() {
+fn when_the_node_leaves_clients_are_redirected_where_the_settings_say_so() {
     let to = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
     let bench = Bench::with(vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{to}}}"#)));
     let mut client = client(&bench);
@@ -236,7 +236,7 @@
 }
 
 #[rstest]
-fn a_slow_terminal_slows_only_itself() {
+fn a_slow_client_slows_only_itself() {
     let bench = bench(1);
     let (mut slow, _, mut server) = standing(&bench);
     let mut quick = client(&bench);
@@ -246,7 +246,7 @@
     quick.grant(0, 0, 1000);
     until!(server, Flow);
     slow.grant(0, 0, 1000);
-    // The slow one reads nothing, while its region sends all that it is granted.
+    // The slow one reads nothing, while its server sends all that it is granted.
     let body = message(60_000, "k", &[7; 16_000]);
     let (mut sent, mut granted) = (0, until!(server, Flow).0.link_credit.expect("credit"));
     let mut id = 0;
@@ -267,7 +267,7 @@
 }
 
 #[rstest]
-fn a_drain_that_the_terminal_asks_for_gives_its_credit_back() {
+fn a_drain_that_the_client_asks_for_gives_its_credit_back() {
     let bench = bench(1);
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 5);
@@ -288,7 +288,7 @@
 }
 
 #[rstest]
-fn replies_come_to_a_dynamic_node_from_whichever_region_has_the_request() {
+fn replies_come_to_a_dynamic_node_from_whichever_server_has_the_request() {
     let mut bench = bench(1);
     let mut client = client(&bench);
     let source = Source { dynamic: Some(true), ..Default::default() };
@@ -297,12 +297,12 @@
     client.grant(5, 0, 10);
     assert!(client.attach(CLASS).expect("known") > 0);
     client.deliver(0, &addressed(CLASS, Some(&address), 60_000, b"request"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 1000, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.link(10, 1000);
     let (request, payload) = until!(server, Transfer);
     let head = sparbank_amqp::Head::read(&payload).expect("sound").expect("whole");
     assert_eq!(head.reply_to.as_deref(), Some(address.as_str()));
-    // The region answers on a link of its own.
+    // The server answers on a link of its own.
     let target = |address: &str| {
         Some(Terminus::Target(sparbank_amqp::Target { address: Some(address.into()), ..Default::default() }))
     };
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -1,11 +1,11 @@
 //! Stories of links that come again (part 2, 2.6.13): what was settled is not run again, what runs is
 //! waited for, and what nobody knows is told as such.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{Attach, Detach, State, Tag, Target, Terminus, Transfer, Value};
+use support::*;
 
 const CLASS: &str = "live-readings";
 
@@ -64,7 +64,7 @@
     attach(&mut first, 10, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
     first.deliver(2, &message(60_000, "7f3a", b"two"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let ids: Vec<u32> = (0..2).map(|_| until!(server, Transfer).0.delivery_id.expect("an id")).collect();
     server.settle(ids[0], State::Accepted);
@@ -72,7 +72,7 @@
     // The client never read that, as far as it knows, and its connection is lost.
     drop(first);
     // The node must have seen that end: a link that comes before it is taken over, and not resumed.
-    let gone = (0..300).any(|_| value(&bench.front_counters("amqp"), "terminals") == 0);
+    let gone = (0..300).any(|_| value(&bench.front_counters("amqp"), "clients") == 0);
     assert!(gone, "the node sees the first connection's end");
     let mut second = client(&bench);
     let known = attach(&mut second, 10, &[1, 2, 3]);
@@ -81,7 +81,7 @@
     assert!(known.contains(&(Value::Binary(vec![2]), Value::Null)));
     resume(&mut second, 7, 1);
     assert_eq!(answer(&mut second), (Some(7), State::Accepted));
-    // The second still runs at its region: it is waited for, and not sent again.
+    // The second still runs at its server: it is waited for, and not sent again.
     resume(&mut second, 8, 2);
     server.settle(ids[1], State::Accepted);
     assert_eq!(answer(&mut second), (Some(8), State::Accepted));
@@ -96,7 +96,7 @@
     let mut first = client(&bench);
     attach(&mut first, 10, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     drop(first);
@@ -113,7 +113,7 @@
     let mut client = client(&bench);
     attach(&mut client, 0, &[]);
     client.deliver(1, &message(60_000, "7f3a", b"one"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     client.put(Detach { handle: Some(0), closed: None, error: None });
@@ -152,7 +152,7 @@
     let mut first = client(&bench);
     attach(&mut first, 3600, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
     // A second link that may come again is one too many: it is served, and not remembered.
@@ -161,7 +161,7 @@
     until!(other, Begin);
     attach(&mut other, 10, &[]);
     drop(first);
-    // Its time over, the transaction is left, and its region is told that nobody waits.
+    // Its time over, the request is left, and its server is told that nobody waits.
     until!(server, Disposition);
     assert_eq!([bench.counter("left"), bench.counter("taken")], [1, 1]);
     let mut second = client(&bench);
@@ -175,7 +175,7 @@
     let mut client = client(&bench);
     attach(&mut client, 10, &[]);
     client.deliver(1, &message(60_000, "7f3a", b"one"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -1,20 +1,20 @@
-//! Stories of terminals that send: sizes, settlement, credit, and regions that misbehave.
+//! Stories of clients that send: sizes, settlement, credit, and servers that misbehave.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{
     condition, Attach, Detach, Disposition, Flow, Performative, Source, State, Tag, Target, Terminus,
     Transfer,
 };
 use std::time::{Duration, Instant};
+use support::*;
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(regions: usize) -> Bench {
-    Bench::with((0..regions).map(|_| listener()).collect(), Some(ON))
+fn bench(servers: usize) -> Bench {
+    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
@@ -63,7 +63,7 @@
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (id, bytes) = whole(&mut server);
     assert!(bytes.len() > size);
@@ -72,11 +72,11 @@
 }
 
 #[rstest]
-fn a_region_without_sasl_is_met_again_without_it() {
+fn a_server_without_sasl_is_met_again_without_it() {
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let mut server = AmqpPeer::server_without_sasl(&bench.regions[0], 100);
+    let mut server = AmqpPeer::server_without_sasl(&bench.servers[0], 100);
     server.link(10, 100);
     let (id, _) = whole(&mut server);
     server.settle(id, State::Accepted);
@@ -85,11 +85,11 @@
 }
 
 #[rstest]
-fn a_region_that_names_no_target_but_grants_credit_is_sent_to() {
+fn a_server_that_names_no_target_but_grants_credit_is_sent_to() {
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     let (attach, _) = until!(server, Attach);
     server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
     server.flow(10, 0, 100);
@@ -118,7 +118,7 @@
     let State::Rejected(Some(error)) = answer(&mut client) else { panic!("rejected") };
     assert_eq!(error.condition, condition::NOT_FOUND);
     client.deliver(1, &addressed(CLASS, None, 5000, b"x"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (id, _) = whole(&mut server);
     server.settle(id, State::Accepted);
@@ -132,11 +132,11 @@
     let mut client = client(&bench);
     let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
     let sent = message(60_000, "7f3a", &body);
-    // The client writes from a thread of its own: the node reads on only as the region does.
+    // The client writes from a thread of its own: the node reads on only as the server does.
     let mut writer = client.try_clone();
     let copy = sent.clone();
     let writing = std::thread::spawn(move || deliver_in_parts(&mut writer, 0, &copy, 12_000));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 10_000, 16_384);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 10_000, 16_384);
     server.link(10, 10_000);
     let (id, bytes) = whole(&mut server);
     writing.join().expect("all written");
@@ -154,7 +154,7 @@
         let bench = Bench::with((0..2).map(|_| listener()).collect(), Some(&on));
         let mut client = client(&bench);
         deliver_in_parts(&mut client, 0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
-        let (at, peer) = accept_any(&bench.regions);
+        let (at, peer) = accept_any(&bench.servers);
         let mut server = AmqpPeer::server(peer, 40, 4096);
         server.link(10, 40);
         for _ in 0..40 {
@@ -162,7 +162,7 @@
         }
         drop(server);
         if tried == 2 {
-            let mut other = AmqpPeer::server(Peer::accept(&bench.regions[1 - at]), 1000, 65536);
+            let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 1000, 65536);
             other.link(10, 1000);
             let (id, _) = whole(&mut other);
             other.settle(id, State::Accepted);
@@ -179,7 +179,7 @@
 #[rstest]
 #[case::by_going_away(false)]
 #[case::by_an_abort(true)]
-fn a_terminal_that_stops_mid_message_has_it_aborted_at_the_region(#[case] abort: bool) {
+fn a_client_that_stops_mid_message_has_it_aborted_at_the_server(#[case] abort: bool) {
     let mut bench = bench(1);
     let mut client = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 60_000]);
@@ -192,7 +192,7 @@
         ..Default::default()
     };
     client.put_kind(0, first.into(), &sent[..12_000]);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 4096);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     until!(server, Transfer);
     if abort {
@@ -205,7 +205,7 @@
 }
 
 #[rstest]
-fn a_region_that_answers_before_the_last_frame_is_believed_and_the_rest_is_not_sent() {
+fn a_server_that_answers_before_the_last_frame_is_believed_and_the_rest_is_not_sent() {
     let bench = bench(1);
     let mut client = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 40_000]);
@@ -213,12 +213,12 @@
     let tag = Tag::new(b"t");
     let first = Transfer { handle, delivery_id, delivery_tag: tag, more: Some(true), ..Default::default() };
     client.put_kind(0, first.into(), &sent[..12_000]);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65_536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65_536);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    // What still comes of it belongs to no transaction; the link goes on.
+    // What still comes of it belongs to no request; the link goes on.
     let rest = Transfer { handle, delivery_id, more: Some(false), ..Default::default() };
     client.put_kind(0, rest.into(), &sent[12_000..20_000]);
     client.deliver(1, &message(60_000, "7f3a", b"next"));
@@ -234,7 +234,7 @@
     let mut client = client(&bench);
     let sent = message(60_000, "7f3a", &[9; 20_000]);
     deliver_in_parts(&mut client, 0, &sent, 5000);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 1, 512);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1, 512);
     server.link(10, 1);
     let (mut frames, mut size, mut id) = (0u32, 0, None);
     loop {
@@ -259,7 +259,7 @@
 }
 
 #[rstest]
-fn one_credit_is_shared_by_a_hundred_terminals_in_turns() {
+fn one_credit_is_shared_by_a_hundred_clients_in_turns() {
     let bench = Bench::with_args(vec![listener()], Some(ON), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
@@ -267,7 +267,7 @@
     for client in &mut clients {
         client.deliver(0, &message(60_000, "7f3a", b"reading"));
     }
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 1000, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.link(1, 1000);
     for count in 1..=100u32 {
         let (id, _) = whole(&mut server);
@@ -290,7 +290,7 @@
 }
 
 #[rstest]
-fn a_long_message_holds_up_its_own_lane_and_no_other_terminal() {
+fn a_long_message_holds_up_its_own_lane_and_no_other_client() {
     let bench = bench(1);
     let mut slow = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 30_000]);
@@ -302,10 +302,10 @@
         ..Default::default()
     };
     slow.put_kind(0, first.into(), &sent[..12_000]);
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
-    // The rest of it does not come. Another terminal's delivery opens a lane of its own.
+    // The rest of it does not come. Another client's delivery opens a lane of its own.
     let mut quick = client(&bench);
     quick.deliver(0, &message(60_000, "7f3b", b"quick"));
     let (attach, _) = until!(server, Attach);
@@ -318,14 +318,14 @@
 }
 
 #[rstest]
-fn a_region_of_one_link_a_connection_is_met_on_a_connection_for_each_class() {
+fn a_server_of_one_link_a_connection_is_met_on_a_connection_for_each_class() {
     let bench = bench(1);
     let mut servers = Vec::new();
     for class in [CLASS, "station-notes"] {
         let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
         assert!(client.attach(class).expect("known") > 0);
         client.deliver(0, &message(5000, "7f3a", b"reading"));
-        let mut server = AmqpPeer::narrow_server(Peer::accept(&bench.regions[0]));
+        let mut server = AmqpPeer::narrow_server(Peer::accept(&bench.servers[0]));
         server.link(10, 100);
         let (id, _) = whole(&mut server);
         server.settle(id, State::Accepted);
@@ -336,7 +336,7 @@
 }
 
 #[rstest]
-fn a_delivery_that_its_sender_settled_is_a_transaction_without_an_answer() {
+fn a_delivery_that_its_sender_settled_is_a_request_without_an_answer() {
     let mut bench = bench(1);
     let mut client = client(&bench);
     let transfer = Transfer {
@@ -348,7 +348,7 @@
     };
     client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"settled"));
     client.deliver(1, &message(60_000, "7f3a", b"not settled"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     for _ in 0..2 {
         let (id, _) = whole(&mut server);
@@ -360,7 +360,7 @@
 }
 
 #[rstest]
-fn a_terminal_that_settles_second_is_answered_first_and_then_settles() {
+fn a_client_that_settles_second_is_answered_first_and_then_settles() {
     let bench = bench(1);
     let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
@@ -375,7 +375,7 @@
     });
     assert_eq!(until!(client, Attach).0.rcv_settle_mode, Some(1));
     client.deliver(0, &message(60_000, "7f3a", b"reading"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (id, _) = whole(&mut server);
     server.settle(id, State::Accepted);
@@ -396,7 +396,7 @@
     for id in 0..10 {
         client.deliver(id, &message(60_000, "7f3a", b"reading"));
     }
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let mut last = 0;
     for _ in 0..10 {
@@ -418,17 +418,17 @@
 #[case::unauthorized(condition::UNAUTHORIZED_ACCESS)]
 #[case::internal(condition::INTERNAL_ERROR)]
 #[case::not_implemented(condition::NOT_IMPLEMENTED)]
-fn a_region_that_refuses_the_link_never_ran_it_whatever_its_reason(#[case] reason: &str) {
+fn a_server_that_refuses_the_link_never_ran_it_whatever_its_reason(#[case] reason: &str) {
     let bench = bench(2);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let (at, peer) = accept_any(&bench.regions);
+    let (at, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
     let (attach, _) = until!(server, Attach);
     server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
     let error = Some(Box::new(sparbank_amqp::Error::new(reason, "no")));
     server.put(Detach { handle: Some(7), closed: Some(true), error });
-    let mut other = AmqpPeer::server(Peer::accept(&bench.regions[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.link(10, 100);
     let (id, _) = whole(&mut other);
     other.settle(id, State::Accepted);
@@ -438,11 +438,11 @@
 }
 
 #[rstest]
-fn a_region_that_floods_or_breaks_the_protocol_is_left_and_the_delivery_goes_elsewhere() {
+fn a_server_that_floods_or_breaks_the_protocol_is_left_and_the_delivery_goes_elsewhere() {
     let mut bench = bench(2);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let (at, peer) = accept_any(&bench.regions);
+    let (at, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
     until!(server, Attach);
     // Sends on a link that takes none.
@@ -451,7 +451,7 @@
         let transfer = Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
         server.put_kind(0, transfer.into(), &[0; 100]);
     }
-    let mut other = AmqpPeer::server(Peer::accept(&bench.regions[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.link(10, 100);
     let (id, _) = whole(&mut other);
     other.settle(id, State::Accepted);
@@ -481,7 +481,7 @@
 }
 
 #[rstest]
-fn a_coordinator_of_transactions_is_declined_cleanly() {
+fn a_coordinator_of_requests_is_declined_cleanly() {
     let bench = bench(1);
     let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
     let (name, initial_delivery_count) = (Some("tx".to_string()), Some(0));
@@ -555,16 +555,16 @@
     }
     assert!(started.elapsed() < Duration::from_secs(10), "none of them waited out its time");
     usual.deliver(0, &message(60_000, "7f3a", b"reading"));
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (id, _) = whole(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut usual), State::Accepted);
 }
 
-/// Three messages of 1 MiB at once, to a region that reads slowly: what is held stays within its bound.
+/// Three messages of 1 MiB at once, to a server that reads slowly: what is held stays within its bound.
 #[rstest]
-fn a_region_that_reads_slowly_holds_its_terminals_up_and_not_the_nodes_memory() {
+fn a_server_that_reads_slowly_holds_its_clients_up_and_not_the_nodes_memory() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
     let mut bench = Bench::with(vec![listener()], Some(on));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
@@ -579,7 +579,7 @@
             })
         })
         .collect();
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 100_000, 16_384);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
     let (mut whole, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
     while whole < 3 {
         match server.next() {
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -1,10 +1,10 @@
 //! Size: 10,000 links on 100 connections, within the memory of the smallest node.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{Attach, State, Target, Terminus};
+use support::*;
 
 const CLASS: &str = "live-readings";
 
@@ -43,7 +43,7 @@
     for client in &mut clients {
         client.send(99, 0, &message(60_000, "7f3a", b"reading"));
     }
-    let mut server = AmqpPeer::server(Peer::accept(&bench.regions[0]), 1000, 65536);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.link(1000, 1000);
     for _ in 0..100 {
         let (transfer, _) = until!(server, Transfer);
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -1,8 +1,7 @@
 //! Stories of TLS: by rustls from both ends, with certificates made for the test.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use rstest::{fixture, rstest};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
@@ -13,6 +12,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
+use support::*;
 
 /// An authority, and what it signed.
 struct Keys {
--- a/tests/crossings_attempts.rs
+++ b/tests/attempt_races.rs
@@ -1,11 +1,11 @@
 //! Crossings of attempts and of floods, forced over loopback: one live attempt, one final answer, and never a second
 //! copy of what may have run.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::io::Write;
+use support::*;
 
 /// Which of the two classes: on the first may be repeated, the second not.
 fn line(class: &str) -> String {
@@ -26,8 +26,8 @@
     #[values("live-readings", "station-notes")] class: &str,
 ) {
     let mut bench = Bench::start(2);
-    let mut client = bench.terminal(&line(class));
-    let (_, mut attempt) = accept_any(&bench.regions);
+    let mut client = bench.client(&line(class));
+    let (_, mut attempt) = accept_any(&bench.servers);
     attempt.line();
     attempt.say(answer);
     if by_reset {
@@ -36,7 +36,7 @@
         drop(attempt);
     }
     if never_ran || class == "live-readings" {
-        let (_, mut second) = accept_any(&bench.regions);
+        let (_, mut second) = accept_any(&bench.servers);
         second.line();
         second.say("UP r2\r\n");
         assert_eq!(client.line(), "UP r2");
@@ -50,8 +50,8 @@
 #[rstest]
 fn up_in_pieces_is_one_answer() {
     let bench = Bench::start(1);
-    let mut client = bench.terminal(&line("station-notes"));
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let mut client = bench.client(&line("station-notes"));
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     for piece in ["U", "P ", "r1", "\r", "\n"] {
         attempt.say(piece);
@@ -67,8 +67,8 @@
 #[rstest]
 fn an_answer_that_never_ends_is_given_up() {
     let bench = Bench::start(1);
-    let mut client = bench.terminal(&line("station-notes"));
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let mut client = bench.client(&line("station-notes"));
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     attempt.say("UP r1 and so on");
     assert_eq!(client.rest(), "ERR\r\n");
@@ -82,8 +82,8 @@
 #[rstest]
 fn an_answer_in_the_turn_of_its_time_out_counts() {
     let bench = Bench::start(1);
-    let mut client = bench.terminal(&line("live-readings"));
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let mut client = bench.client(&line("live-readings"));
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     bench.freeze();
     attempt.say("UP r1\r\n");
--- a/tests/crossings_clients.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,12 +1,12 @@
 //! Crossings of a client that goes, or that comes in the instant of a close, forced over loopback. The node is
 //! stopped while things happen, so that it meets them in one turn.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::net::Shutdown;
 use std::time::Duration;
+use support::*;
 
 #[derive(Clone, Copy)]
 enum Way {
@@ -59,8 +59,8 @@
     #[values(true, false)] fails_first: bool,
 ) {
     let mut bench = Bench::start(3);
-    let client = bench.terminal(&open(1));
-    let (_, mut attempt) = accept_any(&bench.regions);
+    let client = bench.client(&open(1));
+    let (_, mut attempt) = accept_any(&bench.servers);
     attempt.line();
     bench.freeze();
     if fails_first {
@@ -76,12 +76,12 @@
     bench.nothing_was_sent();
 }
 
-/// It waits for a retry's sleep, with one region that turns it away, and leaves meanwhile.
+/// It waits for a retry's sleep, with one server that turns it away, and leaves meanwhile.
 #[rstest]
 fn one_that_left_while_it_waited_for_a_retry_is_not_sent_on(#[values(Way::Fin, Way::Rst)] way: Way) {
     let mut bench = Bench::start(1);
-    let client = bench.terminal(&open(1));
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let client = bench.client(&open(1));
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     attempt.say("BUSY\r\n");
     attempt.ends();
@@ -104,11 +104,11 @@
 #[rstest]
 fn one_that_left_as_the_connection_came_up_is_not_sent_on(#[values(Way::Fin, Way::Rst)] way: Way) {
     let mut hesitant = Hesitant::new();
-    let region = hesitant.listener.try_clone().expect("a second handle");
-    let bench = Bench::with_args(vec![region], None, &["--trace"], patient);
+    let server = hesitant.listener.try_clone().expect("a second handle");
+    let bench = Bench::with_args(vec![server], None, &["--trace"], patient);
     let mut bench = bench;
-    let client = bench.terminal(&slow(1));
-    bench.logged("trace terminal came");
+    let client = bench.client(&slow(1));
+    bench.logged("trace client came");
     settle();
     bench.freeze();
     // The system comes up with the connection by itself, the node asleep.
@@ -123,13 +123,13 @@
 #[rstest]
 fn a_drain_told_as_the_connection_came_up_stops_the_attempt() {
     let mut hesitant = Hesitant::new();
-    let region = hesitant.listener.try_clone().expect("a second handle");
-    let mut bench = Bench::with_args(vec![region, listener()], None, &["--trace"], patient);
+    let server = hesitant.listener.try_clone().expect("a second handle");
+    let mut bench = Bench::with_args(vec![server, listener()], None, &["--trace"], patient);
     let mut watch = bench.watch();
     bench.change(&mut watch, 1, "gone");
     bench.logged("trace list kind=Incremental");
-    let mut client = bench.terminal(&slow(1));
-    bench.logged("trace terminal came");
+    let mut client = bench.client(&slow(1));
+    bench.logged("trace client came");
     settle();
     bench.freeze();
     let mut attempt = hesitant.let_in();
@@ -138,7 +138,7 @@
     settle();
     bench.thaw();
     assert_eq!(attempt.rest(), "", "no byte of the line");
-    let mut other = Peer::accept(&bench.regions[1]);
+    let mut other = Peer::accept(&bench.servers[1]);
     other.line();
     other.say("UP r1\r\n");
     assert_eq!(client.line(), "UP r1");
@@ -151,13 +151,13 @@
     let mut bench = Bench::start(1);
     let (mut early, mut late) = (Peer::connect(bench.addr), Peer::connect(bench.addr));
     // Both were accepted: a third one's question has been answered.
-    let mut third = bench.terminal("PING");
+    let mut third = bench.client("PING");
     assert_eq!(third.line(), "PONG");
     bench.freeze();
     std::thread::sleep(Duration::from_millis(2_700));
     early.say(&open(1)).say("\r\n");
     bench.thaw();
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     attempt.say("UP r1\r\n");
     assert_eq!(early.line(), "UP r1");
--- a/tests/rig/books.rs
+++ b/tests/cluster/auditor.rs
@@ -1,17 +1,17 @@
 //! What the stand-ins saw, by their own clocks, and what that makes of the rules.
 //!
 //! Rules: a request that was taken gets one final answer in its time; no request has two attempts out at
-//! once; a region that the list has told a node to stop for gets nothing new from it; no cold region is pushed
+//! once; a server that the list has told a node to stop for gets nothing new from it; no cold server is pushed
 //! over. What a killed or stopped node owed is excused. How late the rig's own thread was is measured, and
 //! time limits are longer by that.
 
-use super::regions::List;
+use super::servers::List;
 use super::Figures;
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-/// How a request ended at its terminal.
+/// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
     Up,
@@ -25,9 +25,9 @@
 
 /// The settings give 250 ms, and the sockets' rules 50 ms more.
 const STOP_WITHIN: Duration = Duration::from_millis(300);
-/// A region hears of a connection's end a little after the node has ended it.
+/// A server hears of a connection's end a little after the node has ended it.
 const OVERLAP: Duration = Duration::from_millis(100);
-/// How often the standing terminals are counted.
+/// How often the standing clients are counted.
 const SAMPLE: Duration = Duration::from_millis(100);
 /// The rig's thread was late: what it read in the last while may be older than it seems.
 const LATE_COUNTS: Duration = Duration::from_secs(3);
@@ -51,9 +51,9 @@
     /// Starts and continuations.
     starts: u64,
     since: Option<Instant>,
-    /// By region: when this process was told to send it nothing new.
+    /// By server: when this process was told to send it nothing new.
     told: HashMap<usize, Instant>,
-    /// By region: attempts at a process that is gone.
+    /// By server: attempts at a process that is gone.
     dead: HashMap<usize, u32>,
 }
 
@@ -61,7 +61,7 @@
     node: usize,
     start: u64,
     at: Instant,
-    /// The attempt that is out: its region, and since when.
+    /// The attempt that is out: its server, and since when.
     out: Option<(usize, Instant)>,
 }
 
@@ -69,7 +69,7 @@
 pub struct Books {
     began: Instant,
     seconds: Vec<Second>,
-    /// Standing terminals, every 100 ms.
+    /// Standing clients, every 100 ms.
     samples: Vec<i64>,
     standing: i64,
     nodes: Vec<Node>,
@@ -97,11 +97,11 @@
     pub least: i64,
     pub peak_set_ups: u32,
     pub peak_calls: u32,
-    /// Most attempts of one process at one dead region.
+    /// Most attempts of one process at one dead server.
     pub most_dead: u32,
-    /// How near to being pushed over a cold region came: held over borne.
+    /// How near to being pushed over a cold server came: held over borne.
     pub coldest: f64,
-    /// Attempts seen at regions: each was checked.
+    /// Attempts seen at servers: each was checked.
     pub attempts: u64,
     pub asked: u64,
     pub up: u64,
@@ -194,18 +194,18 @@
             return;
         }
         let now = Instant::now();
-        for (region, ready) in &list.named {
+        for (server, ready) in &list.named {
             if *ready {
-                node.told.remove(region);
+                node.told.remove(server);
             } else {
-                node.told.entry(*region).or_insert(now);
+                node.told.entry(*server).or_insert(now);
             }
         }
         if list.whole {
-            let most = list.named.iter().map(|(region, _)| *region).max().unwrap_or(0);
-            for region in 0..=most {
-                if !list.named.iter().any(|(named, _)| *named == region) {
-                    node.told.entry(region).or_insert(now);
+            let most = list.named.iter().map(|(server, _)| *server).max().unwrap_or(0);
+            for server in 0..=most {
+                if !list.named.iter().any(|(named, _)| *named == server) {
+                    node.told.entry(server).or_insert(now);
                 }
             }
         }
@@ -244,17 +244,17 @@
         }
     }
 
-    /// A line of a node's has come to a region.
-    pub fn attempt(&mut self, id: &str, region: usize, cold: bool, dead: bool) {
+    /// A line of a node's has come to a server.
+    pub fn attempt(&mut self, id: &str, server: usize, cold: bool, dead: bool) {
         self.attempts += 1;
         let second = self.second();
         second.cold += u32::from(cold);
         second.dead += u32::from(dead);
         let late = self.lateness();
         let Some(request) = self.requests.get_mut(id) else { return };
-        if let Some((other, since)) = request.out.replace((region, Instant::now())) {
-            if other != region && since.elapsed() > OVERLAP + late {
-                self.broken.push(format!("dup: request {id} is out at regions {other} and {region}"));
+        if let Some((other, since)) = request.out.replace((server, Instant::now())) {
+            if other != server && since.elapsed() > OVERLAP + late {
+                self.broken.push(format!("dup: request {id} is out at servers {other} and {server}"));
             }
         }
         let node = &mut self.nodes[request.node];
@@ -262,34 +262,34 @@
             return;
         }
         if dead {
-            let count = node.dead.entry(region).or_default();
+            let count = node.dead.entry(server).or_default();
             *count += 1;
             self.most_dead = self.most_dead.max(*count);
         }
         let told =
-            node.told.get(&region).copied().max(node.since.filter(|_| node.told.contains_key(&region)));
+            node.told.get(&server).copied().max(node.since.filter(|_| node.told.contains_key(&server)));
         if let Some(told) = told.filter(|told| told.elapsed() > STOP_WITHIN + late) {
             self.stale += 1;
             let ms = told.elapsed().as_millis();
             let node = request.node;
             self.broken.push(format!(
-                "stale: node {node} sent {id} to region {region} {ms} ms after it was told to stop"
+                "stale: node {node} sent {id} to server {server} {ms} ms after it was told to stop"
             ));
         }
     }
 
-    pub fn attempt_over(&mut self, id: &str, region: usize) {
+    pub fn attempt_over(&mut self, id: &str, server: usize) {
         if let Some(request) = self.requests.get_mut(id) {
-            if request.out.is_some_and(|(out, _)| out == region) {
+            if request.out.is_some_and(|(out, _)| out == server) {
                 request.out = None;
             }
         }
     }
 
-    /// A cold region holds this much of what it bears; it may be over that for long enough to fall.
+    /// A cold server holds this much of what it bears; it may be over that for long enough to fall.
     pub fn cold(&mut self, name: &str, over: f64, pushed: bool) {
         self.coldest = self.coldest.max(over);
-        let said = format!("failback: cold region {name} is pushed over");
+        let said = format!("failback: cold server {name} is pushed over");
         if pushed && !self.broken.contains(&said) {
             self.broken.push(said);
         }
--- a/tests/rig/terminals.rs
+++ b/tests/cluster/clients.rs
@@ -1,6 +1,6 @@
-//! Terminals that want to stand all the time, and the front that deals them out among the nodes.
+//! Clients that want to stand all the time, and the front that deals them out among the nodes.
 
-use super::books::Answer;
+use super::auditor::Answer;
 use super::World;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,9 +13,9 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, Instant};
 
-/// How long a terminal waits for its answer, in milliseconds.
+/// How long a client waits for its answer, in milliseconds.
 pub const WAITS: u64 = 1_200;
-/// A terminal with no answer this long after its time has lost it; the rule's half second and what slow cores add.
+/// A client with no answer this long after its time has lost it; the rule's half second and what slow cores add.
 const LOST_AFTER: Duration = Duration::from_millis(1_500);
 /// Tries in a row, the first included, before it starts anew.
 const TRIES: u32 = 4;
@@ -26,23 +26,23 @@
     open: Cell<bool>,
 }
 
-/// All terminals of a run.
-pub struct Terminals {
+/// All clients of a run.
+pub struct Clients {
     doors: Rc<Vec<Door>>,
 }
 
-impl Terminals {
-    pub async fn start(world: &World, addresses: Vec<SocketAddr>, seed: u64) -> Terminals {
+impl Clients {
+    pub async fn start(world: &World, addresses: Vec<SocketAddr>, seed: u64) -> Clients {
         let door = |address| Door { address, open: Cell::new(false) };
         let doors: Rc<Vec<Door>> = Rc::new(addresses.into_iter().map(door).collect());
         for number in 0..doors.len() {
             spawn_local(mind(world.clone(), doors.clone(), number));
         }
-        for number in 0..world.figures.terminals {
+        for number in 0..world.figures.clients {
             let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
             spawn_local(live(world.clone(), doors.clone(), number, rng));
         }
-        Terminals { doors }
+        Clients { doors }
     }
 }
 
--- a/tests/rig/discovery.rs
+++ b/tests/cluster/discovery.rs
@@ -2,7 +2,7 @@
 //!
 //! Each node has an address of its own here, so the books know which node was told what, and when.
 
-use super::regions::Regions;
+use super::servers::Servers;
 use super::World;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -49,7 +49,7 @@
 }
 
 impl Discovery {
-    pub async fn start(world: &World, regions: &Regions, seed: u64) -> Discovery {
+    pub async fn start(world: &World, servers: &Servers, seed: u64) -> Discovery {
         let queue = Rc::new(Queue {
             manner: Cell::new(Manner::Well),
             waiting: Cell::new(0),
@@ -60,10 +60,10 @@
         for node in 0..world.figures.nodes {
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             addresses.push(listener.local_addr().expect("an address"));
-            let (world, regions, queue) = (world.clone(), regions.clone(), queue.clone());
+            let (world, servers, queue) = (world.clone(), servers.clone(), queue.clone());
             spawn_local(async move {
                 while let Ok((stream, _)) = listener.accept().await {
-                    spawn_local(call(world.clone(), regions.clone(), queue.clone(), node, stream));
+                    spawn_local(call(world.clone(), servers.clone(), queue.clone(), node, stream));
                 }
             });
         }
@@ -79,7 +79,7 @@
     }
 }
 
-async fn call(world: World, regions: Regions, queue: Rc<Queue>, node: usize, stream: TcpStream) {
+async fn call(world: World, servers: Servers, queue: Rc<Queue>, node: usize, stream: TcpStream) {
     let _ = stream.set_nodelay(true);
     let mut stream = BufReader::new(stream);
     let (mut line, mut from) = (String::new(), 0);
@@ -105,7 +105,7 @@
         let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
         return;
     }
-    watch(world, regions, queue, node, stream.into_inner(), from).await;
+    watch(world, servers, queue, node, stream.into_inner(), from).await;
 }
 
 /// Waits for the call's turn; false where it is turned away.
@@ -131,7 +131,7 @@
 
 async fn watch(
     world: World,
-    regions: Regions,
+    servers: Servers,
     queue: Rc<Queue>,
     node: usize,
     mut stream: TcpStream,
@@ -154,7 +154,7 @@
             return;
         }
         let back = queue.manner.get() == Manner::GoneBack;
-        let list = if back { regions.before() } else { regions.since(sent, whole, LAG) };
+        let list = if back { servers.before() } else { servers.since(sent, whole, LAG) };
         let line = match list {
             Some(list) if !back || whole || last.elapsed() >= BEAT => {
                 (sent, whole) = (list.version, false);
--- a/tests/rig/links.rs
+++ b/tests/cluster/links.rs
@@ -1,4 +1,4 @@
-//! A relay on one link: it passes on, cuts (both ways or one), delays, holds and resets, and heals.
+//! A proxy on one link: it passes on, cuts (both ways or one), delays, holds and resets, and heals.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
     if way.get() == Way::Reset {
         return reset(near);
     }
-    // A refused connection is passed on as a reset, the nearest that a relay has.
+    // A refused connection is passed on as a reset, the nearest that a proxy has.
     let Ok(far) = TcpStream::connect(to).await else { return reset(near) };
     for stream in [&near, &far] {
         let _ = stream.set_nodelay(true);
--- a/tests/rig/mod.rs
+++ b/tests/cluster/mod.rs
@@ -1,52 +1,52 @@
 //! A rig of many processes: nodes of the built program on loopback, and round them stand-ins for discovery,
-//! regions, the session ledger and terminals, all in one thread and from one seed.
+//! servers, the session ledger and clients, all in one thread and from one seed.
 //!
-//! What a run says is judged from the stand-ins' own clocks and books ([`books::Books`]), never from what a
+//! What a run says is judged from the stand-ins' own clocks and books ([`auditor::Books`]), never from what a
 //! node logs. A script names the faults; the same seed gives the same script, the same population and the same
 //! draws of every stand-in. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` set what a test plays.
 #![allow(dead_code)]
 
-pub mod books;
+pub mod auditor;
+pub mod clients;
 pub mod discovery;
 pub mod links;
 pub mod nodes;
-pub mod regions;
-pub mod terminals;
+pub mod servers;
 
-use books::{Books, Summary};
+use auditor::{Books, Summary};
+use clients::Clients;
 use discovery::{Discovery, Manner};
 use links::{Link, Way};
 use nodes::Nodes;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use regions::{Ledger, Regions};
+use servers::{Ledger, Servers};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
-use terminals::Terminals;
 use tokio::time::{sleep_until, Instant};
 
 /// How often the books look at their own clock.
 const BEAT: Duration = Duration::from_millis(10);
 
-/// The stand-ins' figures. Times are milliseconds; a region's room is in standing connections.
+/// The stand-ins' figures. Times are milliseconds; a server's room is in standing connections.
 #[derive(Clone, Debug)]
 pub struct Figures {
     pub nodes: usize,
-    pub regions: usize,
-    /// Terminals that want to stand, all the time.
-    pub terminals: usize,
+    pub servers: usize,
+    /// Clients that want to stand, all the time.
+    pub clients: usize,
     /// Set-ups a second that the session ledger bears; more wait in its queue.
     pub ledger: f64,
-    /// A warm region's room.
+    /// A warm server's room.
     pub room: f64,
     /// Mean life of a connection.
     pub life: u64,
-    /// A terminal whose connection broke comes again within this time.
+    /// A client whose connection broke comes again within this time.
     pub rejoin: (u64, u64),
-    /// The front that deals terminals out notices a dead node this late.
+    /// The front that deals clients out notices a dead node this late.
     pub notice: u64,
     /// Calls a second that discovery answers; it queues so many more, and turns the rest away.
     pub calls: f64,
@@ -66,14 +66,14 @@
 impl Figures {
     /// Figures that grow with the number of nodes, so that each of them has the same to do.
     pub fn of(nodes: usize) -> Figures {
-        let terminals = 8 * nodes;
+        let clients = 8 * nodes;
         Figures {
             nodes,
-            regions: (nodes / 2).max(6),
-            terminals,
+            servers: (nodes / 2).max(6),
+            clients,
             // Eight times the usual rate, as the platform's ledger has it.
-            ledger: 8.0 * terminals as f64 / 30.0,
-            room: 4.0 * terminals as f64 / (nodes / 2).max(6) as f64,
+            ledger: 8.0 * clients as f64 / 30.0,
+            room: 4.0 * clients as f64 / (nodes / 2).max(6) as f64,
             life: 30_000,
             rejoin: (66, 860),
             notice: 1_500,
@@ -83,9 +83,9 @@
         }
     }
 
-    /// The settings that a node is told, as the platform writes them: the shares are what the terminals use.
+    /// The settings that a node is told, as the platform writes them: the shares are what the clients use.
     fn settings(&self) -> String {
-        let (open, rate) = (self.terminals as f64, self.terminals as f64 / (self.life as f64 / 1e3));
+        let (open, rate) = (self.clients as f64, self.clients as f64 / (self.life as f64 / 1e3));
         format!(
             r#"{{"Profiles":[{{"Effect":"read_like","HardLimitNs":1200000000,"Name":"live-readings","ObjectiveNs":300000000,"Worth":2.0}}],
             "Discovery":"ask","Zones":["a"],"Instances":{},"Parties":[{{"Name":"acme","QuotaPerS":{rate:.1},"Share":1.0}}],
@@ -93,9 +93,9 @@
             "Limits":{{"MaxAttempts":3,"MayCancel":true,"RetryAfter":true,"MaxRetryAfterNs":600000000,"DialTimeoutNs":250000000}},
             "Rules":{{"AskWithinNs":10000000000,"ColdFrom":0.12,"ColdNs":{},"FallMultiple":{:.1},"TipAfterNs":{},"StopSendingWithinNs":250000000}}}}"#,
             self.nodes,
-            regions::WARM_AFTER.as_nanos(),
-            regions::FALL_MULTIPLE,
-            regions::TIP_AFTER.as_nanos(),
+            servers::WARM_AFTER.as_nanos(),
+            servers::FALL_MULTIPLE,
+            servers::TIP_AFTER.as_nanos(),
         )
     }
 }
@@ -112,11 +112,11 @@
     pub world: World,
     pub nodes: Nodes,
     pub discovery: Discovery,
-    pub regions: Regions,
+    pub servers: Servers,
     pub rng: Pcg64Mcg,
     pub seed: u64,
-    terminals: Terminals,
-    /// The links from terminals to nodes, and from nodes to discovery, by node.
+    clients: Clients,
+    /// The links from clients to nodes, and from nodes to discovery, by node.
     pub fronts: Vec<Link>,
     pub calls: Vec<Link>,
 }
@@ -141,7 +141,7 @@
 }
 
 impl Rig {
-    /// Starts a fleet with all nodes up, all terminals on their way, and waits until it is in service.
+    /// Starts a fleet with all nodes up, all clients on their way, and waits until it is in service.
     pub async fn start(seed: u64, figures: Figures, program: &str) -> Rig {
         let addresses = Addresses::new();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -156,8 +156,8 @@
             }
         });
         let ledger = Ledger::new(&world);
-        let regions = Regions::start(&world, &ledger, world.figures.regions).await;
-        let discovery = Discovery::start(&world, &regions, rng.random()).await;
+        let servers = Servers::start(&world, &ledger, world.figures.servers).await;
+        let discovery = Discovery::start(&world, &servers, rng.random()).await;
         let (mut fronts, mut calls) = (Vec::new(), Vec::new());
         for node in 0..count {
             fronts.push(Link::open(addresses.at(node, 8080)).await);
@@ -165,13 +165,13 @@
         }
         let nodes = Nodes::new(&world, &addresses, calls.iter().map(|c| c.address).collect(), program, seed);
         for node in 0..count {
-            nodes.start(node, &regions.list());
+            nodes.start(node, &servers.list());
         }
         let doors = fronts.iter().map(|f| f.address).collect();
-        let terminals = Terminals::start(&world, doors, rng.random()).await;
-        let mut rig = Rig { world, nodes, discovery, regions, rng, seed, terminals, fronts, calls };
+        let clients = Clients::start(&world, doors, rng.random()).await;
+        let mut rig = Rig { world, nodes, discovery, servers, rng, seed, clients, fronts, calls };
         let bears = rig.world.figures.level.map_or(usize::MAX, |level| level.whole * 90 / 95);
-        let wanted = rig.world.figures.terminals.min(bears) * 95 / 100;
+        let wanted = rig.world.figures.clients.min(bears) * 95 / 100;
         rig.until("the fleet is in service", 40, |rig| rig.world.books.borrow().standing() >= wanted).await;
         rig.seconds(3).await;
         rig
@@ -230,7 +230,7 @@
         self.discovery.set(manner);
     }
 
-    /// Something happens to the terminals' way to a node.
+    /// Something happens to the clients' way to a node.
     pub fn cut(&mut self, node: usize, way: Way) {
         self.world.books.borrow_mut().fault(&format!("front of node {node} {way:?}"));
         self.fronts[node].set(way);
--- a/tests/rig/regions.rs
+++ b/tests/cluster/servers.rs
@@ -1,6 +1,6 @@
-//! Regions and the session ledger that all of them ask at each set-up.
+//! Servers and the session ledger that all of them ask at each set-up.
 //!
-//! A region bears so many standing connections; while it is cold it bears a part, and more than
+//! A server bears so many standing connections; while it is cold it bears a part, and more than
 //! `FALL_MULTIPLE` times that for `TIP_AFTER` pushes it over, which the books count as a broken rule.
 
 use super::World;
@@ -46,15 +46,15 @@
     }
 }
 
-/// What the list says of a region.
+/// What the list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
     Ready,
     Draining,
-    Gone,
+    Removed,
 }
 
-/// What a region does with connections.
+/// What a server does with connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
     Sound,
@@ -64,7 +64,7 @@
     Hung,
 }
 
-struct Region {
+struct Server {
     name: String,
     address: SocketAddr,
     status: Status,
@@ -72,7 +72,7 @@
     /// The version of the list that told of it last, and when that changed.
     version: u64,
     changed: Instant,
-    born: Instant,
+    started_at: Instant,
     /// In Unix time; zero is long ago.
     started_ms: u64,
     holds: usize,
@@ -80,12 +80,12 @@
     tasks: Vec<JoinHandle<()>>,
 }
 
-impl Region {
+impl Server {
     fn warmth(&self) -> f64 {
         if self.started_ms == 0 {
             return 1.0;
         }
-        let age = self.born.elapsed().as_secs_f64() / WARM_AFTER.as_secs_f64();
+        let age = self.started_at.elapsed().as_secs_f64() / WARM_AFTER.as_secs_f64();
         (COLD_FROM + (1.0 - COLD_FROM) * age).min(1.0)
     }
 
@@ -93,7 +93,7 @@
         let lifecycle = match self.status {
             Status::Ready => "ready",
             Status::Draining => "draining",
-            Status::Gone => "gone",
+            Status::Removed => "gone",
         };
         format!(
             r#"{{"instanceId":"{}","hostPort":"{}","zone":"a","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{}}}"#,
@@ -106,7 +106,7 @@
 pub struct List {
     pub version: u64,
     pub whole: bool,
-    /// Each region that the list names, by number, and whether it takes anything new.
+    /// Each server that the list names, by number, and whether it takes anything new.
     pub named: Vec<(usize, bool)>,
     entries: Vec<String>,
 }
@@ -128,58 +128,58 @@
 
 #[derive(Default)]
 struct Table {
-    regions: Vec<Region>,
+    servers: Vec<Server>,
     version: u64,
     /// The whole list as it was before the changes began.
     before: Option<Whole>,
 }
 
-/// All regions of a run, by number; a number is never dealt again.
+/// All servers of a run, by number; a number is never dealt again.
 #[derive(Clone)]
-pub struct Regions {
+pub struct Servers {
     world: World,
     ledger: Ledger,
     table: Rc<RefCell<Table>>,
-    /// The most connections that were open at all regions together, and how often that was counted.
+    /// The most connections that were open at all servers together, and how often that was counted.
     most: Rc<Cell<(usize, u64)>>,
 }
 
-impl Regions {
-    pub async fn start(world: &World, ledger: &Ledger, count: usize) -> Regions {
+impl Servers {
+    pub async fn start(world: &World, ledger: &Ledger, count: usize) -> Servers {
         let table = Rc::new(RefCell::new(Table { version: 1, ..Table::default() }));
         let most = Rc::default();
-        let regions = Regions { world: world.clone(), ledger: ledger.clone(), table, most };
+        let servers = Servers { world: world.clone(), ledger: ledger.clone(), table, most };
         for _ in 0..count {
-            regions.add(false).await;
+            servers.add(false).await;
         }
-        let look = regions.clone();
+        let look = servers.clone();
         spawn_local(async move {
             loop {
                 look.look();
                 sleep(Duration::from_millis(50)).await;
             }
         });
-        regions
+        servers
     }
 
-    /// One more region, warm or just started; gives its number.
+    /// One more server, warm or just started; gives its number.
     pub async fn add(&self, cold: bool) -> usize {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
         let number = {
             let mut table = self.table.borrow_mut();
-            let number = table.regions.len();
+            let number = table.servers.len();
             table.version += u64::from(cold);
             let version = table.version;
-            table.regions.push(Region {
+            table.servers.push(Server {
                 name: format!("s-{number}"),
                 address,
                 status: Status::Ready,
                 health: Health::Sound,
                 version,
                 changed: Instant::now(),
-                born: Instant::now(),
+                started_at: Instant::now(),
                 started_ms: if cold { unix } else { 0 },
                 holds: 0,
                 over_since: None,
@@ -187,12 +187,12 @@
             });
             number
         };
-        let regions = self.clone();
+        let servers = self.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let serves = spawn_local(regions.clone().serve(number, stream));
-                let mut table = regions.table.borrow_mut();
-                let tasks = &mut table.regions[number].tasks;
+                let serves = spawn_local(servers.clone().serve(number, stream));
+                let mut table = servers.table.borrow_mut();
+                let tasks = &mut table.servers[number].tasks;
                 tasks.retain(|task| !task.is_finished());
                 tasks.push(serves);
             }
@@ -200,9 +200,9 @@
         number
     }
 
-    /// The connections that are open at all regions together, set-ups among them.
+    /// The connections that are open at all servers together, set-ups among them.
     pub fn open(&self) -> usize {
-        self.table.borrow().regions.iter().map(|r| r.holds).sum()
+        self.table.borrow().servers.iter().map(|r| r.holds).sum()
     }
 
     /// The most that were, counted at each that came, and how often that was.
@@ -222,24 +222,24 @@
         Some(List { version, whole: true, named, entries })
     }
 
-    /// The list says this of a region from now on.
+    /// The list says this of a server from now on.
     pub fn set(&self, number: usize, status: Status) {
         let table = &mut *self.table.borrow_mut();
         table.version += 1;
-        let region = &mut table.regions[number];
-        (region.status, region.version, region.changed) = (status, table.version, Instant::now());
+        let server = &mut table.servers[number];
+        (server.status, server.version, server.changed) = (status, table.version, Instant::now());
     }
 
     /// Its process dies: all that it holds is reset. The list may still name it.
     pub fn health(&self, number: usize, health: Health) {
         let tasks = {
-            let region = &mut self.table.borrow_mut().regions[number];
-            region.health = health;
-            std::mem::take(&mut region.tasks)
+            let server = &mut self.table.borrow_mut().servers[number];
+            server.health = health;
+            std::mem::take(&mut server.tasks)
         };
         if health == Health::Dead {
             tasks.iter().for_each(JoinHandle::abort);
-            self.table.borrow_mut().regions[number].holds = 0;
+            self.table.borrow_mut().servers[number].holds = 0;
         }
     }
 
@@ -251,30 +251,30 @@
     /// What a watch that has heard of a version is told now, if anything: what changed at least so long ago.
     pub fn since(&self, version: u64, whole: bool, lag: Duration) -> Option<List> {
         let table = self.table.borrow();
-        let due = |r: &&Region| r.changed.elapsed() >= lag;
-        let newest = table.regions.iter().filter(due).map(|r| r.version).max().unwrap_or(1);
-        let tells = |r: &Region| if whole { r.status != Status::Gone } else { r.version > version };
-        let all = table.regions.iter().enumerate().filter(|(_, r)| due(r) && tells(r));
+        let due = |r: &&Server| r.changed.elapsed() >= lag;
+        let newest = table.servers.iter().filter(due).map(|r| r.version).max().unwrap_or(1);
+        let tells = |r: &Server| if whole { r.status != Status::Removed } else { r.version > version };
+        let all = table.servers.iter().enumerate().filter(|(_, r)| due(r) && tells(r));
         let (named, entries): (Vec<_>, Vec<_>) =
             all.map(|(at, r)| ((at, r.status == Status::Ready), r.entry())).unzip();
         (whole || newest > version).then_some(List { version: newest, whole, named, entries })
     }
 
-    /// Whether a cold region holds more than it may, and for how long.
+    /// Whether a cold server holds more than it may, and for how long.
     fn look(&self) {
         let mut table = self.table.borrow_mut();
-        for region in &mut table.regions {
-            let bears = FALL_MULTIPLE * region.warmth() * self.world.figures.room;
-            if region.warmth() >= 1.0 {
+        for server in &mut table.servers {
+            let bears = FALL_MULTIPLE * server.warmth() * self.world.figures.room;
+            if server.warmth() >= 1.0 {
                 continue;
             }
-            let over = region.holds as f64 / bears;
+            let over = server.holds as f64 / bears;
             let since = match over > 1.0 {
-                true => Some(*region.over_since.get_or_insert_with(Instant::now)),
-                false => region.over_since.take().and(None),
+                true => Some(*server.over_since.get_or_insert_with(Instant::now)),
+                false => server.over_since.take().and(None),
             };
             let pushed = since.is_some_and(|since| since.elapsed() >= TIP_AFTER);
-            self.world.books.borrow_mut().cold(&region.name, over, pushed);
+            self.world.books.borrow_mut().cold(&server.name, over, pushed);
         }
     }
 
@@ -288,12 +288,12 @@
         }
         let id = line.split(' ').nth(1).unwrap_or("").to_string();
         let (health, cold, full) = {
-            let region = &self.table.borrow().regions[number];
-            (region.health, region.warmth() < 1.0, region.holds as f64 >= self.world.figures.room)
+            let server = &self.table.borrow().servers[number];
+            (server.health, server.warmth() < 1.0, server.holds as f64 >= self.world.figures.room)
         };
         self.world.books.borrow_mut().attempt(&id, number, cold, health == Health::Dead);
         // However this ends, the attempt is over then.
-        let over = Over { regions: &self, number, id: &id, held: Cell::new(false) };
+        let over = Over { servers: &self, number, id: &id, held: Cell::new(false) };
         match health {
             Health::Dead => {
                 let _ = rustix::net::sockopt::set_socket_linger(
@@ -331,7 +331,7 @@
 
 /// The end of an attempt, on whichever way it comes.
 struct Over<'a> {
-    regions: &'a Regions,
+    servers: &'a Servers,
     number: usize,
     id: &'a str,
     held: Cell<bool>,
@@ -340,18 +340,18 @@
 impl Over<'_> {
     fn hold(&self) {
         self.held.set(true);
-        self.regions.table.borrow_mut().regions[self.number].holds += 1;
-        let (most, counted) = self.regions.most.get();
-        self.regions.most.set((most.max(self.regions.open()), counted + 1));
+        self.servers.table.borrow_mut().servers[self.number].holds += 1;
+        let (most, counted) = self.servers.most.get();
+        self.servers.most.set((most.max(self.servers.open()), counted + 1));
     }
 }
 
 impl Drop for Over<'_> {
     fn drop(&mut self) {
         if self.held.get() {
-            let holds = &mut self.regions.table.borrow_mut().regions[self.number].holds;
+            let holds = &mut self.servers.table.borrow_mut().servers[self.number].holds;
             *holds = holds.saturating_sub(1);
         }
-        self.regions.world.books.borrow_mut().attempt_over(self.id, self.number);
+        self.servers.world.books.borrow_mut().attempt_over(self.id, self.number);
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings and events for the tests of the module.
 #![allow(dead_code)]
 
-use sparbank::interface::*;
+use sparbank::vocabulary::*;
 use sparbank::Balancer;
 
 pub const MS: Nanos = 1_000_000;
@@ -9,7 +9,15 @@
 
 pub fn class(effect: Effect, scope: Scope) -> Class {
     let (objective, hard_limit, window) = (300 * MS, 2 * S, 800 * MS);
-    Class { objective, hard_limit, effect, scope, window, worth: 1.0, message_aim: Some(100 * MS) }
+    Class {
+        objective,
+        hard_limit,
+        effect,
+        scope,
+        window,
+        priority_weight: 1.0,
+        message_latency_objective: Some(100 * MS),
+    }
 }
 
 /// Three classes: safe to repeat, keyed within a zone, unsafe.
@@ -22,35 +30,43 @@
             class(Effect::IdempotencyKey, Scope::Zone),
             class(Effect::NonIdempotent, Scope::All),
         ],
-        discovery: Discovery::Unasked,
-        worth_by_work: false,
+        discovery: Discovery::Pushed,
+        weight_by_work: false,
         max_attempts: 3,
         may_cancel: true,
         max_retry_after: S,
-        ask_within: 10 * S,
+        poll_within: 10 * S,
         dial_timeout: 100 * MS,
-        cold_from: 0.3,
-        cold_time: 10 * S,
-        fall_multiple: 3.0,
-        tip_after: S,
-        quota_open: 0.0,
-        quota_rate: 0.0,
+        slow_start_floor: 0.3,
+        slow_start_duration: 10 * S,
+        overload_multiple: 3.0,
+        overload_after: S,
+        quota_connections: 0.0,
+        quota_setups_per_second: 0.0,
         probes: false,
     }
 }
 
-pub fn member(server: u32, born: Nanos, status: Status) -> Member {
+pub fn member(server: u32, started_at: Nanos, status: Status) -> Endpoint {
     let tag = (u64::from(server) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-    Member { server: ServerId(server), tag, zone: server % 2, cell: server % 3, nominal: 1.0, born, status }
+    Endpoint {
+        server: ServerId(server),
+        tag,
+        zone: server % 2,
+        cell: server % 3,
+        nominal: 1.0,
+        started_at,
+        status,
+    }
 }
 
-pub fn serving(servers: u32) -> Vec<Member> {
+pub fn serving(servers: u32) -> Vec<Endpoint> {
     (0..servers).map(|server| member(server, 0, Status::Serving)).collect()
 }
 
-/// Servers of the relay's own hall: what crosses halls has a price, and counts in a pick.
-pub fn one_hall(servers: u32) -> Vec<Member> {
-    serving(servers).into_iter().map(|m| Member { zone: settings().zone, ..m }).collect()
+/// Servers of the node's own hall: what crosses halls has a price, and counts in a pick.
+pub fn one_hall(servers: u32) -> Vec<Endpoint> {
+    serving(servers).into_iter().map(|m| Endpoint { zone: settings().zone, ..m }).collect()
 }
 
 pub fn arrival(id: u64, class: usize) -> Arrival {
@@ -61,23 +77,23 @@
         cost: None,
         key: Some(id * 7919),
         group: None,
-        came_back: false,
-        repeated: false,
+        reconnect: false,
+        client_retry: false,
         rerouted: false,
     }
 }
 
-pub struct Relay {
+pub struct Node {
     pub balancer: Balancer,
     pub now: Nanos,
 }
 
-impl Relay {
-    pub fn new(seed: u64, settings: Settings, members: Vec<Member>) -> Relay {
+impl Node {
+    pub fn new(seed: u64, settings: Settings, members: Vec<Endpoint>) -> Node {
         let balancer = Balancer::new(seed, settings).expect("settings are right");
-        let mut relay = Relay { balancer, now: 100 * S };
-        relay.tell(Event::Members(ListKind::Saved, members));
-        relay
+        let mut node = Node { balancer, now: 100 * S };
+        node.tell(Event::EndpointList(ListKind::Saved, members));
+        node
     }
 
     pub fn tell(&mut self, event: Event) -> Vec<Action> {
@@ -92,7 +108,7 @@
 
     pub fn end(&mut self, id: u64, server: ServerId, outcome: Outcome) -> Vec<Action> {
         let done = outcome == Outcome::Ok;
-        self.tell(Event::Response { id: RequestId(id), server, outcome, done })
+        self.tell(Event::AttemptEnded { id: RequestId(id), server, outcome, done })
     }
 
     pub fn stands(&mut self, id: u64, server: ServerId) {
@@ -109,14 +125,14 @@
 
 pub fn timer(actions: &[Action]) -> Option<(Nanos, u64)> {
     actions.iter().find_map(|a| match a {
-        Action::Timer { after, token } => Some((*after, *token)),
+        Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
     })
 }
 
 pub fn tried(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
-        Action::Try { server, .. } => Some(*server),
+        Action::StartAttempt { server, .. } => Some(*server),
         _ => None,
     })
 }
--- a/tests/crossings_settings.rs
+++ b/tests/deployment_settings.rs
@@ -1,11 +1,11 @@
 //! Another customer's settings, and restarts: the same core of stories (serve, retry, refuse, drain) on generated
 //! classes, names, effects, deadlines and lists; and many processes that start at once without discovery.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
+use support::*;
 
 /// The configuration of a customer with these classes (name, effect, deadline in ms), by turns.
 fn customer(text: &str, classes: &[(&str, &str, u64)], zones: &str, discovery: &str) -> String {
@@ -77,12 +77,12 @@
     };
     // An attempt that never ran is made again elsewhere, whatever the class; then lines pass.
     for class in classes.clone() {
-        let mut client = bench.terminal(&line(class, class));
-        let (_, mut first) = accept_any(&bench.regions);
+        let mut client = bench.client(&line(class, class));
+        let (_, mut first) = accept_any(&bench.servers);
         assert!(first.line().contains(&format!("c={}", SIXTEEN[class].0)));
         if SIXTEEN[class].2 > 500 {
             first.say("BUSY\r\n");
-            let (_, mut second) = accept_any(&bench.regions);
+            let (_, mut second) = accept_any(&bench.servers);
             second.line();
             first = second;
         }
@@ -92,13 +92,13 @@
     // Refused in time, where the deadline is short enough to wait for.
     if classes.contains(&0) {
         let asked = Instant::now();
-        let mut client = bench.terminal(&line(100, 0));
-        let (_, mut attempt) = accept_any(&bench.regions);
+        let mut client = bench.client(&line(100, 0));
+        let (_, mut attempt) = accept_any(&bench.servers);
         attempt.line();
         attempt.say("BUSY\r\n");
-        let regions: Vec<_> = bench.regions.iter().map(|l| l.try_clone().expect("a handle")).collect();
+        let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a handle")).collect();
         std::thread::spawn(move || loop {
-            accept_any(&regions).1.say("BUSY\r\n").line();
+            accept_any(&servers).1.say("BUSY\r\n").line();
         });
         assert!(client.line().starts_with("BUSY"));
         assert!(asked.elapsed() < Duration::from_secs(1));
@@ -107,8 +107,8 @@
         drop(watch);
         bench.logged("list-lost reason=Ended");
         for number in 200..204 {
-            let _client = bench.terminal(&line(number, classes.start));
-            let (at, mut attempt) = accept_any(&bench.regions);
+            let _client = bench.client(&line(number, classes.start));
+            let (at, mut attempt) = accept_any(&bench.servers);
             attempt.line();
             assert_eq!(at, 1, "nothing new goes to the one that drains");
         }
@@ -119,7 +119,7 @@
 #[rstest]
 fn a_class_of_another_customer_is_unknown() {
     let mut bench = Bench::with_args(vec![listener()], None, &[], sixteen_asked);
-    let mut client = bench.terminal(&open(1));
+    let mut client = bench.client(&open(1));
     assert_eq!(client.rest(), "ERR\r\n");
     bench.nothing_was_sent();
 }
@@ -132,7 +132,7 @@
         .map(|_| {
             std::thread::spawn(move || {
                 let bench = Bench::start(1);
-                assert_eq!(bench.terminal("PING").line(), "PONG");
+                assert_eq!(bench.client("PING").line(), "PONG");
                 (began.elapsed(), bench)
             })
         })
--- a/tests/crossings_list.rs
+++ b/tests/endpoint_list_races.rs
@@ -1,9 +1,9 @@
 //! Crossings of discovery's list, forced over loopback: what was told is acted on, whatever else happens then.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
+use support::*;
 
 /// Where lists are pushed, they wait at the machine's agent: a node that asked for none would never hear of a drain.
 #[rstest]
@@ -20,8 +20,8 @@
     // The watch that broke is opened anew, and by then the drain is known.
     let mut watch = bench.watch();
     for number in 0..6 {
-        let mut client = bench.terminal(&open(number));
-        let (at, mut attempt) = accept_any(&bench.regions);
+        let mut client = bench.client(&open(number));
+        let (at, mut attempt) = accept_any(&bench.servers);
         assert_eq!(at, 1, "nothing new goes to the one that drains");
         attempt.line();
         attempt.say("UP r1\r\n");
@@ -30,11 +30,11 @@
     bench.lists(&mut watch, false, "");
 }
 
-/// Nothing new goes to region 0: as many clients come to stand at region 1.
+/// Nothing new goes to server 0: as many clients come to stand at server 1.
 fn all_go_to_the_other(bench: &Bench, numbers: std::ops::Range<u64>) {
     for number in numbers {
-        let mut client = bench.terminal(&open(number));
-        let (at, mut attempt) = accept_any(&bench.regions);
+        let mut client = bench.client(&open(number));
+        let (at, mut attempt) = accept_any(&bench.servers);
         assert_eq!(at, 1, "nothing new goes to the one that drains");
         attempt.line();
         attempt.say("UP r1\r\n");
@@ -53,7 +53,7 @@
 fn an_indented_object_is_one_list(#[case] piece: usize) {
     let mut bench = Bench::start(2);
     let mut watch = bench.watch();
-    let entry = instance(0, bench.regions[0].local_addr().expect("an address"), "draining");
+    let entry = instance(0, bench.servers[0].local_addr().expect("an address"), "draining");
     let text = format!(
         "{{\r\n  \"generation\": 2,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}\n\n"
     );
@@ -138,7 +138,7 @@
     bench.logged("reloaded");
     bench.generation = 2;
     let mut watch = bench.watch();
-    let address = |at: usize| bench.regions[at].local_addr().expect("an address");
+    let address = |at: usize| bench.servers[at].local_addr().expect("an address");
     let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
     bench.lists(&mut watch, true, &entries);
     drop(watch);
--- a/tests/fleet_budgets.rs
+++ b/tests/fleet_quotas.rs
@@ -1,16 +1,16 @@
 //! A level of the whole fleet, divided among its nodes by one grantor: several processes, faults between them, and an
-//! auditor that counts open connections at the regions. `FLEET_SEEDS` and `FLEET_NODES` play others.
+//! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` play others.
 
-mod rig;
+mod cluster;
 
-use rig::{plays, program, run, Figures, Level, Rig};
+use cluster::{plays, program, run, Figures, Level, Rig};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Six terminals in ten can stand at a time.
+/// Six clients in ten can stand at a time.
 fn figures(nodes: usize, clear: u64) -> Figures {
     let figures = Figures::of(nodes);
-    let whole = figures.terminals * 6 / 10;
+    let whole = figures.clients * 6 / 10;
     Figures { level: Some(Level { whole, lease: 1500, clear }), ..figures }
 }
 
@@ -24,7 +24,7 @@
         let (most, counted) = run(async {
             let mut rig = Rig::start(seed, figures, program()).await;
             script(&mut rig).await;
-            let most = rig.regions.most_open();
+            let most = rig.servers.most_open();
             rig.end().await;
             most
         });
@@ -41,7 +41,7 @@
 /// The level is in use again to nine tenths.
 async fn is_full(rig: &mut Rig, what: &str, seconds: u64) {
     let wanted = rig.world.figures.level.expect("a level").whole * 9 / 10;
-    rig.until(what, seconds, |rig| rig.regions.open() >= wanted).await;
+    rig.until(what, seconds, |rig| rig.servers.open() >= wanted).await;
     rig.seconds(2).await;
 }
 
@@ -53,9 +53,9 @@
         let nodes = rig.world.figures.nodes;
         let which: Vec<usize> = (1..=nodes / 3).collect();
         rig.kill(&which);
-        // A lease and its clearing, and what the terminals take to come.
+        // A lease and its clearing, and what the clients take to come.
         is_full(rig, "the others have the parts of the dead", 30).await;
-        let known = rig.regions.list();
+        let known = rig.servers.list();
         rig.restart(&which, &known);
         rig.seconds(6).await;
         is_full(rig, "all have parts again", 30).await;
@@ -71,7 +71,7 @@
         is_full(rig, "the level is in use", 30).await;
         rig.kill(&[0]);
         rig.millis(300).await;
-        let known = rig.regions.list();
+        let known = rig.servers.list();
         rig.restart(&[0], &known);
         rig.seconds(4).await;
         is_full(rig, "parts are granted again", 30).await;
@@ -80,7 +80,7 @@
         // Nobody grants: each of the others has its floor, of 45 in 100 of the whole.
         let (nodes, whole) = (rig.world.figures.nodes, rig.world.figures.level.expect("a level").whole);
         let floors = whole * 45 / 100 / nodes * (nodes - 1);
-        let open = rig.regions.open();
+        let open = rig.servers.open();
         assert!(open <= floors, "{open} are open on floors of {floors}");
         assert!(open * 2 >= floors, "service goes on: {open} of {floors}");
     });
@@ -97,7 +97,7 @@
         let stopped: Vec<usize> = (nodes / 3..nodes).collect();
         stopped.iter().for_each(|node| rig.nodes.stop(*node));
         rig.kill(&[0]);
-        let known = rig.regions.list();
+        let known = rig.servers.list();
         rig.restart(&[0], &known);
         rig.seconds(5).await;
         stopped.iter().for_each(|node| rig.nodes.go_on(*node));
--- a/tests/coming_back.rs
+++ b/tests/fleet_restart.rs
@@ -4,13 +4,13 @@
 //! `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` play others than those named here; `FLEET_LOGS=folder` keeps the
 //! nodes' logs.
 
-mod rig;
+mod cluster;
 
-use rig::books::Summary;
-use rig::discovery::Manner;
-use rig::links::Way;
-use rig::regions::{Health, Status};
-use rig::{plays, program, run, Figures, Rig};
+use cluster::auditor::Summary;
+use cluster::discovery::Manner;
+use cluster::links::Way;
+use cluster::servers::{Health, Status};
+use cluster::{plays, program, run, Figures, Rig};
 use rstest::rstest;
 use std::time::Duration;
 
@@ -59,7 +59,7 @@
         let figures = Figures::of(nodes);
         let summary = run(async {
             let mut rig = Rig::start(seed, figures.clone(), &program).await;
-            let known = rig.regions.list();
+            let known = rig.servers.list();
             script(&mut rig, known).await;
             rig.end().await
         });
@@ -83,27 +83,27 @@
     });
 }
 
-/// A tenth of the nodes at a time is told to end, while half of the regions are replaced.
+/// A tenth of the nodes at a time is told to end, while half of the servers are replaced.
 #[rstest]
-fn a_rolling_restart_while_half_the_regions_are_replaced() {
+fn a_rolling_restart_while_half_the_servers_are_replaced() {
     play("rolling", 10, async |rig, _| {
         let all: Vec<usize> = (0..rig.world.figures.nodes).collect();
-        let half = rig.world.figures.regions / 2;
+        let half = rig.world.figures.servers / 2;
         for (step, tenth) in all.chunks(all.len().div_ceil(10)).enumerate() {
             if step < half {
-                rig.regions.set(step, Status::Draining);
-                rig.regions.add(true).await;
+                rig.servers.set(step, Status::Draining);
+                rig.servers.add(true).await;
             }
             for node in tenth {
                 rig.nodes.terminate(*node);
             }
             let gone = |rig: &mut Rig| tenth.iter().all(|node| rig.nodes.has_ended(*node));
             rig.until("the nodes end by themselves", 8, gone).await;
-            rig.restart(tenth, &rig.regions.list());
+            rig.restart(tenth, &rig.servers.list());
         }
-        for region in 0..half {
-            rig.regions.set(region, Status::Gone);
-            rig.regions.health(region, Health::Dead);
+        for server in 0..half {
+            rig.servers.set(server, Status::Removed);
+            rig.servers.health(server, Health::Dead);
         }
         rig.seconds(14).await;
     });
@@ -118,22 +118,22 @@
 fn an_old_list_and_no_discovery(#[case] manner: Option<Manner>) {
     let story = format!("old list, discovery {manner:?}");
     play(&story, 10, async |rig, _| {
-        let (count, mut named) = (rig.world.figures.regions, Vec::new());
-        for region in 0..count {
-            if region < count * 2 / 5 {
-                rig.regions.add(false).await;
-                named.push(region);
+        let (count, mut named) = (rig.world.figures.servers, Vec::new());
+        for server in 0..count {
+            if server < count * 2 / 5 {
+                rig.servers.add(false).await;
+                named.push(server);
             }
         }
         for _ in 0..count * 3 / 10 {
-            rig.regions.add(true).await;
+            rig.servers.add(true).await;
         }
         rig.seconds(3).await;
-        let known = rig.regions.list();
+        let known = rig.servers.list();
         rig.discovery_is(manner.unwrap_or(Manner::Well));
-        for region in named {
-            rig.regions.health(region, Health::Dead);
-            rig.regions.set(region, Status::Gone);
+        for server in named {
+            rig.servers.health(server, Health::Dead);
+            rig.servers.set(server, Status::Removed);
         }
         let all = rig.draw(1.0);
         rig.kill(&all);
@@ -156,7 +156,7 @@
         rig.kill(&which);
         rig.nodes.stop(still);
         rig.restart(&which, &known);
-        rig.regions.set(0, Status::Draining);
+        rig.servers.set(0, Status::Draining);
         rig.seconds(5).await;
         rig.nodes.go_on(still);
         rig.world.books.borrow_mut().fault("goes on");
@@ -179,16 +179,16 @@
     });
 }
 
-/// Discovery goes back to the list from before a region drained, and calls are cut one way meanwhile for one
+/// Discovery goes back to the list from before a server drained, and calls are cut one way meanwhile for one
 /// node: nothing that was told to stop is sent to again.
 #[rstest]
 fn a_list_that_goes_back_is_no_news() {
     play("gone back", 10, async |rig, _| {
-        rig.regions.remember();
-        rig.regions.set(1, Status::Draining);
-        rig.regions.set(2, Status::Gone);
+        rig.servers.remember();
+        rig.servers.set(1, Status::Draining);
+        rig.servers.set(2, Status::Removed);
         rig.seconds(2).await;
-        let known = rig.regions.list();
+        let known = rig.servers.list();
         rig.discovery_is(Manner::GoneBack);
         rig.calls[0].set(Way::Outward);
         let which = rig.draw(0.5);
@@ -216,7 +216,7 @@
             let one = |seed: u64| {
                 run(async {
                     let mut rig = Rig::start(seed, figures.clone(), program).await;
-                    let known = rig.regions.list();
+                    let known = rig.servers.list();
                     let which = rig.draw(part);
                     rig.kill(&which);
                     rig.restart(&which, &known);
@@ -242,7 +242,7 @@
                 times[times.len() / 2],
                 times[times.len() - 1],
                 times.len(),
-                part * figures.terminals as f64 * 0.95 / figures.ledger,
+                part * figures.clients as f64 * 0.95 / figures.ledger,
                 figures.ledger,
             );
         }
@@ -252,9 +252,9 @@
 mod the_books {
     //! Each check is shown to fail: the fault is put in, and the books must say so.
 
-    use super::rig::books::{Answer, Books};
-    use super::rig::regions::List;
-    use super::rig::Figures;
+    use super::cluster::auditor::{Answer, Books};
+    use super::cluster::servers::List;
+    use super::cluster::Figures;
     use std::thread::sleep;
     use std::time::Duration;
 
@@ -291,11 +291,11 @@
         books.beat(Duration::from_millis(150));
         books.attempt("a", 2, false, false);
         let said = says(books);
-        assert!(said.starts_with("dup: request a is out at regions 1 and 2"), "{said}");
+        assert!(said.starts_with("dup: request a is out at servers 1 and 2"), "{said}");
     }
 
     #[test]
-    fn catch_new_work_for_a_region_that_the_node_was_told_to_stop_for() {
+    fn catch_new_work_for_a_server_that_the_node_was_told_to_stop_for() {
         for whole in [false, true] {
             let mut books = books();
             let named = if whole { vec![(2, true)] } else { vec![(1, false)] };
@@ -308,16 +308,16 @@
                 books.attempt(id, 1, false, false);
             }
             let said = says(books);
-            assert!(said.starts_with("stale: node 0 sent a to region 1"), "{said}");
+            assert!(said.starts_with("stale: node 0 sent a to server 1"), "{said}");
             assert!(!said.contains("node 1"), "nobody told the other node: {said}");
         }
     }
 
     #[test]
-    fn catch_a_cold_region_that_is_pushed_over() {
+    fn catch_a_cold_server_that_is_pushed_over() {
         let mut books = books();
         books.cold("s-1", 1.2, false);
         books.cold("s-1", 1.4, true);
-        assert_eq!(says(books), "failback: cold region s-1 is pushed over");
+        assert_eq!(says(books), "failback: cold server s-1 is pushed over");
     }
 }
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -1,10 +1,10 @@
 //! Ended flows at a stand-in IPFIX collector.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::net::UdpSocket;
+use support::*;
 
 fn number(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |n, b| (n << 8) | u64::from(*b))
@@ -25,12 +25,12 @@
     collector.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a time-out");
     let to = collector.local_addr().expect("bound").to_string();
     let bench = Bench::with_args(vec![listener()], None, &["--ipfix", &to], str::to_string);
-    let mut terminal = bench.terminal("OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f");
-    let mut task = Peer::accept(&bench.regions[0]);
+    let mut client = bench.client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f");
+    let mut task = Peer::accept(&bench.servers[0]);
     task.line();
     task.say("UP r1\r\nBYE\r\n");
     drop(task);
-    while !terminal.line().is_empty() {}
+    while !client.line().is_empty() {}
 
     let (id, template, _) = set(&collector);
     assert_eq!((id, number(&template[..2])), (2, 256));
@@ -50,7 +50,7 @@
         [&found[&96][..], &found[&94][..], &found[&372][..]],
         [&b"live-readings"[..], b"text", b"served"]
     );
-    let port = bench.regions[0].local_addr().expect("bound").port();
+    let port = bench.servers[0].local_addr().expect("bound").port();
     assert_eq!((number(&found[&11]), number(&found[&12])), (u64::from(port), 0x7f00_0001));
     assert_eq!((number(&found[&136]), number(&found[&278])), (3, 1));
     assert!(number(&found[&152]) > 1_500_000_000_000 && number(&found[&153]) >= number(&found[&152]));
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,12 +1,11 @@
-//! Both fronts at once, with regions killed, hung and drained at random: every item gets exactly one final
-//! answer, none is tried at two regions at the same time, none that must not run twice does, and the node's
-//! books are the sum of what both fronts' terminals saw.
+//! Both fronts at once, with servers killed, hung and drained at random: every item gets exactly one final
+//! answer, none is tried at two servers at the same time, none that must not run twice does, and the node's
+//! books are the sum of what both fronts' clients saw.
 //!
 //! Five seconds in CI. Longer: `MIXED_SECONDS=60 cargo test --release --test mixed -- --nocapture`.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use sparbank_amqp::{
     Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus, Value,
@@ -17,9 +16,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use support::*;
 
-const REGIONS: usize = 6;
-const TERMINALS: usize = 8;
+const SERVERS: usize = 6;
+const CLIENTS: usize = 8;
 /// Classes that may and that must not run twice.
 const CLASSES: [&str; 2] = ["live-readings", "station-notes"];
 /// What one thread may hear later than another of the same moment.
@@ -29,22 +29,22 @@
 const HUNG: u8 = 1;
 const DEAD: u8 = 2;
 
-/// One attempt at a region.
+/// One attempt at a server.
 struct Attempt {
     from: Instant,
     to: Option<Instant>,
     ran: bool,
 }
 
-/// What happened to each item, as the regions saw it.
+/// What happened to each item, as the servers saw it.
 #[derive(Default)]
 struct Ledger {
     attempts: HashMap<u64, Vec<Attempt>>,
-    /// Attempts that came after their region was told to drain, and 250 ms.
+    /// Attempts that came after their server was told to drain, and 250 ms.
     late: u64,
 }
 
-struct Region {
+struct Server {
     mode: AtomicU8,
     drained: Mutex<Option<Instant>>,
     open: Mutex<Vec<TcpStream>>,
@@ -52,7 +52,7 @@
     stop: Arc<AtomicBool>,
 }
 
-impl Region {
+impl Server {
     fn begins(&self, item: u64) -> usize {
         let now = Instant::now();
         let mut ledger = self.ledger.lock().expect("no thread failed");
@@ -84,7 +84,7 @@
         }
     }
 
-    fn serve(self: Arc<Region>, listener: TcpListener, speak: fn(&Region, TcpStream)) {
+    fn serve(self: Arc<Server>, listener: TcpListener, speak: fn(&Server, TcpStream)) {
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { continue };
@@ -130,35 +130,35 @@
     }
 }
 
-fn text_region(region: &Region, mut stream: TcpStream) {
+fn text_server(server: &Server, mut stream: TcpStream) {
     let mut input = Vec::new();
     while !input.contains(&b'\n') {
-        if region.stop.load(Ordering::Relaxed) || more(&mut stream, &mut input).is_none() {
+        if server.stop.load(Ordering::Relaxed) || more(&mut stream, &mut input).is_none() {
             return;
         }
     }
     let line = String::from_utf8_lossy(&input).to_string();
     let item = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok()).expect("an id");
-    let attempt = region.begins(item);
-    while region.is(HUNG) {
+    let attempt = server.begins(item);
+    while server.is(HUNG) {
         if more(&mut stream, &mut input).is_none() {
-            return region.ends(item, attempt, false);
+            return server.ends(item, attempt, false);
         }
     }
-    let answered = stream.write_all(b"UP r\r\nBYE\r\n").is_ok() && !region.is(DEAD);
-    region.ends(item, attempt, answered);
+    let answered = stream.write_all(b"UP r\r\nBYE\r\n").is_ok() && !server.is(DEAD);
+    server.ends(item, attempt, answered);
 }
 
-fn amqp_region(region: &Region, mut stream: TcpStream) {
+fn amqp_server(server: &Server, mut stream: TcpStream) {
     let mut conn = Connection::accept(0, Settings { idle: 0, ..Settings::default() }, None);
     // Deliveries that are not settled: the link, the number, the item and which of its attempts.
     let mut held: Vec<(LinkId, u32, u64, usize)> = Vec::new();
     let mut input = Vec::new();
     let mut beat = Instant::now();
     loop {
-        let over = region.stop.load(Ordering::Relaxed) || region.is(DEAD);
+        let over = server.stop.load(Ordering::Relaxed) || server.is(DEAD);
         if over || more(&mut stream, &mut input).is_none() {
-            held.iter().for_each(|(.., item, attempt)| region.ends(*item, *attempt, false));
+            held.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
             return;
         }
         let bytes = std::mem::take(&mut input);
@@ -175,7 +175,7 @@
                     let item =
                         head.property(part.payload, "item").expect("an item").parse().expect("a number");
                     conn.name_delivery(link.channel, part.id, item);
-                    held.push((link, part.id, item, region.begins(item)));
+                    held.push((link, part.id, item, server.begins(item)));
                     if conn.credit(link) < 50 {
                         conn.grant(link, 100);
                     }
@@ -184,7 +184,7 @@
                 Event::Forgotten { key, .. } | Event::Dropped { key, .. } => {
                     held.retain(|(.., item, attempt)| {
                         if *item == key {
-                            region.ends(*item, *attempt, false);
+                            server.ends(*item, *attempt, false);
                         }
                         *item != key
                     })
@@ -193,10 +193,10 @@
             }
         }
         input = left.to_vec();
-        if !region.is(HUNG) {
+        if !server.is(HUNG) {
             for (link, id, item, attempt) in held.drain(..) {
                 conn.settle(link.channel, id, State::Accepted);
-                region.ends(item, attempt, true);
+                server.ends(item, attempt, true);
             }
         }
         let mut out = conn.take_out(0);
@@ -205,13 +205,13 @@
             sparbank_amqp::put_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
         }
         if stream.write_all(&out).is_err() {
-            held.iter().for_each(|(.., item, attempt)| region.ends(*item, *attempt, false));
+            held.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
             return;
         }
     }
 }
 
-/// What terminals of one front saw.
+/// What clients of one front saw.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Seen {
     items: u64,
@@ -238,7 +238,7 @@
     (number, CLASSES[usize::from(number.is_multiple_of(4))])
 }
 
-fn text_terminal(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
+fn text_client(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
     let mut seen = Seen::default();
     while Instant::now() < until {
         let (item, class) = number(next);
@@ -260,7 +260,7 @@
     seen
 }
 
-fn amqp_terminal(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
+fn amqp_client(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
     let mut stream = TcpStream::connect(addr).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a time-out");
     let mut conn =
@@ -333,25 +333,25 @@
 }
 
 #[rstest]
-fn both_fronts_account_alike_while_regions_are_killed_hung_and_drained() {
+fn both_fronts_account_alike_while_servers_are_killed_hung_and_drained() {
     let seconds = std::env::var("MIXED_SECONDS").ok().and_then(|s| s.parse().ok()).unwrap_or(5);
-    let (texts, amqps): (Vec<_>, Vec<_>) = (0..REGIONS).map(|_| (listener(), listener())).unzip();
+    let (texts, amqps): (Vec<_>, Vec<_>) = (0..SERVERS).map(|_| (listener(), listener())).unzip();
     let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
     let places: Vec<String> = amqps.iter().enumerate().map(place).collect();
-    let on = format!(r#"{{"listen":"127.0.0.1:0","regions":{{{}}}}}"#, places.join(","));
+    let on = format!(r#"{{"listen":"127.0.0.1:0","servers":{{{}}}}}"#, places.join(","));
     let (ledger, stop) = (Arc::new(Mutex::new(Ledger::default())), Arc::new(AtomicBool::new(false)));
-    let mut regions = Vec::new();
+    let mut servers = Vec::new();
     for (text, amqp) in texts.iter().zip(amqps) {
-        let region = Arc::new(Region {
+        let server = Arc::new(Server {
             mode: AtomicU8::new(UP),
             drained: Mutex::new(None),
             open: Mutex::new(Vec::new()),
             ledger: ledger.clone(),
             stop: stop.clone(),
         });
-        region.clone().serve(text.try_clone().expect("a second handle"), text_region);
-        region.clone().serve(amqp, amqp_region);
-        regions.push(region);
+        server.clone().serve(text.try_clone().expect("a second handle"), text_server);
+        server.clone().serve(amqp, amqp_server);
+        servers.push(server);
     }
     let mut bench =
         Bench::with_args(texts, Some(&on), &[], |text| text.replace(r#""sockets":256"#, r#""sockets":900"#));
@@ -364,31 +364,31 @@
             let next = next.clone();
             std::thread::spawn(move || front(addr, &next, until))
         };
-        (0..TERMINALS).map(start).collect()
+        (0..CLIENTS).map(start).collect()
     };
-    let hands = [spawn(text_terminal, text_addr), spawn(amqp_terminal, amqp_addr)];
-    // Troubles: one a fifth of a second, each at a region of its own, never at more than half of them.
+    let hands = [spawn(text_client, text_addr), spawn(amqp_client, amqp_addr)];
+    // Troubles: one a fifth of a second, each at a server of its own, never at more than half of them.
     let mut step = 0u64;
     while Instant::now() < until {
         step += 1;
         std::thread::sleep(Duration::from_millis(200));
-        let (what, at) = (mixed(step) % 4, (mixed(step * 77) % REGIONS as u64) as usize);
-        let region = &regions[at];
-        let draining = region.drained.lock().expect("no thread failed").is_some();
-        let troubled = regions.iter().filter(|r| !r.is(UP)).count();
+        let (what, at) = (mixed(step) % 4, (mixed(step * 77) % SERVERS as u64) as usize);
+        let server = &servers[at];
+        let draining = server.drained.lock().expect("no thread failed").is_some();
+        let troubled = servers.iter().filter(|r| !r.is(UP)).count();
         match what {
-            0 if region.is(UP) && troubled < 2 => region.mode.store(HUNG, Ordering::Relaxed),
-            1 if region.is(UP) && troubled < 2 => region.kill(),
+            0 if server.is(UP) && troubled < 2 => server.mode.store(HUNG, Ordering::Relaxed),
+            1 if server.is(UP) && troubled < 2 => server.kill(),
             2 if !draining
-                && regions.iter().filter(|r| r.drained.lock().expect("held").is_some()).count() < 2 =>
+                && servers.iter().filter(|r| r.drained.lock().expect("held").is_some()).count() < 2 =>
             {
                 bench.change(&mut watch, at, "draining");
-                *region.drained.lock().expect("no thread failed") = Some(Instant::now());
+                *server.drained.lock().expect("no thread failed") = Some(Instant::now());
             }
             _ => {
-                region.mode.store(UP, Ordering::Relaxed);
+                server.mode.store(UP, Ordering::Relaxed);
                 if draining {
-                    *region.drained.lock().expect("no thread failed") = None;
+                    *server.drained.lock().expect("no thread failed") = None;
                     bench.change(&mut watch, at, "ready");
                 }
             }
@@ -415,7 +415,7 @@
         let must_not = item.is_multiple_of(4);
         twice += usize::from(must_not && attempts.iter().filter(|a| a.ran).count() > 1);
     }
-    println!("{seconds} s, {} regions; one trouble each 0.2 s", REGIONS);
+    println!("{seconds} s, {} regions; one trouble each 0.2 s", SERVERS);
     println!("front     items    served   refused  failed   none or two answers");
     for (name, seen) in ["text", "amqp"].iter().zip(&seen) {
         let Seen { items, served, refused, failed, wrong } = seen;
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -1,17 +1,17 @@
 //! Stories over loopback for the second address: operators' calls, drain and resume.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::net::SocketAddr;
 use std::process::Output;
 use std::time::Duration;
+use support::*;
 
 /// A node with an operators' address, and that address.
-fn node(regions: usize) -> (Bench, SocketAddr) {
-    let regions = (0..regions).map(|_| listener()).collect();
-    let mut bench = Bench::with_args(regions, None, &[], |text| {
+fn node(servers: usize) -> (Bench, SocketAddr) {
+    let servers = (0..servers).map(|_| listener()).collect();
+    let mut bench = Bench::with_args(servers, None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
     let line = bench.logged("operator");
@@ -57,7 +57,7 @@
     assert_eq!(counts, if status == 200 { [2, 0] } else { [0, 2] });
 }
 
-/// Callers that say nothing, or half a call, and stay; and a crowd of terminals that takes every descriptor.
+/// Callers that say nothing, or half a call, and stay; and a crowd of clients that takes every descriptor.
 #[rstest]
 fn who_stays_silent_holds_up_no_call() {
     let (mut bench, at) = node(1);
@@ -77,7 +77,7 @@
     assert_eq!((counters["operator_yes"], counters["operator_unheard"] >= 42), (50, true));
 }
 
-/// The first terminal stands; what is still placed during the drain stands, then is moved like the others.
+/// The first client stands; what is still placed during the drain stands, then is moved like the others.
 #[rstest]
 fn a_drain_sends_away_all_that_stands_and_a_second_call_changes_nothing() {
     let (mut bench, at) = node(1);
@@ -99,15 +99,15 @@
 }
 
 #[rstest]
-fn resume_keeps_what_stands_and_takes_terminals_at_once() {
+fn resume_keeps_what_stands_and_takes_clients_at_once() {
     let (mut bench, at) = node(1);
-    let (mut terminal, mut task) = standing(&bench, 1);
+    let (mut client, mut task) = standing(&bench, 1);
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!(call(at, "POST /-/resume"), (200, "serving".to_string()));
     assert_eq!(says(&bench), "PONG");
     // One that stands alone would have been moved by then: the drain's time is over.
     std::thread::sleep(Duration::from_millis(3_700));
-    terminal.say("M 1 x\r\n");
+    client.say("M 1 x\r\n");
     assert_eq!(task.line(), "M 1 x");
     assert_eq!((bench.counter("moved"), bench.counter("resumes")), (0, 1));
 }
@@ -115,14 +115,14 @@
 #[rstest]
 fn a_process_that_leaves_says_so() {
     let (mut bench, at) = node(1);
-    let (mut terminal, _task) = standing(&bench, 1);
+    let (mut client, _task) = standing(&bench, 1);
     bench.signal("-TERM");
     bench.logged("leaving");
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!(says(&bench), "BUSY");
-    assert_eq!(terminal.line(), "MOVE");
+    assert_eq!(client.line(), "MOVE");
     assert!(bench.child.wait().expect("it ends").success());
 }
 
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -6,7 +6,7 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use sparbank::interface::*;
+use sparbank::vocabulary::*;
 use sparbank::Balancer;
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 const SERVERS: u32 = 6;
 
 #[derive(Clone, Copy, PartialEq)]
-enum Shot {
+enum Attempt {
     Out { until: Nanos },
     Open,
     Ended(Outcome),
@@ -27,10 +27,10 @@
     deadline: Nanos,
     /// Final answer given, or the client has left.
     over: bool,
-    shots: Vec<(ServerId, Nanos, Shot)>,
+    attempts: Vec<(ServerId, Nanos, Attempt)>,
 }
 
-/// What the relay's surroundings know, and what they check of every action.
+/// What the node's surroundings know, and what they check of every action.
 struct World {
     settings: Settings,
     balancer: Balancer,
@@ -64,18 +64,18 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match action {
-            Action::Try { id, server, give_up } => {
+            Action::StartAttempt { id, server, give_up } => {
                 let client = self.clients.get_mut(&id.0).expect("a request that arrived");
                 assert!(!client.over, "rule 1: a try after the end");
-                let ended = |(_, _, shot): &(_, _, Shot)| matches!(shot, Shot::Ended(_));
-                assert!(client.shots.iter().all(ended), "one attempt at a time");
-                assert!(client.shots.len() < self.settings.max_attempts as usize, "attempts used up");
+                let ended = |(_, _, attempt): &(_, _, Attempt)| matches!(attempt, Attempt::Ended(_));
+                assert!(client.attempts.iter().all(ended), "one attempt at a time");
+                assert!(client.attempts.len() < self.settings.max_attempts as usize, "attempts used up");
                 if let Some(told) = self.told_off.get(server) {
                     assert!(now <= told + GRACE, "rule 3: {server:?} drains or is gone");
                 }
                 let class = &self.settings.classes[client.class];
-                let ran = |(_, _, shot): &&(_, _, Shot)| !matches!(shot, Shot::Ended(o) if o.never_ran());
-                if let Some((first, sent, _)) = client.shots.iter().find(ran) {
+                let ran = |(_, _, attempt): &&(_, _, Attempt)| !matches!(attempt, Attempt::Ended(o) if o.never_ran());
+                if let Some((first, sent, _)) = client.attempts.iter().find(ran) {
                     match class.effect {
                         Effect::ReadLike => {}
                         Effect::NonIdempotent => panic!("rule 2: an unsafe request twice"),
@@ -86,26 +86,33 @@
                     }
                 }
                 let until = (now + give_up).min(client.deadline).max(now);
-                client.shots.push((*server, now, Shot::Out { until }));
+                client.attempts.push((*server, now, Attempt::Out { until }));
             }
-            Action::Decline { id, .. } | Action::Fail(id) => {
+            Action::Reject { id, .. } | Action::Fail(id) => {
                 let client = self.clients.get_mut(&id.0).expect("a request that arrived");
                 assert!(!client.over, "rule 1: two final answers");
                 assert!(now <= client.deadline + SLACK, "rule 1: too late");
                 client.over = true;
-                let may_have_run =
-                    client.shots.iter().any(|(_, _, shot)| !matches!(shot, Shot::Ended(o) if o.never_ran()));
+                let may_have_run = client
+                    .attempts
+                    .iter()
+                    .any(|(_, _, attempt)| !matches!(attempt, Attempt::Ended(o) if o.never_ran()));
                 let safe = client.class == 0 || !may_have_run;
                 assert!(matches!(action, Action::Fail(_)) || safe, "rule 2: a refusal that may do harm");
             }
-            Action::GoAway(id) => {
+            Action::Migrate(id) => {
                 let client = self.clients.get_mut(&id.0).expect("a request that arrived");
-                assert!(!client.over && client.shots.last().is_some_and(|(_, _, shot)| *shot == Shot::Open));
+                assert!(
+                    !client.over
+                        && client.attempts.last().is_some_and(|(_, _, attempt)| *attempt == Attempt::Open)
+                );
                 client.over = true;
             }
-            Action::Recall { id, shot } => assert!(self.clients[&id.0].shots.len() > *shot as usize),
-            Action::Timer { after, token } => self.timers.push((now + after, *token)),
-            Action::Probe(server) => {
+            Action::CancelAttempt { id, attempt } => {
+                assert!(self.clients[&id.0].attempts.len() > *attempt as usize)
+            }
+            Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
+            Action::HealthCheck(server) => {
                 assert!(self.settings.probes, "a probe where none is allowed");
                 assert!(server.0 < SERVERS, "a probe of a server never listed");
             }
@@ -124,8 +131,8 @@
             for (_, token) in due {
                 self.tell(Event::Timer(token));
             }
-            let out = |(id, client): (&u64, &Client)| match client.shots.last() {
-                Some((server, _, Shot::Out { until })) if *until <= self.now => Some((*id, *server)),
+            let out = |(id, client): (&u64, &Client)| match client.attempts.last() {
+                Some((server, _, Attempt::Out { until })) if *until <= self.now => Some((*id, *server)),
                 _ => None,
             };
             let late: Vec<(u64, ServerId)> = self.clients.iter().filter_map(out).collect();
@@ -133,7 +140,7 @@
                 self.end(id, server, Outcome::Timeout);
             }
             let overdue = |c: &Client| {
-                let stands = c.shots.last().is_some_and(|(_, _, shot)| *shot == Shot::Open);
+                let stands = c.attempts.last().is_some_and(|(_, _, attempt)| *attempt == Attempt::Open);
                 !c.over && !stands && self.now > c.deadline + SLACK
             };
             assert!(!self.clients.values().any(overdue), "rule 1: no answer in time");
@@ -142,24 +149,25 @@
 
     fn end(&mut self, id: u64, server: ServerId, outcome: Outcome) {
         let client = self.clients.get_mut(&id).expect("known");
-        let last = client.shots.last_mut().expect("an attempt");
-        let stood = last.2 == Shot::Open;
-        last.2 = Shot::Ended(outcome);
+        let last = client.attempts.last_mut().expect("an attempt");
+        let stood = last.2 == Attempt::Open;
+        last.2 = Attempt::Ended(outcome);
         client.over |= stood || outcome == Outcome::Ok;
         let done = client.over;
-        self.tell(Event::Response { id: RequestId(id), server, outcome, done });
+        self.tell(Event::AttemptEnded { id: RequestId(id), server, outcome, done });
     }
 
     fn some(&self, pick: u64, wanted: impl Fn(&Client) -> bool) -> Option<(u64, ServerId)> {
         let fits: Vec<_> = self.clients.iter().filter(|(_, c)| wanted(c)).collect();
         let (id, client) = fits.get(pick as usize % fits.len().max(1))?;
-        Some((**id, client.shots.last().map_or(ServerId(0), |(server, ..)| *server)))
+        Some((**id, client.attempts.last().map_or(ServerId(0), |(server, ..)| *server)))
     }
 
-    fn list(&mut self, kind: ListKind, members: Vec<Member>) {
+    fn list(&mut self, kind: ListKind, members: Vec<Endpoint>) {
         let mut listed: BTreeMap<ServerId, Status> = members.iter().map(|m| (m.server, m.status)).collect();
         if kind != ListKind::Incremental {
-            let absent = self.listed.keys().filter(|s| !listed.contains_key(s)).map(|s| (*s, Status::Gone));
+            let absent =
+                self.listed.keys().filter(|s| !listed.contains_key(s)).map(|s| (*s, Status::Removed));
             listed.extend(absent.collect::<Vec<_>>());
         }
         for (server, status) in listed {
@@ -170,19 +178,19 @@
             }
             self.listed.insert(server, status);
         }
-        self.tell(Event::Members(kind, members));
+        self.tell(Event::EndpointList(kind, members));
     }
 
     fn step(&mut self, kind: u8, a: u64, span: u16) {
-        let out = |c: &Client| matches!(c.shots.last(), Some((_, _, Shot::Out { .. })));
-        let open = |c: &Client| matches!(c.shots.last(), Some((_, _, Shot::Open)));
+        let out = |c: &Client| matches!(c.attempts.last(), Some((_, _, Attempt::Out { .. })));
+        let open = |c: &Client| matches!(c.attempts.last(), Some((_, _, Attempt::Open)));
         let ends = [
             Outcome::Error,
-            Outcome::Full,
+            Outcome::Rejected,
             Outcome::ConnectFailed,
             Outcome::Reset,
             Outcome::Cancelled,
-            Outcome::Moot,
+            Outcome::NotSent,
             Outcome::Ok,
         ];
         let ended = ends[a as usize % ends.len()];
@@ -190,16 +198,17 @@
             0..=4 => {
                 let (id, class) = (self.next, a as usize % 3);
                 self.next += 1;
-                let (came_back, rerouted) = (a.is_multiple_of(5), a.is_multiple_of(7));
+                let (reconnect, rerouted) = (a.is_multiple_of(5), a.is_multiple_of(7));
                 let grace = 50 * MS + a % 1950 * MS;
                 let deadline = self.now + grace;
-                self.clients.insert(id, Client { class, deadline, over: false, shots: Vec::new() });
-                let arrival = Arrival { came_back, rerouted, grace, ..arrival(id, class) };
+                self.clients.insert(id, Client { class, deadline, over: false, attempts: Vec::new() });
+                let arrival = Arrival { reconnect, rerouted, grace, ..arrival(id, class) };
                 self.tell(Event::Request(arrival));
             }
             5 | 6 => {
                 if let Some((id, server)) = self.some(a, out) {
-                    self.clients.get_mut(&id).expect("known").shots.last_mut().expect("out").2 = Shot::Open;
+                    self.clients.get_mut(&id).expect("known").attempts.last_mut().expect("out").2 =
+                        Attempt::Open;
                     self.tell(Event::Established { id: RequestId(id), server, waited: a % 400 * MS });
                 }
             }
@@ -214,26 +223,26 @@
                 }
             }
             11 => {
-                let status = [Status::Serving, Status::Draining, Status::Gone][a as usize % 3];
-                let born = if a.is_multiple_of(2) { self.now - S } else { 0 };
-                let m = member(a as u32 % SERVERS, born, status);
+                let status = [Status::Serving, Status::Draining, Status::Removed][a as usize % 3];
+                let started_at = if a.is_multiple_of(2) { self.now - S } else { 0 };
+                let m = member(a as u32 % SERVERS, started_at, status);
                 self.list(ListKind::Incremental, vec![m.clone(), m]);
             }
             12 => {
                 let all = serving(SERVERS).into_iter().filter(|m| a >> m.server.0 & 1 == 0);
                 self.list(ListKind::Full, all.collect());
             }
-            13 => self.tell(Event::DelayNote { server: ServerId(a as u32 % 8), delay: a % 900 * MS }),
+            13 => self.tell(Event::LatencyReport { server: ServerId(a as u32 % 8), delay: a % 900 * MS }),
             14 => {
                 if let Some((id, _)) = self.some(a, |c| !c.over) {
                     self.clients.get_mut(&id).expect("known").over = true;
-                    self.tell(Event::Vanished(RequestId(id)));
+                    self.tell(Event::ClientDisconnected(RequestId(id)));
                 }
             }
-            15 => self.tell(Event::Members(ListKind::Failed, vec![])),
+            15 => self.tell(Event::EndpointList(ListKind::Failed, vec![])),
             _ => {
                 let over = (!a.is_multiple_of(3)).then_some((a % 40) as f64 / 20.0);
-                self.tell(Event::Probed { server: ServerId(a as u32 % 8), over });
+                self.tell(Event::HealthCheckResult { server: ServerId(a as u32 % 8), over });
             }
         }
         self.pass(Nanos::from(span) * MS);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,20 +1,20 @@
 //! Stories over loopback for SIGHUP: the configuration is read again while the node serves.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
+use support::*;
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
-/// A new terminal stands at this region.
+/// A new client stands at this server.
 fn stands_at(bench: &Bench, at: usize, key: u64) -> (Peer, Peer) {
-    let mut terminal = bench.terminal(&open(key));
-    let mut task = Peer::accept(&bench.regions[at]);
+    let mut client = bench.client(&open(key));
+    let mut task = Peer::accept(&bench.servers[at]);
     task.line();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
-    (terminal, task)
+    assert_eq!(client.line(), "UP r1");
+    (client, task)
 }
 
 #[rstest]
@@ -23,20 +23,20 @@
 fn the_watch_moves_and_its_first_list_is_set_against_what_is_known(#[case] lifecycle: &str) {
     let mut bench = Bench::start(2);
     let _old = bench.watch();
-    let (_, mut terminal, mut task) = {
-        let mut terminal = bench.terminal(OPEN);
-        let (at, mut task) = accept_any(&bench.regions);
+    let (_, mut client, mut task) = {
+        let mut client = bench.client(OPEN);
+        let (at, mut task) = accept_any(&bench.servers);
         task.line();
         task.say("UP r1\r\n");
-        assert_eq!(terminal.line(), "UP r1");
-        (at, terminal, task)
+        assert_eq!(client.line(), "UP r1");
+        (at, client, task)
     };
     bench.move_discovery();
     bench.logged("reloaded");
     // The new discovery counts its versions from elsewhere.
     bench.generation = 0;
     let mut watch = bench.watch();
-    let address = |at: usize| bench.regions[at].local_addr().expect("an address");
+    let address = |at: usize| bench.servers[at].local_addr().expect("an address");
     let mut entries = vec![instance(1, address(1), "ready")];
     if !lifecycle.is_empty() {
         entries.push(instance(0, address(0), lifecycle));
@@ -46,11 +46,11 @@
     watch.say("0\r\n\r\n");
     bench.logged("list-lost");
     let _placed: Vec<_> = (0..4).map(|key| stands_at(&bench, 1, key)).collect();
-    // What stood goes on, at whichever region.
-    terminal.say("M 1 x\r\n");
+    // What stood goes on, at whichever server.
+    client.say("M 1 x\r\n");
     assert_eq!(task.line(), "M 1 x");
     task.say("M 1 x\r\n");
-    assert_eq!(terminal.line(), "M 1 x");
+    assert_eq!(client.line(), "M 1 x");
     assert_eq!(bench.counter("moved"), 0);
 }
 
@@ -98,11 +98,11 @@
     let mut bench = Bench::with(vec![listener()], Some(amqp));
     let _watch = bench.watch();
     bench.reconfigure(|text| {
-        // Of 20 descriptors none is left for a terminal.
+        // Of 20 descriptors none is left for a client.
         text.replace(r#""sockets":256"#, r#""sockets":20"#)
             .replace(r#""name":"n1""#, r#""name":"n2""#)
             .replace(r#""seed":"7""#, r#""seed":"8""#)
     });
     assert_eq!(bench.logged("reload-needs-restart"), "sparbank reload-needs-restart fields=name,seed");
-    assert_eq!(bench.terminal(OPEN).line(), "BUSY 500");
+    assert_eq!(bench.client(OPEN).line(), "BUSY 500");
 }
--- a/tests/crossings_shutdown.rs
+++ b/tests/shutdown_races.rs
@@ -1,11 +1,11 @@
 //! Crossings of a shutdown, forced over loopback: each request that was taken gets one final answer, and the node
 //! ends by itself, in time. Where an instant matters the node is stopped while things happen.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::time::{Duration, Instant};
+use support::*;
 
 /// SIGKILL comes 0.7 s after the longest deadline, 1.2 s here.
 const KILLED_AFTER: Duration = Duration::from_millis(1_900);
@@ -43,7 +43,7 @@
     if let Crossing::HalfALine = crossing {
         early.say(&line[..9]);
         // It has been read: a later one's question is answered.
-        assert_eq!(bench.terminal("PING").line(), "PONG");
+        assert_eq!(bench.client("PING").line(), "PONG");
     }
     bench.freeze();
     let mut client = match crossing {
@@ -62,7 +62,7 @@
         Crossing::Unread => {}
         Crossing::Queued => drop(client.say(&line)),
     }
-    let mut attempt = Peer::accept(&bench.regions[0]);
+    let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.line();
     attempt.say("UP r1\r\n");
     assert_eq!(answers(&mut client), ["UP r1", "MOVE"]);
@@ -87,8 +87,8 @@
     #[values(1, 2)] terms: u32,
 ) {
     let bench = Bench::start(2);
-    let mut client = bench.terminal(&open(1));
-    let (_, mut attempt) = accept_any(&bench.regions);
+    let mut client = bench.client(&open(1));
+    let (_, mut attempt) = accept_any(&bench.servers);
     attempt.line();
     if let Server::TurnsAway = server {
         attempt.say("BUSY\r\n");
@@ -98,10 +98,10 @@
     if let Server::Answers = server {
         attempt.say("UP r1\r\n");
     }
-    let regions: Vec<_> = bench.regions.iter().map(|l| l.try_clone().expect("a second handle")).collect();
+    let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     if let Server::TurnsAway = server {
         std::thread::spawn(move || loop {
-            let (_, mut attempt) = accept_any(&regions);
+            let (_, mut attempt) = accept_any(&servers);
             attempt.line();
             attempt.say("BUSY\r\n");
         });
@@ -145,7 +145,7 @@
 fn resting_connections_are_ended_before_the_process_is() {
     let bench = Bench::start(1);
     let mut resting: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
-    assert_eq!(bench.terminal("PING").line(), "PONG");
+    assert_eq!(bench.client("PING").line(), "PONG");
     bench.signal("-TERM");
     let told = Instant::now();
     for (number, client) in resting.iter_mut().enumerate() {
@@ -154,9 +154,9 @@
     }
     resting.iter_mut().for_each(Peer::ends);
     drop(resting);
-    let regions: Vec<_> = bench.regions.iter().map(|l| l.try_clone().expect("a second handle")).collect();
+    let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     let counters = ends(bench, told);
-    regions[0].set_nonblocking(true).expect("non-blocking");
-    assert!(regions[0].accept().is_err(), "it was sent on");
+    servers[0].set_nonblocking(true).expect("non-blocking");
+    assert!(servers[0].accept().is_err(), "it was sent on");
     assert_eq!(value(&counters, "silent"), 20);
 }
--- a/tests/host.rs
+++ b/tests/simulator.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(lines: &[String]) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simhost"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/peers/amqp.rs
+++ b/tests/support/amqp.rs
@@ -85,7 +85,7 @@
         self.put(amqp::Open { container_id, idle_time_out: idle_ms, max_frame_size, ..Default::default() });
     }
 
-    /// A server that a region's node connects to. It takes this many frames ahead.
+    /// A server that a server's node connects to. It takes this many frames ahead.
     pub fn server(peer: Peer, window: u32, max_frame: u32) -> AmqpPeer {
         let mut this = AmqpPeer::shake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Array(vec![Value::Symbol("ANONYMOUS".into())]));
--- a/tests/peers/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One node on loopback, and the scripted peers round it: discovery, regions, terminals. Every wait is
+//! One node on loopback, and the scripted peers round it: discovery, servers, clients. Every wait is
 //! on an event; the time-out only ends a test that has gone wrong.
 #![allow(dead_code)]
 
@@ -107,7 +107,7 @@
     panic!("nothing came")
 }
 
-/// A region whose queue is full: connections to it come up once it lets them in.
+/// A server whose queue is full: connections to it come up once it lets them in.
 pub struct Hesitant {
     pub listener: TcpListener,
     held: Vec<TcpStream>,
@@ -140,17 +140,17 @@
     }
 }
 
-/// A new terminal with this number stands at whichever region.
+/// A new client with this number stands at whichever server.
 pub fn standing(bench: &Bench, number: u64) -> (Peer, Peer) {
-    let mut terminal = bench.terminal(&open(number));
-    let (_, mut task) = accept_any(&bench.regions);
+    let mut client = bench.client(&open(number));
+    let (_, mut task) = accept_any(&bench.servers);
     task.line();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
-    (terminal, task)
+    assert_eq!(client.line(), "UP r1");
+    (client, task)
 }
 
-/// A node with its discovery and its regions.
+/// A node with its discovery and its servers.
 pub struct Bench {
     pub child: Child,
     log: BufReader<std::process::ChildStderr>,
@@ -160,7 +160,7 @@
     /// What the AMQP front said of where it listens.
     pub amqp_line: String,
     pub discovery: TcpListener,
-    pub regions: Vec<TcpListener>,
+    pub servers: Vec<TcpListener>,
     pub generation: u64,
     files: PathBuf,
     config: String,
@@ -184,7 +184,7 @@
 }
 
 /// A first line whose id and key are this number's: the id of one that is open is refused.
-/// Each in a group of its own, since a group draws the same few regions.
+/// Each in a group of its own, since a group draws the same few servers.
 pub fn open(number: u64) -> String {
     format!("OPEN {number:x} {number:x} c=live-readings,t=acme,d=1200,g=5c{number:x}")
 }
@@ -193,7 +193,7 @@
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
-/// The configuration of a node whose regions are at these addresses.
+/// The configuration of a node whose servers are at these addresses.
 pub fn config(discovery: SocketAddr, instances: &str, sockets: u32) -> String {
     let class = |name: &str, effect: &str| {
         format!(
@@ -238,29 +238,29 @@
 }
 
 impl Bench {
-    /// Starts a node that knows this many regions and speaks text only.
-    pub fn start(regions: usize) -> Bench {
-        Bench::with((0..regions).map(|_| listener()).collect(), None)
+    /// Starts a node that knows this many servers and speaks text only.
+    pub fn start(servers: usize) -> Bench {
+        Bench::with((0..servers).map(|_| listener()).collect(), None)
     }
 
     /// Starts a node; the AMQP front is on where its settings are given.
-    pub fn with(regions: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
-        Bench::with_args(regions, amqp, &[], str::to_string)
+    pub fn with(servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
+        Bench::with_args(servers, amqp, &[], str::to_string)
     }
 
     /// Starts a node with further arguments and an edited configuration.
     pub fn with_args(
-        regions: Vec<TcpListener>,
+        servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
         edit: fn(&str) -> String,
     ) -> Bench {
-        Bench::with_env(regions, amqp, args, edit, &[])
+        Bench::with_env(servers, amqp, args, edit, &[])
     }
 
     /// The same, in an environment with these variables.
     pub fn with_env(
-        regions: Vec<TcpListener>,
+        servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
         edit: fn(&str) -> String,
@@ -269,7 +269,7 @@
         let discovery = listener();
         let address = |l: &TcpListener| l.local_addr().expect("an address");
         let list: Vec<String> =
-            regions.iter().enumerate().map(|(at, l)| instance(at, address(l), "ready")).collect();
+            servers.iter().enumerate().map(|(at, l)| instance(at, address(l), "ready")).collect();
         let config = edit(&config(address(&discovery), &list.join(","), 256));
         let files = file("node.json", &config);
         let amqp_file = amqp.map(|text| file("amqp.json", text));
@@ -290,7 +290,7 @@
             amqp: None,
             amqp_line: String::new(),
             discovery,
-            regions,
+            servers,
             generation: 1,
             files,
             config,
@@ -327,7 +327,7 @@
 
     /// One entry of the list has changed.
     pub fn change(&mut self, watch: &mut Peer, at: usize, lifecycle: &str) {
-        let entry = instance(at, self.regions[at].local_addr().expect("an address"), lifecycle);
+        let entry = instance(at, self.servers[at].local_addr().expect("an address"), lifecycle);
         self.list(watch, &entry);
     }
 
@@ -344,10 +344,10 @@
         watch.say(&format!("{:x}\r\n{list}\r\n", list.len()));
     }
 
-    pub fn terminal(&self, line: &str) -> Peer {
-        let mut terminal = Peer::connect(self.addr);
-        terminal.say(line).say("\r\n");
-        terminal
+    pub fn client(&self, line: &str) -> Peer {
+        let mut client = Peer::connect(self.addr);
+        client.say(line).say("\r\n");
+        client
     }
 
     /// Replaces the configuration file by an edited one.
@@ -392,13 +392,13 @@
         self.signal("-CONT");
     }
 
-    /// Nothing came to any region since it was looked last.
+    /// Nothing came to any server since it was looked last.
     pub fn nothing_was_sent(&mut self) {
         self.counters();
-        for region in &self.regions {
-            region.set_nonblocking(true).expect("non-blocking");
-            assert!(region.accept().is_err(), "an attempt was made");
-            region.set_nonblocking(false).expect("blocking");
+        for server in &self.servers {
+            server.set_nonblocking(true).expect("non-blocking");
+            assert!(server.accept().is_err(), "an attempt was made");
+            server.set_nonblocking(false).expect("blocking");
         }
     }
 
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -1,23 +1,23 @@
 //! Stories over loopback for the platform's front: one for each failure met or guarded against.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
+use support::*;
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
-/// Accepts the routed task at whichever region it comes to.
+/// Accepts the attempt at whichever server it comes to.
 fn task(bench: &Bench) -> (usize, Peer) {
-    accept_any(&bench.regions)
+    accept_any(&bench.servers)
 }
 
 #[rstest]
 fn lines_pass_both_ways_unchanged_and_the_end_propagates() {
     let bench = Bench::start(1);
-    let mut terminal = bench.terminal(OPEN);
+    let mut client = bench.client(OPEN);
     let (_, mut task) = task(&bench);
     let first = task.line();
     let (before, rest) = first.split_once("d=").expect("d is passed on");
@@ -26,24 +26,24 @@
     assert!(d.parse::<u32>().expect("a number") < 1200, "d is what the node waits");
     // What comes in the same read as UP is passed on too.
     task.say("UP r1\r\nLOAD 12.5\r\nhel").say("lo\r\n");
-    assert_eq!([terminal.line(), terminal.line(), terminal.line()], ["UP r1", "LOAD 12.5", "hello"]);
-    terminal.say("M 1 x\r\n");
+    assert_eq!([client.line(), client.line(), client.line()], ["UP r1", "LOAD 12.5", "hello"]);
+    client.say("M 1 x\r\n");
     assert_eq!(task.line(), "M 1 x");
     task.say("BYE\r\n");
     drop(task);
-    assert_eq!(terminal.line(), "BYE");
-    terminal.ends();
+    assert_eq!(client.line(), "BYE");
+    client.ends();
     let counters = bench.stop();
     assert_eq!([value(&counters, "taken"), value(&counters, "served"), value(&counters, "ended")], [1, 1, 1]);
 }
 
 /// Where the settings say that delays are told too, a `LOAD` is a load all the same, whenever it comes and
-/// however small it is: regions tell it whenever it changes, so no beat and no ratio makes it a delay.
+/// however small it is: servers tell it whenever it changes, so no beat and no ratio makes it a delay.
 #[rstest]
 fn every_load_note_is_a_load() {
     let tells = |text: &str| text.replace(r#""FamilyInfo":{"#, r#""FamilyInfo":{"TellsDelay":true,"#);
     let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], tells);
-    let mut terminal = bench.terminal(OPEN);
+    let mut client = bench.client(OPEN);
     let (_, mut task) = task(&bench);
     task.line();
     task.say("UP r1\r\nLOAD 2727\r\n");
@@ -52,7 +52,7 @@
     std::thread::sleep(Duration::from_millis(1_000));
     task.say("LOAD 90\r\n");
     assert!(bench.logged("trace load").ends_with("us=90"));
-    assert_eq!([terminal.line(), terminal.line(), terminal.line()], ["UP r1", "LOAD 2727", "LOAD 90"]);
+    assert_eq!([client.line(), client.line(), client.line()], ["UP r1", "LOAD 2727", "LOAD 90"]);
 }
 
 #[rstest]
@@ -62,7 +62,7 @@
 #[case::garbage("\u{1}what\r\n")]
 fn a_task_that_fails_is_tried_elsewhere(#[case] answer: &str) {
     let bench = Bench::start(2);
-    let mut terminal = bench.terminal(OPEN);
+    let mut client = bench.client(OPEN);
     let (first, mut failing) = task(&bench);
     failing.line();
     failing.say(answer);
@@ -71,10 +71,10 @@
     assert_ne!(first, second);
     task.line();
     task.say("UP r2\r\n");
-    assert_eq!(terminal.line(), "UP r2");
+    assert_eq!(client.line(), "UP r2");
 }
 
-/// A region that the list names and nobody serves: connections to it are refused.
+/// A server that the list names and nobody serves: connections to it are refused.
 fn unheard() -> TcpListener {
     use rustix::net::{bind, socket, AddressFamily, SocketType};
     let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
@@ -82,7 +82,7 @@
     TcpListener::from(fd)
 }
 
-/// A region whose queue is full: connections to it never come up.
+/// A server whose queue is full: connections to it never come up.
 fn silent() -> TcpListener {
     let listener = unheard();
     rustix::net::listen(&listener, 0).expect("a short queue");
@@ -96,14 +96,14 @@
 #[rstest]
 #[case::refused(unheard())]
 #[case::never_up(silent())]
-fn a_region_that_cannot_be_reached_never_ran_it(#[case] region: TcpListener) {
-    let mut bench = Bench::with(vec![region, listener()], None);
+fn a_server_that_cannot_be_reached_never_ran_it(#[case] server: TcpListener) {
+    let mut bench = Bench::with(vec![server, listener()], None);
     for key in 0..6 {
-        let mut terminal = bench.terminal(&open(key));
-        let mut task = Peer::accept(&bench.regions[1]);
+        let mut client = bench.client(&open(key));
+        let mut task = Peer::accept(&bench.servers[1]);
         task.line();
         task.say("UP r1\r\n");
-        assert_eq!(terminal.line(), "UP r1");
+        assert_eq!(client.line(), "UP r1");
     }
     assert!(bench.counter("task_connect_failed") > 0);
     let counters = bench.stop();
@@ -113,26 +113,26 @@
 #[rstest]
 fn when_all_turn_it_away_the_answer_is_busy_with_advice_and_comes_at_once() {
     let bench = Bench::start(3);
-    let mut terminal = bench.terminal(&OPEN.replace("d=1200", "d=60000"));
+    let mut client = bench.client(&OPEN.replace("d=1200", "d=60000"));
     for _ in 0..3 {
         let (_, mut task) = task(&bench);
         task.line();
         task.say("BUSY\r\n");
     }
     // The deadline is a minute away; the helper's own time-out is not.
-    let answer = terminal.line();
+    let answer = client.line();
     assert!(answer.strip_prefix("BUSY ").is_some_and(|ms| ms.parse::<u32>().is_ok()), "{answer}");
-    terminal.ends();
+    client.ends();
 }
 
 #[rstest]
-fn a_region_that_takes_and_never_answers_costs_no_answer() {
+fn a_server_that_takes_and_never_answers_costs_no_answer() {
     let bench = Bench::start(1);
-    let mut terminal = bench.terminal(&OPEN.replace("d=1200", "d=400"));
+    let mut client = bench.client(&OPEN.replace("d=1200", "d=400"));
     let (_, mut hung) = task(&bench);
     hung.line();
-    assert!(terminal.line().starts_with("BUSY"));
-    terminal.ends();
+    assert!(client.line().starts_with("BUSY"));
+    client.ends();
     let counters = bench.stop();
     assert!(value(&counters, "task_timeout") >= 1);
     assert_eq!([value(&counters, "taken"), value(&counters, "refused")], [1, 1]);
@@ -157,30 +157,30 @@
 #[case::no_text("\u{0}\u{1}")]
 fn a_line_that_cannot_be_read_gets_one_failed_answer(#[case] line: &str) {
     let bench = Bench::start(1);
-    let mut terminal = bench.terminal(line);
-    assert_eq!(terminal.line(), "ERR");
-    terminal.ends();
+    let mut client = bench.client(line);
+    assert_eq!(client.line(), "ERR");
+    client.ends();
     let counters = bench.stop();
     assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 0]);
 }
 
 #[rstest]
-fn a_connection_from_before_goes_to_its_region_and_is_no_placement() {
+fn a_connection_from_before_goes_to_its_server_and_is_no_placement() {
     let mut bench = Bench::start(3);
-    let mut terminal = bench.terminal("PING");
-    assert_eq!(terminal.line(), "PONG");
-    terminal.say(&format!("{OPEN},at=s-2\r\n"));
-    let mut task = Peer::accept(&bench.regions[2]);
+    let mut client = bench.client("PING");
+    assert_eq!(client.line(), "PONG");
+    client.say(&format!("{OPEN},at=s-2\r\n"));
+    let mut task = Peer::accept(&bench.servers[2]);
     assert!(task.line().ends_with(",at=s-2"));
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
+    assert_eq!(client.line(), "UP r1");
     assert_eq!([bench.counter("resumed"), bench.counter("sent")], [1, 0]);
-    drop(terminal);
+    drop(client);
     task.ends();
 }
 
 #[rstest]
-fn a_draining_region_gets_nothing_new_and_a_dead_watch_is_asked_for_again() {
+fn a_draining_server_gets_nothing_new_and_a_dead_watch_is_asked_for_again() {
     let mut bench = Bench::start(2);
     let mut watch = bench.watch();
     bench.change(&mut watch, 0, "draining");
@@ -188,41 +188,41 @@
     watch.say("0\r\n\r\n");
     bench.logged("list-lost");
     for key in 0..4 {
-        let mut terminal = bench.terminal(&open(key));
-        let mut task = Peer::accept(&bench.regions[1]);
+        let mut client = bench.client(&open(key));
+        let mut task = Peer::accept(&bench.servers[1]);
         task.line();
         task.say("UP r1\r\n");
-        assert_eq!(terminal.line(), "UP r1");
+        assert_eq!(client.line(), "UP r1");
     }
     bench.watch();
 }
 
 #[rstest]
-fn a_connect_in_progress_to_a_region_that_drains_is_called_off() {
+fn a_connect_in_progress_to_a_server_that_drains_is_called_off() {
     // With a minute to connect in, only the drain can end the attempt.
     let patient = |text: &str| text.replace(r#""DialTimeoutNs":250000000"#, r#""DialTimeoutNs":60000000000"#);
     let mut bench = Bench::with_args(vec![silent(), listener()], None, &[], patient);
     let mut watch = bench.watch();
     // Until the pick falls on the silent one, the other takes what comes.
     let mut key = 0;
-    let mut terminal = loop {
-        let mut terminal = bench.terminal(&open(key).replace("1200", "60000"));
-        bench.regions[1].set_nonblocking(true).expect("non-blocking");
+    let mut client = loop {
+        let mut client = bench.client(&open(key).replace("1200", "60000"));
+        bench.servers[1].set_nonblocking(true).expect("non-blocking");
         while bench.counter("sent") == key {}
-        let Ok((stream, _)) = bench.regions[1].accept() else { break terminal };
+        let Ok((stream, _)) = bench.servers[1].accept() else { break client };
         stream.set_nonblocking(false).expect("blocking");
         let mut task = Peer::new(stream);
         task.line();
         task.say("UP r1\r\n");
-        assert_eq!(terminal.line(), "UP r1");
+        assert_eq!(client.line(), "UP r1");
         key += 1;
     };
-    bench.regions[1].set_nonblocking(false).expect("blocking");
+    bench.servers[1].set_nonblocking(false).expect("blocking");
     bench.change(&mut watch, 0, "draining");
-    let mut task = Peer::accept(&bench.regions[1]);
+    let mut task = Peer::accept(&bench.servers[1]);
     task.line();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
+    assert_eq!(client.line(), "UP r1");
     assert_eq!(bench.counter("task_connect_failed"), 1);
 }
 
@@ -241,12 +241,12 @@
 }
 
 #[rstest]
-fn a_region_that_falls_silent_under_a_standing_terminal_has_it_moved() {
+fn a_server_that_falls_silent_under_a_standing_client_has_it_moved() {
     let bench = Bench::start(1);
-    let (mut terminal, mut task) = standing(&bench, 0x9b1f);
-    terminal.say("M 1 x\r\n");
-    assert_eq!([task.line(), terminal.line()], ["M 1 x", "MOVE"]);
-    terminal.ends();
+    let (mut client, mut task) = standing(&bench, 0x9b1f);
+    client.say("M 1 x\r\n");
+    assert_eq!([task.line(), client.line()], ["M 1 x", "MOVE"]);
+    client.ends();
     task.ends();
 }
 
@@ -256,7 +256,7 @@
     let (mut first, _task) = standing(&bench, 0x9b1f);
     bench.signal("-TERM");
     bench.logged("leaving");
-    let mut second = bench.terminal(&open(2));
+    let mut second = bench.client(&open(2));
     let (_, mut other) = task(&bench);
     other.line();
     other.say("UP r2\r\n");
@@ -267,17 +267,17 @@
     assert!(bench.child.wait().expect("it ends").success());
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline: a request that no region answers is not left to it.
+/// SIGKILL comes 0.7 s after the longest deadline: a request that no server answers is not left to it.
 #[rstest]
 fn sigterm_leaves_no_request_without_an_answer() {
     let mut bench = Bench::start(1);
-    let mut terminal = bench.terminal(&OPEN.replace("d=1200", "d=60000"));
+    let mut client = bench.client(&OPEN.replace("d=1200", "d=60000"));
     let (_, mut hung) = task(&bench);
     hung.line();
     bench.signal("-TERM");
-    assert_eq!(terminal.line(), "ERR");
+    assert_eq!(client.line(), "ERR");
     hung.ends();
-    terminal.ends();
+    client.ends();
     assert_eq!(value(&bench.logged("counters"), "failed"), 1);
     assert!(bench.child.wait().expect("it ends").success());
 }
@@ -301,13 +301,13 @@
 #[case::nothing("", "BUSY")]
 #[case::half_a_line("OPEN 1 2 c=live-re", "BUSY")]
 #[case::only_questions("PING\r\n", "PONG")]
-fn a_terminal_that_says_no_whole_line_is_closed(#[case] said: &str, #[case] answer: &str) {
+fn a_client_that_says_no_whole_line_is_closed(#[case] said: &str, #[case] answer: &str) {
     let bench = Bench::start(1);
-    let mut terminal = Peer::connect(bench.addr);
-    terminal.say(said);
+    let mut client = Peer::connect(bench.addr);
+    client.say(said);
     let came = std::time::Instant::now();
-    assert_eq!(terminal.line(), answer);
-    terminal.ends();
+    assert_eq!(client.line(), answer);
+    client.ends();
     assert!(came.elapsed() < Duration::from_secs(3));
     assert_eq!(value(&bench.stop(), "silent"), 1);
 }
@@ -316,25 +316,25 @@
 #[rstest]
 fn a_line_without_an_end_is_answered_while_it_still_comes() {
     let bench = Bench::start(1);
-    let mut terminal = Peer::connect(bench.addr);
-    let mut sender = terminal.stream.try_clone().expect("a second handle");
+    let mut client = Peer::connect(bench.addr);
+    let mut sender = client.stream.try_clone().expect("a second handle");
     let sends = std::thread::spawn(move || {
         let chunk = [b'x'; 64 * 1024];
         // The node reads no more than a bounded part of it.
         (0..960).take_while(|_| std::io::Write::write_all(&mut sender, &chunk).is_ok()).count()
     });
-    assert_eq!(terminal.line(), "ERR");
+    assert_eq!(client.line(), "ERR");
     assert!(sends.join().expect("it ends") < 960);
 }
 
 #[rstest]
-fn the_id_of_an_open_transaction_is_refused_and_that_one_goes_on() {
+fn the_id_of_an_open_request_is_refused_and_that_one_goes_on() {
     let bench = Bench::start(2);
-    let (mut terminal, mut task) = standing(&bench, 0x9b1f);
-    assert_eq!(bench.terminal(OPEN).line(), "ERR");
-    terminal.say("M 1 x\r\n");
+    let (mut client, mut task) = standing(&bench, 0x9b1f);
+    assert_eq!(bench.client(OPEN).line(), "ERR");
+    client.say("M 1 x\r\n");
     assert_eq!(task.line(), "M 1 x");
-    drop(terminal);
+    drop(client);
     task.ends();
     drop(task);
     // Over, it is free again.
@@ -348,16 +348,16 @@
 #[case::later("", "OPEN 8 9 c=live-readings,d=100\r\n")]
 fn more_than_one_line_before_up_is_an_error(#[case] with: &str, #[case] after: &str) {
     let bench = Bench::start(1);
-    let mut terminal = Peer::connect(bench.addr);
-    terminal.say(&format!("{OPEN}\r\n{with}"));
+    let mut client = Peer::connect(bench.addr);
+    client.say(&format!("{OPEN}\r\n{with}"));
     if !after.is_empty() {
         let (_, mut task) = task(&bench);
         task.line();
-        terminal.say(after);
+        client.say(after);
         task.ends();
     }
-    assert_eq!(terminal.line(), "ERR");
-    terminal.ends();
+    assert_eq!(client.line(), "ERR");
+    client.ends();
     assert_eq!(value(&bench.stop(), "up"), 0);
 }
 
@@ -380,13 +380,13 @@
 fn when_the_system_has_no_descriptors_left_accepting_rests_and_goes_on() {
     let mut bench = Bench::start(1);
     descriptors(&bench, 4);
-    let mut terminal = bench.terminal(OPEN);
+    let mut client = bench.client(OPEN);
     bench.logged("accept-rests");
     descriptors(&bench, 64);
     let (_, mut task) = task(&bench);
     task.line();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
+    assert_eq!(client.line(), "UP r1");
 }
 
 #[rstest]
@@ -409,16 +409,16 @@
 #[case::wrong_report("BYE inflight\r\n")]
 fn a_bye_with_a_report_is_served_to_its_end(#[case] bye: &str) {
     let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], str::to_string);
-    let mut terminal = bench.terminal(OPEN);
+    let mut client = bench.client(OPEN);
     let (_, mut task) = task(&bench);
     task.line();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
+    assert_eq!(client.line(), "UP r1");
     task.say(bye);
     drop(task);
-    assert_eq!(terminal.line(), bye.trim_end());
-    terminal.ends();
-    assert!(bench.logged("trace task").contains(" up "));
-    let ended = bench.logged("trace task");
+    assert_eq!(client.line(), bye.trim_end());
+    client.ends();
+    assert!(bench.logged("trace attempt").contains(" up "));
+    let ended = bench.logged("trace attempt");
     assert!(ended.contains("ended=Ok"), "{ended}");
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,14 +1,14 @@
 //! Stories over loopback for a new version under load: the listening socket is passed, and two processes are
 //! one node for a while.
 
-mod peers;
+mod support;
 
-use peers::*;
 use rstest::rstest;
 use rustix::net::{recv, send, AddressFamily, RecvFlags, SendFlags, SocketAddrUnix, SocketFlags, SocketType};
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{AsRawFd, OwnedFd};
 use std::path::PathBuf;
+use support::*;
 
 /// The platform's listening socket, which every process inherits.
 fn passed() -> (TcpListener, String) {
@@ -18,7 +18,7 @@
     (listener, number)
 }
 
-/// A node whose terminals come to a passed socket.
+/// A node whose clients come to a passed socket.
 struct Node {
     bench: Bench,
     _held: TcpListener,
@@ -77,21 +77,21 @@
     }
 }
 
-fn echo(terminal: &mut Peer, task: &mut Peer, text: &str) {
-    terminal.say(text).say("\r\n");
+fn echo(client: &mut Peer, task: &mut Peer, text: &str) {
+    client.say(text).say("\r\n");
     assert_eq!(task.line(), text);
     task.say(text).say("\r\n");
-    assert_eq!(terminal.line(), text);
+    assert_eq!(client.line(), text);
 }
 
 #[rstest]
 fn what_stands_goes_on_and_nobody_hears_of_it() {
     let mut node = node();
     let mut watch = node.bench.watch();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
-    echo(&mut terminal, &mut task, "M 1 x");
+    let (mut client, mut task) = standing(&node.bench, 1);
+    echo(&mut client, &mut task, "M 1 x");
     // Half a line each way, and half of a first line.
-    terminal.say("M 2");
+    client.say("M 2");
     task.say("N 2");
     let mut slow = Peer::connect(node.bench.addr);
     slow.say("OPEN 2 2 c=live-rea");
@@ -99,12 +99,12 @@
     assert_eq!(Peer::connect(node.bench.addr).say("PING\r\n").line(), "PONG");
     let counters = node.replaced();
     assert_eq!(["passed_on", "moved", "upgrades"].map(|name| value(&counters, name)), [1, 0, 1]);
-    terminal.say(" y\r\n");
+    client.say(" y\r\n");
     assert_eq!(task.line(), "M 2 y");
     task.say(" y\r\n");
-    assert_eq!(terminal.line(), "N 2 y");
+    assert_eq!(client.line(), "N 2 y");
     slow.say("dings,t=acme,d=1200,g=5c0f\r\n");
-    let mut second = Peer::accept(&node.bench.regions[0]);
+    let mut second = Peer::accept(&node.bench.servers[0]);
     second.line();
     second.say("UP r2\r\n");
     assert_eq!(slow.line(), "UP r2");
@@ -116,36 +116,36 @@
     let counts = ["taken_over", "taken", "moved", "list_calls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
     // Its id is that of an open connection here too.
-    assert_eq!(node.bench.terminal(&open(1)).line(), "ERR");
+    assert_eq!(node.bench.client(&open(1)).line(), "ERR");
     drop(task);
-    terminal.ends();
+    client.ends();
 }
 
 #[rstest]
 fn what_waits_for_its_answer_gets_it_and_goes_on() {
     let mut node = node();
-    let mut terminal = node.bench.terminal(&open(1));
-    let mut task = Peer::accept(&node.bench.regions[0]);
+    let mut client = node.bench.client(&open(1));
+    let mut task = Peer::accept(&node.bench.servers[0]);
     task.line();
     let mut old = node.upgraded();
     task.say("UP r1\r\n");
-    assert_eq!(terminal.line(), "UP r1");
+    assert_eq!(client.line(), "UP r1");
     old.signal("-TERM");
     assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
     assert!(old.child.wait().expect("it ends").success());
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
 }
 
 #[rstest]
 fn two_upgrades_in_a_row_and_a_drained_node_stays_drained() {
     let mut node = node();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     node.replaced();
     node.replaced();
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
     let said = Peer::connect(node.operator).say("POST /-/drain HTTP/1.1\r\n\r\n").line();
     assert_eq!(said, "HTTP/1.1 200 OK");
-    assert_eq!(terminal.line(), "MOVE");
+    assert_eq!(client.line(), "MOVE");
     node.replaced();
     assert_eq!(Peer::connect(node.bench.addr).say("PING\r\n").line(), "BUSY");
 }
@@ -154,11 +154,11 @@
 #[rstest]
 fn a_successor_that_does_not_start_changes_nothing() {
     let mut node = node();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     node.bench.rewrite(|_| "{".to_string());
     let mut failed = node.bench.fails_to_start();
     assert_eq!(failed.wait().expect("it ends").code(), Some(2));
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
     let _second = standing(&node.bench, 2);
     assert_eq!(node.bench.counter("upgrades"), 0);
 }
@@ -170,12 +170,12 @@
 fn a_successor_that_dies_leaves_the_old_one_serving(#[case] serves: bool) {
     let mut node = node();
     let watch = node.bench.watch();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     let successor = connect(&node.meets);
     say(&successor, r#"{"Take":{"version":1,"name":"n1"}}"#);
     while hear(&successor) != "\"Whole\"" {}
     if serves {
-        // It ends without having taken what is on its way: this terminal is lost with it.
+        // It ends without having taken what is on its way: this client is lost with it.
         say(&successor, "\"Ready\"");
         node.bench.logged("handing-over");
         assert!(hear(&successor).starts_with("{\"Terminal\""));
@@ -185,9 +185,9 @@
     // Discovery is asked anew: the watch was given away.
     let _watch = node.bench.watch();
     if serves {
-        terminal.ends();
+        client.ends();
     } else {
-        echo(&mut terminal, &mut task, "M 1 x");
+        echo(&mut client, &mut task, "M 1 x");
     }
     let _second = standing(&node.bench, 2);
     assert_eq!(node.bench.counter("served"), 2);
@@ -199,14 +199,14 @@
 #[case::out_of_turn(r#"{"State":{"piece":""}}"#)]
 fn who_is_no_successor_is_told_nothing(#[case] said: &str) {
     let mut node = node();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     let other = connect(&node.meets);
     say(&other, said);
     assert_eq!(hear(&other), "", "it ends");
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
     // The next one is a successor.
     node.replaced();
-    echo(&mut terminal, &mut task, "M 2 x");
+    echo(&mut client, &mut task, "M 2 x");
 }
 
 /// What a process that was killed left there, and what is nobody's.
@@ -221,9 +221,9 @@
         std::fs::write(&meets, "what").expect("a file");
     }
     let mut node = node_in(&dir, meets, None);
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     node.replaced();
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
 }
 
 /// Whoever listens there says nothing of use: the process starts as if it were the first.
@@ -247,13 +247,13 @@
 #[rstest]
 fn a_successor_that_comes_after_sigterm_takes_what_still_stands() {
     let mut node = node();
-    let (mut terminal, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = standing(&node.bench, 1);
     node.bench.signal("-TERM");
     node.bench.logged("leaving");
     let mut old = node.upgraded();
     assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
     assert!(old.child.wait().expect("it ends").success());
-    echo(&mut terminal, &mut task, "M 1 x");
+    echo(&mut client, &mut task, "M 1 x");
 }
 
 /// AMQP connections are not passed on: they are told to come again, and do so where the successor listens.
