--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -166,7 +166,7 @@
         if settings.discovery == Discovery::Pushed {
             settings.discovery = Discovery::LocalAgent;
         }
-        settings.check().map_err(|e| format!("field settings.{}: {}", e.field, e.problem))?;
+        settings.validate().map_err(|e| format!("field settings.{}: {}", e.field, e.problem))?;
         let seed = if file.seed.is_empty() {
             0
         } else {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -149,7 +149,7 @@
 /// The settings that a document means.
 pub fn settings(wire: SettingsDocument) -> Settings {
     let aims = wire.family_info.message_aim_ns;
-    let classes = wire.profiles.into_iter().enumerate().map(|(at, p)| Class {
+    let classes = wire.profiles.into_iter().enumerate().map(|(at, p)| RequestClass {
         objective: p.objective_ns,
         hard_limit: p.hard_limit_ns,
         effect: match p.effect {
@@ -157,12 +157,12 @@
             EffectName::IdempotencyKey => Effect::IdempotencyKey,
             EffectName::NonIdempotent => Effect::NonIdempotent,
         },
-        scope: match p.dedup_scope {
-            ScopeName::All => Scope::All,
-            ScopeName::Zone => Scope::Zone,
-            ScopeName::Cell => Scope::Cell,
+        dedup_scope: match p.dedup_scope {
+            ScopeName::All => DedupScope::All,
+            ScopeName::Zone => DedupScope::Zone,
+            ScopeName::Cell => DedupScope::Cell,
         },
-        window: p.window_ns,
+        dedup_window: p.window_ns,
         priority_weight: p.priority_weight,
         message_latency_objective: aims.get(at).copied(),
     });
--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -717,7 +717,7 @@
     Arrival {
         id: RequestId(0),
         class,
-        grace: grace.saturating_sub(ANSWER_MARGIN),
+        time_left: grace.saturating_sub(ANSWER_MARGIN),
         cost: None,
         key,
         group: property("group").map(|group| fnv1a(&group)),
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -11,7 +11,7 @@
 use crate::discovery::EndpointRegistry;
 use crate::net::{Net, Notice, Token, Wheel};
 use crate::requests::{FrontId, RequestTable};
-use crate::vocabulary::{Class, Nanos, Outcome, RequestId, ServerId};
+use crate::vocabulary::{Nanos, Outcome, RequestClass, RequestId, ServerId};
 use std::any::Any;
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
     pub registry: &'a EndpointRegistry,
     pub wheel: &'a mut Wheel<Due>,
     pub facts: &'a Facts,
-    pub classes: &'a [Class],
+    pub classes: &'a [RequestClass],
     /// Whether whoever deals clients out is to send some here.
     pub takes_clients: bool,
     /// Whether the process is about to end: what comes now is answered and not sent on.
@@ -80,7 +80,7 @@
     /// Asks a server for its load report, in the platform's protocol: the core hears of it as
     /// [`Event::HealthCheckResult`](crate::vocabulary::Event::HealthCheckResult). A front that cannot says so at once.
     fn probe(&mut self, ctx: &mut Ctx, server: crate::vocabulary::ServerId) {
-        ctx.requests.tell(crate::vocabulary::Event::HealthCheckResult { server, over: None });
+        ctx.requests.tell(crate::vocabulary::Event::HealthCheckResult { server, utilization: None });
     }
     /// One of its own timers is due.
     fn timer_due(&mut self, _ctx: &mut Ctx, _token: Token) {}
--- a/src/front/text/first_line.rs
+++ b/src/front/text/first_line.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Facts;
 use crate::hash::fnv1a;
-use crate::vocabulary::{Class, Nanos};
+use crate::vocabulary::{Nanos, RequestClass};
 use std::ops::Range;
 
 /// The longest id.
@@ -39,7 +39,7 @@
 
 impl FirstLine {
     /// Reads a line with its end. None is one that no server could use: it is answered here, at once.
-    pub fn parse(line: &[u8], facts: &Facts, classes: &[Class]) -> Option<FirstLine> {
+    pub fn parse(line: &[u8], facts: &Facts, classes: &[RequestClass]) -> Option<FirstLine> {
         let text = std::str::from_utf8(line).ok()?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -54,7 +54,7 @@
 }
 
 impl Open {
-    fn parse(line: &str, facts: &Facts, classes: &[Class]) -> Option<Open> {
+    fn parse(line: &str, facts: &Facts, classes: &[RequestClass]) -> Option<Open> {
         let mut words = line.split(' ');
         let (verb, id, key, list) = (words.next()?, words.next()?, words.next()?, words.next()?);
         let odd = |word: &str| word.is_empty() || word.len() > MOST_ID || word.contains(['=', ',']);
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -337,7 +337,7 @@
                     };
                     let name = ctx.registry.entry(server).map_or("?", |r| r.name());
                     crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
-                    ctx.requests.tell(Event::HealthCheckResult { server, over });
+                    ctx.requests.tell(Event::HealthCheckResult { server, utilization: over });
                 }
             }
         }
@@ -351,7 +351,7 @@
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
-            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+            ctx.requests.tell(Event::HealthCheckResult { server, utilization: None });
         }
     }
 
@@ -548,7 +548,7 @@
         }
         notes.sort_unstable();
         for (server, delay) in notes {
-            ctx.requests.tell(Event::LatencyReport { server, delay });
+            ctx.requests.tell(Event::LatencyReport { server, latency: delay });
         }
     }
 }
@@ -652,7 +652,7 @@
             Ask::Dial => {
                 let addr = ctx.registry.entry(server).map(|r| r.addr());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+                    return ctx.requests.tell(Event::HealthCheckResult { server, utilization: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
@@ -801,7 +801,7 @@
     Arrival {
         id: RequestId(0),
         class: open.class,
-        grace: open.grace.saturating_sub(ANSWER_MARGIN),
+        time_left: open.grace.saturating_sub(ANSWER_MARGIN),
         cost: open.hint,
         key: Some(open.key),
         group: open.group,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,12 +8,12 @@
 //! use sparbank::Balancer;
 //!
 //! const SECOND: Nanos = 1_000_000_000;
-//! let class = Class {
+//! let class = RequestClass {
 //!     objective: SECOND / 2,
 //!     hard_limit: 2 * SECOND,
 //!     effect: Effect::ReadLike,
-//!     scope: Scope::All,
-//!     window: 0,
+//!     dedup_scope: DedupScope::All,
+//!     dedup_window: 0,
 //!     priority_weight: 1.0,
 //!     message_latency_objective: None,
 //! };
@@ -47,8 +47,8 @@
 //!
 //! let id = RequestId(7);
 //! let (reconnect, client_retry, rerouted) = (false, false, false);
-//! let (class, grace, cost, key, group) = (0, 2 * SECOND, None, None, None);
-//! let arrival = Arrival { id, class, grace, cost, key, group, reconnect, client_retry, rerouted };
+//! let (class, time_left, cost, key, group) = (0, 2 * SECOND, None, None, None);
+//! let arrival = Arrival { id, class, time_left, cost, key, group, reconnect, client_retry, rerouted };
 //! balancer.handle(now, Event::Request(arrival), &mut actions);
 //! let Some(Action::StartAttempt { server: first, .. }) = actions.pop() else { panic!("tried at once") };
 //!
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -139,24 +139,24 @@
 impl Balancer {
     /// Starts an instance that knows nothing yet.
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
-        settings.check()?;
+        settings.validate()?;
         let (fleet, rng, salt) = (Fleet::new(&settings), Rng::seeded(seed), mix(seed));
         Ok(Balancer { fleet, settings, rng, salt, list_timer: TOKEN_LIST, ..Balancer::default() })
     }
 
     /// Newer settings, checked, with the same classes in the same places.
-    pub fn set(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.fleet = Fleet::new(&settings);
         self.settings = settings;
     }
 
     /// What this node learned of the servers, for a process that takes its place and knows the same ones.
-    pub fn learned(&self) -> String {
+    pub fn state_snapshot(&self) -> String {
         serde_json::to_string(&(self.picked_at, &self.servers)).unwrap_or_default()
     }
 
     /// Takes that over. What cannot be read changes nothing; what is of servers not known is left out.
-    pub fn learn(&mut self, learned: &str) -> Result<(), serde_json::Error> {
+    pub fn restore_state(&mut self, learned: &str) -> Result<(), serde_json::Error> {
         let servers: Vec<Server>;
         (self.picked_at, servers) = serde_json::from_str(learned)?;
         for s in servers {
@@ -183,10 +183,10 @@
                 self.hold(server, arrival.id);
                 self.succeeded(server);
             }
-            Event::Established { id, server, waited } => {
+            Event::Established { id, server, setup_time } => {
                 if let Some(request) = self.requests.get_mut(&id) {
                     request.phase = Phase::Open;
-                    let quick = waited <= self.settings.classes[request.class].objective / 2;
+                    let quick = setup_time <= self.settings.classes[request.class].objective / 2;
                     out.extend(self.returns.stood(quick).map(log));
                 }
                 self.succeeded(server);
@@ -205,10 +205,10 @@
                     request.cost = cost;
                 }
             }
-            Event::LatencyReport { server, delay } => self.delayed(server, delay, out),
-            Event::HealthCheckResult { server, over } => {
+            Event::LatencyReport { server, latency } => self.delayed(server, latency, out),
+            Event::HealthCheckResult { server, utilization } => {
                 let part = self.servers.get_mut(server.0 as usize).map(|s| std::mem::take(&mut s.asked));
-                if let (Some(part), true) = (part, over.is_some_and(|over| over > 1.0)) {
+                if let (Some(part), true) = (part, utilization.is_some_and(|utilization| utilization > 1.0)) {
                     self.migrate(server, part, out);
                 }
             }
@@ -224,7 +224,7 @@
         // A group draws its candidates, alike at every node, so that it sits at few servers and pays there.
         let drawn_by = group.or(arrival.key.filter(|_| !arrival.reconnect));
         let (draw, roll) = (drawn_by.map_or(random, mix), random);
-        let deadline = self.now.saturating_add(arrival.grace);
+        let deadline = self.now.saturating_add(arrival.time_left);
         let (rerouted, cost) = (arrival.rerouted, arrival.cost.unwrap_or(0));
         let again = arrival.reconnect || arrival.client_retry;
         let mut request =
@@ -292,7 +292,7 @@
         self.hold(server, id);
         let gap = below(self.rng.next_u64(), 2 * self.gap());
         self.returns.sent(self.now.saturating_add(gap));
-        out.push(Action::StartAttempt { id, server, give_up: slice.max(1) });
+        out.push(Action::StartAttempt { id, server, timeout: slice.max(1) });
     }
 
     /// What this node's set-ups keep apart.
@@ -307,7 +307,7 @@
             (Effect::ReadLike, _) | (_, None) => true,
             // Its line may go out as late as its connection may come up, and still has to be inside.
             (Effect::IdempotencyKey, Some((_, sent))) => {
-                self.now.saturating_sub(sent).saturating_add(self.settings.dial_timeout) < class.window
+                self.now.saturating_sub(sent).saturating_add(self.settings.dial_timeout) < class.dedup_window
             }
             (Effect::NonIdempotent, Some(_)) => false,
         }
@@ -321,13 +321,13 @@
         let class = &self.settings.classes[request.class];
         let harmless = match (class.effect, request.may_have_run) {
             (Effect::ReadLike, _) | (_, None) => true,
-            (Effect::IdempotencyKey, Some(_)) => class.scope == Scope::All,
+            (Effect::IdempotencyKey, Some(_)) => class.dedup_scope == DedupScope::All,
             (Effect::NonIdempotent, Some(_)) => false,
         };
         if harmless {
             let most = self.settings.max_retry_after;
-            let cool_down = below(self.rng.next_u64(), most).max(turn.min(most));
-            out.push(Action::Reject { id, cool_down });
+            let retry_after = below(self.rng.next_u64(), most).max(turn.min(most));
+            out.push(Action::Reject { id, retry_after });
         } else {
             out.push(Action::Fail(id));
         }
@@ -484,9 +484,9 @@
         let class = &self.settings.classes[request.class];
         let Some((first, _)) = request.may_have_run else { return true };
         let Some(first) = self.servers.get(first.0 as usize) else { return false };
-        match (class.effect, class.scope) {
-            (Effect::IdempotencyKey, Scope::Zone) => first.zone == s.zone,
-            (Effect::IdempotencyKey, Scope::Cell) => first.cell == s.cell && first.zone == s.zone,
+        match (class.effect, class.dedup_scope) {
+            (Effect::IdempotencyKey, DedupScope::Zone) => first.zone == s.zone,
+            (Effect::IdempotencyKey, DedupScope::Cell) => first.cell == s.cell && first.zone == s.zone,
             _ => true,
         }
     }
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -140,13 +140,13 @@
 
     /// Newer settings, with the same classes in the same places.
     pub fn set(&mut self, settings: Settings) {
-        self.balancer.set(settings);
+        self.balancer.update_settings(settings);
     }
 
     fn admit(&mut self, now: Nanos, front: FrontId, arrival: &mut Arrival, state: State) -> RequestId {
         self.next += 1;
         arrival.id = RequestId(self.next);
-        let deadline = now.saturating_add(arrival.grace);
+        let deadline = now.saturating_add(arrival.time_left);
         let (class, began) = (arrival.class, now);
         let request = Request { front, class, began, deadline, attempts: 0, state, counted: false };
         self.requests.insert(arrival.id, request);
@@ -155,12 +155,12 @@
 
     /// What the module learned, for a process that takes this one's place.
     pub fn learned(&self) -> String {
-        self.balancer.learned()
+        self.balancer.state_snapshot()
     }
 
     /// Takes that over, once the module has the list that it is about and before anything stands.
     pub fn learn(&mut self, learned: &str) -> Result<(), serde_json::Error> {
-        self.balancer.learn(learned)
+        self.balancer.restore_state(learned)
     }
 
     /// A request comes in; its id is dealt here.
@@ -262,7 +262,7 @@
         self.counters.served += 1;
         let waited = now.saturating_sub(since);
         self.trace.task(id, server, None, waited);
-        self.inbox.push(Event::Established { id, server, waited });
+        self.inbox.push(Event::Established { id, server, setup_time: waited });
     }
 
     /// The attempt, or the connection that it became, is over. True if that was the final answer.
@@ -434,7 +434,7 @@
 
     fn carry_out(&mut self, now: Nanos, action: Action) -> Option<Command> {
         match action {
-            Action::StartAttempt { id, server, give_up } => {
+            Action::StartAttempt { id, server, timeout } => {
                 let Some(t) = self.requests.get_mut(&id).filter(|t| matches!(t.state, State::Waiting)) else {
                     let (outcome, done) = (Outcome::NotSent, true);
                     self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
@@ -451,7 +451,7 @@
                 t.attempts += 1;
                 t.state = State::Trying { server, since: now, attempt: t.attempts };
                 self.counters.sent += 1;
-                let wait = give_up.min(t.deadline.saturating_sub(now));
+                let wait = timeout.min(t.deadline.saturating_sub(now));
                 Some(Command::StartAttempt { front: t.front, request_id: id, server, wait })
             }
             Action::CancelAttempt { id, .. } => {
@@ -459,12 +459,12 @@
                 self.task_ended(now, id, Outcome::Cancelled);
                 Some(Command::CancelAttempt { front, request_id: id })
             }
-            Action::Reject { id, cool_down } => {
+            Action::Reject { id, retry_after } => {
                 let unsent = self.requests.get(&id).is_some_and(|t| t.attempts == 0);
                 let front = self.answer(now, id, FlowResult::Refused)?;
                 self.counters.refused += 1;
                 self.counters.refused_unsent += u64::from(unsent);
-                Some(Command::Reject { front, request_id: id, cool_down })
+                Some(Command::Reject { front, request_id: id, cool_down: retry_after })
             }
             Action::Fail(id) => {
                 let front = self.answer(now, id, FlowResult::Failed)?;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -309,7 +309,7 @@
         Arrival {
             id: RequestId(wire.request_id),
             class: wire.category,
-            grace: wire.grace_ns,
+            time_left: wire.grace_ns,
             cost: wire.cost_ns,
             key: wire.key,
             group: wire.group,
@@ -321,13 +321,15 @@
 
     fn out(&self, action: Action) -> Out<'static> {
         match action {
-            Action::StartAttempt { id, server, give_up } => Out::Try {
+            Action::StartAttempt { id, server, timeout } => Out::Try {
                 request_id: id.0,
                 backend: Cow::Owned(self.names[server.0 as usize].to_string()),
-                give_up_after_ns: give_up,
+                give_up_after_ns: timeout,
             },
             Action::CancelAttempt { id, attempt } => Out::Recall { request_id: id.0, attempt },
-            Action::Reject { id, cool_down } => Out::Decline { request_id: id.0, cool_down_ns: cool_down },
+            Action::Reject { id, retry_after } => {
+                Out::Decline { request_id: id.0, cool_down_ns: retry_after }
+            }
             Action::Fail(id) => Out::ReportFailure { request_id: id.0 },
             Action::Migrate(id) => Out::GoAway { request_id: id.0 },
             Action::HealthCheck(server) => {
@@ -442,7 +444,7 @@
             "ESTABLISHED" => {
                 let wire: InEstablished = parse(raw)?;
                 let server = instance.number(&wire.backend);
-                Event::Established { id: RequestId(wire.request_id), server, waited: wire.wait_time_ns }
+                Event::Established { id: RequestId(wire.request_id), server, setup_time: wire.wait_time_ns }
             }
             "UPDATE_OF" => {
                 let wire: InUpdate = parse(raw)?;
@@ -451,7 +453,7 @@
                     1 => {
                         Event::LoadReport { id: RequestId(wire.request_id), cost: (wire.level * 1e3) as u64 }
                     }
-                    2 => Event::LatencyReport { server, delay: (wire.level * 1e6) as u64 },
+                    2 => Event::LatencyReport { server, latency: (wire.level * 1e6) as u64 },
                     _ => return Ok(()),
                 }
             }
@@ -469,7 +471,7 @@
             "CHECK_RESULT" => {
                 let wire: InChecked = parse(raw)?;
                 let over = wire.gauge.and_then(|g| g.get("x0").copied()).filter(|_| wire.status == 100);
-                Event::HealthCheckResult { server: instance.number(&wire.backend), over }
+                Event::HealthCheckResult { server: instance.number(&wire.backend), utilization: over }
             }
             "MAIL" => return Ok(()),
             _ => return Err("field msg: unknown event".to_string()),
--- /dev/null
+++ b/src/vocabulary/endpoint.rs
@@ -0,0 +1,47 @@
+//! Entries of the endpoint list.
+
+use super::{Nanos, ServerId};
+
+/// The state of a server in the endpoint list.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Status {
+    /// Accepts new requests.
+    Serving,
+    /// Completes its requests in flight and accepts no new ones.
+    Draining,
+    /// Removed from the list, or never in it.
+    #[default]
+    Removed,
+}
+
+/// One entry of the endpoint list.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Endpoint {
+    /// The server.
+    pub server: ServerId,
+    /// Hash of the server's name; the same at every node.
+    pub tag: u64,
+    /// The zone of the server.
+    pub zone: u32,
+    /// The cell of the server, within its zone.
+    pub cell: u32,
+    /// Capacity relative to other servers. Zero, negative and non-finite values count as one.
+    pub nominal: f64,
+    /// When the server's process last started; zero means long ago.
+    pub started_at: Nanos,
+    /// The state of the server.
+    pub status: Status,
+}
+
+/// What kind of endpoint list an [`Event::EndpointList`](super::Event::EndpointList) carries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ListKind {
+    /// A complete list from this node's cache, perhaps stale.
+    Saved,
+    /// A complete list from discovery: servers that are absent have been removed.
+    Full,
+    /// Changed entries only.
+    Incremental,
+    /// A poll failed or the watch ended: no entries; the last list stays in force.
+    Failed,
+}
--- /dev/null
+++ b/src/vocabulary/mod.rs
@@ -0,0 +1,18 @@
+//! The vocabulary that the whole program shares: settings, endpoints, and the events and actions of the balancer.
+//!
+//! All times are nanoseconds on the node's own monotonic clock. Nothing here decides anything.
+
+mod action;
+mod endpoint;
+mod event;
+mod id;
+mod settings;
+
+pub use action::Action;
+pub use endpoint::{Endpoint, ListKind, Status};
+pub use event::{Arrival, Event, Outcome};
+pub use id::{RequestId, ServerId};
+pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError};
+
+/// A point in time or a duration, in nanoseconds.
+pub type Nanos = u64;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,14 +7,14 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000_000_000;
 
-pub fn class(effect: Effect, scope: Scope) -> Class {
-    let (objective, hard_limit, window) = (300 * MS, 2 * S, 800 * MS);
-    Class {
+pub fn class(effect: Effect, dedup_scope: DedupScope) -> RequestClass {
+    let (objective, hard_limit, dedup_window) = (300 * MS, 2 * S, 800 * MS);
+    RequestClass {
         objective,
         hard_limit,
         effect,
-        scope,
-        window,
+        dedup_scope,
+        dedup_window,
         priority_weight: 1.0,
         message_latency_objective: Some(100 * MS),
     }
@@ -26,9 +26,9 @@
         instances: 10,
         zone: 0,
         classes: vec![
-            class(Effect::ReadLike, Scope::All),
-            class(Effect::IdempotencyKey, Scope::Zone),
-            class(Effect::NonIdempotent, Scope::All),
+            class(Effect::ReadLike, DedupScope::All),
+            class(Effect::IdempotencyKey, DedupScope::Zone),
+            class(Effect::NonIdempotent, DedupScope::All),
         ],
         discovery: Discovery::Pushed,
         weight_by_work: false,
@@ -73,7 +73,7 @@
     Arrival {
         id: RequestId(id),
         class,
-        grace: 2 * S,
+        time_left: 2 * S,
         cost: None,
         key: Some(id * 7919),
         group: None,
@@ -112,7 +112,7 @@
     }
 
     pub fn stands(&mut self, id: u64, server: ServerId) {
-        self.tell(Event::Established { id: RequestId(id), server, waited: 20 * MS });
+        self.tell(Event::Established { id: RequestId(id), server, setup_time: 20 * MS });
     }
 
     /// Lets the timer that these actions ask for come due, and gives what follows.
--- a/tests/policy_rules.rs
+++ b/tests/policy_rules.rs
@@ -64,18 +64,18 @@
             }
         }
     }
-    let learned = node.balancer.learned();
+    let learned = node.balancer.state_snapshot();
     let renumbered =
         || serving(6).into_iter().map(|m| Endpoint { server: ServerId(5 - m.server.0), ..m }).collect();
     let (mut next, mut stranger) =
         (Node::new(4, settings(), renumbered()), Node::new(4, settings(), renumbered()));
-    next.balancer.learn(&learned).expect("it is read");
+    next.balancer.restore_state(&learned).expect("it is read");
     let drawn = |node: &mut Node| -> usize {
         (100..200).filter(|id| tried(&node.request(*id, 0)).is_some_and(|server| server.0 > 2)).count()
     };
     assert_eq!(drawn(&mut next), 0);
     assert!(drawn(&mut stranger) > 30);
-    assert!(next.balancer.learn("[1,").is_err());
+    assert!(next.balancer.restore_state("[1,").is_err());
     assert_eq!(drawn(&mut next), 0, "what cannot be read changes nothing");
 }
 
@@ -100,7 +100,7 @@
             }
         }
         node.now += 5 * S;
-        let back = |id| Event::Request(Arrival { reconnect: true, grace: 10 * S, ..arrival(id, 0) });
+        let back = |id| Event::Request(Arrival { reconnect: true, time_left: 10 * S, ..arrival(id, 0) });
         let asleep: Vec<_> = (1_000..1_100).filter_map(|id| timer(&node.tell(back(id)))).collect();
         node.now += S;
         asleep.iter().filter(|(_, token)| tried(&node.tell(Event::Timer(*token))).is_some()).count()
@@ -122,11 +122,11 @@
     let mut answers = 0;
     let mut attempts = 0;
     while answers == 0 {
-        if let Some(Action::StartAttempt { server, give_up, .. }) =
+        if let Some(Action::StartAttempt { server, timeout, .. }) =
             actions.iter().find(|a| matches!(a, Action::StartAttempt { .. })).cloned()
         {
             attempts += 1;
-            node.now += give_up;
+            node.now += timeout;
             actions = node.end(1, server, Outcome::Timeout);
         } else {
             actions = node.wake(&actions);
@@ -264,7 +264,7 @@
         for id in held..held + 30 {
             if busy {
                 for server in (0..warm).map(ServerId) {
-                    node.tell(Event::LatencyReport { server, delay: 90 * MS });
+                    node.tell(Event::LatencyReport { server, latency: 90 * MS });
                 }
             }
             if let Some(server) = tried(&node.request(id, 0)).filter(|server| server.0 >= warm) {
@@ -338,7 +338,7 @@
 fn a_jammed_server_sheds_takes_nothing_and_is_refilled_slowly() {
     let mut node = two_that_hold_fifty(settings());
     let jammed = ServerId(0);
-    let note = |delay| Event::LatencyReport { server: jammed, delay };
+    let note = |delay| Event::LatencyReport { server: jammed, latency: delay };
     let first = moved(&node.tell(note(400 * MS)));
     assert!((10..=25).contains(&first), "{first} of 50 moved as the delay rose by 0.4 s in a second");
     node.now += S;
@@ -358,24 +358,24 @@
 fn a_late_server_is_asked_first_where_probes_are_allowed() {
     let mut node = two_that_hold_fifty(Settings { probes: true, ..settings() });
     let late = ServerId(0);
-    let note = |delay| Event::LatencyReport { server: late, delay };
+    let note = |delay| Event::LatencyReport { server: late, latency: delay };
     assert_eq!(node.tell(note(390 * MS)), [Action::HealthCheck(late)]);
     assert_eq!(
-        node.tell(Event::HealthCheckResult { server: late, over: Some(0.7) }),
+        node.tell(Event::HealthCheckResult { server: late, utilization: Some(0.7) }),
         [],
         "it stood still: all stays"
     );
     assert!((200..220).all(|id| tried(&node.request(id, 0)) != Some(late)), "nothing new while it is late");
     node.now += 3 * S;
     assert_eq!(node.tell(note(300 * MS)), [Action::HealthCheck(late)]);
-    let jammed = moved(&node.tell(Event::HealthCheckResult { server: late, over: Some(1.6) }));
+    let jammed = moved(&node.tell(Event::HealthCheckResult { server: late, utilization: Some(1.6) }));
     assert!((10..=25).contains(&jammed), "{jammed} of 50 moved from a region over what it can do");
     node.now += S;
     assert!(moved(&node.tell(note(500 * MS))) > 0, "late twice in a row: no need to ask");
     node.now += 3 * S;
     node.tell(note(400 * MS));
     assert_eq!(
-        moved(&node.tell(Event::HealthCheckResult { server: late, over: None })),
+        moved(&node.tell(Event::HealthCheckResult { server: late, utilization: None })),
         0,
         "no answer tells nothing"
     );
@@ -413,7 +413,7 @@
         let cost = if id % 4 == 0 { 100 * MS } else { MS };
         node.tell(Event::LoadReport { id: RequestId(id), cost });
     }
-    let actions = node.tell(Event::LatencyReport { server, delay: 110 * MS });
+    let actions = node.tell(Event::LatencyReport { server, latency: 110 * MS });
     let gone = |action: &Action| matches!(action, Action::Migrate(RequestId(id)) if id % 4 == 0);
     assert!((5..=12).contains(&actions.len()), "{} of 40", actions.len());
     assert!(actions.iter().take(10).all(gone), "{actions:?}");
@@ -438,7 +438,7 @@
     for id in 10..30 {
         node.now += 3 * S;
         let server = tried(&node.request(id, 0)).expect("placed");
-        end += said(&node.tell(Event::Established { id: RequestId(id), server, waited: 20 * MS }));
+        end += said(&node.tell(Event::Established { id: RequestId(id), server, setup_time: 20 * MS }));
     }
     assert_eq!(end, 1);
 }
@@ -478,7 +478,7 @@
         node.end(1, server, Outcome::Error);
         node.now += 2 * S;
         assert_eq!(tried(&node.request(2, 0)), Some(server), "seed {seed}: 2 s after an error");
-        node.tell(Event::Established { id: RequestId(2), server, waited: 20 * MS });
+        node.tell(Event::Established { id: RequestId(2), server, setup_time: 20 * MS });
         let server = tried(&node.request(3, 0)).expect("placed");
         node.end(3, server, Outcome::ConnectFailed);
         node.now += 2 * S;
@@ -581,13 +581,13 @@
     }
     assert_eq!(node.tell(Event::ClientDisconnected(RequestId(12345))), []);
     assert_eq!(node.end(12345, ServerId(77), Outcome::Ok), []);
-    assert_eq!(node.tell(Event::LatencyReport { server: ServerId(77), delay: u64::MAX }), []);
-    node.tell(Event::LatencyReport { server: ServerId(1), delay: u64::MAX });
+    assert_eq!(node.tell(Event::LatencyReport { server: ServerId(77), latency: u64::MAX }), []);
+    node.tell(Event::LatencyReport { server: ServerId(1), latency: u64::MAX });
     node.stands(12345, ServerId(77));
     node.now = u64::MAX;
     node.request(21, 0);
     node.now = u64::MAX - 1;
-    node.tell(Event::Request(Arrival { grace: u64::MAX, ..arrival(22, 0) }));
+    node.tell(Event::Request(Arrival { time_left: u64::MAX, ..arrival(22, 0) }));
     for again in 0..5 {
         node.tell(Event::EndpointList(
             ListKind::Incremental,
@@ -616,9 +616,9 @@
                 Action::SetTimer { after, token } => {
                     due.push(std::cmp::Reverse((now + after, token, u32::MAX)))
                 }
-                Action::StartAttempt { id, server, give_up } => {
+                Action::StartAttempt { id, server, timeout } => {
                     sent.push(now);
-                    due.push(std::cmp::Reverse((now + fails.min(give_up), id.0, server.0)));
+                    due.push(std::cmp::Reverse((now + fails.min(timeout), id.0, server.0)));
                 }
                 _ => {}
             }
@@ -648,7 +648,7 @@
     let mut sent = Vec::new();
     for seed in 0..100 {
         let mut node = Node::new(seed, large(), serving(10));
-        let back = |id| Arrival { reconnect: true, grace: 1200 * MS, ..arrival(id, 0) };
+        let back = |id| Arrival { reconnect: true, time_left: 1200 * MS, ..arrival(id, 0) };
         let start = node.now;
         sent.extend(sends(&mut node, (1..=6).map(back).collect(), 400 * MS).into_iter().map(|t| t - start));
     }
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -64,7 +64,7 @@
     fn check(&mut self, action: &Action) {
         let now = self.now;
         match action {
-            Action::StartAttempt { id, server, give_up } => {
+            Action::StartAttempt { id, server, timeout } => {
                 let client = self.clients.get_mut(&id.0).expect("a request that arrived");
                 assert!(!client.over, "rule 1: a try after the end");
                 let ended = |(_, _, attempt): &(_, _, Attempt)| matches!(attempt, Attempt::Ended(_));
@@ -80,12 +80,12 @@
                         Effect::ReadLike => {}
                         Effect::NonIdempotent => panic!("rule 2: an unsafe request twice"),
                         Effect::IdempotencyKey => {
-                            assert!(now - sent <= class.window, "rule 2: the repeat is not remembered");
+                            assert!(now - sent <= class.dedup_window, "rule 2: the repeat is not remembered");
                             assert_eq!(first.0 % 2, server.0 % 2, "rule 2: another zone");
                         }
                     }
                 }
-                let until = (now + give_up).min(client.deadline).max(now);
+                let until = (now + timeout).min(client.deadline).max(now);
                 client.attempts.push((*server, now, Attempt::Out { until }));
             }
             Action::Reject { id, .. } | Action::Fail(id) => {
@@ -199,17 +199,17 @@
                 let (id, class) = (self.next, a as usize % 3);
                 self.next += 1;
                 let (reconnect, rerouted) = (a.is_multiple_of(5), a.is_multiple_of(7));
-                let grace = 50 * MS + a % 1950 * MS;
-                let deadline = self.now + grace;
+                let time_left = 50 * MS + a % 1950 * MS;
+                let deadline = self.now + time_left;
                 self.clients.insert(id, Client { class, deadline, over: false, attempts: Vec::new() });
-                let arrival = Arrival { reconnect, rerouted, grace, ..arrival(id, class) };
+                let arrival = Arrival { reconnect, rerouted, time_left, ..arrival(id, class) };
                 self.tell(Event::Request(arrival));
             }
             5 | 6 => {
                 if let Some((id, server)) = self.some(a, out) {
                     self.clients.get_mut(&id).expect("known").attempts.last_mut().expect("out").2 =
                         Attempt::Open;
-                    self.tell(Event::Established { id: RequestId(id), server, waited: a % 400 * MS });
+                    self.tell(Event::Established { id: RequestId(id), server, setup_time: a % 400 * MS });
                 }
             }
             7..=9 => {
@@ -232,7 +232,7 @@
                 let all = serving(SERVERS).into_iter().filter(|m| a >> m.server.0 & 1 == 0);
                 self.list(ListKind::Full, all.collect());
             }
-            13 => self.tell(Event::LatencyReport { server: ServerId(a as u32 % 8), delay: a % 900 * MS }),
+            13 => self.tell(Event::LatencyReport { server: ServerId(a as u32 % 8), latency: a % 900 * MS }),
             14 => {
                 if let Some((id, _)) = self.some(a, |c| !c.over) {
                     self.clients.get_mut(&id).expect("known").over = true;
@@ -242,7 +242,7 @@
             15 => self.tell(Event::EndpointList(ListKind::Failed, vec![])),
             _ => {
                 let over = (!a.is_multiple_of(3)).then_some((a % 40) as f64 / 20.0);
-                self.tell(Event::HealthCheckResult { server: ServerId(a as u32 % 8), over });
+                self.tell(Event::HealthCheckResult { server: ServerId(a as u32 % 8), utilization: over });
             }
         }
         self.pass(Nanos::from(span) * MS);
