--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,6 +1,6 @@
 //! The second address: operators' calls over HTTP/1.1, one to a connection, on the loop.
 //!
-//! Callers have descriptors of their own ([`Net::listen_reserved`]), so that no crowd of clients takes
+//! Callers have descriptors of their own ([`SocketReactor::listen_with_reserve`]), so that no crowd of clients takes
 //! them; among callers the longest idle makes room. What a call does is the loop's to say.
 
 mod call;
@@ -8,7 +8,7 @@
 pub use call::{Answer, Call};
 
 use crate::front::Due;
-use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::vocabulary::Nanos;
 use call::Head;
 use std::collections::HashSet;
@@ -38,8 +38,8 @@
 
 impl Operator {
     /// Listens there; says where.
-    pub fn open(net: &mut Net, at: SocketAddr) -> io::Result<(Operator, SocketAddr)> {
-        let at = net.listen_reserved(at, Owner::Admin, MOST_CALLERS)?;
+    pub fn open(net: &mut SocketReactor, at: SocketAddr) -> io::Result<(Operator, SocketAddr)> {
+        let at = net.listen_with_reserve(at, SocketOwner::Admin, MOST_CALLERS)?;
         Ok((Operator { callers: HashSet::new(), counts: Counts::default() }, at))
     }
 
@@ -47,36 +47,36 @@
     pub fn notice(
         &mut self,
         now: Nanos,
-        net: &mut Net,
-        wheel: &mut Wheel<Due>,
-        notice: Notice,
+        net: &mut SocketReactor,
+        wheel: &mut TimerWheel<Due>,
+        notice: SocketEvent,
     ) -> Option<Call> {
         let token = notice.token;
         match notice.kind {
-            Kind::Accepted => {
+            SocketEventKind::Accepted => {
                 self.callers.insert(token);
-                wheel.at(now + WHOLE_WITHIN, Due::Admin(token));
+                wheel.schedule(now + WHOLE_WITHIN, Due::Admin(token));
                 None
             }
-            Kind::Evicted => {
+            SocketEventKind::Evicted => {
                 self.unheard(token);
                 None
             }
-            Kind::Broken(_) | Kind::Overdue => {
+            SocketEventKind::Failed { .. } | SocketEventKind::HandshakeTimeout => {
                 self.unheard(token);
                 net.close(token);
                 None
             }
-            Kind::Readable | Kind::Drained => self.read(net, token),
+            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read(net, token),
         }
     }
 
-    fn read(&mut self, net: &mut Net, token: Token) -> Option<Call> {
+    fn read(&mut self, net: &mut SocketReactor, token: Token) -> Option<Call> {
         if !self.callers.contains(&token) {
             return None;
         }
-        let at_end = net.at_end(token);
-        let bytes = net.input(token)?;
+        let at_end = net.is_read_closed(token);
+        let bytes = net.input_buffer(token)?;
         match call::read(bytes) {
             Head::Call(call) => return Some(call),
             Head::Wrong(answer) => self.answer(net, token, &answer),
@@ -85,20 +85,20 @@
                 net.close(token);
             }
             Head::More if at_end => self.answer(net, token, &Answer::new(400, "half a call")),
-            Head::More => net.rearm(token),
+            Head::More => net.update_interest(token),
         }
         None
     }
 
     /// The time for a call is over.
-    pub fn due(&mut self, net: &mut Net, token: Token) {
+    pub fn due(&mut self, net: &mut SocketReactor, token: Token) {
         if self.callers.contains(&token) {
             self.answer(net, token, &Answer::new(408, "no whole call came"));
         }
     }
 
     /// Answers a call and ends its connection.
-    pub fn answer(&mut self, net: &mut Net, token: Token, answer: &Answer) {
+    pub fn answer(&mut self, net: &mut SocketReactor, token: Token, answer: &Answer) {
         self.callers.remove(&token);
         let count = if answer.is_yes() { &mut self.counts.yes } else { &mut self.counts.no };
         *count += 1;
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery's list of servers: the watch, its parser, and what it means to the module.
 
 use crate::config::json;
-use crate::net::{Flow, Net, Owner, Token};
+use crate::net::{BufferedConnection, SocketOwner, SocketReactor, Token};
 use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -160,13 +160,16 @@
     }
 
     /// Lets the watch go, for that process.
-    pub fn release_watch(&mut self, net: &mut Net) -> Option<(OwnedFd, WatchState, Flow)> {
+    pub fn release_watch(
+        &mut self,
+        net: &mut SocketReactor,
+    ) -> Option<(OwnedFd, WatchState, BufferedConnection)> {
         let held = self.watch.as_ref()?;
         // In the middle of a long list: the other process had better ask by itself.
         if held.answer.bytes.len() + held.answer.line.len() > MOST_PASSED {
             return None;
         }
-        let (fd, flow) = net.release(held.token)?;
+        let (fd, flow) = net.export_connection(held.token)?;
         let Watch { heard, moved, answer, lines, .. } = self.watch.take()?;
         Some((fd, WatchState { heard, moved, lines, answer }, flow))
     }
@@ -175,13 +178,13 @@
     /// set against the list, as it was there.
     pub fn take_over(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         list: &List,
-        watch: Option<(OwnedFd, WatchState, Flow)>,
+        watch: Option<(OwnedFd, WatchState, BufferedConnection)>,
     ) -> Event {
         let members = self.take(list, true);
         let watch = watch.and_then(|(fd, state, flow)| {
-            let token = net.receive(fd, flow, Owner::Discovery).ok()?;
+            let token = net.import_connection(fd, flow, SocketOwner::Discovery).ok()?;
             let WatchState { heard, moved, lines, answer } = state;
             Some(Watch { token, heard, moved, answer, lines })
         });
@@ -192,15 +195,15 @@
     }
 
     /// What the watch has brought by now, before it is let go: what was told there counts.
-    pub fn last_words(&mut self, now: Nanos, net: &mut Net) -> Vec<Event> {
+    pub fn last_words(&mut self, now: Nanos, net: &mut SocketReactor) -> Vec<Event> {
         let Some(token) = self.watch.as_ref().map(|watch| watch.token) else { return Vec::new() };
-        net.look(token);
+        net.read_available(token);
         self.ready(now, net, token, false)
     }
 
     /// Discovery is now at this address. Its versions may be others than those of the old one, so the
     /// whole list is asked for; what is known stays until it has come.
-    pub fn follow(&mut self, now: Nanos, net: &mut Net, discovery: SocketAddr) -> Option<Event> {
+    pub fn follow(&mut self, now: Nanos, net: &mut SocketReactor, discovery: SocketAddr) -> Option<Event> {
         if let Some(watch) = self.watch.take() {
             net.close(watch.token);
         }
@@ -210,11 +213,11 @@
     }
 
     /// Asks for changes from now on, unless a watch already does.
-    pub fn subscribe(&mut self, now: Nanos, net: &mut Net) -> Option<Event> {
+    pub fn subscribe(&mut self, now: Nanos, net: &mut SocketReactor) -> Option<Event> {
         if self.watch.is_some() {
             return None;
         }
-        let Ok(token) = net.connect(self.discovery, Owner::Discovery) else { return Some(failed()) };
+        let Ok(token) = net.connect(self.discovery, SocketOwner::Discovery) else { return Some(failed()) };
         let (from, host) = (self.generation, self.discovery);
         let ask = format!("GET /registry/instances?watch=1&from={from} HTTP/1.1\r\nHost: {host}\r\n\r\n");
         net.send(token, ask.as_bytes());
@@ -225,12 +228,12 @@
     }
 
     /// The watch's socket has something to say.
-    pub fn ready(&mut self, now: Nanos, net: &mut Net, token: Token, broken: bool) -> Vec<Event> {
+    pub fn ready(&mut self, now: Nanos, net: &mut SocketReactor, token: Token, broken: bool) -> Vec<Event> {
         let Some(watch) = self.watch.as_mut().filter(|w| w.token == token) else {
             net.close(token);
             return Vec::new();
         };
-        let bytes = net.input(token).map(std::mem::take).unwrap_or_default();
+        let bytes = net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         if !bytes.is_empty() {
             watch.moved = now;
         }
@@ -246,10 +249,10 @@
             }
             Ok(())
         });
-        if sound.is_ok() && (broken || net.at_end(token)) {
+        if sound.is_ok() && (broken || net.is_read_closed(token)) {
             sound = Err(AnswerError::Ended);
         }
-        net.rearm(token);
+        net.update_interest(token);
         let mut events = Vec::new();
         // An answer that begins with an empty line says that nothing changed since the version asked from.
         if nothing_new && lists.is_empty() && self.generation > 0 {
@@ -268,7 +271,7 @@
     }
 
     /// Looks whether the watch still lives.
-    pub fn check(&mut self, now: Nanos, net: &mut Net) -> Option<Event> {
+    pub fn check(&mut self, now: Nanos, net: &mut SocketReactor) -> Option<Event> {
         if !self.watch.as_ref()?.is_silent(now) {
             return None;
         }
@@ -276,7 +279,7 @@
         Some(self.lose(net))
     }
 
-    fn lose(&mut self, net: &mut Net) -> Event {
+    fn lose(&mut self, net: &mut SocketReactor) -> Event {
         if let Some(watch) = self.watch.take() {
             net.close(watch.token);
         }
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -6,7 +6,7 @@
 use super::recovery::Key;
 use crate::front::tls::Tls;
 use crate::front::Ctx;
-use crate::net::{Token, SLOW};
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{Connection, LinkId, Tag};
 use std::collections::HashSet;
@@ -231,7 +231,7 @@
     /// the socket took it all at once, no notice says so.
     pub fn takes_more(&mut self, ctx: &Ctx, token: Token) -> bool {
         let Some(client) = self.map.get_mut(&token) else { return false };
-        let more = client.stalled && ctx.net.unwritten(token) < SLOW;
+        let more = client.stalled && ctx.net.pending_output_bytes(token) < OUTPUT_HIGH_WATERMARK_BYTES;
         client.stalled &= !more;
         more
     }
--- a/src/front/amqp/forwarders.rs
+++ b/src/front/amqp/forwarders.rs
@@ -5,7 +5,7 @@
 use super::items::Map;
 use super::servers::Servers;
 use crate::front::Ctx;
-use crate::net::{Token, SLOW};
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, LinkId, Outgoing, Part, State, Tag};
 use std::collections::VecDeque;
@@ -228,13 +228,13 @@
     pub fn forward(&mut self, ctx: &mut Ctx, forwarder: u64, sides: Sides) {
         let Some(at) = self.map.get_mut(&forwarder) else { return };
         let Some(client) = sides.clients.get(at.client) else { return };
-        let unwritten = ctx.net.unwritten(at.client);
+        let unwritten = ctx.net.pending_output_bytes(at.client);
         while let Some(which) = at.current.or_else(|| at.waiting()) {
             let Some(inflow) = at.inflows.get_mut(which).and_then(Option::as_mut) else { break };
             let Some(chunk) = inflow.chunks.front_mut() else { break };
             let key = ((which as u64) << 32) | u64::from(chunk.id);
             let delivery = Outgoing { key, tag: chunk.tag, settled: chunk.settled };
-            let room = SLOW.saturating_sub(unwritten);
+            let room = OUTPUT_HIGH_WATERMARK_BYTES.saturating_sub(unwritten);
             let sent = client.conn.send(at.link, delivery, &chunk.bytes, chunk.last, room);
             if sent.begun && at.current.is_none() {
                 at.current = Some(which);
--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -7,7 +7,7 @@
 use crate::front::tls::Tls;
 use crate::front::{Ctx, Due, ANSWER_MARGIN};
 use crate::hash::fnv1a;
-use crate::net::{Kind, Notice, Token, SLOW};
+use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use sparbank_amqp::{
     condition, Asked, Attach, Connection, DecodeError, Error, Event, Head, LinkId, Message, Part, Role,
     Source, State, Target, Terminus, Value,
@@ -36,28 +36,28 @@
 }
 
 impl AmqpFront {
-    pub(super) fn client_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn client_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         let token = notice.token;
         match notice.kind {
-            Kind::Accepted => return self.accept(ctx, token),
-            Kind::Evicted | Kind::Overdue => {
+            SocketEventKind::Accepted => return self.accept(ctx, token),
+            SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
                 ctx.requests.counters.silent += 1;
                 ctx.net.close(token);
                 return self.client_gone(ctx, token);
             }
-            Kind::Broken(_) => return self.client_gone(ctx, token),
-            Kind::Drained => self.forward_all(ctx, token),
-            Kind::Readable => {}
+            SocketEventKind::Failed { .. } => return self.client_gone(ctx, token),
+            SocketEventKind::OutputFlushed => self.forward_all(ctx, token),
+            SocketEventKind::Readable => {}
         }
         self.read_client(ctx, token);
     }
 
     fn accept(&mut self, ctx: &mut Ctx, token: Token) {
-        if ctx.net.is_short() && !ctx.net.make_room() {
+        if ctx.net.is_short_of_descriptors() && !ctx.net.reclaim_descriptors() {
             ctx.requests.counters.over_budget += 1;
             return ctx.net.close(token);
         }
-        let under_tls = self.tls_listener.is_some() && ctx.net.came_to(token) == self.tls_listener;
+        let under_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
         let tls = self.config.tls_config.as_ref().filter(|_| under_tls).and_then(|c| Tls::new(c).ok());
         if under_tls && tls.is_none() {
             return ctx.net.close(token);
@@ -66,8 +66,8 @@
         let plain = self.config.plain_unencrypted || under_tls;
         let offered = self.config.known.as_ref().map(|users| users.mechanisms(plain, external));
         let conn = Connection::accept(ctx.now, self.config.client(&self.container), offered);
-        ctx.net.read_ahead(token, self.config.max_frame as usize + 1024);
-        let ip = ctx.net.peer(token).map(|peer| peer.ip());
+        ctx.net.set_read_limit(token, self.config.max_frame as usize + 1024);
+        let ip = ctx.net.peer_addr(token).map(|peer| peer.ip());
         if !self.clients.insert(token, conn, tls, ip, self.config.peer_connections) {
             ctx.requests.counters.over_budget += 1;
             ctx.net.close(token);
@@ -76,13 +76,13 @@
 
     /// Takes what has come, unless the client does not read its answers or there is no room.
     pub(super) fn read_client(&mut self, ctx: &mut Ctx, token: Token) {
-        if ctx.net.unwritten(token) >= SLOW {
-            return ctx.net.rearm(token);
+        if ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
+            return ctx.net.update_interest(token);
         }
         // What is in the clear and waits for room is bounded as what waits in the socket is.
         let most = self.config.max_frame as usize + 1024;
         let full = self.clients.get(token).is_some_and(|t| t.tls.is_some() && t.clear.len() >= most);
-        let input = ctx.net.input(token).filter(|_| !full);
+        let input = ctx.net.input_buffer(token).filter(|_| !full);
         let mut bytes = input.map(std::mem::take).unwrap_or_default();
         let mut fault = None;
         if let Some(Client { tls: Some(tls), clear, .. }) = self.clients.get(token) {
@@ -113,7 +113,7 @@
             bytes.drain(..taken);
             if client.tls.is_some() {
                 client.clear = bytes;
-            } else if let Some(input) = ctx.net.input(token) {
+            } else if let Some(input) = ctx.net.input_buffer(token) {
                 *input = bytes;
             }
         }
@@ -124,21 +124,21 @@
         }
         let room = full && client.clear.len() < most;
         self.clients.touch(token);
-        if room && ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
+        if room && ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
             // No notice comes again for what is here already.
             return self.read_client(ctx, token);
         }
-        if ctx.net.at_end(token) {
+        if ctx.net.is_read_closed(token) {
             return self.client_gone(ctx, token);
         }
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
     fn client_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
         match event {
             Event::Asked(asked) => self.asked(ctx, token, asked),
             Event::Opened {} => {
-                ctx.net.prove(token);
+                ctx.net.mark_handshake_complete(token);
                 let anonymous = self.config.known.as_ref().and_then(|users| users.anonymous());
                 if let (Some(client), Some(who)) = (self.clients.get(token), anonymous) {
                     if client.who.name.is_none() {
@@ -575,7 +575,7 @@
             }
             Asked::Plain { user, password } => {
                 if self.checks.start(token, users, user, &password) {
-                    ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                    ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
                 } else {
                     self.verdict(ctx, token, None);
                 }
@@ -600,7 +600,7 @@
             None => {
                 self.refused_logins += 1;
                 client.refuse_at = Some(ctx.now + WRONG_PASSWORD_COSTS);
-                ctx.wheel.at(ctx.now + WRONG_PASSWORD_COSTS, Due::Timer(self.id, token));
+                ctx.wheel.schedule(ctx.now + WRONG_PASSWORD_COSTS, Due::Timer(self.id, token));
             }
         }
     }
@@ -618,14 +618,14 @@
     pub(super) fn check_passwords(&mut self, ctx: &mut Ctx) {
         let Some((token, user, holds)) = self.checks.step() else {
             if let Some(token) = self.checks.first() {
-                ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
             }
             return;
         };
         let who = self.config.known.as_ref().and_then(|users| users.named(&user)).filter(|_| holds);
         self.verdict(ctx, token, who);
         if let Some(token) = self.checks.first() {
-            ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+            ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
         }
     }
 
--- a/src/front/amqp/from_servers.rs
+++ b/src/front/amqp/from_servers.rs
@@ -3,13 +3,13 @@
 use super::servers::Use;
 use super::*;
 use crate::front::Ctx;
-use crate::net::{Kind, Notice, Token};
+use crate::net::{SocketEvent, SocketEventKind, Token};
 use sparbank_amqp::{Attach, Event, LinkId, Role, Terminus};
 
 impl AmqpFront {
-    pub(super) fn server_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn server_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         let token = notice.token;
-        let mut bytes = ctx.net.input(token).map(std::mem::take).unwrap_or_default();
+        let mut bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut left = &bytes[..];
         let mut fault = None;
         while let Some(link) = self.servers.get(token) {
@@ -25,7 +25,7 @@
         let taken = bytes.len() - left.len();
         if taken < bytes.len() {
             bytes.drain(..taken);
-            if let Some(input) = ctx.net.input(token) {
+            if let Some(input) = ctx.net.input_buffer(token) {
                 *input = bytes;
             }
         }
@@ -34,12 +34,14 @@
             crate::log::line(format_args!("server-protocol-error reason={} {}", why.condition, why.words));
             link.conn.close(Some(Box::new(why.into())));
         }
-        let over = link.conn.is_closed() || ctx.net.at_end(token) || matches!(notice.kind, Kind::Broken(_));
+        let over = link.conn.is_closed()
+            || ctx.net.is_read_closed(token)
+            || matches!(notice.kind, SocketEventKind::Failed { .. });
         if over {
             return self.lose_server(ctx, token);
         }
         self.servers.touch_link(token);
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
     /// A server's connection is over.
@@ -110,7 +112,7 @@
     fn task_dropped(&mut self, ctx: &mut Ctx, token: Token, request_id: RequestId) {
         let task = self.items.get(request_id).and_then(|item| item.task.as_ref());
         let outcome = match task.map(|task| &task.stage) {
-            Some(Stage::Sent { end, .. }) if *end <= ctx.net.written(token) => Outcome::Reset,
+            Some(Stage::Sent { end, .. }) if *end <= ctx.net.bytes_written(token) => Outcome::Reset,
             _ => Outcome::ConnectFailed,
         };
         self.over(ctx, request_id, outcome);
--- a/src/front/amqp/items.rs
+++ b/src/front/amqp/items.rs
@@ -191,7 +191,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::tests_token as token;
+    use crate::net::token_for_tests as token;
 
     #[test]
     fn one_clients_many_deliveries_do_not_hold_up_anothers_one() {
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -17,7 +17,7 @@
 
 use super::{Ctx, Front, Opened, Optional};
 use crate::config::Facts;
-use crate::net::{Net, Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
@@ -65,15 +65,16 @@
     fn open(
         id: FrontId,
         config: AmqpConfig,
-        net: &mut Net,
+        net: &mut SocketReactor,
         name: &str,
         facts: &Facts,
     ) -> Result<Opened, String> {
-        let at = net.listen(config.listen, Owner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
+        let at =
+            net.listen(config.listen, SocketOwner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
         let mut line = format!("listen={at}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
-            let bound = net.listen_at(tls.listen, Owner::Front(id));
+            let bound = net.listen_with_token(tls.listen, SocketOwner::Front(id));
             let (token, at) = bound.map_err(|e| format!("amqp tls listen: {e}"))?;
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
@@ -217,7 +218,7 @@
 }
 
 impl Front for AmqpFront {
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         match self.servers.of(notice.token) {
             Some(_) => self.server_notice(ctx, notice),
             None => self.client_notice(ctx, notice),
@@ -261,7 +262,7 @@
                 Outcome::ConnectFailed
             }
             Stage::Sent { token, link, id, end } => {
-                let written = ctx.net.written(token) >= end;
+                let written = ctx.net.bytes_written(token) >= end;
                 if let Some(at) = self.servers.get(token) {
                     at.conn.forget(link, id);
                 }
--- a/src/front/amqp/recovery.rs
+++ b/src/front/amqp/recovery.rs
@@ -234,7 +234,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::net::tests_token as token;
+    use crate::net::token_for_tests as token;
 
     const BOUNDS: Bounds = Bounds { links: 2, ended: 3, timeout: 1000 };
 
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -4,7 +4,7 @@
 use super::config::AmqpConfig;
 use super::items::{Items, Map, Stage, Turns};
 use crate::front::{Ctx, Due};
-use crate::net::{Owner, Token};
+use crate::net::{SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
 use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Outgoing, Role, Source, Target, Terminus};
@@ -141,12 +141,12 @@
         if at.no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
         }
-        let Ok(token) = ctx.net.connect(addr, Owner::Front(self.front)) else { return false };
-        ctx.net.read_ahead(token, config.max_frame as usize + 1024);
+        let Ok(token) = ctx.net.connect(addr, SocketOwner::Front(self.front)) else { return false };
+        ctx.net.set_read_limit(token, config.max_frame as usize + 1024);
         let conn = Connection::dial(ctx.now, config.server(&self.container), credentials);
         at.conns.push(token);
         self.links.insert(token, Link { server, conn, uses: Map::default() });
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
+        ctx.wheel.schedule(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
         self.write(ctx, token);
         true
     }
@@ -163,7 +163,7 @@
     /// A connection is over. What was on it never ran where its last byte was not written.
     pub fn lose(&mut self, ctx: &mut Ctx, token: Token, items: &Items) -> (Vec<Happened>, Vec<u64>) {
         let (mut happened, mut forwarders) = (Vec::new(), Vec::new());
-        let written = ctx.net.written(token);
+        let written = ctx.net.bytes_written(token);
         ctx.net.close(token);
         let Some(mut link) = self.links.remove(&token) else { return (happened, forwarders) };
         for (at, role, key) in link.conn.abandon() {
@@ -346,7 +346,7 @@
             let mut room = false;
             for token in conns {
                 self.write(ctx, token);
-                room |= ctx.net.unwritten(token) < AHEAD;
+                room |= ctx.net.pending_output_bytes(token) < AHEAD;
             }
             // Where the socket took it all at once, no notice will say that there is room again.
             if full && room {
@@ -512,7 +512,7 @@
     conn: &mut Connection,
     items: &mut Items,
 ) -> Fed {
-    let room = AHEAD.saturating_sub(ctx.net.unwritten(lane.token));
+    let room = AHEAD.saturating_sub(ctx.net.pending_output_bytes(lane.token));
     if conn.pending() >= room {
         return if lane.current.is_some() || !turns.is_empty() { Fed::Full } else { Fed::Still };
     }
@@ -550,7 +550,7 @@
         }
     };
     if sent.done {
-        let end = ctx.net.position(token) + conn.pending() as u64;
+        let end = ctx.net.output_position(token) + conn.pending() as u64;
         task.stage = Stage::Sent { token, link, id, end };
         return Fed::Moved;
     }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::config::Facts;
 use crate::discovery::EndpointRegistry;
-use crate::net::{Net, Notice, Token, Wheel};
+use crate::net::{SocketEvent, SocketReactor, TimerWheel, Token};
 use crate::requests::{FrontId, RequestTable};
 use crate::vocabulary::{Class, Nanos, Outcome, RequestId, ServerId};
 use std::any::Any;
@@ -19,10 +19,10 @@
 /// What a front works with.
 pub struct Ctx<'a> {
     pub now: Nanos,
-    pub net: &'a mut Net,
+    pub net: &'a mut SocketReactor,
     pub requests: &'a mut RequestTable,
     pub registry: &'a EndpointRegistry,
-    pub wheel: &'a mut Wheel<Due>,
+    pub wheel: &'a mut TimerWheel<Due>,
     pub facts: &'a Facts,
     pub classes: &'a [Class],
     /// Whether whoever deals clients out is to send some here.
@@ -59,7 +59,7 @@
 /// A front. What it must do has no default; what only some need has one.
 pub trait Front {
     /// Something happened at one of its sockets.
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice);
+    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent);
     /// Start the one attempt of a request, for at most this long.
     fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos);
     /// Take an attempt back and say what that makes of it: unsent, it never ran.
@@ -121,7 +121,7 @@
 pub type Opened = (Box<dyn Front>, String);
 
 /// How an optional front is opened: with its id, what was read, the sockets, the node's name and its facts.
-pub type Open = fn(FrontId, Box<dyn Any>, &mut Net, &str, &Facts) -> Result<Opened, String>;
+pub type Open = fn(FrontId, Box<dyn Any>, &mut SocketReactor, &str, &Facts) -> Result<Opened, String>;
 
 /// What was read of an optional front's file, by the front's place in [`OPTIONAL`].
 pub type ReadFiles = Vec<(usize, Box<dyn Any>)>;
@@ -163,7 +163,7 @@
         &mut self,
         which: usize,
         file: Box<dyn Any>,
-        net: &mut Net,
+        net: &mut SocketReactor,
         name: &str,
         facts: &Facts,
     ) -> Result<String, String> {
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -4,7 +4,9 @@
 //! Only whole lines go to a client, so that `MOVE` can always follow.
 
 use super::{Ctx, Due, Front, TransferredConnection, ANSWER_MARGIN, TEXT};
-use crate::net::{Flow, Kind, Notice, Owner, Token, SLOW};
+use crate::net::{
+    BufferedConnection, SocketEvent, SocketEventKind, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES,
+};
 use crate::vocabulary::*;
 use first_line::{FirstLine, Open};
 use probe::{Ask, Probes, PROBE_WAIT, STATS};
@@ -67,7 +69,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 enum Passed {
     /// Accepted; so many questions.
-    Fresh(u32, Flow),
+    Fresh(u32, BufferedConnection),
     /// It stands.
     Standing {
         line: String,
@@ -78,8 +80,8 @@
         last: Ending,
         load: Option<Nanos>,
         #[serde(rename = "terminal")]
-        client: Flow,
-        task: Flow,
+        client: BufferedConnection,
+        task: BufferedConnection,
     },
 }
 
@@ -125,9 +127,9 @@
     // ---- The client's side -------------------------------------------------------------------
 
     fn fresh(&mut self, ctx: &mut Ctx, token: Token) {
-        while let Some(input) = ctx.net.input(token) {
+        while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
-                Line::None if ctx.net.at_end(token) => {
+                Line::None if ctx.net.is_read_closed(token) => {
                     self.sides.remove(&token);
                     return ctx.net.close(token);
                 }
@@ -161,7 +163,7 @@
     /// or the other: a whole line that is there is taken, and to one that is still to come the answer is there
     /// already.
     fn end_resting(&mut self, ctx: &mut Ctx, token: Token) {
-        ctx.net.look(token);
+        ctx.net.read_available(token);
         self.fresh(ctx, token);
         if let Some(Side::Fresh(pings)) = self.sides.get(&token) {
             ctx.requests.counters.silent += 1;
@@ -177,16 +179,16 @@
     fn open(&mut self, ctx: &mut Ctx, token: Token, open: Open) {
         // The id of another's open request, or more after the one line, after which a client waits:
         // servers close on the one and cannot use the other.
-        let more = ctx.net.input(token).is_some_and(|input| !input.is_empty());
+        let more = ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty());
         if more || self.ids.contains(&open.id) {
             return self.malformed(ctx, token);
         }
-        ctx.net.prove(token);
+        ctx.net.mark_handshake_complete(token);
         // The process is about to end: nothing that is sent on now would be answered from there.
         if ctx.closing && open.at.is_none() {
             return self.answer(ctx, token, b"BUSY\r\n");
         }
-        if !ctx.net.make_room() {
+        if !ctx.net.reclaim_descriptors() {
             ctx.requests.counters.over_budget += 1;
             return self.answer(ctx, token, b"BUSY 500\r\n");
         }
@@ -216,7 +218,7 @@
     fn restore(&mut self, ctx: &mut Ctx, token: Token, name: &str) {
         let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
-        ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
+        ctx.wheel.schedule(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
         if !self.dial(ctx, token, server, wait) {
             self.answer(ctx, token, b"ERR\r\n");
         }
@@ -226,9 +228,9 @@
     fn dial(&mut self, ctx: &mut Ctx, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
         let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
-        let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
+        let Ok(task) = ctx.net.connect(addr, SocketOwner::Front(TEXT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
+        ctx.wheel.schedule(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
         session.task = Some(task);
         session.server = Some(server);
         self.sides.insert(task, Side::Task(client));
@@ -238,8 +240,8 @@
     fn client(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         if let (true, Some(task)) = (session.up, session.task) {
-            if ctx.net.unwritten(task) < SLOW {
-                let bytes = ctx.net.input(token).map(std::mem::take).unwrap_or_default();
+            if ctx.net.pending_output_bytes(task) < OUTPUT_HIGH_WATERMARK_BYTES {
+                let bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
                 if bytes.contains(&b'\n') {
                     session.asked.get_or_insert(ctx.now);
                 }
@@ -248,17 +250,18 @@
             if broken {
                 return self.end(ctx, token, Outcome::Cancelled, true);
             }
-            if ctx.net.at_end(token) && ctx.net.input(token).is_none_or(|left| left.is_empty()) {
-                ctx.net.finish(task);
-                ctx.wheel.at(ctx.now + HALF_OPEN, Due::Timer(TEXT, token));
+            if ctx.net.is_read_closed(token) && ctx.net.input_buffer(token).is_none_or(|left| left.is_empty())
+            {
+                ctx.net.shutdown_write(task);
+                ctx.wheel.schedule(ctx.now + HALF_OPEN, Due::Timer(TEXT, token));
             }
-        } else if ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
+        } else if ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
             // It waits for UP and may say nothing before it: nobody could say what its lines belong to.
             if let Some(request_id) = session.request_id {
                 ctx.requests.left(ctx.now, request_id);
             }
             self.malformed(ctx, token);
-        } else if broken || ctx.net.at_end(token) {
+        } else if broken || ctx.net.is_read_closed(token) {
             // It gave up. Its line is owed an answer as long as anyone may read one.
             if let Some(request_id) = session.request_id {
                 ctx.requests.left(ctx.now, request_id);
@@ -293,8 +296,8 @@
     /// be an attempt.
     fn end_task(&mut self, ctx: &mut Ctx, task: Token, up: bool) {
         self.sides.remove(&task);
-        if !up && ctx.net.unwritten(task) > 0 {
-            ctx.net.abandon(task);
+        if !up && ctx.net.pending_output_bytes(task) > 0 {
+            ctx.net.close_without_flush(task);
         } else {
             ctx.net.close(task);
         }
@@ -309,7 +312,7 @@
         let task = session.task;
         if by_reset {
             for token in [Some(client), task].into_iter().flatten() {
-                if ctx.net.unwritten(token) == 0 {
+                if ctx.net.pending_output_bytes(token) == 0 {
                     ctx.net.reset(token);
                 }
             }
@@ -322,7 +325,7 @@
 
     /// Lines on a probe connection: each answers the probe out on it, if any.
     fn probed(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
-        while let Some(input) = ctx.net.input(token) {
+        while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
                 Line::None => break,
                 Line::TooLong => return self.end_probe(ctx, token),
@@ -341,7 +344,7 @@
                 }
             }
         }
-        if broken || ctx.net.at_end(token) {
+        if broken || ctx.net.is_read_closed(token) {
             self.end_probe(ctx, token);
         }
     }
@@ -362,10 +365,10 @@
             if session.task != Some(task) {
                 break;
             }
-            if session.up && ctx.net.unwritten(client) >= SLOW {
+            if session.up && ctx.net.pending_output_bytes(client) >= OUTPUT_HIGH_WATERMARK_BYTES {
                 return;
             }
-            let Some(input) = ctx.net.input(task) else { break };
+            let Some(input) = ctx.net.input_buffer(task) else { break };
             match take_line(input) {
                 Line::Whole(line) if session.up => pass(ctx, session, &mut self.delays, client, &line),
                 Line::Whole(line) => self.first_answer(ctx, client, &line),
@@ -381,12 +384,12 @@
         }
         let up = self.sessions.get(&client).is_some_and(|s| s.up);
         match broken {
-            None if ctx.net.at_end(task) => {
+            None if ctx.net.is_read_closed(task) => {
                 if up {
-                    let rest = ctx.net.input(task).map(std::mem::take).unwrap_or_default();
+                    let rest = ctx.net.input_buffer(task).map(std::mem::take).unwrap_or_default();
                     ctx.net.send(client, &rest);
                 }
-                let written = ctx.net.unwritten(task) == 0;
+                let written = ctx.net.pending_output_bytes(task) == 0;
                 self.over(ctx, client, if written { Outcome::Reset } else { Outcome::ConnectFailed }, false);
             }
             None if up => self.client(ctx, client, false),
@@ -435,7 +438,7 @@
                 Ending::Bye => self.end(ctx, client, Outcome::Ok, false),
                 Ending::Moved => self.end(ctx, client, Outcome::Cancelled, false),
                 // The client ended first; the server follows.
-                Ending::Broken if ctx.net.at_end(client) => {
+                Ending::Broken if ctx.net.is_read_closed(client) => {
                     self.end(ctx, client, Outcome::Cancelled, by_reset)
                 }
                 Ending::Broken => self.end(ctx, client, Outcome::Reset, by_reset),
@@ -464,7 +467,10 @@
 
     /// Whether a connection can go on in another process as it is.
     fn can_pass(&self, ctx: &Ctx, client: Token) -> bool {
-        let goes = |token: Token| ctx.net.can_release(token) && ctx.net.unwritten(token) < 2 * SLOW;
+        let goes = |token: Token| {
+            ctx.net.can_transfer(token)
+                && ctx.net.pending_output_bytes(token) < 2 * OUTPUT_HIGH_WATERMARK_BYTES
+        };
         match (self.sides.get(&client), self.sessions.get(&client)) {
             (Some(Side::Fresh(_)), _) => goes(client),
             (Some(Side::Client), Some(s)) => s.up && goes(client) && s.task.is_some_and(goes),
@@ -474,7 +480,7 @@
 
     fn pack(&mut self, ctx: &mut Ctx, token: Token) -> Option<TransferredConnection> {
         let side = self.sides.remove(&token)?;
-        let (fd, client) = ctx.net.release(token)?;
+        let (fd, client) = ctx.net.export_connection(token)?;
         let Some(session) = self.sessions.get_mut(&token) else {
             let Side::Fresh(pings) = side else { return None };
             let text = serde_json::to_string(&Passed::Fresh(pings, client)).ok()?;
@@ -482,7 +488,7 @@
         };
         let (task_fd, task) = session.task.take().and_then(|task| {
             self.sides.remove(&task);
-            ctx.net.release(task)
+            ctx.net.export_connection(task)
         })?;
         let (line, asked, last, load) =
             (session.open.line().to_string(), session.asked, session.last, session.load);
@@ -498,14 +504,14 @@
         let mut fd = || fds.next();
         match serde_json::from_str(&transferred_connection.text).ok()? {
             Passed::Fresh(pings, client) => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
+                let token = ctx.net.import_connection(fd()?, client, SocketOwner::Front(TEXT)).ok()?;
                 self.sides.insert(token, Side::Fresh(pings));
                 self.fresh(ctx, token);
-                ctx.net.rearm(token);
+                ctx.net.update_interest(token);
             }
             Passed::Standing { line, server, began, asked, last, load, client, task } => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
-                let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT)).ok()?;
+                let token = ctx.net.import_connection(fd()?, client, SocketOwner::Front(TEXT)).ok()?;
+                let task = ctx.net.import_connection(fd()?, task, SocketOwner::Front(TEXT)).ok()?;
                 let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
@@ -528,8 +534,8 @@
                 session.trace("took", ctx);
                 self.sessions.insert(token, session);
                 self.task(ctx, token, task, None);
-                ctx.net.rearm(task);
-                ctx.net.rearm(token);
+                ctx.net.update_interest(task);
+                ctx.net.update_interest(token);
             }
         }
         Some(())
@@ -560,25 +566,25 @@
     }
 
     /// Something happened at one of this front's sockets.
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         let token = notice.token;
-        if notice.kind == Kind::Accepted {
+        if notice.kind == SocketEventKind::Accepted {
             self.sides.insert(token, Side::Fresh(0));
             return;
         }
-        if notice.kind == Kind::Evicted {
+        if notice.kind == SocketEventKind::Evicted {
             ctx.requests.counters.silent += 1;
             self.sides.remove(&token);
             return;
         }
-        if notice.kind == Kind::Overdue {
+        if notice.kind == SocketEventKind::HandshakeTimeout {
             if let Some(Side::Fresh(_)) = self.sides.get(&token) {
                 self.end_resting(ctx, token);
             }
             return;
         }
         let broken = match notice.kind {
-            Kind::Broken(remains) => Some(remains.all_written),
+            SocketEventKind::Failed { all_written } => Some(all_written),
             _ => None,
         };
         match self.sides.get(&token) {
@@ -596,19 +602,19 @@
             }
             Some(Side::Probe) => self.probed(ctx, token, broken.is_some()),
         }
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
     fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // Nothing is begun for a client that has gone by now, nor at a server that has been told to stop in this
         // very turn, after the pick.
-        ctx.net.look(client);
-        let said = ctx.net.input(client).is_none_or(|input| !input.is_empty());
-        if said || ctx.net.at_end(client) || ctx.net.is_broken(client) {
-            return self.client(ctx, client, ctx.net.is_broken(client));
+        ctx.net.read_available(client);
+        let said = ctx.net.input_buffer(client).is_none_or(|input| !input.is_empty());
+        if said || ctx.net.is_read_closed(client) || ctx.net.is_failed(client) {
+            return self.client(ctx, client, ctx.net.is_failed(client));
         }
-        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
+        if !ctx.net.has_descriptor_for_attempt() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
             ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
             ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
@@ -619,7 +625,8 @@
     fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
         let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
         let task = self.sessions.get(&client).and_then(|s| s.task);
-        let unsent = task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.unwritten(task) > 0);
+        let unsent =
+            task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.pending_output_bytes(task) > 0);
         self.drop_task(ctx, client);
         if unsent {
             Outcome::ConnectFailed
@@ -651,7 +658,7 @@
             Ask::On(token) => token,
             Ask::Dial => {
                 let addr = ctx.registry.entry(server).map(|r| r.addr());
-                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
+                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, SocketOwner::Front(TEXT))) else {
                     return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
@@ -661,7 +668,7 @@
         };
         ctx.requests.counters.probes += 1;
         ctx.net.send(token, STATS);
-        ctx.wheel.at(ctx.now + PROBE_WAIT, Due::Timer(TEXT, token));
+        ctx.wheel.schedule(ctx.now + PROBE_WAIT, Due::Timer(TEXT, token));
     }
 
     /// Asks a client to come again. The core has already let it go.
@@ -701,7 +708,7 @@
         let Some(session) = self.sessions.get(&token) else { return };
         if session.request_id.is_none() {
             self.answer(ctx, token, b"ERR\r\n");
-        } else if session.up && ctx.net.at_end(token) {
+        } else if session.up && ctx.net.is_read_closed(token) {
             self.end(ctx, token, Outcome::Cancelled, false);
         }
     }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -16,7 +16,7 @@
 
 use super::channel::{FramedMessage, MOST_FDS};
 use crate::discovery::{List, WatchState};
-use crate::net::Flow;
+use crate::net::BufferedConnection;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -41,7 +41,7 @@
     Listener {
         at: SocketAddr,
     },
-    Watch(WatchState, Flow),
+    Watch(WatchState, BufferedConnection),
     Whole,
     Ready,
     #[serde(rename = "Terminal")]
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -14,7 +14,7 @@
 use crate::discovery::WatchState;
 use crate::front::TransferredConnection;
 use crate::log;
-use crate::net::{Flow, Net, Notice, Owner, Token};
+use crate::net::{BufferedConnection, SocketEvent, SocketOwner, SocketReactor, Token};
 use channel::{Carried, FramedMessage};
 use message::{MessageError, Pieces, VERSION};
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
     /// Where its optional fronts listen.
     pub listening: Vec<(SocketAddr, OwnedFd)>,
     /// Discovery's watch.
-    pub watch: Option<(OwnedFd, WatchState, Flow)>,
+    pub watch: Option<(OwnedFd, WatchState, BufferedConnection)>,
 }
 
 /// Where a node's processes meet: in `$TMPDIR`, by the node's name. None where there is no such place.
@@ -130,15 +130,15 @@
 
 impl Handover {
     /// Listens at a place for a successor, and hears what the process before this one still has to pass on.
-    pub fn open(net: &mut Net, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
-        let listener = channel::listen(path).and_then(|fd| net.watch(fd, Owner::Handover));
+    pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
+        let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
         if let Err(e) = &listener {
             log::line(format_args!("takeover-off reason=listen: {e}"));
         }
-        let predecessor = predecessor.and_then(|fd| net.watch(fd, Owner::Handover).ok());
+        let predecessor = predecessor.and_then(|fd| net.register_raw(fd, SocketOwner::Handover).ok());
         let mut handover = Handover { listener: listener.ok(), predecessor, successor: None };
         if let Some(token) = handover.predecessor {
-            if let (Some(fd), Ok(ready)) = (net.raw(token), Message::Ready.pack(Vec::new())) {
+            if let (Some(fd), Ok(ready)) = (net.raw_descriptor(token), Message::Ready.pack(Vec::new())) {
                 if !matches!(channel::send(fd, &ready), Carried::Done(())) {
                     handover.predecessor = None;
                     net.close(token);
@@ -154,7 +154,7 @@
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, net: &mut Net, notice: Notice) -> Vec<HandoverEvent> {
+    pub fn notice(&mut self, net: &mut SocketReactor, notice: SocketEvent) -> Vec<HandoverEvent> {
         if Some(notice.token) == self.listener {
             self.meet(net);
             return Vec::new();
@@ -163,7 +163,7 @@
         let mut news = Vec::new();
         // A turn's worth: the rest leaves the socket readable.
         for _ in 0..A_TURN {
-            let Some(fd) = net.raw(notice.token) else { break };
+            let Some(fd) = net.raw_descriptor(notice.token) else { break };
             let message = match channel::receive(fd) {
                 Carried::Done(framed_message) => Message::unpack(framed_message).map_err(|e| e.to_string()),
                 Carried::Later => break,
@@ -199,19 +199,20 @@
     }
 
     /// One successor at a time: a second one is turned away, and starts as if it were the first.
-    fn meet(&mut self, net: &mut Net) {
-        let Some(fd) = self.listener.and_then(|token| net.raw(token)).and_then(channel::accept) else {
+    fn meet(&mut self, net: &mut SocketReactor) {
+        let Some(fd) = self.listener.and_then(|token| net.raw_descriptor(token)).and_then(channel::accept)
+        else {
             return;
         };
         if self.successor.is_none() {
-            if let Ok(token) = net.watch(fd, Owner::Handover) {
+            if let Ok(token) = net.register_raw(fd, SocketOwner::Handover) {
                 self.successor = Some(Successor { token, serves: false, outbox: VecDeque::new() });
             }
         }
     }
 
     /// The other side is gone.
-    fn end(&mut self, net: &mut Net, token: Token) -> Option<HandoverEvent> {
+    fn end(&mut self, net: &mut SocketReactor, token: Token) -> Option<HandoverEvent> {
         net.close(token);
         if self.predecessor == Some(token) {
             self.predecessor = None;
@@ -231,10 +232,10 @@
     /// Tells the successor what this process knows.
     pub fn tell(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         state: &State,
         listening: Vec<(SocketAddr, OwnedFd)>,
-        watch: Option<(OwnedFd, WatchState, Flow)>,
+        watch: Option<(OwnedFd, WatchState, BufferedConnection)>,
     ) -> Vec<HandoverEvent> {
         let pieces = state.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
         let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
@@ -249,11 +250,11 @@
     /// Passes connections on.
     pub fn pass_on(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         front: &str,
         transferred_connection: Vec<TransferredConnection>,
     ) -> Vec<HandoverEvent> {
-        let descriptors = net.in_use();
+        let descriptors = net.descriptors_in_use();
         for TransferredConnection { text, fds } in transferred_connection {
             self.post(&Message::Connection { front: front.to_string(), state: text, descriptors }, fds);
         }
@@ -266,11 +267,11 @@
         }
     }
 
-    fn flush(&mut self, net: &mut Net) -> Option<HandoverEvent> {
+    fn flush(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
         let successor = self.successor.as_mut()?;
         let token = successor.token;
         while let Some(framed_message) = successor.outbox.front() {
-            match channel::send(net.raw(token)?, framed_message) {
+            match channel::send(net.raw_descriptor(token)?, framed_message) {
                 // Its descriptors are closed here with it: the other process has them now.
                 Carried::Done(()) => drop(successor.outbox.pop_front()),
                 Carried::Later => break,
@@ -281,7 +282,7 @@
             }
         }
         let more = !successor.outbox.is_empty();
-        net.watch_room(token, more);
+        net.set_writable_interest(token, more);
         None
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -3,11 +3,14 @@
 mod sockets;
 mod wheel;
 
-pub use sockets::{Flow, Kind, Net, Notice, Owner, Token, SLOW};
-pub use wheel::Wheel;
+pub use sockets::{
+    BufferedConnection, SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token,
+    OUTPUT_HIGH_WATERMARK_BYTES,
+};
+pub use wheel::TimerWheel;
 
 /// A token for tests of what is kept by tokens.
 #[cfg(test)]
-pub fn tests_token(number: u64) -> Token {
+pub fn token_for_tests(number: u64) -> Token {
     Token::for_tests(number)
 }
--- a/src/net/sockets.rs
+++ b/src/net/sockets.rs
@@ -15,7 +15,7 @@
 
 /// Who hears of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
+pub enum SocketOwner {
     /// A front.
     Front(FrontId),
     /// The endpoint registry's watch.
@@ -36,34 +36,30 @@
 
 /// What happened at a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SocketEventKind {
     /// A listener took it in.
     Accepted,
-    /// There are more bytes, or the peer has ended its sending ([`Net::at_end`]).
+    /// There are more bytes, or the peer has ended its sending ([`SocketReactor::is_read_closed`]).
     Readable,
     /// All that was to be written is written, after it was not.
-    Drained,
+    OutputFlushed,
     /// It had said nothing of use when its place was needed. It is closed already.
     Evicted,
     /// It has said nothing of use in time. The owner ends it.
-    Overdue,
+    HandshakeTimeout,
     /// The connection never came up or broke. The owner takes what it wants and closes it.
-    Broken(Remains),
-}
-
-/// What is left to know of a broken socket.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Remains {
-    /// It had come up and all that was to be written had been.
-    pub all_written: bool,
+    Failed {
+        /// It had come up and all that was to be written had been.
+        all_written: bool,
+    },
 }
 
 /// A notice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Notice {
+pub struct SocketEvent {
     pub token: Token,
-    pub owner: Owner,
-    pub kind: Kind,
+    pub owner: SocketOwner,
+    pub kind: SocketEventKind,
 }
 
 #[derive(Clone, Copy, PartialEq)]
@@ -75,13 +71,13 @@
     Broken,
     /// Ours is said; what the peer still sends is read and dropped, so that no reset eats the answer.
     Lingering,
-    /// Its owner reads and writes by itself ([`Net::raw`]).
+    /// Its owner reads and writes by itself ([`SocketReactor::raw_descriptor`]).
     Raw,
 }
 
 /// A connection's state, for a process that goes on with it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Flow {
+pub struct BufferedConnection {
     /// Come and not taken by its owner.
     #[serde(with = "octets")]
     pub input: Vec<u8>,
@@ -110,7 +106,7 @@
 
 struct Socket {
     fd: OwnedFd,
-    owner: Owner,
+    owner: SocketOwner,
     stage: Stage,
     input: Vec<u8>,
     output: Vec<u8>,
@@ -131,12 +127,12 @@
     reserved: bool,
 }
 
-/// No more than this is read ahead of who takes it, unless the owner asks for more ([`Net::read_ahead`]).
+/// No more than this is read ahead of who takes it, unless the owner asks for more ([`SocketReactor::set_read_limit`]).
 const READ_AHEAD: usize = 8 * 1024;
 /// One read takes no more than this.
 const ONE_READ: usize = 64 * 1024;
 /// Above this a peer is slow: its counterpart is not read on.
-pub const SLOW: usize = 16 * 1024;
+pub const OUTPUT_HIGH_WATERMARK_BYTES: usize = 16 * 1024;
 /// How long a lingering socket may take to hear the peer's end.
 const LINGER: Nanos = 1_000_000_000;
 /// What a lingering socket may still send: after that a reset says it plainly.
@@ -157,7 +153,7 @@
 const RESERVED_ACCEPTS: usize = 4;
 
 /// All sockets of the node.
-pub struct Net {
+pub struct SocketReactor {
     epoll: OwnedFd,
     slots: Vec<(u32, Option<Socket>)>,
     free: Vec<u32>,
@@ -174,18 +170,18 @@
     closed: bool,
     /// Listening sockets of the process before this one, each with its address.
     inherited: Vec<(SocketAddr, OwnedFd)>,
-    pending: Vec<Notice>,
-    /// Connections that came up in this turn: what waits on them is written at its end ([`Net::write_risen`]).
+    pending: Vec<SocketEvent>,
+    /// Connections that came up in this turn: what waits on them is written at its end ([`SocketReactor::flush_connected`]).
     risen: Vec<Token>,
     now: Nanos,
     /// Where reads go before they are kept.
     chunk: Vec<u8>,
 }
 
-impl Net {
+impl SocketReactor {
     /// Sockets for a process that may hold this many descriptors.
-    pub fn new(most: usize) -> io::Result<Net> {
-        Ok(Net {
+    pub fn new(most: usize) -> io::Result<SocketReactor> {
+        Ok(SocketReactor {
             epoll: epoll::create(epoll::CreateFlags::CLOEXEC)?,
             slots: Vec::new(),
             free: Vec::new(),
@@ -206,23 +202,23 @@
     }
 
     /// The process may hold this many descriptors from now on.
-    pub fn limit(&mut self, most: usize) {
+    pub fn set_descriptor_limit(&mut self, most: usize) {
         self.most = most;
     }
 
     /// Whether every connection that was ended is over on both sides.
-    pub fn is_quiet(&self) -> bool {
+    pub fn all_closes_complete(&self) -> bool {
         self.lingering.iter().all(|(_, token)| self.peek(*token).is_none())
     }
 
     /// Whether descriptors run short: what comes in now is to be turned away.
-    pub fn is_short(&self) -> bool {
+    pub fn is_short_of_descriptors(&self) -> bool {
         let open = self.open - self.reserved.len() + self.reserve;
         open + self.most / 16 + 16 > self.most
     }
 
     /// An accepted peer has said something of use: it is not closed to make room any more.
-    pub fn prove(&mut self, token: Token) {
+    pub fn mark_handshake_complete(&mut self, token: Token) {
         if let Some(socket) = self.get(token) {
             socket.unproven = false;
         }
@@ -230,8 +226,8 @@
 
     /// Makes room where descriptors run short: connections that are over go first, the oldest first, then
     /// those that have said nothing. False where all that is left is of use.
-    pub fn make_room(&mut self) -> bool {
-        while self.is_short() {
+    pub fn reclaim_descriptors(&mut self) -> bool {
+        while self.is_short_of_descriptors() {
             if !self.evict() {
                 return false;
             }
@@ -240,7 +236,7 @@
     }
 
     /// Whether one more attempt may have a descriptor: some are kept for what must go on without it.
-    pub fn has_room(&self) -> bool {
+    pub fn has_descriptor_for_attempt(&self) -> bool {
         self.open - self.reserved.len() + self.reserve + KEPT < self.most
     }
 
@@ -268,7 +264,7 @@
     /// of it, so it is no idle one.
     fn has_spoken(&mut self, token: Token) -> bool {
         if self.peek(token).is_some_and(|s| s.unproven && !s.input.contains(&b'\n')) {
-            self.look(token);
+            self.read_available(token);
         }
         self.peek(token).is_some_and(|s| s.unproven && s.input.contains(&b'\n'))
     }
@@ -278,18 +274,22 @@
         if let Some(owner) =
             self.peek(token).filter(|s| s.unproven && s.stage == Stage::Open).map(|s| s.owner)
         {
-            self.pending.push(Notice { token, owner, kind: Kind::Evicted });
+            self.pending.push(SocketEvent { token, owner, kind: SocketEventKind::Evicted });
             self.drop_socket(token);
         }
     }
 
     /// Listens on an address; gives the address too, for a port that the system picked.
-    pub fn listen(&mut self, addr: SocketAddr, owner: Owner) -> io::Result<SocketAddr> {
-        self.listen_at(addr, owner).map(|(_, bound)| bound)
+    pub fn listen(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<SocketAddr> {
+        self.listen_with_token(addr, owner).map(|(_, bound)| bound)
     }
 
-    /// The same, with the listener's token, for an owner that has several ([`Net::came_to`]).
-    pub fn listen_at(&mut self, addr: SocketAddr, owner: Owner) -> io::Result<(Token, SocketAddr)> {
+    /// The same, with the listener's token, for an owner that has several ([`SocketReactor::accepting_listener`]).
+    pub fn listen_with_token(
+        &mut self,
+        addr: SocketAddr,
+        owner: SocketOwner,
+    ) -> io::Result<(Token, SocketAddr)> {
         let same = |at: &SocketAddr| *at == addr || (addr.port() == 0 && at.ip() == addr.ip());
         if let Some(at) = self.inherited.iter().position(|(at, _)| same(at)) {
             let (bound, fd) = self.inherited.remove(at);
@@ -304,20 +304,20 @@
     }
 
     /// Whoever listens at one of these addresses from now on gets that socket.
-    pub fn inherit(&mut self, listening: Vec<(SocketAddr, OwnedFd)>) {
+    pub fn inherit_listeners(&mut self, listening: Vec<(SocketAddr, OwnedFd)>) {
         self.inherited = listening;
     }
 
     /// The fronts' listening sockets but for one front's, for another process as well.
-    pub fn listening(&self, but: FrontId) -> Vec<(SocketAddr, OwnedFd)> {
+    pub fn listeners_except(&self, but: FrontId) -> Vec<(SocketAddr, OwnedFd)> {
         let fronts = self.slots.iter().filter_map(|(_, socket)| socket.as_ref()).filter(|s| {
-            s.stage == Stage::Listening && matches!(s.owner, Owner::Front(front) if front != but)
+            s.stage == Stage::Listening && matches!(s.owner, SocketOwner::Front(front) if front != but)
         });
         fronts.filter_map(|s| Some((bound(&s.fd).ok()?, s.fd.try_clone().ok()?))).collect()
     }
 
     /// Whether fronts take connections in.
-    pub fn take_in(&mut self, takes: bool) {
+    pub fn set_accepting(&mut self, takes: bool) {
         self.closed = !takes;
         self.arm_listeners(if self.resting.is_some() {
             epoll::EventFlags::empty()
@@ -327,28 +327,28 @@
     }
 
     /// Sets so many descriptors aside for what is not counted here.
-    pub fn set_aside(&mut self, descriptors: usize) {
+    pub fn reserve_descriptors(&mut self, descriptors: usize) {
         self.reserve += descriptors;
     }
 
     /// Descriptors in use.
-    pub fn in_use(&self) -> usize {
+    pub fn descriptors_in_use(&self) -> usize {
         self.open
     }
 
     /// Watches a descriptor that its owner reads and writes by itself.
-    pub fn watch(&mut self, fd: OwnedFd, owner: Owner) -> io::Result<Token> {
+    pub fn register_raw(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
         self.insert(fd, owner, Stage::Raw)
     }
 
     /// Such a descriptor.
-    pub fn raw(&self, token: Token) -> Option<&OwnedFd> {
+    pub fn raw_descriptor(&self, token: Token) -> Option<&OwnedFd> {
         self.peek(token).filter(|s| s.stage == Stage::Raw).map(|s| &s.fd)
     }
 
     /// Whether its owner wants to know when it takes more.
-    pub fn watch_room(&mut self, token: Token, wanted: bool) {
+    pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
         let Some((_, Some(socket))) = self.slots.get_mut(token.index()) else { return };
         let out = if wanted { epoll::EventFlags::OUT } else { epoll::EventFlags::empty() };
         if socket.stage == Stage::Raw && socket.interest != epoll::EventFlags::IN | out {
@@ -360,20 +360,20 @@
     }
 
     /// Whether a connection can go on in another process: it is up, and neither side has ended its sending.
-    pub fn can_release(&self, token: Token) -> bool {
+    pub fn can_transfer(&self, token: Token) -> bool {
         self.peek(token).is_some_and(|s| s.stage == Stage::Open && !s.at_end && !s.finish)
     }
 
-    /// Lets a connection go, for another process to go on with. None where [`Net::can_release`] says no.
-    pub fn release(&mut self, token: Token) -> Option<(OwnedFd, Flow)> {
-        if !self.can_release(token) {
+    /// Lets a connection go, for another process to go on with. None where [`SocketReactor::can_transfer`] says no.
+    pub fn export_connection(&mut self, token: Token) -> Option<(OwnedFd, BufferedConnection)> {
+        if !self.can_transfer(token) {
             return None;
         }
         let word_by = self.unproven.iter().find(|(_, other)| *other == token).map(|(by, _)| *by);
         let socket = self.get(token)?;
         let word_by = word_by.filter(|_| socket.unproven);
         let (input, output) = (std::mem::take(&mut socket.input), std::mem::take(&mut socket.output));
-        let flow = Flow { input, output, written: socket.written, word_by };
+        let flow = BufferedConnection { input, output, written: socket.written, word_by };
         let socket = self.slots[token.index()].1.take()?;
         // The other process has it open: closing ours would not take it out of the set.
         let _ = epoll::delete(&self.epoll, &socket.fd);
@@ -382,7 +382,12 @@
     }
 
     /// Goes on with a connection that another process let go.
-    pub fn receive(&mut self, fd: OwnedFd, flow: Flow, owner: Owner) -> io::Result<Token> {
+    pub fn import_connection(
+        &mut self,
+        fd: OwnedFd,
+        flow: BufferedConnection,
+        owner: SocketOwner,
+    ) -> io::Result<Token> {
         let token = self.insert(fd, owner, Stage::Open)?;
         if let Some(socket) = self.get(token) {
             (socket.input, socket.output, socket.written) = (flow.input, flow.output, flow.written);
@@ -392,12 +397,12 @@
             let at = self.unproven.partition_point(|(other, _)| *other <= by);
             self.unproven.insert(at, (by, token));
         }
-        self.rearm(token);
+        self.update_interest(token);
         Ok(token)
     }
 
     /// Listens on a socket that listens already, and may be another process's as well.
-    pub fn listen_on(&mut self, fd: OwnedFd, owner: Owner) -> io::Result<SocketAddr> {
+    pub fn register_listener(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<SocketAddr> {
         // Whoever else has it may take in what we were woken for.
         rustix::io::ioctl_fionbio(&fd, true)?;
         let bound = bound(&fd)?;
@@ -407,8 +412,13 @@
 
     /// Listens for connections that have descriptors set aside, so many at a time: no shortage takes them,
     /// and among themselves the longest idle makes room. Their notices come first.
-    pub fn listen_reserved(&mut self, addr: SocketAddr, owner: Owner, most: usize) -> io::Result<SocketAddr> {
-        let (token, bound) = self.listen_at(addr, owner)?;
+    pub fn listen_with_reserve(
+        &mut self,
+        addr: SocketAddr,
+        owner: SocketOwner,
+        most: usize,
+    ) -> io::Result<SocketAddr> {
+        let (token, bound) = self.listen_with_token(addr, owner)?;
         if let Some(socket) = self.get(token) {
             socket.reserved = true;
         }
@@ -417,7 +427,7 @@
     }
 
     /// Starts a connection. What is sent meanwhile is written once it is up.
-    pub fn connect(&mut self, addr: SocketAddr, owner: Owner) -> io::Result<Token> {
+    pub fn connect(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<Token> {
         let fd = loop {
             match socket(addr) {
                 // The system gives fewer than the configuration says.
@@ -434,48 +444,48 @@
     }
 
     /// Takes in a descriptor that is ready to be read, such as a signal's pipe.
-    pub fn adopt(&mut self, fd: OwnedFd, owner: Owner) -> io::Result<Token> {
+    pub fn register_reader(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
         self.insert(fd, owner, Stage::Open)
     }
 
     /// This many octets may be read ahead of who takes them: a frame that is to be held whole must fit.
-    pub fn read_ahead(&mut self, token: Token, most: usize) {
+    pub fn set_read_limit(&mut self, token: Token, most: usize) {
         if let Some(socket) = self.get(token) {
             socket.ahead = most;
         }
     }
 
     /// The listener that an accepted connection came to.
-    pub fn came_to(&self, token: Token) -> Option<Token> {
+    pub fn accepting_listener(&self, token: Token) -> Option<Token> {
         self.peek(token)?.listener
     }
 
     /// The address of a connection's other end.
-    pub fn peer(&self, token: Token) -> Option<SocketAddr> {
+    pub fn peer_addr(&self, token: Token) -> Option<SocketAddr> {
         let socket = self.peek(token)?;
         rustix::net::getpeername(&socket.fd).ok()?.and_then(|addr| SocketAddr::try_from(addr).ok())
     }
 
     /// Reads what has come by now, for whoever must not act on less: bytes, the peer's end or its reset.
-    pub fn look(&mut self, token: Token) {
+    pub fn read_available(&mut self, token: Token) {
         if self.peek(token).is_some_and(|s| s.stage == Stage::Open && !s.at_end) {
             self.fill(token);
         }
     }
 
     /// Whether the connection broke; what had come is still there.
-    pub fn is_broken(&self, token: Token) -> bool {
+    pub fn is_failed(&self, token: Token) -> bool {
         self.peek(token).is_some_and(|s| s.stage == Stage::Broken)
     }
 
     /// The bytes that have come and not been taken.
-    pub fn input(&mut self, token: Token) -> Option<&mut Vec<u8>> {
+    pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
         self.get(token).map(|s| &mut s.input)
     }
 
-    /// Whether the peer has ended its sending; bytes may still wait in [`Net::input`].
-    pub fn at_end(&self, token: Token) -> bool {
+    /// Whether the peer has ended its sending; bytes may still wait in [`SocketReactor::input_buffer`].
+    pub fn is_read_closed(&self, token: Token) -> bool {
         self.peek(token).is_some_and(|s| s.at_end)
     }
 
@@ -485,7 +495,7 @@
     }
 
     /// Bytes that are still to be written.
-    pub fn unwritten(&self, token: Token) -> usize {
+    pub fn pending_output_bytes(&self, token: Token) -> usize {
         self.peek(token).map_or(0, |s| s.output.len())
     }
 
@@ -495,12 +505,12 @@
     }
 
     /// Bytes written so far.
-    pub fn written(&self, token: Token) -> u64 {
+    pub fn bytes_written(&self, token: Token) -> u64 {
         self.peek(token).map_or(0, |s| s.written)
     }
 
     /// Bytes written and still to be written: where the next one goes.
-    pub fn position(&self, token: Token) -> u64 {
+    pub fn output_position(&self, token: Token) -> u64 {
         self.peek(token).map_or(0, |s| s.written + s.output.len() as u64)
     }
 
@@ -529,17 +539,17 @@
         if broken {
             return self.broken(token);
         }
-        self.rearm(token);
+        self.update_interest(token);
     }
 
     /// Ends our sending once all is written.
-    pub fn finish(&mut self, token: Token) {
+    pub fn shutdown_write(&mut self, token: Token) {
         if let Some(socket) = self.get(token) {
             socket.finish = true;
             if socket.stage == Stage::Open {
                 self.flush(token, false);
             }
-            self.rearm(token);
+            self.update_interest(token);
         }
     }
 
@@ -558,24 +568,24 @@
         if over && self.peek(token).is_some_and(|s| s.finished) {
             return self.drop_socket(token);
         }
-        self.rearm(token);
+        self.update_interest(token);
         if self.peek(token).is_some() {
             self.lingering.push_back((until, token));
         }
     }
 
     /// Ends the connection so that nothing more of what waits on it goes out.
-    pub fn abandon(&mut self, token: Token) {
+    pub fn close_without_flush(&mut self, token: Token) {
         self.drop_socket(token);
     }
 
     /// Writes what waits on the connections that came up in this turn: after all else that came in it, so that
     /// who left and what was told to stop is known first.
-    pub fn write_risen(&mut self) {
+    pub fn flush_connected(&mut self) {
         for token in std::mem::take(&mut self.risen) {
             if self.peek(token).is_some_and(|s| matches!(s.stage, Stage::Open | Stage::Lingering)) {
                 self.flush(token, true);
-                self.rearm(token);
+                self.update_interest(token);
             }
         }
     }
@@ -590,7 +600,7 @@
     }
 
     /// Reads on where the owner has taken bytes.
-    pub fn rearm(&mut self, token: Token) {
+    pub fn update_interest(&mut self, token: Token) {
         let Some((generation, Some(socket))) = self.slots.get_mut(token.index()) else { return };
         if *generation != token.generation() || matches!(socket.stage, Stage::Broken | Stage::Raw) {
             return;
@@ -612,7 +622,7 @@
     }
 
     /// Waits for at most this long and says what happened.
-    pub fn poll(&mut self, now: Nanos, wait: Nanos) -> io::Result<Vec<Notice>> {
+    pub fn poll(&mut self, now: Nanos, wait: Nanos) -> io::Result<Vec<SocketEvent>> {
         self.now = now;
         while self.lingering.front().is_some_and(|(until, _)| *until <= now) {
             if let Some((_, token)) = self.lingering.pop_front() {
@@ -622,7 +632,7 @@
         while self.unproven.front().is_some_and(|(until, _)| *until <= now) {
             if let Some((_, token)) = self.unproven.pop_front() {
                 if self.peek(token).is_some_and(|s| s.unproven) {
-                    self.notice(token, Kind::Overdue);
+                    self.notice(token, SocketEventKind::HandshakeTimeout);
                 }
             }
         }
@@ -661,10 +671,10 @@
             Stage::Raw => {
                 // Its end is found by reading.
                 if flags != epoll::EventFlags::OUT {
-                    self.notice(token, Kind::Readable);
+                    self.notice(token, SocketEventKind::Readable);
                 }
                 if flags.contains(epoll::EventFlags::OUT) {
-                    self.notice(token, Kind::Drained);
+                    self.notice(token, SocketEventKind::OutputFlushed);
                 }
                 return;
             }
@@ -693,7 +703,7 @@
                 }
             }
         }
-        self.rearm(token);
+        self.update_interest(token);
     }
 
     fn accept(&mut self, listener: Token) {
@@ -706,7 +716,7 @@
                     // Without it answers are late, no more.
                     let _ = sockopt::set_tcp_nodelay(&fd, true);
                     if let Ok(token) = self.insert(fd, owner, Stage::Open) {
-                        self.pending.push(Notice { token, owner, kind: Kind::Accepted });
+                        self.pending.push(SocketEvent { token, owner, kind: SocketEventKind::Accepted });
                         if let Some(socket) = self.get(token) {
                             socket.unproven = !reserved;
                             socket.listener = Some(listener);
@@ -717,7 +727,7 @@
                             continue;
                         }
                         // Room is made by those before it: it has had no time to say anything yet.
-                        self.make_room();
+                        self.reclaim_descriptors();
                         self.unproven.push_back((self.now + FIRST_WORD_WITHIN, token));
                     }
                 }
@@ -745,20 +755,24 @@
             let Some(idle) = self.reserved.pop_front() else { break };
             if let Some(socket) = self.peek(idle) {
                 if socket.stage != Stage::Lingering {
-                    self.pending.push(Notice { token: idle, owner: socket.owner, kind: Kind::Evicted });
+                    self.pending.push(SocketEvent {
+                        token: idle,
+                        owner: socket.owner,
+                        kind: SocketEventKind::Evicted,
+                    });
                 }
                 self.drop_socket(idle);
             }
         }
         self.reserved.push_back(token);
         self.fill(token);
-        self.rearm(token);
+        self.update_interest(token);
     }
 
     fn arm_listeners(&mut self, interest: epoll::EventFlags) {
         for (index, (generation, socket)) in self.slots.iter_mut().enumerate() {
             if let Some(socket) = socket.as_mut().filter(|s| s.stage == Stage::Listening) {
-                let closed = self.closed && matches!(socket.owner, Owner::Front(_));
+                let closed = self.closed && matches!(socket.owner, SocketOwner::Front(_));
                 let interest = if closed { epoll::EventFlags::empty() } else { interest };
                 socket.interest = interest;
                 let data = epoll::EventData::new_u64(token(*generation, index as u32).0);
@@ -787,7 +801,7 @@
                 if lingers && socket.finished {
                     return self.drop_socket(token);
                 }
-                self.notice(token, Kind::Readable);
+                self.notice(token, SocketEventKind::Readable);
             }
             Ok(count) if lingers => {
                 socket.discard = socket.discard.saturating_sub(count);
@@ -801,7 +815,7 @@
                     self.reserved.retain(|other| *other != token);
                     self.reserved.push_back(token);
                 }
-                self.notice(token, Kind::Readable);
+                self.notice(token, SocketEventKind::Readable);
             }
             Err(Errno::AGAIN | Errno::INTR) => {}
             Err(_) => self.broken(token),
@@ -837,7 +851,7 @@
             }
         }
         if had && tell {
-            self.notice(token, Kind::Drained);
+            self.notice(token, SocketEventKind::OutputFlushed);
         }
     }
 
@@ -858,17 +872,17 @@
         socket.stage = Stage::Broken;
         // It is in the set, so this cannot fail.
         let _ = epoll::delete(&self.epoll, &socket.fd);
-        self.notice(token, Kind::Broken(Remains { all_written }));
+        self.notice(token, SocketEventKind::Failed { all_written });
     }
 
-    fn notice(&mut self, token: Token, kind: Kind) {
+    fn notice(&mut self, token: Token, kind: SocketEventKind) {
         if let Some(socket) = self.peek(token).filter(|s| s.stage != Stage::Lingering) {
             let owner = socket.owner;
-            self.pending.push(Notice { token, owner, kind });
+            self.pending.push(SocketEvent { token, owner, kind });
         }
     }
 
-    fn insert(&mut self, fd: OwnedFd, owner: Owner, stage: Stage) -> io::Result<Token> {
+    fn insert(&mut self, fd: OwnedFd, owner: SocketOwner, stage: Stage) -> io::Result<Token> {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push((0, None));
             (self.slots.len() - 1) as u32
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -9,7 +9,7 @@
 use crate::handover::{self, Handover, HandoverEvent, Inherited, State};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
-use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::quota::transport::{self, LeaseTransport};
 use crate::quota::QuotaAdmission;
 use crate::requests::{Command, FrontId, RequestTable};
@@ -42,10 +42,10 @@
 
 struct Node {
     clock: Clock,
-    net: Net,
+    net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
-    wheel: Wheel<Due>,
+    wheel: TimerWheel<Due>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
     files: Files,
@@ -112,7 +112,7 @@
     let Options { fronts: files, ipfix, .. } = options;
     let Loaded { node: config, fronts: opened } = loaded;
     let at = |what: &str, e: io::Error| format!("{what}: {e}");
-    let mut net = Net::new(config.sockets).map_err(|e| at("epoll", e))?;
+    let mut net = SocketReactor::new(config.sockets).map_err(|e| at("epoll", e))?;
     let signals = Signals {
         stop: signal(&mut net, &[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])
             .map_err(|e| at("signals", e))?,
@@ -133,18 +133,18 @@
     match inherited {
         Some(Inherited { channel: from, state, listening, watch }) => {
             requests.tell(registry.take_over(&mut net, &state.list, watch));
-            net.inherit(listening);
+            net.inherit_listeners(listening);
             (before, channel) = (Some(state), Some(from));
         }
         None => requests.tell(registry.saved(&config.known)),
     }
     if place.is_some() {
-        net.set_aside(handover::SUCCESSOR);
+        net.reserve_descriptors(handover::SUCCESSOR);
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
-        Some(fd) => net.listen_on(fd, Owner::Front(TEXT)),
-        None => net.listen(config.listen, Owner::Front(TEXT)),
+        Some(fd) => net.register_listener(fd, SocketOwner::Front(TEXT)),
+        None => net.listen(config.listen, SocketOwner::Front(TEXT)),
     };
     let listen = listen.map_err(|e| at("listen", e))?;
     log::line(format_args!("started name={} listen={listen}", config.name));
@@ -169,10 +169,10 @@
         let (quotas, open) = seated(plan, &config, &mut net, clock.now())?;
         (requests.quotas, talk) = (Some(quotas), Some(open));
     }
-    let mut wheel = Wheel::new(clock.now());
-    wheel.at(clock.now(), Due::Look);
+    let mut wheel = TimerWheel::new(clock.now());
+    wheel.schedule(clock.now(), Due::Look);
     if talk.is_some() {
-        wheel.at(clock.now(), Due::Quota);
+        wheel.schedule(clock.now(), Due::Quota);
     }
     let (lifecycle, stepping) = (Lifecycle::default(), false);
     let handover = place.map(|place| Handover::open(&mut net, &place, channel));
@@ -204,7 +204,7 @@
 fn seated(
     (plan, seat): (Plan, usize),
     config: &Config,
-    net: &mut Net,
+    net: &mut SocketReactor,
     now: Nanos,
 ) -> Result<(QuotaAdmission, LeaseTransport), String> {
     let talk = LeaseTransport::open(net, &plan, seat, now);
@@ -217,29 +217,29 @@
     Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
-fn signal(net: &mut Net, signals: &[i32]) -> io::Result<Token> {
+fn signal(net: &mut SocketReactor, signals: &[i32]) -> io::Result<Token> {
     let (ours, theirs) = UnixStream::pair()?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
     }
-    net.adopt(OwnedFd::from(ours), Owner::Signal)
+    net.register_reader(OwnedFd::from(ours), SocketOwner::Signal)
 }
 
 impl Node {
     fn run(mut self) -> Result<(), String> {
         loop {
             let now = self.clock.now();
-            let wait = self.wheel.next_in(now);
+            let wait = self.wheel.time_until_next(now);
             let notices = self.net.poll(now, wait).map_err(|e| format!("epoll: {e}"))?;
             for notice in notices {
                 self.dispatch(notice);
             }
-            for due in self.wheel.due(self.clock.now()) {
+            for due in self.wheel.take_expired(self.clock.now()) {
                 self.due(due);
             }
             self.decide();
             self.pass_on();
-            self.net.write_risen();
+            self.net.flush_connected();
             self.print_trace();
             if self.has_left() {
                 self.export_flows(self.clock.now());
@@ -250,17 +250,17 @@
         }
     }
 
-    fn dispatch(&mut self, notice: Notice) {
+    fn dispatch(&mut self, notice: SocketEvent) {
         match notice.owner {
-            Owner::Front(id) => front!(self, id, notice, notice),
-            Owner::Discovery => {
-                let broken = matches!(notice.kind, Kind::Broken(_));
+            SocketOwner::Front(id) => front!(self, id, notice, notice),
+            SocketOwner::Discovery => {
+                let broken = matches!(notice.kind, SocketEventKind::Failed { .. });
                 let now = self.clock.now();
                 for event in self.registry.ready(now, &mut self.net, notice.token, broken) {
                     self.listed(event);
                 }
             }
-            Owner::Admin => {
+            SocketOwner::Admin => {
                 let now = self.clock.now();
                 let call = self
                     .operator
@@ -273,20 +273,20 @@
                     }
                 }
             }
-            Owner::Quota => {
+            SocketOwner::Quota => {
                 if let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) {
                     talk.notice(self.clock.now(), &mut self.net, quotas, notice);
                 }
             }
-            Owner::Handover => {
+            SocketOwner::Handover => {
                 let news = self.handover.as_mut().map(|t| t.notice(&mut self.net, notice));
                 self.heard(news.unwrap_or_default());
             }
-            Owner::Signal => {
-                if let Some(input) = self.net.input(notice.token) {
+            SocketOwner::Signal => {
+                if let Some(input) = self.net.input_buffer(notice.token) {
                     input.clear();
                 }
-                self.net.rearm(notice.token);
+                self.net.update_interest(notice.token);
                 if notice.token == self.signals.print {
                     self.print_counters();
                 } else if notice.token == self.signals.reload {
@@ -319,7 +319,7 @@
 
     /// The process before this one holds so many descriptors: both together hold no more than one may.
     fn held_before(&mut self, descriptors: usize) {
-        self.net.limit(self.config.sockets.saturating_sub(descriptors));
+        self.net.set_descriptor_limit(self.config.sockets.saturating_sub(descriptors));
     }
 
     fn longest(&self) -> Nanos {
@@ -334,16 +334,16 @@
                         drained: !self.lifecycle.takes_clients(),
                         list: self.registry.list(),
                         learned: self.requests.learned(),
-                        descriptors: self.net.in_use(),
+                        descriptors: self.net.descriptors_in_use(),
                     };
-                    let listening = self.net.listening(TEXT);
+                    let listening = self.net.listeners_except(TEXT);
                     let watch = self.registry.release_watch(&mut self.net);
                     let told =
                         self.handover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
                     self.heard(told.unwrap_or_default());
                 }
                 HandoverEvent::SuccessorServes => {
-                    self.net.take_in(false);
+                    self.net.set_accepting(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
                     self.requests.counters.upgrades += 1;
                     log::line(format_args!("handing-over standing={}", self.requests.standing().len()));
@@ -353,7 +353,7 @@
                     for (front, transferred_connection) in unsent {
                         self.came(&front, transferred_connection);
                     }
-                    self.net.take_in(true);
+                    self.net.set_accepting(true);
                     self.lifecycle.take_back(self.clock.now());
                     // The watch went with it.
                     if !self.registry.is_watched() {
@@ -424,7 +424,7 @@
     /// From now on there are steps, until clients stay again.
     fn begin_steps(&mut self) {
         if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.at(self.clock.now(), Due::Drain);
+            self.wheel.schedule(self.clock.now(), Due::Drain);
         }
     }
 
@@ -441,7 +441,7 @@
             fixed.extend(self.fronts.take_over(which, file));
         }
         // Where another process is still there, it says again what it holds.
-        self.net.limit(self.config.sockets);
+        self.net.set_descriptor_limit(self.config.sockets);
         self.requests.set(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
@@ -488,7 +488,7 @@
                 }
                 fronts!(self, look);
                 self.export_flows(now);
-                self.wheel.at(now + LOOK_EVERY, Due::Look);
+                self.wheel.schedule(now + LOOK_EVERY, Due::Look);
             }
             Due::Drain => self.leave(),
             Due::Quota => self.fleet(),
@@ -524,7 +524,7 @@
                 front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::STEP, Due::Drain);
+        self.wheel.schedule(now + lifecycle::STEP, Due::Drain);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
@@ -537,12 +537,12 @@
         for command in self.requests.shed(now) {
             self.carry_out(now, command);
         }
-        self.wheel.at(now + transport::TURN, Due::Quota);
+        self.wheel.schedule(now + transport::TURN, Due::Quota);
     }
 
     fn has_left(&self) -> bool {
         // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
-        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
+        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.all_closes_complete();
         self.lifecycle.is_leaving() && self.lifecycle.has_left(self.clock.now(), idle())
     }
 
@@ -621,7 +621,8 @@
         }
         match command {
             Command::StartAttempt { front, request_id, server, wait } => {
-                self.wheel.at(now + wait, Due::AttemptTimeout(request_id, self.requests.attempt(request_id)));
+                self.wheel
+                    .schedule(now + wait, Due::AttemptTimeout(request_id, self.requests.attempt(request_id)));
                 front!(self, front, start, request_id, server, wait)
             }
             Command::CancelAttempt { front, request_id } => {
@@ -634,7 +635,7 @@
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
             Command::HealthCheck { server } => front!(self, TEXT, probe, server),
             Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, Due::Policy(token)),
+            Command::Timer { after, token } => self.wheel.schedule(now + after, Due::Policy(token)),
             Command::Subscribe => {
                 if let Some(event) = self.registry.subscribe(now, &mut self.net) {
                     self.listed(event);
--- a/src/quota/transport.rs
+++ b/src/quota/transport.rs
@@ -4,7 +4,7 @@
 //! sign-in and no TLS: the address belongs on a network of the nodes' own. What comes is bounded in length and
 //! number; whatever cannot be read ends its connection and changes nothing.
 
-use crate::net::{Kind, Net, Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token};
 use crate::quota::QuotaAdmission;
 use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
@@ -77,7 +77,7 @@
 
 impl LeaseTransport {
     /// Listens at this seat's address, which makes the seat this process's own; grants, if it is the grantor's.
-    pub fn open(net: &mut Net, plan: &Plan, seat: usize, now: Nanos) -> io::Result<LeaseTransport> {
+    pub fn open(net: &mut SocketReactor, plan: &Plan, seat: usize, now: Nanos) -> io::Result<LeaseTransport> {
         let at = plan.seats[seat].address;
         let grantor = plan.seats.iter().find(|s| plan.grantors.contains(&s.name)).map_or(at, |s| s.address);
         let grants = (grantor == at).then(|| Grants {
@@ -86,7 +86,7 @@
             asks: BTreeMap::new(),
         });
         // Nobody has a reason to call others than the grantor.
-        net.listen_reserved(at, Owner::Quota, if grants.is_some() { plan.seats.len() } else { 1 })?;
+        net.listen_with_reserve(at, SocketOwner::Quota, if grants.is_some() { plan.seats.len() } else { 1 })?;
         let most_frame = MOST_HEAD + MOST_BUDGET * plan.budgets.len();
         let (callers, counts) = (HashMap::new(), Counts::default());
         Ok(LeaseTransport {
@@ -112,16 +112,22 @@
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, notice: Notice) {
+    pub fn notice(
+        &mut self,
+        now: Nanos,
+        net: &mut SocketReactor,
+        quotas: &mut QuotaAdmission,
+        notice: SocketEvent,
+    ) {
         let token = notice.token;
         match notice.kind {
-            Kind::Accepted => {
-                net.read_ahead(token, 4 + self.most_frame);
+            SocketEventKind::Accepted => {
+                net.set_read_limit(token, 4 + self.most_frame);
                 self.callers.insert(token, None);
             }
-            Kind::Evicted => self.forget(token),
-            Kind::Broken(_) | Kind::Overdue => self.end(net, token),
-            Kind::Readable | Kind::Drained => self.read(now, net, quotas, token),
+            SocketEventKind::Evicted => self.forget(token),
+            SocketEventKind::Failed { .. } | SocketEventKind::HandshakeTimeout => self.end(net, token),
+            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read(now, net, quotas, token),
         }
     }
 
@@ -130,15 +136,15 @@
         self.link = self.link.filter(|link| *link != token);
     }
 
-    fn end(&mut self, net: &mut Net, token: Token) {
+    fn end(&mut self, net: &mut SocketReactor, token: Token) {
         self.forget(token);
         net.close(token);
     }
 
-    fn read(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, token: Token) {
-        let at_end = net.at_end(token);
+    fn read(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission, token: Token) {
+        let at_end = net.is_read_closed(token);
         let mut messages = Vec::new();
-        let Some(input) = net.input(token) else { return };
+        let Some(input) = net.input_buffer(token) else { return };
         let whole = loop {
             match frame(input, self.most_frame) {
                 Ok(Some(message)) => messages.push(message),
@@ -157,7 +163,7 @@
         if at_end || !whole {
             self.end(net, token);
         } else {
-            net.rearm(token);
+            net.update_interest(token);
         }
     }
 
@@ -174,7 +180,12 @@
     }
 
     /// The next turn: this node's ask if it is due, and what a grantor writes. Gives a line for the people on call.
-    pub fn turn(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission) -> Option<&'static str> {
+    pub fn turn(
+        &mut self,
+        now: Nanos,
+        net: &mut SocketReactor,
+        quotas: &mut QuotaAdmission,
+    ) -> Option<&'static str> {
         if let Some(ask) = quotas.ask(now) {
             self.counts.asks += 1;
             match &mut self.grants {
@@ -200,7 +211,7 @@
         }
     }
 
-    fn write(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission) {
+    fn write(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission) {
         let Some(grants) = &mut self.grants else { return };
         let taken = std::mem::take(&mut grants.asks);
         if now < grants.from {
@@ -226,16 +237,16 @@
         }
     }
 
-    fn send(&mut self, now: Nanos, net: &mut Net, message: &Message) {
+    fn send(&mut self, now: Nanos, net: &mut SocketReactor, message: &Message) {
         // What a link does not take is no use later: it is dialed anew.
-        if let Some(link) = self.link.filter(|link| net.unwritten(*link) > 4 + self.most_frame) {
+        if let Some(link) = self.link.filter(|link| net.pending_output_bytes(*link) > 4 + self.most_frame) {
             self.end(net, link);
         }
         if self.link.is_none() && now.saturating_sub(self.dialed_at) >= DIAL_EVERY {
             self.dialed_at = now;
-            self.link = net.connect(self.grantor, Owner::Quota).ok();
+            self.link = net.connect(self.grantor, SocketOwner::Quota).ok();
             if let Some(link) = self.link {
-                net.read_ahead(link, 4 + self.most_frame);
+                net.set_read_limit(link, 4 + self.most_frame);
             }
         }
         if let Some(link) = self.link {
@@ -244,7 +255,7 @@
     }
 }
 
-fn send(net: &mut Net, token: Token, message: &Message) {
+fn send(net: &mut SocketReactor, token: Token, message: &Message) {
     let Ok(body) = postcard::to_stdvec(message) else { return };
     let mut frame = ((body.len() + 1) as u32).to_be_bytes().to_vec();
     frame.push(VERSION);
