--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -60,7 +60,14 @@
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "taken"), value(&counters, "sent"), value(&counters, "served")], [1, 1, 1]);
+    assert_eq!(
+        [
+            counter_value(&counters, "taken"),
+            counter_value(&counters, "sent"),
+            counter_value(&counters, "served")
+        ],
+        [1, 1, 1]
+    );
 }
 
 #[rstest]
@@ -83,7 +90,7 @@
     server.settle(transfer.delivery_id.expect("an id"), with);
     let state = answer(&mut client);
     assert_eq!((has_failed(&state), is_refusal(&state)), (may_have_run, !may_have_run));
-    assert_eq!(value(&bench.stop(), counter), 1);
+    assert_eq!(counter_value(&bench.stop(), counter), 1);
 }
 
 #[rstest]
@@ -101,7 +108,7 @@
     server.link(u32::from(credit) * 10, 100);
     let state = answer(&mut client);
     assert_eq!((has_failed(&state), is_refusal(&state)), (may_have_run, !may_have_run));
-    assert!(value(&bench.stop(), counter) >= 1);
+    assert!(counter_value(&bench.stop(), counter) >= 1);
 }
 
 #[rstest]
@@ -120,13 +127,13 @@
         drop(server);
     }
     assert!(has_failed(&answer(&mut client)));
-    assert_eq!(value(&bench.stop(), "task_reset"), 1);
+    assert_eq!(counter_value(&bench.stop(), "task_reset"), 1);
 }
 
 #[rstest]
 fn a_drain_notice_in_mid_transfer_aborts_it_and_it_is_delivered_elsewhere() {
     let mut bench = bench(2);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let mut client = client(&bench, CLASS);
     client.deliver(0, &message(60_000, "7f3a", &[7; 3000]));
     let (first, stream) = accept_any(&bench.servers);
@@ -134,7 +141,7 @@
     let mut server = AmqpPeer::server(stream, 1, 512);
     server.link(10, 1);
     assert_eq!(until!(server, Transfer).0.more, Some(true));
-    bench.change(&mut watch, first, "draining");
+    bench.update_lifecycle(&mut watch, first, "draining");
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
     other.link(10, 100);
     let (transfer, _) = until!(other, Transfer);
@@ -144,7 +151,7 @@
     server.flow(10, 1, 100);
     assert_eq!(until!(server, Transfer).0.aborted, Some(true));
     let counters = bench.stop();
-    assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [2, 1]);
+    assert_eq!([counter_value(&counters, "sent"), counter_value(&counters, "task_connect_failed")], [2, 1]);
 }
 
 #[rstest]
@@ -158,7 +165,7 @@
     let State::Rejected(Some(error)) = answer(&mut client) else { panic!("rejected") };
     assert!([condition::DECODE_ERROR, condition::INVALID_FIELD].contains(&&*error.condition));
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 0]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 0]);
 }
 
 #[rstest]
@@ -176,7 +183,7 @@
     client.deliver(0, &[0; 70_000]);
     let (close, _) = until!(client, Close);
     assert_eq!(close.error.expect("why").condition, condition::FRAMING_ERROR);
-    client.peer.ends();
+    client.peer.expect_closed();
 }
 
 #[rstest]
@@ -226,14 +233,14 @@
 #[rstest]
 fn a_cold_server_is_sent_little_of_what_comes_at_once() {
     let mut bench = bench(2);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
     let entry = instance(1, bench.servers[1].local_addr().expect("bound"), "ready")
         .replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, now.as_millis()));
-    bench.list(&mut watch, &entry);
+    bench.send_endpoint(&mut watch, &entry);
     // The watch ends after the list, so that its loss shows that the list was heard.
-    watch.say("0\r\n\r\n");
-    bench.logged("list-lost");
+    watch.send("0\r\n\r\n");
+    bench.wait_for_log("list-lost");
     let scripts = [Script::default(), Script::default()];
     for (server, script) in bench.servers.iter().zip(&scripts) {
         script.lock().expect("fresh").extend([Act::Serve; 12]);
@@ -259,7 +266,7 @@
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
-    bench.logged("leaving");
+    bench.wait_for_log("leaving");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
@@ -284,8 +291,8 @@
 }
 
 fn text_server(mut task: Peer, script: &Script) {
-    task.line();
-    task.say(match next(script) {
+    task.read_line();
+    task.send(match next(script) {
         Act::Serve => "UP r\r\nBYE\r\n",
         Act::Full => "BUSY\r\n",
         Act::Fail => "ERR\r\n",
@@ -340,9 +347,9 @@
             script.lock().expect("no test thread failed").extend(*acts);
             let served = acts.contains(&Serve);
             if text {
-                let mut client = bench.client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=60000,g=5c0f");
-                assert_eq!(client.line() == "UP r", served);
-                while !client.line().is_empty() {}
+                let mut client = bench.connect_client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=60000,g=5c0f");
+                assert_eq!(client.read_line() == "UP r", served);
+                while !client.read_line().is_empty() {}
             } else {
                 client.deliver(id as u32, &message(60_000, "7f3a", b"reading"));
                 assert_eq!(answer(&mut client) == State::Accepted, served);
@@ -365,10 +372,10 @@
 fn a_client_that_does_not_open_is_closed(#[case] said: &str) {
     let bench = bench(1);
     let mut client = Peer::connect(bench.amqp.expect("the front is on"));
-    client.say(said);
+    client.send(said);
     if said.len() == 8 {
         client.read_exact(&mut [0; 8]);
     }
-    client.ends();
-    assert_eq!(value(&bench.stop(), "silent"), 1);
+    client.expect_closed();
+    assert_eq!(counter_value(&bench.stop(), "silent"), 1);
 }
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -14,12 +14,12 @@
 
 /// A users' file made by the sub-command, with one user and its classes.
 fn users(name: &str, password: &str, classes: &[&str]) -> std::path::PathBuf {
-    let path = file("users.json", r#"{"users":{}}"#);
+    let path = temp_file("users.json", r#"{"users":{}}"#);
     let mut args = vec!["amqp-user", path.to_str().expect("a path"), name, "--subscriber", "porto-catania"];
     for class in classes {
         args.extend(["--class", class]);
     }
-    let mut child = program(&args, &path).stdin(Stdio::piped()).spawn().expect("it starts");
+    let mut child = node_command(&args, &path).stdin(Stdio::piped()).spawn().expect("it starts");
     let mut stdin = child.stdin.take().expect("its input");
     stdin.write_all(format!("{password}\n").as_bytes()).expect("written");
     drop(stdin);
@@ -81,7 +81,7 @@
     assert!(scram(addr, "anna", "wind and rain"));
     assert!(!scram(addr, "anna", "wind"));
     assert!(!scram(addr, "nobody", "wind and rain"));
-    assert_eq!(value(&bench.front_counters("amqp"), "logins_refused"), 2);
+    assert_eq!(counter_value(&bench.front_counters("amqp"), "logins_refused"), 2);
 }
 
 #[rstest]
@@ -107,11 +107,11 @@
 fn without_sasl_nobody_gets_in_where_there_are_users() {
     let bench = bench(&users("anna", "wind", &[]));
     let mut peer = Peer::connect(bench.amqp.expect("on"));
-    peer.say("AMQP\u{0}\u{1}\u{0}\u{0}");
+    peer.send("AMQP\u{0}\u{1}\u{0}\u{0}");
     let mut header = [0; 8];
     peer.read_exact(&mut header);
     assert_eq!(&header, b"AMQP\x03\x01\x00\x00", "it is told what to speak");
-    peer.ends();
+    peer.expect_closed();
 }
 
 #[rstest]
@@ -182,14 +182,14 @@
     let path = if path.is_empty() {
         let wrong =
             r#"{"users":{"anna":{"salt":"AA==","rounds":4096,"stored_key":"!","server_key":"AA=="}}}"#;
-        file("users.json", wrong).to_str().expect("a path").to_string()
+        temp_file("users.json", wrong).to_str().expect("a path").to_string()
     } else {
         path.to_string()
     };
-    let amqp = file("amqp.json", &format!(r#"{{"users":{path:?}}}"#));
-    let node = file("node.json", &config(listener().local_addr().expect("bound"), "", 256));
+    let amqp = temp_file("amqp.json", &format!(r#"{{"users":{path:?}}}"#));
+    let node = temp_file("node.json", &config(listener().local_addr().expect("bound"), "", 256));
     let args = ["check-config", "--amqp", amqp.to_str().expect("a path")];
-    let output = program(&args, &node).output().expect("it runs");
+    let output = node_command(&args, &node).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).expect("text");
     assert!(text.contains(names) && text.lines().count() == 1, "{text}");
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -121,8 +121,8 @@
 #[case::right("wind", true)]
 #[case::wrong("rain", false)]
 fn the_library_makes_itself_known_by_plain(#[case] password: &str, #[case] good: bool) {
-    let users = file("users.json", r#"{"users":{}}"#);
-    let mut child = program(&["amqp-user", users.to_str().expect("a path"), "anna"], &users)
+    let users = temp_file("users.json", r#"{"users":{}}"#);
+    let mut child = node_command(&["amqp-user", users.to_str().expect("a path"), "anna"], &users)
         .stdin(std::process::Stdio::piped())
         .spawn()
         .expect("it starts");
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -45,7 +45,7 @@
 /// What the node closes the connection with.
 fn closed(client: &mut AmqpPeer) -> String {
     let error = until!(client, Close).0.error.expect("why");
-    client.peer.ends();
+    client.peer.expect_closed();
     error.condition
 }
 
@@ -75,7 +75,7 @@
     let mut answer = [0; 8];
     peer.read_exact(&mut answer);
     assert_eq!(&answer, b"AMQP\x00\x01\x00\x00");
-    peer.ends();
+    peer.expect_closed();
 }
 
 #[rstest]
@@ -152,7 +152,7 @@
     let mut client = client(&bench);
     client.put(Close::default());
     assert_eq!(until!(client, Close).0.error, None);
-    client.peer.ends();
+    client.peer.expect_closed();
 }
 
 #[rstest]
@@ -337,7 +337,7 @@
         sparbank_amqp::put_frame(&mut bytes, sparbank_amqp::SASL, 77, Some(&init.into()), &[]);
         std::io::Write::write_all(&mut peer.stream, &bytes).expect("written");
         if !taken {
-            peer.drains(std::time::Duration::from_secs(3));
+            peer.drain_until_closed(std::time::Duration::from_secs(3));
             continue;
         }
         let mut header = [0; 8];
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -81,7 +81,7 @@
     let (id, _) = whole(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    assert_eq!(value(&bench.stop(), "sent"), 1);
+    assert_eq!(counter_value(&bench.stop(), "sent"), 1);
 }
 
 #[rstest]
@@ -143,7 +143,7 @@
     assert!(bytes.ends_with(&body), "the body is unchanged");
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    let held = value(&bench.front_counters("amqp"), "held_most");
+    let held = counter_value(&bench.front_counters("amqp"), "held_most");
     assert!(held < 350_000, "{held} octets were held");
 }
 
@@ -171,8 +171,14 @@
             assert!(matches!(answer(&mut client), State::Modified { failed: true, .. }));
         }
         let counters = bench.stop();
-        assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [tried, 1]);
-        assert_eq!(value(&counters, "taken"), value(&counters, "served") + value(&counters, "failed"));
+        assert_eq!(
+            [counter_value(&counters, "sent"), counter_value(&counters, "task_connect_failed")],
+            [tried, 1]
+        );
+        assert_eq!(
+            counter_value(&counters, "taken"),
+            counter_value(&counters, "served") + counter_value(&counters, "failed")
+        );
     }
 }
 
@@ -225,7 +231,7 @@
     while until!(server, Transfer).0.delivery_id == transfer.delivery_id {}
     server.settle(1, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    assert_eq!(value(&bench.stop(), "taken"), 2);
+    assert_eq!(counter_value(&bench.stop(), "taken"), 2);
 }
 
 #[rstest]
@@ -286,7 +292,7 @@
     for client in &mut clients {
         assert_eq!(answer(client), State::Accepted);
     }
-    assert_eq!(value(&bench.stop(), "served"), 100);
+    assert_eq!(counter_value(&bench.stop(), "served"), 100);
 }
 
 #[rstest]
@@ -332,7 +338,7 @@
         assert_eq!(answer(&mut client), State::Accepted);
         servers.push(server);
     }
-    assert_eq!(value(&bench.stop(), "served"), 2);
+    assert_eq!(counter_value(&bench.stop(), "served"), 2);
 }
 
 #[rstest]
@@ -406,7 +412,7 @@
     server.put(Disposition { role, first, last, settled, state: Some(State::Accepted), batchable: None });
     let (d, _) = until!(client, Disposition);
     assert_eq!((d.first, d.last, d.state), (Some(0), Some(9), Some(State::Accepted)));
-    assert_eq!(value(&bench.stop(), "served"), 10);
+    assert_eq!(counter_value(&bench.stop(), "served"), 10);
 }
 
 #[rstest]
@@ -434,7 +440,7 @@
     other.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [2, 1]);
+    assert_eq!([counter_value(&counters, "sent"), counter_value(&counters, "task_connect_failed")], [2, 1]);
 }
 
 #[rstest]
@@ -518,7 +524,7 @@
     assert_eq!(detach.error.expect("why").condition, condition::RESOURCE_LIMIT_EXCEEDED);
     let mut second = AmqpPeer::client(addr, None);
     // A third connection from this address is closed at once.
-    Peer::connect(addr).say("AMQP").ends();
+    Peer::connect(addr).send("AMQP").expect_closed();
     // A channel above the highest agreed one is a framing error (2.4.1).
     let begin = sparbank_amqp::Begin {
         next_outgoing_id: Some(0),
@@ -528,7 +534,7 @@
     };
     second.put_on(2, begin);
     assert_eq!(until!(second, Close).0.error.expect("why").condition, condition::FRAMING_ERROR);
-    assert_eq!(value(&bench.stop(), "over_budget"), 1);
+    assert_eq!(counter_value(&bench.stop(), "over_budget"), 1);
 }
 
 #[rstest]
@@ -551,7 +557,7 @@
         let mut peer = Peer::connect(addr);
         // It may be closed before all is written.
         let _ = std::io::Write::write_all(&mut peer.stream, bytes);
-        peer.drains(Duration::from_secs(3));
+        peer.drain_until_closed(Duration::from_secs(3));
     }
     assert!(started.elapsed() < Duration::from_secs(10), "none of them waited out its time");
     usual.deliver(0, &message(60_000, "7f3a", b"reading"));
@@ -605,6 +611,6 @@
     for hand in writing {
         assert_eq!(hand.join().expect("a terminal's thread"), State::Accepted);
     }
-    let held = value(&bench.front_counters("amqp"), "held_most");
+    let held = counter_value(&bench.front_counters("amqp"), "held_most");
     assert!(held < 450_000, "{held} octets were held");
 }
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -52,5 +52,5 @@
     for client in &mut clients {
         assert_eq!(until!(client, Disposition).0.state, Some(State::Accepted));
     }
-    assert_eq!(value(&bench.stop(), "served"), 100);
+    assert_eq!(counter_value(&bench.stop(), "served"), 100);
 }
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -43,7 +43,7 @@
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     let authority =
         CertifiedIssuer::self_signed(params, KeyPair::generate().expect("a key")).expect("signed");
-    let folder = file("keys", "");
+    let folder = temp_file("keys", "");
     std::fs::remove_file(&folder).expect("its name is free");
     std::fs::create_dir(&folder).expect("a folder");
     std::fs::write(folder.join("ca.pem"), authority.pem()).expect("written");
@@ -124,7 +124,7 @@
 
 fn users(keys: &Keys) -> String {
     let path = keys.folder.join("users.json");
-    let mut child = program(&["amqp-user", path.to_str().expect("a path"), "anna.test"], &path)
+    let mut child = node_command(&["amqp-user", path.to_str().expect("a path"), "anna.test"], &path)
         .stdin(std::process::Stdio::piped())
         .spawn()
         .expect("it starts");
@@ -159,7 +159,7 @@
     let mut old = open(&keys, addr, "node.test", None, Credentials::Anonymous).expect("the first name");
     keys.renew("renewed.test");
     bench.signal("-HUP");
-    bench.logged("reloaded");
+    bench.wait_for_log("reloaded");
     assert!(open(&keys, addr, "renewed.test", None, Credentials::Anonymous).is_ok());
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_err());
     // The old connection still beats, or is closed politely when it has been silent too long.
@@ -172,7 +172,7 @@
     let (mut bench, addr) = bench(&keys.folder, "");
     std::fs::write(keys.folder.join("node.pem"), "not a certificate").expect("written");
     bench.signal("-HUP");
-    let line = bench.logged("reload-refused");
+    let line = bench.wait_for_log("reload-refused");
     assert!(line.contains("field tls.certificate"), "{line}");
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_ok());
 }
@@ -185,5 +185,5 @@
     let (_bench, addr) = bench(&keys.folder, "");
     let mut peer = Peer::connect(addr);
     let _ = peer.stream.write_all(&bytes);
-    peer.drains(Duration::from_secs(3));
+    peer.drain_until_closed(Duration::from_secs(3));
 }
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -9,7 +9,7 @@
 
 /// Which of the two classes: on the first may be repeated, the second not.
 fn line(class: &str) -> String {
-    open(1).replace("c=live-readings", &format!("c={class}"))
+    open_line(1).replace("c=live-readings", &format!("c={class}"))
 }
 
 #[rstest]
@@ -26,23 +26,23 @@
     #[values("live-readings", "station-notes")] class: &str,
 ) {
     let mut bench = Bench::start(2);
-    let mut client = bench.client(&line(class));
+    let mut client = bench.connect_client(&line(class));
     let (_, mut attempt) = accept_any(&bench.servers);
-    attempt.line();
-    attempt.say(answer);
+    attempt.read_line();
+    attempt.send(answer);
     if by_reset {
-        attempt.breaks_off();
+        attempt.reset();
     } else {
         drop(attempt);
     }
     if never_ran || class == "live-readings" {
         let (_, mut second) = accept_any(&bench.servers);
-        second.line();
-        second.say("UP r2\r\n");
-        assert_eq!(client.line(), "UP r2");
+        second.read_line();
+        second.send("UP r2\r\n");
+        assert_eq!(client.read_line(), "UP r2");
     } else {
-        assert_eq!(client.rest(), "ERR\r\n");
-        bench.nothing_was_sent();
+        assert_eq!(client.read_to_end(), "ERR\r\n");
+        bench.assert_no_attempts();
     }
 }
 
@@ -50,61 +50,61 @@
 #[rstest]
 fn up_in_pieces_is_one_answer() {
     let bench = Bench::start(1);
-    let mut client = bench.client(&line("station-notes"));
+    let mut client = bench.connect_client(&line("station-notes"));
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
+    attempt.read_line();
     for piece in ["U", "P ", "r1", "\r", "\n"] {
-        attempt.say(piece);
+        attempt.send(piece);
     }
-    assert_eq!(client.line(), "UP r1");
-    attempt.say("ERR\r\n");
-    assert_eq!(client.line(), "ERR");
+    assert_eq!(client.read_line(), "UP r1");
+    attempt.send("ERR\r\n");
+    assert_eq!(client.read_line(), "ERR");
     let counters = bench.stop();
-    assert_eq!(["taken", "served", "failed"].map(|name| value(&counters, name)), [1, 1, 0]);
+    assert_eq!(["taken", "served", "failed"].map(|name| counter_value(&counters, name)), [1, 1, 0]);
 }
 
 /// An answer that never ends its line is given up when the attempt's time is over, and answered within the deadline.
 #[rstest]
 fn an_answer_that_never_ends_is_given_up() {
     let bench = Bench::start(1);
-    let mut client = bench.client(&line("station-notes"));
+    let mut client = bench.connect_client(&line("station-notes"));
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
-    attempt.say("UP r1 and so on");
-    assert_eq!(client.rest(), "ERR\r\n");
+    attempt.read_line();
+    attempt.send("UP r1 and so on");
+    assert_eq!(client.read_to_end(), "ERR\r\n");
     // What comes after that is nobody's.
     let _ = attempt.stream.write_all(b"\r\n");
     let counters = bench.stop();
-    assert_eq!(["taken", "served", "failed"].map(|name| value(&counters, name)), [1, 0, 1]);
+    assert_eq!(["taken", "served", "failed"].map(|name| counter_value(&counters, name)), [1, 0, 1]);
 }
 
 /// The answer and the attempt's time-out meet in one turn: the answer that is there counts, once.
 #[rstest]
 fn an_answer_in_the_turn_of_its_time_out_counts() {
     let bench = Bench::start(1);
-    let mut client = bench.client(&line("live-readings"));
+    let mut client = bench.connect_client(&line("live-readings"));
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
-    bench.freeze();
-    attempt.say("UP r1\r\n");
+    attempt.read_line();
+    bench.pause();
+    attempt.send("UP r1\r\n");
     // Past the attempt's time: a third of the deadline.
     std::thread::sleep(std::time::Duration::from_millis(600));
-    bench.thaw();
-    assert_eq!(client.line(), "UP r1");
-    assert_eq!(value(&bench.stop(), "served"), 1);
+    bench.resume();
+    assert_eq!(client.read_line(), "UP r1");
+    assert_eq!(counter_value(&bench.stop(), "served"), 1);
 }
 
 /// A hundred commands in one write: one answer that is no service, no attempt.
 #[rstest]
-#[case::requests(|n| format!("{}\r\n", open(n)))]
+#[case::requests(|n| format!("{}\r\n", open_line(n)))]
 #[case::noise(|n| format!("GET /{n} HTTP/1.1\r\n"))]
 fn a_hundred_commands_in_one_write_are_one_bad_client(#[case] command: fn(u64) -> String) {
     let mut bench = Bench::start(1);
     let mut client = Peer::connect(bench.addr);
     let all: String = (0..100).map(command).collect();
-    client.say(&all);
-    assert_eq!(client.rest(), "ERR\r\n");
-    bench.nothing_was_sent();
+    client.send(&all);
+    assert_eq!(client.read_to_end(), "ERR\r\n");
+    bench.assert_no_attempts();
 }
 
 fn few(text: &str) -> String {
@@ -117,19 +117,19 @@
 #[rstest]
 fn idle_clients_take_no_descriptor_from_the_watch() {
     let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], few);
-    let watch = bench.watch();
+    let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
     drop(watch);
-    bench.logged("list-lost reason=Ended");
+    bench.wait_for_log("list-lost reason=Ended");
     let open_descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", bench.child.id())).expect("listed").count();
     let held = open_descriptors();
     assert!(held <= 72, "{held} descriptors");
-    let mut watch = bench.watch();
-    bench.change(&mut watch, 0, "draining");
+    let mut watch = bench.accept_watch();
+    bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.logged("list-lost reason=Ended");
-    let (mut client, _attempt) = standing(&bench, 1);
+    bench.wait_for_log("list-lost reason=Ended");
+    let (mut client, _attempt) = established_client(&bench, 1);
     drop(idle);
-    client.say("M 1\r\n");
+    client.send("M 1\r\n");
 }
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -22,7 +22,7 @@
             Some(client)
         }
         Way::Rst => {
-            client.breaks_off();
+            client.reset();
             None
         }
     }
@@ -40,16 +40,16 @@
 fn one_that_left_before_its_line_was_read_is_not_sent_on(#[case] way: Way) {
     let mut bench = Bench::start(2);
     let client = Peer::connect(bench.addr);
-    bench.freeze();
+    bench.pause();
     let mut client = client;
-    client.say(&open(1)).say("\r\n");
+    client.send(&open_line(1)).send("\r\n");
     let client = leaves(client, way);
     settle();
-    bench.thaw();
+    bench.resume();
     if let Some(mut client) = client {
-        assert_eq!(client.line(), "BUSY", "its line is owed an answer as long as it may read one");
+        assert_eq!(client.read_line(), "BUSY", "its line is owed an answer as long as it may read one");
     }
-    bench.nothing_was_sent();
+    bench.assert_no_attempts();
 }
 
 /// The failure that would cause the next attempt and the client's end come in one turn, in either order.
@@ -59,36 +59,36 @@
     #[values(true, false)] fails_first: bool,
 ) {
     let mut bench = Bench::start(3);
-    let client = bench.client(&open(1));
+    let client = bench.connect_client(&open_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
-    attempt.line();
-    bench.freeze();
+    attempt.read_line();
+    bench.pause();
     if fails_first {
-        attempt.say("BUSY\r\n");
+        attempt.send("BUSY\r\n");
     }
     let _client = leaves(client, way);
     if !fails_first {
-        attempt.say("BUSY\r\n");
+        attempt.send("BUSY\r\n");
     }
     settle();
-    bench.thaw();
-    attempt.ends();
-    bench.nothing_was_sent();
+    bench.resume();
+    attempt.expect_closed();
+    bench.assert_no_attempts();
 }
 
 /// It waits for a retry's sleep, with one server that turns it away, and leaves meanwhile.
 #[rstest]
 fn one_that_left_while_it_waited_for_a_retry_is_not_sent_on(#[values(Way::Fin, Way::Rst)] way: Way) {
     let mut bench = Bench::start(1);
-    let client = bench.client(&open(1));
+    let client = bench.connect_client(&open_line(1));
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
-    attempt.say("BUSY\r\n");
-    attempt.ends();
+    attempt.read_line();
+    attempt.send("BUSY\r\n");
+    attempt.expect_closed();
     let _client = leaves(client, way);
     // Longer than any sleep.
     std::thread::sleep(Duration::from_millis(1_300));
-    bench.nothing_was_sent();
+    bench.assert_no_attempts();
 }
 
 fn patient(text: &str) -> String {
@@ -97,51 +97,51 @@
 }
 
 fn slow(number: u64) -> String {
-    open(number).replace("d=1200", "d=9000")
+    open_line(number).replace("d=1200", "d=9000")
 }
 
 /// The connection comes up, late, in the turn in which the client leaves: its line must not go out.
 #[rstest]
 fn one_that_left_as_the_connection_came_up_is_not_sent_on(#[values(Way::Fin, Way::Rst)] way: Way) {
-    let mut hesitant = Hesitant::new();
+    let mut hesitant = FullBacklogServer::new();
     let server = hesitant.listener.try_clone().expect("a second handle");
     let bench = Bench::with_args(vec![server], None, &["--trace"], patient);
     let mut bench = bench;
-    let client = bench.client(&slow(1));
-    bench.logged("trace client came");
+    let client = bench.connect_client(&slow(1));
+    bench.wait_for_log("trace client came");
     settle();
-    bench.freeze();
+    bench.pause();
     // The system comes up with the connection by itself, the node asleep.
-    let mut attempt = hesitant.let_in();
+    let mut attempt = hesitant.accept_next();
     let _client = leaves(client, way);
     settle();
-    bench.thaw();
-    assert_eq!(attempt.rest(), "", "no byte of the line");
+    bench.resume();
+    assert_eq!(attempt.read_to_end(), "", "no byte of the line");
 }
 
 /// A drain is told in the turn in which the connection comes up: the line must not go out.
 #[rstest]
 fn a_drain_told_as_the_connection_came_up_stops_the_attempt() {
-    let mut hesitant = Hesitant::new();
+    let mut hesitant = FullBacklogServer::new();
     let server = hesitant.listener.try_clone().expect("a second handle");
     let mut bench = Bench::with_args(vec![server, listener()], None, &["--trace"], patient);
-    let mut watch = bench.watch();
-    bench.change(&mut watch, 1, "gone");
-    bench.logged("trace list kind=Incremental");
-    let mut client = bench.client(&slow(1));
-    bench.logged("trace client came");
+    let mut watch = bench.accept_watch();
+    bench.update_lifecycle(&mut watch, 1, "gone");
+    bench.wait_for_log("trace list kind=Incremental");
+    let mut client = bench.connect_client(&slow(1));
+    bench.wait_for_log("trace client came");
     settle();
-    bench.freeze();
-    let mut attempt = hesitant.let_in();
-    bench.change(&mut watch, 0, "draining");
-    bench.change(&mut watch, 1, "ready");
+    bench.pause();
+    let mut attempt = hesitant.accept_next();
+    bench.update_lifecycle(&mut watch, 0, "draining");
+    bench.update_lifecycle(&mut watch, 1, "ready");
     settle();
-    bench.thaw();
-    assert_eq!(attempt.rest(), "", "no byte of the line");
+    bench.resume();
+    assert_eq!(attempt.read_to_end(), "", "no byte of the line");
     let mut other = Peer::accept(&bench.servers[1]);
-    other.line();
-    other.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    other.read_line();
+    other.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
 }
 
 /// A connection that rests until the node ends it, and whose request arrives in that instant: before the node has
@@ -151,20 +151,20 @@
     let mut bench = Bench::start(1);
     let (mut early, mut late) = (Peer::connect(bench.addr), Peer::connect(bench.addr));
     // Both were accepted: a third one's question has been answered.
-    let mut third = bench.client("PING");
-    assert_eq!(third.line(), "PONG");
-    bench.freeze();
+    let mut third = bench.connect_client("PING");
+    assert_eq!(third.read_line(), "PONG");
+    bench.pause();
     std::thread::sleep(Duration::from_millis(2_700));
-    early.say(&open(1)).say("\r\n");
-    bench.thaw();
+    early.send(&open_line(1)).send("\r\n");
+    bench.resume();
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
-    attempt.say("UP r1\r\n");
-    assert_eq!(early.line(), "UP r1");
-    assert_eq!(late.line(), "BUSY");
-    late.say(&open(2)).say("\r\n");
-    late.ends();
-    bench.nothing_was_sent();
+    attempt.read_line();
+    attempt.send("UP r1\r\n");
+    assert_eq!(early.read_line(), "UP r1");
+    assert_eq!(late.read_line(), "BUSY");
+    late.send(&open_line(2)).send("\r\n");
+    late.expect_closed();
+    bench.assert_no_attempts();
 }
 
 /// Its line comes in pieces, and its end inside one.
@@ -172,9 +172,9 @@
 fn one_that_left_inside_its_line_is_no_request(#[values(Way::Fin, Way::Rst)] way: Way) {
     let mut bench = Bench::start(1);
     let mut client = Peer::connect(bench.addr);
-    client.say("OPEN 1 1 c=live");
+    client.send("OPEN 1 1 c=live");
     let _client = leaves(client, way);
     settle();
-    bench.nothing_was_sent();
+    bench.assert_no_attempts();
     assert_eq!(bench.counter("taken"), 0);
 }
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -70,46 +70,46 @@
     #[case] classes: std::ops::Range<usize>,
 ) {
     let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], edit);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let line = |number: usize, class: usize| {
         let (name, _, ms) = SIXTEEN[class];
         format!("OPEN r{number} k{number} c={name},d={},g=g{number}", ms)
     };
     // An attempt that never ran is made again elsewhere, whatever the class; then lines pass.
     for class in classes.clone() {
-        let mut client = bench.client(&line(class, class));
+        let mut client = bench.connect_client(&line(class, class));
         let (_, mut first) = accept_any(&bench.servers);
-        assert!(first.line().contains(&format!("c={}", SIXTEEN[class].0)));
+        assert!(first.read_line().contains(&format!("c={}", SIXTEEN[class].0)));
         if SIXTEEN[class].2 > 500 {
-            first.say("BUSY\r\n");
+            first.send("BUSY\r\n");
             let (_, mut second) = accept_any(&bench.servers);
-            second.line();
+            second.read_line();
             first = second;
         }
-        first.say("UP r\r\nM 1\r\n");
-        assert_eq!([client.line(), client.line()], ["UP r", "M 1"]);
+        first.send("UP r\r\nM 1\r\n");
+        assert_eq!([client.read_line(), client.read_line()], ["UP r", "M 1"]);
     }
     // Refused in time, where the deadline is short enough to wait for.
     if classes.contains(&0) {
         let asked = Instant::now();
-        let mut client = bench.client(&line(100, 0));
+        let mut client = bench.connect_client(&line(100, 0));
         let (_, mut attempt) = accept_any(&bench.servers);
-        attempt.line();
-        attempt.say("BUSY\r\n");
+        attempt.read_line();
+        attempt.send("BUSY\r\n");
         let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a handle")).collect();
         std::thread::spawn(move || loop {
-            accept_any(&servers).1.say("BUSY\r\n").line();
+            accept_any(&servers).1.send("BUSY\r\n").read_line();
         });
-        assert!(client.line().starts_with("BUSY"));
+        assert!(client.read_line().starts_with("BUSY"));
         assert!(asked.elapsed() < Duration::from_secs(1));
     } else {
-        bench.change(&mut watch, 0, "draining");
+        bench.update_lifecycle(&mut watch, 0, "draining");
         drop(watch);
-        bench.logged("list-lost reason=Ended");
+        bench.wait_for_log("list-lost reason=Ended");
         for number in 200..204 {
-            let _client = bench.client(&line(number, classes.start));
+            let _client = bench.connect_client(&line(number, classes.start));
             let (at, mut attempt) = accept_any(&bench.servers);
-            attempt.line();
+            attempt.read_line();
             assert_eq!(at, 1, "nothing new goes to the one that drains");
         }
     }
@@ -119,9 +119,9 @@
 #[rstest]
 fn a_class_of_another_customer_is_unknown() {
     let mut bench = Bench::with_args(vec![listener()], None, &[], sixteen_asked);
-    let mut client = bench.client(&open(1));
-    assert_eq!(client.rest(), "ERR\r\n");
-    bench.nothing_was_sent();
+    let mut client = bench.connect_client(&open_line(1));
+    assert_eq!(client.read_to_end(), "ERR\r\n");
+    bench.assert_no_attempts();
 }
 
 /// Twenty-four processes start at once, and discovery is away: each is ready by itself.
@@ -132,7 +132,7 @@
         .map(|_| {
             std::thread::spawn(move || {
                 let bench = Bench::start(1);
-                assert_eq!(bench.client("PING").line(), "PONG");
+                assert_eq!(bench.connect_client("PING").read_line(), "PONG");
                 (began.elapsed(), bench)
             })
         })
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -25,12 +25,12 @@
     collector.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a time-out");
     let to = collector.local_addr().expect("bound").to_string();
     let bench = Bench::with_args(vec![listener()], None, &["--ipfix", &to], str::to_string);
-    let mut client = bench.client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f");
+    let mut client = bench.connect_client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f");
     let mut task = Peer::accept(&bench.servers[0]);
-    task.line();
-    task.say("UP r1\r\nBYE\r\n");
+    task.read_line();
+    task.send("UP r1\r\nBYE\r\n");
     drop(task);
-    while !client.line().is_empty() {}
+    while !client.read_line().is_empty() {}
 
     let (id, template, _) = set(&collector);
     assert_eq!((id, number(&template[..2])), (2, 256));
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -356,7 +356,7 @@
     let mut bench =
         Bench::with_args(texts, Some(&on), &[], |text| text.replace(r#""sockets":256"#, r#""sockets":900"#));
     let (text_addr, amqp_addr) = (bench.addr, bench.amqp.expect("on"));
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let until = Instant::now() + Duration::from_secs(seconds);
     let next = Arc::new(AtomicU64::new(1));
     let spawn = |front: fn(SocketAddr, &AtomicU64, Instant) -> Seen, addr: SocketAddr| -> Vec<_> {
@@ -382,19 +382,19 @@
             2 if !draining
                 && servers.iter().filter(|r| r.drained.lock().expect("held").is_some()).count() < 2 =>
             {
-                bench.change(&mut watch, at, "draining");
+                bench.update_lifecycle(&mut watch, at, "draining");
                 *server.drained.lock().expect("no thread failed") = Some(Instant::now());
             }
             _ => {
                 server.mode.store(UP, Ordering::Relaxed);
                 if draining {
                     *server.drained.lock().expect("no thread failed") = None;
-                    bench.change(&mut watch, at, "ready");
+                    bench.update_lifecycle(&mut watch, at, "ready");
                 }
             }
         }
         if step.is_multiple_of(5) {
-            bench.lists(&mut watch, false, "");
+            bench.send_endpoints(&mut watch, false, "");
         }
     }
     let seen: Vec<Seen> = hands
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -9,11 +9,11 @@
 
 /// A new client stands at this server.
 fn stands_at(bench: &Bench, at: usize, key: u64) -> (Peer, Peer) {
-    let mut client = bench.client(&open(key));
+    let mut client = bench.connect_client(&open_line(key));
     let mut task = Peer::accept(&bench.servers[at]);
-    task.line();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    task.read_line();
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     (client, task)
 }
 
@@ -22,56 +22,56 @@
 #[case::missing("")]
 fn the_watch_moves_and_its_first_list_is_set_against_what_is_known(#[case] lifecycle: &str) {
     let mut bench = Bench::start(2);
-    let _old = bench.watch();
+    let _old = bench.accept_watch();
     let (_, mut client, mut task) = {
-        let mut client = bench.client(OPEN);
+        let mut client = bench.connect_client(OPEN);
         let (at, mut task) = accept_any(&bench.servers);
-        task.line();
-        task.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
+        task.read_line();
+        task.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
         (at, client, task)
     };
     bench.move_discovery();
-    bench.logged("reloaded");
+    bench.wait_for_log("reloaded");
     // The new discovery counts its versions from elsewhere.
     bench.generation = 0;
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let address = |at: usize| bench.servers[at].local_addr().expect("an address");
     let mut entries = vec![instance(1, address(1), "ready")];
     if !lifecycle.is_empty() {
         entries.push(instance(0, address(0), lifecycle));
     }
-    bench.lists(&mut watch, true, &entries.join(","));
+    bench.send_endpoints(&mut watch, true, &entries.join(","));
     // The watch ends after the list, so that its loss shows that the list was heard.
-    watch.say("0\r\n\r\n");
-    bench.logged("list-lost");
+    watch.send("0\r\n\r\n");
+    bench.wait_for_log("list-lost");
     let _placed: Vec<_> = (0..4).map(|key| stands_at(&bench, 1, key)).collect();
     // What stood goes on, at whichever server.
-    client.say("M 1 x\r\n");
-    assert_eq!(task.line(), "M 1 x");
-    task.say("M 1 x\r\n");
-    assert_eq!(client.line(), "M 1 x");
+    client.send("M 1 x\r\n");
+    assert_eq!(task.read_line(), "M 1 x");
+    task.send("M 1 x\r\n");
+    assert_eq!(client.read_line(), "M 1 x");
     assert_eq!(bench.counter("moved"), 0);
 }
 
 #[rstest]
 fn a_new_address_that_fails_is_asked_again_and_what_is_known_stays() {
     let mut bench = Bench::start(1);
-    let _old = bench.watch();
+    let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
-    bench.logged("list-lost");
+    bench.wait_for_log("list-lost");
     let _stands = stands_at(&bench, 0, 1);
     // One during the call that follows, and one more: each ends the watch before it.
     let mut pending = Peer::accept(&bench.discovery);
     bench.move_discovery();
-    assert!(pending.line().starts_with("GET"));
+    assert!(pending.read_line().starts_with("GET"));
     bench.move_discovery();
-    let mut watch = bench.watch();
-    bench.change(&mut watch, 0, "ready");
+    let mut watch = bench.accept_watch();
+    bench.update_lifecycle(&mut watch, 0, "ready");
     let _stands = stands_at(&bench, 0, 2);
     bench.reconfigure(str::to_string);
-    assert_eq!(value(&bench.stop(), "served"), 2);
+    assert_eq!(counter_value(&bench.stop(), "served"), 2);
 }
 
 #[rstest]
@@ -80,15 +80,15 @@
 #[case::no_discovery(|text: &str| text.replace("\"discovery\"", "\"elsewhere\""), "discovery")]
 fn a_file_that_is_wrong_changes_nothing(#[case] edit: fn(&str) -> String, #[case] names: &str) {
     let mut bench = Bench::start(1);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
-    let told = bench.logged("reload-refused");
+    let told = bench.wait_for_log("reload-refused");
     assert!(told.contains("node.json") && told.contains(names), "{told}");
     let _stands = stands_at(&bench, 0, 1);
     // The watch is still the same.
-    bench.change(&mut watch, 0, "draining");
-    watch.say("0\r\n\r\n");
-    bench.logged("list-lost");
+    bench.update_lifecycle(&mut watch, 0, "draining");
+    watch.send("0\r\n\r\n");
+    bench.wait_for_log("list-lost");
     assert_eq!(bench.counter("list_failed"), 1);
 }
 
@@ -96,13 +96,13 @@
 fn what_can_change_does_and_the_rest_is_named() {
     let amqp = r#"{"listen":"127.0.0.1:0"}"#;
     let mut bench = Bench::with(vec![listener()], Some(amqp));
-    let _watch = bench.watch();
+    let _watch = bench.accept_watch();
     bench.reconfigure(|text| {
         // Of 20 descriptors none is left for a client.
         text.replace(r#""sockets":256"#, r#""sockets":20"#)
             .replace(r#""name":"n1""#, r#""name":"n2""#)
             .replace(r#""seed":"7""#, r#""seed":"8""#)
     });
-    assert_eq!(bench.logged("reload-needs-restart"), "sparbank reload-needs-restart fields=name,seed");
-    assert_eq!(bench.client(OPEN).line(), "BUSY 500");
+    assert_eq!(bench.wait_for_log("reload-needs-restart"), "sparbank reload-needs-restart fields=name,seed");
+    assert_eq!(bench.connect_client(OPEN).read_line(), "BUSY 500");
 }
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -12,14 +12,14 @@
 
 /// The node ends by itself before it would be killed; gives its last counters.
 fn ends(mut bench: Bench, told: Instant) -> String {
-    let counters = bench.logged("counters");
+    let counters = bench.wait_for_log("counters");
     assert!(bench.child.wait().expect("it ends").success(), "exit 0");
     assert!(told.elapsed() < KILLED_AFTER, "{:?} after SIGTERM", told.elapsed());
     counters
 }
 
 fn answers(client: &mut Peer) -> Vec<String> {
-    client.rest().lines().map(str::to_string).collect()
+    client.read_to_end().lines().map(str::to_string).collect()
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -38,37 +38,37 @@
     #[values(Crossing::HalfALine, Crossing::Unread, Crossing::Queued)] crossing: Crossing,
 ) {
     let bench = Bench::start(1);
-    let line = format!("{}\r\n", open(1));
+    let line = format!("{}\r\n", open_line(1));
     let mut early = Peer::connect(bench.addr);
     if let Crossing::HalfALine = crossing {
-        early.say(&line[..9]);
+        early.send(&line[..9]);
         // It has been read: a later one's question is answered.
-        assert_eq!(bench.client("PING").line(), "PONG");
+        assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     }
-    bench.freeze();
+    bench.pause();
     let mut client = match crossing {
         Crossing::HalfALine => early,
         Crossing::Unread => {
-            early.say(&line);
+            early.send(&line);
             early
         }
         Crossing::Queued => Peer::connect(bench.addr),
     };
     bench.signal("-TERM");
     let told = Instant::now();
-    bench.thaw();
+    bench.resume();
     match crossing {
-        Crossing::HalfALine => drop(client.say(&line[9..])),
+        Crossing::HalfALine => drop(client.send(&line[9..])),
         Crossing::Unread => {}
-        Crossing::Queued => drop(client.say(&line)),
+        Crossing::Queued => drop(client.send(&line)),
     }
     let mut attempt = Peer::accept(&bench.servers[0]);
-    attempt.line();
-    attempt.say("UP r1\r\n");
+    attempt.read_line();
+    attempt.send("UP r1\r\n");
     assert_eq!(answers(&mut client), ["UP r1", "MOVE"]);
     drop((client, attempt));
     let counters = ends(bench, told);
-    assert_eq!(["taken", "served", "moved"].map(|name| value(&counters, name)), [1, 1, 1]);
+    assert_eq!(["taken", "served", "moved"].map(|name| counter_value(&counters, name)), [1, 1, 1]);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -87,23 +87,23 @@
     #[values(1, 2)] terms: u32,
 ) {
     let bench = Bench::start(2);
-    let mut client = bench.client(&open(1));
+    let mut client = bench.connect_client(&open_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
-    attempt.line();
+    attempt.read_line();
     if let Server::TurnsAway = server {
-        attempt.say("BUSY\r\n");
+        attempt.send("BUSY\r\n");
     }
     (0..terms).for_each(|_| bench.signal("-TERM"));
     let told = Instant::now();
     if let Server::Answers = server {
-        attempt.say("UP r1\r\n");
+        attempt.send("UP r1\r\n");
     }
     let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     if let Server::TurnsAway = server {
         std::thread::spawn(move || loop {
             let (_, mut attempt) = accept_any(&servers);
-            attempt.line();
-            attempt.say("BUSY\r\n");
+            attempt.read_line();
+            attempt.send("BUSY\r\n");
         });
     }
     let heard = answers(&mut client);
@@ -113,8 +113,8 @@
     }
     drop((client, attempt));
     let counters = ends(bench, told);
-    let sum: u64 = ["served", "refused", "failed"].iter().map(|name| value(&counters, name)).sum();
-    assert_eq!((value(&counters, "taken"), sum), (1, 1));
+    let sum: u64 = ["served", "refused", "failed"].iter().map(|name| counter_value(&counters, name)).sum();
+    assert_eq!((counter_value(&counters, "taken"), sum), (1, 1));
 }
 
 /// The configuration is read again just before the end, or would be just after: neither keeps the node, nor what
@@ -122,8 +122,8 @@
 #[rstest]
 fn sighup_beside_sigterm_changes_nothing(#[values(true, false)] before: bool) {
     let mut bench = Bench::start(1);
-    let (mut client, attempt) = standing(&bench, 1);
-    bench.freeze();
+    let (mut client, attempt) = established_client(&bench, 1);
+    bench.pause();
     if before {
         bench.signal("-HUP");
     }
@@ -132,8 +132,8 @@
         bench.signal("-HUP");
     }
     let told = Instant::now();
-    bench.thaw();
-    bench.logged("leaving");
+    bench.resume();
+    bench.wait_for_log("leaving");
     assert_eq!(answers(&mut client), ["MOVE"]);
     drop((client, attempt));
     ends(bench, told);
@@ -145,18 +145,18 @@
 fn resting_connections_are_ended_before_the_process_is() {
     let bench = Bench::start(1);
     let mut resting: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
-    assert_eq!(bench.client("PING").line(), "PONG");
+    assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     bench.signal("-TERM");
     let told = Instant::now();
     for (number, client) in resting.iter_mut().enumerate() {
-        assert_eq!(client.line(), "BUSY");
-        client.say(&open(number as u64)).say("\r\n");
+        assert_eq!(client.read_line(), "BUSY");
+        client.send(&open_line(number as u64)).send("\r\n");
     }
-    resting.iter_mut().for_each(Peer::ends);
+    resting.iter_mut().for_each(Peer::expect_closed);
     drop(resting);
     let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     let counters = ends(bench, told);
     servers[0].set_nonblocking(true).expect("non-blocking");
     assert!(servers[0].accept().is_err(), "it was sent on");
-    assert_eq!(value(&counters, "silent"), 20);
+    assert_eq!(counter_value(&counters, "silent"), 20);
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-const GONE_WRONG: Duration = Duration::from_secs(20);
+const IO_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// One end of a connection, read by lines.
 pub struct Peer {
@@ -25,7 +25,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(GONE_WRONG)).expect("a time-out");
+        stream.set_read_timeout(Some(IO_TIMEOUT)).expect("a time-out");
         stream.set_nodelay(true).expect("no delay");
         let reader = BufReader::new(stream.try_clone().expect("a second handle"));
         Peer { stream, reader }
@@ -39,13 +39,13 @@
         accept_any(std::slice::from_ref(listener)).1
     }
 
-    pub fn say(&mut self, text: &str) -> &mut Peer {
+    pub fn send(&mut self, text: &str) -> &mut Peer {
         self.stream.write_all(text.as_bytes()).expect("written");
         self
     }
 
     /// All that comes until the end of the connection, in order or by a reset.
-    pub fn rest(&mut self) -> String {
+    pub fn read_to_end(&mut self) -> String {
         let (mut all, mut chunk) = (Vec::new(), [0; 4096]);
         while let Ok(count) = self.reader.read(&mut chunk) {
             if count == 0 {
@@ -57,12 +57,12 @@
     }
 
     /// Leaves with a reset.
-    pub fn breaks_off(self) {
+    pub fn reset(self) {
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("linger");
     }
 
     /// The next line without its end; empty at the end of the connection.
-    pub fn line(&mut self) -> String {
+    pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) => line.trim_end().to_string(),
@@ -76,7 +76,7 @@
     }
 
     /// Reads whatever comes until the connection ends, which must be within this time.
-    pub fn drains(&mut self, within: Duration) {
+    pub fn drain_until_closed(&mut self, within: Duration) {
         let until = Instant::now() + within;
         let mut chunk = [0; 4096];
         while matches!(self.reader.read(&mut chunk), Ok(count) if count > 0) {
@@ -85,14 +85,14 @@
         assert!(Instant::now() < until, "it was left open");
     }
 
-    pub fn ends(&mut self) {
-        assert_eq!(self.line(), "", "the connection ends");
+    pub fn expect_closed(&mut self) {
+        assert_eq!(self.read_line(), "", "the connection ends");
     }
 }
 
 /// Accepts a connection at whichever of these it comes to.
 pub fn accept_any(listeners: &[TcpListener]) -> (usize, Peer) {
-    let until = Instant::now() + GONE_WRONG;
+    let until = Instant::now() + IO_TIMEOUT;
     while Instant::now() < until {
         for (at, listener) in listeners.iter().enumerate() {
             listener.set_nonblocking(true).expect("non-blocking");
@@ -108,13 +108,13 @@
 }
 
 /// A server whose queue is full: connections to it come up once it lets them in.
-pub struct Hesitant {
+pub struct FullBacklogServer {
     pub listener: TcpListener,
     held: Vec<TcpStream>,
 }
 
-impl Hesitant {
-    pub fn new() -> Hesitant {
+impl FullBacklogServer {
+    pub fn new() -> FullBacklogServer {
         use rustix::net::{bind, listen, socket, AddressFamily, SocketType};
         let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
         bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
@@ -125,11 +125,11 @@
         while let Ok(one) = TcpStream::connect_timeout(&addr, Duration::from_millis(100)) {
             held.push(one);
         }
-        Hesitant { listener, held }
+        FullBacklogServer { listener, held }
     }
 
     /// Lets those in that wait; gives the first that is not one of its own.
-    pub fn let_in(&mut self) -> Peer {
+    pub fn accept_next(&mut self) -> Peer {
         loop {
             let (_, peer) = accept_any(std::slice::from_ref(&self.listener));
             let from = peer.stream.peer_addr().expect("an address");
@@ -141,12 +141,12 @@
 }
 
 /// A new client with this number stands at whichever server.
-pub fn standing(bench: &Bench, number: u64) -> (Peer, Peer) {
-    let mut client = bench.client(&open(number));
+pub fn established_client(bench: &Bench, number: u64) -> (Peer, Peer) {
+    let mut client = bench.connect_client(&open_line(number));
     let (_, mut task) = accept_any(&bench.servers);
-    task.line();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    task.read_line();
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     (client, task)
 }
 
@@ -177,7 +177,7 @@
     fn process(&self, config: &std::path::Path) -> (Child, BufReader<std::process::ChildStderr>) {
         let args: Vec<&str> = self.args.iter().map(String::as_str).collect();
         let env = self.env.iter().map(|(name, value)| (name, value));
-        let mut child = program(&args, config).envs(env).spawn().expect("the node starts");
+        let mut child = node_command(&args, config).envs(env).spawn().expect("the node starts");
         let log = BufReader::new(child.stderr.take().expect("its log"));
         (child, log)
     }
@@ -185,7 +185,7 @@
 
 /// A first line whose id and key are this number's: the id of one that is open is refused.
 /// Each in a group of its own, since a group draws the same few servers.
-pub fn open(number: u64) -> String {
+pub fn open_line(number: u64) -> String {
     format!("OPEN {number:x} {number:x} c=live-readings,t=acme,d=1200,g=5c{number:x}")
 }
 
@@ -220,7 +220,7 @@
 }
 
 /// A file of this test's own.
-pub fn file(name: &str, text: &str) -> PathBuf {
+pub fn temp_file(name: &str, text: &str) -> PathBuf {
     static COUNT: AtomicU32 = AtomicU32::new(0);
     let number = COUNT.fetch_add(1, Ordering::Relaxed);
     let path = std::env::temp_dir().join(format!("sparbank-{}-{number}-{name}", std::process::id()));
@@ -228,7 +228,7 @@
     path
 }
 
-pub fn program(args: &[&str], config: &std::path::Path) -> Command {
+pub fn node_command(args: &[&str], config: &std::path::Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sparbank"));
     command.args(args).env("NODE_CONFIG", config).stdout(Stdio::piped()).stderr(Stdio::piped());
     for name in ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"] {
@@ -271,8 +271,8 @@
         let list: Vec<String> =
             servers.iter().enumerate().map(|(at, l)| instance(at, address(l), "ready")).collect();
         let config = edit(&config(address(&discovery), &list.join(","), 256));
-        let files = file("node.json", &config);
-        let amqp_file = amqp.map(|text| file("amqp.json", text));
+        let files = temp_file("node.json", &config);
+        let amqp_file = amqp.map(|text| temp_file("amqp.json", text));
         let mut start = Start::default();
         start.args.push("serve".to_string());
         if let Some(path) = &amqp_file {
@@ -295,74 +295,74 @@
             files,
             config,
         };
-        let started = bench.logged("started");
+        let started = bench.wait_for_log("started");
         bench.addr = listen(&started);
         if amqp.is_some() {
-            bench.amqp_line = bench.logged("amqp");
+            bench.amqp_line = bench.wait_for_log("amqp");
             bench.amqp = Some(listen(&bench.amqp_line));
         }
         bench
     }
 
     /// Starts the program once more beside itself; gives the process that ran before.
-    pub fn upgrade(&mut self) -> Process {
+    pub fn start_successor(&mut self) -> Process {
         let (child, log) = self.start.process(&self.files);
         let (child, log) = (std::mem::replace(&mut self.child, child), std::mem::replace(&mut self.log, log));
         Process { child, log }
     }
 
     /// The next log line about this.
-    pub fn logged(&mut self, event: &str) -> String {
+    pub fn wait_for_log(&mut self, event: &str) -> String {
         next_line(&mut self.log, event)
     }
 
     /// Discovery accepts the node's watch and brings the list that the node knows.
-    pub fn watch(&mut self) -> Peer {
+    pub fn accept_watch(&mut self) -> Peer {
         let mut watch = Peer::accept(&self.discovery);
-        assert!(watch.line().starts_with("GET /registry/instances?watch=1&from="));
-        while !watch.line().is_empty() {}
-        watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        assert!(watch.read_line().starts_with("GET /registry/instances?watch=1&from="));
+        while !watch.read_line().is_empty() {}
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         watch
     }
 
     /// One entry of the list has changed.
-    pub fn change(&mut self, watch: &mut Peer, at: usize, lifecycle: &str) {
+    pub fn update_lifecycle(&mut self, watch: &mut Peer, at: usize, lifecycle: &str) {
         let entry = instance(at, self.servers[at].local_addr().expect("an address"), lifecycle);
-        self.list(watch, &entry);
+        self.send_endpoint(watch, &entry);
     }
 
     /// A change that brings this entry.
-    pub fn list(&mut self, watch: &mut Peer, entry: &str) {
+    pub fn send_endpoint(&mut self, watch: &mut Peer, entry: &str) {
         self.generation += 1;
-        self.lists(watch, false, entry);
+        self.send_endpoints(watch, false, entry);
     }
 
     /// A list that brings these entries, of the present version.
-    pub fn lists(&mut self, watch: &mut Peer, reset: bool, entries: &str) {
+    pub fn send_endpoints(&mut self, watch: &mut Peer, reset: bool, entries: &str) {
         let list =
             format!(r#"{{"generation":{},"reset":{reset},"instances":[{entries}]}}"#, self.generation) + "\n";
-        watch.say(&format!("{:x}\r\n{list}\r\n", list.len()));
+        watch.send(&format!("{:x}\r\n{list}\r\n", list.len()));
     }
 
-    pub fn client(&self, line: &str) -> Peer {
+    pub fn connect_client(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.addr);
-        client.say(line).say("\r\n");
+        client.send(line).send("\r\n");
         client
     }
 
     /// Replaces the configuration file by an edited one.
-    pub fn rewrite(&mut self, edit: impl FnOnce(&str) -> String) {
+    pub fn rewrite_config(&mut self, edit: impl FnOnce(&str) -> String) {
         std::fs::write(&self.files, edit(&self.config)).expect("a file");
     }
 
     /// The same, and sends SIGHUP.
     pub fn reconfigure(&mut self, edit: impl FnOnce(&str) -> String) {
-        self.rewrite(edit);
+        self.rewrite_config(edit);
         self.signal("-HUP");
     }
 
     /// Starts the program once more, which is not to come up.
-    pub fn fails_to_start(&self) -> Child {
+    pub fn spawn_duplicate(&self) -> Child {
         self.start.process(&self.files).0
     }
 
@@ -379,8 +379,8 @@
         assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
     }
 
-    /// Stops the process where it is: what happens until [`Bench::thaw`] meets it in one turn.
-    pub fn freeze(&self) {
+    /// Stops the process where it is: what happens until [`Bench::resume`] meets it in one turn.
+    pub fn pause(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
@@ -388,12 +388,12 @@
         }
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
     /// Nothing came to any server since it was looked last.
-    pub fn nothing_was_sent(&mut self) {
+    pub fn assert_no_attempts(&mut self) {
         self.counters();
         for server in &self.servers {
             server.set_nonblocking(true).expect("non-blocking");
@@ -405,22 +405,22 @@
     /// The counters, once they say this of a name.
     pub fn counter(&mut self, name: &str) -> u64 {
         self.signal("-USR1");
-        let line = self.logged("counters");
-        value(&line, name)
+        let line = self.wait_for_log("counters");
+        counter_value(&line, name)
     }
 
     /// A line of a front's own counters.
     pub fn front_counters(&mut self, front: &str) -> String {
         self.signal("-USR1");
         // Lines of earlier prints may still be there: the last one counts.
-        self.logged("counters");
-        self.logged(&format!("{front}-counters"))
+        self.wait_for_log("counters");
+        self.wait_for_log(&format!("{front}-counters"))
     }
 
     /// All counters by name.
     pub fn counters(&mut self) -> BTreeMap<String, u64> {
         self.signal("-USR1");
-        let line = self.logged("counters");
+        let line = self.wait_for_log("counters");
         let pairs = line.split(' ').filter_map(|word| word.split_once('='));
         pairs.map(|(name, count)| (name.to_string(), count.parse().expect("a number"))).collect()
     }
@@ -428,7 +428,7 @@
     /// Stops the node and gives its last counters.
     pub fn stop(mut self) -> String {
         self.signal("-TERM");
-        let counters = self.logged("counters");
+        let counters = self.wait_for_log("counters");
         assert!(self.child.wait().expect("it ends").success(), "exit 0");
         counters
     }
@@ -442,7 +442,7 @@
 
 impl Process {
     /// The next log line about this.
-    pub fn logged(&mut self, event: &str) -> String {
+    pub fn wait_for_log(&mut self, event: &str) -> String {
         next_line(&mut self.log, event)
     }
 
@@ -487,7 +487,7 @@
     }
 }
 
-pub fn value(line: &str, name: &str) -> u64 {
+pub fn counter_value(line: &str, name: &str) -> u64 {
     let found = line.split(' ').find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
     found.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name} is not in {line}"))
 }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -17,24 +17,31 @@
 #[rstest]
 fn lines_pass_both_ways_unchanged_and_the_end_propagates() {
     let bench = Bench::start(1);
-    let mut client = bench.client(OPEN);
+    let mut client = bench.connect_client(OPEN);
     let (_, mut task) = task(&bench);
-    let first = task.line();
+    let first = task.read_line();
     let (before, rest) = first.split_once("d=").expect("d is passed on");
     let (d, after) = rest.split_once(',').expect("what follows d");
     assert_eq!((before, after), ("OPEN 9b1f 7f3a c=live-readings,t=acme,", "g=5c0f"));
     assert!(d.parse::<u32>().expect("a number") < 1200, "d is what the node waits");
     // What comes in the same read as UP is passed on too.
-    task.say("UP r1\r\nLOAD 12.5\r\nhel").say("lo\r\n");
-    assert_eq!([client.line(), client.line(), client.line()], ["UP r1", "LOAD 12.5", "hello"]);
-    client.say("M 1 x\r\n");
-    assert_eq!(task.line(), "M 1 x");
-    task.say("BYE\r\n");
+    task.send("UP r1\r\nLOAD 12.5\r\nhel").send("lo\r\n");
+    assert_eq!([client.read_line(), client.read_line(), client.read_line()], ["UP r1", "LOAD 12.5", "hello"]);
+    client.send("M 1 x\r\n");
+    assert_eq!(task.read_line(), "M 1 x");
+    task.send("BYE\r\n");
     drop(task);
-    assert_eq!(client.line(), "BYE");
-    client.ends();
+    assert_eq!(client.read_line(), "BYE");
+    client.expect_closed();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "taken"), value(&counters, "served"), value(&counters, "ended")], [1, 1, 1]);
+    assert_eq!(
+        [
+            counter_value(&counters, "taken"),
+            counter_value(&counters, "served"),
+            counter_value(&counters, "ended")
+        ],
+        [1, 1, 1]
+    );
 }
 
 /// Where the settings say that delays are told too, a `LOAD` is a load all the same, whenever it comes and
@@ -43,16 +50,19 @@
 fn every_load_note_is_a_load() {
     let tells = |text: &str| text.replace(r#""FamilyInfo":{"#, r#""FamilyInfo":{"TellsDelay":true,"#);
     let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], tells);
-    let mut client = bench.client(OPEN);
+    let mut client = bench.connect_client(OPEN);
     let (_, mut task) = task(&bench);
-    task.line();
-    task.say("UP r1\r\nLOAD 2727\r\n");
-    assert!(bench.logged("trace load").ends_with("us=2727"));
+    task.read_line();
+    task.send("UP r1\r\nLOAD 2727\r\n");
+    assert!(bench.wait_for_log("trace load").ends_with("us=2727"));
     // A whole second later, and nearer to the class's aim in milliseconds than to the load before it.
     std::thread::sleep(Duration::from_millis(1_000));
-    task.say("LOAD 90\r\n");
-    assert!(bench.logged("trace load").ends_with("us=90"));
-    assert_eq!([client.line(), client.line(), client.line()], ["UP r1", "LOAD 2727", "LOAD 90"]);
+    task.send("LOAD 90\r\n");
+    assert!(bench.wait_for_log("trace load").ends_with("us=90"));
+    assert_eq!(
+        [client.read_line(), client.read_line(), client.read_line()],
+        ["UP r1", "LOAD 2727", "LOAD 90"]
+    );
 }
 
 #[rstest]
@@ -62,16 +72,16 @@
 #[case::garbage("\u{1}what\r\n")]
 fn a_task_that_fails_is_tried_elsewhere(#[case] answer: &str) {
     let bench = Bench::start(2);
-    let mut client = bench.client(OPEN);
+    let mut client = bench.connect_client(OPEN);
     let (first, mut failing) = task(&bench);
-    failing.line();
-    failing.say(answer);
+    failing.read_line();
+    failing.send(answer);
     drop(failing);
     let (second, mut task) = task(&bench);
     assert_ne!(first, second);
-    task.line();
-    task.say("UP r2\r\n");
-    assert_eq!(client.line(), "UP r2");
+    task.read_line();
+    task.send("UP r2\r\n");
+    assert_eq!(client.read_line(), "UP r2");
 }
 
 /// A server that the list names and nobody serves: connections to it are refused.
@@ -99,43 +109,43 @@
 fn a_server_that_cannot_be_reached_never_ran_it(#[case] server: TcpListener) {
     let mut bench = Bench::with(vec![server, listener()], None);
     for key in 0..6 {
-        let mut client = bench.client(&open(key));
+        let mut client = bench.connect_client(&open_line(key));
         let mut task = Peer::accept(&bench.servers[1]);
-        task.line();
-        task.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
+        task.read_line();
+        task.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
     }
     assert!(bench.counter("task_connect_failed") > 0);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "served"), value(&counters, "task_reset")], [6, 0]);
+    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "task_reset")], [6, 0]);
 }
 
 #[rstest]
 fn when_all_turn_it_away_the_answer_is_busy_with_advice_and_comes_at_once() {
     let bench = Bench::start(3);
-    let mut client = bench.client(&OPEN.replace("d=1200", "d=60000"));
+    let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     for _ in 0..3 {
         let (_, mut task) = task(&bench);
-        task.line();
-        task.say("BUSY\r\n");
+        task.read_line();
+        task.send("BUSY\r\n");
     }
     // The deadline is a minute away; the helper's own time-out is not.
-    let answer = client.line();
+    let answer = client.read_line();
     assert!(answer.strip_prefix("BUSY ").is_some_and(|ms| ms.parse::<u32>().is_ok()), "{answer}");
-    client.ends();
+    client.expect_closed();
 }
 
 #[rstest]
 fn a_server_that_takes_and_never_answers_costs_no_answer() {
     let bench = Bench::start(1);
-    let mut client = bench.client(&OPEN.replace("d=1200", "d=400"));
+    let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=400"));
     let (_, mut hung) = task(&bench);
-    hung.line();
-    assert!(client.line().starts_with("BUSY"));
-    client.ends();
+    hung.read_line();
+    assert!(client.read_line().starts_with("BUSY"));
+    client.expect_closed();
     let counters = bench.stop();
-    assert!(value(&counters, "task_timeout") >= 1);
-    assert_eq!([value(&counters, "taken"), value(&counters, "refused")], [1, 1]);
+    assert!(counter_value(&counters, "task_timeout") >= 1);
+    assert_eq!([counter_value(&counters, "taken"), counter_value(&counters, "refused")], [1, 1]);
 }
 
 #[rstest]
@@ -157,44 +167,44 @@
 #[case::no_text("\u{0}\u{1}")]
 fn a_line_that_cannot_be_read_gets_one_failed_answer(#[case] line: &str) {
     let bench = Bench::start(1);
-    let mut client = bench.client(line);
-    assert_eq!(client.line(), "ERR");
-    client.ends();
+    let mut client = bench.connect_client(line);
+    assert_eq!(client.read_line(), "ERR");
+    client.expect_closed();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 0]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 0]);
 }
 
 #[rstest]
 fn a_connection_from_before_goes_to_its_server_and_is_no_placement() {
     let mut bench = Bench::start(3);
-    let mut client = bench.client("PING");
-    assert_eq!(client.line(), "PONG");
-    client.say(&format!("{OPEN},at=s-2\r\n"));
+    let mut client = bench.connect_client("PING");
+    assert_eq!(client.read_line(), "PONG");
+    client.send(&format!("{OPEN},at=s-2\r\n"));
     let mut task = Peer::accept(&bench.servers[2]);
-    assert!(task.line().ends_with(",at=s-2"));
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    assert!(task.read_line().ends_with(",at=s-2"));
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     assert_eq!([bench.counter("resumed"), bench.counter("sent")], [1, 0]);
     drop(client);
-    task.ends();
+    task.expect_closed();
 }
 
 #[rstest]
 fn a_draining_server_gets_nothing_new_and_a_dead_watch_is_asked_for_again() {
     let mut bench = Bench::start(2);
-    let mut watch = bench.watch();
-    bench.change(&mut watch, 0, "draining");
+    let mut watch = bench.accept_watch();
+    bench.update_lifecycle(&mut watch, 0, "draining");
     // The watch ends after the change, so that its loss shows that the change was heard.
-    watch.say("0\r\n\r\n");
-    bench.logged("list-lost");
+    watch.send("0\r\n\r\n");
+    bench.wait_for_log("list-lost");
     for key in 0..4 {
-        let mut client = bench.client(&open(key));
+        let mut client = bench.connect_client(&open_line(key));
         let mut task = Peer::accept(&bench.servers[1]);
-        task.line();
-        task.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
+        task.read_line();
+        task.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
     }
-    bench.watch();
+    bench.accept_watch();
 }
 
 #[rstest]
@@ -202,27 +212,27 @@
     // With a minute to connect in, only the drain can end the attempt.
     let patient = |text: &str| text.replace(r#""DialTimeoutNs":250000000"#, r#""DialTimeoutNs":60000000000"#);
     let mut bench = Bench::with_args(vec![silent(), listener()], None, &[], patient);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     // Until the pick falls on the silent one, the other takes what comes.
     let mut key = 0;
     let mut client = loop {
-        let mut client = bench.client(&open(key).replace("1200", "60000"));
+        let mut client = bench.connect_client(&open_line(key).replace("1200", "60000"));
         bench.servers[1].set_nonblocking(true).expect("non-blocking");
         while bench.counter("sent") == key {}
         let Ok((stream, _)) = bench.servers[1].accept() else { break client };
         stream.set_nonblocking(false).expect("blocking");
         let mut task = Peer::new(stream);
-        task.line();
-        task.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
+        task.read_line();
+        task.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
         key += 1;
     };
     bench.servers[1].set_nonblocking(false).expect("blocking");
-    bench.change(&mut watch, 0, "draining");
+    bench.update_lifecycle(&mut watch, 0, "draining");
     let mut task = Peer::accept(&bench.servers[1]);
-    task.line();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    task.read_line();
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     assert_eq!(bench.counter("task_connect_failed"), 1);
 }
 
@@ -233,37 +243,37 @@
 fn what_discovery_should_not_say_is_a_failed_list(#[case] answer: &str) {
     let mut bench = Bench::start(1);
     let mut call = Peer::accept(&bench.discovery);
-    call.say(answer);
-    bench.logged("list-lost");
-    let _stands = standing(&bench, 0x9b1f);
-    let _watch = bench.watch();
+    call.send(answer);
+    bench.wait_for_log("list-lost");
+    let _stands = established_client(&bench, 0x9b1f);
+    let _watch = bench.accept_watch();
     assert_eq!(bench.counter("list_failed"), 1);
 }
 
 #[rstest]
 fn a_server_that_falls_silent_under_a_standing_client_has_it_moved() {
     let bench = Bench::start(1);
-    let (mut client, mut task) = standing(&bench, 0x9b1f);
-    client.say("M 1 x\r\n");
-    assert_eq!([task.line(), client.line()], ["M 1 x", "MOVE"]);
-    client.ends();
-    task.ends();
+    let (mut client, mut task) = established_client(&bench, 0x9b1f);
+    client.send("M 1 x\r\n");
+    assert_eq!([task.read_line(), client.read_line()], ["M 1 x", "MOVE"]);
+    client.expect_closed();
+    task.expect_closed();
 }
 
 #[rstest]
 fn sigterm_answers_what_still_comes_and_moves_what_stands() {
     let mut bench = Bench::start(1);
-    let (mut first, _task) = standing(&bench, 0x9b1f);
+    let (mut first, _task) = established_client(&bench, 0x9b1f);
     bench.signal("-TERM");
-    bench.logged("leaving");
-    let mut second = bench.client(&open(2));
+    bench.wait_for_log("leaving");
+    let mut second = bench.connect_client(&open_line(2));
     let (_, mut other) = task(&bench);
-    other.line();
-    other.say("UP r2\r\n");
-    assert_eq!(second.line(), "UP r2");
-    assert_eq!([first.line(), second.line()], ["MOVE", "MOVE"]);
-    let counters = bench.logged("counters");
-    assert_eq!([value(&counters, "served"), value(&counters, "moved")], [2, 2]);
+    other.read_line();
+    other.send("UP r2\r\n");
+    assert_eq!(second.read_line(), "UP r2");
+    assert_eq!([first.read_line(), second.read_line()], ["MOVE", "MOVE"]);
+    let counters = bench.wait_for_log("counters");
+    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "moved")], [2, 2]);
     assert!(bench.child.wait().expect("it ends").success());
 }
 
@@ -271,14 +281,14 @@
 #[rstest]
 fn sigterm_leaves_no_request_without_an_answer() {
     let mut bench = Bench::start(1);
-    let mut client = bench.client(&OPEN.replace("d=1200", "d=60000"));
+    let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     let (_, mut hung) = task(&bench);
-    hung.line();
+    hung.read_line();
     bench.signal("-TERM");
-    assert_eq!(client.line(), "ERR");
-    hung.ends();
-    client.ends();
-    assert_eq!(value(&bench.logged("counters"), "failed"), 1);
+    assert_eq!(client.read_line(), "ERR");
+    hung.expect_closed();
+    client.expect_closed();
+    assert_eq!(counter_value(&bench.wait_for_log("counters"), "failed"), 1);
     assert!(bench.child.wait().expect("it ends").success());
 }
 
@@ -288,11 +298,11 @@
     let bench = Bench::start(1);
     // The node may hold 256 and keeps some for what stands.
     let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
-    let _stands = standing(&bench, 0x9b1f);
-    idle[0].ends();
+    let _stands = established_client(&bench, 0x9b1f);
+    idle[0].expect_closed();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "over_budget"), value(&counters, "served")], [0, 1]);
-    assert!(value(&counters, "silent") > 100);
+    assert_eq!([counter_value(&counters, "over_budget"), counter_value(&counters, "served")], [0, 1]);
+    assert!(counter_value(&counters, "silent") > 100);
 }
 
 /// An answer and a close are owed within 3 s of connecting, however slowly something comes: a request that arrives
@@ -304,12 +314,12 @@
 fn a_client_that_says_no_whole_line_is_closed(#[case] said: &str, #[case] answer: &str) {
     let bench = Bench::start(1);
     let mut client = Peer::connect(bench.addr);
-    client.say(said);
+    client.send(said);
     let came = std::time::Instant::now();
-    assert_eq!(client.line(), answer);
-    client.ends();
+    assert_eq!(client.read_line(), answer);
+    client.expect_closed();
     assert!(came.elapsed() < Duration::from_secs(3));
-    assert_eq!(value(&bench.stop(), "silent"), 1);
+    assert_eq!(counter_value(&bench.stop(), "silent"), 1);
 }
 
 /// Megabytes without an end: the answer is not eaten by the reset that ends them.
@@ -323,24 +333,24 @@
         // The node reads no more than a bounded part of it.
         (0..960).take_while(|_| std::io::Write::write_all(&mut sender, &chunk).is_ok()).count()
     });
-    assert_eq!(client.line(), "ERR");
+    assert_eq!(client.read_line(), "ERR");
     assert!(sends.join().expect("it ends") < 960);
 }
 
 #[rstest]
 fn the_id_of_an_open_request_is_refused_and_that_one_goes_on() {
     let bench = Bench::start(2);
-    let (mut client, mut task) = standing(&bench, 0x9b1f);
-    assert_eq!(bench.client(OPEN).line(), "ERR");
-    client.say("M 1 x\r\n");
-    assert_eq!(task.line(), "M 1 x");
+    let (mut client, mut task) = established_client(&bench, 0x9b1f);
+    assert_eq!(bench.connect_client(OPEN).read_line(), "ERR");
+    client.send("M 1 x\r\n");
+    assert_eq!(task.read_line(), "M 1 x");
     drop(client);
-    task.ends();
+    task.expect_closed();
     drop(task);
     // Over, it is free again.
-    let _stands = standing(&bench, 0x9b1f);
+    let _stands = established_client(&bench, 0x9b1f);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 2]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 2]);
 }
 
 #[rstest]
@@ -349,16 +359,16 @@
 fn more_than_one_line_before_up_is_an_error(#[case] with: &str, #[case] after: &str) {
     let bench = Bench::start(1);
     let mut client = Peer::connect(bench.addr);
-    client.say(&format!("{OPEN}\r\n{with}"));
+    client.send(&format!("{OPEN}\r\n{with}"));
     if !after.is_empty() {
         let (_, mut task) = task(&bench);
-        task.line();
-        client.say(after);
-        task.ends();
+        task.read_line();
+        client.send(after);
+        task.expect_closed();
     }
-    assert_eq!(client.line(), "ERR");
-    client.ends();
-    assert_eq!(value(&bench.stop(), "up"), 0);
+    assert_eq!(client.read_line(), "ERR");
+    client.expect_closed();
+    assert_eq!(counter_value(&bench.stop(), "up"), 0);
 }
 
 fn descriptors(bench: &Bench, most: u64) {
@@ -372,21 +382,21 @@
     let bench = Bench::start(1);
     descriptors(&bench, 32);
     let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
-    standing(&bench, 0x9b1f);
-    assert!(value(&bench.stop(), "silent") > 30);
+    established_client(&bench, 0x9b1f);
+    assert!(counter_value(&bench.stop(), "silent") > 30);
 }
 
 #[rstest]
 fn when_the_system_has_no_descriptors_left_accepting_rests_and_goes_on() {
     let mut bench = Bench::start(1);
     descriptors(&bench, 4);
-    let mut client = bench.client(OPEN);
-    bench.logged("accept-rests");
+    let mut client = bench.connect_client(OPEN);
+    bench.wait_for_log("accept-rests");
     descriptors(&bench, 64);
     let (_, mut task) = task(&bench);
-    task.line();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    task.read_line();
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
 }
 
 #[rstest]
@@ -395,8 +405,8 @@
 #[case::a_wrong_type(r#"{"name":1}"#, "field name")]
 #[case::settings(&config(([127, 0, 0, 1], 1).into(), "", 64).replace("read_like", "odd"), "field settings.Profiles[0].Effect")]
 fn a_wrong_configuration_is_one_line_and_exit_2(#[case] text: &str, #[case] names: &str) {
-    let path = file("wrong.json", text);
-    let output = program(&["serve"], &path).output().expect("it runs");
+    let path = temp_file("wrong.json", text);
+    let output = node_command(&["serve"], &path).output().expect("it runs");
     let told = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(told.lines().count() == 1 && told.contains("wrong.json") && told.contains(names), "{told}");
@@ -409,16 +419,16 @@
 #[case::wrong_report("BYE inflight\r\n")]
 fn a_bye_with_a_report_is_served_to_its_end(#[case] bye: &str) {
     let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], str::to_string);
-    let mut client = bench.client(OPEN);
+    let mut client = bench.connect_client(OPEN);
     let (_, mut task) = task(&bench);
-    task.line();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
-    task.say(bye);
+    task.read_line();
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
+    task.send(bye);
     drop(task);
-    assert_eq!(client.line(), bye.trim_end());
-    client.ends();
-    assert!(bench.logged("trace attempt").contains(" up "));
-    let ended = bench.logged("trace attempt");
+    assert_eq!(client.read_line(), bye.trim_end());
+    client.expect_closed();
+    assert!(bench.wait_for_log("trace attempt").contains(" up "));
+    let ended = bench.wait_for_log("trace attempt");
     assert!(ended.contains("ended=Ok"), "{ended}");
 }
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -28,7 +28,7 @@
 
 /// Where the node's processes meet, in a folder of this test's own.
 fn place() -> (PathBuf, PathBuf) {
-    let dir = file("folder", "");
+    let dir = temp_file("folder", "");
     std::fs::remove_file(&dir).expect("it was there");
     std::fs::create_dir(&dir).expect("a folder");
     let meets = dir.join("sparbank-n1.takeover");
@@ -47,7 +47,7 @@
 
 /// Where operators call the process that has just started.
 fn operator(bench: &mut Bench) -> SocketAddr {
-    let line = bench.logged("operator");
+    let line = bench.wait_for_log("operator");
     line.split("listen=").nth(1).and_then(|at| at.parse().ok()).expect("an address")
 }
 
@@ -59,10 +59,10 @@
 impl Node {
     /// Starts a successor and waits until it serves; gives the old process.
     fn upgraded(&mut self) -> Process {
-        let mut old = self.bench.upgrade();
+        let mut old = self.bench.start_successor();
         self.operator = operator(&mut self.bench);
-        self.bench.logged("taking-over");
-        old.logged("handing-over");
+        self.bench.wait_for_log("taking-over");
+        old.wait_for_log("handing-over");
         old
     }
 
@@ -70,68 +70,68 @@
     fn replaced(&mut self) -> String {
         let mut old = self.upgraded();
         old.signal("-TERM");
-        let counters = old.logged("counters");
+        let counters = old.wait_for_log("counters");
         assert!(old.child.wait().expect("it ends").success());
-        self.bench.logged("taken-over");
+        self.bench.wait_for_log("taken-over");
         counters
     }
 }
 
 fn echo(client: &mut Peer, task: &mut Peer, text: &str) {
-    client.say(text).say("\r\n");
-    assert_eq!(task.line(), text);
-    task.say(text).say("\r\n");
-    assert_eq!(client.line(), text);
+    client.send(text).send("\r\n");
+    assert_eq!(task.read_line(), text);
+    task.send(text).send("\r\n");
+    assert_eq!(client.read_line(), text);
 }
 
 #[rstest]
 fn what_stands_goes_on_and_nobody_hears_of_it() {
     let mut node = node();
-    let mut watch = node.bench.watch();
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let mut watch = node.bench.accept_watch();
+    let (mut client, mut task) = established_client(&node.bench, 1);
     echo(&mut client, &mut task, "M 1 x");
     // Half a line each way, and half of a first line.
-    client.say("M 2");
-    task.say("N 2");
+    client.send("M 2");
+    task.send("N 2");
     let mut slow = Peer::connect(node.bench.addr);
-    slow.say("OPEN 2 2 c=live-rea");
+    slow.send("OPEN 2 2 c=live-rea");
     // What reached the node before this is answered has been read.
-    assert_eq!(Peer::connect(node.bench.addr).say("PING\r\n").line(), "PONG");
+    assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "PONG");
     let counters = node.replaced();
-    assert_eq!(["passed_on", "moved", "upgrades"].map(|name| value(&counters, name)), [1, 0, 1]);
-    client.say(" y\r\n");
-    assert_eq!(task.line(), "M 2 y");
-    task.say(" y\r\n");
-    assert_eq!(client.line(), "N 2 y");
-    slow.say("dings,t=acme,d=1200,g=5c0f\r\n");
+    assert_eq!(["passed_on", "moved", "upgrades"].map(|name| counter_value(&counters, name)), [1, 0, 1]);
+    client.send(" y\r\n");
+    assert_eq!(task.read_line(), "M 2 y");
+    task.send(" y\r\n");
+    assert_eq!(client.read_line(), "N 2 y");
+    slow.send("dings,t=acme,d=1200,g=5c0f\r\n");
     let mut second = Peer::accept(&node.bench.servers[0]);
-    second.line();
-    second.say("UP r2\r\n");
-    assert_eq!(slow.line(), "UP r2");
+    second.read_line();
+    second.send("UP r2\r\n");
+    assert_eq!(slow.read_line(), "UP r2");
     // The same call to discovery goes on, and what it brings is heard by the new process.
-    node.bench.change(&mut watch, 0, "draining");
-    watch.say("0\r\n\r\n");
-    node.bench.logged("list-lost");
+    node.bench.update_lifecycle(&mut watch, 0, "draining");
+    watch.send("0\r\n\r\n");
+    node.bench.wait_for_log("list-lost");
     let counters = node.bench.counters();
     let counts = ["taken_over", "taken", "moved", "list_calls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
     // Its id is that of an open connection here too.
-    assert_eq!(node.bench.client(&open(1)).line(), "ERR");
+    assert_eq!(node.bench.connect_client(&open_line(1)).read_line(), "ERR");
     drop(task);
-    client.ends();
+    client.expect_closed();
 }
 
 #[rstest]
 fn what_waits_for_its_answer_gets_it_and_goes_on() {
     let mut node = node();
-    let mut client = node.bench.client(&open(1));
+    let mut client = node.bench.connect_client(&open_line(1));
     let mut task = Peer::accept(&node.bench.servers[0]);
-    task.line();
+    task.read_line();
     let mut old = node.upgraded();
-    task.say("UP r1\r\n");
-    assert_eq!(client.line(), "UP r1");
+    task.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     old.signal("-TERM");
-    assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
+    assert_eq!(counter_value(&old.wait_for_log("counters"), "passed_on"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
@@ -139,27 +139,27 @@
 #[rstest]
 fn two_upgrades_in_a_row_and_a_drained_node_stays_drained() {
     let mut node = node();
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = established_client(&node.bench, 1);
     node.replaced();
     node.replaced();
     echo(&mut client, &mut task, "M 1 x");
-    let said = Peer::connect(node.operator).say("POST /-/drain HTTP/1.1\r\n\r\n").line();
+    let said = Peer::connect(node.operator).send("POST /-/drain HTTP/1.1\r\n\r\n").read_line();
     assert_eq!(said, "HTTP/1.1 200 OK");
-    assert_eq!(client.line(), "MOVE");
+    assert_eq!(client.read_line(), "MOVE");
     node.replaced();
-    assert_eq!(Peer::connect(node.bench.addr).say("PING\r\n").line(), "BUSY");
+    assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "BUSY");
 }
 
 /// It fails at its configuration: the one that runs hears nothing of it.
 #[rstest]
 fn a_successor_that_does_not_start_changes_nothing() {
     let mut node = node();
-    let (mut client, mut task) = standing(&node.bench, 1);
-    node.bench.rewrite(|_| "{".to_string());
-    let mut failed = node.bench.fails_to_start();
+    let (mut client, mut task) = established_client(&node.bench, 1);
+    node.bench.rewrite_config(|_| "{".to_string());
+    let mut failed = node.bench.spawn_duplicate();
     assert_eq!(failed.wait().expect("it ends").code(), Some(2));
     echo(&mut client, &mut task, "M 1 x");
-    let _second = standing(&node.bench, 2);
+    let _second = established_client(&node.bench, 2);
     assert_eq!(node.bench.counter("upgrades"), 0);
 }
 
@@ -169,27 +169,27 @@
 #[case::after_that(true)]
 fn a_successor_that_dies_leaves_the_old_one_serving(#[case] serves: bool) {
     let mut node = node();
-    let watch = node.bench.watch();
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let watch = node.bench.accept_watch();
+    let (mut client, mut task) = established_client(&node.bench, 1);
     let successor = connect(&node.meets);
     say(&successor, r#"{"Take":{"version":1,"name":"n1"}}"#);
     while hear(&successor) != "\"Whole\"" {}
     if serves {
         // It ends without having taken what is on its way: this client is lost with it.
         say(&successor, "\"Ready\"");
-        node.bench.logged("handing-over");
+        node.bench.wait_for_log("handing-over");
         assert!(hear(&successor).starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
-    node.bench.logged("takeover-end successor");
+    node.bench.wait_for_log("takeover-end successor");
     // Discovery is asked anew: the watch was given away.
-    let _watch = node.bench.watch();
+    let _watch = node.bench.accept_watch();
     if serves {
-        client.ends();
+        client.expect_closed();
     } else {
         echo(&mut client, &mut task, "M 1 x");
     }
-    let _second = standing(&node.bench, 2);
+    let _second = established_client(&node.bench, 2);
     assert_eq!(node.bench.counter("served"), 2);
 }
 
@@ -199,7 +199,7 @@
 #[case::out_of_turn(r#"{"State":{"piece":""}}"#)]
 fn who_is_no_successor_is_told_nothing(#[case] said: &str) {
     let mut node = node();
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = established_client(&node.bench, 1);
     let other = connect(&node.meets);
     say(&other, said);
     assert_eq!(hear(&other), "", "it ends");
@@ -221,7 +221,7 @@
         std::fs::write(&meets, "what").expect("a file");
     }
     let mut node = node_in(&dir, meets, None);
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = established_client(&node.bench, 1);
     node.replaced();
     echo(&mut client, &mut task, "M 1 x");
 }
@@ -239,7 +239,7 @@
         hear(&other)
     });
     let node = node_in(&dir, meets, None);
-    let _stands = standing(&node.bench, 1);
+    let _stands = established_client(&node.bench, 1);
     assert_eq!(speaker.join().expect("it spoke"), "", "and it is left");
 }
 
@@ -247,11 +247,11 @@
 #[rstest]
 fn a_successor_that_comes_after_sigterm_takes_what_still_stands() {
     let mut node = node();
-    let (mut client, mut task) = standing(&node.bench, 1);
+    let (mut client, mut task) = established_client(&node.bench, 1);
     node.bench.signal("-TERM");
-    node.bench.logged("leaving");
+    node.bench.wait_for_log("leaving");
     let mut old = node.upgraded();
-    assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
+    assert_eq!(counter_value(&old.wait_for_log("counters"), "passed_on"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
@@ -272,7 +272,7 @@
 #[case::no_socket("0")]
 fn a_passed_descriptor_that_is_none_is_named(#[case] number: &str) {
     let text = config(listener().local_addr().expect("an address"), "", 256);
-    let mut command = program(&["serve"], &file("node.json", &text));
+    let mut command = node_command(&["serve"], &temp_file("node.json", &text));
     let said = command.env("NODE_PASSED_SOCKET", number).stdin(std::process::Stdio::null()).output();
     let said = said.expect("it ends");
     let line = String::from_utf8_lossy(&said.stderr).into_owned();
