--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,15 +1,40 @@
-//! Sockets, timers and the loop's one wait. Nothing here knows a protocol.
+//! Non-blocking sockets behind one epoll instance, and the timer wheel. Nothing here knows a protocol.
+//!
+//! [`SocketReactor`] owns every socket of the node. Owners address a socket by its [`Token`], hear of it by
+//! [`SocketEvent`]s from [`SocketReactor::poll`], and exchange bytes with it through bounded buffers.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `event` | events for owners |
+//! | `slab` | slots with generations, tokens |
+//! | `poller` | the epoll instance |
+//! | `socket` | one socket's state and buffers |
+//! | `reactor` | the wait for events, and queries about a socket |
+//! | `buffered_io` | reading, writing and closing |
+//! | `accept` | listeners and accept backpressure |
+//! | `descriptors` | the descriptor limit, the reserve and eviction |
+//! | `transfer` | connections handed to another process |
+//! | `timer_wheel` | timers |
 
-mod sockets;
-mod wheel;
+mod accept;
+mod buffered_io;
+mod descriptors;
+mod event;
+mod poller;
+mod reactor;
+mod slab;
+mod socket;
+mod timer_wheel;
+mod transfer;
 
-pub use sockets::{
-    BufferedConnection, SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token,
-    OUTPUT_HIGH_WATERMARK_BYTES,
-};
-pub use wheel::TimerWheel;
+pub use event::{SocketEvent, SocketEventKind, SocketOwner};
+pub use reactor::SocketReactor;
+pub use slab::Token;
+pub use socket::OUTPUT_HIGH_WATERMARK_BYTES;
+pub use timer_wheel::TimerWheel;
+pub use transfer::BufferedConnection;
 
-/// A token for tests of what is kept by tokens.
+/// A token for tests of data structures that are keyed by tokens.
 #[cfg(test)]
 pub fn token_for_tests(number: u64) -> Token {
     Token::for_tests(number)
--- /dev/null
+++ b/src/net/poller.rs
@@ -0,0 +1,69 @@
+//! The epoll instance that watches every socket, level-triggered.
+
+use super::Token;
+use crate::vocabulary::Nanos;
+use rustix::event::{epoll, Timespec};
+use rustix::io::Errno;
+use std::io;
+use std::os::fd::OwnedFd;
+
+pub(super) use rustix::event::epoll::EventFlags as Interest;
+
+/// How many events one wait yields at most.
+const EVENTS_PER_WAIT: usize = 256;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// A descriptor that is ready.
+pub(super) struct Readiness {
+    pub(super) token: Token,
+    pub(super) flags: Interest,
+}
+
+/// An epoll instance.
+pub(super) struct Poller {
+    epoll: OwnedFd,
+}
+
+impl Poller {
+    /// Creates the epoll instance.
+    pub(super) fn new() -> io::Result<Poller> {
+        Ok(Poller { epoll: epoll::create(epoll::CreateFlags::CLOEXEC)? })
+    }
+
+    /// Starts to watch a descriptor.
+    pub(super) fn add(&self, fd: &OwnedFd, token: Token, interest: Interest) -> Result<(), Errno> {
+        epoll::add(&self.epoll, fd, epoll::EventData::new_u64(token.as_raw()), interest)
+    }
+
+    /// Changes what a watched descriptor is watched for.
+    pub(super) fn modify(&self, fd: &OwnedFd, token: Token, interest: Interest) {
+        // The descriptor was added, so this cannot fail but for want of memory.
+        let _ = epoll::modify(&self.epoll, fd, epoll::EventData::new_u64(token.as_raw()), interest);
+    }
+
+    /// Stops watching a descriptor that stays open. Closing the last descriptor of a socket does the same.
+    pub(super) fn delete(&self, fd: &OwnedFd) {
+        // The descriptor was added, so this cannot fail.
+        let _ = epoll::delete(&self.epoll, fd);
+    }
+
+    /// Waits for at most `timeout` nanoseconds.
+    pub(super) fn wait(&self, timeout: Nanos) -> io::Result<impl Iterator<Item = Readiness>> {
+        let mut timeout = Timespec {
+            tv_sec: (timeout / NANOS_PER_SECOND) as i64,
+            tv_nsec: (timeout % NANOS_PER_SECOND) as i64,
+        };
+        let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS_PER_WAIT);
+        loop {
+            match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), Some(&timeout)) {
+                Ok(_) => break,
+                // The caller runs timers next: what arrived before one of them is to be handled first.
+                Err(Errno::INTR) => timeout = Timespec { tv_sec: 0, tv_nsec: 0 },
+                Err(error) => return Err(error.into()),
+            }
+        }
+        let readiness =
+            |event: epoll::Event| Readiness { token: Token::from_raw(event.data.u64()), flags: event.flags };
+        Ok(events.into_iter().map(readiness))
+    }
+}
--- /dev/null
+++ b/src/net/reactor.rs
@@ -0,0 +1,335 @@
+//! The reactor: one wait for all sockets, and queries about each.
+
+use super::descriptors::DescriptorReserve;
+use super::event::{SocketEvent, SocketEventKind, SocketOwner};
+use super::poller::{Interest, Poller, Readiness};
+use super::slab::{Slab, Token};
+use super::socket::{Socket, SocketState};
+use crate::vocabulary::Nanos;
+use rustix::io::Errno;
+use rustix::net::{sockopt, AddressFamily, SocketFlags, SocketType};
+use std::collections::VecDeque;
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+/// One read takes at most this much.
+const READ_CHUNK_BYTES: usize = 64 * 1024;
+
+/// A time limit of one socket.
+pub(super) struct SocketDeadline {
+    pub(super) at: Nanos,
+    pub(super) token: Token,
+}
+
+/// All sockets of the node. See the [module](super) for how the concerns are divided.
+pub struct SocketReactor {
+    pub(super) poller: Poller,
+    pub(super) sockets: Slab<Socket>,
+    /// How many descriptors the process may hold.
+    pub(super) descriptor_limit: usize,
+    pub(super) reserve: DescriptorReserve,
+    /// Closed connections that wait for the peer's end, the one closed first in front.
+    pub(super) lingering: VecDeque<SocketDeadline>,
+    /// Accepted connections whose handshake may be incomplete, by deadline.
+    pub(super) awaiting_handshake: VecDeque<SocketDeadline>,
+    /// Accepting is paused until then, because the system had no descriptors left.
+    pub(super) accept_paused_until: Option<Nanos>,
+    /// Whether the fronts accept connections; where not, another process does.
+    pub(super) fronts_accept: bool,
+    /// Listening sockets of the process before this one, each with its address.
+    pub(super) inherited_listeners: Vec<(SocketAddr, OwnedFd)>,
+    pub(super) pending_events: Vec<SocketEvent>,
+    /// Connections established since the last [`SocketReactor::flush_connected`].
+    pub(super) connected: Vec<Token>,
+    /// The time of the last poll.
+    pub(super) now: Nanos,
+    pub(super) read_chunk: Vec<u8>,
+}
+
+impl SocketReactor {
+    /// A reactor without sockets, for a process that may hold this many descriptors.
+    ///
+    /// # Errors
+    /// Where the system gives no epoll instance.
+    pub fn new(descriptor_limit: usize) -> io::Result<SocketReactor> {
+        Ok(SocketReactor {
+            poller: Poller::new()?,
+            sockets: Slab::new(),
+            descriptor_limit,
+            reserve: DescriptorReserve::default(),
+            lingering: VecDeque::new(),
+            awaiting_handshake: VecDeque::new(),
+            accept_paused_until: None,
+            fronts_accept: true,
+            inherited_listeners: Vec::new(),
+            pending_events: Vec::new(),
+            connected: Vec::new(),
+            now: 0,
+            read_chunk: vec![0; READ_CHUNK_BYTES],
+        })
+    }
+
+    // ---- Waiting -------------------------------------------------------------------------------
+
+    /// Waits for at most `timeout` nanoseconds and yields what happened, connections on reserved descriptors
+    /// first.
+    ///
+    /// # Errors
+    /// Where epoll itself fails; the node cannot go on.
+    pub fn poll(&mut self, now: Nanos, timeout: Nanos) -> io::Result<Vec<SocketEvent>> {
+        self.now = now;
+        self.end_expired_lingering();
+        self.report_handshake_timeouts();
+        self.resume_accepting_if_rested();
+        let timeout = if self.pending_events.is_empty() { timeout } else { 0 };
+        for readiness in self.poller.wait(self.limit_by_accept_pause(timeout))? {
+            self.handle_readiness(readiness);
+        }
+        let mut events = std::mem::take(&mut self.pending_events);
+        if !self.reserve.is_unused() {
+            events.sort_by_key(|event| !self.uses_reserve(event.token));
+        }
+        Ok(events)
+    }
+
+    fn uses_reserve(&self, token: Token) -> bool {
+        self.sockets.get(token).is_some_and(|socket| socket.uses_reserve)
+    }
+
+    fn end_expired_lingering(&mut self) {
+        while self.lingering.front().is_some_and(|deadline| deadline.at <= self.now) {
+            if let Some(deadline) = self.lingering.pop_front() {
+                self.drop_socket(deadline.token);
+            }
+        }
+    }
+
+    fn report_handshake_timeouts(&mut self) {
+        while self.awaiting_handshake.front().is_some_and(|deadline| deadline.at <= self.now) {
+            let Some(SocketDeadline { token, .. }) = self.awaiting_handshake.pop_front() else { return };
+            if self.sockets.get(token).is_some_and(|socket| socket.awaiting_handshake) {
+                self.emit(token, SocketEventKind::HandshakeTimeout);
+            }
+        }
+    }
+
+    fn handle_readiness(&mut self, Readiness { token, flags }: Readiness) {
+        let Some(socket) = self.sockets.get(token) else { return };
+        match socket.state {
+            SocketState::Listening => self.accept_ready(token),
+            SocketState::Failed => {}
+            SocketState::Raw => self.report_raw_readiness(token, flags),
+            SocketState::Connecting => self.handle_connect_result(token, flags),
+            SocketState::Open | SocketState::Lingering { .. } => self.transfer_bytes(token, flags),
+        }
+    }
+
+    fn report_raw_readiness(&mut self, token: Token, flags: Interest) {
+        // The owner finds the peer's end by reading.
+        if flags != Interest::OUT {
+            self.emit(token, SocketEventKind::Readable);
+        }
+        if flags.contains(Interest::OUT) {
+            self.emit(token, SocketEventKind::OutputFlushed);
+        }
+    }
+
+    fn handle_connect_result(&mut self, token: Token, flags: Interest) {
+        let Some(socket) = self.sockets.get_mut(token) else { return };
+        if let Ok(Err(_)) | Err(_) = sockopt::socket_error(&socket.fd) {
+            return self.fail(token);
+        }
+        if flags.contains(Interest::OUT) {
+            socket.state = SocketState::Open;
+            self.connected.push(token);
+        }
+    }
+
+    fn transfer_bytes(&mut self, token: Token, flags: Interest) {
+        let Some(socket) = self.sockets.get(token) else { return };
+        let hung_up = socket.read_closed && flags.contains(Interest::HUP);
+        if flags.contains(Interest::IN) {
+            self.read_into_buffer(token);
+        } else if flags.contains(Interest::ERR) || hung_up {
+            return self.fail(token);
+        }
+        if flags.contains(Interest::OUT) {
+            self.flush_output(token);
+        }
+        self.update_interest(token);
+    }
+
+    /// Queues an event. The owner of a connection that it has closed hears nothing more of it.
+    pub(super) fn emit(&mut self, token: Token, kind: SocketEventKind) {
+        if let Some(socket) = self.sockets.get(token).filter(|socket| !socket.is_lingering()) {
+            let owner = socket.owner;
+            self.pending_events.push(SocketEvent { token, owner, kind });
+        }
+    }
+
+    // ---- Opening -------------------------------------------------------------------------------
+
+    /// Starts a connection. What is sent meanwhile is written once it is established
+    /// ([`SocketReactor::flush_connected`]).
+    ///
+    /// # Errors
+    /// Where there is no descriptor, or the system refuses at once.
+    pub fn connect(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<Token> {
+        let fd = loop {
+            match stream_socket(addr) {
+                // The system gives fewer descriptors than the configuration says.
+                Err(Errno::MFILE | Errno::NFILE) if self.evict() => {}
+                created => break created?,
+            }
+        };
+        sockopt::set_tcp_nodelay(&fd, true)?;
+        match rustix::net::connect(&fd, &addr) {
+            Ok(()) | Err(Errno::INPROGRESS) => {}
+            Err(error) => return Err(error.into()),
+        }
+        self.insert(fd, owner, SocketState::Connecting)
+    }
+
+    /// Registers a descriptor to be read through a buffer, such as a signal's pipe.
+    ///
+    /// # Errors
+    /// Where it cannot be made non-blocking or watched.
+    pub fn register_reader(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
+        rustix::io::ioctl_fionbio(&fd, true)?;
+        self.insert(fd, owner, SocketState::Open)
+    }
+
+    /// Registers a descriptor that its owner reads and writes itself.
+    ///
+    /// # Errors
+    /// Where it cannot be made non-blocking or watched.
+    pub fn register_raw(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
+        rustix::io::ioctl_fionbio(&fd, true)?;
+        self.insert(fd, owner, SocketState::Raw)
+    }
+
+    /// Puts a socket into the slab and watches it.
+    pub(super) fn insert(
+        &mut self,
+        fd: OwnedFd,
+        owner: SocketOwner,
+        state: SocketState,
+    ) -> io::Result<Token> {
+        let poller = &self.poller;
+        let token = self.sockets.insert_with(|token| {
+            let socket = Socket::new(fd, owner, state);
+            poller.add(&socket.fd, token, socket.interest)?;
+            Ok::<_, Errno>(socket)
+        })?;
+        Ok(token)
+    }
+
+    // ---- Interest ------------------------------------------------------------------------------
+
+    /// Watches for what the socket's buffers allow. Owners call it after they have taken input.
+    pub fn update_interest(&mut self, token: Token) {
+        let Some(socket) = self.sockets.get_mut(token) else { return };
+        if matches!(socket.state, SocketState::Failed | SocketState::Raw) {
+            return;
+        }
+        let interest = socket.wanted_interest();
+        if interest != socket.interest {
+            socket.interest = interest;
+            self.poller.modify(&socket.fd, token, interest);
+        }
+    }
+
+    /// Whether the owner of a raw descriptor wants to know when it takes more bytes.
+    pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
+        let Some(socket) = self.sockets.get_mut(token) else { return };
+        let writable = if wanted { Interest::OUT } else { Interest::empty() };
+        let interest = Interest::IN | writable;
+        if socket.state == SocketState::Raw && socket.interest != interest {
+            socket.interest = interest;
+            self.poller.modify(&socket.fd, token, interest);
+        }
+    }
+
+    /// How many bytes may be buffered ahead of the owner: a frame that is handled in one piece must fit.
+    pub fn set_read_limit(&mut self, token: Token, bytes: usize) {
+        if let Some(socket) = self.sockets.get_mut(token) {
+            socket.read_limit_bytes = bytes;
+        }
+    }
+
+    // ---- Queries -------------------------------------------------------------------------------
+
+    /// The descriptor of a raw socket.
+    pub fn raw_descriptor(&self, token: Token) -> Option<&OwnedFd> {
+        self.sockets.get(token).filter(|socket| socket.state == SocketState::Raw).map(|socket| &socket.fd)
+    }
+
+    /// The listener that accepted a connection.
+    pub fn accepting_listener(&self, token: Token) -> Option<Token> {
+        self.sockets.get(token)?.listener
+    }
+
+    /// The address of a connection's other end.
+    pub fn peer_addr(&self, token: Token) -> Option<SocketAddr> {
+        let socket = self.sockets.get(token)?;
+        rustix::net::getpeername(&socket.fd).ok()?.and_then(|addr| SocketAddr::try_from(addr).ok())
+    }
+
+    /// Whether the connection failed; input that had arrived is still there.
+    pub fn is_failed(&self, token: Token) -> bool {
+        self.sockets.get(token).is_some_and(|socket| socket.state == SocketState::Failed)
+    }
+
+    /// Whether the connection is not established yet.
+    pub fn is_connecting(&self, token: Token) -> bool {
+        self.sockets.get(token).is_some_and(|socket| socket.state == SocketState::Connecting)
+    }
+
+    /// Whether the peer has ended its sending; bytes may still wait in [`SocketReactor::input_buffer`].
+    pub fn is_read_closed(&self, token: Token) -> bool {
+        self.sockets.get(token).is_some_and(|socket| socket.read_closed)
+    }
+
+    /// The bytes that have arrived. The owner removes what it has handled.
+    pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
+        self.sockets.get_mut(token).map(|socket| &mut socket.input)
+    }
+
+    /// How many bytes wait to be written.
+    pub fn pending_output_bytes(&self, token: Token) -> usize {
+        self.sockets.get(token).map_or(0, |socket| socket.output.len())
+    }
+
+    /// Whether any byte has been written.
+    pub fn has_written(&self, token: Token) -> bool {
+        self.sockets.get(token).is_some_and(|socket| socket.bytes_written > 0)
+    }
+
+    /// How many bytes have been written.
+    pub fn bytes_written(&self, token: Token) -> u64 {
+        self.sockets.get(token).map_or(0, |socket| socket.bytes_written)
+    }
+
+    /// The position in the output stream of the next byte that is sent.
+    pub fn output_position(&self, token: Token) -> u64 {
+        self.sockets.get(token).map_or(0, |socket| socket.bytes_written + socket.output.len() as u64)
+    }
+
+    /// Whether every connection that was closed is over on both sides.
+    pub fn all_closes_complete(&self) -> bool {
+        self.lingering.iter().all(|deadline| self.sockets.get(deadline.token).is_none())
+    }
+
+    /// How many descriptors the sockets use.
+    pub fn descriptors_in_use(&self) -> usize {
+        self.sockets.len()
+    }
+}
+
+/// A non-blocking TCP socket for an address of this family.
+pub(super) fn stream_socket(addr: SocketAddr) -> Result<OwnedFd, Errno> {
+    let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
+    let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
+    rustix::net::socket_with(family, SocketType::STREAM, flags, None)
+}
--- /dev/null
+++ b/src/net/slab.rs
@@ -0,0 +1,128 @@
+//! A slab whose slots count generations, so that a token never names the successor of its value.
+
+/// Identifies one socket by its slot and that slot's generation. A token outlives its socket without naming
+/// the next socket in the same slot.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
+pub struct Token(u64);
+
+impl Token {
+    fn new(generation: u32, index: u32) -> Token {
+        Token((u64::from(generation) << 32) | u64::from(index))
+    }
+
+    /// The token that [`Token::as_raw`] gave.
+    pub(super) fn from_raw(raw: u64) -> Token {
+        Token(raw)
+    }
+
+    /// The token as epoll's user data.
+    pub(super) fn as_raw(self) -> u64 {
+        self.0
+    }
+
+    /// A token of this number, for tests.
+    #[cfg(test)]
+    pub fn for_tests(number: u64) -> Token {
+        Token(number)
+    }
+
+    fn index(self) -> usize {
+        (self.0 & 0xffff_ffff) as usize
+    }
+
+    fn generation(self) -> u32 {
+        (self.0 >> 32) as u32
+    }
+}
+
+struct Slot<T> {
+    /// Rises each time the slot is vacated.
+    generation: u32,
+    value: Option<T>,
+}
+
+/// Values in reusable slots, addressed by [`Token`].
+pub(super) struct Slab<T> {
+    slots: Vec<Slot<T>>,
+    /// Indices of vacant slots; the one vacated last is used first.
+    free: Vec<u32>,
+    occupied: usize,
+}
+
+impl<T> Slab<T> {
+    /// An empty slab.
+    pub(super) fn new() -> Slab<T> {
+        Slab { slots: Vec::new(), free: Vec::new(), occupied: 0 }
+    }
+
+    /// The number of values.
+    pub(super) fn len(&self) -> usize {
+        self.occupied
+    }
+
+    /// Inserts the value that is made with its token. Where that fails the slot stays vacant.
+    pub(super) fn insert_with<E>(&mut self, make: impl FnOnce(Token) -> Result<T, E>) -> Result<Token, E> {
+        let index = self.free.pop().unwrap_or_else(|| {
+            self.slots.push(Slot { generation: 0, value: None });
+            (self.slots.len() - 1) as u32
+        });
+        let slot = &mut self.slots[index as usize];
+        let token = Token::new(slot.generation, index);
+        match make(token) {
+            Ok(value) => {
+                slot.value = Some(value);
+                self.occupied += 1;
+                Ok(token)
+            }
+            Err(error) => {
+                self.free.push(index);
+                Err(error)
+            }
+        }
+    }
+
+    /// Takes a value out and voids its token.
+    pub(super) fn remove(&mut self, token: Token) -> Option<T> {
+        let slot = self.slots.get_mut(token.index())?;
+        if slot.generation != token.generation() {
+            return None;
+        }
+        let value = slot.value.take()?;
+        slot.generation = slot.generation.wrapping_add(1);
+        self.free.push(token.index() as u32);
+        self.occupied -= 1;
+        Some(value)
+    }
+
+    /// The value of a token that is not void.
+    pub(super) fn get(&self, token: Token) -> Option<&T> {
+        let slot = self.slots.get(token.index())?;
+        slot.value.as_ref().filter(|_| slot.generation == token.generation())
+    }
+
+    /// The same, to change it.
+    pub(super) fn get_mut(&mut self, token: Token) -> Option<&mut T> {
+        let slot = self.slots.get_mut(token.index())?;
+        if slot.generation == token.generation() {
+            slot.value.as_mut()
+        } else {
+            None
+        }
+    }
+
+    /// All values, in the order of their slots.
+    pub(super) fn values(&self) -> impl Iterator<Item = &T> {
+        self.slots.iter().filter_map(|slot| slot.value.as_ref())
+    }
+
+    /// All values with their tokens, in the order of their slots.
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (Token, &mut T)> {
+        self.slots.iter_mut().enumerate().filter_map(|(index, slot)| {
+            let token = Token::new(slot.generation, index as u32);
+            slot.value.as_mut().map(|value| (token, value))
+        })
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/net/timer_wheel.rs
@@ -0,0 +1,82 @@
+//! A timer wheel with coarse ticks.
+//!
+//! Timers cannot be cancelled: whoever scheduled one ignores it when it no longer matters. So scheduling takes
+//! constant time, and a timer costs no memory beside its own entry.
+
+use crate::vocabulary::Nanos;
+
+/// The wheel's resolution: a timer expires up to this much late, and never early.
+const TICK: Nanos = 5_000_000;
+/// Slots of the wheel. A timer further ahead than one round stays in its slot for several.
+const SLOT_COUNT: usize = 1024;
+
+/// A scheduled item.
+struct Timer<T> {
+    expires_at_tick: u64,
+    item: T,
+}
+
+/// Items by the time at which they expire.
+pub struct TimerWheel<T> {
+    slots: Vec<Vec<Timer<T>>>,
+    /// All timers up to this tick have been taken.
+    current_tick: u64,
+    timer_count: usize,
+}
+
+impl<T> TimerWheel<T> {
+    /// A wheel without timers.
+    pub fn new(now: Nanos) -> TimerWheel<T> {
+        let slots = (0..SLOT_COUNT).map(|_| Vec::new()).collect();
+        TimerWheel { slots, current_tick: now / TICK, timer_count: 0 }
+    }
+
+    /// Schedules an item for the first tick at or after `expires_at`, and not before the next tick.
+    pub fn schedule(&mut self, expires_at: Nanos, item: T) {
+        let expires_at_tick = expires_at.div_ceil(TICK).max(self.current_tick + 1);
+        self.slots[slot_index(expires_at_tick)].push(Timer { expires_at_tick, item });
+        self.timer_count += 1;
+    }
+
+    /// Takes the items that have expired by now, by tick and within one in the order of scheduling.
+    pub fn take_expired(&mut self, now: Nanos) -> Vec<T> {
+        let target_tick = now / TICK;
+        let mut expired = Vec::new();
+        while self.current_tick < target_tick {
+            if self.timer_count == 0 {
+                self.current_tick = target_tick;
+                break;
+            }
+            self.current_tick += 1;
+            self.expire_current_tick(&mut expired);
+        }
+        expired
+    }
+
+    fn expire_current_tick(&mut self, expired: &mut Vec<T>) {
+        let slot = &mut self.slots[slot_index(self.current_tick)];
+        for timer in std::mem::take(slot) {
+            if timer.expires_at_tick <= self.current_tick {
+                expired.push(timer.item);
+                self.timer_count -= 1;
+            } else {
+                slot.push(timer);
+            }
+        }
+    }
+
+    /// How long the event loop may sleep.
+    pub fn time_until_next(&self, now: Nanos) -> Nanos {
+        let ticks_ahead = (1..=SLOT_COUNT as u64)
+            .find(|ahead| !self.slots[slot_index(self.current_tick + ahead)].is_empty())
+            .unwrap_or(SLOT_COUNT as u64);
+        ((self.current_tick + ticks_ahead) * TICK).saturating_sub(now)
+    }
+}
+
+fn slot_index(tick: u64) -> usize {
+    tick as usize % SLOT_COUNT
+}
+
+#[cfg(test)]
+mod tests;
