--- /dev/null
+++ b/src/policy/server.rs
@@ -0,0 +1,116 @@
+//! The state of each server, and the table of all servers.
+
+use crate::resilience::{InFlight, ServerHealth};
+use crate::vocabulary::{Endpoint, ListKind, Nanos, RequestId, ServerAttributes, ServerId, Status};
+use serde::{Deserialize, Serialize};
+
+/// One server. Its serialized form is handed over to other versions of this program: its names stay.
+#[derive(Default, Deserialize, Serialize)]
+pub(super) struct Server {
+    #[serde(flatten)]
+    pub attributes: ServerAttributes,
+    #[serde(skip)]
+    status: Status,
+    #[serde(skip)]
+    pub in_flight: InFlight,
+    #[serde(flatten)]
+    pub health: ServerHealth,
+}
+
+impl Server {
+    fn update(&mut self, endpoint: &Endpoint, cached: bool) {
+        self.health.on_listed(cached, endpoint.started_at != self.attributes.started_at);
+        self.attributes = ServerAttributes::from(endpoint);
+        self.status = endpoint.status;
+    }
+}
+
+/// All servers that were ever listed, by id.
+#[derive(Default)]
+pub(super) struct ServerTable {
+    servers: Vec<Server>,
+    serving: Vec<ServerId>,
+    /// Sum of the nominal capacities of those that serve.
+    total_nominal: f64,
+    in_flight: u32,
+}
+
+impl ServerTable {
+    /// A server that was listed. Panics for any other.
+    pub fn get(&self, server: ServerId) -> &Server {
+        &self.servers[server.index()]
+    }
+
+    pub fn find(&self, server: ServerId) -> Option<&Server> {
+        self.servers.get(server.index())
+    }
+
+    pub fn health_mut(&mut self, server: ServerId) -> Option<&mut ServerHealth> {
+        self.servers.get_mut(server.index()).map(|server| &mut server.health)
+    }
+
+    /// The servers that serve, in the order of their ids.
+    pub fn serving(&self) -> &[ServerId] {
+        &self.serving
+    }
+
+    pub fn total_nominal(&self) -> f64 {
+        self.total_nominal
+    }
+
+    /// The number of this node's attempts and connections at all servers.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
+    }
+
+    /// Applies a list from the cache or from discovery.
+    pub fn apply_list(&mut self, kind: ListKind, endpoints: &[Endpoint]) {
+        if matches!(kind, ListKind::Saved | ListKind::Full) {
+            self.servers.iter_mut().for_each(|server| server.status = Status::Removed);
+        }
+        self.servers.iter_mut().for_each(|server| server.health.confirm());
+        for endpoint in endpoints {
+            let index = endpoint.server.index();
+            if self.servers.len() <= index {
+                self.servers.resize_with(index + 1, Server::default);
+            }
+            self.servers[index].update(endpoint, kind == ListKind::Saved);
+        }
+        let is_serving = |index: &usize| self.servers[*index].status == Status::Serving;
+        let serving = (0..self.servers.len()).filter(is_serving);
+        self.serving = serving.map(|index| ServerId(index as u32)).collect();
+        self.total_nominal = self.serving.iter().map(|server| self.get(*server).attributes.nominal).sum();
+    }
+
+    /// Counts an attempt or connection at a server.
+    pub fn reserve(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: Nanos) {
+        if let Some(server) = self.servers.get_mut(server.index()) {
+            server.in_flight.insert(id, group);
+            server.health.on_sent(now);
+            self.in_flight += 1;
+        }
+    }
+
+    /// An attempt or connection at a server has ended.
+    pub fn release(&mut self, server: ServerId, id: RequestId, group: Option<u64>) {
+        let server = self.servers.get_mut(server.index());
+        if server.is_some_and(|server| server.in_flight.remove(id, group)) {
+            self.in_flight -= 1;
+        }
+    }
+
+    /// The state that a handover transfers.
+    pub fn snapshot(&self) -> &[Server] {
+        &self.servers
+    }
+
+    /// Takes over the state of the servers that are listed here too. Others are ignored.
+    pub fn restore(&mut self, servers: Vec<Server>) {
+        for restored in servers {
+            let key = |server: &Server| (server.attributes.tag, server.attributes.started_at);
+            if let Some(known) = self.servers.iter_mut().find(|known| key(known) == key(&restored)) {
+                *known = Server { status: known.status, ..restored };
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/resilience/server_health.rs
@@ -0,0 +1,129 @@
+//! What a node has observed of one server's health: ejection, latency, resets, and when it last sent there.
+//!
+//! The serialized form is handed over to other versions of this program: its names stay.
+
+use super::latency_overload::LatencyOverload;
+use super::outlier::OutlierState;
+use super::recent_resets::RecentResets;
+use super::slow_start::ServerRamp;
+use crate::vocabulary::{Nanos, Settings};
+use serde::{Deserialize, Serialize};
+
+/// The health of one server.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
+pub struct ServerHealth {
+    #[serde(flatten)]
+    latency: LatencyOverload,
+    #[serde(rename = "sent_at")]
+    last_sent_at: Nanos,
+    #[serde(flatten)]
+    resets: RecentResets,
+    #[serde(rename = "trust")]
+    outlier: OutlierState,
+    /// The fraction of the connections to migrate if the health check in progress finds the server over capacity;
+    /// zero while none is in progress.
+    #[serde(skip)]
+    pending_migration: f64,
+}
+
+/// The response to a latency report.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum LatencyResponse {
+    /// Nothing is to be done.
+    None,
+    /// A health check decides whether to migrate.
+    CheckHealth,
+    /// This fraction of the connections is to be migrated.
+    Migrate(f64),
+}
+
+impl ServerHealth {
+    /// A list contains the server: a cached one, or one from discovery. `restarted` tells that the list has another
+    /// start time than before.
+    pub fn on_listed(&mut self, cached: bool, restarted: bool) {
+        if restarted {
+            self.resets.clear();
+            self.outlier.reset();
+        }
+        self.outlier.on_listed(cached);
+    }
+
+    /// Discovery has sent a list: the cached entries that it did not remove exist.
+    pub fn confirm(&mut self) {
+        self.outlier.confirm();
+    }
+
+    /// Whether the server may be only an old entry of a cached list.
+    pub fn is_unconfirmed(&self) -> bool {
+        self.outlier.is_unconfirmed()
+    }
+
+    /// Whether attempts may be sent there now: it is neither ejected nor overloaded.
+    pub fn is_available(&self, now: Nanos) -> bool {
+        !self.latency.is_overloaded(now) && !self.outlier.is_ejected(now)
+    }
+
+    /// Whether it takes one more attempt beside those in flight. An unconfirmed server takes one at a time.
+    pub fn admits_another(&self, in_flight: usize) -> bool {
+        self.outlier.admits_another(in_flight)
+    }
+
+    /// The established connections that it reset lately; decays with time.
+    pub fn recent_resets(&self, now: Nanos) -> f64 {
+        self.resets.count(now)
+    }
+
+    /// Its input to the slow start.
+    pub fn ramp(&self, capacity_factor: f64, nominal: f64) -> ServerRamp {
+        let recovering_until = self.latency.recovering_until();
+        ServerRamp { capacity_factor, nominal, recovering_until, last_sent_at: self.last_sent_at }
+    }
+
+    /// An attempt was sent there.
+    pub fn on_sent(&mut self, now: Nanos) {
+        self.last_sent_at = now;
+    }
+
+    /// An attempt succeeded, or a connection was established before this process started.
+    pub fn on_success(&mut self) {
+        self.outlier.on_success();
+    }
+
+    /// An attempt failed; see [`OutlierState::on_failure`].
+    pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
+        self.outlier.on_failure(now, roll, answered);
+    }
+
+    /// An established connection was reset: it was more than the server can take.
+    pub fn on_reset(&mut self, now: Nanos) {
+        self.resets.record(now);
+    }
+
+    /// Records a latency report. The strictest objective of all classes counts. A single report above it may be a
+    /// stall: where health checks are possible, one decides.
+    pub fn on_latency_report(&mut self, settings: &Settings, now: Nanos, latency: Nanos) -> LatencyResponse {
+        let objectives = settings.classes.iter().filter_map(|class| class.message_latency_objective);
+        let Some(objective) = objectives.min() else { return LatencyResponse::None };
+        let demand = self.latency.on_report(now, latency, objective, settings.slow_start_duration);
+        let Some(demand) = demand else { return LatencyResponse::None };
+        if demand.is_confirmed || !settings.probes {
+            return LatencyResponse::Migrate(demand.fraction);
+        }
+        let is_checking = self.pending_migration != 0.0;
+        self.pending_migration = demand.fraction;
+        if is_checking {
+            LatencyResponse::None
+        } else {
+            LatencyResponse::CheckHealth
+        }
+    }
+
+    /// The result of a health check. Returns the fraction of the connections to migrate.
+    pub fn on_health_check(&mut self, utilization: Option<f64>) -> Option<f64> {
+        let fraction = std::mem::take(&mut self.pending_migration);
+        utilization.is_some_and(|utilization| utilization > 1.0).then_some(fraction)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/vocabulary/mod.rs
+++ b/src/vocabulary/mod.rs
@@ -9,7 +9,7 @@
 mod settings;
 
 pub use action::Action;
-pub use endpoint::{Endpoint, ListKind, Status};
+pub use endpoint::{Endpoint, ListKind, Location, ServerAttributes, Status};
 pub use event::{Arrival, Event, Outcome};
 pub use id::{RequestId, ServerId};
 pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError};
