--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -658,13 +658,8 @@
             Ask::On(token) => token,
             Ask::Dial => {
                 let addr = ctx.registry.entry(server).map(|r| r.addr());
-<<<<<<< HEAD
-                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, utilization: None });
-=======
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, SocketOwner::Front(TEXT))) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
->>>>>>> main
+                    return ctx.requests.tell(Event::HealthCheckResult { server, utilization: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
