--- a/tests/policy_rules.rs
+++ b/tests/policy_rules.rs
@@ -79,6 +79,22 @@
     assert_eq!(drawn(&mut next), 0, "what cannot be read changes nothing");
 }
 
+/// What a process of version 00677b7 wrote of four servers that were listed at first and two that came later, one of
+/// them with a gap in the numbers before it.
+const SNAPSHOT_00677B7: &str = include_str!("fixtures/server-state-00677b7.json");
+
+#[test]
+fn a_snapshot_of_version_00677b7_is_read_and_written_back_identically() {
+    let snapshot = SNAPSHOT_00677B7.trim_end();
+    let mut node = Node::new(1, settings(), serving(4));
+    let started = member(1, 92 * S + 123, Status::Serving);
+    let later = vec![started, member(5, 0, Status::Serving)];
+    node.tell(Event::EndpointList(ListKind::Incremental, later));
+    assert_ne!(node.balancer.state_snapshot(), snapshot);
+    node.balancer.restore_state(snapshot).expect("it is read");
+    assert_eq!(node.balancer.state_snapshot(), snapshot);
+}
+
 /// Eight set-ups are out when a hall is lost: the window closes once for that, not eight times.
 #[test]
 fn what_was_sent_before_the_node_slowed_down_tells_nothing_new() {
