--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -6,7 +6,7 @@
 use super::migration::Migration;
 use super::request::{Phase, Request, Requests};
 use super::selection::Selection;
-use super::server::{Server, ServerTable};
+use super::server::{Server, ServerSet};
 use crate::random::{mix64, uniform_up_to, Rng};
 use crate::resilience::{request_backoff_limit, EndpointSubscription, FillTarget, FleetLimits, SlowStart};
 use crate::resilience::{Admission, RetryAdmission};
@@ -21,7 +21,7 @@
     now: Nanos,
     rng: Rng,
     salt: u64,
-    servers: ServerTable,
+    servers: ServerSet,
     requests: Requests,
     admission: RetryAdmission,
     subscription: EndpointSubscription,
@@ -42,7 +42,7 @@
             now: 0,
             rng: Rng::from_seed(seed),
             salt: mix64(seed),
-            servers: ServerTable::default(),
+            servers: ServerSet::default(),
             requests: Requests::new(),
             admission: RetryAdmission::default(),
             subscription: EndpointSubscription::default(),
@@ -154,7 +154,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.phase {
             Phase::BackingOff => {
-                self.admission.leave_queue(request.queued);
+                self.admission.dequeue(request.queued);
                 self.requests.remove(&id);
             }
             Phase::Attempting if self.settings.may_cancel && !request.is_over => {
@@ -246,7 +246,7 @@
     fn give_up(&mut self, id: RequestId) {
         let queue_delay = self.admission.queue_delay(self.setup_interval());
         let Some(request) = self.requests.remove(&id) else { return };
-        self.admission.leave_queue(request.queued);
+        self.admission.dequeue(request.queued);
         if !request.attempts.may_reject(&self.settings.classes[request.class]) {
             return self.actions.push(Action::Fail(id));
         }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -1,7 +1,7 @@
 //! Migration of connections away from servers whose messages are late.
 
 use super::request::{Phase, Request, Requests};
-use super::server::ServerTable;
+use super::server::ServerSet;
 use crate::random::{mix64, Rng};
 use crate::resilience::{least_valuable, value, Connection, LatencyResponse};
 use crate::vocabulary::{Action, Nanos, RequestId, ServerId, Settings};
@@ -10,7 +10,7 @@
 pub(super) struct Migration<'a> {
     pub now: Nanos,
     pub settings: &'a Settings,
-    pub servers: &'a mut ServerTable,
+    pub servers: &'a mut ServerSet,
     pub requests: &'a mut Requests,
     pub rng: &'a mut Rng,
     pub actions: &'a mut Vec<Action>,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
 //! The decisions: which server an attempt goes to, when a retry is due, what is rejected and migrated.
 //!
-//! [`Balancer`] takes events and returns actions. It builds on the mechanisms in [`crate::resilience`].
+//! [`Balancer`] takes events and gives actions. It builds on the mechanisms in [`crate::resilience`].
 
 mod balancer;
 mod migration;
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -39,7 +39,7 @@
     pub queued: bool,
     /// Load in nanoseconds of work per second; zero if unknown.
     pub cost: Nanos,
-    /// The client is gone or was migrated; kept until its attempt or connection has ended.
+    /// The client is gone or was migrated; the request stays until its attempt or connection has ended.
     pub is_over: bool,
 }
 
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,7 +1,7 @@
 //! Server selection: the least loaded of a few candidates, which are drawn by weighted rendezvous hashing.
 
 use super::request::Request;
-use super::server::{Server, ServerTable};
+use super::server::{Server, ServerSet};
 use crate::random::{mix64, unit_interval};
 use crate::resilience::{deduplicates, rank, FillTarget, LowestRanks, Ranked, SlowStart};
 use crate::vocabulary::{Nanos, ServerId, Settings};
@@ -18,7 +18,7 @@
 pub(super) struct Selection<'a> {
     pub now: Nanos,
     pub settings: &'a Settings,
-    pub servers: &'a ServerTable,
+    pub servers: &'a ServerSet,
     pub slow_start: &'a SlowStart,
     pub fill: FillTarget,
     /// This node's usual number of connections at a server.
@@ -100,7 +100,7 @@
         unit_interval(roll) >= admissible * weight
     }
 
-    /// The load of a candidate for its capacity, as if it had the request. The rank stands for the request
+    /// The load of a candidate for its capacity, as if it had the request. The rank counts for the request
     /// itself: where this node has few connections it decides, so that nodes together spread by capacity.
     fn load_score(&self, request: &Request, candidate: &Ranked<ServerId>) -> f64 {
         let server = self.servers.get(candidate.item);
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,4 +1,4 @@
-//! The state of each server, and the table of all servers.
+//! The state of each server, and the set of all servers.
 
 use crate::resilience::{InFlight, ServerHealth};
 use crate::vocabulary::{Endpoint, ListKind, Nanos, RequestId, ServerAttributes, ServerId, Status};
@@ -27,7 +27,7 @@
 
 /// All servers that were ever listed, by id.
 #[derive(Default)]
-pub(super) struct ServerTable {
+pub(super) struct ServerSet {
     servers: Vec<Server>,
     serving: Vec<ServerId>,
     /// Sum of the nominal capacities of those that serve.
@@ -35,7 +35,7 @@
     in_flight: u32,
 }
 
-impl ServerTable {
+impl ServerSet {
     /// A server that was listed. Panics for any other.
     pub fn get(&self, server: ServerId) -> &Server {
         &self.servers[server.index()]
--- a/src/resilience/endpoint_subscription.rs
+++ b/src/resilience/endpoint_subscription.rs
@@ -37,7 +37,7 @@
         token == self.timer && !self.subscribed
     }
 
-    /// A list has come, or a poll has failed. Returns whether an established subscription is lost.
+    /// A list has come, or a poll has failed. True if an established subscription is lost.
     pub fn on_list(&mut self, kind: ListKind) -> bool {
         match kind {
             ListKind::Failed => std::mem::take(&mut self.subscribed),
--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -1,6 +1,6 @@
-//! This node's part of the limits that all nodes of the fleet share, by the settings and by its own load.
+//! This node's share of the limits that all nodes of the fleet share, by the settings and by its own load.
 //!
-//! What is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a part of
+//! What is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a share of
 //! the fleet's limits that it derives from the settings.
 
 use crate::vocabulary::{Nanos, Settings};
@@ -20,7 +20,7 @@
 /// Clients wait at least this long, in seconds, in the estimate of the set-ups that idle nodes make at once.
 const MIN_CLIENT_WAIT_SECONDS: f64 = 0.1;
 
-/// The fleet's limits, and this node's part of them.
+/// The fleet's limits, and this node's share of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FleetLimits {
     nodes: f64,
@@ -54,7 +54,7 @@
     }
 
     /// The interval between this node's connection set-ups at which all nodes together keep to the fleet's rate, if
-    /// this node uses `rate_fraction` of its part. Zero, which is no limit, if the rate is unknown or
+    /// this node uses `rate_fraction` of its share. Zero, which is no limit, if the rate is unknown or
     /// `rate_fraction` is `None`.
     pub fn setup_interval(&self, requests: usize, rate_fraction: Option<f64>) -> Nanos {
         let rate = self.setups_per_second * self.load_share(requests) * rate_fraction.unwrap_or(0.0);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// This node's part of the connections that fill all servers. Where the quotas are unknown, the attempts and
+    /// This node's share of the connections that fill all servers. Where the quotas are unknown, the attempts and
     /// connections that it has count in their place.
     pub fn full_connections(&self, requests: usize, in_flight: u32) -> f64 {
         if self.quota_connections > 0.0 {
@@ -86,7 +86,7 @@
 }
 
 /// Connection set-ups per second that this many nodes may make together. Each idle node makes one at once, within the
-/// time that a client waits: that part of the rate is spent beforehand.
+/// time that a client waits: that much of the rate is spent beforehand.
 fn fleet_setup_rate(nodes: f64, quota_rate: f64, wait_seconds: f64) -> f64 {
     let spent = nodes / wait_seconds.max(MIN_CLIENT_WAIT_SECONDS);
     (MAX_SETUP_MULTIPLE * quota_rate - spent).max(MIN_SETUP_MULTIPLE * quota_rate)
--- a/src/resilience/fleet_limits/tests.rs
+++ b/src/resilience/fleet_limits/tests.rs
@@ -25,7 +25,7 @@
 #[case(100.0, 10.0, 40.0)]
 #[case(3.0, 16.0, 125.5)]
 #[case(3.0, 0.0, 0.0)]
-fn many_nodes_leave_less_to_the_paced_rate(#[case] nodes: f64, #[case] rate: f64, #[case] all: f64) {
+fn many_nodes_reduce_the_paced_rate(#[case] nodes: f64, #[case] rate: f64, #[case] all: f64) {
     assert_eq!(fleet_setup_rate(nodes, rate, 1.2), all);
 }
 
--- a/src/resilience/in_flight.rs
+++ b/src/resilience/in_flight.rs
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Removes a request, which has the same group as when it was added. Returns whether it was in flight.
+    /// Removes a request, which has the same group as when it was added. True if it was in flight.
     pub fn remove(&mut self, id: RequestId, group: Option<u64>) -> bool {
         if !self.requests.remove(&id) {
             return false;
--- a/src/resilience/latency_overload.rs
+++ b/src/resilience/latency_overload.rs
@@ -1,7 +1,7 @@
 //! Overload detection by message latency, for one server.
 //!
 //! A server that reports high latency gets nothing new until a report says that the overload is over or is overdue,
-//! and is then filled slowly. While its latency is above the objective and does not fall, a part of its connections
+//! and is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
 //! is to be migrated.
 
 use crate::vocabulary::Nanos;
@@ -19,7 +19,7 @@
 const BACKLOG_MIGRATION: f64 = 0.15;
 /// The largest fraction that is migrated for the growth of the latency.
 const MAX_GROWTH_MIGRATION: f64 = 0.3;
-/// A latency that is lower by more than one part in this many is falling.
+/// A latency that is lower by more than one in this many is falling.
 const FALLING_DIVISOR: Nanos = 16;
 
 /// The latency state of one server.
@@ -54,7 +54,7 @@
         self.recovering_until
     }
 
-    /// Records a report. Returns what to migrate if the latency is above the objective and not falling.
+    /// Records a report. Gives what to migrate if the latency is above the objective and not falling.
     pub fn on_report(
         &mut self,
         now: Nanos,
--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -9,7 +9,7 @@
 /// Polls of the machine's own agent cost nothing: the delay only bounds the rate at which a dead agent is polled.
 const AGENT_BASE_DELAY: Nanos = 10_000_000;
 const AGENT_MAX_DELAY: Nanos = 200_000_000;
-/// The first delay, as a part of [`Settings::poll_within`].
+/// The first delay is [`Settings::poll_within`] divided by this.
 const BASE_DELAY_DIVISOR: Nanos = 16;
 
 /// The longest delay before the next poll, after this many polls in a row that failed. `None` where changes are
--- a/src/resilience/rendezvous/tests.rs
+++ b/src/resilience/rendezvous/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn the_lowest_ranks_are_kept_in_order() {
+fn the_lowest_ranks_come_in_order() {
     assert_eq!(items(&[5.0, 1.0, 4.0, 2.0, 3.0], 3), [1, 3, 4]);
     assert_eq!(items(&[1.0, 1.0, 1.0], 2), [0, 1], "of equal ranks the first ones");
     assert_eq!(items(&[2.0, 1.0], 3), [1, 0]);
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -86,7 +86,7 @@
     /// Decides whether a request may be sent now. `was_queued` tells whether the last decision on it was
     /// [`Admission::Queued`].
     pub fn decide(&mut self, now: Nanos, is_retry: bool, was_queued: bool) -> Admission {
-        self.leave_queue(was_queued);
+        self.dequeue(was_queued);
         let is_full = self.in_flight >= self.window.max(1.0) as u32;
         let is_paced = self.throttled && now < self.next_at;
         if is_retry && (is_full || is_paced) {
@@ -108,7 +108,7 @@
     }
 
     /// A request ends without having been sent; `was_queued` tells whether it was queued.
-    pub fn leave_queue(&mut self, was_queued: bool) {
+    pub fn dequeue(&mut self, was_queued: bool) {
         self.queued = self.queued.saturating_sub(u32::from(was_queued));
     }
 
--- a/src/resilience/retry_admission/tests.rs
+++ b/src/resilience/retry_admission/tests.rs
@@ -58,6 +58,6 @@
     assert!(!admission.misses_deadline(500, 100, 320), "the interval is over: it may be sent");
     assert_eq!(admission.on_attempt_ended(Outcome::ConnectFailed, 500, 500), None);
     assert_eq!(admission.decide(500, true, true), Admission::Admitted);
-    admission.leave_queue(true);
+    admission.dequeue(true);
     assert_eq!(admission.queue_delay(100), 100, "one of three is left");
 }
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The result of a health check. Returns the fraction of the connections to migrate.
+    /// The result of a health check. Gives the fraction of the connections to migrate.
     pub fn on_health_check(&mut self, utilization: Option<f64>) -> Option<f64> {
         let fraction = std::mem::take(&mut self.pending_migration);
         utilization.is_some_and(|utilization| utilization > 1.0).then_some(fraction)
--- a/src/resilience/slow_start.rs
+++ b/src/resilience/slow_start.rs
@@ -1,6 +1,6 @@
 //! Slow start: how many placements a server admits that is warming up, or that recovers from overload.
 //!
-//! Each node admits its own part of what fills the server, so that all nodes together fill it no faster than it can
+//! Each node admits its own share of what fills the server, so that all nodes together fill it no faster than it can
 //! take. A server that is warming up is filled over its warm-up, one that was overloaded over [`RECOVERY_TIME`].
 
 use crate::vocabulary::{Nanos, Settings};
@@ -21,7 +21,7 @@
 /// The load that servers are filled with, the same for all servers in one selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FillTarget {
-    /// This node's part of the connections that fill all serving servers.
+    /// This node's share of the connections that fill all serving servers.
     pub connections: f64,
     /// Sum of the nominal capacities of all serving servers.
     pub total_nominal: f64,
--- a/src/resilience/slow_start/tests.rs
+++ b/src/resilience/slow_start/tests.rs
@@ -26,7 +26,7 @@
     assert_eq!(SLOW_START.admissible_fraction(NOW, &ramp(1.0), &TARGET), f64::INFINITY);
 }
 
-/// Its part of the target is ten connections over ten seconds; at half capacity it takes three halves of that.
+/// Its share of the target is ten connections over ten seconds; at half capacity it takes three halves of that.
 #[test]
 fn a_server_that_warms_up_admits_what_fills_it_over_its_warm_up() {
     let per_second = SLOW_START.admissible_fraction(NOW, &ramp(0.5), &TARGET);
--- a/src/vocabulary/action.rs
+++ b/src/vocabulary/action.rs
@@ -1,8 +1,8 @@
-//! What the balancer asks a node to do.
+//! What the balancer wants a node to do.
 
 use super::{Nanos, RequestId, ServerId};
 
-/// What the balancer asks a node to do. Actions are carried out in the order given.
+/// What the balancer wants a node to do. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
--- a/src/vocabulary/event.rs
+++ b/src/vocabulary/event.rs
@@ -7,7 +7,7 @@
 pub enum Outcome {
     /// Served.
     Ok,
-    /// The server answered with an error; the request may have run. Also stands for unknown status codes.
+    /// The server answered with an error; the request may have run. Also used for unknown status codes.
     Error,
     /// The server rejected the request before running it.
     Rejected,
--- a/src/vocabulary/mod.rs
+++ b/src/vocabulary/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary that the whole program shares: settings, endpoints, and the events and actions of the balancer.
+//! The vocabulary that all of the program shares: settings, endpoints, and the events and actions of the balancer.
 //!
 //! All times are nanoseconds on the node's own monotonic clock. Nothing here decides anything.
 
