--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings and events for the tests of the module.
+//! Settings, events and a node for the tests of the policy.
 #![allow(dead_code)]
 
 use sparbank::vocabulary::{
@@ -11,19 +11,18 @@
 pub const SECOND: Nanos = 1_000_000_000;
 
 pub fn class(effect: Effect, dedup_scope: DedupScope) -> RequestClass {
-    let (objective, hard_limit, dedup_window) = (300 * MILLIS, 2 * SECOND, 800 * MILLIS);
     RequestClass {
-        objective,
-        hard_limit,
+        objective: 300 * MILLIS,
+        hard_limit: 2 * SECOND,
         effect,
         dedup_scope,
-        dedup_window,
+        dedup_window: 800 * MILLIS,
         priority_weight: 1.0,
         message_latency_objective: Some(100 * MILLIS),
     }
 }
 
-/// Three classes: safe to repeat, keyed within a zone, unsafe.
+/// Three classes: read-like, idempotent with a key within a zone, non-idempotent.
 pub fn settings() -> Settings {
     Settings {
         instances: 10,
@@ -67,7 +66,7 @@
     (0..servers).map(|server| endpoint(server, 0, Status::Serving)).collect()
 }
 
-/// Servers of the node's own hall: what crosses halls has a price, and counts in a pick.
+/// Servers of the node's own zone: crossing zones has a cost, which counts in the selection.
 pub fn same_zone_endpoints(servers: u32) -> Vec<Endpoint> {
     serving_endpoints(servers).into_iter().map(|m| Endpoint { zone: settings().zone, ..m }).collect()
 }
@@ -92,10 +91,10 @@
 }
 
 impl Node {
-    pub fn new(seed: u64, settings: Settings, members: Vec<Endpoint>) -> Node {
+    pub fn new(seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Node {
         let balancer = Balancer::new(seed, settings).expect("settings are right");
         let mut node = Node { balancer, now: 100 * SECOND };
-        node.handle(Event::EndpointList(ListKind::Saved, members));
+        node.handle(Event::EndpointList(ListKind::Saved, endpoints));
         node
     }
 
@@ -118,9 +117,9 @@
         self.handle(Event::Established { id: RequestId(id), server, setup_time: 20 * MILLIS });
     }
 
-    /// Lets the timer that these actions ask for come due, and gives what follows.
+    /// Lets the timer that these actions set elapse, and gives the actions that follow.
     pub fn elapse_timer(&mut self, actions: &[Action]) -> Vec<Action> {
-        let (after, token) = requested_timer(actions).expect("a timer was asked for");
+        let (after, token) = requested_timer(actions).expect("a timer was set");
         self.now += after;
         self.handle(Event::Timer(token))
     }
@@ -140,7 +139,7 @@
     })
 }
 
-/// A hundred nodes in a fleet whose shares allow ten new connections a second and 500 standing ones.
+/// A hundred nodes in a fleet whose quotas allow ten new connections per second and 500 connections.
 pub fn large_fleet_settings() -> Settings {
     Settings { instances: 100, quota_setups_per_second: 10.0, quota_connections: 500.0, ..settings() }
 }
--- a/tests/policy_rules/deduplication.rs
+++ b/tests/policy_rules/deduplication.rs
@@ -26,8 +26,8 @@
     }
 }
 
-/// A keyed request's line goes out once its connection is up: a second copy whose connection may come up after the
-/// window must not begin inside it.
+/// A request is sent once its connection is established: a repeat whose connection may be established only after the
+/// window must not start inside it.
 #[test]
 fn a_repeat_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
     let slow = Settings { dial_timeout: 250 * MILLIS, ..settings() };
@@ -48,6 +48,6 @@
     }
     assert!(
         (750 * MILLIS..800 * MILLIS).contains(&latest),
-        "the last copy may go out {latest} ns after the first"
+        "the last repeat may be sent {latest} ns after the first"
     );
 }
--- a/tests/policy_rules/endpoint_list.rs
+++ b/tests/policy_rules/endpoint_list.rs
@@ -20,8 +20,8 @@
     }
 }
 
-/// However many calls have failed and whatever the settings allow after that, the next one is due soon enough that a
-/// change is known 6 s after discovery could be reached: 2 s for a call that is given up, the sleep, an answer.
+/// However many polls have failed and whatever the settings allow after that, the next one is due soon enough that a
+/// change is known 6 s after discovery could be reached: 2 s for a poll that times out, the backoff, an answer.
 #[test]
 fn the_next_poll_is_due_within_the_notification_time() {
     let cases = [
@@ -30,12 +30,12 @@
         (Discovery::LocalAgent, 60 * SECOND, 200 * MILLIS),
     ];
     for (discovery, poll_within, most) in cases {
-        let asks = Settings { discovery, poll_within, ..settings() };
+        let polled = Settings { discovery, poll_within, ..settings() };
         for seed in 0..50 {
-            let mut node = Node::new(seed, asks.clone(), serving_endpoints(3));
+            let mut node = Node::new(seed, polled.clone(), serving_endpoints(3));
             for failed in 0..20 {
                 let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
-                let (after, token) = requested_timer(&actions).expect("it asks again");
+                let (after, token) = requested_timer(&actions).expect("it polls again");
                 assert!(after <= most, "{discovery:?}: {after} ns after {failed} failures");
                 node.now += after;
                 assert_eq!(node.handle(Event::Timer(token)), [Action::Subscribe]);
@@ -44,24 +44,24 @@
     }
     let mut node = Node::new(1, settings(), serving_endpoints(3));
     let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
-    assert!(requested_timer(&actions).is_none(), "unasked lists are not asked for");
+    assert!(requested_timer(&actions).is_none(), "pushed lists are not polled");
 }
 
 #[test]
 fn nodes_poll_at_different_times_and_again_after_a_failure() {
-    let ask = Settings { discovery: Discovery::Polled, ..settings() };
+    let polled = Settings { discovery: Discovery::Polled, ..settings() };
     let mut first = Vec::new();
     for seed in 0..50 {
-        let mut node = Node::new(seed, ask.clone(), serving_endpoints(3));
+        let mut node = Node::new(seed, polled.clone(), serving_endpoints(3));
         let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
-        let (after, token) = requested_timer(&actions).expect("it asks later");
+        let (after, token) = requested_timer(&actions).expect("it polls later");
         first.push(after);
         node.now += after;
         assert_eq!(node.handle(Event::Timer(token)), [Action::Subscribe]);
-        assert!(attempted_server(&node.request(1, 0)).is_some(), "the last list is kept in an outage");
+        assert!(attempted_server(&node.request(1, 0)).is_some(), "the last list stays in force in an outage");
     }
     first.sort_unstable();
     first.dedup();
     assert!(first.len() > 40, "no stampede");
-    assert!(first.iter().all(|after| *after <= 10 * SECOND), "asked before it is deemed told");
+    assert!(first.iter().all(|after| *after <= 10 * SECOND), "it polls before it counts as notified");
 }
--- a/tests/policy_rules/final_answer.rs
+++ b/tests/policy_rules/final_answer.rs
@@ -26,32 +26,32 @@
         }
         answers += final_answers(&actions);
     }
-    assert_eq!((answers, attempts), (1, 3), "a silent server costs one slice of the time");
+    assert_eq!((answers, attempts), (1, 3), "a server that does not answer costs one attempt's timeout");
     assert!(node.now - start <= 2 * SECOND);
 }
 
 #[test]
 fn without_a_serving_server_a_request_is_rejected_by_its_deadline() {
     let draining = (0..4).map(|server| endpoint(server, 0, Status::Draining)).collect();
-    for members in [vec![], draining] {
-        let mut node = Node::new(1, settings(), members);
+    for endpoints in [vec![], draining] {
+        let mut node = Node::new(1, settings(), endpoints);
         let start = node.now;
         let mut actions = node.request(1, 2);
         while final_answers(&actions) == 0 {
             assert_eq!(attempted_server(&actions), None);
             actions = node.elapse_timer(&actions);
         }
-        assert!(matches!(actions[..], [Action::Reject { .. }]), "nothing ran: a refusal is true");
+        assert!(matches!(actions[..], [Action::Reject { .. }]), "nothing ran: a rejection is safe");
         assert!(node.now - start <= 2 * SECOND);
     }
 }
 
-/// Found on the first standard days: a timer may come a rounding early, and the sleeper was lost.
+/// Found on the first standard days: a timer may elapse a rounding error early, and the request was lost.
 #[test]
 fn a_timer_that_elapses_early_is_not_lost() {
     let mut node = Node::new(1, settings(), vec![]);
     let actions = node.request(1, 0);
-    let (after, token) = requested_timer(&actions).expect("a sleep");
+    let (after, token) = requested_timer(&actions).expect("a backoff");
     node.now += after.saturating_sub(1);
     assert!(!node.handle(Event::Timer(token)).is_empty());
 }
--- a/tests/policy_rules/invalid_input.rs
+++ b/tests/policy_rules/invalid_input.rs
@@ -7,25 +7,31 @@
 
 #[test]
 fn invalid_settings_are_rejected_by_name() {
-    let refused = |settings: Settings| sparbank::Balancer::new(1, settings).err().map(|e| e.field);
-    assert_eq!(refused(Settings { classes: vec![], ..settings() }), Some("classes"));
-    assert_eq!(refused(Settings { max_attempts: 0, ..settings() }), Some("max_attempts"));
-    assert_eq!(refused(Settings { instances: 0, ..settings() }), Some("instances"));
-    assert_eq!(refused(Settings { slow_start_floor: f64::NAN, ..settings() }), Some("cold_from"));
-    assert_eq!(refused(Settings { overload_multiple: -1.0, ..settings() }), Some("fall_multiple"));
-    assert_eq!(refused(settings()), None);
+    let rejected_field = |settings: Settings| sparbank::Balancer::new(1, settings).err().map(|e| e.field);
+    assert_eq!(rejected_field(Settings { classes: vec![], ..settings() }), Some("classes"));
+    assert_eq!(rejected_field(Settings { max_attempts: 0, ..settings() }), Some("max_attempts"));
+    assert_eq!(rejected_field(Settings { instances: 0, ..settings() }), Some("instances"));
+    assert_eq!(rejected_field(Settings { slow_start_floor: f64::NAN, ..settings() }), Some("cold_from"));
+    assert_eq!(rejected_field(Settings { overload_multiple: -1.0, ..settings() }), Some("fall_multiple"));
+    assert_eq!(rejected_field(settings()), None);
 }
 
 #[test]
 fn invalid_lists_clocks_and_ids_do_no_harm() {
     let mut node = Node::new(1, settings(), vec![]);
-    let odd = |server, nominal| Endpoint { nominal, ..endpoint(server, 0, Status::Serving) };
-    let odd = vec![odd(0, 0.0), odd(0, 2.0), odd(1, f64::NAN), odd(2, -1.0), odd(3, f64::INFINITY)];
-    node.handle(Event::EndpointList(ListKind::Full, odd));
+    let invalid = |server, nominal| Endpoint { nominal, ..endpoint(server, 0, Status::Serving) };
+    let endpoints = vec![
+        invalid(0, 0.0),
+        invalid(0, 2.0),
+        invalid(1, f64::NAN),
+        invalid(2, -1.0),
+        invalid(3, f64::INFINITY),
+    ];
+    node.handle(Event::EndpointList(ListKind::Full, endpoints));
     for id in 0..20 {
         assert!(
             attempted_server(&node.request(id, 7)).is_some(),
-            "a clock that stands still, a class unheard of"
+            "a clock that does not advance, an unknown class"
         );
     }
     assert_eq!(node.handle(Event::ClientDisconnected(RequestId(12345))), []);
@@ -37,10 +43,10 @@
     node.request(21, 0);
     node.now = u64::MAX - 1;
     node.handle(Event::Request(Arrival { time_left: u64::MAX, ..arrival(22, 0) }));
-    for again in 0..5 {
+    for earlier in 0..5 {
         node.handle(Event::EndpointList(
             ListKind::Incremental,
-            vec![endpoint(0, node.now - again, Status::Serving)],
+            vec![endpoint(0, node.now - earlier, Status::Serving)],
         ));
     }
     let many = Node::new(1, settings(), serving_endpoints(5000)).request(1, 0);
--- a/tests/policy_rules/large_fleet.rs
+++ b/tests/policy_rules/large_fleet.rs
@@ -5,21 +5,21 @@
     SECOND,
 };
 use sparbank::vocabulary::{Action, Arrival, Endpoint, Event, Nanos, Outcome, ServerId};
+use std::cmp::Reverse;
+use std::collections::BinaryHeap;
 
-/// Plays one node until all its requests are over, each attempt failing after `fails` has passed. Gives
-/// the times at which attempts went out.
-fn attempt_times(node: &mut Node, requests: Vec<Arrival>, fails: Nanos) -> Vec<Nanos> {
-    let mut due: std::collections::BinaryHeap<std::cmp::Reverse<(Nanos, u64, u32)>> = Default::default();
+/// Runs one node until all its requests are over, where each attempt times out after `time_to_fail`. Gives the times
+/// at which attempts were started.
+fn attempt_times(node: &mut Node, requests: Vec<Arrival>, time_to_fail: Nanos) -> Vec<Nanos> {
+    let mut due: BinaryHeap<Reverse<(Nanos, u64, u32)>> = BinaryHeap::new();
     let mut sent = Vec::new();
-    let mut take = |actions: Vec<Action>, now: Nanos, due: &mut std::collections::BinaryHeap<_>| {
+    let mut schedule = |actions: Vec<Action>, now: Nanos, due: &mut BinaryHeap<_>| {
         for action in actions {
             match action {
-                Action::SetTimer { after, token } => {
-                    due.push(std::cmp::Reverse((now + after, token, u32::MAX)))
-                }
+                Action::SetTimer { after, token } => due.push(Reverse((now + after, token, u32::MAX))),
                 Action::StartAttempt { id, server, timeout } => {
                     sent.push(now);
-                    due.push(std::cmp::Reverse((now + fails.min(timeout), id.0, server.0)));
+                    due.push(Reverse((now + time_to_fail.min(timeout), id.0, server.0)));
                 }
                 _ => {}
             }
@@ -27,32 +27,32 @@
     };
     for request in requests {
         let actions = node.handle(Event::Request(request));
-        take(actions, node.now, &mut due);
+        schedule(actions, node.now, &mut due);
     }
-    while let Some(std::cmp::Reverse((at, id, server))) = due.pop() {
+    while let Some(Reverse((at, id, server))) = due.pop() {
         node.now = node.now.max(at);
         let actions = match server {
             u32::MAX => node.handle(Event::Timer(id)),
             server => node.end_attempt(id, ServerId(server), Outcome::Timeout),
         };
-        take(actions, node.now, &mut due);
+        schedule(actions, node.now, &mut due);
     }
     sent
 }
 
-/// Found on a day of the large fleet: a lost hall's clients came back to all nodes within 150 ms, each
-/// attempt timed out at what all servers share, and each node's retries, slow alone, kept 130 a second on it.
-/// A return waits one Full Jitter sleep and goes where nothing else of its node's is out; once set-ups fall
-/// short, those that come again keep to the node's part.
+/// Found on a day of the large fleet: the clients of a lost zone reconnected to all nodes within 150 ms, each attempt
+/// timed out at what all servers share, and the retries of all nodes, few at each, added up to 130 per second there.
+/// A reconnect waits one Full Jitter backoff and is admitted if no other is in flight at its node; a node that is
+/// throttled paces reconnects and retries by its share of the fleet's rate.
 #[test]
 fn a_hundred_nodes_spread_the_set_ups_of_a_reconnect_storm() {
     let mut sent = Vec::new();
     for seed in 0..100 {
         let mut node = Node::new(seed, large_fleet_settings(), serving_endpoints(10));
-        let back = |id| Arrival { reconnect: true, time_left: 1200 * MILLIS, ..arrival(id, 0) };
+        let reconnect = |id| Arrival { reconnect: true, time_left: 1200 * MILLIS, ..arrival(id, 0) };
         let start = node.now;
         sent.extend(
-            attempt_times(&mut node, (1..=6).map(back).collect(), 400 * MILLIS)
+            attempt_times(&mut node, (1..=6).map(reconnect).collect(), 400 * MILLIS)
                 .into_iter()
                 .map(|t| t - start),
         );
@@ -60,7 +60,7 @@
     sent.sort_unstable();
     let most =
         |span: Nanos| sent.iter().map(|t| sent.iter().filter(|u| (*t..*t + span).contains(*u)).count()).max();
-    // With a window of one at a start 100 may be out at once, each for a third of what a client waits.
+    // With a window of one at a start, 100 may be in flight at once, each for a third of what a client waits.
     assert!(sent.len() <= 320, "retries of a failure are paced: {}", sent.len());
     assert!(most(SECOND / 4) <= Some(100), "{:?} in a quarter of a second", most(SECOND / 4));
 }
@@ -75,17 +75,18 @@
     }
 }
 
-/// Found on a day of the large fleet: with a connection or none at each server, all nodes took the largest
-/// of their hall, and the small ones got nothing.
+/// Found on a day of the large fleet: with a connection or none at each server, all nodes took the largest servers
+/// of their zone, and the small ones got nothing.
 #[test]
 fn nodes_without_connections_spread_by_capacity() {
     let sized = |m: Endpoint| Endpoint { nominal: if m.server.0 < 2 { 2.0 } else { 4.0 }, ..m };
-    let members: Vec<_> = same_zone_endpoints(4).into_iter().map(sized).collect();
+    let endpoints: Vec<_> = same_zone_endpoints(4).into_iter().map(sized).collect();
     let mut small = 0;
     for seed in 0..300 {
-        let mut node = Node::new(seed, large_fleet_settings(), members.clone());
-        let one = Arrival { key: Some(seed * 7919), ..arrival(1, 0) };
-        small += usize::from(attempted_server(&node.handle(Event::Request(one))).is_some_and(|s| s.0 < 2));
+        let mut node = Node::new(seed, large_fleet_settings(), endpoints.clone());
+        let request = Arrival { key: Some(seed * 7919), ..arrival(1, 0) };
+        small +=
+            usize::from(attempted_server(&node.handle(Event::Request(request))).is_some_and(|s| s.0 < 2));
     }
     assert!((50..150).contains(&small), "{small} of 300 at a third of the size");
 }
--- a/tests/policy_rules/main.rs
+++ b/tests/policy_rules/main.rs
@@ -1,4 +1,4 @@
-//! The four rules of the policy, each kept by one node alone, and one regression test for each fault found.
+//! The four rules of the policy, each enforced by one node alone, and one regression test for each fault found.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/policy_rules/outliers.rs
+++ b/tests/policy_rules/outliers.rs
@@ -6,11 +6,11 @@
 #[test]
 fn a_server_that_failed_is_ejected_and_tried_again_later() {
     let mut node = Node::new(5, settings(), serving_endpoints(2));
-    let mut fails = |server: ServerId| {
+    let mut report_failure = |server: ServerId| {
         node.handle(Event::AttemptEnded { id: RequestId(999), server, outcome: Outcome::Error, done: false });
     };
-    fails(ServerId(0));
-    // Unknown attempts teach nothing: only an attempt of this node counts.
+    report_failure(ServerId(0));
+    // Attempts that this node did not start have no effect.
     let placed: Vec<_> = (0..40).filter_map(|id| attempted_server(&node.request(id, 0))).collect();
     assert!(placed.contains(&ServerId(0)));
     let mut node = Node::new(5, settings(), serving_endpoints(2));
@@ -21,33 +21,34 @@
     assert!((30..60).any(|id| attempted_server(&node.request(id, 0)) == Some(bad)), "it is tried again");
 }
 
-/// A restarted node knows an old list: an entry that is long gone is hardly asked twice before the newer list
-/// comes, however the connection fails; one that the list names again is drawn at once.
+/// A restarted node has a cached list: a server that is long gone gets about two attempts before the newer list
+/// comes, however the connection fails; one that the newer list contains is a candidate at once.
 #[test]
 fn an_unconfirmed_endpoint_that_failed_stays_ejected_until_a_newer_list() {
     for outcome in [Outcome::ConnectFailed, Outcome::Reset] {
-        let (mut asked, mut at_once) = (0, 0);
+        let mut attempts = 0;
+        let mut at_once = 0;
         for seed in 0..40 {
             let mut node = Node::new(seed, settings(), serving_endpoints(4));
-            let asks = |node: &mut Node, id: u64| {
+            let attempt = |node: &mut Node, id: u64| {
                 node.now += 100 * MILLIS;
-                let server = attempted_server(&node.request(id, 0)).expect("others are there");
+                let server = attempted_server(&node.request(id, 0)).expect("there are others");
                 if server == ServerId(0) {
                     node.end_attempt(id, server, outcome);
                 }
                 u32::from(server == ServerId(0))
             };
-            asked += (0..80).map(|id| asks(&mut node, id)).sum::<u32>();
+            attempts += (0..80).map(|id| attempt(&mut node, id)).sum::<u32>();
             node.handle(Event::EndpointList(ListKind::Incremental, vec![]));
-            at_once += (100..110).map(|id| asks(&mut node, id)).sum::<u32>();
+            at_once += (100..110).map(|id| attempt(&mut node, id)).sum::<u32>();
         }
-        assert!(asked <= 2 * 40, "{asked} attempts of 40 relays at a dead entry in 8 s, {outcome:?}");
-        assert!(at_once >= 10, "{at_once} of 40 relays asked it once the list had named it");
+        assert!(attempts <= 2 * 40, "{attempts} attempts of 40 nodes at a dead server in 8 s, {outcome:?}");
+        assert!(at_once >= 10, "{at_once} attempts of 40 nodes once the newer list contained it");
     }
 }
 
 /// Found on a day of the second deployment, where no other list ever comes: one bad request that met an error at
-/// five servers had them ejected for up to 30 s each. A server that answers is there, whoever names it.
+/// five servers had them ejected for up to 30 s each. A server that answers exists, whichever list contains it.
 #[test]
 fn an_unconfirmed_endpoint_that_answers_is_confirmed() {
     for seed in 0..40 {
@@ -63,7 +64,7 @@
         assert_eq!(
             attempted_server(&node.request(4, 0)),
             Some(server),
-            "seed {seed}: a failure of one that stood"
+            "seed {seed}: a failure of a confirmed server"
         );
     }
 }
--- a/tests/policy_rules/placement.rs
+++ b/tests/policy_rules/placement.rs
@@ -15,68 +15,70 @@
         let first = attempted_server(&node.request(1, 0)).expect("the first attempt goes at once");
         let after_failure = node.end_attempt(1, first, Outcome::ConnectFailed);
         assert_eq!(attempted_server(&after_failure), None);
-        let (nap, _) = requested_timer(&after_failure).expect("a sleep");
-        longest = longest.max(nap);
+        let (backoff, _) = requested_timer(&after_failure).expect("a backoff");
+        longest = longest.max(backoff);
         let second = attempted_server(&node.elapse_timer(&after_failure)).expect("a second attempt");
         assert_ne!(first, second);
     }
-    // base * 2^1 is half the objective here: no sleep beyond it, and some near it.
-    assert!(longest <= 150 * MILLIS && longest > 120 * MILLIS, "longest sleep {longest}");
+    // base * 2^1 is half the objective here: no backoff is longer, and some are almost as long.
+    assert!(longest <= 150 * MILLIS && longest > 120 * MILLIS, "longest backoff {longest}");
 }
 
 #[test]
 fn own_connections_decide_among_the_candidates() {
     let mut node = Node::new(3, settings(), same_zone_endpoints(3));
-    let mut held = BTreeMap::new();
+    let mut connections = BTreeMap::new();
     for id in 0..90 {
         let server = attempted_server(&node.request(id, 0)).expect("placed");
         node.establish(id, server);
-        *held.entry(server).or_insert(0) += 1;
+        *connections.entry(server).or_insert(0) += 1;
     }
-    assert!(held.values().all(|n| (29..=31).contains(n)), "three of three drawn stay level: {held:?}");
+    assert!(
+        connections.values().all(|n| (29..=31).contains(n)),
+        "three candidates of three stay level: {connections:?}"
+    );
 }
 
-/// Found on a port-louis day at full size: the guess at a holder named a draining server.
+/// Found on a port-louis day at full size: the likely server of a rerouted connection was a draining one.
 #[test]
 fn a_rerouted_connection_finds_its_server_but_never_a_draining_one_or_one_in_slow_start() {
     let rerouted = |id: u64, key: u64| Arrival { key: Some(key), rerouted: true, ..arrival(id, 0) };
-    let (mut one, mut other) = (
-        Node::new(1, settings(), same_zone_endpoints(20)),
-        Node::new(2, settings(), same_zone_endpoints(20)),
-    );
+    let mut one = Node::new(1, settings(), same_zone_endpoints(20));
+    let mut other = Node::new(2, settings(), same_zone_endpoints(20));
     let mut found = 0;
     for id in 0..100 {
         let key = Arrival { key: Some(id), ..arrival(id, 0) };
-        let holder = attempted_server(&one.handle(Event::Request(key))).expect("placed");
+        let actual = attempted_server(&one.handle(Event::Request(key))).expect("placed");
         let guess = attempted_server(&other.handle(Event::Request(rerouted(id, id)))).expect("placed");
-        found += u32::from(holder == guess);
+        found += u32::from(actual == guess);
     }
-    assert!(found > 50, "{found} of 100 found their holder; chance finds 5");
+    assert!(found > 50, "{found} of 100 found their server; chance finds 5");
     let started_at = other.now - SECOND;
-    let poor = (0..10)
+    let unsuitable = (0..10)
         .map(|s| endpoint(s, 0, Status::Draining))
         .chain((10..15).map(|s| endpoint(s, started_at, Status::Serving)));
-    other.handle(Event::EndpointList(ListKind::Incremental, poor.collect()));
+    other.handle(Event::EndpointList(ListKind::Incremental, unsuitable.collect()));
     for id in 100..200 {
         let guess = attempted_server(&other.handle(Event::Request(rerouted(id, id)))).expect("placed");
         assert!(guess.0 >= 15, "server {} is no guess", guess.0);
     }
 }
 
-/// What crosses halls has a price, but not any price: a crowded hall sends what comes to the others.
+/// Crossing zones has a limited cost: a loaded zone sends requests to the others.
 #[test]
 fn its_own_zone_is_preferred_until_it_is_loaded() {
-    let near = |m: Endpoint| Endpoint { zone: u32::from(m.server.0 > 0) + settings().zone, ..m };
-    let members: Vec<_> = serving_endpoints(3).into_iter().map(near).collect();
-    let mut node = Node::new(1, settings(), members.clone());
-    node.handle(Event::EndpointList(ListKind::Full, members));
+    let place = |m: Endpoint| Endpoint { zone: u32::from(m.server.0 > 0) + settings().zone, ..m };
+    let endpoints: Vec<_> = serving_endpoints(3).into_iter().map(place).collect();
+    let mut node = Node::new(1, settings(), endpoints.clone());
+    node.handle(Event::EndpointList(ListKind::Full, endpoints));
     let placed: Vec<_> = (0..30).map(|id| attempted_server(&node.request(id, 0)).expect("placed")).collect();
     assert!(placed[..10].iter().all(|server| server.0 == 0), "{placed:?}");
     let there = placed.iter().filter(|server| server.0 == 0).count();
     assert!((15..25).contains(&there), "{there} of 30");
 }
 
-/// Found on a day of the large fleet: a server that had shed looked empty and was filled and shed again.
+/// Found on a day of the large fleet: a server that had reset its connections looked empty, was filled, and reset
+/// them again.
 #[test]
 fn a_server_that_reset_connections_does_not_count_as_empty() {
     let mut node = Node::new(1, settings(), same_zone_endpoints(3));
@@ -90,8 +92,9 @@
         let (id, server, outcome) = (RequestId(*id), *server, Outcome::Reset);
         node.handle(Event::AttemptEnded { id, server, outcome, done: true });
     }
-    let back = (100..110).filter(|id| attempted_server(&node.request(*id, 0)) == Some(ServerId(0))).count();
-    assert!((1..8).contains(&back), "{back} of 10 at once");
+    let at_once =
+        (100..110).filter(|id| attempted_server(&node.request(*id, 0)) == Some(ServerId(0))).count();
+    assert!((1..8).contains(&at_once), "{at_once} of 10 at once");
     node.now += 60 * SECOND;
     let later = (200..210).filter(|id| attempted_server(&node.request(*id, 0)) == Some(ServerId(0))).count();
     assert!(later >= 8, "{later} of 10 a minute later");
--- a/tests/policy_rules/retry_admission.rs
+++ b/tests/policy_rules/retry_admission.rs
@@ -8,45 +8,47 @@
 #[rstest::rstest]
 #[case(Arrival { reconnect: true, ..arrival(1, 0) })]
 #[case(Arrival { client_retry: true, ..arrival(1, 0) })]
-fn a_reconnect_or_client_retry_backs_off_first(#[case] back: Arrival) {
+fn a_reconnect_or_client_retry_backs_off_first(#[case] arrival: Arrival) {
     let mut node = Node::new(1, settings(), serving_endpoints(5));
-    let actions = node.handle(Event::Request(back));
+    let actions = node.handle(Event::Request(arrival));
     assert_eq!(attempted_server(&actions), None);
     assert!(attempted_server(&node.elapse_timer(&actions)).is_some());
 }
 
-/// Eight set-ups are out when a hall is lost: the window closes once for that, not eight times.
+/// Eight set-ups are in flight when a zone is lost: the window narrows once for that, not eight times.
 #[test]
 fn failures_of_attempts_sent_before_the_last_failure_do_not_narrow_the_window() {
-    let out_at_once = |at_once: bool| {
+    let admitted_after = |at_once: bool| {
         let mut node = Node::new(3, settings(), serving_endpoints(20));
         for id in 500..510 {
             let server = attempted_server(&node.request(id, 0)).expect("placed");
             node.establish(id, server);
         }
-        let out: Vec<_> =
+        let in_flight: Vec<_> =
             (0..8).map(|id| (id, attempted_server(&node.request(id, 0)).expect("placed"))).collect();
         node.now += 400 * MILLIS;
-        for (id, server) in out {
+        for (id, server) in in_flight {
             node.end_attempt(id, server, Outcome::Timeout);
             // One after another, each sent after the last failure was known.
             if !at_once {
-                let again = attempted_server(&node.request(100 + id, 0)).expect("a new client's goes");
+                let next =
+                    attempted_server(&node.request(100 + id, 0)).expect("a new client's attempt starts");
                 node.now += 400 * MILLIS;
-                node.end_attempt(100 + id, again, Outcome::Timeout);
+                node.end_attempt(100 + id, next, Outcome::Timeout);
             }
         }
         node.now += 5 * SECOND;
-        let back = |id| Event::Request(Arrival { reconnect: true, time_left: 10 * SECOND, ..arrival(id, 0) });
-        let asleep: Vec<_> =
-            (1_000..1_100).filter_map(|id| requested_timer(&node.handle(back(id)))).collect();
+        let reconnect =
+            |id| Event::Request(Arrival { reconnect: true, time_left: 10 * SECOND, ..arrival(id, 0) });
+        let timers: Vec<_> =
+            (1_000..1_100).filter_map(|id| requested_timer(&node.handle(reconnect(id)))).collect();
         node.now += SECOND;
-        asleep
+        timers
             .iter()
             .filter(|(_, token)| attempted_server(&node.handle(Event::Timer(*token))).is_some())
             .count()
     };
-    let (once, often) = (out_at_once(true), out_at_once(false));
+    let (once, often) = (admitted_after(true), admitted_after(false));
     assert!(
         once >= 10 && often == 1,
         "{once} out after one failure of eight, {often} after failures in a row"
@@ -65,37 +67,41 @@
         }
     }
     node.now += 2 * SECOND;
-    let back = |id| Event::Request(Arrival { reconnect: true, ..arrival(id, 0) });
-    let asleep: Vec<_> = (100..150).filter_map(|id| requested_timer(&node.handle(back(id)))).collect();
+    let reconnect = |id| Event::Request(Arrival { reconnect: true, ..arrival(id, 0) });
+    let timers: Vec<_> = (100..150).filter_map(|id| requested_timer(&node.handle(reconnect(id)))).collect();
     node.now += SECOND;
-    let woke =
-        asleep.iter().filter(|(_, token)| attempted_server(&node.handle(Event::Timer(*token))).is_some());
-    let (again, new) =
-        (woke.count(), (200..210).filter(|id| attempted_server(&node.request(*id, 0)).is_some()).count());
-    assert!(again <= 1, "{again} of 50 went at once into a shared failure");
-    assert_eq!(new, 10, "a new client's first attempt goes at once");
+    let retries =
+        timers.iter().filter(|(_, token)| attempted_server(&node.handle(Event::Timer(*token))).is_some());
+    let retries = retries.count();
+    let new = (200..210).filter(|id| attempted_server(&node.request(*id, 0)).is_some()).count();
+    assert!(retries <= 1, "{retries} of 50 started at once into a shared failure");
+    assert_eq!(new, 10, "a new client's first attempt starts at once");
 }
 
 #[test]
 fn log_lines_are_written_on_state_changes_only() {
-    let said = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Log(_))).count();
-    let ask = Settings { discovery: Discovery::Polled, ..settings() };
-    let mut node = Node::new(1, ask, serving_endpoints(20));
+    let log_lines = |actions: &[Action]| actions.iter().filter(|a| matches!(a, Action::Log(_))).count();
+    let polled = Settings { discovery: Discovery::Polled, ..settings() };
+    let mut node = Node::new(1, polled, serving_endpoints(20));
     node.handle(Event::EndpointList(ListKind::Incremental, vec![]));
-    let lost = |node: &mut Node| said(&node.handle(Event::EndpointList(ListKind::Failed, vec![])));
+    let lost = |node: &mut Node| log_lines(&node.handle(Event::EndpointList(ListKind::Failed, vec![])));
     assert_eq!((lost(&mut node), lost(&mut node)), (1, 0));
     let mut lines = 0;
     for id in 0..10 {
         node.now += 3 * SECOND;
         let server = attempted_server(&node.request(id, 0)).expect("placed");
-        lines += said(&node.end_attempt(id, server, Outcome::Timeout));
+        lines += log_lines(&node.end_attempt(id, server, Outcome::Timeout));
     }
     assert_eq!(lines, 1, "ten failures in a row are one change");
-    let mut end = 0;
+    let mut lines = 0;
     for id in 10..30 {
         node.now += 3 * SECOND;
         let server = attempted_server(&node.request(id, 0)).expect("placed");
-        end += said(&node.handle(Event::Established { id: RequestId(id), server, setup_time: 20 * MILLIS }));
+        lines += log_lines(&node.handle(Event::Established {
+            id: RequestId(id),
+            server,
+            setup_time: 20 * MILLIS,
+        }));
     }
-    assert_eq!(end, 1);
+    assert_eq!(lines, 1);
 }
--- a/tests/policy_rules/slow_start.rs
+++ b/tests/policy_rules/slow_start.rs
@@ -4,13 +4,18 @@
 use sparbank::vocabulary::{Event, ListKind, Nanos, ServerId, Status};
 use std::collections::BTreeMap;
 
-/// Twenty nodes that hold 60 connections each on warm servers meet cold ones, a second old, in a
-/// crowd of returning clients. Gives the most that one cold server was sent within one second.
-fn most_sent_to_one_server_within_a_second(warm: u32, cold: u32, held: u64, busy: bool) -> usize {
+/// Twenty nodes with `connections` each at warm servers meet `starting` servers, a second old, while clients
+/// reconnect. Gives the most attempts that one starting server was sent within one second.
+fn most_sent_to_one_server_within_a_second(
+    warm: u32,
+    starting: u32,
+    connections: u64,
+    overloaded: bool,
+) -> usize {
     let mut sent: BTreeMap<ServerId, Vec<Nanos>> = BTreeMap::new();
     for number in 0..20 {
         let mut node = Node::new(number, settings(), serving_endpoints(warm));
-        for id in 0..held {
+        for id in 0..connections {
             node.now += 100 * MILLIS;
             if let Some(server) = attempted_server(&node.request(id, 0)) {
                 node.establish(id, server);
@@ -19,10 +24,10 @@
         node.now = 200 * SECOND;
         let started_at = node.now - SECOND;
         let starts =
-            (warm..warm + cold).map(|server| endpoint(server, started_at, Status::Serving)).collect();
+            (warm..warm + starting).map(|server| endpoint(server, started_at, Status::Serving)).collect();
         node.handle(Event::EndpointList(ListKind::Incremental, starts));
-        for id in held..held + 30 {
-            if busy {
+        for id in connections..connections + 30 {
+            if overloaded {
                 for server in (0..warm).map(ServerId) {
                     node.handle(Event::LatencyReport { server, latency: 90 * MILLIS });
                 }
@@ -34,24 +39,25 @@
         }
     }
     let worst = |times: &Vec<Nanos>| {
-        let within = |from: Nanos| times.iter().filter(|t| (from..from + SECOND).contains(*t)).count();
-        times.iter().map(|from| within(*from)).max()
+        let count_from = |from: Nanos| times.iter().filter(|t| (from..from + SECOND).contains(*t)).count();
+        times.iter().map(|from| count_from(*from)).max()
     };
     sent.values().filter_map(worst).max().unwrap_or(0)
 }
 
-/// A server of this fleet holds 120 connections at six tenths of its capacity, so 200 fill it. Cold, it
-/// can take what fills it over its warm-up, at 0.37 warmth in the first second, three times that: 22.
+/// A server of this fleet has 120 connections at six tenths of its capacity, so 200 fill it. While it warms up it
+/// takes what fills it over the warm-up, times the overload multiple of 3, times its capacity factor of 0.37 in the
+/// first second: 22.
 const OVERLOAD_PER_SECOND: usize = 22;
 
-/// Found on port-louis days: saved-up permissions, and waiting requests, met at one cold server.
+/// Found on port-louis days: accrued placements and queued requests met at one server in slow start.
 #[test]
 fn nodes_together_do_not_overload_a_server_in_slow_start() {
-    for (cold, busy) in [(1, false), (5, false), (10, false), (1, true), (5, true), (10, true)] {
-        let worst = most_sent_to_one_server_within_a_second(10, cold, 60, busy);
+    for (starting, overloaded) in [(1, false), (5, false), (10, false), (1, true), (5, true), (10, true)] {
+        let worst = most_sent_to_one_server_within_a_second(10, starting, 60, overloaded);
         assert!(
             (1..OVERLOAD_PER_SECOND).contains(&worst),
-            "{cold} cold, others busy {busy}: {worst} in a second"
+            "{starting} starting, others overloaded {overloaded}: {worst} in a second"
         );
     }
 }
