--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -1,4 +1,4 @@
-//! When a grantor may reclaim allotments: the only part of granting that needs a clock.
+//! When a grantor may reclaim allotments: the only step of granting that needs a clock.
 
 use crate::lease_table::LeaseTable;
 use crate::protocol::{HolderId, LeaseExpiry, LeaseGrant, LogEntry};
@@ -43,7 +43,7 @@
         &self.lease_table
     }
 
-    /// Applies a log entry and returns the grants for its requests.
+    /// Applies a log entry and gives the grants for its requests.
     pub fn apply(&mut self, now: Nanos, entry: &LogEntry) -> Vec<LeaseGrant> {
         let sequence_before = |holder| (holder, self.lease_table.sequence(holder));
         let before: Vec<_> = entry.requests.iter().map(|request| sequence_before(request.holder)).collect();
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Accepts a grant and returns whether it changed anything. A grant for an older request, one that arrives twice,
-    /// or one that arrives after the end of its lease does not.
+    /// Accepts a grant; false if it is ignored, since it is for an older request, arrived before, or arrives after the
+    /// end of its lease.
     pub fn on_grant(&mut self, now: Nanos, grant: &LeaseGrant) -> bool {
         self.advance(now);
         let expires_at = self.requested_at.saturating_add(self.plan.lease_duration());
--- a/crates/quota/src/lease_table.rs
+++ b/crates/quota/src/lease_table.rs
@@ -76,7 +76,7 @@
             && request.wanted.len() == quotas
     }
 
-    /// Applies a log entry and returns the grants for its requests. A request of another layout, one that is older
+    /// Applies a log entry and gives the grants for its requests. A request of another layout, one that is older
     /// than the newest of its holder, or one of too many incarnations of a member gets none.
     pub fn apply(&mut self, entry: &LogEntry) -> Vec<LeaseGrant> {
         for expiry in &entry.expiries {
@@ -114,7 +114,8 @@
         lease.wanted.fill(0);
     }
 
-    /// Lowers the allotments of a request's sender to what it retains. Returns whether the request is to be answered.
+    /// Lowers the allotments of a request's sender to what it retains; false if the request is not to
+    /// be answered.
     fn lower_to_retained(&mut self, request: &LeaseRequest) -> bool {
         let holder = request.holder;
         if !self.matches_layout(request) || !self.may_hold_lease(request) {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Raises the allotments of a request's sender towards its targets, out of the units that nobody holds.
+    /// Raises the allotments of a request's sender towards its targets, out of the units that are not granted.
     fn grant(&mut self, request: &LeaseRequest, available: &mut [u64]) -> Option<LeaseGrant> {
         let holder = request.holder;
         let sequence = request.sequence;
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaPlan {
-    /// Every node that may ever take part. The floor of a member belongs to the process that has bound its address.
+    /// Every node that may ever join. The floor of a member belongs to the process that has bound its address.
     #[serde(alias = "seats")]
     pub members: Vec<Member>,
     /// The names of the members whose nodes grant leases: one, three or five. A single one is a single point of
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -57,7 +57,7 @@
     pub includes_levels: bool,
 }
 
-/// One entry of the grantors' log, applied as a whole.
+/// One entry of the grantors' log, applied at once.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub struct LogEntry {
     /// The leases that have expired; they are applied before the requests.
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Counts a rejection and returns how long the rejected attempt should wait, as far as this node knows, if all
-    /// that were rejected before it retry too.
+    /// Counts a rejection and gives the Retry-After of the rejected attempt: when there is capacity for it, as far as
+    /// this node knows, if all that were rejected before it retry too.
     pub(crate) fn reject(&mut self, now: Nanos, level_wait: Nanos, lease_duration: Nanos) -> Nanos {
         self.rejected += 1;
         if self.is_level {
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -10,7 +10,7 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 const NODES: usize = 12;
-/// Connections of the whole fleet.
+/// Connections of all nodes together.
 const TOTAL: u64 = 600;
 /// The only quota of the plan, a level.
 const CONNECTIONS: usize = 0;
@@ -26,7 +26,7 @@
 const DEMAND: f64 = 1.5;
 /// The use is averaged from here until the event.
 const MEASURED_FROM_MS: u64 = 10_000;
-/// The part of the total from which it counts as used again, and for how long it has to be.
+/// The use, in proportion to the total, from which it counts as recovered, and for how long it has to last.
 const RECOVERED_USE: f64 = 0.9;
 const RECOVERED_FOR_MS: u64 = 1000;
 const RECOVERY_SETTLING_MS: u64 = 500;
@@ -216,7 +216,7 @@
 }
 
 struct Outcome {
-    /// The mean part of the total that was in use before the event.
+    /// The mean use before the event, in proportion to the total.
     use_before: f64,
     /// Milliseconds from the end of the event to the first from which nine tenths of the total were in use for 1 s;
     /// None if they never were.
--- a/crates/quota/tests/schedules.rs
+++ b/crates/quota/tests/schedules.rs
@@ -138,7 +138,7 @@
     message: Message,
 }
 
-/// The auditor's bucket for a rate of the whole fleet: it overflows if in any window there are more events than rate
+/// The auditor's bucket for a rate of all nodes together: it overflows if in any window there are more events than rate
 /// times window plus burst.
 struct AuditBucket {
     level: f64,
@@ -353,7 +353,7 @@
         }
     }
 
-    /// Applies the committed entries at a replica and returns the grants of the last one.
+    /// Applies the committed entries at a replica and gives the grants of the last one.
     fn catch_up(&mut self, replica: usize) -> Vec<LeaseGrant> {
         let Replica { grantor, applied } = &mut self.replicas[replica];
         let mut grants = Vec::new();
--- a/src/quota/admission.rs
+++ b/src/quota/admission.rs
@@ -97,7 +97,7 @@
         is_due.then(|| self.holder.create_request(now))
     }
 
-    /// Handles a grant that arrived and returns whether it was accepted.
+    /// Handles a grant that arrived; false if it is ignored.
     pub fn on_lease_grant(&mut self, now: Nanos, grant: &LeaseGrant) -> bool {
         self.holder.on_grant(now, grant)
     }
--- a/src/quota/transport/mod.rs
+++ b/src/quota/transport/mod.rs
@@ -175,8 +175,8 @@
     }
 
     /// The periodic work, once per [`EXCHANGE_INTERVAL`]: sends this node's lease request if it is due, ends the
-    /// connections whose frames stay incomplete, and answers requests if this node is the grantor. Returns a change of
-    /// this node's lease.
+    /// connections whose frames stay incomplete, and answers requests if this node is the grantor. The result is a
+    /// change of this node's lease.
     pub fn exchange(
         &mut self,
         now: Nanos,
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -51,16 +51,16 @@
     /// Calls a second that discovery answers; it queues so many more, and turns the rest away.
     pub calls: f64,
     pub call_queue: usize,
-    /// A level of the whole fleet, where its nodes are to keep one.
-    pub level: Option<Level>,
+    /// The fleet-wide quota of connections, if the nodes have one.
+    pub quota: Option<ConnectionQuota>,
 }
 
-/// Standing connections of all nodes: the whole, and the lease's and the clearing's milliseconds.
+/// A quota of the established connections of all nodes together.
 #[derive(Clone, Copy, Debug)]
-pub struct Level {
-    pub whole: usize,
-    pub lease: u64,
-    pub clear: u64,
+pub struct ConnectionQuota {
+    pub total: usize,
+    pub lease_ms: u64,
+    pub clear_ms: u64,
 }
 
 impl Figures {
@@ -79,7 +79,7 @@
             notice: 1_500,
             calls: (nodes as f64 / 6.0).max(4.0),
             call_queue: 8,
-            level: None,
+            quota: None,
         }
     }
 
@@ -170,7 +170,7 @@
         let doors = fronts.iter().map(|f| f.address).collect();
         let clients = Clients::start(&world, doors, rng.random()).await;
         let mut rig = Rig { world, nodes, discovery, servers, rng, seed, clients, fronts, calls };
-        let bears = rig.world.figures.level.map_or(usize::MAX, |level| level.whole * 90 / 95);
+        let bears = rig.world.figures.quota.map_or(usize::MAX, |quota| quota.total * 90 / 95);
         let wanted = rig.world.figures.clients.min(bears) * 95 / 100;
         rig.until("the fleet is in service", 40, |rig| rig.world.books.borrow().standing() >= wanted).await;
         rig.seconds(3).await;
--- a/tests/cluster/nodes.rs
+++ b/tests/cluster/nodes.rs
@@ -43,8 +43,9 @@
     /// Starts a node that knows this list. Its random numbers are new with each start, from the run's seed.
     pub fn start(&self, number: usize, known: &str) {
         let addresses: Vec<SocketAddr> = self.list.borrow().iter().map(|n| n.address).collect();
-        let seat = |(i, n): (usize, &SocketAddr)| format!(r#"{{"name":"n{i}","address":"{}:7100"}}"#, n.ip());
-        let seats = addresses.iter().enumerate().map(seat).collect::<Vec<_>>().join(",");
+        let member =
+            |(i, n): (usize, &SocketAddr)| format!(r#"{{"name":"n{i}","address":"{}:7100"}}"#, n.ip());
+        let members = addresses.iter().enumerate().map(member).collect::<Vec<_>>().join(",");
         let node = &mut self.list.borrow_mut()[number];
         assert!(node.child.is_none(), "node {number} runs already");
         node.starts += 1;
@@ -62,14 +63,14 @@
         for name in ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"] {
             command.env_remove(name);
         }
-        if let Some(level) = self.world.figures.level {
-            let budgets = format!(
-                r#"{{"seats":[{seats}],"grantors":["n0"],"lease_ms":{},"clear_ms":{},
-                "budgets":[{{"name":"standing","limits":"connections","whole":{},"floor_percent":45}}]}}"#,
-                level.lease, level.clear, level.whole
+        if let Some(quota) = self.world.figures.quota {
+            let quota_file = format!(
+                r#"{{"members":[{members}],"grantors":["n0"],"lease_ms":{},"clear_ms":{},
+                "budgets":[{{"name":"standing","limits":"connections","total":{},"floor_percent":45}}]}}"#,
+                quota.lease_ms, quota.clear_ms, quota.total
             );
             let path = node.file.with_extension("fleet");
-            std::fs::write(&path, budgets).expect("a budgets file");
+            std::fs::write(&path, quota_file).expect("a quota file");
             command.arg("--fleet").arg(path);
         }
         // Logs are for whoever looks into a failure: nothing is judged by them.
@@ -94,7 +95,7 @@
     }
 
     /// Where it listens to other nodes.
-    pub fn seat(&self, number: usize) -> SocketAddr {
+    pub fn member_address(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.list.borrow()[number].address.ip(), 7100)
     }
 
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -1,117 +1,147 @@
-//! A level of the whole fleet, divided among its nodes by one grantor: several processes, faults between them, and an
+//! A fleet-wide quota of connections, leased to the nodes by one grantor: several processes, faults between them, and an
 //! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` play others.
 
 mod cluster;
 
-use cluster::{plays, program, run, Figures, Level, Rig};
+use cluster::{plays, program, run, ConnectionQuota, Figures, Rig};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Six clients in ten can stand at a time.
-fn figures(nodes: usize, clear: u64) -> Figures {
+const LEASE_MS: u64 = 1500;
+/// Enough for connections of the dead, whose sockets their kernel closes.
+const SHORT_CLEAR_MS: u64 = 500;
+/// Longer than the stops of the stories: a stopped process keeps its connections.
+const LONG_CLEAR_MS: u64 = 8000;
+/// How long the quota may take to be used again: a lease and the time after it in which connections are cleared, and the
+/// time that the clients take to reconnect.
+const RECOVERY_SECONDS: u64 = 30;
+/// The grantor closes a connection with an undecodable frame within this time.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The nodes' `floor_percent`.
+const FLOOR_PERCENT: usize = 45;
+
+/// Six clients in ten can be connected at a time.
+fn figures(nodes: usize, clear_ms: u64) -> Figures {
     let figures = Figures::of(nodes);
-    let whole = figures.clients * 6 / 10;
-    Figures { level: Some(Level { whole, lease: 1500, clear }), ..figures }
+    let total = figures.clients * 6 / 10;
+    Figures { quota: Some(ConnectionQuota { total, lease_ms: LEASE_MS, clear_ms }), ..figures }
+}
+
+fn total(figures: &Figures) -> usize {
+    figures.quota.expect("a quota").total
+}
+
+/// The auditor's finding of one run.
+#[derive(Debug)]
+struct Audit {
+    /// The most connections that were open at once.
+    max_open: usize,
+    total: usize,
+}
+
+impl Audit {
+    fn exceeds_total(&self) -> bool {
+        self.max_open > self.total
+    }
 }
 
-/// Plays a script and gives the most that were open at once, of the whole.
-fn play(story: &str, clear: u64, script: impl AsyncFn(&mut Rig)) -> Vec<(usize, usize)> {
+/// Plays a script with each seed.
+fn play(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Rig)) -> Vec<Audit> {
     let (seeds, nodes) = plays(&[1], 12);
-    let mut all = Vec::new();
+    let mut audits = Vec::new();
     for seed in seeds {
-        let figures = figures(nodes, clear);
-        let whole = figures.level.expect("a level").whole;
-        let (most, counted) = run(async {
+        let figures = figures(nodes, clear_ms);
+        let total = total(&figures);
+        let (max_open, instants) = run(async {
             let mut rig = Rig::start(seed, figures, program()).await;
             script(&mut rig).await;
-            let most = rig.servers.most_open();
+            let counted = rig.servers.most_open();
             rig.end().await;
-            most
+            counted
         });
-        println!("{story} seed={seed} nodes={nodes} whole={whole} most_open={most} instants={counted}");
-        all.push((most, whole));
+        println!("{story} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={instants}");
+        audits.push(Audit { max_open, total });
     }
-    all
+    audits
 }
 
-fn never_over(story: &str, all: Vec<(usize, usize)>) {
-    assert!(all.iter().all(|(most, whole)| most <= whole), "{story}: {all:?}");
+/// Plays a script with each seed; the total is never exceeded.
+fn play_within_total(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Rig)) {
+    let audits = play(story, clear_ms, script);
+    assert!(!audits.iter().any(Audit::exceeds_total), "{story}: {audits:?}");
 }
 
-/// The level is in use again to nine tenths.
-async fn is_full(rig: &mut Rig, what: &str, seconds: u64) {
-    let wanted = rig.world.figures.level.expect("a level").whole * 9 / 10;
-    rig.until(what, seconds, |rig| rig.servers.open() >= wanted).await;
+/// Waits until nine tenths of the quota are in use.
+async fn until_quota_is_used(rig: &mut Rig, what: &str) {
+    let wanted = total(&rig.world.figures) * 9 / 10;
+    rig.until(what, RECOVERY_SECONDS, |rig| rig.servers.open() >= wanted).await;
     rig.seconds(2).await;
 }
 
 #[test]
-fn holders_that_die_and_come_back() {
-    let story = "holders killed";
-    let all = play(story, 500, async |rig| {
-        is_full(rig, "the level is in use", 30).await;
-        let nodes = rig.world.figures.nodes;
-        let which: Vec<usize> = (1..=nodes / 3).collect();
-        rig.kill(&which);
-        // A lease and its clearing, and what the clients take to come.
-        is_full(rig, "the others have the parts of the dead", 30).await;
+fn killed_and_restarted_holders_never_exceed_the_total() {
+    play_within_total("holders killed", SHORT_CLEAR_MS, async |rig| {
+        until_quota_is_used(rig, "the quota is in use").await;
+        let killed: Vec<usize> = (1..=rig.world.figures.nodes / 3).collect();
+        rig.kill(&killed);
+        until_quota_is_used(rig, "the others have the allotments of the killed nodes").await;
         let known = rig.servers.list();
-        rig.restart(&which, &known);
+        rig.restart(&killed, &known);
         rig.seconds(6).await;
-        is_full(rig, "all have parts again", 30).await;
+        until_quota_is_used(rig, "all have allotments again").await;
     });
-    never_over(story, all);
 }
 
-/// It comes back with an empty book, and grants nothing until every lease that it may have given is over.
+/// The grantor restarts with an empty lease table, and grants nothing until every lease that it may have granted has
+/// expired.
 #[test]
-fn the_grantor_dies_and_comes_back_with_nothing() {
-    let story = "the grantor killed";
-    let all = play(story, 500, async |rig| {
-        is_full(rig, "the level is in use", 30).await;
+fn restarted_grantor_without_lease_table_never_exceeds_the_total() {
+    play_within_total("the grantor killed", SHORT_CLEAR_MS, async |rig| {
+        until_quota_is_used(rig, "the quota is in use").await;
         rig.kill(&[0]);
         rig.millis(300).await;
         let known = rig.servers.list();
         rig.restart(&[0], &known);
         rig.seconds(4).await;
-        is_full(rig, "parts are granted again", 30).await;
+        until_quota_is_used(rig, "leases are granted again").await;
         rig.kill(&[0]);
         rig.seconds(4).await;
-        // Nobody grants: each of the others has its floor, of 45 in 100 of the whole.
-        let (nodes, whole) = (rig.world.figures.nodes, rig.world.figures.level.expect("a level").whole);
-        let floors = whole * 45 / 100 / nodes * (nodes - 1);
+        // Nobody grants leases: each of the other nodes has its floor.
+        let nodes = rig.world.figures.nodes;
+        let floors = total(&rig.world.figures) * FLOOR_PERCENT / 100 / nodes * (nodes - 1);
         let open = rig.servers.open();
         assert!(open <= floors, "{open} are open on floors of {floors}");
         assert!(open * 2 >= floors, "service goes on: {open} of {floors}");
     });
-    never_over(story, all);
 }
 
-/// What it forgot is still in use: most holders stand still with their connections while it comes back.
+/// The leases that the restarted grantor does not know are still in use: most holders are stopped, with their
+/// connections, while it restarts.
 #[test]
-fn the_grantor_forgets_while_others_stand_still() {
-    let story = "the grantor killed while others are stopped";
-    let all = play(story, 8000, async |rig| {
-        is_full(rig, "the level is in use", 30).await;
+fn grantor_restart_while_holders_are_stopped_never_exceeds_the_total() {
+    play_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |rig| {
+        until_quota_is_used(rig, "the quota is in use").await;
         let nodes = rig.world.figures.nodes;
         let stopped: Vec<usize> = (nodes / 3..nodes).collect();
-        stopped.iter().for_each(|node| rig.nodes.stop(*node));
+        for node in &stopped {
+            rig.nodes.stop(*node);
+        }
         rig.kill(&[0]);
         let known = rig.servers.list();
         rig.restart(&[0], &known);
         rig.seconds(5).await;
-        stopped.iter().for_each(|node| rig.nodes.go_on(*node));
+        for node in &stopped {
+            rig.nodes.go_on(*node);
+        }
         rig.seconds(2).await;
     });
-    never_over(story, all);
 }
 
-/// It keeps its sockets while it is stopped, for longer than its lease: its connections count until `clear_ms` is over.
+/// Stopped nodes keep their sockets for longer than their leases: their connections count until `clear_ms` has passed.
 #[test]
-fn a_holder_stopped_past_its_lease() {
-    let story = "a holder stopped";
-    let stopped = async |rig: &mut Rig| {
-        is_full(rig, "the level is in use", 30).await;
+fn holders_stopped_past_their_lease_never_exceed_the_total() {
+    let stop_two_nodes = async |rig: &mut Rig| {
+        until_quota_is_used(rig, "the quota is in use").await;
         rig.nodes.stop(1);
         rig.nodes.stop(2);
         rig.seconds(5).await;
@@ -119,28 +149,27 @@
         rig.nodes.go_on(2);
         rig.seconds(3).await;
     };
-    never_over(story, play(story, 8000, stopped));
-    // The check sees it where the file says that such connections are gone at once, and they are not.
-    let all = play("a holder stopped, cleared too soon", 0, stopped);
-    assert!(all.iter().any(|(most, whole)| most > whole), "went unseen: {all:?}");
+    play_within_total("holders stopped", LONG_CLEAR_MS, stop_two_nodes);
+    // The auditor detects it if the file says that such connections are gone at once, and they are not.
+    let audits = play("holders stopped, cleared too soon", 0, stop_two_nodes);
+    assert!(audits.iter().any(Audit::exceeds_total), "not detected: {audits:?}");
 }
 
-/// What cannot be read at the grantor's address ends its connection within 3 s, and parts are granted as before.
+/// A frame that cannot be decoded ends its connection to the grantor, and leases are granted as before.
 #[test]
-fn whoever_says_nonsense_to_the_grantor_is_closed() {
-    let story = "nonsense at the grantor";
-    let all = play(story, 500, async |rig| {
-        is_full(rig, "the level is in use", 30).await;
+fn undecodable_frames_end_their_connection_to_the_grantor() {
+    play_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |rig| {
+        until_quota_is_used(rig, "the quota is in use").await;
         let other_version = [0, 0, 0, 2, 9, 0];
         let longer_than_any = [0xff; 8];
-        let half = [0, 0, 0, 9, 1];
-        for bytes in [&other_version[..], &longer_than_any, &half] {
-            let mut caller = tokio::net::TcpStream::connect(rig.nodes.seat(0)).await.expect("it listens");
+        let incomplete = [0, 0, 0, 9, 1];
+        for bytes in [&other_version[..], &longer_than_any, &incomplete] {
+            let grantor = rig.nodes.member_address(0);
+            let mut caller = tokio::net::TcpStream::connect(grantor).await.expect("it listens");
             caller.write_all(bytes).await.expect("it takes them");
-            let end = tokio::time::timeout(Duration::from_secs(3), caller.read(&mut [0; 8])).await;
+            let end = tokio::time::timeout(CLOSE_TIMEOUT, caller.read(&mut [0; 8])).await;
             assert!(matches!(end, Ok(Ok(0) | Err(_))), "{bytes:?}: {end:?}");
         }
-        is_full(rig, "parts are granted", 30).await;
+        until_quota_is_used(rig, "leases are granted").await;
     });
-    never_over(story, all);
 }
