--- a/src/quota/transport/mod.rs
+++ b/src/quota/transport/mod.rs
@@ -8,7 +8,7 @@
 mod frame;
 mod grantor_service;
 
-use crate::net::{Kind, Net, Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token};
 use crate::quota::{QuotaAdmission, QuotaMembership};
 use crate::vocabulary::Nanos;
 use frame::{FrameLimits, Message, UndecodableFrame};
@@ -82,7 +82,11 @@
     /// # Errors
     ///
     /// The address cannot be bound, as while another process of the member is running.
-    pub fn open(net: &mut Net, membership: &QuotaMembership, now: Nanos) -> io::Result<LeaseTransport> {
+    pub fn open(
+        net: &mut SocketReactor,
+        membership: &QuotaMembership,
+        now: Nanos,
+    ) -> io::Result<LeaseTransport> {
         let plan = &membership.plan;
         let own_address = plan.members[membership.member].address;
         let grantor = plan.members.iter().find(|member| plan.grantors.contains(&member.name));
@@ -90,7 +94,7 @@
         let is_grantor = grantor_address == own_address;
         // No node has a reason to connect to one that is not the grantor.
         let max_callers = if is_grantor { plan.members.len() } else { 1 };
-        net.listen_reserved(own_address, Owner::Quota, max_callers)?;
+        net.listen_with_reserve(own_address, SocketOwner::Quota, max_callers)?;
         Ok(LeaseTransport {
             grantor_address,
             grantor_link: None,
@@ -114,16 +118,22 @@
     }
 
     /// Handles an event of a socket that belongs to the transport.
-    pub fn on_notice(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, notice: Notice) {
-        let token = notice.token;
-        match notice.kind {
-            Kind::Accepted => {
-                net.read_ahead(token, self.limits.max_frame_bytes());
+    pub fn on_socket_event(
+        &mut self,
+        now: Nanos,
+        net: &mut SocketReactor,
+        quotas: &mut QuotaAdmission,
+        event: SocketEvent,
+    ) {
+        let token = event.token;
+        match event.kind {
+            SocketEventKind::Accepted => {
+                net.set_read_limit(token, self.limits.max_frame_bytes());
                 self.callers.insert(token, None);
             }
-            Kind::Evicted => self.forget(token),
-            Kind::Broken(_) | Kind::Overdue => self.close(net, token),
-            Kind::Readable | Kind::Drained => self.read(now, net, quotas, token),
+            SocketEventKind::Evicted => self.forget(token),
+            SocketEventKind::Failed { .. } | SocketEventKind::HandshakeTimeout => self.close(net, token),
+            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read(now, net, quotas, token),
         }
     }
 
@@ -134,14 +144,14 @@
         }
     }
 
-    fn close(&mut self, net: &mut Net, token: Token) {
+    fn close(&mut self, net: &mut SocketReactor, token: Token) {
         self.forget(token);
         net.close(token);
     }
 
-    fn read(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission, token: Token) {
-        let at_end = net.at_end(token);
-        let Some(input) = net.input(token) else { return };
+    fn read(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission, token: Token) {
+        let is_read_closed = net.is_read_closed(token);
+        let Some(input) = net.input_buffer(token) else { return };
         let mut messages = Vec::new();
         let decoded = decode_all(input, self.limits, &mut messages);
         let has_incomplete_frame = !input.is_empty();
@@ -155,10 +165,10 @@
         if decoded.is_err() {
             self.counters.undecodable_frames += 1;
         }
-        if at_end || decoded.is_err() {
+        if is_read_closed || decoded.is_err() {
             self.close(net, token);
         } else {
-            net.rearm(token);
+            net.update_interest(token);
         }
     }
 
@@ -180,7 +190,7 @@
     pub fn exchange(
         &mut self,
         now: Nanos,
-        net: &mut Net,
+        net: &mut SocketReactor,
         quotas: &mut QuotaAdmission,
     ) -> Option<LeaseTransition> {
         if let Some(request) = quotas.poll_lease_request(now) {
@@ -204,7 +214,7 @@
         }
     }
 
-    fn close_stalled_callers(&mut self, now: Nanos, net: &mut Net) {
+    fn close_stalled_callers(&mut self, now: Nanos, net: &mut SocketReactor) {
         let is_stalled = |incomplete_since: &Option<Nanos>| {
             incomplete_since.is_some_and(|since| now.saturating_sub(since) >= FRAME_TIMEOUT)
         };
@@ -217,7 +227,7 @@
         }
     }
 
-    fn answer_requests(&mut self, now: Nanos, net: &mut Net, quotas: &mut QuotaAdmission) {
+    fn answer_requests(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission) {
         let Some(service) = &mut self.grantor_service else { return };
         let applied = service.apply_pending(now);
         self.counters.reclaimed_leases += applied.expiries as u64;
@@ -236,17 +246,17 @@
         }
     }
 
-    fn send_to_grantor(&mut self, now: Nanos, net: &mut Net, message: &Message) {
+    fn send_to_grantor(&mut self, now: Nanos, net: &mut SocketReactor, message: &Message) {
         // A message that the connection does not take in time is of no use later: connect anew.
-        let is_stuck = |link: &Token| net.unwritten(*link) > self.limits.max_frame_bytes();
+        let is_stuck = |link: &Token| net.pending_output_bytes(*link) > self.limits.max_frame_bytes();
         if let Some(link) = self.grantor_link.filter(is_stuck) {
             self.close(net, link);
         }
         if self.grantor_link.is_none() && now.saturating_sub(self.connected_at) >= RECONNECT_INTERVAL {
             self.connected_at = now;
-            self.grantor_link = net.connect(self.grantor_address, Owner::Quota).ok();
+            self.grantor_link = net.connect(self.grantor_address, SocketOwner::Quota).ok();
             if let Some(link) = self.grantor_link {
-                net.read_ahead(link, self.limits.max_frame_bytes());
+                net.set_read_limit(link, self.limits.max_frame_bytes());
             }
         }
         if let Some(link) = self.grantor_link {
@@ -267,7 +277,7 @@
     Ok(())
 }
 
-fn send(net: &mut Net, token: Token, message: &Message) {
+fn send(net: &mut SocketReactor, token: Token, message: &Message) {
     if let Some(frame) = frame::encode(message) {
         net.send(token, &frame);
     }
