--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,10 +1,10 @@
 //! What a node is told at its start: `NODE_CONFIG` and the variables beside it.
 
-pub mod json;
 pub mod settings;
 
 use crate::discovery::List;
 use crate::front::{Files, ReadFiles, OPTIONAL};
+use crate::json::{self, JsonError};
 use crate::vocabulary::{Discovery, Nanos, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -24,20 +24,20 @@
     pub sockets: usize,
     pub known: List,
     pub settings: Settings,
-    pub facts: Facts,
+    pub site: SiteSettings,
 }
 
 /// What the fronts need of the settings and the module does not.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
-pub struct Facts {
+pub struct SiteSettings {
     #[serde(rename = "Profiles")]
     pub classes: Vec<ClassName>,
     #[serde(default)]
     pub zones: Vec<String>,
     pub limits: DialLimits,
     #[serde(default)]
-    pub family_info: Notes,
+    pub family_info: FamilyInfo,
 }
 
 #[derive(Clone, Debug, Deserialize)]
@@ -56,9 +56,10 @@
 
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
-pub struct Notes {
-    /// The module wants to know how long messages take.
-    pub tells_delay: bool,
+pub struct FamilyInfo {
+    /// The balancer wants reports of the latency of messages on open connections.
+    #[serde(rename = "TellsDelay")]
+    pub reports_message_latency: bool,
 }
 
 fn dial_timeout() -> Nanos {
@@ -136,9 +137,9 @@
     /// Classes and zones are known by their places to all that is open: they stay as they are.
     pub fn take_over(&mut self, new: Config) -> Vec<&'static str> {
         let mut fixed = Vec::new();
-        let names = |facts: &Facts| facts.classes.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
-        if names(&new.facts) == names(&self.facts) && new.facts.zones == self.facts.zones {
-            (self.settings, self.facts) = (new.settings, new.facts);
+        let names = |site: &SiteSettings| site.classes.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
+        if names(&new.site) == names(&self.site) && new.site.zones == self.site.zones {
+            (self.settings, self.site) = (new.settings, new.site);
         } else {
             fixed.push("settings");
         }
@@ -156,12 +157,12 @@
 
     /// Decodes the text of the file.
     pub fn parse(text: &str) -> Result<Config, String> {
-        let file: File = json::parse(text)?;
+        let file: File = json::parse(text).map_err(|e| e.to_string())?;
         crate::log::trace(format_args!("trace settings {}", file.settings.get()));
-        let in_settings = |e: String| e.replacen("field ", "field settings.", 1);
+        let in_settings = |e: JsonError| e.within("settings").to_string();
         let mut settings = settings::settings_from(file.settings.get()).map_err(in_settings)?;
-        let facts: Facts = json::parse(file.settings.get()).map_err(in_settings)?;
-        settings.dial_timeout = facts.limits.dial_timeout_ns;
+        let site: SiteSettings = json::parse(file.settings.get()).map_err(in_settings)?;
+        settings.dial_timeout = site.limits.dial_timeout_ns;
         // On sockets nothing comes unasked: what is pushed waits at the machine's agent until a watch asks for it.
         if settings.discovery == Discovery::Pushed {
             settings.discovery = Discovery::LocalAgent;
@@ -182,7 +183,7 @@
             sockets: file.limits.sockets,
             known: file.known,
             settings,
-            facts,
+            site,
         })
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,6 +1,6 @@
 //! The settings object as the platform writes it, decoded into the policy's [`Settings`].
 
-use super::json::parse;
+use crate::json::{self, JsonError};
 use crate::vocabulary::*;
 use serde::Deserialize;
 
@@ -129,8 +129,8 @@
 }
 
 /// The settings object of an instance's first message, as a real node finds it in its configuration.
-pub fn settings_from(text: &str) -> Result<Settings, String> {
-    parse(text).map(settings)
+pub fn settings_from(text: &str) -> Result<Settings, JsonError> {
+    json::parse::<SettingsDocument>(text).map(Settings::from)
 }
 
 /// What the shares allow a second, all together. The figures are whole numbers: in a small fleet each is rounded,
@@ -146,44 +146,45 @@
     }
 }
 
-/// The settings that a document means.
-pub fn settings(wire: SettingsDocument) -> Settings {
-    let aims = wire.family_info.message_aim_ns;
-    let classes = wire.profiles.into_iter().enumerate().map(|(at, p)| Class {
-        objective: p.objective_ns,
-        hard_limit: p.hard_limit_ns,
-        effect: match p.effect {
-            EffectName::ReadLike => Effect::ReadLike,
-            EffectName::IdempotencyKey => Effect::IdempotencyKey,
-            EffectName::NonIdempotent => Effect::NonIdempotent,
-        },
-        scope: match p.dedup_scope {
-            ScopeName::All => Scope::All,
-            ScopeName::Zone => Scope::Zone,
-            ScopeName::Cell => Scope::Cell,
-        },
-        window: p.window_ns,
-        priority_weight: p.priority_weight,
-        message_latency_objective: aims.get(at).copied(),
-    });
-    Settings {
-        classes: classes.collect(),
-        instances: wire.instances,
-        zone: wire.zone,
-        discovery: if wire.discovery == "ask" { Discovery::Polled } else { Discovery::Pushed },
-        weight_by_work: wire.weight_by == "work",
-        max_attempts: wire.limits.max_attempts,
-        may_cancel: wire.limits.may_cancel,
-        max_retry_after: if wire.limits.retry_after { wire.limits.max_retry_after_ns } else { 0 },
-        poll_within: wire.rules.poll_within_ns,
-        dial_timeout: wire.limits.dial_timeout_ns,
-        slow_start_floor: wire.rules.slow_start_floor,
-        slow_start_duration: wire.rules.slow_start_ns,
-        overload_multiple: wire.rules.overload_multiple,
-        overload_after: wire.rules.overload_after_ns,
-        quota_connections: wire.family_info.tenant_quota_connections.iter().sum(),
-        quota_setups_per_second: quota_setups_per_second(&wire.tenants),
-        probes: wire.limits.probes && wire.feedback.fields.iter().any(|f| f == "x0"),
+impl From<SettingsDocument> for Settings {
+    fn from(wire: SettingsDocument) -> Settings {
+        let aims = wire.family_info.message_aim_ns;
+        let classes = wire.profiles.into_iter().enumerate().map(|(at, p)| Class {
+            objective: p.objective_ns,
+            hard_limit: p.hard_limit_ns,
+            effect: match p.effect {
+                EffectName::ReadLike => Effect::ReadLike,
+                EffectName::IdempotencyKey => Effect::IdempotencyKey,
+                EffectName::NonIdempotent => Effect::NonIdempotent,
+            },
+            scope: match p.dedup_scope {
+                ScopeName::All => Scope::All,
+                ScopeName::Zone => Scope::Zone,
+                ScopeName::Cell => Scope::Cell,
+            },
+            window: p.window_ns,
+            priority_weight: p.priority_weight,
+            message_latency_objective: aims.get(at).copied(),
+        });
+        Settings {
+            classes: classes.collect(),
+            instances: wire.instances,
+            zone: wire.zone,
+            discovery: if wire.discovery == "ask" { Discovery::Polled } else { Discovery::Pushed },
+            weight_by_work: wire.weight_by == "work",
+            max_attempts: wire.limits.max_attempts,
+            may_cancel: wire.limits.may_cancel,
+            max_retry_after: if wire.limits.retry_after { wire.limits.max_retry_after_ns } else { 0 },
+            poll_within: wire.rules.poll_within_ns,
+            dial_timeout: wire.limits.dial_timeout_ns,
+            slow_start_floor: wire.rules.slow_start_floor,
+            slow_start_duration: wire.rules.slow_start_ns,
+            overload_multiple: wire.rules.overload_multiple,
+            overload_after: wire.rules.overload_after_ns,
+            quota_connections: wire.family_info.tenant_quota_connections.iter().sum(),
+            quota_setups_per_second: quota_setups_per_second(&wire.tenants),
+            probes: wire.limits.probes && wire.feedback.fields.iter().any(|f| f == "x0"),
+        }
     }
 }
 
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Discovery's list of servers: the watch, its parser, and what it means to the module.
 
-use crate::config::json;
+use crate::json;
 use crate::net::{Flow, Net, Owner, Token};
 use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
--- a/src/flow_export.rs
+++ b/src/flow_export.rs
@@ -2,7 +2,7 @@
 //!
 //! One template of IANA's own elements. A collector that is away costs its records, nothing else.
 
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
 use crate::requests::{Flow, FlowResult};
 use crate::vocabulary::Nanos;
@@ -47,7 +47,7 @@
     }
 
     /// Sends flows that have ended, at the module's time (Unix time in nanoseconds).
-    pub fn send(&mut self, now: Nanos, flows: &[Flow], registry: &EndpointRegistry, facts: &Facts) {
+    pub fn send(&mut self, now: Nanos, flows: &[Flow], registry: &EndpointRegistry, site: &SiteSettings) {
         let due = |at: Nanos| now.saturating_sub(at) >= TEMPLATE_EVERY;
         if !flows.is_empty() && self.template_at.is_none_or(due) {
             self.template_at = Some(now);
@@ -55,7 +55,7 @@
         }
         let (mut records, mut count) = (Vec::new(), 0);
         for flow in flows {
-            let record = record(flow, registry, facts);
+            let record = record(flow, registry, site);
             if records.len() + record.len() + 20 > MOST {
                 self.message(now, TEMPLATE, &records, count);
                 (records, count) = (Vec::new(), 0);
@@ -95,7 +95,7 @@
     out
 }
 
-fn record(flow: &Flow, registry: &EndpointRegistry, facts: &Facts) -> Vec<u8> {
+fn record(flow: &Flow, registry: &EndpointRegistry, site: &SiteSettings) -> Vec<u8> {
     let addr = flow.server.and_then(|server| registry.entry(server)).map(|server| server.addr());
     let ip = match addr.map(|a| a.ip()) {
         Some(IpAddr::V4(ip)) => ip,
@@ -110,7 +110,7 @@
         FlowResult::Moved => (4, "moved"),
         FlowResult::Broken => (4, "broken"),
     };
-    let class = facts.classes.get(flow.class).map_or("", |c| c.name.as_str());
+    let class = site.classes.get(flow.class).map_or("", |c| c.name.as_str());
     let mut out = Vec::new();
     out.extend(flow.request_id.0.to_be_bytes());
     out.extend((flow.began / 1_000_000).to_be_bytes());
--- a/src/front/amqp/access.rs
+++ b/src/front/amqp/access.rs
@@ -83,7 +83,7 @@
     pub fn read(path: &Path) -> Result<Users, String> {
         let name = path.display();
         let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-        let file: File = crate::config::json::parse(&text).map_err(|e| format!("{name}: {e}"))?;
+        let file: File = crate::json::parse(&text).map_err(|e| format!("{name}: {e}"))?;
         let mut users = Users::default();
         for (user, entry) in file.users {
             let wrong = |field: &str| format!("{name}: field users.{user}.{field}: not a key in base64");
@@ -138,7 +138,7 @@
 pub fn add_user(path: &Path, user: &str, password: &str, rights: Rights) -> Result<(), String> {
     let name = path.display();
     let mut file = match std::fs::read_to_string(path) {
-        Ok(text) => crate::config::json::parse(&text).map_err(|e| format!("{name}: {e}"))?,
+        Ok(text) => crate::json::parse(&text).map_err(|e| format!("{name}: {e}"))?,
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => File::default(),
         Err(e) => return Err(format!("{name}: {e}")),
     };
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -1,8 +1,8 @@
 //! The AMQP front's own file, such as `deploy/amqp.json`.
 
 use super::access::Users;
-use crate::config::json;
 use crate::front::tls::TlsFile;
+use crate::json;
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -16,7 +16,7 @@
 pub use access::{add_user, Rights};
 
 use super::{Ctx, Front, Opened, Optional};
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::net::{Net, Notice, Owner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
@@ -33,9 +33,9 @@
 pub const OPTIONAL: Optional = Optional {
     name: "amqp",
     read: |path| Ok(Box::new(AmqpConfig::read(path)?)),
-    open: |id, file, net, name, facts| {
+    open: |id, file, net, name, site| {
         let config = file.downcast::<AmqpConfig>().map_err(|_| "not this front's file".to_string())?;
-        AmqpFront::open(id, *config, net, name, facts)
+        AmqpFront::open(id, *config, net, name, site)
     },
 };
 
@@ -67,7 +67,7 @@
         config: AmqpConfig,
         net: &mut Net,
         name: &str,
-        facts: &Facts,
+        site: &SiteSettings,
     ) -> Result<Opened, String> {
         let at = net.listen(config.listen, Owner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
         let mut line = format!("listen={at}");
@@ -78,7 +78,7 @@
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
         }
-        let classes: Vec<String> = facts.classes.iter().map(|c| c.name.clone()).collect();
+        let classes: Vec<String> = site.classes.iter().map(|c| c.name.clone()).collect();
         let front = AmqpFront {
             id,
             container: name.to_string(),
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -146,7 +146,7 @@
         let conn = Connection::dial(ctx.now, config.server(&self.container), credentials);
         at.conns.push(token);
         self.links.insert(token, Link { server, conn, uses: Map::default() });
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
+        ctx.wheel.at(ctx.now + ctx.site.limits.dial_timeout_ns, Due::Dial(self.front, token));
         self.write(ctx, token);
         true
     }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -7,7 +7,7 @@
 pub mod text;
 pub mod tls;
 
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
 use crate::net::{Net, Notice, Token, Wheel};
 use crate::requests::{FrontId, RequestTable};
@@ -23,7 +23,7 @@
     pub requests: &'a mut RequestTable,
     pub registry: &'a EndpointRegistry,
     pub wheel: &'a mut Wheel<Due>,
-    pub facts: &'a Facts,
+    pub site: &'a SiteSettings,
     pub classes: &'a [Class],
     /// Whether whoever deals clients out is to send some here.
     pub takes_clients: bool,
@@ -120,8 +120,8 @@
 /// An open front, and where it listens.
 pub type Opened = (Box<dyn Front>, String);
 
-/// How an optional front is opened: with its id, what was read, the sockets, the node's name and its facts.
-pub type Open = fn(FrontId, Box<dyn Any>, &mut Net, &str, &Facts) -> Result<Opened, String>;
+/// How an optional front is opened: with its id, what was read, the sockets, the node's name and its site.
+pub type Open = fn(FrontId, Box<dyn Any>, &mut Net, &str, &SiteSettings) -> Result<Opened, String>;
 
 /// What was read of an optional front's file, by the front's place in [`OPTIONAL`].
 pub type ReadFiles = Vec<(usize, Box<dyn Any>)>;
@@ -165,11 +165,11 @@
         file: Box<dyn Any>,
         net: &mut Net,
         name: &str,
-        facts: &Facts,
+        site: &SiteSettings,
     ) -> Result<String, String> {
         let optional = &OPTIONAL[which];
         let id = FrontId { index: self.list.len() as u8, name: optional.name };
-        let (front, line) = (optional.open)(id, file, net, name, facts)?;
+        let (front, line) = (optional.open)(id, file, net, name, site)?;
         self.list.push(Some(front));
         self.names.push(optional.name);
         Ok(format!("{} {line}", optional.name))
--- a/src/front/text/first_line.rs
+++ b/src/front/text/first_line.rs
@@ -1,6 +1,6 @@
 //! A client's first line: read whole and checked before the core hears of it.
 
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::hash::fnv1a;
 use crate::vocabulary::{Class, Nanos};
 use std::ops::Range;
@@ -39,7 +39,7 @@
 
 impl FirstLine {
     /// Reads a line with its end. None is one that no server could use: it is answered here, at once.
-    pub fn parse(line: &[u8], facts: &Facts, classes: &[Class]) -> Option<FirstLine> {
+    pub fn parse(line: &[u8], site: &SiteSettings, classes: &[Class]) -> Option<FirstLine> {
         let text = std::str::from_utf8(line).ok()?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -49,12 +49,12 @@
         if text.chars().any(char::is_control) {
             return None;
         }
-        Open::parse(text, facts, classes).map(FirstLine::Open)
+        Open::parse(text, site, classes).map(FirstLine::Open)
     }
 }
 
 impl Open {
-    fn parse(line: &str, facts: &Facts, classes: &[Class]) -> Option<Open> {
+    fn parse(line: &str, site: &SiteSettings, classes: &[Class]) -> Option<Open> {
         let mut words = line.split(' ');
         let (verb, id, key, list) = (words.next()?, words.next()?, words.next()?, words.next()?);
         let odd = |word: &str| word.is_empty() || word.len() > MOST_ID || word.contains(['=', ',']);
@@ -67,7 +67,7 @@
         for pair in list.split(',') {
             let (name, value) = pair.split_once('=')?;
             match name {
-                "c" if class.is_none() => class = Some(facts.classes.iter().position(|c| c.name == value)?),
+                "c" if class.is_none() => class = Some(site.classes.iter().position(|c| c.name == value)?),
                 "d" if d.is_none() => {
                     wait = Some(milliseconds(value)?);
                     d = Some(start + 2..start + pair.len());
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -133,7 +133,7 @@
                 }
                 Line::None => return,
                 Line::TooLong => return self.malformed(ctx, token),
-                Line::Whole(line) => match FirstLine::parse(&line, ctx.facts, ctx.classes) {
+                Line::Whole(line) => match FirstLine::parse(&line, ctx.site, ctx.classes) {
                     Some(FirstLine::Ping) => {
                         // Each answer is held until it is read: a flood of questions is held back.
                         match self.sides.get_mut(&token) {
@@ -228,7 +228,7 @@
         let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
         let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
+        ctx.wheel.at(ctx.now + ctx.site.limits.dial_timeout_ns, Due::Dial(TEXT, task));
         session.task = Some(task);
         session.server = Some(server);
         self.sides.insert(task, Side::Task(client));
@@ -506,7 +506,7 @@
             Passed::Standing { line, server, began, asked, last, load, client, task } => {
                 let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
                 let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT)).ok()?;
-                let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
+                let open = match FirstLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
@@ -740,7 +740,7 @@
             ctx.requests.moved(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
-        if ctx.facts.family_info.tells_delay && now.saturating_sub(self.noted) >= 1_000_000_000 {
+        if ctx.site.family_info.reports_message_latency && now.saturating_sub(self.noted) >= 1_000_000_000 {
             self.noted = now;
             self.note_delays(ctx);
         }
--- /dev/null
+++ b/src/json.rs
@@ -0,0 +1,44 @@
+//! JSON decoding whose errors name the field at fault.
+
+use serde::Deserialize;
+use std::fmt;
+
+/// Why a JSON text could not be decoded.
+#[derive(Debug)]
+pub struct JsonError {
+    /// The path of the field at fault, such as `Profiles[0].Effect`; `.` for the document itself.
+    field_path: String,
+    source: serde_json::Error,
+}
+
+impl JsonError {
+    /// The same error in a document that has the decoded one in its field `parent`.
+    pub fn within(self, parent: &str) -> JsonError {
+        JsonError { field_path: format!("{parent}.{}", self.field_path), source: self.source }
+    }
+}
+
+impl fmt::Display for JsonError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "field {}: {}", self.field_path, self.source)
+    }
+}
+
+impl std::error::Error for JsonError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        Some(&self.source)
+    }
+}
+
+/// Decodes a JSON text. It may be followed by more text, which is not read.
+///
+/// # Errors
+///
+/// Names the field at fault and what is wrong with it.
+pub fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, JsonError> {
+    let mut reader = serde_json::Deserializer::from_str(text);
+    serde_path_to_error::deserialize(&mut reader).map_err(|error| {
+        let field_path = error.path().to_string();
+        JsonError { field_path, source: error.into_inner() }
+    })
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -73,6 +73,7 @@
 mod front;
 mod handover;
 mod hash;
+mod json;
 mod lifecycle;
 mod log;
 mod net;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -75,7 +75,7 @@
             requests: &mut $node.requests,
             registry: &$node.registry,
             wheel: &mut $node.wheel,
-            facts: &$node.config.facts,
+            site: &$node.config.site,
             classes: &$node.config.settings.classes,
             takes_clients: $node.lifecycle.takes_clients(),
             closing: $node.lifecycle.closes($node.clock.now()),
@@ -125,7 +125,7 @@
         Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
-    let mut registry = EndpointRegistry::new(config.discovery, config.facts.zones.clone());
+    let mut registry = EndpointRegistry::new(config.discovery, config.site.zones.clone());
     // All is in place: from here on the process before this one may be asked for what it has.
     let place = passed.as_ref().and_then(|_| handover::meeting_place(&config.name));
     let inherited = place.as_deref().and_then(|place| handover::succeed(place, &config.name));
@@ -149,7 +149,7 @@
     let listen = listen.map_err(|e| at("listen", e))?;
     log::line(format_args!("started name={} listen={listen}", config.name));
     for (which, file) in opened {
-        let line = fronts.open(which, file, &mut net, &config.name, &config.facts)?;
+        let line = fronts.open(which, file, &mut net, &config.name, &config.site)?;
         log::line(format_args!("{line}"));
     }
     let operator = operator.map(|(operator, listen)| {
@@ -213,7 +213,7 @@
         Some(wait) => log::line(format_args!("budgets seat={seat} grants-in-ms={}", wait / 1_000_000)),
         None => log::line(format_args!("budgets seat={seat}")),
     }
-    let classes: Vec<String> = config.facts.classes.iter().map(|c| c.name.clone()).collect();
+    let classes: Vec<String> = config.site.classes.iter().map(|c| c.name.clone()).collect();
     Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
@@ -502,7 +502,7 @@
 
     fn export_flows(&mut self, now: Nanos) {
         if let (Some(export), Some(flows)) = (&mut self.export, &mut self.requests.flows) {
-            export.send(now, &std::mem::take(flows), &self.registry, &self.config.facts);
+            export.send(now, &std::mem::take(flows), &self.registry, &self.config.site);
         }
     }
 
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -10,7 +10,7 @@
 pub fn read(path: &Path) -> Result<Plan, String> {
     let at = |problem: String| format!("{}: {problem}", path.display());
     let text = std::fs::read_to_string(path).map_err(|e| at(e.to_string()))?;
-    let plan: Plan = crate::config::json::parse(&text).map_err(at)?;
+    let plan: Plan = crate::json::parse(&text).map_err(|e| at(e.to_string()))?;
     plan.check().map_err(|e| at(format!("field {e}")))?;
     Ok(plan)
 }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
 //! The wire of the nodes' simulator: serde types and their translation. Nothing is decided here.
 
-use crate::config::json::parse;
-use crate::config::settings::{settings, SettingsDocument};
+use crate::config::settings::SettingsDocument;
 use crate::hash::fnv1a;
+use crate::json;
 use crate::policy::Balancer;
 use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
@@ -344,6 +344,10 @@
     1.0
 }
 
+fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, String> {
+    json::parse(text).map_err(|e| e.to_string())
+}
+
 /// Hosts instances: takes batches, gives replies.
 #[derive(Default)]
 pub struct Host {
@@ -403,7 +407,7 @@
             "INIT" => {
                 let init: InInit = parse(raw)?;
                 let balancer =
-                    Balancer::new(init.seed, settings(init.settings)).map_err(|e| e.to_string())?;
+                    Balancer::new(init.seed, Settings::from(init.settings)).map_err(|e| e.to_string())?;
                 let (numbers, names) = (HashMap::new(), Vec::new());
                 self.instances.insert(id, Instance { balancer, numbers, names });
                 return Ok(());
