--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
-use crate::config::Loaded;
 use crate::front::amqp::{add_user, Rights};
 use crate::front::{Files, OPTIONAL};
+use crate::node::Configuration;
 use lexopt::prelude::*;
 use sparbank_quota::Plan;
 use std::net::SocketAddr;
@@ -38,12 +38,12 @@
             }
             Err(problem) => stop(&problem, 2),
         },
-        Ok(Command::CheckConfig(options)) => match Loaded::read(&options.fronts) {
+        Ok(Command::CheckConfig(options)) => match Configuration::read(&options.fronts) {
             Ok(loaded) => {
                 println!("{}: the configuration is right", loaded.node.name);
                 ExitCode::SUCCESS
             }
-            Err(problem) => stop(&problem, 2),
+            Err(problem) => stop(&problem.to_string(), 2),
         },
         Ok(Command::AmqpUser { file, name, rights }) => match amqp_user(&file, &name, rights) {
             Ok(()) => ExitCode::SUCCESS,
@@ -62,12 +62,12 @@
 }
 
 /// What a node is started with.
-type Prepared = (Loaded, Option<OwnedFd>, Option<(Plan, usize)>);
+type Prepared = (Configuration, Option<OwnedFd>, Option<(Plan, usize)>);
 
 /// All that is configured is right, or nothing starts.
 fn prepared(options: &Options) -> Result<Prepared, String> {
-    let loaded = Loaded::read(&options.fronts)?;
-    let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.sockets);
+    let loaded = Configuration::read(&options.fronts).map_err(|e| e.to_string())?;
+    let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.max_descriptors);
     let fleet = options.fleet.as_ref().map(seat).transpose()?;
     Ok((loaded, crate::handover::passed()?, fleet))
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,196 +1,174 @@
-//! What a node is told at its start: `NODE_CONFIG` and the variables beside it.
+//! The configuration of a node: the file that `NODE_CONFIG` names, and the variables beside it.
+//!
+//! The file is JSON. Its `settings` object is the platform's document for the site; it is decoded twice, into what the
+//! balancer decides by ([`Settings`]) and into what the fronts and exports need besides ([`SiteSettings`]).
 
+mod error;
 pub mod settings;
+mod site;
+
+#[cfg(test)]
+mod tests;
+
+pub use error::{ConfigError, ContentError};
+pub use site::SiteSettings;
 
 use crate::discovery::List;
-use crate::front::{Files, ReadFiles, OPTIONAL};
-use crate::json::{self, JsonError};
-use crate::vocabulary::{Discovery, Nanos, Settings};
+use crate::json;
+use crate::log;
+use crate::vocabulary::{Discovery, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
 /// The configuration of a node.
+#[derive(Debug)]
 pub struct Config {
+    /// The node's name, the same over restarts.
     pub name: String,
+    /// Where clients of the platform's text protocol connect.
     pub listen: SocketAddr,
-    /// Where operators call; none where it is not told.
-    pub operator: Option<SocketAddr>,
+    /// Where the admin API listens; none: it is off.
+    pub admin_listen: Option<SocketAddr>,
+    /// The discovery service.
     pub discovery: SocketAddr,
-    /// Discovery as the file names it: `NODE_DISCOVERY` may have won over it at the start.
-    filed_discovery: SocketAddr,
+    /// The discovery service that the file names. `NODE_DISCOVERY` overrides it at the start.
+    discovery_in_file: SocketAddr,
+    /// Seed of the balancer's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
-    pub sockets: usize,
-    pub known: List,
+    /// Descriptors that the process may have open.
+    pub max_descriptors: usize,
+    /// The endpoint list that was last known, perhaps stale.
+    pub known_endpoints: List,
+    /// What the balancer decides by.
     pub settings: Settings,
+    /// What fronts and exports need besides.
     pub site: SiteSettings,
 }
 
-/// What the fronts need of the settings and the module does not.
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct SiteSettings {
-    #[serde(rename = "Profiles")]
-    pub classes: Vec<ClassName>,
-    #[serde(default)]
-    pub zones: Vec<String>,
-    pub limits: DialLimits,
-    #[serde(default)]
-    pub family_info: FamilyInfo,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct ClassName {
-    pub name: String,
-}
-
-#[derive(Clone, Debug, Deserialize)]
-#[serde(rename_all = "PascalCase")]
-pub struct DialLimits {
-    /// A connection that is not up after this has failed.
-    #[serde(default = "dial_timeout")]
-    pub dial_timeout_ns: Nanos,
-}
-
-#[derive(Clone, Debug, Default, Deserialize)]
-#[serde(rename_all = "PascalCase", default)]
-pub struct FamilyInfo {
-    /// The balancer wants reports of the latency of messages on open connections.
-    #[serde(rename = "TellsDelay")]
-    pub reports_message_latency: bool,
-}
-
-fn dial_timeout() -> Nanos {
-    250_000_000
-}
-
+/// The document in the file that `NODE_CONFIG` names.
 #[derive(Deserialize)]
-struct File<'a> {
+struct ConfigDocument<'a> {
     name: String,
     listen: SocketAddr,
-    operator: Option<SocketAddr>,
+    #[serde(rename = "operator")]
+    admin_listen: Option<SocketAddr>,
     discovery: SocketAddr,
+    /// Hexadecimal; empty means zero.
     #[serde(default)]
     seed: String,
-    limits: Limits,
-    known: List,
+    limits: LimitsDocument,
+    #[serde(rename = "known")]
+    known_endpoints: List,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
 
 #[derive(Deserialize)]
-struct Limits {
-    sockets: usize,
-}
-
-/// All that `serve` is configured by, read alike at the start, by `check-config` and on SIGHUP.
-pub struct Loaded {
-    pub node: Config,
-    /// What the optional fronts' files say.
-    pub fronts: ReadFiles,
-}
-
-impl Loaded {
-    /// Reads the environment's configuration and the optional fronts' files.
-    pub fn read(files: &Files) -> Result<Loaded, String> {
-        Ok(Loaded { node: Config::from_env()?, fronts: read_fronts(files)? })
-    }
-
-    /// Reads all again for a running node: all of it is right, or none of it counts.
-    pub fn again(running: &Config, files: &Files) -> Result<Loaded, String> {
-        Ok(Loaded { node: running.again()?, fronts: read_fronts(files)? })
-    }
-}
-
-fn read_fronts(files: &Files) -> Result<ReadFiles, String> {
-    files.iter().map(|(which, path)| Ok((*which, (OPTIONAL[*which].read)(path)?))).collect()
+struct LimitsDocument {
+    #[serde(rename = "sockets")]
+    max_descriptors: usize,
 }
 
 impl Config {
-    /// Reads `NODE_CONFIG`; `NODE_NAME`, `NODE_LISTEN`, `NODE_OPERATOR` and `NODE_DISCOVERY` win where they
-    /// are set.
-    pub fn from_env() -> Result<Config, String> {
-        let path = std::env::var("NODE_CONFIG").map_err(|_| "NODE_CONFIG: not set".to_string())?;
-        let text = std::fs::read_to_string(&path).map_err(|e| format!("{path}: {e}"))?;
-        let mut config = Config::parse(&text).map_err(|e| format!("{path}: {e}"))?;
+    /// Reads the file that `NODE_CONFIG` names. `NODE_NAME`, `NODE_LISTEN`, `NODE_OPERATOR` and `NODE_DISCOVERY`
+    /// override it where they are set.
+    pub fn from_env() -> Result<Config, ConfigError> {
+        let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::NotSet("NODE_CONFIG"))?;
+        let text = match std::fs::read_to_string(&path) {
+            Ok(text) => text,
+            Err(source) => return Err(ConfigError::Unreadable { path, source }),
+        };
+        let mut config = match Config::parse(&text) {
+            Ok(config) => config,
+            Err(source) => return Err(ConfigError::Invalid { path, source }),
+        };
         if let Ok(name) = std::env::var("NODE_NAME") {
             config.name = name;
         }
-        config.listen = address("NODE_LISTEN")?.unwrap_or(config.listen);
-        config.operator = address("NODE_OPERATOR")?.or(config.operator);
-        config.discovery = address("NODE_DISCOVERY")?.unwrap_or(config.discovery);
+        config.listen = address_variable("NODE_LISTEN")?.unwrap_or(config.listen);
+        config.admin_listen = address_variable("NODE_OPERATOR")?.or(config.admin_listen);
+        config.discovery = address_variable("NODE_DISCOVERY")?.unwrap_or(config.discovery);
         Ok(config)
     }
 
-    /// Reads it all again, as the start does, for a node that runs under this one. The variables are those
-    /// of the start: where the file names another discovery than it did, the file is newer and wins.
-    pub fn again(&self) -> Result<Config, String> {
+    /// Reads the configuration again for the node that runs under this one. The variables are those of the start:
+    /// where the file names another discovery service than it did, the file is newer and wins over `NODE_DISCOVERY`.
+    pub fn reread(&self) -> Result<Config, ConfigError> {
         let mut config = Config::from_env()?;
-        let moved = config.filed_discovery != self.filed_discovery;
-        config.discovery = if moved { config.filed_discovery } else { self.discovery };
+        let file_changed = config.discovery_in_file != self.discovery_in_file;
+        config.discovery = if file_changed { config.discovery_in_file } else { self.discovery };
         Ok(config)
     }
 
-    /// Takes over from a newer configuration what a running node can change, and names what it cannot.
-    /// Classes and zones are known by their places to all that is open: they stay as they are.
-    pub fn take_over(&mut self, new: Config) -> Vec<&'static str> {
-        let mut fixed = Vec::new();
-        let names = |site: &SiteSettings| site.classes.iter().map(|c| c.name.clone()).collect::<Vec<_>>();
-        if names(&new.site) == names(&self.site) && new.site.zones == self.site.zones {
-            (self.settings, self.site) = (new.settings, new.site);
+    /// Applies what a running node can change of a newer configuration. Returns the names of the changed fields that
+    /// need a restart, in the file's terms.
+    ///
+    /// Open connections refer to classes and zones by index: settings that change either need a restart.
+    pub fn apply_reload(&mut self, new: Config) -> Vec<&'static str> {
+        let mut needs_restart = Vec::new();
+        if new.site.has_same_classes_and_zones(&self.site) {
+            self.settings = new.settings;
+            self.site = new.site;
         } else {
-            fixed.push("settings");
+            needs_restart.push("settings");
         }
-        let kept = [
+        let fixed_fields = [
             ("name", new.name != self.name),
             ("listen", new.listen != self.listen),
-            ("operator", new.operator != self.operator),
+            ("operator", new.admin_listen != self.admin_listen),
             ("seed", new.seed != self.seed),
         ];
-        fixed.extend(kept.iter().filter(|(_, differs)| *differs).map(|(field, _)| *field));
-        (self.discovery, self.filed_discovery, self.sockets) =
-            (new.discovery, new.filed_discovery, new.sockets);
-        fixed
+        needs_restart.extend(fixed_fields.iter().filter(|(_, changed)| *changed).map(|(field, _)| *field));
+        self.discovery = new.discovery;
+        self.discovery_in_file = new.discovery_in_file;
+        self.max_descriptors = new.max_descriptors;
+        needs_restart
     }
 
-    /// Decodes the text of the file.
-    pub fn parse(text: &str) -> Result<Config, String> {
-        let file: File = json::parse(text).map_err(|e| e.to_string())?;
-        crate::log::trace(format_args!("trace settings {}", file.settings.get()));
-        let in_settings = |e: JsonError| e.within("settings").to_string();
-        let mut settings = settings::settings_from(file.settings.get()).map_err(in_settings)?;
-        let site: SiteSettings = json::parse(file.settings.get()).map_err(in_settings)?;
-        settings.dial_timeout = site.limits.dial_timeout_ns;
-        // On sockets nothing comes unasked: what is pushed waits at the machine's agent until a watch asks for it.
-        if settings.discovery == Discovery::Pushed {
-            settings.discovery = Discovery::LocalAgent;
-        }
-        settings.check().map_err(|e| format!("field settings.{}: {}", e.field, e.problem))?;
-        let seed = if file.seed.is_empty() {
-            0
-        } else {
-            u64::from_str_radix(&file.seed, 16).map_err(|e| format!("field seed: {e}"))?
+    /// Decodes and checks the text of the file.
+    pub fn parse(text: &str) -> Result<Config, ContentError> {
+        let document: ConfigDocument = json::parse(text)?;
+        let settings_text = document.settings.get();
+        log::trace(format_args!("trace settings {settings_text}"));
+        let (settings, site) = parse_settings(settings_text)?;
+        settings.check()?;
+        let seed = match document.seed.as_str() {
+            "" => 0,
+            digits => u64::from_str_radix(digits, 16)?,
         };
         Ok(Config {
-            name: file.name,
-            listen: file.listen,
-            operator: file.operator,
-            discovery: file.discovery,
-            filed_discovery: file.discovery,
+            name: document.name,
+            listen: document.listen,
+            admin_listen: document.admin_listen,
+            discovery: document.discovery,
+            discovery_in_file: document.discovery,
             seed,
-            sockets: file.limits.sockets,
-            known: file.known,
+            max_descriptors: document.limits.max_descriptors,
+            known_endpoints: document.known_endpoints,
             settings,
             site,
         })
     }
 }
 
-fn address(variable: &str) -> Result<Option<SocketAddr>, String> {
-    match std::env::var(variable) {
-        Ok(text) => text.parse().map(Some).map_err(|e| format!("{variable}: {e}")),
-        Err(_) => Ok(None),
+/// Decodes the `settings` object as a node on real sockets reads it.
+fn parse_settings(text: &str) -> Result<(Settings, SiteSettings), ContentError> {
+    let mut settings = settings::parse(text).map_err(|e| e.within("settings"))?;
+    let site: SiteSettings = json::parse(text).map_err(|e| e.within("settings"))?;
+    settings.dial_timeout = site.limits.dial_timeout_ns;
+    // Nothing is pushed to a socket that has not asked: pushed lists wait at the machine's agent for a watch.
+    if settings.discovery == Discovery::Pushed {
+        settings.discovery = Discovery::LocalAgent;
+    }
+    Ok((settings, site))
+}
+
+/// The address in an environment variable; none where it is not set or not Unicode.
+fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
+    let Ok(text) = std::env::var(variable) else { return Ok(None) };
+    match text.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(source) => Err(ConfigError::NotAnAddress { variable, source }),
     }
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,9 +1,16 @@
-//! The settings object as the platform writes it, decoded into the policy's [`Settings`].
+//! The settings document as the platform writes it, decoded into the balancer's [`Settings`].
+//!
+//! Field names on the wire are the platform's. Where they differ from the terms of the field, the Rust name is the
+//! term and the wire's name stands in a `rename`.
 
 use crate::json::{self, JsonError};
-use crate::vocabulary::*;
+use crate::vocabulary::{Class, Discovery, Effect, Nanos, Scope, Settings};
 use serde::Deserialize;
 
+#[cfg(test)]
+mod tests;
+
+/// The settings object. Fields that the balancer does not use are skipped.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsDocument {
@@ -14,42 +21,41 @@
     profiles: Vec<ClassDocument>,
     #[serde(default)]
     discovery: String,
-    #[serde(default)]
-    #[serde(rename = "WorthBy")]
+    #[serde(default, rename = "WorthBy")]
     weight_by: String,
     limits: LimitsDocument,
     rules: RulesDocument,
     #[serde(default)]
     family_info: FamilyDocument,
-    #[serde(default)]
-    #[serde(rename = "Parties")]
+    #[serde(default, rename = "Parties")]
     tenants: Vec<TenantDocument>,
     #[serde(default)]
     feedback: FeedbackDocument,
 }
 
+/// The fields that a load report of a server carries.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct FeedbackDocument {
     fields: Vec<String>,
 }
 
+/// A request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct ClassDocument {
-    objective_ns: u64,
-    hard_limit_ns: u64,
+    objective_ns: Nanos,
+    hard_limit_ns: Nanos,
     effect: EffectName,
     #[serde(default)]
     dedup_scope: ScopeName,
     #[serde(default)]
-    window_ns: u64,
-    #[serde(default = "one")]
-    #[serde(rename = "Worth")]
+    window_ns: Nanos,
+    #[serde(default = "one", rename = "Worth")]
     priority_weight: f64,
 }
 
-#[derive(Deserialize)]
+#[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum EffectName {
     ReadLike,
@@ -57,7 +63,7 @@
     NonIdempotent,
 }
 
-#[derive(Deserialize, Default)]
+#[derive(Clone, Copy, Deserialize, Default)]
 #[serde(rename_all = "snake_case")]
 enum ScopeName {
     #[default]
@@ -66,6 +72,7 @@
     Cell,
 }
 
+/// What a node may do.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct LimitsDocument {
@@ -75,44 +82,47 @@
     #[serde(default)]
     retry_after: bool,
     #[serde(default)]
-    max_retry_after_ns: u64,
+    max_retry_after_ns: Nanos,
     #[serde(default)]
-    dial_timeout_ns: u64,
+    dial_timeout_ns: Nanos,
     #[serde(default)]
     probes: bool,
 }
 
+/// How the site's servers and discovery behave.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct RulesDocument {
-    #[serde(default = "forever")]
-    #[serde(rename = "AskWithinNs")]
-    poll_within_ns: u64,
-    #[serde(default = "one")]
-    #[serde(rename = "ColdFrom")]
+    #[serde(default = "unlimited", rename = "AskWithinNs")]
+    poll_within_ns: Nanos,
+    #[serde(default = "one", rename = "ColdFrom")]
     slow_start_floor: f64,
-    #[serde(default)]
-    #[serde(rename = "ColdNs")]
-    slow_start_ns: u64,
-    #[serde(default = "one")]
-    #[serde(rename = "FallMultiple")]
+    #[serde(default, rename = "ColdNs")]
+    slow_start_ns: Nanos,
+    #[serde(default = "one", rename = "FallMultiple")]
     overload_multiple: f64,
-    #[serde(default)]
-    #[serde(rename = "TipAfterNs")]
-    overload_after_ns: u64,
+    #[serde(default, rename = "TipAfterNs")]
+    overload_after_ns: Nanos,
 }
 
+/// What applies to one family of sites alone.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct FamilyDocument {
-    message_aim_ns: Vec<u64>,
+    /// By the index of the class.
+    #[serde(rename = "MessageAimNs")]
+    message_latency_objective_ns: Vec<Nanos>,
+    /// By tenant.
     tenant_quota_connections: Vec<f64>,
 }
 
+/// A tenant's share of the fleet.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct TenantDocument {
+    /// New connections a second, rounded to a whole number.
     quota_per_s: f64,
+    /// The fraction of the fleet's rate that `quota_per_s` was rounded from; zero where it is not stated.
     share: f64,
 }
 
@@ -124,89 +134,111 @@
     1
 }
 
-fn forever() -> u64 {
-    u64::MAX / 2
+/// Half of the largest number: sums with the clock do not overflow.
+fn unlimited() -> Nanos {
+    Nanos::MAX / 2
 }
 
-/// The settings object of an instance's first message, as a real node finds it in its configuration.
-pub fn settings_from(text: &str) -> Result<Settings, JsonError> {
-    json::parse::<SettingsDocument>(text).map(Settings::from)
+/// Decodes the text of a settings document, as a node finds it in its configuration file.
+///
+/// # Errors
+///
+/// Names the field at fault by its path in the document.
+pub fn parse(text: &str) -> Result<Settings, JsonError> {
+    let document: SettingsDocument = json::parse(text)?;
+    Ok(Settings::from(document))
 }
 
-/// What the shares allow a second, all together. The figures are whole numbers: in a small fleet each is rounded,
-/// some to zero, and their sum says too little. The shares beside them tell the largest rate that rounds so.
+/// New connections a second that the tenants' quotas admit together.
+///
+/// Quotas are rounded to whole numbers. In a small fleet some are rounded to zero, and their sum is too low; where
+/// shares are stated, the result is the largest rate of the fleet that rounds to the same quotas.
 fn quota_setups_per_second(tenants: &[TenantDocument]) -> f64 {
-    let told = tenants.iter().filter(|p| p.share > 0.0);
-    let most = told.map(|p| (p.quota_per_s + 0.5) / p.share).fold(f64::INFINITY, f64::min);
-    let sum: f64 = tenants.iter().map(|p| p.quota_per_s).sum();
-    if most.is_finite() {
-        most.max(sum)
+    let with_share = tenants.iter().filter(|tenant| tenant.share > 0.0);
+    let largest_rates = with_share.map(|tenant| (tenant.quota_per_s + 0.5) / tenant.share);
+    let largest_rate = largest_rates.fold(f64::INFINITY, f64::min);
+    let sum: f64 = tenants.iter().map(|tenant| tenant.quota_per_s).sum();
+    if largest_rate.is_finite() {
+        largest_rate.max(sum)
     } else {
         sum
     }
 }
 
-impl From<SettingsDocument> for Settings {
-    fn from(wire: SettingsDocument) -> Settings {
-        let aims = wire.family_info.message_aim_ns;
-        let classes = wire.profiles.into_iter().enumerate().map(|(at, p)| Class {
-            objective: p.objective_ns,
-            hard_limit: p.hard_limit_ns,
-            effect: match p.effect {
-                EffectName::ReadLike => Effect::ReadLike,
-                EffectName::IdempotencyKey => Effect::IdempotencyKey,
-                EffectName::NonIdempotent => Effect::NonIdempotent,
-            },
-            scope: match p.dedup_scope {
-                ScopeName::All => Scope::All,
-                ScopeName::Zone => Scope::Zone,
-                ScopeName::Cell => Scope::Cell,
-            },
-            window: p.window_ns,
-            priority_weight: p.priority_weight,
-            message_latency_objective: aims.get(at).copied(),
-        });
-        Settings {
-            classes: classes.collect(),
-            instances: wire.instances,
-            zone: wire.zone,
-            discovery: if wire.discovery == "ask" { Discovery::Polled } else { Discovery::Pushed },
-            weight_by_work: wire.weight_by == "work",
-            max_attempts: wire.limits.max_attempts,
-            may_cancel: wire.limits.may_cancel,
-            max_retry_after: if wire.limits.retry_after { wire.limits.max_retry_after_ns } else { 0 },
-            poll_within: wire.rules.poll_within_ns,
-            dial_timeout: wire.limits.dial_timeout_ns,
-            slow_start_floor: wire.rules.slow_start_floor,
-            slow_start_duration: wire.rules.slow_start_ns,
-            overload_multiple: wire.rules.overload_multiple,
-            overload_after: wire.rules.overload_after_ns,
-            quota_connections: wire.family_info.tenant_quota_connections.iter().sum(),
-            quota_setups_per_second: quota_setups_per_second(&wire.tenants),
-            probes: wire.limits.probes && wire.feedback.fields.iter().any(|f| f == "x0"),
+impl From<EffectName> for Effect {
+    fn from(name: EffectName) -> Effect {
+        match name {
+            EffectName::ReadLike => Effect::ReadLike,
+            EffectName::IdempotencyKey => Effect::IdempotencyKey,
+            EffectName::NonIdempotent => Effect::NonIdempotent,
         }
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Five tenants have 1 a second, three have 0; or all have 0: the fleet still takes something.
-    #[rstest::rstest]
-    #[case([1.0, 1.0, 1.0, 1.0, 1.0, 0.0, 0.0, 0.0], 6.0)]
-    #[case([0.0; 8], 2.0)]
-    #[case([4.0, 3.0, 2.0, 2.0, 2.0, 1.0, 1.0, 1.0], 17.9)]
-    fn whole_numbers_are_read_as_what_rounds_to_them(#[case] rates: [f64; 8], #[case] most: f64) {
-        let shares = [0.25, 0.18, 0.14, 0.12, 0.1, 0.08, 0.07, 0.06];
-        let tenant = |(quota_per_s, share)| TenantDocument { quota_per_s, share };
-        let tenants: Vec<TenantDocument> = rates.into_iter().zip(shares).map(tenant).collect();
-        assert!(
-            (quota_setups_per_second(&tenants) - most).abs() < 0.05,
-            "{}",
-            quota_setups_per_second(&tenants)
-        );
-        let untold: Vec<TenantDocument> = rates.into_iter().map(|rate| tenant((rate, 0.0))).collect();
-        assert_eq!(quota_setups_per_second(&untold), rates.iter().sum::<f64>());
+impl From<ScopeName> for Scope {
+    fn from(name: ScopeName) -> Scope {
+        match name {
+            ScopeName::All => Scope::All,
+            ScopeName::Zone => Scope::Zone,
+            ScopeName::Cell => Scope::Cell,
+        }
+    }
+}
+
+impl ClassDocument {
+    fn into_class(self, message_latency_objective: Option<Nanos>) -> Class {
+        Class {
+            objective: self.objective_ns,
+            hard_limit: self.hard_limit_ns,
+            effect: self.effect.into(),
+            scope: self.dedup_scope.into(),
+            window: self.window_ns,
+            priority_weight: self.priority_weight,
+            message_latency_objective,
+        }
+    }
+}
+
+impl LimitsDocument {
+    /// The longest Retry-After that clients honour; zero where they honour none.
+    fn honoured_retry_after(&self) -> Nanos {
+        if self.retry_after {
+            self.max_retry_after_ns
+        } else {
+            0
+        }
+    }
+}
+
+impl From<SettingsDocument> for Settings {
+    fn from(document: SettingsDocument) -> Settings {
+        let SettingsDocument { limits, rules, family_info, .. } = document;
+        let latency_objectives = family_info.message_latency_objective_ns;
+        let classes = document.profiles.into_iter().enumerate();
+        let classes = classes.map(|(index, class)| class.into_class(latency_objectives.get(index).copied()));
+        let reports_load = document.feedback.fields.iter().any(|field| field == "x0");
+        let discovery = match document.discovery.as_str() {
+            "ask" => Discovery::Polled,
+            _ => Discovery::Pushed,
+        };
+        Settings {
+            classes: classes.collect(),
+            instances: document.instances,
+            zone: document.zone,
+            discovery,
+            weight_by_work: document.weight_by == "work",
+            max_attempts: limits.max_attempts,
+            may_cancel: limits.may_cancel,
+            max_retry_after: limits.honoured_retry_after(),
+            poll_within: rules.poll_within_ns,
+            dial_timeout: limits.dial_timeout_ns,
+            slow_start_floor: rules.slow_start_floor,
+            slow_start_duration: rules.slow_start_ns,
+            overload_multiple: rules.overload_multiple,
+            overload_after: rules.overload_after_ns,
+            quota_connections: family_info.tenant_quota_connections.iter().sum(),
+            quota_setups_per_second: quota_setups_per_second(&document.tenants),
+            probes: limits.probes && reports_load,
+        }
     }
 }
--- /dev/null
+++ b/src/config/tests.rs
@@ -0,0 +1,44 @@
+//! Unit tests of the configuration's errors and of what a reload changes.
+
+use super::*;
+
+const SETTINGS: &str = r#"{"Profiles":[{"ObjectiveNs":1,"HardLimitNs":2,"Effect":"read_like","Name":"a"}],
+    "Limits":{"MaxAttempts":3},"Rules":{}}"#;
+
+/// The text of a configuration file, edited by replacing one part.
+fn file(from: &str, to: &str) -> String {
+    let head = r#""name":"n1","listen":"127.0.0.1:1","operator":"127.0.0.1:2","discovery":"127.0.0.1:3","seed":"7f""#;
+    let known = r#""known":{"generation":0,"reset":true,"instances":[]}"#;
+    format!(r#"{{{head},"limits":{{"sockets":20}},{known},"settings":{SETTINGS}}}"#).replace(from, to)
+}
+
+#[test]
+fn the_file_is_decoded() {
+    let config = Config::parse(&file("", "")).expect("it is valid");
+    assert_eq!((config.seed, config.max_descriptors), (0x7f, 20));
+    assert_eq!(config.admin_listen, Some("127.0.0.1:2".parse().expect("an address")));
+    assert_eq!(config.settings.dial_timeout, 250_000_000);
+    assert_eq!(config.settings.discovery, Discovery::LocalAgent);
+}
+
+#[rstest::rstest]
+#[case("read_like", "odd", "field settings.Profiles[0].Effect: unknown variant `odd`")]
+#[case(r#""MaxAttempts":3"#, r#""MaxAttempts":0"#, "field settings.max_attempts: must be at least one")]
+#[case("\"7f\"", "\"7g\"", "field seed: invalid digit found in string")]
+#[case("\"sockets\":20", "\"sockets\":\"20\"", "field limits.sockets: invalid type")]
+#[case("\"name\"", "\"nome\"", "field .: missing field `name`")]
+fn an_error_names_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
+    let error = Config::parse(&file(from, to)).expect_err("it is invalid").to_string();
+    assert!(error.starts_with(expected), "{error}");
+}
+
+#[test]
+fn a_reload_names_what_needs_a_restart_and_applies_the_rest() {
+    let mut running = Config::parse(&file("", "")).expect("it is valid");
+    let new = Config::parse(&file("\"sockets\":20", "\"sockets\":40").replace("\"n1\"", "\"n2\""));
+    assert_eq!(running.apply_reload(new.expect("it is valid")), ["name"]);
+    assert_eq!((running.name.as_str(), running.max_descriptors), ("n1", 40));
+    let new = Config::parse(&file(r#""Name":"a""#, r#""Name":"b""#).replace("127.0.0.1:2", "127.0.0.1:9"));
+    assert_eq!(running.apply_reload(new.expect("it is valid")), ["settings", "operator"]);
+    assert_eq!(running.site.classes[0].name, "a");
+}
--- /dev/null
+++ b/src/node/configuration.rs
@@ -0,0 +1,62 @@
+//! All that a node is configured by: its own configuration and the optional fronts' files. Read alike at the start,
+//! by `check-config` and on SIGHUP.
+
+use crate::config::{Config, ConfigError};
+use crate::front::{Files, ReadFiles, OPTIONAL};
+use std::error::Error;
+use std::fmt;
+
+/// A checked configuration, not applied yet.
+pub struct Configuration {
+    /// The node's own.
+    pub node: Config,
+    /// The optional fronts' files, parsed.
+    pub fronts: ReadFiles,
+}
+
+impl Configuration {
+    /// Reads the environment's configuration and the optional fronts' files.
+    pub fn read(front_files: &Files) -> Result<Configuration, ConfigurationError> {
+        Ok(Configuration { node: Config::from_env()?, fronts: read_front_files(front_files)? })
+    }
+
+    /// Reads all again for a running node: all of it is valid, or none of it is applied.
+    pub fn reread(running: &Config, front_files: &Files) -> Result<Configuration, ConfigurationError> {
+        Ok(Configuration { node: running.reread()?, fronts: read_front_files(front_files)? })
+    }
+}
+
+fn read_front_files(front_files: &Files) -> Result<ReadFiles, ConfigurationError> {
+    let mut parsed = ReadFiles::new();
+    for (which, path) in front_files {
+        let file = (OPTIONAL[*which].read)(path).map_err(ConfigurationError::Front)?;
+        parsed.push((*which, file));
+    }
+    Ok(parsed)
+}
+
+/// Why a configuration was refused: one line that names the file and the field.
+#[derive(Debug)]
+pub enum ConfigurationError {
+    /// The node's own configuration.
+    Node(ConfigError),
+    /// An optional front's file.
+    Front(String),
+}
+
+impl fmt::Display for ConfigurationError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ConfigurationError::Node(error) => error.fmt(f),
+            ConfigurationError::Front(error) => error.fmt(f),
+        }
+    }
+}
+
+impl Error for ConfigurationError {}
+
+impl From<ConfigError> for ConfigurationError {
+    fn from(error: ConfigError) -> ConfigurationError {
+        ConfigurationError::Node(error)
+    }
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,8 +1,12 @@
 //! The loop: gathers what is ready, gives it to the core in one go, carries out what came back.
 
+mod configuration;
+
+pub use configuration::Configuration;
+
 use crate::admin::{Answer, Call, Operator};
 use crate::cli::Options;
-use crate::config::{Config, Loaded};
+use crate::config::Config;
 use crate::discovery::EndpointRegistry;
 use crate::flow_export::FlowExport;
 use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
@@ -104,15 +108,15 @@
 
 /// Serves until it is told to stop. Where the platform holds the clients' listening socket, it is given.
 pub(crate) fn serve(
-    loaded: Loaded,
+    configuration: Configuration,
     options: Options,
     passed: Option<OwnedFd>,
     fleet: Option<(Plan, usize)>,
 ) -> Result<(), String> {
     let Options { fronts: files, ipfix, .. } = options;
-    let Loaded { node: config, fronts: opened } = loaded;
+    let Configuration { node: config, fronts: opened } = configuration;
     let at = |what: &str, e: io::Error| format!("{what}: {e}");
-    let mut net = Net::new(config.sockets).map_err(|e| at("epoll", e))?;
+    let mut net = Net::new(config.max_descriptors).map_err(|e| at("epoll", e))?;
     let signals = Signals {
         stop: signal(&mut net, &[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])
             .map_err(|e| at("signals", e))?,
@@ -121,7 +125,7 @@
     };
     let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
     requests.trace.on = log::tracing();
-    let operator = match config.operator {
+    let operator = match config.admin_listen {
         Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
@@ -136,7 +140,7 @@
             net.inherit(listening);
             (before, channel) = (Some(state), Some(from));
         }
-        None => requests.tell(registry.saved(&config.known)),
+        None => requests.tell(registry.saved(&config.known_endpoints)),
     }
     if place.is_some() {
         net.set_aside(handover::SUCCESSOR);
@@ -319,7 +323,7 @@
 
     /// The process before this one holds so many descriptors: both together hold no more than one may.
     fn held_before(&mut self, descriptors: usize) {
-        self.net.limit(self.config.sockets.saturating_sub(descriptors));
+        self.net.limit(self.config.max_descriptors.saturating_sub(descriptors));
     }
 
     fn longest(&self) -> Nanos {
@@ -431,17 +435,17 @@
     /// SIGHUP: the configuration is read again. What is wrong changes nothing; what is right changes what
     /// a running node can change. Clients that stand and servers that are known stay.
     fn reload(&mut self) {
-        let Loaded { node: new, fronts } = match Loaded::again(&self.config, &self.files) {
+        let Configuration { node: new, fronts } = match Configuration::reread(&self.config, &self.files) {
             Ok(loaded) => loaded,
             Err(problem) => return log::line(format_args!("reload-refused {problem}")),
         };
         let moved = new.discovery != self.config.discovery;
-        let mut fixed = self.config.take_over(new);
+        let mut fixed = self.config.apply_reload(new);
         for (which, file) in fronts {
             fixed.extend(self.fronts.take_over(which, file));
         }
         // Where another process is still there, it says again what it holds.
-        self.net.limit(self.config.sockets);
+        self.net.limit(self.config.max_descriptors);
         self.requests.set(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
