--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -7,7 +7,7 @@
 
 pub use call::{Answer, Call};
 
-use crate::front::Due;
+use crate::front::TimerEvent;
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
 use crate::vocabulary::Nanos;
 use call::Head;
@@ -48,14 +48,14 @@
         &mut self,
         now: Nanos,
         net: &mut Net,
-        wheel: &mut Wheel<Due>,
+        wheel: &mut Wheel<TimerEvent>,
         notice: Notice,
     ) -> Option<Call> {
         let token = notice.token;
         match notice.kind {
             Kind::Accepted => {
                 self.callers.insert(token);
-                wheel.at(now + WHOLE_WITHIN, Due::Admin(token));
+                wheel.at(now + WHOLE_WITHIN, TimerEvent::AdminTimeout(token));
                 None
             }
             Kind::Evicted => {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::config::Loaded;
 use crate::front::amqp::{add_user, Rights};
-use crate::front::{Files, OPTIONAL};
+use crate::front::{FrontFiles, OPTIONAL_FRONTS};
 use lexopt::prelude::*;
 use sparbank_quota::Plan;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 /// What is off by default.
 #[derive(Default)]
 pub(crate) struct Options {
-    pub(crate) fronts: Files,
+    pub(crate) fronts: FrontFiles,
     pub(crate) ipfix: Option<SocketAddr>,
     /// The fleet's budgets.
     pub(crate) fleet: Option<PathBuf>,
@@ -148,7 +148,7 @@
 
 /// The optional front that an option turns on.
 fn optional(name: &str) -> Option<usize> {
-    OPTIONAL.iter().position(|front| front.name == name)
+    OPTIONAL_FRONTS.iter().position(|front| front.name == name)
 }
 
 fn stop(problem: &str, code: u8) -> ExitCode {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -4,7 +4,7 @@
 pub mod settings;
 
 use crate::discovery::List;
-use crate::front::{Files, ReadFiles, OPTIONAL};
+use crate::front::{FrontFiles, ParsedFrontFiles, OPTIONAL_FRONTS};
 use crate::vocabulary::{Discovery, Nanos, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -88,23 +88,26 @@
 pub struct Loaded {
     pub node: Config,
     /// What the optional fronts' files say.
-    pub fronts: ReadFiles,
+    pub fronts: ParsedFrontFiles,
 }
 
 impl Loaded {
     /// Reads the environment's configuration and the optional fronts' files.
-    pub fn read(files: &Files) -> Result<Loaded, String> {
+    pub fn read(files: &FrontFiles) -> Result<Loaded, String> {
         Ok(Loaded { node: Config::from_env()?, fronts: read_fronts(files)? })
     }
 
     /// Reads all again for a running node: all of it is right, or none of it counts.
-    pub fn again(running: &Config, files: &Files) -> Result<Loaded, String> {
+    pub fn again(running: &Config, files: &FrontFiles) -> Result<Loaded, String> {
         Ok(Loaded { node: running.again()?, fronts: read_fronts(files)? })
     }
 }
 
-fn read_fronts(files: &Files) -> Result<ReadFiles, String> {
-    files.iter().map(|(which, path)| Ok((*which, (OPTIONAL[*which].read)(path)?))).collect()
+fn read_fronts(files: &FrontFiles) -> Result<ParsedFrontFiles, String> {
+    files
+        .iter()
+        .map(|(which, path)| Ok((*which, (OPTIONAL_FRONTS[*which].read)(path).map_err(|e| e.to_string())?)))
+        .collect()
 }
 
 impl Config {
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -5,7 +5,7 @@
 use super::items::Map;
 use super::recovery::Key;
 use crate::front::tls::Tls;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::{Token, SLOW};
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{Connection, LinkId, Tag};
@@ -229,7 +229,7 @@
 
     /// Whether forwarders had more for a client than was written at one time, and there is room again. Where
     /// the socket took it all at once, no notice says so.
-    pub fn takes_more(&mut self, ctx: &Ctx, token: Token) -> bool {
+    pub fn takes_more(&mut self, ctx: &FrontContext, token: Token) -> bool {
         let Some(client) = self.map.get_mut(&token) else { return false };
         let more = client.stalled && ctx.net.unwritten(token) < SLOW;
         client.stalled &= !more;
@@ -237,7 +237,7 @@
     }
 
     /// Writes what there is. False where the connection is over with it.
-    pub fn flush(&mut self, ctx: &mut Ctx, token: Token) -> bool {
+    pub fn flush(&mut self, ctx: &mut FrontContext, token: Token) -> bool {
         let Some(client) = self.map.get_mut(&token) else { return true };
         client.say(ctx, token);
         !client.conn.is_closed()
@@ -246,7 +246,7 @@
 
 impl Client {
     /// Sends what there is to say.
-    pub fn say(&mut self, ctx: &mut Ctx, token: Token) {
+    pub fn say(&mut self, ctx: &mut FrontContext, token: Token) {
         let mut out = self.conn.take_out(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
--- a/src/front/amqp/forwarders.rs
+++ b/src/front/amqp/forwarders.rs
@@ -4,7 +4,7 @@
 use super::clients::Clients;
 use super::items::Map;
 use super::servers::Servers;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::{Token, SLOW};
 use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, LinkId, Outgoing, Part, State, Tag};
@@ -187,7 +187,7 @@
     /// A part has come from a server.
     pub fn part(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         forwarder: u64,
         token: Token,
         link: LinkId,
@@ -225,7 +225,7 @@
     }
 
     /// Sends on what the client takes, and passes its credit on to the servers.
-    pub fn forward(&mut self, ctx: &mut Ctx, forwarder: u64, sides: Sides) {
+    pub fn forward(&mut self, ctx: &mut FrontContext, forwarder: u64, sides: Sides) {
         let Some(at) = self.map.get_mut(&forwarder) else { return };
         let Some(client) = sides.clients.get(at.client) else { return };
         let unwritten = ctx.net.unwritten(at.client);
--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -5,7 +5,7 @@
 use super::recovery::{Fate, Key};
 use super::*;
 use crate::front::tls::Tls;
-use crate::front::{Ctx, Due, ANSWER_MARGIN};
+use crate::front::{FrontContext, TimerEvent, ANSWER_MARGIN};
 use crate::hash::fnv1a;
 use crate::net::{Kind, Notice, Token, SLOW};
 use sparbank_amqp::{
@@ -36,7 +36,7 @@
 }
 
 impl AmqpFront {
-    pub(super) fn client_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn client_notice(&mut self, ctx: &mut FrontContext, notice: Notice) {
         let token = notice.token;
         match notice.kind {
             Kind::Accepted => return self.accept(ctx, token),
@@ -52,7 +52,7 @@
         self.read_client(ctx, token);
     }
 
-    fn accept(&mut self, ctx: &mut Ctx, token: Token) {
+    fn accept(&mut self, ctx: &mut FrontContext, token: Token) {
         if ctx.net.is_short() && !ctx.net.make_room() {
             ctx.requests.counters.over_budget += 1;
             return ctx.net.close(token);
@@ -75,7 +75,7 @@
     }
 
     /// Takes what has come, unless the client does not read its answers or there is no room.
-    pub(super) fn read_client(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn read_client(&mut self, ctx: &mut FrontContext, token: Token) {
         if ctx.net.unwritten(token) >= SLOW {
             return ctx.net.rearm(token);
         }
@@ -134,7 +134,7 @@
         ctx.net.rearm(token);
     }
 
-    fn client_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
+    fn client_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
         match event {
             Event::Asked(asked) => self.asked(ctx, token, asked),
             Event::Opened {} => {
@@ -183,7 +183,7 @@
     }
 
     /// A slow client has read what there was: what waits for it goes on.
-    pub(super) fn forward_all(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn forward_all(&mut self, ctx: &mut FrontContext, token: Token) {
         let Some(client) = self.clients.get(token) else { return };
         let forwarders =
             client.links.values().filter_map(|u| if let Use::Forwarder(r) = u { Some(*r) } else { None });
@@ -208,7 +208,7 @@
     }
 
     /// A client wants to send: to a class, or to the anonymous terminus, where `to` names it.
-    fn sends(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, attach: &Attach) {
+    fn sends(&mut self, ctx: &mut FrontContext, token: Token, link: LinkId, attach: &Attach) {
         let target = match &attach.target {
             Some(Terminus::Target(target)) => target.clone(),
             Some(Terminus::Coordinator) => {
@@ -282,7 +282,7 @@
     }
 
     /// A client wants to receive: what a class sends, or replies.
-    fn receives(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, attach: Box<Attach>) {
+    fn receives(&mut self, ctx: &mut FrontContext, token: Token, link: LinkId, attach: Box<Attach>) {
         let source = attach.source.clone().unwrap_or_default();
         if source.dynamic == Some(true) {
             return self.receives_replies(token, link, attach, source);
@@ -332,7 +332,7 @@
     }
 
     /// A client's link is gone. Unless it may come again, nobody waits for what was on it.
-    fn link_gone(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, closed: bool) {
+    fn link_gone(&mut self, ctx: &mut FrontContext, token: Token, link: LinkId, closed: bool) {
         let dropped = self.clients.get(token).map(|t| std::mem::take(&mut t.dropped)).unwrap_or_default();
         // The connection has let the link's name go: it is kept with what it was for.
         match self.clients.remove_link(token, link) {
@@ -364,7 +364,7 @@
     }
 
     /// The client of a forwarder is gone.
-    fn forwarder_left(&mut self, ctx: &mut Ctx, forwarder: u64) {
+    fn forwarder_left(&mut self, ctx: &mut FrontContext, forwarder: u64) {
         if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
             if let Some(request_id) = gone.request_id {
                 ctx.requests.left(ctx.now, request_id);
@@ -385,7 +385,7 @@
     // ---- Deliveries --------------------------------------------------------------------------------------
 
     /// A part of a delivery has come.
-    fn part(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, part: Part<'_>) {
+    fn part(&mut self, ctx: &mut FrontContext, token: Token, link: LinkId, part: Part<'_>) {
         let Some(client) = self.clients.get(token) else { return };
         let Some(Use::Intake(intake)) = client.links.get_mut(&link) else { return };
         let class = intake.class;
@@ -461,7 +461,7 @@
     /// A delivery begins, or has not come far enough to say what it is.
     fn begins(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         class: Option<usize>,
@@ -503,7 +503,7 @@
     #[allow(clippy::too_many_arguments)]
     fn take_in(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         class: Option<usize>,
@@ -551,7 +551,7 @@
 
     // ---- Who it is ---------------------------------------------------------------------------------------
 
-    fn asked(&mut self, ctx: &mut Ctx, token: Token, asked: Asked) {
+    fn asked(&mut self, ctx: &mut FrontContext, token: Token, asked: Asked) {
         let Some(users) = &self.config.known else {
             if let Some(client) = self.clients.get(token) {
                 client.conn.verdict(asked == Asked::Anonymous);
@@ -575,7 +575,7 @@
             }
             Asked::Plain { user, password } => {
                 if self.checks.start(token, users, user, &password) {
-                    ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                    ctx.wheel.at(ctx.now, TimerEvent::FrontTimer(self.id, token));
                 } else {
                     self.verdict(ctx, token, None);
                 }
@@ -589,7 +589,7 @@
     }
 
     /// Who is known comes in; who is not is told so later, which costs a guesser time.
-    fn verdict(&mut self, ctx: &mut Ctx, token: Token, who: Option<Rc<access::Who>>) {
+    fn verdict(&mut self, ctx: &mut FrontContext, token: Token, who: Option<Rc<access::Who>>) {
         let Some(client) = self.clients.get(token) else { return };
         match who {
             Some(who) => {
@@ -600,12 +600,12 @@
             None => {
                 self.refused_logins += 1;
                 client.refuse_at = Some(ctx.now + WRONG_PASSWORD_COSTS);
-                ctx.wheel.at(ctx.now + WRONG_PASSWORD_COSTS, Due::Timer(self.id, token));
+                ctx.wheel.at(ctx.now + WRONG_PASSWORD_COSTS, TimerEvent::FrontTimer(self.id, token));
             }
         }
     }
 
-    pub(super) fn refuse_due(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn refuse_due(&mut self, ctx: &mut FrontContext, token: Token) {
         let Some(client) = self.clients.get(token) else { return };
         if client.refuse_at.is_some_and(|at| at <= ctx.now) {
             client.refuse_at = None;
@@ -615,23 +615,23 @@
     }
 
     /// One slice of one password a tick, whoever waits: the loop feels none of them.
-    pub(super) fn check_passwords(&mut self, ctx: &mut Ctx) {
+    pub(super) fn check_passwords(&mut self, ctx: &mut FrontContext) {
         let Some((token, user, holds)) = self.checks.step() else {
             if let Some(token) = self.checks.first() {
-                ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                ctx.wheel.at(ctx.now, TimerEvent::FrontTimer(self.id, token));
             }
             return;
         };
         let who = self.config.known.as_ref().and_then(|users| users.named(&user)).filter(|_| holds);
         self.verdict(ctx, token, who);
         if let Some(token) = self.checks.first() {
-            ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+            ctx.wheel.at(ctx.now, TimerEvent::FrontTimer(self.id, token));
         }
     }
 
     // ---- Time and the end ----------------------------------------------------------------------------------
 
-    pub(super) fn client_gone(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn client_gone(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(client) = self.clients.get(token) {
             if let Some(tls) = &mut client.tls {
                 tls.close();
@@ -682,7 +682,7 @@
         }
     }
 
-    pub(super) fn look_at_clients(&mut self, ctx: &mut Ctx) {
+    pub(super) fn look_at_clients(&mut self, ctx: &mut FrontContext) {
         let redirect = self.config.redirect.clone();
         for token in self.clients.tokens() {
             let Some(client) = self.clients.get(token) else { continue };
--- a/src/front/amqp/from_servers.rs
+++ b/src/front/amqp/from_servers.rs
@@ -2,12 +2,12 @@
 
 use super::servers::Use;
 use super::*;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::{Kind, Notice, Token};
 use sparbank_amqp::{Attach, Event, LinkId, Role, Terminus};
 
 impl AmqpFront {
-    pub(super) fn server_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn server_notice(&mut self, ctx: &mut FrontContext, notice: Notice) {
         let token = notice.token;
         let mut bytes = ctx.net.input(token).map(std::mem::take).unwrap_or_default();
         let mut left = &bytes[..];
@@ -43,7 +43,7 @@
     }
 
     /// A server's connection is over.
-    pub(super) fn lose_server(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn lose_server(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(link) = self.servers.get(token) {
             // What is still to be said, such as why, is said.
             let out = link.conn.take_out(ctx.now);
@@ -56,7 +56,7 @@
         self.happened(ctx, happened);
     }
 
-    fn server_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
+    fn server_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
         let kind = |this: &mut Self, link: LinkId| this.servers.get(token)?.uses.get(&link).copied();
         match event {
             Event::Attached { link, attach } => {
@@ -107,7 +107,7 @@
     }
 
     /// The link that an attempt was on is gone: it may have run where its last byte was written.
-    fn task_dropped(&mut self, ctx: &mut Ctx, token: Token, request_id: RequestId) {
+    fn task_dropped(&mut self, ctx: &mut FrontContext, token: Token, request_id: RequestId) {
         let task = self.items.get(request_id).and_then(|item| item.task.as_ref());
         let outcome = match task.map(|task| &task.stage) {
             Some(Stage::Sent { end, .. }) if *end <= ctx.net.written(token) => Outcome::Reset,
@@ -117,7 +117,13 @@
     }
 
     /// The server says how a delivery ended.
-    fn server_settled(&mut self, ctx: &mut Ctx, class: usize, request_id: RequestId, state: Option<State>) {
+    fn server_settled(
+        &mut self,
+        ctx: &mut FrontContext,
+        class: usize,
+        request_id: RequestId,
+        state: Option<State>,
+    ) {
         let outcome = match state {
             Some(State::Accepted) => Outcome::Ok,
             // It was not processed, and nothing has changed: it never ran.
@@ -136,7 +142,7 @@
     // ---- Forwarders --------------------------------------------------------------------------------------
 
     /// The server sends: the request stands, and the client has its answer.
-    fn forwarder_up(&mut self, ctx: &mut Ctx, id: u64, token: Token, link: LinkId, attach: &Attach) {
+    fn forwarder_up(&mut self, ctx: &mut FrontContext, id: u64, token: Token, link: LinkId, attach: &Attach) {
         if !self.forwarders.add_inflow(id, token, link) {
             return;
         }
@@ -163,7 +169,7 @@
     /// A forwarder's link to its server is gone.
     fn forwarder_lost(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         id: u64,
         token: Token,
         by_detach: Option<(LinkId, Option<Error>)>,
@@ -213,7 +219,14 @@
     }
 
     /// A server attaches a link by itself: to send to a node for replies, and to nothing else.
-    fn server_asks(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, role: Role, attach: &Attach) {
+    fn server_asks(
+        &mut self,
+        ctx: &mut FrontContext,
+        token: Token,
+        link: LinkId,
+        role: Role,
+        attach: &Attach,
+    ) {
         let address = match &attach.target {
             Some(Terminus::Target(target)) => target.address.as_deref(),
             _ => None,
@@ -233,7 +246,7 @@
         self.forwarders.forward(ctx, forwarder, sides(&mut self.clients, &mut self.servers));
     }
 
-    pub(super) fn look_at_servers(&mut self, ctx: &mut Ctx) {
+    pub(super) fn look_at_servers(&mut self, ctx: &mut FrontContext) {
         for token in self.servers.tokens() {
             let Some(link) = self.servers.get(token) else { continue };
             if link.conn.tick(ctx.now).is_err() {
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -15,9 +15,8 @@
 
 pub use access::{add_user, Rights};
 
-use super::{Ctx, Front, Opened, Optional};
-use crate::config::Facts;
-use crate::net::{Net, Notice, Owner, Token};
+use super::{Front, FrontContext, FrontError, FrontSetup, OpenedFront, OptionalFront};
+use crate::net::{Notice, Owner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
@@ -30,12 +29,15 @@
 use std::any::Any;
 
 /// How this front is turned on.
-pub const OPTIONAL: Optional = Optional {
+pub const OPTIONAL_FRONT: OptionalFront = OptionalFront {
     name: "amqp",
-    read: |path| Ok(Box::new(AmqpConfig::read(path)?)),
-    open: |id, file, net, name, facts| {
-        let config = file.downcast::<AmqpConfig>().map_err(|_| "not this front's file".to_string())?;
-        AmqpFront::open(id, *config, net, name, facts)
+    read: |path| {
+        let config = AmqpConfig::read(path).map_err(|error| FrontError::Config(error.into()))?;
+        Ok(Box::new(config))
+    },
+    open: |id, config, setup| {
+        let config = config.downcast::<AmqpConfig>().map_err(|_| FrontError::WrongConfigType)?;
+        AmqpFront::open(id, *config, setup)
     },
 };
 
@@ -62,19 +64,17 @@
 }
 
 impl AmqpFront {
-    fn open(
-        id: FrontId,
-        config: AmqpConfig,
-        net: &mut Net,
-        name: &str,
-        facts: &Facts,
-    ) -> Result<Opened, String> {
-        let at = net.listen(config.listen, Owner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
+    fn open(id: FrontId, config: AmqpConfig, setup: FrontSetup) -> Result<OpenedFront, FrontError> {
+        let FrontSetup { net, node_name: name, facts } = setup;
+        let at = net
+            .listen(config.listen, Owner::Front(id))
+            .map_err(|error| FrontError::Listen { socket: "amqp listen", error })?;
         let mut line = format!("listen={at}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
             let bound = net.listen_at(tls.listen, Owner::Front(id));
-            let (token, at) = bound.map_err(|e| format!("amqp tls listen: {e}"))?;
+            let (token, at) =
+                bound.map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
         }
@@ -96,12 +96,12 @@
             fate_unknown: 0,
             leaving: false,
         };
-        Ok((Box::new(front), line))
+        Ok(OpenedFront { front: Box::new(front), listen_line: line })
     }
 
     // ---- What happened at the servers ------------------------------------------------------------
 
-    fn happened(&mut self, ctx: &mut Ctx, happened: Vec<Happened>) {
+    fn happened(&mut self, ctx: &mut FrontContext, happened: Vec<Happened>) {
         for what in happened {
             match what {
                 Happened::Over(request_id, outcome) => self.over(ctx, request_id, outcome),
@@ -113,7 +113,7 @@
     }
 
     /// The attempt of a delivery is over.
-    fn over(&mut self, ctx: &mut Ctx, request_id: RequestId, outcome: Outcome) {
+    fn over(&mut self, ctx: &mut FrontContext, request_id: RequestId, outcome: Outcome) {
         let Some(item) = self.items.get_mut(request_id) else { return };
         item.task = None;
         let again = item.is_repeatable();
@@ -126,7 +126,7 @@
     }
 
     /// The attempt of a forwarder is over before it stood: another may be tried.
-    fn forwarder_failed(&mut self, ctx: &mut Ctx, forwarder: u64, outcome: Outcome) {
+    fn forwarder_failed(&mut self, ctx: &mut FrontContext, forwarder: u64, outcome: Outcome) {
         self.forwarders.take_back(forwarder, &mut self.servers);
         if let Some(request_id) = self.forwarders.get(forwarder).filter(|r| !r.up).and_then(|r| r.request_id)
         {
@@ -137,7 +137,7 @@
     // ---- Answers -------------------------------------------------------------------------------------
 
     /// The final answer to a delivery.
-    fn answer(&mut self, _ctx: &mut Ctx, request_id: RequestId, state: State) {
+    fn answer(&mut self, _ctx: &mut FrontContext, request_id: RequestId, state: State) {
         let Some(item) = self.items.remove(request_id) else { return };
         self.recovery.ended(self.config.recovery(), request_id, &state);
         if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
@@ -155,8 +155,8 @@
     }
 
     /// The client gave a request up, or is gone.
-    fn left(&mut self, ctx: &mut Ctx, request_id: RequestId) {
-        self.give_up(ctx, request_id);
+    fn left(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
+        self.cancel_attempt(ctx, request_id);
         ctx.requests.left(ctx.now, request_id);
         self.recovery.left(request_id);
         if let Some(item) = self.items.remove(request_id) {
@@ -217,14 +217,20 @@
 }
 
 impl Front for AmqpFront {
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: Notice) {
         match self.servers.of(notice.token) {
             Some(_) => self.server_notice(ctx, notice),
             None => self.client_notice(ctx, notice),
         }
     }
 
-    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        wait: Nanos,
+    ) {
         if let Some(id) = self.forwarders.of(request_id) {
             if let Some(forwarder) = self.forwarders.get(id) {
                 forwarder.server = Some(server);
@@ -239,7 +245,7 @@
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
         if let Some(forwarder) = self.forwarders.of(request_id) {
             let unsent = self.forwarders.take_back(forwarder, &mut self.servers);
             return if unsent { Outcome::ConnectFailed } else { Outcome::Timeout };
@@ -276,19 +282,19 @@
         outcome
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, cool_down: Nanos) {
         let after = (cool_down / 1_000_000) as u32;
         let words = "no region takes it now; come again";
         self.refuse_forwarder(request_id, come_again(condition::RESOURCE_LIMIT_EXCEEDED, words, after));
         self.answer(ctx, request_id, refused(after));
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
         self.answer(ctx, request_id, failed());
     }
 
-    fn migrate(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
+    fn migrate(&mut self, _ctx: &mut FrontContext, request_id: RequestId) {
         let Some(forwarder) = self.forwarders.of(request_id) else { return };
         if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
             let error = come_again(condition::DETACH_FORCED, "moved: come again", 0);
@@ -296,9 +302,9 @@
         }
     }
 
-    fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
         for request_id in self.items.unsent(stopped) {
-            self.give_up(ctx, request_id);
+            self.cancel_attempt(ctx, request_id);
             self.over(ctx, request_id, Outcome::ConnectFailed);
         }
         for (_, forwarder) in self.forwarders.unsent(stopped) {
@@ -310,18 +316,18 @@
         self.clients.is_empty()
     }
 
-    fn dial_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, token: Token) {
         if self.servers.is_late(token) {
             self.lose_server(ctx, token);
         }
     }
 
-    fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
         self.check_passwords(ctx);
         self.refuse_due(ctx, token);
     }
 
-    fn look(&mut self, ctx: &mut Ctx) {
+    fn on_tick(&mut self, ctx: &mut FrontContext) {
         self.look_at_clients(ctx);
         self.look_at_servers(ctx);
         for request_id in self.recovery.expire(ctx.now) {
@@ -332,7 +338,7 @@
         }
     }
 
-    fn flush(&mut self, ctx: &mut Ctx) {
+    fn flush(&mut self, ctx: &mut FrontContext) {
         // What one side writes may make room for the other: both are gone through until neither has more.
         while self.servers.is_dirty() || self.clients.is_dirty() {
             let happened = self.servers.flush(ctx, &self.config, &mut self.items);
@@ -352,7 +358,7 @@
         }
     }
 
-    fn leave(&mut self, ctx: &mut Ctx) {
+    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
         if !std::mem::replace(&mut self.leaving, true) {
             for token in self.clients.tokens() {
                 self.clients.stop_credit(token);
@@ -361,13 +367,13 @@
         self.look_at_clients(ctx);
     }
 
-    fn stay(&mut self, _ctx: &mut Ctx) {
+    fn resume_serving(&mut self, _ctx: &mut FrontContext) {
         if std::mem::take(&mut self.leaving) {
             self.grant_all();
         }
     }
 
-    fn take_over(&mut self, new: Box<dyn Any>) -> Vec<&'static str> {
+    fn reload(&mut self, new: Box<dyn Any>) -> Vec<&'static str> {
         let Ok(new) = new.downcast::<AmqpConfig>() else { return Vec::new() };
         let mut fixed = if new.listen == self.config.listen { Vec::new() } else { vec!["amqp listen"] };
         let at = |config: &AmqpConfig| config.tls.as_ref().map(|tls| tls.listen);
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -3,7 +3,7 @@
 
 use super::config::AmqpConfig;
 use super::items::{Items, Map, Stage, Turns};
-use crate::front::{Ctx, Due};
+use crate::front::{FrontContext, TimerEvent};
 use crate::net::{Owner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
@@ -134,7 +134,7 @@
 
     // ---- Connections -----------------------------------------------------------------------------
 
-    fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId) -> bool {
+    fn dial(&mut self, ctx: &mut FrontContext, config: &AmqpConfig, server: ServerId) -> bool {
         let Some(known) = ctx.registry.entry(server) else { return false };
         let (addr, mut credentials) = config.place(known.name(), known.addr(), &super::access::nonce());
         let Some(at) = self.map.get_mut(&server) else { return false };
@@ -146,12 +146,13 @@
         let conn = Connection::dial(ctx.now, config.server(&self.container), credentials);
         at.conns.push(token);
         self.links.insert(token, Link { server, conn, uses: Map::default() });
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
+        ctx.wheel
+            .at(ctx.now + ctx.facts.limits.dial_timeout_ns, TimerEvent::ConnectTimeout(self.front, token));
         self.write(ctx, token);
         true
     }
 
-    fn write(&mut self, ctx: &mut Ctx, token: Token) {
+    fn write(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(link) = self.links.get_mut(&token) {
             let out = link.conn.take_out(ctx.now);
             if !out.is_empty() {
@@ -161,7 +162,7 @@
     }
 
     /// A connection is over. What was on it never ran where its last byte was not written.
-    pub fn lose(&mut self, ctx: &mut Ctx, token: Token, items: &Items) -> (Vec<Happened>, Vec<u64>) {
+    pub fn lose(&mut self, ctx: &mut FrontContext, token: Token, items: &Items) -> (Vec<Happened>, Vec<u64>) {
         let (mut happened, mut forwarders) = (Vec::new(), Vec::new());
         let written = ctx.net.written(token);
         ctx.net.close(token);
@@ -224,7 +225,7 @@
     }
 
     /// A connection that serves nothing and whose server gets nothing new.
-    pub fn is_done(&self, ctx: &Ctx, token: Token) -> bool {
+    pub fn is_done(&self, ctx: &FrontContext, token: Token) -> bool {
         let Some(link) = self.links.get(&token) else { return false };
         let leaving = ctx.registry.entry(link.server).is_none_or(|server| !server.serving());
         leaving
@@ -241,7 +242,7 @@
     /// awaited; an error where there is no more to be had.
     fn place(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server: ServerId,
         name: &str,
@@ -274,7 +275,7 @@
 
     fn add_lane(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server: ServerId,
         class: usize,
@@ -335,7 +336,7 @@
     // ---- What goes out -------------------------------------------------------------------------------
 
     /// The end of a turn: everything that credit, windows and sockets take goes out.
-    pub fn flush(&mut self, ctx: &mut Ctx, config: &AmqpConfig, items: &mut Items) -> Vec<Happened> {
+    pub fn flush(&mut self, ctx: &mut FrontContext, config: &AmqpConfig, items: &mut Items) -> Vec<Happened> {
         let mut happened = Vec::new();
         for server in std::mem::take(&mut self.dirty) {
             if let Some(at) = self.map.get_mut(&server) {
@@ -359,7 +360,7 @@
     /// True where a connection took all that is written at one time, and there is more.
     fn pump(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server: ServerId,
         items: &mut Items,
@@ -404,7 +405,13 @@
 
     /// Opens a lane for each class that has something waiting and no lane that could take it: the first,
     /// or another where long messages hold all there are.
-    fn widen(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId, happened: &mut Vec<Happened>) {
+    fn widen(
+        &mut self,
+        ctx: &mut FrontContext,
+        config: &AmqpConfig,
+        server: ServerId,
+        happened: &mut Vec<Happened>,
+    ) {
         for class in 0..self.map.get(&server).map_or(0, |at| at.outlets.len()) {
             let Some(outlet) = self.map.get(&server).map(|at| &at.outlets[class]) else { return };
             let held = outlet.lanes.iter().all(|lane| lane.current.is_some());
@@ -424,7 +431,7 @@
 
     fn attach_forwarders(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server: ServerId,
         happened: &mut Vec<Happened>,
@@ -503,7 +510,7 @@
 /// Sends one chunk on a lane.
 #[allow(clippy::too_many_arguments)]
 fn feed(
-    ctx: &mut Ctx,
+    ctx: &mut FrontContext,
     config: &AmqpConfig,
     scratch: &mut Vec<u8>,
     server: ServerId,
--- /dev/null
+++ b/src/front/api.rs
@@ -0,0 +1,128 @@
+//! What the event loop and a front agree on: the trait [`Front`], the context of its calls, and the timer events.
+
+use crate::config::Facts;
+use crate::discovery::EndpointRegistry;
+use crate::net::{Net, Notice, Token, Wheel};
+use crate::requests::{FrontId, RequestTable};
+use crate::vocabulary::{Class, Event, Nanos, Outcome, RequestId, ServerId};
+use std::any::Any;
+use std::os::fd::OwnedFd;
+
+/// Time, in nanoseconds, by which a front's answer precedes the client's deadline: the timer wheel, the event loop
+/// and the way back to the client take this much at most.
+pub const ANSWER_MARGIN: Nanos = 12_000_000;
+
+/// The parts of the node that a front may use during one call.
+pub struct FrontContext<'a> {
+    /// The time of this call, in nanoseconds on the node's clock.
+    pub now: Nanos,
+    /// The sockets of all fronts.
+    pub net: &'a mut Net,
+    /// The requests and their attempts.
+    pub requests: &'a mut RequestTable,
+    /// The known servers.
+    pub registry: &'a EndpointRegistry,
+    /// Timers; each comes back as the [`TimerEvent`] that was put in.
+    pub wheel: &'a mut Wheel<TimerEvent>,
+    /// The settings that fronts need and the balancer does not.
+    pub facts: &'a Facts,
+    /// The request classes, in the order of the settings.
+    pub classes: &'a [Class],
+    /// Whether the load balancer in front of the nodes should send clients here.
+    pub accepts_clients: bool,
+    /// Whether the process is about to end: requests that arrive now are answered without an attempt.
+    pub shutting_down: bool,
+}
+
+/// An entry of the timer wheel.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum TimerEvent {
+    /// A timer of the balancer, with its token.
+    Policy(u64),
+    /// The time-out of a request's attempt, by the attempt's number.
+    AttemptTimeout(RequestId, u32),
+    /// The time-out of a front's outgoing connection.
+    ConnectTimeout(FrontId, Token),
+    /// A front's own timer for one of its sockets.
+    FrontTimer(FrontId, Token),
+    /// The periodic check of everything that needs no timer of its own.
+    Tick,
+    /// The next step of a drain.
+    DrainStep,
+    /// The next exchange with the grantor of quota leases.
+    LeaseExchange,
+    /// The time-out of reading an admin call.
+    AdminTimeout(Token),
+}
+
+/// A front: the server of one client protocol. Methods without a default are required of every front.
+pub trait Front {
+    /// Handles an event at one of the front's sockets.
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: Notice);
+    /// Starts the only attempt of a request. `timeout` is how long the attempt may take.
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+    );
+    /// Cancels an attempt and returns its outcome: an attempt that was not sent completely never ran.
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome;
+    /// Sends the final answer "rejected", with the advice to retry after `retry_after`.
+    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos);
+    /// Sends the final answer "failed".
+    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId);
+    /// Asks the client of an established connection to reconnect. The request table has already dropped the request.
+    fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId);
+    /// These servers accept no new attempts: cancels those that have not been sent to them.
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]);
+    /// Whether the front has no client.
+    fn is_idle(&self) -> bool;
+
+    /// An outgoing connection has reached its time-out, whether or not it is established by now.
+    fn on_connect_timeout(&mut self, _ctx: &mut FrontContext, _token: Token) {}
+    /// Requests a server's load report in the platform's protocol. The result is pushed to the request table as
+    /// [`Event::HealthCheckResult`]. A front without health checks reports a failed one at once.
+    fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
+        ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+    }
+    /// One of the front's own timers has elapsed.
+    fn on_timer(&mut self, _ctx: &mut FrontContext, _token: Token) {}
+    /// Called periodically, for checks that need no timer of their own.
+    fn on_tick(&mut self, _ctx: &mut FrontContext) {}
+    /// Called at the end of a loop iteration: writes what was gathered for each socket in one go.
+    fn flush(&mut self, _ctx: &mut FrontContext) {}
+    /// Called at each step of a drain, whether the node resumes later or shuts down.
+    fn on_drain_step(&mut self, _ctx: &mut FrontContext) {}
+    /// Releases at most `max_connections` connections for the process that replaces this one. Connections that are
+    /// not handed over end here.
+    fn hand_over_connections(
+        &mut self,
+        _ctx: &mut FrontContext,
+        _max_connections: usize,
+    ) -> Vec<TransferredConnection> {
+        Vec::new()
+    }
+    /// Continues a connection of the process that this one replaces.
+    fn receive_connection(&mut self, _ctx: &mut FrontContext, _connection: TransferredConnection) {}
+    /// The node accepts clients again after a drain.
+    fn resume_serving(&mut self, _ctx: &mut FrontContext) {}
+    /// Applies a newer configuration file, as read by [`OptionalFront::read`](super::OptionalFront::read). Returns
+    /// the fields that differ and need a restart.
+    fn reload(&mut self, _new: Box<dyn Any>) -> Vec<&'static str> {
+        Vec::new()
+    }
+    /// The line of the front's own counters, if it has any.
+    fn counters(&self) -> Option<String> {
+        None
+    }
+}
+
+/// A connection in transfer from one process to the next.
+pub struct TransferredConnection {
+    /// The front's state of the connection, as JSON.
+    pub text: String,
+    /// Its file descriptors, the client's first.
+    pub fds: Vec<OwnedFd>,
+}
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -3,7 +3,7 @@
 //! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
 //! Only whole lines go to a client, so that `MOVE` can always follow.
 
-use super::{Ctx, Due, Front, TransferredConnection, ANSWER_MARGIN, TEXT};
+use super::{Front, FrontContext, TimerEvent, TransferredConnection, ANSWER_MARGIN, TEXT_FRONT};
 use crate::net::{Flow, Kind, Notice, Owner, Token, SLOW};
 use crate::vocabulary::*;
 use first_line::{FirstLine, Open};
@@ -51,7 +51,7 @@
 }
 
 impl Session {
-    fn trace(&self, what: &str, ctx: &Ctx) {
+    fn trace(&self, what: &str, ctx: &FrontContext) {
         if crate::log::tracing() {
             let (request_id, open) = (self.request_id.map_or(0, |request_id| request_id.0), &self.open);
             let server = self.server.and_then(|server| ctx.registry.entry(server)).map_or("-", |r| r.name());
@@ -124,7 +124,7 @@
 
     // ---- The client's side -------------------------------------------------------------------
 
-    fn fresh(&mut self, ctx: &mut Ctx, token: Token) {
+    fn fresh(&mut self, ctx: &mut FrontContext, token: Token) {
         while let Some(input) = ctx.net.input(token) {
             match take_line(input) {
                 Line::None if ctx.net.at_end(token) => {
@@ -141,7 +141,7 @@
                             _ => return self.malformed(ctx, token),
                         }
                         // What is not PONG tells the front that deals clients out to send none here.
-                        let word: &[u8] = if ctx.takes_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
+                        let word: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
                         ctx.net.send(token, word);
                     }
                     Some(FirstLine::Open(open)) => return self.open(ctx, token, open),
@@ -152,7 +152,7 @@
     }
 
     /// Nothing that a server could use: the answer is given here, at once.
-    fn malformed(&mut self, ctx: &mut Ctx, token: Token) {
+    fn malformed(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.requests.counters.malformed += 1;
         self.answer(ctx, token, b"ERR\r\n");
     }
@@ -160,7 +160,7 @@
     /// A connection on which no request has come: it is ended. What arrives in that instant is answered, one way
     /// or the other: a whole line that is there is taken, and to one that is still to come the answer is there
     /// already.
-    fn end_resting(&mut self, ctx: &mut Ctx, token: Token) {
+    fn end_resting(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.net.look(token);
         self.fresh(ctx, token);
         if let Some(Side::Fresh(pings)) = self.sides.get(&token) {
@@ -174,7 +174,7 @@
         }
     }
 
-    fn open(&mut self, ctx: &mut Ctx, token: Token, open: Open) {
+    fn open(&mut self, ctx: &mut FrontContext, token: Token, open: Open) {
         // The id of another's open request, or more after the one line, after which a client waits:
         // servers close on the one and cannot use the other.
         let more = ctx.net.input(token).is_some_and(|input| !input.is_empty());
@@ -183,7 +183,7 @@
         }
         ctx.net.prove(token);
         // The process is about to end: nothing that is sent on now would be answered from there.
-        if ctx.closing && open.at.is_none() {
+        if ctx.shutting_down && open.at.is_none() {
             return self.answer(ctx, token, b"BUSY\r\n");
         }
         if !ctx.net.make_room() {
@@ -201,7 +201,7 @@
         match at {
             Some(name) => self.restore(ctx, token, &name),
             None => {
-                let request_id = ctx.requests.arrive(ctx.now, TEXT, arrival);
+                let request_id = ctx.requests.arrive(ctx.now, TEXT_FRONT, arrival);
                 self.clients.insert(request_id, token);
                 if let Some(session) = self.sessions.get_mut(&token) {
                     session.request_id = Some(request_id);
@@ -213,29 +213,30 @@
     }
 
     /// A connection open since before the run: it goes to the server that held it, not to a placement.
-    fn restore(&mut self, ctx: &mut Ctx, token: Token, name: &str) {
+    fn restore(&mut self, ctx: &mut FrontContext, token: Token, name: &str) {
         let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
-        ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
+        ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), TimerEvent::FrontTimer(TEXT_FRONT, token));
         if !self.dial(ctx, token, server, wait) {
             self.answer(ctx, token, b"ERR\r\n");
         }
     }
 
     /// Connects to a server and sends it the client's line.
-    fn dial(&mut self, ctx: &mut Ctx, client: Token, server: ServerId, wait: Nanos) -> bool {
+    fn dial(&mut self, ctx: &mut FrontContext, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
         let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
-        let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
+        let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT_FRONT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
+        ctx.wheel
+            .at(ctx.now + ctx.facts.limits.dial_timeout_ns, TimerEvent::ConnectTimeout(TEXT_FRONT, task));
         session.task = Some(task);
         session.server = Some(server);
         self.sides.insert(task, Side::Task(client));
         true
     }
 
-    fn client(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
+    fn client(&mut self, ctx: &mut FrontContext, token: Token, broken: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         if let (true, Some(task)) = (session.up, session.task) {
             if ctx.net.unwritten(task) < SLOW {
@@ -250,7 +251,7 @@
             }
             if ctx.net.at_end(token) && ctx.net.input(token).is_none_or(|left| left.is_empty()) {
                 ctx.net.finish(task);
-                ctx.wheel.at(ctx.now + HALF_OPEN, Due::Timer(TEXT, token));
+                ctx.wheel.at(ctx.now + HALF_OPEN, TimerEvent::FrontTimer(TEXT_FRONT, token));
             }
         } else if ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
             // It waits for UP and may say nothing before it: nobody could say what its lines belong to.
@@ -268,14 +269,14 @@
     }
 
     /// The final answer of a client that has none, and its end.
-    fn answer(&mut self, ctx: &mut Ctx, token: Token, answer: &[u8]) {
+    fn answer(&mut self, ctx: &mut FrontContext, token: Token, answer: &[u8]) {
         ctx.net.send(token, answer);
         self.forget(ctx, token);
         ctx.net.close(token);
     }
 
     /// Drops what is known of a client, and its attempt.
-    fn forget(&mut self, ctx: &mut Ctx, token: Token) {
+    fn forget(&mut self, ctx: &mut FrontContext, token: Token) {
         self.sides.remove(&token);
         if let Some(session) = self.sessions.remove(&token) {
             session.trace("over", ctx);
@@ -291,7 +292,7 @@
 
     /// Ends the attempt's connection. What is left of a first line must not go out any more: whole, it would
     /// be an attempt.
-    fn end_task(&mut self, ctx: &mut Ctx, task: Token, up: bool) {
+    fn end_task(&mut self, ctx: &mut FrontContext, task: Token, up: bool) {
         self.sides.remove(&task);
         if !up && ctx.net.unwritten(task) > 0 {
             ctx.net.abandon(task);
@@ -301,7 +302,7 @@
     }
 
     /// A standing connection is over: both sides end, the same way.
-    fn end(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    fn end(&mut self, ctx: &mut FrontContext, client: Token, outcome: Outcome, by_reset: bool) {
         let Some(session) = self.sessions.get(&client) else { return };
         if let Some(request_id) = session.request_id {
             ctx.requests.task_ended(ctx.now, request_id, outcome);
@@ -321,7 +322,7 @@
     // ---- Probes --------------------------------------------------------------------------------
 
     /// Lines on a probe connection: each answers the probe out on it, if any.
-    fn probed(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
+    fn probed(&mut self, ctx: &mut FrontContext, token: Token, broken: bool) {
         while let Some(input) = ctx.net.input(token) {
             match take_line(input) {
                 Line::None => break,
@@ -347,7 +348,7 @@
     }
 
     /// A probe connection is over: the probe out on it, if any, found nothing.
-    fn end_probe(&mut self, ctx: &mut Ctx, token: Token) {
+    fn end_probe(&mut self, ctx: &mut FrontContext, token: Token) {
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
@@ -357,7 +358,7 @@
 
     // ---- The server's side ---------------------------------------------------------------------
 
-    fn task(&mut self, ctx: &mut Ctx, client: Token, task: Token, broken: Option<bool>) {
+    fn task(&mut self, ctx: &mut FrontContext, client: Token, task: Token, broken: Option<bool>) {
         while let Some(session) = self.sessions.get_mut(&client) {
             if session.task != Some(task) {
                 break;
@@ -397,14 +398,14 @@
         }
     }
 
-    fn first_answer(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+    fn first_answer(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let word = line.split(|b| b.is_ascii_whitespace()).next().unwrap_or(b"");
         if word == b"UP" {
             match (session.request_id, session.server) {
                 (Some(request_id), _) => ctx.requests.up(ctx.now, request_id),
                 (None, Some(server)) => {
-                    let request_id = ctx.requests.resume(ctx.now, TEXT, arrival(&session.open), server);
+                    let request_id = ctx.requests.resume(ctx.now, TEXT_FRONT, arrival(&session.open), server);
                     session.request_id = Some(request_id);
                     self.clients.insert(request_id, client);
                 }
@@ -428,7 +429,7 @@
     }
 
     /// The attempt is over, before or after it stood.
-    fn over(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    fn over(&mut self, ctx: &mut FrontContext, client: Token, outcome: Outcome, by_reset: bool) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         if session.up {
             return match session.last {
@@ -451,7 +452,7 @@
         }
     }
 
-    fn drop_task(&mut self, ctx: &mut Ctx, client: Token) {
+    fn drop_task(&mut self, ctx: &mut FrontContext, client: Token) {
         if let Some(session) = self.sessions.get_mut(&client) {
             if let Some(task) = session.task.take() {
                 let up = session.up;
@@ -463,7 +464,7 @@
     // ---- From one process to the next ----------------------------------------------------------
 
     /// Whether a connection can go on in another process as it is.
-    fn can_pass(&self, ctx: &Ctx, client: Token) -> bool {
+    fn can_pass(&self, ctx: &FrontContext, client: Token) -> bool {
         let goes = |token: Token| ctx.net.can_release(token) && ctx.net.unwritten(token) < 2 * SLOW;
         match (self.sides.get(&client), self.sessions.get(&client)) {
             (Some(Side::Fresh(_)), _) => goes(client),
@@ -472,7 +473,7 @@
         }
     }
 
-    fn pack(&mut self, ctx: &mut Ctx, token: Token) -> Option<TransferredConnection> {
+    fn pack(&mut self, ctx: &mut FrontContext, token: Token) -> Option<TransferredConnection> {
         let side = self.sides.remove(&token)?;
         let (fd, client) = ctx.net.release(token)?;
         let Some(session) = self.sessions.get_mut(&token) else {
@@ -493,19 +494,23 @@
         Some(TransferredConnection { text: serde_json::to_string(&passed).ok()?, fds: vec![fd, task_fd] })
     }
 
-    fn unpack(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) -> Option<()> {
+    fn unpack(
+        &mut self,
+        ctx: &mut FrontContext,
+        transferred_connection: TransferredConnection,
+    ) -> Option<()> {
         let mut fds = transferred_connection.fds.into_iter();
         let mut fd = || fds.next();
         match serde_json::from_str(&transferred_connection.text).ok()? {
             Passed::Fresh(pings, client) => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
+                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT_FRONT)).ok()?;
                 self.sides.insert(token, Side::Fresh(pings));
                 self.fresh(ctx, token);
                 ctx.net.rearm(token);
             }
             Passed::Standing { line, server, began, asked, last, load, client, task } => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
-                let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT)).ok()?;
+                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT_FRONT)).ok()?;
+                let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT_FRONT)).ok()?;
                 let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
@@ -518,7 +523,7 @@
                     return Some(());
                 };
                 let request_id =
-                    ctx.requests.taken_over((ctx.now, began), TEXT, arrival(&open), server, load);
+                    ctx.requests.taken_over((ctx.now, began), TEXT_FRONT, arrival(&open), server, load);
                 self.ids.insert(open.id.clone());
                 self.sides.insert(token, Side::Client);
                 self.sides.insert(task, Side::Task(token));
@@ -535,7 +540,7 @@
         Some(())
     }
 
-    fn note_delays(&mut self, ctx: &mut Ctx) {
+    fn note_delays(&mut self, ctx: &mut FrontContext) {
         let aim = ctx.classes.iter().filter_map(|c| c.message_latency_objective).min().unwrap_or(Nanos::MAX);
         let mut notes: Vec<(ServerId, Nanos)> = Vec::new();
         for (server, delay) in &mut self.delays {
@@ -560,7 +565,7 @@
     }
 
     /// Something happened at one of this front's sockets.
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: Notice) {
         let token = notice.token;
         if notice.kind == Kind::Accepted {
             self.sides.insert(token, Side::Fresh(0));
@@ -599,7 +604,13 @@
         ctx.net.rearm(token);
     }
 
-    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        wait: Nanos,
+    ) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // Nothing is begun for a client that has gone by now, nor at a server that has been told to stop in this
         // very turn, after the pick.
@@ -616,7 +627,7 @@
     }
 
     /// Takes an attempt back and says what that makes of it: unsent, it never ran.
-    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
         let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
         let task = self.sessions.get(&client).and_then(|s| s.task);
         let unsent = task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.unwritten(task) > 0);
@@ -628,7 +639,7 @@
         }
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, cool_down: Nanos) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             let busy = match cool_down / 1_000_000 {
                 0 => "BUSY\r\n".to_string(),
@@ -638,20 +649,20 @@
         }
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer(ctx, client, b"ERR\r\n");
         }
     }
 
     /// `STATS` to the server, on its probe connection or a new one.
-    fn probe(&mut self, ctx: &mut Ctx, server: ServerId) {
+    fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
         let token = match self.probes.ask(ctx.now, server) {
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
                 let addr = ctx.registry.entry(server).map(|r| r.addr());
-                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
+                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT_FRONT))) else {
                     return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
@@ -661,17 +672,17 @@
         };
         ctx.requests.counters.probes += 1;
         ctx.net.send(token, STATS);
-        ctx.wheel.at(ctx.now + PROBE_WAIT, Due::Timer(TEXT, token));
+        ctx.wheel.at(ctx.now + PROBE_WAIT, TimerEvent::FrontTimer(TEXT_FRONT, token));
     }
 
     /// Asks a client to come again. The core has already let it go.
-    fn migrate(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer(ctx, client, b"MOVE\r\n");
         }
     }
 
-    fn pass_on(&mut self, ctx: &mut Ctx, most: usize) -> Vec<TransferredConnection> {
+    fn hand_over_connections(&mut self, ctx: &mut FrontContext, most: usize) -> Vec<TransferredConnection> {
         let mut tokens: Vec<Token> =
             self.sides.keys().filter(|token| self.can_pass(ctx, **token)).copied().collect();
         tokens.sort_unstable();
@@ -679,14 +690,14 @@
         tokens.into_iter().filter_map(|token| self.pack(ctx, token)).collect()
     }
 
-    fn take_in(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) {
+    fn receive_connection(&mut self, ctx: &mut FrontContext, transferred_connection: TransferredConnection) {
         if self.unpack(ctx, transferred_connection).is_none() {
             crate::log::line(format_args!("takeover-lost a connection that cannot be read"));
         }
     }
 
     /// A connection should be up by now.
-    fn dial_due(&mut self, ctx: &mut Ctx, task: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, task: Token) {
         if let (true, Some(Side::Task(client))) = (ctx.net.is_connecting(task), self.sides.get(&task)) {
             let client = *client;
             self.over(ctx, client, Outcome::ConnectFailed, true);
@@ -694,7 +705,7 @@
     }
 
     /// A client's time is up: to stand again, or to end its other half.
-    fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
         if self.probes.is_late(token, (ctx.now + 1).saturating_sub(PROBE_WAIT)) {
             return self.end_probe(ctx, token);
         }
@@ -707,7 +718,7 @@
     }
 
     /// Servers that get nothing new: connections to them on which no byte has gone out are called off.
-    fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
         let unsent = |(client, s): (&Token, &Session)| {
             let task = s.task.filter(|task| !s.up && !ctx.net.has_written(*task))?;
             s.server.filter(|server| stopped.contains(server)).map(|_| (*client, task))
@@ -719,8 +730,8 @@
     }
 
     /// The process is about to end: so do connections on which no request has come.
-    fn leave(&mut self, ctx: &mut Ctx) {
-        if ctx.closing {
+    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
+        if ctx.shutting_down {
             let fresh = |(token, side): (&Token, &Side)| matches!(side, Side::Fresh(_)).then_some(*token);
             let mut resting: Vec<Token> = self.sides.iter().filter_map(fresh).collect();
             resting.sort_unstable();
@@ -729,7 +740,7 @@
     }
 
     /// Once in a while: silent servers and notes of delay.
-    fn look(&mut self, ctx: &mut Ctx) {
+    fn on_tick(&mut self, ctx: &mut FrontContext) {
         let now = ctx.now;
         let silent =
             |s: &Session| s.up && s.asked.is_some_and(|asked| now.saturating_sub(asked) > SILENT_AFTER);
@@ -749,7 +760,7 @@
 
 /// Passes a server's line on and notes what it says.
 fn pass(
-    ctx: &mut Ctx,
+    ctx: &mut FrontContext,
     session: &mut Session,
     delays: &mut HashMap<ServerId, Delay>,
     client: Token,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -5,7 +5,9 @@
 use crate::config::{Config, Loaded};
 use crate::discovery::EndpointRegistry;
 use crate::flow_export::FlowExport;
-use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
+use crate::front::{
+    FrontContext, FrontFiles, FrontSetup, Fronts, TimerEvent, TransferredConnection, TEXT_FRONT,
+};
 use crate::handover::{self, Handover, HandoverEvent, Inherited, State};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
@@ -21,7 +23,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The loop looks after silent peers this often.
-const LOOK_EVERY: Nanos = 200_000_000;
+const TICK_INTERVAL: Nanos = 200_000_000;
 
 /// The module's clock: Unix time at the start, and from there on the steady clock.
 struct Clock {
@@ -45,10 +47,10 @@
     net: Net,
     requests: RequestTable,
     registry: EndpointRegistry,
-    wheel: Wheel<Due>,
+    wheel: Wheel<TimerEvent>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
-    files: Files,
+    files: FrontFiles,
     fronts: Fronts,
     export: Option<FlowExport>,
     signals: Signals,
@@ -69,7 +71,7 @@
 
 macro_rules! ctx {
     ($node:expr) => {
-        &mut Ctx {
+        &mut FrontContext {
             now: $node.clock.now(),
             net: &mut $node.net,
             requests: &mut $node.requests,
@@ -77,8 +79,8 @@
             wheel: &mut $node.wheel,
             facts: &$node.config.facts,
             classes: &$node.config.settings.classes,
-            takes_clients: $node.lifecycle.takes_clients(),
-            closing: $node.lifecycle.closes($node.clock.now()),
+            accepts_clients: $node.lifecycle.takes_clients(),
+            shutting_down: $node.lifecycle.closes($node.clock.now()),
         }
     };
 }
@@ -143,13 +145,14 @@
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
-        Some(fd) => net.listen_on(fd, Owner::Front(TEXT)),
-        None => net.listen(config.listen, Owner::Front(TEXT)),
+        Some(fd) => net.listen_on(fd, Owner::Front(TEXT_FRONT)),
+        None => net.listen(config.listen, Owner::Front(TEXT_FRONT)),
     };
     let listen = listen.map_err(|e| at("listen", e))?;
     log::line(format_args!("started name={} listen={listen}", config.name));
     for (which, file) in opened {
-        let line = fronts.open(which, file, &mut net, &config.name, &config.facts)?;
+        let setup = FrontSetup { net: &mut net, node_name: &config.name, facts: &config.facts };
+        let line = fronts.open(which, file, setup).map_err(|e| e.to_string())?;
         log::line(format_args!("{line}"));
     }
     let operator = operator.map(|(operator, listen)| {
@@ -170,9 +173,9 @@
         (requests.quotas, talk) = (Some(quotas), Some(open));
     }
     let mut wheel = Wheel::new(clock.now());
-    wheel.at(clock.now(), Due::Look);
+    wheel.at(clock.now(), TimerEvent::Tick);
     if talk.is_some() {
-        wheel.at(clock.now(), Due::Quota);
+        wheel.at(clock.now(), TimerEvent::LeaseExchange);
     }
     let (lifecycle, stepping) = (Lifecycle::default(), false);
     let handover = place.map(|place| Handover::open(&mut net, &place, channel));
@@ -252,7 +255,7 @@
 
     fn dispatch(&mut self, notice: Notice) {
         match notice.owner {
-            Owner::Front(id) => front!(self, id, notice, notice),
+            Owner::Front(id) => front!(self, id, on_socket_event, notice),
             Owner::Discovery => {
                 let broken = matches!(notice.kind, Kind::Broken(_));
                 let now = self.clock.now();
@@ -336,7 +339,7 @@
                         learned: self.requests.learned(),
                         descriptors: self.net.in_use(),
                     };
-                    let listening = self.net.listening(TEXT);
+                    let listening = self.net.listening(TEXT_FRONT);
                     let watch = self.registry.release_watch(&mut self.net);
                     let told =
                         self.handover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
@@ -373,8 +376,8 @@
     }
 
     fn came(&mut self, front: &str, transferred_connection: TransferredConnection) {
-        if let Some(id) = self.fronts.named(front) {
-            front!(self, id, take_in, transferred_connection);
+        if let Some(id) = self.fronts.id_by_name(front) {
+            front!(self, id, receive_connection, transferred_connection);
         }
     }
 
@@ -382,12 +385,14 @@
     fn pass_on(&mut self) {
         while self.handover.as_ref().is_some_and(Handover::has_room) {
             let transferred_connection: Vec<TransferredConnection> =
-                front!(self, TEXT, pass_on, handover::A_TURN);
+                front!(self, TEXT_FRONT, hand_over_connections, handover::A_TURN);
             if transferred_connection.is_empty() {
                 return;
             }
-            let news =
-                self.handover.as_mut().map(|t| t.pass_on(&mut self.net, TEXT.name, transferred_connection));
+            let news = self
+                .handover
+                .as_mut()
+                .map(|t| t.pass_on(&mut self.net, TEXT_FRONT.name, transferred_connection));
             self.heard(news.unwrap_or_default());
             self.decide();
         }
@@ -412,7 +417,7 @@
                     if drained {
                         self.requests.counters.resumes += 1;
                         log::line(format_args!("resumed standing={}", self.requests.standing().len()));
-                        fronts!(self, stay);
+                        fronts!(self, resume_serving);
                     }
                     Answer::new(200, "serving")
                 }
@@ -424,7 +429,7 @@
     /// From now on there are steps, until clients stay again.
     fn begin_steps(&mut self) {
         if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.at(self.clock.now(), Due::Drain);
+            self.wheel.at(self.clock.now(), TimerEvent::DrainStep);
         }
     }
 
@@ -438,7 +443,7 @@
         let moved = new.discovery != self.config.discovery;
         let mut fixed = self.config.take_over(new);
         for (which, file) in fronts {
-            fixed.extend(self.fronts.take_over(which, file));
+            fixed.extend(self.fronts.reload(which, file));
         }
         // Where another process is still there, it says again what it holds.
         self.net.limit(self.config.sockets);
@@ -467,32 +472,32 @@
         }
         self.requests.tell(event);
         let stopped = self.registry.stopped();
-        fronts!(self, drained, &stopped);
+        fronts!(self, on_servers_draining, &stopped);
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         match due {
-            Due::Policy(token) => self.requests.tell(Event::Timer(token)),
-            Due::AttemptTimeout(request_id, attempt) => {
+            TimerEvent::Policy(token) => self.requests.tell(Event::Timer(token)),
+            TimerEvent::AttemptTimeout(request_id, attempt) => {
                 if let Some(front) = self.requests.is_out(request_id, attempt) {
                     let outcome = self.take_back(front, request_id);
                     self.requests.task_ended(self.clock.now(), request_id, outcome);
                 }
             }
-            Due::Dial(id, token) => front!(self, id, dial_due, token),
-            Due::Timer(id, token) => front!(self, id, timer_due, token),
-            Due::Look => {
+            TimerEvent::ConnectTimeout(id, token) => front!(self, id, on_connect_timeout, token),
+            TimerEvent::FrontTimer(id, token) => front!(self, id, on_timer, token),
+            TimerEvent::Tick => {
                 let now = self.clock.now();
                 if let Some(event) = self.registry.check(now, &mut self.net) {
                     self.listed(event);
                 }
-                fronts!(self, look);
+                fronts!(self, on_tick);
                 self.export_flows(now);
-                self.wheel.at(now + LOOK_EVERY, Due::Look);
+                self.wheel.at(now + TICK_INTERVAL, TimerEvent::Tick);
             }
-            Due::Drain => self.leave(),
-            Due::Quota => self.fleet(),
-            Due::Admin(token) => {
+            TimerEvent::DrainStep => self.leave(),
+            TimerEvent::LeaseExchange => self.fleet(),
+            TimerEvent::AdminTimeout(token) => {
                 if let Some(operator) = &mut self.operator {
                     operator.due(&mut self.net, token);
                 }
@@ -514,7 +519,7 @@
             return;
         };
         if step.begun {
-            fronts!(self, leave);
+            fronts!(self, on_drain_step);
         }
         for command in self.requests.abandon(now, step.answers_before) {
             self.carry_out(now, command);
@@ -524,7 +529,7 @@
                 front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::STEP, Due::Drain);
+        self.wheel.at(now + lifecycle::STEP, TimerEvent::DrainStep);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
@@ -537,7 +542,7 @@
         for command in self.requests.shed(now) {
             self.carry_out(now, command);
         }
-        self.wheel.at(now + transport::TURN, Due::Quota);
+        self.wheel.at(now + transport::TURN, TimerEvent::LeaseExchange);
     }
 
     fn has_left(&self) -> bool {
@@ -605,14 +610,14 @@
                 ));
             }
         }
-        for line in self.fronts.counters() {
+        for line in self.fronts.counter_lines() {
             log::line(format_args!("{line}"));
         }
     }
 
     /// Takes the attempt of a request back from its server.
     fn take_back(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
-        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.give_up(ctx!(self), request_id))
+        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.cancel_attempt(ctx!(self), request_id))
     }
 
     fn carry_out(&mut self, now: Nanos, command: Command) {
@@ -621,20 +626,23 @@
         }
         match command {
             Command::StartAttempt { front, request_id, server, wait } => {
-                self.wheel.at(now + wait, Due::AttemptTimeout(request_id, self.requests.attempt(request_id)));
-                front!(self, front, start, request_id, server, wait)
+                self.wheel.at(
+                    now + wait,
+                    TimerEvent::AttemptTimeout(request_id, self.requests.attempt(request_id)),
+                );
+                front!(self, front, start_attempt, request_id, server, wait)
             }
             Command::CancelAttempt { front, request_id } => {
                 self.take_back(front, request_id);
             }
             Command::Reject { front, request_id, cool_down } => {
-                front!(self, front, refuse, request_id, cool_down)
+                front!(self, front, reject, request_id, cool_down)
             }
             Command::Fail { front, request_id } => front!(self, front, fail, request_id),
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
-            Command::HealthCheck { server } => front!(self, TEXT, probe, server),
+            Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
             Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, Due::Policy(token)),
+            Command::Timer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
                 if let Some(event) = self.registry.subscribe(now, &mut self.net) {
                     self.listed(event);
