--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -2,7 +2,7 @@
 //! by `check-config` and on SIGHUP.
 
 use crate::config::{Config, ConfigError};
-use crate::front::{Files, ReadFiles, OPTIONAL};
+use crate::front::{FrontError, FrontFiles, ParsedFrontFiles, OPTIONAL_FRONTS};
 use std::error::Error;
 use std::fmt;
 
@@ -11,25 +11,25 @@
     /// The node's own.
     pub node: Config,
     /// The optional fronts' files, parsed.
-    pub fronts: ReadFiles,
+    pub fronts: ParsedFrontFiles,
 }
 
 impl Configuration {
     /// Reads the environment's configuration and the optional fronts' files.
-    pub fn read(front_files: &Files) -> Result<Configuration, ConfigurationError> {
+    pub fn read(front_files: &FrontFiles) -> Result<Configuration, ConfigurationError> {
         Ok(Configuration { node: Config::from_env()?, fronts: read_front_files(front_files)? })
     }
 
     /// Reads all again for a running node: all of it is valid, or none of it is applied.
-    pub fn reread(running: &Config, front_files: &Files) -> Result<Configuration, ConfigurationError> {
+    pub fn reread(running: &Config, front_files: &FrontFiles) -> Result<Configuration, ConfigurationError> {
         Ok(Configuration { node: running.reread()?, fronts: read_front_files(front_files)? })
     }
 }
 
-fn read_front_files(front_files: &Files) -> Result<ReadFiles, ConfigurationError> {
-    let mut parsed = ReadFiles::new();
+fn read_front_files(front_files: &FrontFiles) -> Result<ParsedFrontFiles, ConfigurationError> {
+    let mut parsed = ParsedFrontFiles::new();
     for (which, path) in front_files {
-        let file = (OPTIONAL[*which].read)(path).map_err(ConfigurationError::Front)?;
+        let file = (OPTIONAL_FRONTS[*which].read)(path)?;
         parsed.push((*which, file));
     }
     Ok(parsed)
@@ -41,7 +41,7 @@
     /// The node's own configuration.
     Node(ConfigError),
     /// An optional front's file.
-    Front(String),
+    Front(FrontError),
 }
 
 impl fmt::Display for ConfigurationError {
@@ -60,3 +60,9 @@
         ConfigurationError::Node(error)
     }
 }
+
+impl From<FrontError> for ConfigurationError {
+    fn from(error: FrontError) -> ConfigurationError {
+        ConfigurationError::Front(error)
+    }
+}
