--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -311,7 +311,7 @@
         };
         let limit = ctx.classes.get(class).map_or(0, |c| c.hard_limit);
         let arrival = arrival(class, limit, property, properties.get("again") == Some(&Value::Bool(true)));
-        let request_id = ctx.requests.arrive(ctx.now, self.id, arrival);
+        let request_id = ctx.requests.on_request(ctx.now, self.id, arrival);
         let forwarder = self.forwarders.insert(Some(request_id), token, link, attach);
         client.links.insert(link, Use::Forwarder(forwarder));
     }
@@ -367,7 +367,7 @@
     fn forwarder_left(&mut self, ctx: &mut FrontContext, forwarder: u64) {
         if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
             if let Some(request_id) = gone.request_id {
-                ctx.requests.left(ctx.now, request_id);
+                ctx.requests.on_client_disconnected(ctx.now, request_id);
             }
         }
     }
@@ -532,7 +532,7 @@
         let grace = head.ttl.map_or(limit, |ms| (Nanos::from(ms) * MS).min(MOST_WAIT));
         let again = head.value(&bytes, "again") == Some(Value::Bool(true));
         let arrival = arrival(class, grace, |name| head.property(&bytes, name), again);
-        let request_id = ctx.requests.arrive(ctx.now, self.id, arrival);
+        let request_id = ctx.requests.on_request(ctx.now, self.id, arrival);
         if let Some(client) = self.clients.get(token) {
             client.live += 1;
             client.conn.name_delivery(link.channel, part.id, request_id.0);
--- a/src/front/amqp/from_servers.rs
+++ b/src/front/amqp/from_servers.rs
@@ -158,7 +158,7 @@
             offered_capabilities: attach.offered_capabilities.clone(),
             ..Attach::default()
         };
-        ctx.requests.up(ctx.now, request_id);
+        ctx.requests.on_established(ctx.now, request_id);
         if let Some(client) = self.clients.get(client) {
             client.conn.accept_link(at, answer);
         }
@@ -212,7 +212,7 @@
             (true, _) => Some(come_again(condition::DETACH_FORCED, "its region is lost: come again", 0)),
             (false, error) => error,
         };
-        ctx.requests.task_ended(ctx.now, request_id, outcome);
+        ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
         if let Some(gone) = self.forwarders.remove(id, &mut self.servers) {
             self.end_client_link(gone.client, gone.link, error);
         }
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -117,10 +117,13 @@
         let Some(item) = self.items.get_mut(request_id) else { return };
         item.task = None;
         let again = item.is_repeatable();
-        if outcome != Outcome::Ok && !again && ctx.requests.spent(ctx.now, request_id, outcome) {
+        if outcome != Outcome::Ok
+            && !again
+            && ctx.requests.on_unrepeatable_attempt_ended(ctx.now, request_id, outcome)
+        {
             return self.answer(ctx, request_id, failed());
         }
-        if ctx.requests.task_ended(ctx.now, request_id, outcome) {
+        if ctx.requests.on_attempt_ended(ctx.now, request_id, outcome) {
             self.answer(ctx, request_id, State::Accepted);
         }
     }
@@ -130,7 +133,7 @@
         self.forwarders.take_back(forwarder, &mut self.servers);
         if let Some(request_id) = self.forwarders.get(forwarder).filter(|r| !r.up).and_then(|r| r.request_id)
         {
-            ctx.requests.task_ended(ctx.now, request_id, outcome);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
         }
     }
 
@@ -157,7 +160,7 @@
     /// The client gave a request up, or is gone.
     fn left(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         self.cancel_attempt(ctx, request_id);
-        ctx.requests.left(ctx.now, request_id);
+        ctx.requests.on_client_disconnected(ctx.now, request_id);
         self.recovery.left(request_id);
         if let Some(item) = self.items.remove(request_id) {
             if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -85,7 +85,7 @@
     /// Requests a server's load report in the platform's protocol. The result is pushed to the request table as
     /// [`Event::HealthCheckResult`]. A front without health checks reports a failed one at once.
     fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
-        ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+        ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
     }
     /// One of the front's own timers has elapsed.
     fn on_timer(&mut self, _ctx: &mut FrontContext, _token: Token) {}
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -5,6 +5,7 @@
 
 use super::{Front, FrontContext, TimerEvent, TransferredConnection, ANSWER_MARGIN, TEXT_FRONT};
 use crate::net::{Flow, Kind, Notice, Owner, Token, SLOW};
+use crate::requests::HandedOverConnection;
 use crate::vocabulary::*;
 use first_line::{FirstLine, Open};
 use probe::{Ask, Probes, PROBE_WAIT, STATS};
@@ -201,7 +202,7 @@
         match at {
             Some(name) => self.restore(ctx, token, &name),
             None => {
-                let request_id = ctx.requests.arrive(ctx.now, TEXT_FRONT, arrival);
+                let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONT, arrival);
                 self.clients.insert(request_id, token);
                 if let Some(session) = self.sessions.get_mut(&token) {
                     session.request_id = Some(request_id);
@@ -256,13 +257,13 @@
         } else if ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
             // It waits for UP and may say nothing before it: nobody could say what its lines belong to.
             if let Some(request_id) = session.request_id {
-                ctx.requests.left(ctx.now, request_id);
+                ctx.requests.on_client_disconnected(ctx.now, request_id);
             }
             self.malformed(ctx, token);
         } else if broken || ctx.net.at_end(token) {
             // It gave up. Its line is owed an answer as long as anyone may read one.
             if let Some(request_id) = session.request_id {
-                ctx.requests.left(ctx.now, request_id);
+                ctx.requests.on_client_disconnected(ctx.now, request_id);
             }
             self.answer(ctx, token, b"BUSY\r\n");
         }
@@ -305,7 +306,7 @@
     fn end(&mut self, ctx: &mut FrontContext, client: Token, outcome: Outcome, by_reset: bool) {
         let Some(session) = self.sessions.get(&client) else { return };
         if let Some(request_id) = session.request_id {
-            ctx.requests.task_ended(ctx.now, request_id, outcome);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
         }
         let task = session.task;
         if by_reset {
@@ -338,7 +339,7 @@
                     };
                     let name = ctx.registry.entry(server).map_or("?", |r| r.name());
                     crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
-                    ctx.requests.tell(Event::HealthCheckResult { server, over });
+                    ctx.requests.push_event(Event::HealthCheckResult { server, over });
                 }
             }
         }
@@ -352,7 +353,7 @@
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
-            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+            ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
         }
     }
 
@@ -403,9 +404,10 @@
         let word = line.split(|b| b.is_ascii_whitespace()).next().unwrap_or(b"");
         if word == b"UP" {
             match (session.request_id, session.server) {
-                (Some(request_id), _) => ctx.requests.up(ctx.now, request_id),
+                (Some(request_id), _) => ctx.requests.on_established(ctx.now, request_id),
                 (None, Some(server)) => {
-                    let request_id = ctx.requests.resume(ctx.now, TEXT_FRONT, arrival(&session.open), server);
+                    let request_id =
+                        ctx.requests.restore_established(ctx.now, TEXT_FRONT, arrival(&session.open), server);
                     session.request_id = Some(request_id);
                     self.clients.insert(request_id, client);
                 }
@@ -445,7 +447,7 @@
         self.drop_task(ctx, client);
         match self.sessions.get(&client).and_then(|s| s.request_id) {
             Some(request_id) => {
-                ctx.requests.task_ended(ctx.now, request_id, outcome);
+                ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
             }
             None if outcome == Outcome::Rejected => self.answer(ctx, client, b"BUSY\r\n"),
             None => self.answer(ctx, client, b"ERR\r\n"),
@@ -488,7 +490,7 @@
         let (line, asked, last, load) =
             (session.open.line().to_string(), session.asked, session.last, session.load);
         let server = session.server.and_then(|server| ctx.registry.entry(server))?.name().to_string();
-        let began = session.request_id.and_then(|request_id| ctx.requests.passed_on(request_id))?;
+        let began = session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?;
         self.forget(ctx, token);
         let passed = Passed::Standing { line, server, began, asked, last, load, client, task };
         Some(TransferredConnection { text: serde_json::to_string(&passed).ok()?, fds: vec![fd, task_fd] })
@@ -522,8 +524,14 @@
                     ctx.net.close(task);
                     return Some(());
                 };
-                let request_id =
-                    ctx.requests.taken_over((ctx.now, began), TEXT_FRONT, arrival(&open), server, load);
+                let connection = HandedOverConnection {
+                    front: TEXT_FRONT,
+                    arrival: arrival(&open),
+                    server,
+                    started_at: began,
+                    load,
+                };
+                let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
                 self.ids.insert(open.id.clone());
                 self.sides.insert(token, Side::Client);
                 self.sides.insert(task, Side::Task(token));
@@ -553,7 +561,7 @@
         }
         notes.sort_unstable();
         for (server, delay) in notes {
-            ctx.requests.tell(Event::LatencyReport { server, delay });
+            ctx.requests.push_event(Event::LatencyReport { server, delay });
         }
     }
 }
@@ -620,9 +628,9 @@
             return self.client(ctx, client, ctx.net.is_broken(client));
         }
         if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::ConnectFailed);
         }
     }
 
@@ -663,7 +671,7 @@
             Ask::Dial => {
                 let addr = ctx.registry.entry(server).map(|r| r.addr());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT_FRONT))) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+                    return ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
@@ -748,7 +756,7 @@
             self.sessions.values().filter(|s| silent(s)).filter_map(|s| s.request_id).collect();
         for request_id in silent {
             crate::log::trace(format_args!("trace silent request={}", request_id.0));
-            ctx.requests.moved(now, request_id, Outcome::Reset);
+            ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
         if ctx.facts.family_info.tells_delay && now.saturating_sub(self.noted) >= 1_000_000_000 {
@@ -783,7 +791,7 @@
             if let Some(cost) = told {
                 crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
                 session.load = Some(cost);
-                ctx.requests.tell(Event::LoadReport { id, cost });
+                ctx.requests.push_event(Event::LoadReport { id, cost });
             }
         }
         _ => {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -134,11 +134,11 @@
     let (mut before, mut channel) = (None, None);
     match inherited {
         Some(Inherited { channel: from, state, listening, watch }) => {
-            requests.tell(registry.take_over(&mut net, &state.list, watch));
+            requests.push_event(registry.take_over(&mut net, &state.list, watch));
             net.inherit(listening);
             (before, channel) = (Some(state), Some(from));
         }
-        None => requests.tell(registry.saved(&config.known)),
+        None => requests.push_event(registry.saved(&config.known)),
     }
     if place.is_some() {
         net.set_aside(handover::SUCCESSOR);
@@ -297,7 +297,7 @@
                 } else if notice.token == self.signals.stop
                     && self.lifecycle.leave(self.clock.now(), self.longest())
                 {
-                    log::line(format_args!("leaving standing={}", self.requests.standing().len()));
+                    log::line(format_args!("leaving standing={}", self.requests.established().len()));
                     if let Some(quotas) = &mut self.requests.quotas {
                         quotas.go();
                     }
@@ -309,7 +309,7 @@
 
     /// What the process before this one knew: its list has been told already.
     fn take_over(&mut self, state: &State) {
-        if let Err(e) = self.requests.learn(&state.learned) {
+        if let Err(e) = self.requests.restore_state(&state.learned) {
             log::line(format_args!("takeover-unlearned reason={e}"));
         }
         if state.drained && self.lifecycle.drain(self.clock.now()) {
@@ -336,7 +336,7 @@
                     let state = State {
                         drained: !self.lifecycle.takes_clients(),
                         list: self.registry.list(),
-                        learned: self.requests.learned(),
+                        learned: self.requests.state_snapshot(),
                         descriptors: self.net.in_use(),
                     };
                     let listening = self.net.listening(TEXT_FRONT);
@@ -349,7 +349,7 @@
                     self.net.take_in(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
                     self.requests.counters.upgrades += 1;
-                    log::line(format_args!("handing-over standing={}", self.requests.standing().len()));
+                    log::line(format_args!("handing-over standing={}", self.requests.established().len()));
                     self.begin_steps();
                 }
                 HandoverEvent::SuccessorGone(unsent) => {
@@ -369,7 +369,7 @@
                 }
                 HandoverEvent::PredecessorGone => {
                     self.held_before(0);
-                    log::line(format_args!("taken-over standing={}", self.requests.standing().len()));
+                    log::line(format_args!("taken-over standing={}", self.requests.established().len()));
                 }
             }
         }
@@ -404,7 +404,7 @@
             Call::Ready if self.lifecycle.is_leaving() => Answer::new(503, "leaving"),
             Call::Ready => Answer::new(200, "ready"),
             Call::Drain => {
-                let standing = self.requests.standing().len();
+                let standing = self.requests.established().len();
                 if self.lifecycle.drain(now) {
                     self.requests.counters.drains += 1;
                     log::line(format_args!("draining standing={standing}"));
@@ -416,7 +416,7 @@
                 Ok(drained) => {
                     if drained {
                         self.requests.counters.resumes += 1;
-                        log::line(format_args!("resumed standing={}", self.requests.standing().len()));
+                        log::line(format_args!("resumed standing={}", self.requests.established().len()));
                         fronts!(self, resume_serving);
                     }
                     Answer::new(200, "serving")
@@ -447,7 +447,7 @@
         }
         // Where another process is still there, it says again what it holds.
         self.net.limit(self.config.sockets);
-        self.requests.set(self.config.settings.clone());
+        self.requests.update_settings(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
             log::line(format_args!("reload-needs-restart fields={}", fixed.join(",")));
@@ -470,18 +470,18 @@
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
             self.requests.counters.list_failed += 1;
         }
-        self.requests.tell(event);
+        self.requests.push_event(event);
         let stopped = self.registry.stopped();
         fronts!(self, on_servers_draining, &stopped);
     }
 
     fn due(&mut self, due: TimerEvent) {
         match due {
-            TimerEvent::Policy(token) => self.requests.tell(Event::Timer(token)),
+            TimerEvent::Policy(token) => self.requests.push_event(Event::Timer(token)),
             TimerEvent::AttemptTimeout(request_id, attempt) => {
-                if let Some(front) = self.requests.is_out(request_id, attempt) {
+                if let Some(front) = self.requests.front_of_attempt(request_id, attempt) {
                     let outcome = self.take_back(front, request_id);
-                    self.requests.task_ended(self.clock.now(), request_id, outcome);
+                    self.requests.on_attempt_ended(self.clock.now(), request_id, outcome);
                 }
             }
             TimerEvent::ConnectTimeout(id, token) => front!(self, id, on_connect_timeout, token),
@@ -513,7 +513,7 @@
 
     /// One step of sending clients away: of those that stand, so many are moved that all have been by the end.
     fn leave(&mut self) {
-        let (now, standing) = (self.clock.now(), self.requests.standing());
+        let (now, standing) = (self.clock.now(), self.requests.established());
         let Some(step) = self.lifecycle.step(now, standing.len()) else {
             self.stepping = false;
             return;
@@ -521,11 +521,11 @@
         if step.begun {
             fronts!(self, on_drain_step);
         }
-        for command in self.requests.abandon(now, step.answers_before) {
+        for command in self.requests.fail_unanswered(now, step.answers_before) {
             self.carry_out(now, command);
         }
         for request_id in standing.into_iter().take(step.moves) {
-            if let Some(id) = self.requests.moved(now, request_id, Outcome::Cancelled) {
+            if let Some(id) = self.requests.close_for_migration(now, request_id, Outcome::Cancelled) {
                 front!(self, id, migrate, request_id);
             }
         }
@@ -539,7 +539,7 @@
         if let Some(line) = talk.turn(now, &mut self.net, quotas) {
             log::line(format_args!("{line}"));
         }
-        for command in self.requests.shed(now) {
+        for command in self.requests.migrate_over_quota(now) {
             self.carry_out(now, command);
         }
         self.wheel.at(now + transport::TURN, TimerEvent::LeaseExchange);
@@ -560,11 +560,11 @@
             for command in commands {
                 self.carry_out(now, command);
             }
-            if self.requests.has_news() {
+            if self.requests.has_pending_events() {
                 continue;
             }
             fronts!(self, flush);
-            if !self.requests.has_news() {
+            if !self.requests.has_pending_events() {
                 return;
             }
         }
@@ -628,7 +628,7 @@
             Command::StartAttempt { front, request_id, server, wait } => {
                 self.wheel.at(
                     now + wait,
-                    TimerEvent::AttemptTimeout(request_id, self.requests.attempt(request_id)),
+                    TimerEvent::AttemptTimeout(request_id, self.requests.attempt_number(request_id)),
                 );
                 front!(self, front, start_attempt, request_id, server, wait)
             }
@@ -641,7 +641,7 @@
             Command::Fail { front, request_id } => front!(self, front, fail, request_id),
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
             Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
-            Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
+            Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
             Command::Timer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
                 if let Some(event) = self.registry.subscribe(now, &mut self.net) {
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -65,6 +65,21 @@
     counted: bool,
 }
 
+/// An established connection that the process before this one handed over.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HandedOverConnection {
+    /// The front that it came through.
+    pub front: FrontId,
+    /// The request that opened it.
+    pub arrival: Arrival,
+    /// The server that holds it.
+    pub server: ServerId,
+    /// When its request arrived, on the node's clock.
+    pub started_at: Nanos,
+    /// Its last load report, in nanoseconds of work a second.
+    pub load: Option<Nanos>,
+}
+
 /// A flow that ended, as it is exported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
@@ -139,7 +154,7 @@
     }
 
     /// Newer settings, with the same classes in the same places.
-    pub fn set(&mut self, settings: Settings) {
+    pub fn update_settings(&mut self, settings: Settings) {
         self.balancer.set(settings);
     }
 
@@ -154,17 +169,17 @@
     }
 
     /// What the module learned, for a process that takes this one's place.
-    pub fn learned(&self) -> String {
+    pub fn state_snapshot(&self) -> String {
         self.balancer.learned()
     }
 
     /// Takes that over, once the module has the list that it is about and before anything stands.
-    pub fn learn(&mut self, learned: &str) -> Result<(), serde_json::Error> {
+    pub fn restore_state(&mut self, learned: &str) -> Result<(), serde_json::Error> {
         self.balancer.learn(learned)
     }
 
     /// A request comes in; its id is dealt here.
-    pub fn arrive(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
+    pub fn on_request(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
         self.counters.taken += 1;
         let id = self.admit(now, front, &mut arrival, State::Waiting);
         match self.quotas.as_mut().map(|quotas| quotas.first(now, arrival.class)) {
@@ -172,7 +187,7 @@
                 self.turned_away.push((id, wait));
                 return id;
             }
-            Some(Ok(())) => self.counts(id),
+            Some(Ok(())) => self.mark_quota_held(id),
             None => {}
         }
         self.inbox.push(Event::Request(arrival));
@@ -180,29 +195,41 @@
     }
 
     /// A connection that stood before this node started stands again: no placement.
-    pub fn resume(&mut self, now: Nanos, front: FrontId, arrival: Arrival, server: ServerId) -> RequestId {
+    pub fn restore_established(
+        &mut self,
+        now: Nanos,
+        front: FrontId,
+        arrival: Arrival,
+        server: ServerId,
+    ) -> RequestId {
         self.counters.resumed += 1;
-        self.stands(now, front, arrival, server)
+        self.insert_established(now, front, arrival, server)
     }
 
-    fn stands(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival, server: ServerId) -> RequestId {
+    fn insert_established(
+        &mut self,
+        now: Nanos,
+        front: FrontId,
+        mut arrival: Arrival,
+        server: ServerId,
+    ) -> RequestId {
         let id = self.admit(now, front, &mut arrival, State::Up { server });
         if let Some(quotas) = &mut self.quotas {
             quotas.stands(arrival.class);
-            self.counts(id);
+            self.mark_quota_held(id);
         }
         self.inbox.push(Event::Resumed(arrival, server));
         id
     }
 
-    fn counts(&mut self, id: RequestId) {
+    fn mark_quota_held(&mut self, id: RequestId) {
         if let Some(t) = self.requests.get_mut(&id) {
             t.counted = true;
         }
     }
 
     /// What has to end since the fleet's budgets no longer bear it: the newest connections first.
-    pub fn shed(&mut self, now: Nanos) -> Vec<Command> {
+    pub fn migrate_over_quota(&mut self, now: Nanos) -> Vec<Command> {
         let Some(quotas) = &mut self.quotas else { return Vec::new() };
         if !quotas.is_over(now) {
             return Vec::new();
@@ -215,7 +242,7 @@
         let ends = quotas.excess(now, newest.iter().map(|(_, class, _)| *class));
         let mut commands = Vec::new();
         for ((request_id, _, front), _) in newest.into_iter().zip(ends).filter(|(_, ends)| *ends) {
-            self.moved(now, request_id, Outcome::Cancelled);
+            self.close_for_migration(now, request_id, Outcome::Cancelled);
             self.counters.budget_moved += 1;
             commands.push(Command::Migrate { front, request_id });
         }
@@ -223,29 +250,23 @@
     }
 
     /// A standing connection goes on in another process. Gives when it began, for a record of the whole of it.
-    pub fn passed_on(&mut self, id: RequestId) -> Option<Nanos> {
+    pub fn hand_over(&mut self, id: RequestId) -> Option<Nanos> {
         let State::Up { server } = self.requests.get(&id)?.state else { return None };
         let gone = self.requests.remove(&id)?;
         let began = gone.began;
-        self.uncount(&gone);
+        self.release_quota(&gone);
         self.counters.passed_on += 1;
         self.inbox.push(Event::AttemptEnded { id, server, outcome: Outcome::Cancelled, done: true });
         Some(began)
     }
 
     /// One that stood in the process before this one stands here, since then, with this load if it was told.
-    pub fn taken_over(
-        &mut self,
-        (now, began): (Nanos, Nanos),
-        front: FrontId,
-        arrival: Arrival,
-        server: ServerId,
-        load: Option<Nanos>,
-    ) -> RequestId {
+    pub fn receive_handed_over(&mut self, now: Nanos, connection: HandedOverConnection) -> RequestId {
+        let HandedOverConnection { front, arrival, server, started_at, load } = connection;
         self.counters.taken_over += 1;
-        let id = self.stands(now, front, arrival, server);
+        let id = self.insert_established(now, front, arrival, server);
         if let Some(t) = self.requests.get_mut(&id) {
-            t.began = began;
+            t.began = started_at;
         }
         if let Some(cost) = load {
             self.inbox.push(Event::LoadReport { id, cost });
@@ -254,7 +275,7 @@
     }
 
     /// The attempt stands: from here on the client has its answer.
-    pub fn up(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_established(&mut self, now: Nanos, id: RequestId) {
         let Some(t) = self.requests.get_mut(&id) else { return };
         let State::Trying { server, since, .. } = t.state else { return };
         t.state = State::Up { server };
@@ -266,7 +287,7 @@
     }
 
     /// The attempt, or the connection that it became, is over. True if that was the final answer.
-    pub fn task_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(t) = self.requests.get_mut(&id) else { return false };
         let (server, done) = match t.state {
             State::Waiting => return false,
@@ -300,7 +321,7 @@
 
     /// The attempt is over and the item cannot be sent again: its front no longer holds what it would
     /// send. That is the final answer, failed; true if it was still owed.
-    pub fn spent(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_unrepeatable_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(t) = self.requests.get(&id) else { return false };
         let State::Trying { server, .. } = t.state else { return false };
         self.counters.task(outcome);
@@ -312,12 +333,12 @@
     }
 
     /// Whether anything waits for [`Core::decide`].
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_events(&self) -> bool {
         !self.inbox.is_empty() || !self.turned_away.is_empty()
     }
 
     /// The client left; the front has dropped the attempt, if one was out.
-    pub fn left(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_client_disconnected(&mut self, now: Nanos, id: RequestId) {
         let Some(t) = self.requests.get(&id) else { return };
         let (outcome, done) = (Outcome::Cancelled, true);
         match t.state {
@@ -343,7 +364,7 @@
 
     /// The node ends or is drained: what came before a time and still waits for an answer gets one, and it
     /// promises nothing.
-    pub fn abandon(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
+    pub fn fail_unanswered(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
         let waiting = |t: &Request| !matches!(t.state, State::Up { .. }) && t.began < before;
         let mut ids: Vec<_> = self.requests.iter().filter(|(_, t)| waiting(t)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
@@ -369,7 +390,7 @@
 
     /// The node itself moves a standing connection: it leaves, or the server went silent. Gives the front
     /// that has to tell the client.
-    pub fn moved(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
+    pub fn close_for_migration(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
         let t = self.requests.get(&id)?;
         let State::Up { server } = t.state else { return None };
         let front = t.front;
@@ -381,23 +402,23 @@
     }
 
     /// Anything else that the balancer is to hear: notes, lists, timers.
-    pub fn tell(&mut self, event: Event) {
+    pub fn push_event(&mut self, event: Event) {
         self.inbox.push(event);
     }
 
     /// The time-out of an attempt has come: says whether that very task is still out, and where.
-    pub fn is_out(&self, id: RequestId, attempt: u32) -> Option<FrontId> {
+    pub fn front_of_attempt(&self, id: RequestId, attempt: u32) -> Option<FrontId> {
         let t = self.requests.get(&id)?;
         matches!(t.state, State::Trying { attempt: out, .. } if out == attempt).then_some(t.front)
     }
 
     /// The number of the latest attempt, for its time-out.
-    pub fn attempt(&self, id: RequestId) -> u32 {
+    pub fn attempt_number(&self, id: RequestId) -> u32 {
         self.requests.get(&id).map_or(0, |t| t.attempts)
     }
 
     /// Requests that stand, oldest first.
-    pub fn standing(&self) -> Vec<RequestId> {
+    pub fn established(&self) -> Vec<RequestId> {
         let up = |(id, t): (&RequestId, &Request)| matches!(t.state, State::Up { .. }).then_some(*id);
         let mut standing: Vec<_> = self.requests.iter().filter_map(up).collect();
         standing.sort_unstable();
@@ -456,7 +477,7 @@
             }
             Action::CancelAttempt { id, .. } => {
                 let front = self.requests.get(&id)?.front;
-                self.task_ended(now, id, Outcome::Cancelled);
+                self.on_attempt_ended(now, id, Outcome::Cancelled);
                 Some(Command::CancelAttempt { front, request_id: id })
             }
             Action::Reject { id, cool_down } => {
@@ -473,7 +494,7 @@
             }
             Action::Migrate(id) => {
                 let front = self.requests.get(&id)?.front;
-                self.moved(now, id, Outcome::Cancelled);
+                self.close_for_migration(now, id, Outcome::Cancelled);
                 Some(Command::Migrate { front, request_id: id })
             }
             Action::SetTimer { after, token } => Some(Command::Timer { after, token }),
@@ -494,7 +515,7 @@
         Some(front)
     }
 
-    fn uncount(&mut self, gone: &Request) {
+    fn release_quota(&mut self, gone: &Request) {
         if let (Some(quotas), true) = (&mut self.quotas, gone.counted) {
             quotas.over(gone.class);
         }
@@ -502,7 +523,7 @@
 
     fn finish(&mut self, now: Nanos, id: RequestId, server: Option<ServerId>, result: FlowResult) {
         let Some(t) = self.requests.remove(&id) else { return };
-        self.uncount(&t);
+        self.release_quota(&t);
         if let Some(flows) = &mut self.flows {
             flows.push(Flow {
                 request_id: id,
