--- a/src/admin/call.rs
+++ b/src/admin/call.rs
@@ -7,7 +7,7 @@
 
 /// What an operator asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Call {
+pub enum AdminCall {
     /// Whether this process can serve.
     Ready,
     /// Send clients away.
@@ -16,10 +16,10 @@
     Resume,
 }
 
-const CALLS: [(&str, &str, Call); 3] = [
-    ("/-/ready", "GET", Call::Ready),
-    ("/-/drain", "POST", Call::Drain),
-    ("/-/resume", "POST", Call::Resume),
+const CALLS: [(&str, &str, AdminCall); 3] = [
+    ("/-/ready", "GET", AdminCall::Ready),
+    ("/-/drain", "POST", AdminCall::Drain),
+    ("/-/resume", "POST", AdminCall::Resume),
 ];
 
 /// What the octets so far make.
@@ -27,27 +27,27 @@
 pub enum Head {
     /// The head is not whole yet.
     More,
-    Call(Call),
+    AdminCall(AdminCall),
     /// No call: this answers it.
-    Wrong(Answer),
+    Wrong(Response),
 }
 
 /// An answer: 2xx is yes, all else no.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     /// One short line.
     pub text: String,
     allow: Option<&'static str>,
 }
 
-impl Answer {
-    pub fn new(status: u16, text: impl Into<String>) -> Answer {
-        Answer { status, text: text.into(), allow: None }
+impl Response {
+    pub fn new(status: u16, text: impl Into<String>) -> Response {
+        Response { status, text: text.into(), allow: None }
     }
 
     /// Whether it says yes.
-    pub fn is_yes(&self) -> bool {
+    pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
@@ -82,19 +82,19 @@
         Ok(httparse::Status::Complete(length)) if length <= MOST_HEAD => {}
         Ok(httparse::Status::Partial) if bytes.len() < MOST_HEAD => return Head::More,
         Ok(_) | Err(httparse::Error::TooManyHeaders) => {
-            return Head::Wrong(Answer::new(431, format!("a head has at most {MOST_HEAD} octets")))
+            return Head::Wrong(Response::new(431, format!("a head has at most {MOST_HEAD} octets")))
         }
-        Err(error) => return Head::Wrong(Answer::new(400, format!("no HTTP/1.1 request: {error}"))),
+        Err(error) => return Head::Wrong(Response::new(400, format!("no HTTP/1.1 request: {error}"))),
     }
     let (method, target) = (request.method.unwrap_or(""), request.path.unwrap_or(""));
     let path = path(target);
     match CALLS.iter().find(|(known, ..)| *known == path) {
-        Some((_, allowed, call)) if *allowed == method => Head::Call(*call),
+        Some((_, allowed, call)) if *allowed == method => Head::AdminCall(*call),
         Some((_, allowed, _)) => {
             let text = format!("this takes {allowed}");
-            Head::Wrong(Answer { allow: Some(allowed), ..Answer::new(405, text) })
+            Head::Wrong(Response { allow: Some(allowed), ..Response::new(405, text) })
         }
-        None => Head::Wrong(Answer::new(404, "known: GET /-/ready, POST /-/drain, POST /-/resume")),
+        None => Head::Wrong(Response::new(404, "known: GET /-/ready, POST /-/drain, POST /-/resume")),
     }
 }
 
@@ -117,16 +117,16 @@
     }
 
     #[rstest::rstest]
-    #[case("GET /-/ready HTTP/1.1\r\n\r\n", Call::Ready)]
-    #[case("GET http://10.0.0.1:9/-/ready?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", Call::Ready)]
-    #[case("POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}", Call::Drain)]
-    #[case("POST /-/resume HTTP/1.0\nhost: a\n\n", Call::Resume)]
-    fn a_call_is_known_whole_and_only_then(#[case] text: &str, #[case] call: Call) {
+    #[case("GET /-/ready HTTP/1.1\r\n\r\n", AdminCall::Ready)]
+    #[case("GET http://10.0.0.1:9/-/ready?x=1 HTTP/1.1\r\nHost: a\r\n\r\n", AdminCall::Ready)]
+    #[case("POST /-/drain HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}", AdminCall::Drain)]
+    #[case("POST /-/resume HTTP/1.0\nhost: a\n\n", AdminCall::Resume)]
+    fn a_call_is_known_whole_and_only_then(#[case] text: &str, #[case] call: AdminCall) {
         let head = text.find("\r\n\r\n").map_or(text.len(), |at| at + 4);
         for cut in 0..head {
             assert_eq!(read(&text.as_bytes()[..cut]), Head::More, "{cut}");
         }
-        assert_eq!(read(text.as_bytes()), Head::Call(call));
+        assert_eq!(read(text.as_bytes()), Head::AdminCall(call));
     }
 
     #[rstest::rstest]
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -5,7 +5,7 @@
 
 mod call;
 
-pub use call::{Answer, Call};
+pub use call::{AdminCall, Response};
 
 use crate::front::Due;
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
@@ -21,36 +21,36 @@
 const WHOLE_WITHIN: Nanos = 2_500_000_000;
 
 /// The operators' address.
-pub struct Operator {
+pub struct AdminServer {
     /// Whose call is not whole yet.
     callers: HashSet<Token>,
-    counts: Counts,
+    counts: CallCounts,
 }
 
 /// Calls answered so far, and what became of the rest.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
-    pub yes: u64,
-    pub no: u64,
+pub struct CallCounts {
+    pub succeeded: u64,
+    pub failed: u64,
     /// Left, or closed for a later one's sake, before the call was whole.
-    pub unheard: u64,
+    pub incomplete: u64,
 }
 
-impl Operator {
+impl AdminServer {
     /// Listens there; says where.
-    pub fn open(net: &mut Net, at: SocketAddr) -> io::Result<(Operator, SocketAddr)> {
+    pub fn open(net: &mut Net, at: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
         let at = net.listen_reserved(at, Owner::Admin, MOST_CALLERS)?;
-        Ok((Operator { callers: HashSet::new(), counts: Counts::default() }, at))
+        Ok((AdminServer { callers: HashSet::new(), counts: CallCounts::default() }, at))
     }
 
     /// Something happened at one of its sockets. Gives a call that is whole now.
-    pub fn notice(
+    pub fn on_socket_event(
         &mut self,
         now: Nanos,
         net: &mut Net,
         wheel: &mut Wheel<Due>,
         notice: Notice,
-    ) -> Option<Call> {
+    ) -> Option<AdminCall> {
         let token = notice.token;
         match notice.kind {
             Kind::Accepted => {
@@ -59,11 +59,11 @@
                 None
             }
             Kind::Evicted => {
-                self.unheard(token);
+                self.on_incomplete(token);
                 None
             }
             Kind::Broken(_) | Kind::Overdue => {
-                self.unheard(token);
+                self.on_incomplete(token);
                 net.close(token);
                 None
             }
@@ -71,49 +71,49 @@
         }
     }
 
-    fn read(&mut self, net: &mut Net, token: Token) -> Option<Call> {
+    fn read(&mut self, net: &mut Net, token: Token) -> Option<AdminCall> {
         if !self.callers.contains(&token) {
             return None;
         }
         let at_end = net.at_end(token);
         let bytes = net.input(token)?;
         match call::read(bytes) {
-            Head::Call(call) => return Some(call),
-            Head::Wrong(answer) => self.answer(net, token, &answer),
+            Head::AdminCall(call) => return Some(call),
+            Head::Wrong(answer) => self.respond(net, token, &answer),
             Head::More if at_end && bytes.is_empty() => {
-                self.unheard(token);
+                self.on_incomplete(token);
                 net.close(token);
             }
-            Head::More if at_end => self.answer(net, token, &Answer::new(400, "half a call")),
+            Head::More if at_end => self.respond(net, token, &Response::new(400, "half a call")),
             Head::More => net.rearm(token),
         }
         None
     }
 
     /// The time for a call is over.
-    pub fn due(&mut self, net: &mut Net, token: Token) {
+    pub fn on_timeout(&mut self, net: &mut Net, token: Token) {
         if self.callers.contains(&token) {
-            self.answer(net, token, &Answer::new(408, "no whole call came"));
+            self.respond(net, token, &Response::new(408, "no whole call came"));
         }
     }
 
     /// Answers a call and ends its connection.
-    pub fn answer(&mut self, net: &mut Net, token: Token, answer: &Answer) {
+    pub fn respond(&mut self, net: &mut Net, token: Token, answer: &Response) {
         self.callers.remove(&token);
-        let count = if answer.is_yes() { &mut self.counts.yes } else { &mut self.counts.no };
+        let count = if answer.is_success() { &mut self.counts.succeeded } else { &mut self.counts.failed };
         *count += 1;
         net.send(token, &answer.to_bytes());
         net.close(token);
     }
 
     /// Calls answered so far.
-    pub fn counts(&self) -> Counts {
+    pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    fn unheard(&mut self, token: Token) {
+    fn on_incomplete(&mut self, token: Token) {
         if self.callers.remove(&token) {
-            self.counts.unheard += 1;
+            self.counts.incomplete += 1;
         }
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -69,7 +69,8 @@
     let loaded = Loaded::read(&options.fronts)?;
     let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.sockets);
     let fleet = options.fleet.as_ref().map(seat).transpose()?;
-    Ok((loaded, crate::handover::passed()?, fleet))
+    let passed_listener = crate::handover::passed_listener().map_err(|error| error.to_string())?;
+    Ok((loaded, passed_listener, fleet))
 }
 
 /// What is off by default.
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -681,7 +681,7 @@
 
     fn take_in(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) {
         if self.unpack(ctx, transferred_connection).is_none() {
-            crate::log::line(format_args!("takeover-lost a connection that cannot be read"));
+            crate::log::line(format_args!("handover-lost a connection that cannot be read"));
         }
     }
 
--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -1,33 +1,99 @@
 //! The clients' listening socket, where the platform holds it and every process inherits it.
 
-use rustix::net::sockopt;
+use rustix::io::Errno;
+use rustix::net::{sockopt, AddressFamily};
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
+use std::env::VarError;
+use std::fmt;
 use std::io;
 use std::os::fd::OwnedFd;
 
 /// Names the inherited descriptor, as a decimal number.
 pub const VARIABLE: &str = "NODE_PASSED_SOCKET";
 
-/// The listening socket that `$NODE_PASSED_SOCKET` names; none where it is not set. The error is one line
-/// that names the variable.
-pub fn passed() -> Result<Option<OwnedFd>, String> {
-    match std::env::var(VARIABLE) {
-        Ok(text) => named(&text).map(Some).map_err(|e| format!("{VARIABLE}: {text:?}: {e}")),
-        Err(std::env::VarError::NotPresent) => Ok(None),
-        Err(e) => Err(format!("{VARIABLE}: {e}")),
+/// Why the descriptor that [`VARIABLE`] names cannot be used. The text is one line that names the variable.
+#[derive(Debug)]
+pub struct PassedListenerError {
+    /// The value of the variable; none where it is not Unicode.
+    value: Option<String>,
+    problem: ListenerProblem,
+}
+
+/// What is wrong with a passed descriptor.
+#[derive(Debug)]
+enum ListenerProblem {
+    NotUnicode(VarError),
+    NoNumber,
+    NotOpen(io::Error),
+    NoSocket(Errno),
+    UnknownDomain(Errno),
+    NotListening,
+    NotTcp,
+}
+
+impl fmt::Display for ListenerProblem {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ListenerProblem::NotUnicode(error) => write!(f, "{error}"),
+            ListenerProblem::NoNumber => write!(f, "no descriptor's number"),
+            ListenerProblem::NotOpen(error) => write!(f, "no open descriptor: {error}"),
+            ListenerProblem::NoSocket(error) => write!(f, "no socket: {error}"),
+            ListenerProblem::UnknownDomain(error) => write!(f, "{error}"),
+            ListenerProblem::NotListening => write!(f, "that socket does not listen"),
+            ListenerProblem::NotTcp => write!(f, "that socket is no TCP socket"),
+        }
+    }
+}
+
+impl fmt::Display for PassedListenerError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match &self.value {
+            Some(value) => write!(f, "{VARIABLE}: {value:?}: {}", self.problem),
+            None => write!(f, "{VARIABLE}: {}", self.problem),
+        }
     }
 }
 
-fn named(text: &str) -> Result<OwnedFd, String> {
-    let number = text.parse().ok().filter(|number| *number >= 0).ok_or("no descriptor's number")?;
-    let fd = duplicate(number).map_err(|e| format!("no open descriptor: {e}"))?;
-    let listens = sockopt::socket_acceptconn(&fd).map_err(|e| format!("no socket: {e}"))?;
-    let family = sockopt::socket_domain(&fd).map_err(|e| e.to_string())?;
-    if !listens {
-        return Err("that socket does not listen".to_string());
+impl std::error::Error for PassedListenerError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match &self.problem {
+            ListenerProblem::NotUnicode(error) => Some(error),
+            ListenerProblem::NotOpen(error) => Some(error),
+            ListenerProblem::NoSocket(error) | ListenerProblem::UnknownDomain(error) => Some(error),
+            ListenerProblem::NoNumber | ListenerProblem::NotListening | ListenerProblem::NotTcp => None,
+        }
+    }
+}
+
+/// The listening TCP socket that [`VARIABLE`] names; none where the variable is not set.
+pub fn passed_listener() -> Result<Option<OwnedFd>, PassedListenerError> {
+    let value = match std::env::var(VARIABLE) {
+        Ok(value) => value,
+        Err(VarError::NotPresent) => return Ok(None),
+        Err(error) => {
+            return Err(PassedListenerError { value: None, problem: ListenerProblem::NotUnicode(error) })
+        }
+    };
+    match open_listener(&value) {
+        Ok(listener) => Ok(Some(listener)),
+        Err(problem) => Err(PassedListenerError { value: Some(value), problem }),
+    }
+}
+
+/// Opens the listening TCP socket with this descriptor number.
+fn open_listener(number: &str) -> Result<OwnedFd, ListenerProblem> {
+    let number: i32 = number.parse().map_err(|_| ListenerProblem::NoNumber)?;
+    if number < 0 {
+        return Err(ListenerProblem::NoNumber);
+    }
+    let fd = duplicate(number).map_err(ListenerProblem::NotOpen)?;
+    let is_listening = sockopt::socket_acceptconn(&fd).map_err(ListenerProblem::NoSocket)?;
+    let domain = sockopt::socket_domain(&fd).map_err(ListenerProblem::UnknownDomain)?;
+    if !is_listening {
+        return Err(ListenerProblem::NotListening);
     }
-    if family != rustix::net::AddressFamily::INET && family != rustix::net::AddressFamily::INET6 {
-        return Err("that socket is no TCP socket".to_string());
+    if domain != AddressFamily::INET && domain != AddressFamily::INET6 {
+        return Err(ListenerProblem::NotTcp);
     }
     Ok(fd)
 }
@@ -51,7 +117,7 @@
     fn a_listening_socket_is_taken_by_its_number() {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let at = listener.local_addr().expect("an address");
-        let taken = TcpListener::from(named(&listener.as_raw_fd().to_string()).expect("it is taken"));
+        let taken = TcpListener::from(open_listener(&listener.as_raw_fd().to_string()).expect("it is taken"));
         drop(listener);
         assert_eq!(taken.local_addr().expect("an address"), at);
         TcpStream::connect(at).expect("it still listens");
@@ -63,7 +129,7 @@
     #[case("three")]
     #[case("99999")]
     fn what_names_no_open_descriptor_is_an_error(#[case] text: &str) {
-        assert!(named(text).is_err());
+        assert!(open_listener(text).is_err());
     }
 
     #[test]
@@ -77,7 +143,7 @@
         let unix = UnixListener::bind(&path).expect("a path");
         let _ = std::fs::remove_file(&path);
         for fd in [udp.as_raw_fd(), stream.as_raw_fd(), file.as_raw_fd(), unix.as_raw_fd()] {
-            assert!(named(&fd.to_string()).is_err(), "{fd}");
+            assert!(open_listener(&fd.to_string()).is_err(), "{fd}");
         }
     }
 }
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -53,16 +53,21 @@
     },
 }
 
-/// What one process knew.
+/// What a process tells its successor about itself before it hands over.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct State {
-    /// Operators have sent its clients away.
-    pub drained: bool,
-    pub list: List,
-    /// What the module learned, as it wrote it.
-    pub learned: String,
-    /// Descriptors that it still holds.
-    pub descriptors: usize,
+pub struct StateSnapshot {
+    /// An operator has drained the node.
+    #[serde(rename = "drained")]
+    pub is_drained: bool,
+    /// The endpoint list, as discovery writes it.
+    #[serde(rename = "list")]
+    pub endpoint_list: List,
+    /// The state of the balancer, as the balancer wrote it.
+    #[serde(rename = "learned")]
+    pub balancer_state: String,
+    /// Descriptors that the process has open.
+    #[serde(rename = "descriptors")]
+    pub open_descriptors: usize,
 }
 
 /// Why a message cannot be used.
@@ -106,7 +111,7 @@
     }
 }
 
-impl State {
+impl StateSnapshot {
     /// In pieces that each fit a message.
     pub fn pieces(&self) -> Result<Vec<Message>, MessageError> {
         let text = serde_json::to_string(self).map_err(|e| MessageError::NotJson(e.to_string()))?;
@@ -135,7 +140,7 @@
         Ok(())
     }
 
-    pub fn whole(&self) -> Result<State, MessageError> {
+    pub fn whole(&self) -> Result<StateSnapshot, MessageError> {
         serde_json::from_str(&self.0).map_err(|e| MessageError::NotJson(e.to_string()))
     }
 }
@@ -145,11 +150,11 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn state(learned: String) -> State {
+    fn state(balancer_state: String) -> StateSnapshot {
         let list = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-è","hostPort":"10.0.0.1:80",
             "zone":"a","cell":3,"lifecycle":"draining","weight":2.0,"startedAtMs":12}]}"#;
-        let list = serde_json::from_str(list).expect("a list");
-        State { drained: true, list, learned, descriptors: 5 }
+        let endpoint_list = serde_json::from_str(list).expect("a list");
+        StateSnapshot { is_drained: true, endpoint_list, balancer_state, open_descriptors: 5 }
     }
 
     proptest! {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -8,8 +8,8 @@
 mod listener;
 mod message;
 
-pub use listener::passed;
-pub use message::{Message, State};
+pub use listener::passed_listener;
+pub use message::{Message, StateSnapshot};
 
 use crate::discovery::WatchState;
 use crate::front::TransferredConnection;
@@ -28,17 +28,17 @@
 /// as if there were none: the platform waits 6 s for a yes.
 const WITHIN: Duration = Duration::from_millis(1500);
 /// Descriptors that a process takes which starts beside this one.
-pub const SUCCESSOR: usize = 20;
+pub const SUCCESSOR_DESCRIPTORS: usize = 20;
 /// Connections passed on in one turn; the next turn goes on.
-pub const A_TURN: usize = 32;
+pub const CONNECTIONS_PER_TURN: usize = 32;
 /// A path is no longer than this: what the system allows for a Unix socket, less its end.
 const MOST_PATH: usize = 107;
 
 /// What a process got from the one before it, ready to be used.
-pub struct Inherited {
+pub struct PredecessorState {
     /// Where its connections come from; its end tells that the other process is gone.
     pub channel: OwnedFd,
-    pub state: State,
+    pub snapshot: StateSnapshot,
     /// Where its optional fronts listen.
     pub listening: Vec<(SocketAddr, OwnedFd)>,
     /// Discovery's watch.
@@ -46,12 +46,12 @@
 }
 
 /// Where a node's processes meet: in `$TMPDIR`, by the node's name. None where there is no such place.
-pub fn meeting_place(name: &str) -> Option<PathBuf> {
+pub fn socket_path(name: &str) -> Option<PathBuf> {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     let name: String = name.chars().map(|c| if plain(c) { c } else { '_' }).collect();
     let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
     if path.as_os_str().len() > MOST_PATH {
-        log::line(format_args!("takeover-off reason=TMPDIR is too long for a socket's path"));
+        log::line(format_args!("handover-off reason=TMPDIR is too long for a socket's path"));
         return None;
     }
     Some(path)
@@ -59,25 +59,25 @@
 
 /// Asks the process that serves at a place for what it knows. None where there is none, or where it does not
 /// say all of it: this process then starts as if it were the first.
-pub fn succeed(path: &Path, name: &str) -> Option<Inherited> {
+pub fn request_state(path: &Path, name: &str) -> Option<PredecessorState> {
     let channel = match channel::connect(path, WITHIN) {
         Ok(channel) => channel,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
         Err(e) => {
-            log::line(format_args!("takeover-none reason=left behind: {e}"));
+            log::line(format_args!("handover-none reason=left behind: {e}"));
             return None;
         }
     };
     match ask(channel, name) {
         Ok(inherited) => Some(inherited),
         Err(problem) => {
-            log::line(format_args!("takeover-none reason={problem}"));
+            log::line(format_args!("handover-none reason={problem}"));
             None
         }
     }
 }
 
-fn ask(channel: OwnedFd, name: &str) -> Result<Inherited, String> {
+fn ask(channel: OwnedFd, name: &str) -> Result<PredecessorState, String> {
     let named = |e: MessageError| e.to_string();
     let take = Message::Take { version: VERSION, name: name.to_string() }.pack(Vec::new()).map_err(named)?;
     let Carried::Done(()) = channel::send(&channel, &take) else { return Err("it does not listen".into()) };
@@ -97,21 +97,27 @@
             _ => return Err("a message out of turn".into()),
         }
     }
-    Ok(Inherited { channel, state: pieces.whole().map_err(named)?, listening, watch })
+    Ok(PredecessorState { channel, snapshot: pieces.whole().map_err(named)?, listening, watch })
+}
+
+/// A connection on its way between two processes, with the name of the front that owns it.
+pub struct FrontConnection {
+    pub front: String,
+    pub connection: TransferredConnection,
 }
 
 /// What the loop has to do.
 pub enum HandoverEvent {
     /// A successor wants to know what this process knows.
-    Asked,
+    StateRequested,
     /// The successor serves: this process takes in nothing more, and passes on what it can.
-    SuccessorServes,
+    SuccessorReady,
     /// The successor is gone; these were on their way to it.
-    SuccessorGone(Vec<(String, TransferredConnection)>),
+    SuccessorLost { unsent: Vec<FrontConnection> },
     /// A connection of the process before this one, which still holds so many descriptors.
-    Came { front: String, transferred_connection: TransferredConnection, descriptors: usize },
+    ConnectionReceived { received: FrontConnection, predecessor_descriptors: usize },
     /// The process before this one is gone.
-    PredecessorGone,
+    PredecessorExited,
 }
 
 struct Successor {
@@ -133,7 +139,7 @@
     pub fn open(net: &mut Net, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
         let listener = channel::listen(path).and_then(|fd| net.watch(fd, Owner::Handover));
         if let Err(e) = &listener {
-            log::line(format_args!("takeover-off reason=listen: {e}"));
+            log::line(format_args!("handover-off reason=listen: {e}"));
         }
         let predecessor = predecessor.and_then(|fd| net.watch(fd, Owner::Handover).ok());
         let mut handover = Handover { listener: listener.ok(), predecessor, successor: None };
@@ -149,12 +155,12 @@
     }
 
     /// Whether the successor serves and takes more now.
-    pub fn has_room(&self) -> bool {
+    pub fn can_transfer(&self) -> bool {
         self.successor.as_ref().is_some_and(|s| s.serves && s.outbox.is_empty())
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, net: &mut Net, notice: Notice) -> Vec<HandoverEvent> {
+    pub fn on_socket_event(&mut self, net: &mut Net, notice: Notice) -> Vec<HandoverEvent> {
         if Some(notice.token) == self.listener {
             self.meet(net);
             return Vec::new();
@@ -162,7 +168,7 @@
         let from = Some(notice.token) == self.predecessor;
         let mut news = Vec::new();
         // A turn's worth: the rest leaves the socket readable.
-        for _ in 0..A_TURN {
+        for _ in 0..CONNECTIONS_PER_TURN {
             let Some(fd) = net.raw(notice.token) else { break };
             let message = match channel::receive(fd) {
                 Carried::Done(framed_message) => Message::unpack(framed_message).map_err(|e| e.to_string()),
@@ -171,24 +177,30 @@
             };
             match message {
                 Ok((Message::Connection { front, state, descriptors }, fds)) if from => {
-                    let transferred_connection = TransferredConnection { text: state, fds };
-                    news.push(HandoverEvent::Came { front, transferred_connection, descriptors });
+                    let connection = TransferredConnection { text: state, fds };
+                    let received = FrontConnection { front, connection };
+                    news.push(HandoverEvent::ConnectionReceived {
+                        received,
+                        predecessor_descriptors: descriptors,
+                    });
+                }
+                Ok((Message::Take { version: VERSION, .. }, _)) if !from => {
+                    news.push(HandoverEvent::StateRequested)
                 }
-                Ok((Message::Take { version: VERSION, .. }, _)) if !from => news.push(HandoverEvent::Asked),
                 Ok((Message::Ready, _)) if !from => {
                     if let Some(successor) = &mut self.successor {
                         successor.serves = true;
                     }
-                    news.push(HandoverEvent::SuccessorServes);
+                    news.push(HandoverEvent::SuccessorReady);
                 }
                 Ok(_) => {
-                    log::line(format_args!("takeover-end reason=a message out of turn"));
+                    log::line(format_args!("handover-end reason=a message out of turn"));
                     news.extend(self.end(net, notice.token));
                     break;
                 }
                 Err(reason) => {
                     let whose = if from { "predecessor" } else { "successor" };
-                    log::line(format_args!("takeover-end {whose} reason={reason}"));
+                    log::line(format_args!("handover-end {whose} reason={reason}"));
                     news.extend(self.end(net, notice.token));
                     break;
                 }
@@ -215,28 +227,28 @@
         net.close(token);
         if self.predecessor == Some(token) {
             self.predecessor = None;
-            return Some(HandoverEvent::PredecessorGone);
+            return Some(HandoverEvent::PredecessorExited);
         }
         let successor = self.successor.take_if(|s| s.token == token)?;
         let unsent =
             successor.outbox.into_iter().filter_map(|framed_message| match Message::unpack(framed_message) {
                 Ok((Message::Connection { front, state, .. }, fds)) => {
-                    Some((front, TransferredConnection { text: state, fds }))
+                    Some(FrontConnection { front, connection: TransferredConnection { text: state, fds } })
                 }
                 _ => None,
             });
-        Some(HandoverEvent::SuccessorGone(unsent.collect()))
+        Some(HandoverEvent::SuccessorLost { unsent: unsent.collect() })
     }
 
     /// Tells the successor what this process knows.
-    pub fn tell(
+    pub fn send_state(
         &mut self,
         net: &mut Net,
-        state: &State,
+        snapshot: &StateSnapshot,
         listening: Vec<(SocketAddr, OwnedFd)>,
         watch: Option<(OwnedFd, WatchState, Flow)>,
     ) -> Vec<HandoverEvent> {
-        let pieces = state.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
+        let pieces = snapshot.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
         let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
         let watch = watch.into_iter().map(|(fd, state, flow)| (Message::Watch(state, flow), vec![fd]));
         let whole = std::iter::once((Message::Whole, Vec::new()));
@@ -247,7 +259,7 @@
     }
 
     /// Passes connections on.
-    pub fn pass_on(
+    pub fn transfer(
         &mut self,
         net: &mut Net,
         front: &str,
@@ -275,7 +287,7 @@
                 Carried::Done(()) => drop(successor.outbox.pop_front()),
                 Carried::Later => break,
                 Carried::Over => {
-                    log::line(format_args!("takeover-end successor reason=it takes nothing"));
+                    log::line(format_args!("handover-end successor reason=it takes nothing"));
                     return self.end(net, token);
                 }
             }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -6,7 +6,7 @@
 use crate::vocabulary::Nanos;
 
 /// How far apart the steps are in which standing clients are moved.
-pub const STEP: Nanos = 25_000_000;
+pub const MIGRATION_STEP_INTERVAL: Nanos = 25_000_000;
 /// Clients are moved from this long on, while arrivals still come: moved earlier, they would come back here.
 const MOVE_FROM: Nanos = 300_000_000;
 /// A drained node holds nothing any more this long after the call.
@@ -71,17 +71,17 @@
 
 /// The process leaves and cannot take clients again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct IsLeaving;
+pub struct ShuttingDownError;
 
 /// What a step of moving asks for.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Step {
+pub struct MigrationStep {
     /// Arrivals have ended: clients are moved now.
-    pub begun: bool,
+    pub started: bool,
     /// So many standing clients are moved now.
-    pub moves: usize,
+    pub migrations: usize,
     /// What still waits and came before this gets its final answer now; nothing where it is zero.
-    pub answers_before: Nanos,
+    pub abandon_before: Nanos,
 }
 
 /// The lifecycle of this process.
@@ -109,14 +109,14 @@
     }
 
     /// Takes clients again. False where it never stopped.
-    pub fn resume(&mut self) -> Result<bool, IsLeaving> {
+    pub fn resume(&mut self) -> Result<bool, ShuttingDownError> {
         match self.phase {
             Phase::Serving => Ok(false),
             Phase::Draining(_) => {
                 self.phase = Phase::Serving;
                 Ok(true)
             }
-            Phase::Leaving { .. } | Phase::HandedOver { .. } => Err(IsLeaving),
+            Phase::Leaving { .. } | Phase::HandedOver { .. } => Err(ShuttingDownError),
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     /// The successor is gone: all is as it was before.
-    pub fn take_back(&mut self, now: Nanos) {
+    pub fn successor_lost(&mut self, now: Nanos) {
         match &mut self.phase {
             Phase::HandedOver { drained, .. } => {
                 let drained = std::mem::take(drained);
@@ -153,14 +153,14 @@
 
     /// SIGTERM: the process ends before SIGKILL comes, which the longest deadline tells. False where it
     /// leaves already.
-    pub fn leave(&mut self, now: Nanos, longest: Nanos) -> bool {
+    pub fn shut_down(&mut self, now: Nanos, longest: Nanos) -> bool {
         let kill = now + longest.min(LONGEST) + KILL_AFTER;
         let draining = match self.phase {
             Phase::Leaving { .. } => return false,
             Phase::Draining(moving) | Phase::HandedOver { moving, .. } => Some(moving),
             Phase::Serving => None,
         };
-        let drained = !self.takes_clients();
+        let drained = !self.accepts_clients();
         let handed_over = matches!(self.phase, Phase::HandedOver { .. });
         let moving = Moving::until(now, kill).or_earlier(draining);
         self.phase = Phase::Leaving { moving, end: kill - ENDS_BEFORE, drained, handed_over };
@@ -168,7 +168,7 @@
     }
 
     /// Whether the front that deals clients out is to send some here: what `PING` asks.
-    pub fn takes_clients(&self) -> bool {
+    pub fn accepts_clients(&self) -> bool {
         let (Phase::Leaving { drained, .. } | Phase::HandedOver { drained, .. }) = self.phase else {
             return matches!(self.phase, Phase::Serving);
         };
@@ -176,38 +176,38 @@
     }
 
     /// Whether the process ends for good, or has a successor that serves.
-    pub fn is_leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         matches!(self.phase, Phase::Leaving { .. } | Phase::HandedOver { .. })
     }
 
     /// Whether the process is about to end: all that stood has been told, and what comes now is answered at once.
-    pub fn closes(&self, now: Nanos) -> bool {
+    pub fn is_closing(&self, now: Nanos) -> bool {
         matches!(self.phase, Phase::Leaving { moving, .. } if now >= moving.told)
     }
 
     /// What is to be done now for those that stand, so many. None where they stay.
-    pub fn step(&self, now: Nanos, standing: usize) -> Option<Step> {
+    pub fn migration_step(&self, now: Nanos, standing: usize) -> Option<MigrationStep> {
         let (moving, leaves) = match self.phase {
             Phase::Serving => return None,
             Phase::Draining(moving) => (moving, false),
             Phase::Leaving { moving, .. } | Phase::HandedOver { moving, .. } => (moving, true),
         };
         if now < moving.from {
-            return Some(Step::default());
+            return Some(MigrationStep::default());
         }
-        let steps = moving.told.saturating_sub(now) / STEP;
-        let moves = standing.div_ceil(steps as usize + 1);
+        let steps = moving.told.saturating_sub(now) / MIGRATION_STEP_INTERVAL;
+        let migrations = standing.div_ceil(steps as usize + 1);
         // A drained node still serves whoever comes late, and moves it then; one that ends can't.
-        let answers_before = match now >= moving.answered {
+        let abandon_before = match now >= moving.answered {
             true if leaves => Nanos::MAX,
             true => moving.told,
             false => 0,
         };
-        Some(Step { begun: true, moves, answers_before })
+        Some(MigrationStep { started: true, migrations, abandon_before })
     }
 
     /// Whether the process is to end now: all is told and nothing is open any more, or time is up.
-    pub fn has_left(&self, now: Nanos, idle: bool) -> bool {
+    pub fn should_exit(&self, now: Nanos, idle: bool) -> bool {
         match self.phase {
             // With a successor nothing comes here any more.
             Phase::Leaving { moving, end, handed_over, .. } => {
@@ -230,10 +230,10 @@
     fn all_moved(lifecycle: &Lifecycle, from: Nanos, mut standing: usize) -> Nanos {
         let mut now = from;
         while standing > 0 {
-            now += STEP;
-            let step = lifecycle.step(now, standing).expect("they are moved");
-            assert!(step.moves <= standing && now < from + 10 * S);
-            standing -= step.moves;
+            now += MIGRATION_STEP_INTERVAL;
+            let step = lifecycle.migration_step(now, standing).expect("they are moved");
+            assert!(step.migrations <= standing && now < from + 10 * S);
+            standing -= step.migrations;
         }
         now - from
     }
@@ -245,18 +245,22 @@
     #[case(100_000)]
     fn a_drain_is_spread_over_its_time_and_over_well_before_its_end(#[case] standing: usize) {
         let mut lifecycle = Lifecycle::default();
-        assert!(lifecycle.takes_clients() && lifecycle.step(S, standing).is_none());
-        assert!(lifecycle.drain(S) && !lifecycle.takes_clients());
-        assert_eq!(lifecycle.step(S + 299 * MS, standing), Some(Step::default()), "they would come back");
+        assert!(lifecycle.accepts_clients() && lifecycle.migration_step(S, standing).is_none());
+        assert!(lifecycle.drain(S) && !lifecycle.accepts_clients());
+        assert_eq!(
+            lifecycle.migration_step(S + 299 * MS, standing),
+            Some(MigrationStep::default()),
+            "they would come back"
+        );
         let took = all_moved(&lifecycle, S, standing);
         assert!(took <= 3_600 * MS, "{took}");
-        let half = lifecycle.step(S + 2 * S, standing).expect("a step").moves;
+        let half = lifecycle.migration_step(S + 2 * S, standing).expect("a step").migrations;
         assert!(half <= standing.div_ceil(60), "{half} of {standing} in one step");
-        assert!(!lifecycle.has_left(100 * S, true), "a drained process stays");
+        assert!(!lifecycle.should_exit(100 * S, true), "a drained process stays");
         // Whoever comes to stand later is moved at the next step.
         assert_eq!(
-            lifecycle.step(60 * S, 7),
-            Some(Step { begun: true, moves: 7, answers_before: S + 3_600 * MS })
+            lifecycle.migration_step(60 * S, 7),
+            Some(MigrationStep { started: true, migrations: 7, abandon_before: S + 3_600 * MS })
         );
     }
 
@@ -269,9 +273,13 @@
         assert!(!lifecycle.drain(3 * S));
         assert_eq!(lifecycle.phase, before);
         assert_eq!(lifecycle.resume(), Ok(true));
-        assert!(lifecycle.takes_clients() && lifecycle.step(4 * S, 9).is_none());
+        assert!(lifecycle.accepts_clients() && lifecycle.migration_step(4 * S, 9).is_none());
         assert!(lifecycle.drain(10 * S));
-        assert_eq!(lifecycle.step(10 * S, 9), Some(Step::default()), "a new drain has its own time");
+        assert_eq!(
+            lifecycle.migration_step(10 * S, 9),
+            Some(MigrationStep::default()),
+            "a new drain has its own time"
+        );
     }
 
     #[rstest::rstest]
@@ -282,16 +290,17 @@
     fn the_earlier_end_holds(#[case] drain: Nanos, #[case] term: Nanos, #[case] told: Nanos) {
         let mut lifecycle = Lifecycle::default();
         if drain < term {
-            assert!(lifecycle.drain(drain) && lifecycle.leave(term, 1_200 * MS));
+            assert!(lifecycle.drain(drain) && lifecycle.shut_down(term, 1_200 * MS));
         } else {
-            assert!(lifecycle.leave(term, 1_200 * MS) && lifecycle.drain(drain));
+            assert!(lifecycle.shut_down(term, 1_200 * MS) && lifecycle.drain(drain));
         }
-        assert!(!lifecycle.leave(term + 1, 0) && !lifecycle.takes_clients());
-        assert_eq!(lifecycle.resume(), Err(IsLeaving));
-        assert!(!lifecycle.has_left(told - 1, true));
-        assert!(lifecycle.has_left(told.max(term), true));
+        assert!(!lifecycle.shut_down(term + 1, 0) && !lifecycle.accepts_clients());
+        assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
+        assert!(!lifecycle.should_exit(told - 1, true));
+        assert!(lifecycle.should_exit(told.max(term), true));
         assert!(
-            !lifecycle.has_left(term + 1_799 * MS, false) && lifecycle.has_left(term + 1_800 * MS, false)
+            !lifecycle.should_exit(term + 1_799 * MS, false)
+                && lifecycle.should_exit(term + 1_800 * MS, false)
         );
     }
 
@@ -304,21 +313,21 @@
             lifecycle.drain(S);
         }
         lifecycle.hand_over(2 * S, 1_200 * MS);
-        assert_eq!((lifecycle.takes_clients(), lifecycle.is_leaving()), (!drained, true));
-        assert_eq!(lifecycle.resume(), Err(IsLeaving));
+        assert_eq!((lifecycle.accepts_clients(), lifecycle.is_shutting_down()), (!drained, true));
+        assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
         // What cannot be passed on is moved, and it waits for SIGTERM, but not for ever.
         assert!(all_moved(&lifecycle, 2 * S, 100) <= 1_500 * MS);
-        assert!(!lifecycle.has_left(11 * S, true) && lifecycle.has_left(12 * S, true));
+        assert!(!lifecycle.should_exit(11 * S, true) && lifecycle.should_exit(12 * S, true));
         let mut alone = lifecycle.clone();
-        alone.take_back(3 * S);
-        assert_eq!((alone.takes_clients(), alone.is_leaving()), (!drained, false));
-        assert!(!alone.has_left(60 * S, true));
-        assert!(lifecycle.leave(3 * S, 1_200 * MS));
-        assert!(lifecycle.has_left(3 * S, true), "nothing comes any more");
-        assert!(!lifecycle.has_left(4 * S, false) && lifecycle.has_left(4_800 * MS, false));
+        alone.successor_lost(3 * S);
+        assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
+        assert!(!alone.should_exit(60 * S, true));
+        assert!(lifecycle.shut_down(3 * S, 1_200 * MS));
+        assert!(lifecycle.should_exit(3 * S, true), "nothing comes any more");
+        assert!(!lifecycle.should_exit(4 * S, false) && lifecycle.should_exit(4_800 * MS, false));
         // It dies after SIGTERM: what comes until the end is served here again.
-        lifecycle.take_back(3_100 * MS);
-        assert!(lifecycle.is_leaving() && !lifecycle.has_left(3_200 * MS, true));
+        lifecycle.successor_lost(3_100 * MS);
+        assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(3_200 * MS, true));
     }
 
     #[rstest::rstest]
@@ -326,10 +335,10 @@
     #[case(60 * S, 3_700 * MS)]
     fn sigterm_answers_and_moves_before_sigkill(#[case] longest: Nanos, #[case] kill: Nanos) {
         let mut lifecycle = Lifecycle::default();
-        assert!(lifecycle.leave(S, longest) && lifecycle.takes_clients(), "arrivals still come");
+        assert!(lifecycle.shut_down(S, longest) && lifecycle.accepts_clients(), "arrivals still come");
         assert!(all_moved(&lifecycle, S, 500) <= kill - 400 * MS);
-        let answers = |ms| lifecycle.step(S + kill - ms * MS, 0).expect("a step").answers_before;
+        let answers = |ms| lifecycle.migration_step(S + kill - ms * MS, 0).expect("a step").abandon_before;
         assert_eq!((answers(251), answers(250)), (0, Nanos::MAX));
-        assert!(lifecycle.has_left(S + kill - 100 * MS, false));
+        assert!(lifecycle.should_exit(S + kill - 100 * MS, false));
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,12 +1,12 @@
 //! The loop: gathers what is ready, gives it to the core in one go, carries out what came back.
 
-use crate::admin::{Answer, Call, Operator};
+use crate::admin::{AdminCall, AdminServer, Response};
 use crate::cli::Options;
 use crate::config::{Config, Loaded};
 use crate::discovery::EndpointRegistry;
 use crate::flow_export::FlowExport;
 use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
-use crate::handover::{self, Handover, HandoverEvent, Inherited, State};
+use crate::handover::{self, FrontConnection, Handover, HandoverEvent, PredecessorState, StateSnapshot};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
@@ -52,7 +52,7 @@
     fronts: Fronts,
     export: Option<FlowExport>,
     signals: Signals,
-    operator: Option<Operator>,
+    operator: Option<AdminServer>,
     lifecycle: Lifecycle,
     /// A step of moving is on the wheel.
     stepping: bool,
@@ -77,8 +77,8 @@
             wheel: &mut $node.wheel,
             facts: &$node.config.facts,
             classes: &$node.config.settings.classes,
-            takes_clients: $node.lifecycle.takes_clients(),
-            closing: $node.lifecycle.closes($node.clock.now()),
+            takes_clients: $node.lifecycle.accepts_clients(),
+            closing: $node.lifecycle.is_closing($node.clock.now()),
         }
     };
 }
@@ -122,24 +122,24 @@
     let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
     requests.trace.on = log::tracing();
     let operator = match config.operator {
-        Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
+        Some(at) => Some(AdminServer::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
     let mut registry = EndpointRegistry::new(config.discovery, config.facts.zones.clone());
     // All is in place: from here on the process before this one may be asked for what it has.
-    let place = passed.as_ref().and_then(|_| handover::meeting_place(&config.name));
-    let inherited = place.as_deref().and_then(|place| handover::succeed(place, &config.name));
+    let place = passed.as_ref().and_then(|_| handover::socket_path(&config.name));
+    let inherited = place.as_deref().and_then(|place| handover::request_state(place, &config.name));
     let (mut before, mut channel) = (None, None);
     match inherited {
-        Some(Inherited { channel: from, state, listening, watch }) => {
-            requests.tell(registry.take_over(&mut net, &state.list, watch));
+        Some(PredecessorState { channel: from, snapshot, listening, watch }) => {
+            requests.tell(registry.take_over(&mut net, &snapshot.endpoint_list, watch));
             net.inherit(listening);
-            (before, channel) = (Some(state), Some(from));
+            (before, channel) = (Some(snapshot), Some(from));
         }
         None => requests.tell(registry.saved(&config.known)),
     }
     if place.is_some() {
-        net.set_aside(handover::SUCCESSOR);
+        net.set_aside(handover::SUCCESSOR_DESCRIPTORS);
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
@@ -194,8 +194,8 @@
         talk,
     };
     node.decide();
-    if let Some(state) = before {
-        node.take_over(&state);
+    if let Some(snapshot) = before {
+        node.take_over(&snapshot);
     }
     node.run()
 }
@@ -241,7 +241,7 @@
             self.pass_on();
             self.net.write_risen();
             self.print_trace();
-            if self.has_left() {
+            if self.should_exit() {
                 self.export_flows(self.clock.now());
                 self.print_counters();
                 log::line(format_args!("stopped"));
@@ -265,11 +265,11 @@
                 let call = self
                     .operator
                     .as_mut()
-                    .and_then(|o| o.notice(now, &mut self.net, &mut self.wheel, notice));
+                    .and_then(|o| o.on_socket_event(now, &mut self.net, &mut self.wheel, notice));
                 if let Some(call) = call {
                     let answer = self.called(now, call);
                     if let Some(operator) = &mut self.operator {
-                        operator.answer(&mut self.net, notice.token, &answer);
+                        operator.respond(&mut self.net, notice.token, &answer);
                     }
                 }
             }
@@ -279,7 +279,7 @@
                 }
             }
             Owner::Handover => {
-                let news = self.handover.as_mut().map(|t| t.notice(&mut self.net, notice));
+                let news = self.handover.as_mut().map(|t| t.on_socket_event(&mut self.net, notice));
                 self.heard(news.unwrap_or_default());
             }
             Owner::Signal => {
@@ -292,9 +292,9 @@
                 } else if notice.token == self.signals.reload {
                     self.reload();
                 } else if notice.token == self.signals.stop
-                    && self.lifecycle.leave(self.clock.now(), self.longest())
+                    && self.lifecycle.shut_down(self.clock.now(), self.longest())
                 {
-                    log::line(format_args!("leaving standing={}", self.requests.standing().len()));
+                    log::line(format_args!("shutting-down standing={}", self.requests.standing().len()));
                     if let Some(quotas) = &mut self.requests.quotas {
                         quotas.go();
                     }
@@ -305,20 +305,23 @@
     }
 
     /// What the process before this one knew: its list has been told already.
-    fn take_over(&mut self, state: &State) {
-        if let Err(e) = self.requests.learn(&state.learned) {
-            log::line(format_args!("takeover-unlearned reason={e}"));
+    fn take_over(&mut self, snapshot: &StateSnapshot) {
+        if let Err(e) = self.requests.learn(&snapshot.balancer_state) {
+            log::line(format_args!("handover-state-unreadable reason={e}"));
         }
-        if state.drained && self.lifecycle.drain(self.clock.now()) {
+        if snapshot.is_drained && self.lifecycle.drain(self.clock.now()) {
             self.begin_steps();
         }
         self.requests.counters.upgrades += 1;
-        self.held_before(state.descriptors);
-        log::line(format_args!("taking-over drained={} descriptors={}", state.drained, state.descriptors));
+        self.limit_beside_predecessor(snapshot.open_descriptors);
+        log::line(format_args!(
+            "handover-from-predecessor drained={} descriptors={}",
+            snapshot.is_drained, snapshot.open_descriptors
+        ));
     }
 
     /// The process before this one holds so many descriptors: both together hold no more than one may.
-    fn held_before(&mut self, descriptors: usize) {
+    fn limit_beside_predecessor(&mut self, descriptors: usize) {
         self.net.limit(self.config.sockets.saturating_sub(descriptors));
     }
 
@@ -329,44 +332,49 @@
     fn heard(&mut self, news: Vec<HandoverEvent>) {
         for news in news {
             match news {
-                HandoverEvent::Asked => {
-                    let state = State {
-                        drained: !self.lifecycle.takes_clients(),
-                        list: self.registry.list(),
-                        learned: self.requests.learned(),
-                        descriptors: self.net.in_use(),
+                HandoverEvent::StateRequested => {
+                    let snapshot = StateSnapshot {
+                        is_drained: !self.lifecycle.accepts_clients(),
+                        endpoint_list: self.registry.list(),
+                        balancer_state: self.requests.learned(),
+                        open_descriptors: self.net.in_use(),
                     };
                     let listening = self.net.listening(TEXT);
                     let watch = self.registry.release_watch(&mut self.net);
-                    let told =
-                        self.handover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
+                    let told = self
+                        .handover
+                        .as_mut()
+                        .map(|t| t.send_state(&mut self.net, &snapshot, listening, watch));
                     self.heard(told.unwrap_or_default());
                 }
-                HandoverEvent::SuccessorServes => {
+                HandoverEvent::SuccessorReady => {
                     self.net.take_in(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
                     self.requests.counters.upgrades += 1;
-                    log::line(format_args!("handing-over standing={}", self.requests.standing().len()));
+                    log::line(format_args!(
+                        "handover-to-successor standing={}",
+                        self.requests.standing().len()
+                    ));
                     self.begin_steps();
                 }
-                HandoverEvent::SuccessorGone(unsent) => {
-                    for (front, transferred_connection) in unsent {
-                        self.came(&front, transferred_connection);
+                HandoverEvent::SuccessorLost { unsent } => {
+                    for FrontConnection { front, connection } in unsent {
+                        self.came(&front, connection);
                     }
                     self.net.take_in(true);
-                    self.lifecycle.take_back(self.clock.now());
+                    self.lifecycle.successor_lost(self.clock.now());
                     // The watch went with it.
                     if !self.registry.is_watched() {
                         self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
                     }
                 }
-                HandoverEvent::Came { front, transferred_connection, descriptors } => {
-                    self.held_before(descriptors);
-                    self.came(&front, transferred_connection);
+                HandoverEvent::ConnectionReceived { received, predecessor_descriptors } => {
+                    self.limit_beside_predecessor(predecessor_descriptors);
+                    self.came(&received.front, received.connection);
                 }
-                HandoverEvent::PredecessorGone => {
-                    self.held_before(0);
-                    log::line(format_args!("taken-over standing={}", self.requests.standing().len()));
+                HandoverEvent::PredecessorExited => {
+                    self.limit_beside_predecessor(0);
+                    log::line(format_args!("handover-complete standing={}", self.requests.standing().len()));
                 }
             }
         }
@@ -380,43 +388,43 @@
 
     /// Passes on to the successor what can be passed on by now.
     fn pass_on(&mut self) {
-        while self.handover.as_ref().is_some_and(Handover::has_room) {
+        while self.handover.as_ref().is_some_and(Handover::can_transfer) {
             let transferred_connection: Vec<TransferredConnection> =
-                front!(self, TEXT, pass_on, handover::A_TURN);
+                front!(self, TEXT, pass_on, handover::CONNECTIONS_PER_TURN);
             if transferred_connection.is_empty() {
                 return;
             }
             let news =
-                self.handover.as_mut().map(|t| t.pass_on(&mut self.net, TEXT.name, transferred_connection));
+                self.handover.as_mut().map(|t| t.transfer(&mut self.net, TEXT.name, transferred_connection));
             self.heard(news.unwrap_or_default());
             self.decide();
         }
     }
 
     /// What an operator's call does, and its answer.
-    fn called(&mut self, now: Nanos, call: Call) -> Answer {
+    fn called(&mut self, now: Nanos, call: AdminCall) -> Response {
         match call {
-            Call::Ready if self.lifecycle.is_leaving() => Answer::new(503, "leaving"),
-            Call::Ready => Answer::new(200, "ready"),
-            Call::Drain => {
+            AdminCall::Ready if self.lifecycle.is_shutting_down() => Response::new(503, "leaving"),
+            AdminCall::Ready => Response::new(200, "ready"),
+            AdminCall::Drain => {
                 let standing = self.requests.standing().len();
                 if self.lifecycle.drain(now) {
                     self.requests.counters.drains += 1;
                     log::line(format_args!("draining standing={standing}"));
                     self.begin_steps();
                 }
-                Answer::new(200, format!("draining standing={standing}"))
+                Response::new(200, format!("draining standing={standing}"))
             }
-            Call::Resume => match self.lifecycle.resume() {
+            AdminCall::Resume => match self.lifecycle.resume() {
                 Ok(drained) => {
                     if drained {
                         self.requests.counters.resumes += 1;
                         log::line(format_args!("resumed standing={}", self.requests.standing().len()));
                         fronts!(self, stay);
                     }
-                    Answer::new(200, "serving")
+                    Response::new(200, "serving")
                 }
-                Err(lifecycle::IsLeaving) => Answer::new(409, "leaving: start it again"),
+                Err(lifecycle::ShuttingDownError) => Response::new(409, "leaving: start it again"),
             },
         }
     }
@@ -494,7 +502,7 @@
             Due::Quota => self.fleet(),
             Due::Admin(token) => {
                 if let Some(operator) = &mut self.operator {
-                    operator.due(&mut self.net, token);
+                    operator.on_timeout(&mut self.net, token);
                 }
             }
         }
@@ -509,22 +517,22 @@
     /// One step of sending clients away: of those that stand, so many are moved that all have been by the end.
     fn leave(&mut self) {
         let (now, standing) = (self.clock.now(), self.requests.standing());
-        let Some(step) = self.lifecycle.step(now, standing.len()) else {
+        let Some(step) = self.lifecycle.migration_step(now, standing.len()) else {
             self.stepping = false;
             return;
         };
-        if step.begun {
+        if step.started {
             fronts!(self, leave);
         }
-        for command in self.requests.abandon(now, step.answers_before) {
+        for command in self.requests.abandon(now, step.abandon_before) {
             self.carry_out(now, command);
         }
-        for request_id in standing.into_iter().take(step.moves) {
+        for request_id in standing.into_iter().take(step.migrations) {
             if let Some(id) = self.requests.moved(now, request_id, Outcome::Cancelled) {
                 front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::STEP, Due::Drain);
+        self.wheel.at(now + lifecycle::MIGRATION_STEP_INTERVAL, Due::Drain);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
@@ -540,10 +548,10 @@
         self.wheel.at(now + transport::TURN, Due::Quota);
     }
 
-    fn has_left(&self) -> bool {
+    fn should_exit(&self) -> bool {
         // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
         let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
-        self.lifecycle.is_leaving() && self.lifecycle.has_left(self.clock.now(), idle())
+        self.lifecycle.is_shutting_down() && self.lifecycle.should_exit(self.clock.now(), idle())
     }
 
     /// Hands the core all there is, carries out what comes back, and has the fronts write what they
@@ -586,10 +594,10 @@
     fn print_counters(&mut self) {
         self.requests.counters.list_calls = self.registry.calls;
         self.requests.counters.list_back = self.registry.backs;
-        if let Some(counts) = self.operator.as_ref().map(Operator::counts) {
+        if let Some(counts) = self.operator.as_ref().map(AdminServer::counts) {
             let counters = &mut self.requests.counters;
             (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
-                (counts.yes, counts.no, counts.unheard);
+                (counts.succeeded, counts.failed, counts.incomplete);
         }
         log::line(format_args!("{}", self.requests.counters));
         if let (Some(talk), Some(quotas)) = (&self.talk, &self.requests.quotas) {
--- a/tests/operator.rs
+++ b/tests/admin.rs
@@ -117,7 +117,7 @@
     let (mut bench, at) = node(1);
     let (mut client, _task) = standing(&bench, 1);
     bench.signal("-TERM");
-    bench.logged("leaving");
+    bench.logged("shutting-down");
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -259,7 +259,7 @@
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
-    bench.logged("leaving");
+    bench.logged("shutting-down");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
--- a/tests/upgrade.rs
+++ b/tests/handover.rs
@@ -61,8 +61,8 @@
     fn upgraded(&mut self) -> Process {
         let mut old = self.bench.upgrade();
         self.operator = operator(&mut self.bench);
-        self.bench.logged("taking-over");
-        old.logged("handing-over");
+        self.bench.logged("handover-from-predecessor");
+        old.logged("handover-to-successor");
         old
     }
 
@@ -72,7 +72,7 @@
         old.signal("-TERM");
         let counters = old.logged("counters");
         assert!(old.child.wait().expect("it ends").success());
-        self.bench.logged("taken-over");
+        self.bench.logged("handover-complete");
         counters
     }
 }
@@ -177,11 +177,11 @@
     if serves {
         // It ends without having taken what is on its way: this client is lost with it.
         say(&successor, "\"Ready\"");
-        node.bench.logged("handing-over");
+        node.bench.logged("handover-to-successor");
         assert!(hear(&successor).starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
-    node.bench.logged("takeover-end successor");
+    node.bench.logged("handover-end successor");
     // Discovery is asked anew: the watch was given away.
     let _watch = node.bench.watch();
     if serves {
@@ -249,7 +249,7 @@
     let mut node = node();
     let (mut client, mut task) = standing(&node.bench, 1);
     node.bench.signal("-TERM");
-    node.bench.logged("leaving");
+    node.bench.logged("shutting-down");
     let mut old = node.upgraded();
     assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
     assert!(old.child.wait().expect("it ends").success());
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -133,7 +133,7 @@
     }
     let told = Instant::now();
     bench.thaw();
-    bench.logged("leaving");
+    bench.logged("shutting-down");
     assert_eq!(answers(&mut client), ["MOVE"]);
     drop((client, attempt));
     ends(bench, told);
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -255,7 +255,7 @@
     let mut bench = Bench::start(1);
     let (mut first, _task) = standing(&bench, 0x9b1f);
     bench.signal("-TERM");
-    bench.logged("leaving");
+    bench.logged("shutting-down");
     let mut second = bench.client(&open(2));
     let (_, mut other) = task(&bench);
     other.line();
