--- a/src/cli.rs
+++ b/src/cli.rs
@@ -69,7 +69,8 @@
     let loaded = Configuration::read(&options.fronts).map_err(|e| e.to_string())?;
     let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.max_descriptors);
     let fleet = options.fleet.as_ref().map(seat).transpose()?;
-    Ok((loaded, crate::handover::passed()?, fleet))
+    let passed_listener = crate::handover::passed_listener().map_err(|error| error.to_string())?;
+    Ok((loaded, passed_listener, fleet))
 }
 
 /// What is off by default.
