--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,102 +1,146 @@
-//! What the node took in, sent and answered, printed on SIGUSR1 and at exit.
+//! Counters of the node's requests, attempts and calls, written as one log line on SIGUSR1 and at exit.
 
 use crate::vocabulary::Outcome;
 use std::fmt;
 
-macro_rules! counters {
-    ($($(#[$doc:meta])* $name:ident),* $(,)?) => {
-        /// Counts since the start.
-        #[derive(Clone, Debug, Default, PartialEq, Eq)]
-        pub struct Counters { $($(#[$doc])* pub $name: u64),* }
-
-        impl fmt::Display for Counters {
-            fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-                write!(f, "counters")?;
-                $(write!(f, concat!(" ", stringify!($name), "={}"), self.$name)?;)*
-                Ok(())
-            }
-        }
-    };
-}
-
-counters! {
-    /// Requests taken in.
-    taken,
-    /// Connections handed over at the start of a run.
-    resumed,
-    /// Attempts sent.
-    sent,
-    /// Of these: the server took it.
-    up,
-    /// Answered served.
-    served,
-    /// Answered refused.
-    refused,
-    /// Of these, with no attempt made: it waited for its turn, or no server could be drawn.
-    refused_unsent,
-    /// Answered failed.
-    failed,
-    /// The client left before an answer.
-    left,
-    /// Served requests that either side ended.
-    ended,
-    /// Standing connections moved by this node.
-    moved,
+/// Counts since the start of the process. Each field is a `name=value` pair of the log line.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Requests that arrived.
+    pub requests: u64,
+    /// Connections from before this run that were restored at a server.
+    pub resumed: u64,
+    /// Attempts that were sent to a server.
+    pub sent: u64,
+    /// Attempts that a server accepted.
+    pub established: u64,
+    /// Requests with the final answer "served".
+    pub served: u64,
+    /// Requests with the final answer "rejected".
+    pub rejected: u64,
+    /// Rejected requests that had no attempt: the wait for a turn was too long, or no server could be selected.
+    pub rejected_unsent: u64,
+    /// Requests with the final answer "failed".
+    pub failed: u64,
+    /// Requests whose client disconnected before the final answer.
+    pub client_disconnected: u64,
+    /// Served requests that the client or the server ended.
+    pub ended: u64,
+    /// Established connections that this node asked to reconnect.
+    pub migrated: u64,
     /// Attempts that ended in an error answer.
-    task_error,
-    /// Turned away by the server.
-    task_full,
-    /// Gave no answer in time.
-    task_timeout,
-    /// Could not connect.
-    task_connect_failed,
-    /// Broke after the last byte was written.
-    task_reset,
-    /// Called off.
-    task_cancelled,
-    /// First lines or deliveries that could not be read.
-    malformed,
-    /// Closed without a first line (or an AMQP open): none came in time, or another needed the room.
-    silent,
-    /// Turned away because descriptors run short.
-    over_budget,
-    /// Probes sent to servers (`STATS`), where the settings allow them.
-    probes,
+    pub attempt_error: u64,
+    /// Attempts that the server rejected.
+    pub attempt_rejected: u64,
+    /// Attempts without an answer in time.
+    pub attempt_timeout: u64,
+    /// Attempts that found no connection, or whose request was not written completely.
+    pub attempt_connect_failed: u64,
+    /// Attempts whose connection broke after the request was written.
+    pub attempt_reset: u64,
+    /// Attempts that were cancelled.
+    pub attempt_cancelled: u64,
+    /// First lines or deliveries that could not be parsed.
+    pub malformed: u64,
+    /// Connections closed before their first line (or AMQP open), at a time-out or to free a descriptor.
+    pub idle_closed: u64,
+    /// Connections and requests rejected because file descriptors or memory run short.
+    pub capacity_rejected: u64,
+    /// Health checks sent to servers (`STATS`), where the settings allow them.
+    pub health_checks: u64,
     /// Calls to discovery.
-    list_calls,
-    /// Failed calls to discovery and lost watches.
-    list_failed,
-    /// Lists whose version went back, which revive nothing.
-    list_back,
-    /// Times that this process took another's place, or another took this one's.
-    upgrades,
-    /// Standing connections that went on in the next process, and that came from the one before.
-    passed_on,
-    taken_over,
-    /// Attempts that the fleet's budgets turned away, and standing connections moved over them.
-    budget_refused,
-    budget_moved,
-    /// Operators' calls that sent clients away, and that took them again.
-    drains,
-    resumes,
-    /// Operators' calls answered yes, answered no, and never whole.
-    operator_yes,
-    operator_no,
-    operator_unheard,
+    pub discovery_polls: u64,
+    /// Failed calls to discovery, and lost watches.
+    pub discovery_failures: u64,
+    /// Endpoint lists with a lower version than the last one, which bring no server back.
+    pub stale_lists: u64,
+    /// Handovers of this process: from its predecessor, or to its successor.
+    pub handovers: u64,
+    /// Established connections handed over to the successor.
+    pub handed_over: u64,
+    /// Established connections received from the predecessor.
+    pub inherited: u64,
+    /// Attempts that the quotas rejected.
+    pub quota_rejected: u64,
+    /// Established connections migrated because they exceeded the quotas.
+    pub quota_migrated: u64,
+    /// Admin calls that started a drain.
+    pub drains: u64,
+    /// Admin calls that ended a drain.
+    pub resumes: u64,
+    /// Admin calls answered with success.
+    pub admin_accepted: u64,
+    /// Admin calls answered with an error.
+    pub admin_rejected: u64,
+    /// Admin calls that did not arrive completely.
+    pub admin_incomplete: u64,
 }
 
 impl Counters {
-    /// Counts how an attempt ended before it stood.
-    pub fn task(&mut self, outcome: Outcome) {
-        let count = match outcome {
+    /// Counts how an attempt ended before it was established.
+    pub fn count_attempt(&mut self, outcome: Outcome) {
+        let counter = match outcome {
             Outcome::Ok | Outcome::NotSent => return,
-            Outcome::Error => &mut self.task_error,
-            Outcome::Rejected => &mut self.task_full,
-            Outcome::Timeout => &mut self.task_timeout,
-            Outcome::ConnectFailed => &mut self.task_connect_failed,
-            Outcome::Reset => &mut self.task_reset,
-            Outcome::Cancelled => &mut self.task_cancelled,
+            Outcome::Error => &mut self.attempt_error,
+            Outcome::Rejected => &mut self.attempt_rejected,
+            Outcome::Timeout => &mut self.attempt_timeout,
+            Outcome::ConnectFailed => &mut self.attempt_connect_failed,
+            Outcome::Reset => &mut self.attempt_reset,
+            Outcome::Cancelled => &mut self.attempt_cancelled,
         };
-        *count += 1;
+        *counter += 1;
+    }
+
+    /// Every counter with its name, in the order of the log line.
+    fn entries(&self) -> [(&'static str, u64); 34] {
+        [
+            ("requests", self.requests),
+            ("resumed", self.resumed),
+            ("sent", self.sent),
+            ("established", self.established),
+            ("served", self.served),
+            ("rejected", self.rejected),
+            ("rejected_unsent", self.rejected_unsent),
+            ("failed", self.failed),
+            ("client_disconnected", self.client_disconnected),
+            ("ended", self.ended),
+            ("migrated", self.migrated),
+            ("attempt_error", self.attempt_error),
+            ("attempt_rejected", self.attempt_rejected),
+            ("attempt_timeout", self.attempt_timeout),
+            ("attempt_connect_failed", self.attempt_connect_failed),
+            ("attempt_reset", self.attempt_reset),
+            ("attempt_cancelled", self.attempt_cancelled),
+            ("malformed", self.malformed),
+            ("idle_closed", self.idle_closed),
+            ("capacity_rejected", self.capacity_rejected),
+            ("health_checks", self.health_checks),
+            ("discovery_polls", self.discovery_polls),
+            ("discovery_failures", self.discovery_failures),
+            ("stale_lists", self.stale_lists),
+            ("handovers", self.handovers),
+            ("handed_over", self.handed_over),
+            ("inherited", self.inherited),
+            ("quota_rejected", self.quota_rejected),
+            ("quota_migrated", self.quota_migrated),
+            ("drains", self.drains),
+            ("resumes", self.resumes),
+            ("admin_accepted", self.admin_accepted),
+            ("admin_rejected", self.admin_rejected),
+            ("admin_incomplete", self.admin_incomplete),
+        ]
     }
 }
+
+impl fmt::Display for Counters {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "counters")?;
+        for (name, value) in self.entries() {
+            write!(f, " {name}={value}")?;
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/counters/tests.rs
@@ -0,0 +1,20 @@
+//! The log line of the counters.
+
+use super::Counters;
+
+/// The names of all fields, from the derived debug text.
+fn field_names(counters: &Counters) -> Vec<String> {
+    let debug = format!("{counters:?}");
+    let fields = debug.trim_start_matches("Counters { ").trim_end_matches(" }");
+    fields.split(", ").map(|field| field.split(": ").next().unwrap_or("").to_string()).collect()
+}
+
+#[test]
+fn the_log_line_has_every_counter_once_and_in_order() {
+    let counters = Counters { requests: 1, admin_incomplete: 2, ..Counters::default() };
+    let line = counters.to_string();
+    let names: Vec<&str> = line.split(' ').skip(1).filter_map(|pair| pair.split('=').next()).collect();
+    assert_eq!(names, field_names(&counters));
+    assert!(line.starts_with("counters requests=1 resumed=0 "));
+    assert!(line.ends_with(" admin_incomplete=2"));
+}
--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -41,7 +41,7 @@
         match notice.kind {
             Kind::Accepted => return self.accept(ctx, token),
             Kind::Evicted | Kind::Overdue => {
-                ctx.requests.counters.silent += 1;
+                ctx.requests.counters.idle_closed += 1;
                 ctx.net.close(token);
                 return self.client_gone(ctx, token);
             }
@@ -54,7 +54,7 @@
 
     fn accept(&mut self, ctx: &mut FrontContext, token: Token) {
         if ctx.net.is_short() && !ctx.net.make_room() {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             return ctx.net.close(token);
         }
         let under_tls = self.tls_listener.is_some() && ctx.net.came_to(token) == self.tls_listener;
@@ -69,7 +69,7 @@
         ctx.net.read_ahead(token, self.config.max_frame as usize + 1024);
         let ip = ctx.net.peer(token).map(|peer| peer.ip());
         if !self.clients.insert(token, conn, tls, ip, self.config.peer_connections) {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             ctx.net.close(token);
         }
     }
@@ -489,7 +489,7 @@
                 if matches!(state, State::Rejected(_)) {
                     ctx.requests.counters.malformed += 1;
                 } else {
-                    ctx.requests.counters.over_budget += 1;
+                    ctx.requests.counters.capacity_rejected += 1;
                 }
                 if let Some(client) = self.clients.get(token) {
                     client.conn.settle(link.channel, part.id, state);
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -165,7 +165,7 @@
         ctx.net.look(token);
         self.fresh(ctx, token);
         if let Some(Side::Fresh(pings)) = self.sides.get(&token) {
-            ctx.requests.counters.silent += 1;
+            ctx.requests.counters.idle_closed += 1;
             // Whoever asked whether the node is there has had its answer.
             if *pings == 0 {
                 ctx.net.send(token, b"BUSY\r\n");
@@ -188,7 +188,7 @@
             return self.answer(ctx, token, b"BUSY\r\n");
         }
         if !ctx.net.make_room() {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             return self.answer(ctx, token, b"BUSY 500\r\n");
         }
         let arrival = arrival(&open);
@@ -580,7 +580,7 @@
             return;
         }
         if notice.kind == Kind::Evicted {
-            ctx.requests.counters.silent += 1;
+            ctx.requests.counters.idle_closed += 1;
             self.sides.remove(&token);
             return;
         }
@@ -678,7 +678,7 @@
                 token
             }
         };
-        ctx.requests.counters.probes += 1;
+        ctx.requests.counters.health_checks += 1;
         ctx.net.send(token, STATS);
         ctx.wheel.at(ctx.now + PROBE_WAIT, TimerEvent::FrontTimer(TEXT_FRONT, token));
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -315,7 +315,7 @@
         if state.drained && self.lifecycle.drain(self.clock.now()) {
             self.begin_steps();
         }
-        self.requests.counters.upgrades += 1;
+        self.requests.counters.handovers += 1;
         self.held_before(state.descriptors);
         log::line(format_args!("taking-over drained={} descriptors={}", state.drained, state.descriptors));
     }
@@ -348,7 +348,7 @@
                 HandoverEvent::SuccessorServes => {
                     self.net.take_in(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
-                    self.requests.counters.upgrades += 1;
+                    self.requests.counters.handovers += 1;
                     log::line(format_args!("handing-over standing={}", self.requests.established().len()));
                     self.begin_steps();
                 }
@@ -468,7 +468,7 @@
             log::trace(format_args!("trace list kind={kind:?} entries={}", members.len()));
         }
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.requests.counters.list_failed += 1;
+            self.requests.counters.discovery_failures += 1;
         }
         self.requests.push_event(event);
         let stopped = self.registry.stopped();
@@ -589,11 +589,11 @@
     }
 
     fn print_counters(&mut self) {
-        self.requests.counters.list_calls = self.registry.calls;
-        self.requests.counters.list_back = self.registry.backs;
+        self.requests.counters.discovery_polls = self.registry.calls;
+        self.requests.counters.stale_lists = self.registry.backs;
         if let Some(counts) = self.operator.as_ref().map(Operator::counts) {
             let counters = &mut self.requests.counters;
-            (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
+            (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
                 (counts.yes, counts.no, counts.unheard);
         }
         log::line(format_args!("{}", self.requests.counters));
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -180,7 +180,7 @@
 
     /// A request comes in; its id is dealt here.
     pub fn on_request(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
-        self.counters.taken += 1;
+        self.counters.requests += 1;
         let id = self.admit(now, front, &mut arrival, State::Waiting);
         match self.quotas.as_mut().map(|quotas| quotas.first(now, arrival.class)) {
             Some(Err(wait)) => {
@@ -243,7 +243,7 @@
         let mut commands = Vec::new();
         for ((request_id, _, front), _) in newest.into_iter().zip(ends).filter(|(_, ends)| *ends) {
             self.close_for_migration(now, request_id, Outcome::Cancelled);
-            self.counters.budget_moved += 1;
+            self.counters.quota_migrated += 1;
             commands.push(Command::Migrate { front, request_id });
         }
         commands
@@ -255,7 +255,7 @@
         let gone = self.requests.remove(&id)?;
         let began = gone.began;
         self.release_quota(&gone);
-        self.counters.passed_on += 1;
+        self.counters.handed_over += 1;
         self.inbox.push(Event::AttemptEnded { id, server, outcome: Outcome::Cancelled, done: true });
         Some(began)
     }
@@ -263,7 +263,7 @@
     /// One that stood in the process before this one stands here, since then, with this load if it was told.
     pub fn receive_handed_over(&mut self, now: Nanos, connection: HandedOverConnection) -> RequestId {
         let HandedOverConnection { front, arrival, server, started_at, load } = connection;
-        self.counters.taken_over += 1;
+        self.counters.inherited += 1;
         let id = self.insert_established(now, front, arrival, server);
         if let Some(t) = self.requests.get_mut(&id) {
             t.began = started_at;
@@ -279,7 +279,7 @@
         let Some(t) = self.requests.get_mut(&id) else { return };
         let State::Trying { server, since, .. } = t.state else { return };
         t.state = State::Up { server };
-        self.counters.up += 1;
+        self.counters.established += 1;
         self.counters.served += 1;
         let waited = now.saturating_sub(since);
         self.trace.task(id, server, None, waited);
@@ -293,7 +293,7 @@
             State::Waiting => return false,
             State::Trying { server, since, .. } => {
                 t.state = State::Waiting;
-                self.counters.task(outcome);
+                self.counters.count_attempt(outcome);
                 self.trace.task(id, server, Some(outcome), now.saturating_sub(since));
                 (server, outcome == Outcome::Ok)
             }
@@ -309,7 +309,7 @@
             };
             // One that is served to its end in one step stood for no time.
             if matches!(t.state, State::Waiting) {
-                self.counters.up += 1;
+                self.counters.established += 1;
                 self.counters.served += 1;
             }
             self.counters.ended += 1;
@@ -324,7 +324,7 @@
     pub fn on_unrepeatable_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(t) = self.requests.get(&id) else { return false };
         let State::Trying { server, .. } = t.state else { return false };
-        self.counters.task(outcome);
+        self.counters.count_attempt(outcome);
         self.counters.failed += 1;
         self.inbox.push(Event::ClientDisconnected(id));
         self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
@@ -343,13 +343,13 @@
         let (outcome, done) = (Outcome::Cancelled, true);
         match t.state {
             State::Waiting => {
-                self.counters.left += 1;
+                self.counters.client_disconnected += 1;
                 self.inbox.push(Event::ClientDisconnected(id));
                 self.finish(now, id, None, FlowResult::Left);
             }
             State::Trying { server, .. } => {
-                self.counters.left += 1;
-                self.counters.task(outcome);
+                self.counters.client_disconnected += 1;
+                self.counters.count_attempt(outcome);
                 self.inbox.push(Event::ClientDisconnected(id));
                 self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                 self.finish(now, id, Some(server), FlowResult::Left);
@@ -374,7 +374,7 @@
             let front = t.front;
             if let State::Trying { server, .. } = t.state {
                 commands.push(Command::CancelAttempt { front, request_id: id });
-                self.counters.task(Outcome::Cancelled);
+                self.counters.count_attempt(Outcome::Cancelled);
                 self.inbox.push(Event::ClientDisconnected(id));
                 let (outcome, done) = (Outcome::Cancelled, true);
                 self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
@@ -394,7 +394,7 @@
         let t = self.requests.get(&id)?;
         let State::Up { server } = t.state else { return None };
         let front = t.front;
-        self.counters.moved += 1;
+        self.counters.migrated += 1;
         self.trace.task(id, server, Some(outcome), now.saturating_sub(t.began));
         self.finish(now, id, Some(server), FlowResult::Moved);
         self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
@@ -436,9 +436,9 @@
         let mut actions = Vec::new();
         for (request_id, cool_down) in std::mem::take(&mut self.turned_away) {
             if let Some(front) = self.answer(now, request_id, FlowResult::Refused) {
-                self.counters.refused += 1;
-                self.counters.refused_unsent += 1;
-                self.counters.budget_refused += 1;
+                self.counters.rejected += 1;
+                self.counters.rejected_unsent += 1;
+                self.counters.quota_rejected += 1;
                 commands.push(Command::Reject { front, request_id, cool_down });
             }
         }
@@ -465,7 +465,7 @@
                 let retry = t.attempts > 0;
                 if self.quotas.as_mut().is_some_and(|b| retry && b.again(now, class).is_err()) {
                     let (outcome, done) = (Outcome::Rejected, false);
-                    self.counters.budget_refused += 1;
+                    self.counters.quota_rejected += 1;
                     self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                     return None;
                 }
@@ -483,8 +483,8 @@
             Action::Reject { id, cool_down } => {
                 let unsent = self.requests.get(&id).is_some_and(|t| t.attempts == 0);
                 let front = self.answer(now, id, FlowResult::Refused)?;
-                self.counters.refused += 1;
-                self.counters.refused_unsent += u64::from(unsent);
+                self.counters.rejected += 1;
+                self.counters.rejected_unsent += u64::from(unsent);
                 Some(Command::Reject { front, request_id: id, cool_down })
             }
             Action::Fail(id) => {
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -60,14 +60,17 @@
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "taken"), value(&counters, "sent"), value(&counters, "served")], [1, 1, 1]);
+    assert_eq!(
+        [value(&counters, "requests"), value(&counters, "sent"), value(&counters, "served")],
+        [1, 1, 1]
+    );
 }
 
 #[rstest]
-#[case::released(State::Released, "task_full", false)]
-#[case::modified_unfailed(modified(false), "task_full", false)]
-#[case::modified_failed(modified(true), "task_error", true)]
-#[case::rejected(State::Rejected(None), "task_error", true)]
+#[case::released(State::Released, "attempt_rejected", false)]
+#[case::modified_unfailed(modified(false), "attempt_rejected", false)]
+#[case::modified_failed(modified(true), "attempt_error", true)]
+#[case::rejected(State::Rejected(None), "attempt_error", true)]
 fn what_a_server_settles_with_decides_whether_it_may_have_run(
     #[case] with: State,
     #[case] counter: &str,
@@ -87,8 +90,8 @@
 }
 
 #[rstest]
-#[case::never_settles(true, "task_timeout", true)]
-#[case::never_gives_credit(false, "task_connect_failed", false)]
+#[case::never_settles(true, "attempt_timeout", true)]
+#[case::never_gives_credit(false, "attempt_connect_failed", false)]
 fn a_server_that_accepts_links_and_leaves_it_there_is_timed_out(
     #[case] credit: bool,
     #[case] counter: &str,
@@ -120,7 +123,7 @@
         drop(server);
     }
     assert!(has_failed(&answer(&mut client)));
-    assert_eq!(value(&bench.stop(), "task_reset"), 1);
+    assert_eq!(value(&bench.stop(), "attempt_reset"), 1);
 }
 
 #[rstest]
@@ -144,7 +147,7 @@
     server.flow(10, 1, 100);
     assert_eq!(until!(server, Transfer).0.aborted, Some(true));
     let counters = bench.stop();
-    assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [2, 1]);
+    assert_eq!([value(&counters, "sent"), value(&counters, "attempt_connect_failed")], [2, 1]);
 }
 
 #[rstest]
@@ -158,7 +161,7 @@
     let State::Rejected(Some(error)) = answer(&mut client) else { panic!("rejected") };
     assert!([condition::DECODE_ERROR, condition::INVALID_FIELD].contains(&&*error.condition));
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 0]);
+    assert_eq!([value(&counters, "malformed"), value(&counters, "requests")], [1, 0]);
 }
 
 #[rstest]
@@ -196,7 +199,7 @@
     // The node settles on its side: nobody waits any more.
     assert_eq!(until!(server, Disposition).0.settled, Some(true));
     until!(client, Detach);
-    assert_eq!([bench.counter("taken"), bench.counter("left")], [1, 1]);
+    assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 1]);
     // Nor does a delivery reach a server after its time.
     assert!(client.attach(CLASS).expect("again") > 0);
     client.deliver(2, &message(0, "7f3a", b"late"));
@@ -370,5 +373,5 @@
         client.read_exact(&mut [0; 8]);
     }
     client.ends();
-    assert_eq!(value(&bench.stop(), "silent"), 1);
+    assert_eq!(value(&bench.stop(), "idle_closed"), 1);
 }
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -114,7 +114,7 @@
     }));
     let counters = bench.counters();
     // Eight deliveries and one standing connection, each of them run once.
-    assert_eq!([counters["taken"], counters["sent"], counters["served"]], [9, 9, 9]);
+    assert_eq!([counters["requests"], counters["sent"], counters["served"]], [9, 9, 9]);
 }
 
 #[rstest]
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -69,7 +69,8 @@
     until!(client, Detach);
     until!(server, Detach);
     let counters = bench.stop();
-    let all = ["taken", "sent", "up", "served", "ended", "failed"].map(|name| value(&counters, name));
+    let all =
+        ["requests", "sent", "established", "served", "ended", "failed"].map(|name| value(&counters, name));
     assert_eq!(all, [1, 1, 1, 1, 1, 0]);
 }
 
@@ -137,8 +138,8 @@
     assert_eq!(error.condition, condition::RESOURCE_LIMIT_EXCEEDED);
     assert!(matches!(error.info.expect("info").get("retry-after"), Some(Value::Uint(_))));
     let counters = bench.stop();
-    assert_eq!(value(&counters, "refused"), 1);
-    assert!(value(&counters, "task_full") >= 2, "each was asked");
+    assert_eq!(value(&counters, "rejected"), 1);
+    assert!(value(&counters, "attempt_rejected") >= 2, "each was asked");
 }
 
 #[rstest]
@@ -155,7 +156,7 @@
     // The first one is told that nobody waits there any more.
     until!(silent, Detach);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "task_timeout"), value(&counters, "served")], [1, 1]);
+    assert_eq!([value(&counters, "attempt_timeout"), value(&counters, "served")], [1, 1]);
 }
 
 #[rstest]
@@ -219,7 +220,7 @@
     assert_eq!(error.info.expect("info").get("retry-after"), Some(&Value::Uint(0)));
     assert_eq!(until!(client, Close).0.error.expect("why").condition, condition::CONNECTION_FORCED);
     let counters = bench.logged("counters");
-    assert_eq!(value(&counters, "moved"), 1);
+    assert_eq!(value(&counters, "migrated"), 1);
 }
 
 #[rstest]
@@ -339,5 +340,5 @@
     }
     let (d, _) = until!(server, Disposition);
     assert_eq!((d.first, d.state), (Some(0), Some(State::Accepted)));
-    assert_eq!([bench.counter("taken"), bench.counter("served")], [1, 1]);
+    assert_eq!([bench.counter("requests"), bench.counter("served")], [1, 1]);
 }
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -85,7 +85,10 @@
     resume(&mut second, 8, 2);
     server.settle(ids[1], State::Accepted);
     assert_eq!(answer(&mut second), (Some(8), State::Accepted));
-    assert_eq!([bench.counter("sent"), bench.counter("served"), bench.counter("left")], [2, 2, 0]);
+    assert_eq!(
+        [bench.counter("sent"), bench.counter("served"), bench.counter("client_disconnected")],
+        [2, 2, 0]
+    );
     let line = bench.front_counters("amqp");
     assert_eq!([value(&line, "resumed"), value(&line, "fate_unknown")], [1, 0]);
 }
@@ -123,7 +126,7 @@
     resume(&mut client, 5, 1);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(answer(&mut client), (Some(5), State::Accepted));
-    assert_eq!([bench.counter("taken"), bench.counter("left")], [1, 0]);
+    assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 0]);
 }
 
 #[rstest]
@@ -143,7 +146,7 @@
         panic!("modified")
     };
     assert_eq!(notes.get("fate"), Some(&Value::symbol("unknown")));
-    assert_eq!(bench.counter("taken"), 0);
+    assert_eq!(bench.counter("requests"), 0);
 }
 
 #[rstest]
@@ -163,7 +166,7 @@
     drop(first);
     // Its time over, the request is left, and its server is told that nobody waits.
     until!(server, Disposition);
-    assert_eq!([bench.counter("left"), bench.counter("taken")], [1, 1]);
+    assert_eq!([bench.counter("client_disconnected"), bench.counter("requests")], [1, 1]);
     let mut second = client(&bench);
     assert!(attach(&mut second, 10, &[1]).is_empty());
     assert_eq!(value(&bench.front_counters("amqp"), "remembered"), 1);
@@ -181,5 +184,5 @@
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
     until!(client, Detach);
     until!(server, Disposition);
-    assert_eq!(bench.counter("left"), 1);
+    assert_eq!(bench.counter("client_disconnected"), 1);
 }
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -171,8 +171,8 @@
             assert!(matches!(answer(&mut client), State::Modified { failed: true, .. }));
         }
         let counters = bench.stop();
-        assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [tried, 1]);
-        assert_eq!(value(&counters, "taken"), value(&counters, "served") + value(&counters, "failed"));
+        assert_eq!([value(&counters, "sent"), value(&counters, "attempt_connect_failed")], [tried, 1]);
+        assert_eq!(value(&counters, "requests"), value(&counters, "served") + value(&counters, "failed"));
     }
 }
 
@@ -201,7 +201,7 @@
         drop(client);
     }
     while until!(server, Transfer).0.aborted != Some(true) {}
-    assert_eq!([bench.counter("left"), bench.counter("served")], [1, 0]);
+    assert_eq!([bench.counter("client_disconnected"), bench.counter("served")], [1, 0]);
 }
 
 #[rstest]
@@ -225,7 +225,7 @@
     while until!(server, Transfer).0.delivery_id == transfer.delivery_id {}
     server.settle(1, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    assert_eq!(value(&bench.stop(), "taken"), 2);
+    assert_eq!(value(&bench.stop(), "requests"), 2);
 }
 
 #[rstest]
@@ -434,7 +434,7 @@
     other.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "sent"), value(&counters, "task_connect_failed")], [2, 1]);
+    assert_eq!([value(&counters, "sent"), value(&counters, "attempt_connect_failed")], [2, 1]);
 }
 
 #[rstest]
@@ -528,7 +528,7 @@
     };
     second.put_on(2, begin);
     assert_eq!(until!(second, Close).0.error.expect("why").condition, condition::FRAMING_ERROR);
-    assert_eq!(value(&bench.stop(), "over_budget"), 1);
+    assert_eq!(value(&bench.stop(), "capacity_rejected"), 1);
 }
 
 #[rstest]
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -60,7 +60,7 @@
     attempt.say("ERR\r\n");
     assert_eq!(client.line(), "ERR");
     let counters = bench.stop();
-    assert_eq!(["taken", "served", "failed"].map(|name| value(&counters, name)), [1, 1, 0]);
+    assert_eq!(["requests", "served", "failed"].map(|name| value(&counters, name)), [1, 1, 0]);
 }
 
 /// An answer that never ends its line is given up when the attempt's time is over, and answered within the deadline.
@@ -75,7 +75,7 @@
     // What comes after that is nobody's.
     let _ = attempt.stream.write_all(b"\r\n");
     let counters = bench.stop();
-    assert_eq!(["taken", "served", "failed"].map(|name| value(&counters, name)), [1, 0, 1]);
+    assert_eq!(["requests", "served", "failed"].map(|name| value(&counters, name)), [1, 0, 1]);
 }
 
 /// The answer and the attempt's time-out meet in one turn: the answer that is there counts, once.
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -176,5 +176,5 @@
     let _client = leaves(client, way);
     settle();
     bench.nothing_was_sent();
-    assert_eq!(bench.counter("taken"), 0);
+    assert_eq!(bench.counter("requests"), 0);
 }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -422,7 +422,7 @@
         println!("{name:<9} {items:<8} {served:<8} {refused:<8} {failed:<8} {wrong}");
     }
     let [taken, served, refused, failed, left] =
-        ["taken", "served", "refused", "failed", "left"].map(|name| counters[name]);
+        ["requests", "served", "rejected", "failed", "client_disconnected"].map(|name| counters[name]);
     println!("the node  {taken:<8} {served:<8} {refused:<8} {failed:<8} (left {left})");
     println!("two live attempts {overlaps}, run twice {twice}, after a drain {}", ledger.late);
     let sum = |of: fn(&Seen) -> u64| seen.iter().map(of).sum::<u64>();
--- a/tests/operator.rs
+++ b/tests/operator.rs
@@ -53,7 +53,7 @@
     }
     assert_eq!(answer(&mut slow), (status, text.to_string()));
     let counters = bench.stop();
-    let counts = ["operator_yes", "operator_no"].map(|name| value(&counters, name));
+    let counts = ["admin_accepted", "admin_rejected"].map(|name| value(&counters, name));
     assert_eq!(counts, if status == 200 { [2, 0] } else { [0, 2] });
 }
 
@@ -74,7 +74,7 @@
     let last = stay.last_mut().expect("fifty");
     assert_eq!(answer(last), (408, "no whole call came".to_string()));
     let counters = bench.counters();
-    assert_eq!((counters["operator_yes"], counters["operator_unheard"] >= 42), (50, true));
+    assert_eq!((counters["admin_accepted"], counters["admin_incomplete"] >= 42), (50, true));
 }
 
 /// The first client stands; what is still placed during the drain stands, then is moved like the others.
@@ -94,7 +94,7 @@
     assert_eq!(late.line(), "MOVE");
     assert_eq!(call(at, "GET /-/ready").0, 200, "this process could serve");
     let counters = bench.counters();
-    let counts = ["drains", "resumes", "served", "moved"].map(|name| counters[name]);
+    let counts = ["drains", "resumes", "served", "migrated"].map(|name| counters[name]);
     assert_eq!(counts, [1, 0, 3, 3]);
 }
 
@@ -109,7 +109,7 @@
     std::thread::sleep(Duration::from_millis(3_700));
     client.say("M 1 x\r\n");
     assert_eq!(task.line(), "M 1 x");
-    assert_eq!((bench.counter("moved"), bench.counter("resumes")), (0, 1));
+    assert_eq!((bench.counter("migrated"), bench.counter("resumes")), (0, 1));
 }
 
 #[rstest]
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -51,7 +51,7 @@
     assert_eq!(task.line(), "M 1 x");
     task.say("M 1 x\r\n");
     assert_eq!(client.line(), "M 1 x");
-    assert_eq!(bench.counter("moved"), 0);
+    assert_eq!(bench.counter("migrated"), 0);
 }
 
 #[rstest]
@@ -89,7 +89,7 @@
     bench.change(&mut watch, 0, "draining");
     watch.say("0\r\n\r\n");
     bench.logged("list-lost");
-    assert_eq!(bench.counter("list_failed"), 1);
+    assert_eq!(bench.counter("discovery_failures"), 1);
 }
 
 #[rstest]
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -68,7 +68,7 @@
     assert_eq!(answers(&mut client), ["UP r1", "MOVE"]);
     drop((client, attempt));
     let counters = ends(bench, told);
-    assert_eq!(["taken", "served", "moved"].map(|name| value(&counters, name)), [1, 1, 1]);
+    assert_eq!(["requests", "served", "migrated"].map(|name| value(&counters, name)), [1, 1, 1]);
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -113,8 +113,8 @@
     }
     drop((client, attempt));
     let counters = ends(bench, told);
-    let sum: u64 = ["served", "refused", "failed"].iter().map(|name| value(&counters, name)).sum();
-    assert_eq!((value(&counters, "taken"), sum), (1, 1));
+    let sum: u64 = ["served", "rejected", "failed"].iter().map(|name| value(&counters, name)).sum();
+    assert_eq!((value(&counters, "requests"), sum), (1, 1));
 }
 
 /// The configuration is read again just before the end, or would be just after: neither keeps the node, nor what
@@ -158,5 +158,5 @@
     let counters = ends(bench, told);
     servers[0].set_nonblocking(true).expect("non-blocking");
     assert!(servers[0].accept().is_err(), "it was sent on");
-    assert_eq!(value(&counters, "silent"), 20);
+    assert_eq!(value(&counters, "idle_closed"), 20);
 }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -34,7 +34,10 @@
     assert_eq!(client.line(), "BYE");
     client.ends();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "taken"), value(&counters, "served"), value(&counters, "ended")], [1, 1, 1]);
+    assert_eq!(
+        [value(&counters, "requests"), value(&counters, "served"), value(&counters, "ended")],
+        [1, 1, 1]
+    );
 }
 
 /// Where the settings say that delays are told too, a `LOAD` is a load all the same, whenever it comes and
@@ -105,9 +108,9 @@
         task.say("UP r1\r\n");
         assert_eq!(client.line(), "UP r1");
     }
-    assert!(bench.counter("task_connect_failed") > 0);
+    assert!(bench.counter("attempt_connect_failed") > 0);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "served"), value(&counters, "task_reset")], [6, 0]);
+    assert_eq!([value(&counters, "served"), value(&counters, "attempt_reset")], [6, 0]);
 }
 
 #[rstest]
@@ -134,8 +137,8 @@
     assert!(client.line().starts_with("BUSY"));
     client.ends();
     let counters = bench.stop();
-    assert!(value(&counters, "task_timeout") >= 1);
-    assert_eq!([value(&counters, "taken"), value(&counters, "refused")], [1, 1]);
+    assert!(value(&counters, "attempt_timeout") >= 1);
+    assert_eq!([value(&counters, "requests"), value(&counters, "rejected")], [1, 1]);
 }
 
 #[rstest]
@@ -161,7 +164,7 @@
     assert_eq!(client.line(), "ERR");
     client.ends();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 0]);
+    assert_eq!([value(&counters, "malformed"), value(&counters, "requests")], [1, 0]);
 }
 
 #[rstest]
@@ -223,7 +226,7 @@
     task.line();
     task.say("UP r1\r\n");
     assert_eq!(client.line(), "UP r1");
-    assert_eq!(bench.counter("task_connect_failed"), 1);
+    assert_eq!(bench.counter("attempt_connect_failed"), 1);
 }
 
 #[rstest]
@@ -237,7 +240,7 @@
     bench.logged("list-lost");
     let _stands = standing(&bench, 0x9b1f);
     let _watch = bench.watch();
-    assert_eq!(bench.counter("list_failed"), 1);
+    assert_eq!(bench.counter("discovery_failures"), 1);
 }
 
 #[rstest]
@@ -263,7 +266,7 @@
     assert_eq!(second.line(), "UP r2");
     assert_eq!([first.line(), second.line()], ["MOVE", "MOVE"]);
     let counters = bench.logged("counters");
-    assert_eq!([value(&counters, "served"), value(&counters, "moved")], [2, 2]);
+    assert_eq!([value(&counters, "served"), value(&counters, "migrated")], [2, 2]);
     assert!(bench.child.wait().expect("it ends").success());
 }
 
@@ -291,8 +294,8 @@
     let _stands = standing(&bench, 0x9b1f);
     idle[0].ends();
     let counters = bench.stop();
-    assert_eq!([value(&counters, "over_budget"), value(&counters, "served")], [0, 1]);
-    assert!(value(&counters, "silent") > 100);
+    assert_eq!([value(&counters, "capacity_rejected"), value(&counters, "served")], [0, 1]);
+    assert!(value(&counters, "idle_closed") > 100);
 }
 
 /// An answer and a close are owed within 3 s of connecting, however slowly something comes: a request that arrives
@@ -309,7 +312,7 @@
     assert_eq!(client.line(), answer);
     client.ends();
     assert!(came.elapsed() < Duration::from_secs(3));
-    assert_eq!(value(&bench.stop(), "silent"), 1);
+    assert_eq!(value(&bench.stop(), "idle_closed"), 1);
 }
 
 /// Megabytes without an end: the answer is not eaten by the reset that ends them.
@@ -340,7 +343,7 @@
     // Over, it is free again.
     let _stands = standing(&bench, 0x9b1f);
     let counters = bench.stop();
-    assert_eq!([value(&counters, "malformed"), value(&counters, "taken")], [1, 2]);
+    assert_eq!([value(&counters, "malformed"), value(&counters, "requests")], [1, 2]);
 }
 
 #[rstest]
@@ -358,7 +361,7 @@
     }
     assert_eq!(client.line(), "ERR");
     client.ends();
-    assert_eq!(value(&bench.stop(), "up"), 0);
+    assert_eq!(value(&bench.stop(), "established"), 0);
 }
 
 fn descriptors(bench: &Bench, most: u64) {
@@ -373,7 +376,7 @@
     descriptors(&bench, 32);
     let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
     standing(&bench, 0x9b1f);
-    assert!(value(&bench.stop(), "silent") > 30);
+    assert!(value(&bench.stop(), "idle_closed") > 30);
 }
 
 #[rstest]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -98,7 +98,7 @@
     // What reached the node before this is answered has been read.
     assert_eq!(Peer::connect(node.bench.addr).say("PING\r\n").line(), "PONG");
     let counters = node.replaced();
-    assert_eq!(["passed_on", "moved", "upgrades"].map(|name| value(&counters, name)), [1, 0, 1]);
+    assert_eq!(["handed_over", "migrated", "handovers"].map(|name| value(&counters, name)), [1, 0, 1]);
     client.say(" y\r\n");
     assert_eq!(task.line(), "M 2 y");
     task.say(" y\r\n");
@@ -113,7 +113,7 @@
     watch.say("0\r\n\r\n");
     node.bench.logged("list-lost");
     let counters = node.bench.counters();
-    let counts = ["taken_over", "taken", "moved", "list_calls"].map(|name| counters[name]);
+    let counts = ["inherited", "requests", "migrated", "discovery_polls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
     // Its id is that of an open connection here too.
     assert_eq!(node.bench.client(&open(1)).line(), "ERR");
@@ -131,7 +131,7 @@
     task.say("UP r1\r\n");
     assert_eq!(client.line(), "UP r1");
     old.signal("-TERM");
-    assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
+    assert_eq!(value(&old.logged("counters"), "handed_over"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
@@ -160,7 +160,7 @@
     assert_eq!(failed.wait().expect("it ends").code(), Some(2));
     echo(&mut client, &mut task, "M 1 x");
     let _second = standing(&node.bench, 2);
-    assert_eq!(node.bench.counter("upgrades"), 0);
+    assert_eq!(node.bench.counter("handovers"), 0);
 }
 
 /// One that was told what the old process knows, serves, and dies before anything reached it.
@@ -251,7 +251,7 @@
     node.bench.signal("-TERM");
     node.bench.logged("leaving");
     let mut old = node.upgraded();
-    assert_eq!(value(&old.logged("counters"), "passed_on"), 1);
+    assert_eq!(value(&old.logged("counters"), "handed_over"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
