--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -319,7 +319,7 @@
         if snapshot.is_drained && self.lifecycle.drain(self.clock.now()) {
             self.begin_steps();
         }
-        self.requests.counters.upgrades += 1;
+        self.requests.counters.handovers += 1;
         self.limit_beside_predecessor(snapshot.open_descriptors);
         log::line(format_args!(
             "handover-from-predecessor drained={} descriptors={}",
@@ -357,7 +357,7 @@
                 HandoverEvent::SuccessorReady => {
                     self.net.take_in(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
-                    self.requests.counters.upgrades += 1;
+                    self.requests.counters.handovers += 1;
                     log::line(format_args!(
                         "handover-to-successor standing={}",
                         self.requests.established().len()
@@ -483,7 +483,7 @@
             log::trace(format_args!("trace list kind={kind:?} entries={}", members.len()));
         }
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.requests.counters.list_failed += 1;
+            self.requests.counters.discovery_failures += 1;
         }
         self.requests.push_event(event);
         let stopped = self.registry.stopped();
@@ -604,11 +604,11 @@
     }
 
     fn print_counters(&mut self) {
-        self.requests.counters.list_calls = self.registry.calls;
-        self.requests.counters.list_back = self.registry.backs;
+        self.requests.counters.discovery_polls = self.registry.calls;
+        self.requests.counters.stale_lists = self.registry.backs;
         if let Some(counts) = self.operator.as_ref().map(AdminServer::counts) {
             let counters = &mut self.requests.counters;
-            (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
+            (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
                 (counts.succeeded, counts.failed, counts.incomplete);
         }
         log::line(format_args!("{}", self.requests.counters));
