--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -132,7 +132,7 @@
         let settings_text = document.settings.get();
         log::trace(format_args!("trace settings {settings_text}"));
         let (settings, site) = parse_settings(settings_text)?;
-        settings.check()?;
+        settings.validate()?;
         let seed = match document.seed.as_str() {
             "" => 0,
             digits => u64::from_str_radix(digits, 16)?,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -4,7 +4,7 @@
 //! term and the wire's name stands in a `rename`.
 
 use crate::json::{self, JsonError};
-use crate::vocabulary::{Class, Discovery, Effect, Nanos, Scope, Settings};
+use crate::vocabulary::{DedupScope, Discovery, Effect, Nanos, RequestClass, Settings};
 use serde::Deserialize;
 
 #[cfg(test)]
@@ -175,24 +175,24 @@
     }
 }
 
-impl From<ScopeName> for Scope {
-    fn from(name: ScopeName) -> Scope {
+impl From<ScopeName> for DedupScope {
+    fn from(name: ScopeName) -> DedupScope {
         match name {
-            ScopeName::All => Scope::All,
-            ScopeName::Zone => Scope::Zone,
-            ScopeName::Cell => Scope::Cell,
+            ScopeName::All => DedupScope::All,
+            ScopeName::Zone => DedupScope::Zone,
+            ScopeName::Cell => DedupScope::Cell,
         }
     }
 }
 
 impl ClassDocument {
-    fn into_class(self, message_latency_objective: Option<Nanos>) -> Class {
-        Class {
+    fn into_class(self, message_latency_objective: Option<Nanos>) -> RequestClass {
+        RequestClass {
             objective: self.objective_ns,
             hard_limit: self.hard_limit_ns,
             effect: self.effect.into(),
-            scope: self.dedup_scope.into(),
-            window: self.window_ns,
+            dedup_scope: self.dedup_scope.into(),
+            dedup_window: self.window_ns,
             priority_weight: self.priority_weight,
             message_latency_objective,
         }
--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -4,7 +4,7 @@
 use crate::discovery::EndpointRegistry;
 use crate::net::{Net, Notice, Token, Wheel};
 use crate::requests::{FrontId, RequestTable};
-use crate::vocabulary::{Class, Event, Nanos, Outcome, RequestId, ServerId};
+use crate::vocabulary::{Event, Nanos, Outcome, RequestClass, RequestId, ServerId};
 use std::any::Any;
 use std::os::fd::OwnedFd;
 
@@ -27,7 +27,7 @@
     /// The settings that fronts need and the balancer does not.
     pub site: &'a SiteSettings,
     /// The request classes, in the order of the settings.
-    pub classes: &'a [Class],
+    pub classes: &'a [RequestClass],
     /// Whether the load balancer in front of the nodes should send clients here.
     pub accepts_clients: bool,
     /// Whether the process is about to end: requests that arrive now are answered without an attempt.
@@ -85,7 +85,7 @@
     /// Requests a server's load report in the platform's protocol. The result is pushed to the request table as
     /// [`Event::HealthCheckResult`]. A front without health checks reports a failed one at once.
     fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
-        ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
+        ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
     }
     /// One of the front's own timers has elapsed.
     fn on_timer(&mut self, _ctx: &mut FrontContext, _token: Token) {}
