--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -3,7 +3,7 @@
 pub mod json;
 pub mod settings;
 
-use crate::discovery::List;
+use crate::discovery::EndpointListDocument;
 use crate::front::{Files, ReadFiles, OPTIONAL};
 use crate::vocabulary::{Discovery, Nanos, Settings};
 use serde::Deserialize;
@@ -22,7 +22,7 @@
     pub seed: u64,
     /// Descriptors that the process may hold.
     pub sockets: usize,
-    pub known: List,
+    pub known: EndpointListDocument,
     pub settings: Settings,
     pub facts: Facts,
 }
@@ -74,7 +74,7 @@
     #[serde(default)]
     seed: String,
     limits: Limits,
-    known: List,
+    known: EndpointListDocument,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
--- /dev/null
+++ b/src/discovery/chunked/tests.rs
@@ -0,0 +1,63 @@
+//! Unit tests of the chunked response decoder.
+
+use super::*;
+
+/// Decodes a response that arrives in pieces of so many bytes: the body, and how decoding ended.
+fn decode(text: &str, piece_bytes: usize) -> (Vec<u8>, Result<(), ResponseError>) {
+    let mut decoder = ChunkedDecoder::default();
+    let mut body = Vec::new();
+    for piece in text.as_bytes().chunks(piece_bytes) {
+        decoder.feed(piece);
+        loop {
+            match decoder.next_data() {
+                Ok(Some(data)) => body.extend(data),
+                Ok(None) => break,
+                Err(error) => return (body, Err(error)),
+            }
+        }
+    }
+    (body, Ok(()))
+}
+
+#[rstest::rstest]
+#[case(1)]
+#[case(7)]
+#[case(1000)]
+fn the_body_is_the_same_however_the_response_is_cut(#[case] piece_bytes: usize) {
+    let text =
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nb\r\n2;x=y\r\nc\n\r\n1\r\n\n\r\n0\r\n";
+    assert_eq!(decode(text, piece_bytes), (b"a\nbc\n\n".to_vec(), Err(ResponseError::Ended)));
+}
+
+#[rstest::rstest]
+#[case("HTTP/1.1 503 No\r\n\r\n", ResponseError::Status(503))]
+#[case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", ResponseError::NotChunked)]
+#[case("garbage\r\n\r\n", ResponseError::NotHttp)]
+#[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", ResponseError::InvalidChunk)]
+#[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXY", ResponseError::InvalidChunk)]
+#[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", ResponseError::Ended)]
+fn a_response_that_is_no_watch_is_an_error(#[case] text: &str, #[case] error: ResponseError) {
+    assert_eq!(decode(text, 5).1, Err(error));
+}
+
+#[test]
+fn a_head_and_a_chunk_size_have_a_longest_length() {
+    assert_eq!(decode(&"x".repeat(MAX_HEAD_BYTES), 100).1, Ok(()));
+    assert_eq!(decode(&"x".repeat(MAX_HEAD_BYTES + 1), 100).1, Err(ResponseError::HeadTooLong));
+    let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let size_line = |length: usize| format!("{head}{}", "1".repeat(length));
+    assert_eq!(decode(&size_line(MAX_CHUNK_SIZE_LINE_BYTES), 1).1, Ok(()));
+    assert_eq!(decode(&size_line(MAX_CHUNK_SIZE_LINE_BYTES + 1), 1).1, Err(ResponseError::InvalidChunk));
+}
+
+/// The words that `docs/ON-CALL.md` lists.
+#[rstest::rstest]
+#[case(ResponseError::Ended, "Ended")]
+#[case(ResponseError::HeadTooLong, "TooLong")]
+#[case(ResponseError::NotHttp, "NotHttp")]
+#[case(ResponseError::Status(503), "Status(503)")]
+#[case(ResponseError::NotChunked, "NotChunked")]
+#[case(ResponseError::InvalidChunk, "BadChunk")]
+fn an_error_is_printed_as_the_log_line_names_it(#[case] error: ResponseError, #[case] text: &str) {
+    assert_eq!(error.to_string(), text);
+}
--- /dev/null
+++ b/src/discovery/client.rs
@@ -0,0 +1,179 @@
+//! The discovery client: keeps one watch open and reports what it brings as events for the balancer.
+
+use super::chunked::ResponseError;
+use super::document::EndpointListDocument;
+use super::registry::EndpointRegistry;
+use super::watch::{Received, WatchError, WatchState};
+use crate::net::{Flow, Net, Owner, Token};
+use crate::vocabulary::{Event, ListKind, Nanos};
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+/// A watch on its way from one process to the next.
+pub struct TransferredWatch {
+    /// The connection to the discovery service.
+    pub socket: OwnedFd,
+    /// How far the response is decoded.
+    pub state: WatchState,
+    /// Bytes of the connection that are not read or written yet.
+    pub flow: Flow,
+}
+
+struct Watch {
+    token: Token,
+    state: WatchState,
+}
+
+/// A client of the discovery service. It holds at most one watch.
+pub struct DiscoveryClient {
+    address: SocketAddr,
+    watch: Option<Watch>,
+    /// Watch requests sent so far.
+    pub watch_requests: u64,
+}
+
+impl DiscoveryClient {
+    /// A client of the service at this address, without a watch.
+    pub fn new(address: SocketAddr) -> DiscoveryClient {
+        DiscoveryClient { address, watch: None, watch_requests: 0 }
+    }
+
+    /// Whether a watch is open or requested.
+    pub fn has_watch(&self) -> bool {
+        self.watch.is_some()
+    }
+
+    /// Requests the changes since the registry's generation, unless there is a watch already. Returns a failure event
+    /// where no connection can be opened.
+    pub fn subscribe(&mut self, now: Nanos, net: &mut Net, registry: &EndpointRegistry) -> Option<Event> {
+        if self.watch.is_some() {
+            return None;
+        }
+        let Ok(token) = net.connect(self.address, Owner::Discovery) else { return Some(watch_failed()) };
+        let generation = registry.generation();
+        let host = self.address;
+        let request =
+            format!("GET /registry/instances?watch=1&from={generation} HTTP/1.1\r\nHost: {host}\r\n\r\n");
+        net.send(token, request.as_bytes());
+        self.watch_requests += 1;
+        crate::log::trace(format_args!("trace call from={generation}"));
+        self.watch = Some(Watch { token, state: WatchState::new(now) });
+        None
+    }
+
+    /// Moves to a service at another address. Its generations may differ from those of the old one, so a complete list
+    /// is requested; the registry keeps its endpoints until that list has come.
+    pub fn change_address(
+        &mut self,
+        now: Nanos,
+        net: &mut Net,
+        registry: &mut EndpointRegistry,
+        address: SocketAddr,
+    ) -> Option<Event> {
+        self.close_watch(net);
+        registry.expect_other_source();
+        self.address = address;
+        self.subscribe(now, net, registry)
+    }
+
+    /// Handles an event on a discovery socket and returns the changes that it brought, in order. `is_broken` says that
+    /// the connection failed. A socket other than the current watch's is closed.
+    pub fn on_socket_event(
+        &mut self,
+        now: Nanos,
+        net: &mut Net,
+        registry: &mut EndpointRegistry,
+        token: Token,
+        is_broken: bool,
+    ) -> Vec<Event> {
+        let Some(watch) = self.watch.as_mut().filter(|watch| watch.token == token) else {
+            net.close(token);
+            return Vec::new();
+        };
+        let bytes = net.input(token).map(std::mem::take).unwrap_or_default();
+        let mut received = watch.state.receive(now, &bytes);
+        if received.outcome.is_ok() && (is_broken || net.at_end(token)) {
+            received.outcome = Err(WatchError::Response(ResponseError::Ended));
+        }
+        net.rearm(token);
+        let mut events = apply_lists(registry, &received);
+        if let Err(error) = received.outcome {
+            events.push(self.lose_watch(net, error));
+        }
+        events
+    }
+
+    /// Reads what has already arrived on the watch, for use just before the watch is closed: a change that the service
+    /// wrote there counts as known to this node.
+    pub fn read_pending(&mut self, now: Nanos, net: &mut Net, registry: &mut EndpointRegistry) -> Vec<Event> {
+        let Some(token) = self.watch.as_ref().map(|watch| watch.token) else { return Vec::new() };
+        net.look(token);
+        self.on_socket_event(now, net, registry, token, false)
+    }
+
+    /// Closes a watch that has fallen silent and returns the failure event.
+    pub fn close_silent_watch(&mut self, now: Nanos, net: &mut Net) -> Option<Event> {
+        let is_silent = self.watch.as_ref()?.state.is_silent(now);
+        is_silent.then(|| self.lose_watch(net, WatchError::Silent))
+    }
+
+    /// Hands the watch to another process. None where there is no watch, or where it cannot be transferred now.
+    pub fn release_watch(&mut self, net: &mut Net) -> Option<TransferredWatch> {
+        let watch = self.watch.as_ref()?;
+        if !watch.state.is_transferable() {
+            return None;
+        }
+        let (socket, flow) = net.release(watch.token)?;
+        let state = self.watch.take()?.state;
+        Some(TransferredWatch { socket, state, flow })
+    }
+
+    /// Takes over the previous process's list and its watch, if it had one. What the watch brings next applies to
+    /// that list.
+    pub fn take_over(
+        &mut self,
+        net: &mut Net,
+        registry: &mut EndpointRegistry,
+        list: &EndpointListDocument,
+        transferred: Option<TransferredWatch>,
+    ) -> Event {
+        let endpoints = registry.apply(list, true);
+        self.watch = transferred.and_then(|TransferredWatch { socket, state, flow }| {
+            let token = net.receive(socket, flow, Owner::Discovery).ok()?;
+            Some(Watch { token, state })
+        });
+        // Without a watch the list may be stale by now, like one from the configuration.
+        let kind = if self.watch.is_some() { ListKind::Full } else { ListKind::Saved };
+        Event::EndpointList(kind, endpoints)
+    }
+
+    fn close_watch(&mut self, net: &mut Net) {
+        if let Some(watch) = self.watch.take() {
+            net.close(watch.token);
+        }
+    }
+
+    fn lose_watch(&mut self, net: &mut Net, error: WatchError) -> Event {
+        crate::log::line(format_args!("list-lost reason={error}"));
+        self.close_watch(net);
+        watch_failed()
+    }
+}
+
+/// Applies the lists that a watch brought and returns the changes.
+fn apply_lists(registry: &mut EndpointRegistry, received: &Received) -> Vec<Event> {
+    let mut events = Vec::new();
+    if received.starts_unchanged && received.lists.is_empty() && registry.generation() > 0 {
+        events.push(Event::EndpointList(ListKind::Incremental, Vec::new()));
+    }
+    for list in &received.lists {
+        let is_stale = list.generation < registry.generation();
+        let kind = if list.is_complete && !is_stale { ListKind::Full } else { ListKind::Incremental };
+        events.push(Event::EndpointList(kind, registry.apply(list, list.is_complete)));
+    }
+    events
+}
+
+fn watch_failed() -> Event {
+    Event::EndpointList(ListKind::Failed, Vec::new())
+}
--- /dev/null
+++ b/src/discovery/framing/tests.rs
@@ -0,0 +1,49 @@
+//! Unit tests of the framing of JSON objects.
+
+use super::*;
+
+/// Cuts a body that arrives in pieces of so many bytes: the frames, and how framing ended.
+fn frames(body: &str, piece_bytes: usize) -> (Vec<String>, Result<(), FramingError>) {
+    let mut framer = ObjectFramer::default();
+    let mut frames = Vec::new();
+    let mut outcome = Ok(());
+    for piece in body.as_bytes().chunks(piece_bytes) {
+        outcome = framer.push(piece.iter().copied(), &mut frames);
+        if outcome.is_err() {
+            break;
+        }
+    }
+    (frames.into_iter().map(|frame| String::from_utf8(frame).expect("UTF-8")).collect(), outcome)
+}
+
+#[rstest::rstest]
+#[case(1)]
+#[case(7)]
+#[case(1000)]
+fn objects_and_empty_lines_are_found_however_the_body_is_cut(#[case] piece_bytes: usize) {
+    let objects = ["\n", "{\"a\": [1,\r\n  {\"b\": \"}\\\"\\\\\"}\n]}\n", "\r\n", "{}\n"];
+    let (found, outcome) = frames(&objects.concat(), piece_bytes);
+    assert_eq!(outcome, Ok(()));
+    assert_eq!(found, objects);
+}
+
+#[rstest::rstest]
+#[case::empty_line_inside_an_object("{}\n{\"generation\":2,\"inst\n\n")]
+#[case::line_end_inside_a_string("{}\n{\"instanceId\":\"s-\n")]
+fn an_object_that_is_broken_off_is_an_error_after_the_frames_before_it(#[case] body: &str) {
+    assert_eq!(frames(body, 3), (vec!["{}\n".to_string()], Err(FramingError::Truncated)));
+}
+
+#[test]
+fn an_object_has_a_longest_length() {
+    let body = "x".repeat(MAX_OBJECT_BYTES);
+    assert_eq!(frames(&body, 4096).1, Ok(()));
+    assert_eq!(frames(&(body + "x"), 4096).1, Err(FramingError::TooLong));
+}
+
+/// The words that `docs/ON-CALL.md` lists.
+#[test]
+fn an_error_is_printed_as_the_log_line_names_it() {
+    assert_eq!(FramingError::Truncated.to_string(), "NotJson");
+    assert_eq!(FramingError::TooLong.to_string(), "TooLong");
+}
--- /dev/null
+++ b/src/discovery/registry.rs
@@ -0,0 +1,177 @@
+//! The endpoint registry: what is known of each endpoint, under the id that the balancer knows it by.
+
+use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument};
+use crate::vocabulary::{Endpoint, Event, ListKind, ServerId, Status};
+use std::collections::HashMap;
+use std::net::SocketAddr;
+
+/// Nanoseconds in a millisecond.
+const NANOS_PER_MILLI: u64 = 1_000_000;
+
+/// What is known of an endpoint.
+pub struct RegistryEntry {
+    document: EndpointDocument,
+}
+
+impl RegistryEntry {
+    /// The discovery service's name for it.
+    pub fn name(&self) -> &str {
+        &self.document.name
+    }
+
+    /// Where it accepts connections.
+    pub fn address(&self) -> SocketAddr {
+        self.document.address
+    }
+
+    /// Whether it takes new connections.
+    pub fn is_ready(&self) -> bool {
+        self.document.lifecycle == EndpointLifecycle::Ready
+    }
+}
+
+/// All endpoints that the discovery service has ever named to this node.
+pub struct EndpointRegistry {
+    zones: Vec<String>,
+    generation: u64,
+    /// By [`ServerId`]; an endpoint that is gone keeps its place.
+    entries: Vec<RegistryEntry>,
+    ids: HashMap<String, ServerId>,
+    /// Lists so far whose generation went back.
+    pub stale_lists: u64,
+    /// The generation from before discovery moved to another address, until that address has sent its first complete
+    /// list.
+    previous_generation: Option<u64>,
+}
+
+impl EndpointRegistry {
+    /// An empty registry for a node that knows these zones.
+    pub fn new(zones: Vec<String>) -> EndpointRegistry {
+        EndpointRegistry {
+            zones,
+            generation: 0,
+            entries: Vec::new(),
+            ids: HashMap::new(),
+            stale_lists: 0,
+            previous_generation: None,
+        }
+    }
+
+    /// An endpoint by its id.
+    pub fn entry(&self, server: ServerId) -> Option<&RegistryEntry> {
+        self.entries.get(server.0 as usize)
+    }
+
+    /// The id of an endpoint by the discovery service's name for it.
+    pub fn id_of(&self, name: &str) -> Option<ServerId> {
+        self.ids.get(name).copied()
+    }
+
+    /// The endpoints that take nothing new.
+    pub fn not_ready(&self) -> Vec<ServerId> {
+        let ids = (0..self.entries.len()).map(|index| ServerId(index as u32));
+        ids.filter(|id| !self.entries[id.0 as usize].is_ready()).collect()
+    }
+
+    /// Generation of the newest list from the current source; zero before the first one.
+    pub fn generation(&self) -> u64 {
+        self.generation
+    }
+
+    /// Takes the list that the node last held, which may be stale by now.
+    pub fn restore(&mut self, list: &EndpointListDocument) -> Event {
+        Event::EndpointList(ListKind::Saved, self.apply(list, true))
+    }
+
+    /// All that is known, as a complete list.
+    pub fn snapshot(&self) -> EndpointListDocument {
+        let endpoints = self.entries.iter().map(|entry| entry.document.clone()).collect();
+        EndpointListDocument { generation: self.generation, is_complete: true, endpoints }
+    }
+
+    /// The next list comes from another source, whose generations may be lower than those so far.
+    pub fn expect_other_source(&mut self) {
+        self.previous_generation = Some(self.generation.max(self.previous_generation.unwrap_or(0)));
+        self.generation = 0;
+    }
+
+    /// Applies a list and returns what it changes. A list whose generation goes back removes nothing, and what has
+    /// stopped since is not revived by it.
+    pub fn apply(&mut self, list: &EndpointListDocument, is_complete: bool) -> Vec<Endpoint> {
+        // The first complete list from another source may be older than what the source before it reported: it sets
+        // the generation anew, and revives nothing either.
+        let previous_generation =
+            if is_complete { self.previous_generation.take() } else { self.previous_generation };
+        let is_older_than_previous = list.generation < previous_generation.unwrap_or(0);
+        let goes_back = list.generation < self.generation;
+        let is_stale = goes_back || is_older_than_previous;
+        if is_stale {
+            self.stale_lists += 1;
+            crate::log::line(format_args!(
+                "list-back version={} current={}",
+                list.generation, self.generation
+            ));
+        }
+        self.generation = self.generation.max(list.generation);
+        trace_endpoints(list);
+        let is_relevant = |document: &&EndpointDocument| !(is_stale && self.has_stopped(document));
+        let changed: Vec<EndpointDocument> = list.endpoints.iter().filter(is_relevant).cloned().collect();
+        if is_complete && !goes_back {
+            for entry in &mut self.entries {
+                entry.document.lifecycle = EndpointLifecycle::Gone;
+            }
+        }
+        changed.into_iter().map(|document| self.insert(document)).collect()
+    }
+
+    /// Whether the process that a document describes is known to have stopped, or a later one is known.
+    fn has_stopped(&self, document: &EndpointDocument) -> bool {
+        let Some(entry) = self.id_of(&document.name).and_then(|id| self.entry(id)) else { return false };
+        let known_start = entry.document.started_at_ms;
+        let is_same_process = known_start == document.started_at_ms;
+        known_start > document.started_at_ms || (is_same_process && !entry.is_ready())
+    }
+
+    fn insert(&mut self, document: EndpointDocument) -> Endpoint {
+        let server = self.id_of(&document.name).unwrap_or(ServerId(self.entries.len() as u32));
+        let endpoint = self.endpoint(server, &document);
+        match self.entries.get_mut(server.0 as usize) {
+            Some(entry) => entry.document = document,
+            None => {
+                self.ids.insert(document.name.clone(), server);
+                self.entries.push(RegistryEntry { document });
+            }
+        }
+        endpoint
+    }
+
+    fn endpoint(&self, server: ServerId, document: &EndpointDocument) -> Endpoint {
+        let zone = self.zones.iter().position(|zone| *zone == document.zone).unwrap_or(self.zones.len());
+        Endpoint {
+            server,
+            tag: crate::hash::fnv1a(&document.name),
+            zone: zone as u32,
+            cell: document.cell,
+            nominal: document.weight,
+            // The balancer's clock is Unix time too; zero stays long ago.
+            started_at: document.started_at_ms.saturating_mul(NANOS_PER_MILLI),
+            status: match document.lifecycle {
+                EndpointLifecycle::Ready => Status::Serving,
+                EndpointLifecycle::Draining => Status::Draining,
+                EndpointLifecycle::Gone => Status::Removed,
+            },
+        }
+    }
+}
+
+fn trace_endpoints(list: &EndpointListDocument) {
+    for document in &list.endpoints {
+        crate::log::trace(format_args!(
+            "trace entry server={} zone={} lifecycle={:?} weight={} started_ms={}",
+            document.name, document.zone, document.lifecycle, document.weight, document.started_at_ms
+        ));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/flow_export.rs
+++ b/src/flow_export.rs
@@ -96,7 +96,7 @@
 }
 
 fn record(flow: &Flow, registry: &EndpointRegistry, facts: &Facts) -> Vec<u8> {
-    let addr = flow.server.and_then(|server| registry.entry(server)).map(|server| server.addr());
+    let addr = flow.server.and_then(|server| registry.entry(server)).map(|server| server.address());
     let ip = match addr.map(|a| a.ip()) {
         Some(IpAddr::V4(ip)) => ip,
         _ => Ipv4Addr::UNSPECIFIED,
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -136,7 +136,7 @@
 
     fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId) -> bool {
         let Some(known) = ctx.registry.entry(server) else { return false };
-        let (addr, mut credentials) = config.place(known.name(), known.addr(), &super::access::nonce());
+        let (addr, mut credentials) = config.place(known.name(), known.address(), &super::access::nonce());
         let Some(at) = self.map.get_mut(&server) else { return false };
         if at.no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
@@ -226,7 +226,7 @@
     /// A connection that serves nothing and whose server gets nothing new.
     pub fn is_done(&self, ctx: &Ctx, token: Token) -> bool {
         let Some(link) = self.links.get(&token) else { return false };
-        let leaving = ctx.registry.entry(link.server).is_none_or(|server| !server.serving());
+        let leaving = ctx.registry.entry(link.server).is_none_or(|server| !server.is_ready());
         leaving
             && link.conn.is_open()
             && link
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -214,7 +214,7 @@
 
     /// A connection open since before the run: it goes to the server that held it, not to a placement.
     fn restore(&mut self, ctx: &mut Ctx, token: Token, name: &str) {
-        let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
+        let Some(server) = ctx.registry.id_of(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
         ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
         if !self.dial(ctx, token, server, wait) {
@@ -225,7 +225,7 @@
     /// Connects to a server and sends it the client's line.
     fn dial(&mut self, ctx: &mut Ctx, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
-        let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
+        let Some(addr) = ctx.registry.entry(server).map(|r| r.address()) else { return false };
         let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
         ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
@@ -510,7 +510,7 @@
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
-                let (Some(open), Some(server)) = (open, ctx.registry.named(&server)) else {
+                let (Some(open), Some(server)) = (open, ctx.registry.id_of(&server)) else {
                     // It was placed under other classes, or where nobody knows of: it is placed anew.
                     ctx.net.send(token, b"MOVE\r\n");
                     ctx.net.close(token);
@@ -608,7 +608,7 @@
         if said || ctx.net.at_end(client) || ctx.net.is_broken(client) {
             return self.client(ctx, client, ctx.net.is_broken(client));
         }
-        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
+        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.is_ready()) {
             ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
             ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
@@ -650,7 +650,7 @@
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
-                let addr = ctx.registry.entry(server).map(|r| r.addr());
+                let addr = ctx.registry.entry(server).map(|r| r.address());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
                     return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
                 };
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -15,7 +15,7 @@
 //! An end before `Ready` changes nothing for the old process.
 
 use super::channel::{FramedMessage, MOST_FDS};
-use crate::discovery::{List, WatchState};
+use crate::discovery::{EndpointListDocument, WatchState};
 use crate::net::Flow;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -58,7 +58,7 @@
 pub struct State {
     /// Operators have sent its clients away.
     pub drained: bool,
-    pub list: List,
+    pub list: EndpointListDocument,
     /// What the module learned, as it wrote it.
     pub learned: String,
     /// Descriptors that it still holds.
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -11,10 +11,10 @@
 pub use listener::passed;
 pub use message::{Message, State};
 
-use crate::discovery::WatchState;
+use crate::discovery::TransferredWatch;
 use crate::front::TransferredConnection;
 use crate::log;
-use crate::net::{Flow, Net, Notice, Owner, Token};
+use crate::net::{Net, Notice, Owner, Token};
 use channel::{Carried, FramedMessage};
 use message::{MessageError, Pieces, VERSION};
 use std::collections::VecDeque;
@@ -42,7 +42,7 @@
     /// Where its optional fronts listen.
     pub listening: Vec<(SocketAddr, OwnedFd)>,
     /// Discovery's watch.
-    pub watch: Option<(OwnedFd, WatchState, Flow)>,
+    pub watch: Option<TransferredWatch>,
 }
 
 /// Where a node's processes meet: in `$TMPDIR`, by the node's name. None where there is no such place.
@@ -92,7 +92,9 @@
         match (message, fds.pop()) {
             (Message::State { piece }, _) => pieces.add(&piece).map_err(named)?,
             (Message::Listener { at }, Some(fd)) => listening.push((at, fd)),
-            (Message::Watch(state, flow), Some(fd)) => watch = Some((fd, state, flow)),
+            (Message::Watch(state, flow), Some(fd)) => {
+                watch = Some(TransferredWatch { socket: fd, state, flow })
+            }
             (Message::Whole, _) => break,
             _ => return Err("a message out of turn".into()),
         }
@@ -234,11 +236,12 @@
         net: &mut Net,
         state: &State,
         listening: Vec<(SocketAddr, OwnedFd)>,
-        watch: Option<(OwnedFd, WatchState, Flow)>,
+        watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
         let pieces = state.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
         let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
-        let watch = watch.into_iter().map(|(fd, state, flow)| (Message::Watch(state, flow), vec![fd]));
+        let watch =
+            watch.into_iter().map(|watch| (Message::Watch(watch.state, watch.flow), vec![watch.socket]));
         let whole = std::iter::once((Message::Whole, Vec::new()));
         for (message, fds) in pieces.chain(listening).chain(watch).chain(whole) {
             self.post(&message, fds);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -3,7 +3,7 @@
 use crate::admin::{Answer, Call, Operator};
 use crate::cli::Options;
 use crate::config::{Config, Loaded};
-use crate::discovery::EndpointRegistry;
+use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
 use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
 use crate::handover::{self, Handover, HandoverEvent, Inherited, State};
@@ -45,6 +45,7 @@
     net: Net,
     requests: RequestTable,
     registry: EndpointRegistry,
+    discovery: DiscoveryClient,
     wheel: Wheel<Due>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
@@ -125,18 +126,19 @@
         Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
-    let mut registry = EndpointRegistry::new(config.discovery, config.facts.zones.clone());
+    let mut registry = EndpointRegistry::new(config.facts.zones.clone());
+    let mut discovery = DiscoveryClient::new(config.discovery);
     // All is in place: from here on the process before this one may be asked for what it has.
     let place = passed.as_ref().and_then(|_| handover::meeting_place(&config.name));
     let inherited = place.as_deref().and_then(|place| handover::succeed(place, &config.name));
     let (mut before, mut channel) = (None, None);
     match inherited {
         Some(Inherited { channel: from, state, listening, watch }) => {
-            requests.tell(registry.take_over(&mut net, &state.list, watch));
+            requests.tell(discovery.take_over(&mut net, &mut registry, &state.list, watch));
             net.inherit(listening);
             (before, channel) = (Some(state), Some(from));
         }
-        None => requests.tell(registry.saved(&config.known)),
+        None => requests.tell(registry.restore(&config.known)),
     }
     if place.is_some() {
         net.set_aside(handover::SUCCESSOR);
@@ -181,6 +183,7 @@
         net,
         requests,
         registry,
+        discovery,
         wheel,
         config,
         files,
@@ -256,7 +259,14 @@
             Owner::Discovery => {
                 let broken = matches!(notice.kind, Kind::Broken(_));
                 let now = self.clock.now();
-                for event in self.registry.ready(now, &mut self.net, notice.token, broken) {
+                let events = self.discovery.on_socket_event(
+                    now,
+                    &mut self.net,
+                    &mut self.registry,
+                    notice.token,
+                    broken,
+                );
+                for event in events {
                     self.listed(event);
                 }
             }
@@ -332,12 +342,12 @@
                 HandoverEvent::Asked => {
                     let state = State {
                         drained: !self.lifecycle.takes_clients(),
-                        list: self.registry.list(),
+                        list: self.registry.snapshot(),
                         learned: self.requests.learned(),
                         descriptors: self.net.in_use(),
                     };
                     let listening = self.net.listening(TEXT);
-                    let watch = self.registry.release_watch(&mut self.net);
+                    let watch = self.discovery.release_watch(&mut self.net);
                     let told =
                         self.handover.as_mut().map(|t| t.tell(&mut self.net, &state, listening, watch));
                     self.heard(told.unwrap_or_default());
@@ -356,7 +366,7 @@
                     self.net.take_in(true);
                     self.lifecycle.take_back(self.clock.now());
                     // The watch went with it.
-                    if !self.registry.is_watched() {
+                    if !self.discovery.has_watch() {
                         self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
                     }
                 }
@@ -449,10 +459,12 @@
         }
         if moved {
             let now = self.clock.now();
-            for event in self.registry.last_words(now, &mut self.net) {
+            for event in self.discovery.read_pending(now, &mut self.net, &mut self.registry) {
                 self.listed(event);
             }
-            if let Some(event) = self.registry.follow(now, &mut self.net, self.config.discovery) {
+            let address = self.config.discovery;
+            let event = self.discovery.change_address(now, &mut self.net, &mut self.registry, address);
+            if let Some(event) = event {
                 self.listed(event);
             }
         }
@@ -466,7 +478,7 @@
             self.requests.counters.list_failed += 1;
         }
         self.requests.tell(event);
-        let stopped = self.registry.stopped();
+        let stopped = self.registry.not_ready();
         fronts!(self, drained, &stopped);
     }
 
@@ -483,7 +495,7 @@
             Due::Timer(id, token) => front!(self, id, timer_due, token),
             Due::Look => {
                 let now = self.clock.now();
-                if let Some(event) = self.registry.check(now, &mut self.net) {
+                if let Some(event) = self.discovery.close_silent_watch(now, &mut self.net) {
                     self.listed(event);
                 }
                 fronts!(self, look);
@@ -584,8 +596,8 @@
     }
 
     fn print_counters(&mut self) {
-        self.requests.counters.list_calls = self.registry.calls;
-        self.requests.counters.list_back = self.registry.backs;
+        self.requests.counters.list_calls = self.discovery.watch_requests;
+        self.requests.counters.list_back = self.registry.stale_lists;
         if let Some(counts) = self.operator.as_ref().map(Operator::counts) {
             let counters = &mut self.requests.counters;
             (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
@@ -636,7 +648,7 @@
             Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
             Command::Timer { after, token } => self.wheel.at(now + after, Due::Policy(token)),
             Command::Subscribe => {
-                if let Some(event) = self.registry.subscribe(now, &mut self.net) {
+                if let Some(event) = self.discovery.subscribe(now, &mut self.net, &self.registry) {
                     self.listed(event);
                 }
             }
