--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -13,7 +13,7 @@
 pub use error::{ConfigError, ContentError};
 pub use site::SiteSettings;
 
-use crate::discovery::List;
+use crate::discovery::EndpointListDocument;
 use crate::json;
 use crate::log;
 use crate::vocabulary::{Discovery, Settings};
@@ -39,7 +39,7 @@
     /// Descriptors that the process may have open.
     pub max_descriptors: usize,
     /// The endpoint list that was last known, perhaps stale.
-    pub known_endpoints: List,
+    pub known_endpoints: EndpointListDocument,
     /// What the balancer decides by.
     pub settings: Settings,
     /// What fronts and exports need besides.
@@ -59,7 +59,7 @@
     seed: String,
     limits: LimitsDocument,
     #[serde(rename = "known")]
-    known_endpoints: List,
+    known_endpoints: EndpointListDocument,
     #[serde(borrow)]
     settings: &'a RawValue,
 }
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -215,7 +215,7 @@
 
     /// A connection open since before the run: it goes to the server that held it, not to a placement.
     fn restore(&mut self, ctx: &mut FrontContext, token: Token, name: &str) {
-        let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
+        let Some(server) = ctx.registry.id_of(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
         ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), TimerEvent::FrontTimer(TEXT_FRONT, token));
         if !self.dial(ctx, token, server, wait) {
@@ -226,7 +226,7 @@
     /// Connects to a server and sends it the client's line.
     fn dial(&mut self, ctx: &mut FrontContext, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
-        let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
+        let Some(addr) = ctx.registry.entry(server).map(|r| r.address()) else { return false };
         let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT_FRONT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
         ctx.wheel.at(ctx.now + ctx.site.limits.dial_timeout_ns, TimerEvent::ConnectTimeout(TEXT_FRONT, task));
@@ -516,7 +516,7 @@
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
-                let (Some(open), Some(server)) = (open, ctx.registry.named(&server)) else {
+                let (Some(open), Some(server)) = (open, ctx.registry.id_of(&server)) else {
                     // It was placed under other classes, or where nobody knows of: it is placed anew.
                     ctx.net.send(token, b"MOVE\r\n");
                     ctx.net.close(token);
@@ -626,7 +626,7 @@
         if said || ctx.net.at_end(client) || ctx.net.is_broken(client) {
             return self.client(ctx, client, ctx.net.is_broken(client));
         }
-        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
+        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.is_ready()) {
             ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
             ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::ConnectFailed);
@@ -668,7 +668,7 @@
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
-                let addr = ctx.registry.entry(server).map(|r| r.addr());
+                let addr = ctx.registry.entry(server).map(|r| r.address());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT_FRONT))) else {
                     return ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
                 };
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -15,7 +15,7 @@
 //! An end before `Ready` changes nothing for the old process.
 
 use super::channel::{FramedMessage, MOST_FDS};
-use crate::discovery::{List, WatchState};
+use crate::discovery::{EndpointListDocument, WatchState};
 use crate::net::Flow;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -61,7 +61,7 @@
     pub is_drained: bool,
     /// The endpoint list, as discovery writes it.
     #[serde(rename = "list")]
-    pub endpoint_list: List,
+    pub endpoint_list: EndpointListDocument,
     /// The state of the balancer, as the balancer wrote it.
     #[serde(rename = "learned")]
     pub balancer_state: String,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -7,7 +7,7 @@
 use crate::admin::{AdminCall, AdminServer, Response};
 use crate::cli::Options;
 use crate::config::Config;
-use crate::discovery::EndpointRegistry;
+use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
 use crate::front::{
     FrontContext, FrontFiles, FrontSetup, Fronts, TimerEvent, TransferredConnection, TEXT_FRONT,
@@ -51,6 +51,7 @@
     net: Net,
     requests: RequestTable,
     registry: EndpointRegistry,
+    discovery: DiscoveryClient,
     wheel: Wheel<TimerEvent>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
@@ -131,18 +132,19 @@
         Some(at) => Some(AdminServer::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
-    let mut registry = EndpointRegistry::new(config.discovery, config.site.zones.clone());
+    let mut registry = EndpointRegistry::new(config.site.zones.clone());
+    let mut discovery = DiscoveryClient::new(config.discovery);
     // All is in place: from here on the process before this one may be asked for what it has.
     let place = passed.as_ref().and_then(|_| handover::socket_path(&config.name));
     let inherited = place.as_deref().and_then(|place| handover::request_state(place, &config.name));
     let (mut before, mut channel) = (None, None);
     match inherited {
         Some(PredecessorState { channel: from, snapshot, listening, watch }) => {
-            requests.push_event(registry.take_over(&mut net, &snapshot.endpoint_list, watch));
+            requests.push_event(discovery.take_over(&mut net, &mut registry, &snapshot.endpoint_list, watch));
             net.inherit(listening);
             (before, channel) = (Some(snapshot), Some(from));
         }
-        None => requests.push_event(registry.saved(&config.known_endpoints)),
+        None => requests.push_event(registry.restore(&config.known_endpoints)),
     }
     if place.is_some() {
         net.set_aside(handover::SUCCESSOR_DESCRIPTORS);
@@ -188,6 +190,7 @@
         net,
         requests,
         registry,
+        discovery,
         wheel,
         config,
         files,
@@ -263,7 +266,13 @@
             Owner::Discovery => {
                 let broken = matches!(notice.kind, Kind::Broken(_));
                 let now = self.clock.now();
-                for event in self.registry.ready(now, &mut self.net, notice.token, broken) {
+                for event in self.discovery.on_socket_event(
+                    now,
+                    &mut self.net,
+                    &mut self.registry,
+                    notice.token,
+                    broken,
+                ) {
                     self.listed(event);
                 }
             }
@@ -342,12 +351,12 @@
                 HandoverEvent::StateRequested => {
                     let snapshot = StateSnapshot {
                         is_drained: !self.lifecycle.accepts_clients(),
-                        endpoint_list: self.registry.list(),
+                        endpoint_list: self.registry.snapshot(),
                         balancer_state: self.requests.state_snapshot(),
                         open_descriptors: self.net.in_use(),
                     };
                     let listening = self.net.listening(TEXT_FRONT);
-                    let watch = self.registry.release_watch(&mut self.net);
+                    let watch = self.discovery.release_watch(&mut self.net);
                     let told = self
                         .handover
                         .as_mut()
@@ -371,7 +380,7 @@
                     self.net.take_in(true);
                     self.lifecycle.successor_lost(self.clock.now());
                     // The watch went with it.
-                    if !self.registry.is_watched() {
+                    if !self.discovery.has_watch() {
                         self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
                     }
                 }
@@ -469,10 +478,12 @@
         }
         if moved {
             let now = self.clock.now();
-            for event in self.registry.last_words(now, &mut self.net) {
+            for event in self.discovery.read_pending(now, &mut self.net, &mut self.registry) {
                 self.listed(event);
             }
-            if let Some(event) = self.registry.follow(now, &mut self.net, self.config.discovery) {
+            if let Some(event) =
+                self.discovery.change_address(now, &mut self.net, &mut self.registry, self.config.discovery)
+            {
                 self.listed(event);
             }
         }
@@ -486,7 +497,7 @@
             self.requests.counters.discovery_failures += 1;
         }
         self.requests.push_event(event);
-        let stopped = self.registry.stopped();
+        let stopped = self.registry.not_ready();
         fronts!(self, on_servers_draining, &stopped);
     }
 
@@ -503,7 +514,7 @@
             TimerEvent::FrontTimer(id, token) => front!(self, id, on_timer, token),
             TimerEvent::Tick => {
                 let now = self.clock.now();
-                if let Some(event) = self.registry.check(now, &mut self.net) {
+                if let Some(event) = self.discovery.close_silent_watch(now, &mut self.net) {
                     self.listed(event);
                 }
                 fronts!(self, on_tick);
@@ -604,8 +615,8 @@
     }
 
     fn print_counters(&mut self) {
-        self.requests.counters.discovery_polls = self.registry.calls;
-        self.requests.counters.stale_lists = self.registry.backs;
+        self.requests.counters.discovery_polls = self.discovery.watch_requests;
+        self.requests.counters.stale_lists = self.registry.stale_lists;
         if let Some(counts) = self.operator.as_ref().map(AdminServer::counts) {
             let counters = &mut self.requests.counters;
             (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
@@ -659,7 +670,7 @@
             Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
             Command::Timer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
-                if let Some(event) = self.registry.subscribe(now, &mut self.net) {
+                if let Some(event) = self.discovery.subscribe(now, &mut self.net, &self.registry) {
                     self.listed(event);
                 }
             }
