--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -4,7 +4,7 @@
 use super::document::EndpointListDocument;
 use super::registry::EndpointRegistry;
 use super::watch::{Received, WatchError, WatchState};
-use crate::net::{Flow, Net, Owner, Token};
+use crate::net::{BufferedConnection, SocketOwner, SocketReactor, Token};
 use crate::vocabulary::{Event, ListKind, Nanos};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -16,7 +16,7 @@
     /// How far the response is decoded.
     pub state: WatchState,
     /// Bytes of the connection that are not read or written yet.
-    pub flow: Flow,
+    pub flow: BufferedConnection,
 }
 
 struct Watch {
@@ -45,11 +45,18 @@
 
     /// Requests the changes since the registry's generation, unless there is a watch already. Returns a failure event
     /// where no connection can be opened.
-    pub fn subscribe(&mut self, now: Nanos, net: &mut Net, registry: &EndpointRegistry) -> Option<Event> {
+    pub fn subscribe(
+        &mut self,
+        now: Nanos,
+        net: &mut SocketReactor,
+        registry: &EndpointRegistry,
+    ) -> Option<Event> {
         if self.watch.is_some() {
             return None;
         }
-        let Ok(token) = net.connect(self.address, Owner::Discovery) else { return Some(watch_failed()) };
+        let Ok(token) = net.connect(self.address, SocketOwner::Discovery) else {
+            return Some(watch_failed());
+        };
         let generation = registry.generation();
         let host = self.address;
         let request =
@@ -66,7 +73,7 @@
     pub fn change_address(
         &mut self,
         now: Nanos,
-        net: &mut Net,
+        net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         address: SocketAddr,
     ) -> Option<Event> {
@@ -81,7 +88,7 @@
     pub fn on_socket_event(
         &mut self,
         now: Nanos,
-        net: &mut Net,
+        net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         token: Token,
         is_broken: bool,
@@ -90,12 +97,12 @@
             net.close(token);
             return Vec::new();
         };
-        let bytes = net.input(token).map(std::mem::take).unwrap_or_default();
+        let bytes = net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut received = watch.state.receive(now, &bytes);
-        if received.outcome.is_ok() && (is_broken || net.at_end(token)) {
+        if received.outcome.is_ok() && (is_broken || net.is_read_closed(token)) {
             received.outcome = Err(WatchError::Response(ResponseError::Ended));
         }
-        net.rearm(token);
+        net.update_interest(token);
         let mut events = apply_lists(registry, &received);
         if let Err(error) = received.outcome {
             events.push(self.lose_watch(net, error));
@@ -105,25 +112,30 @@
 
     /// Reads what has already arrived on the watch, for use just before the watch is closed: a change that the service
     /// wrote there counts as known to this node.
-    pub fn read_pending(&mut self, now: Nanos, net: &mut Net, registry: &mut EndpointRegistry) -> Vec<Event> {
+    pub fn read_pending(
+        &mut self,
+        now: Nanos,
+        net: &mut SocketReactor,
+        registry: &mut EndpointRegistry,
+    ) -> Vec<Event> {
         let Some(token) = self.watch.as_ref().map(|watch| watch.token) else { return Vec::new() };
-        net.look(token);
+        net.read_available(token);
         self.on_socket_event(now, net, registry, token, false)
     }
 
     /// Closes a watch that has fallen silent and returns the failure event.
-    pub fn close_silent_watch(&mut self, now: Nanos, net: &mut Net) -> Option<Event> {
+    pub fn close_silent_watch(&mut self, now: Nanos, net: &mut SocketReactor) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
         is_silent.then(|| self.lose_watch(net, WatchError::Silent))
     }
 
     /// Hands the watch to another process. None where there is no watch, or where it cannot be transferred now.
-    pub fn release_watch(&mut self, net: &mut Net) -> Option<TransferredWatch> {
+    pub fn release_watch(&mut self, net: &mut SocketReactor) -> Option<TransferredWatch> {
         let watch = self.watch.as_ref()?;
         if !watch.state.is_transferable() {
             return None;
         }
-        let (socket, flow) = net.release(watch.token)?;
+        let (socket, flow) = net.export_connection(watch.token)?;
         let state = self.watch.take()?.state;
         Some(TransferredWatch { socket, state, flow })
     }
@@ -132,14 +144,14 @@
     /// that list.
     pub fn take_over(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         list: &EndpointListDocument,
         transferred: Option<TransferredWatch>,
     ) -> Event {
         let endpoints = registry.apply(list, true);
         self.watch = transferred.and_then(|TransferredWatch { socket, state, flow }| {
-            let token = net.receive(socket, flow, Owner::Discovery).ok()?;
+            let token = net.import_connection(socket, flow, SocketOwner::Discovery).ok()?;
             Some(Watch { token, state })
         });
         // Without a watch the list may be stale by now, like one from the configuration.
@@ -147,13 +159,13 @@
         Event::EndpointList(kind, endpoints)
     }
 
-    fn close_watch(&mut self, net: &mut Net) {
+    fn close_watch(&mut self, net: &mut SocketReactor) {
         if let Some(watch) = self.watch.take() {
             net.close(watch.token);
         }
     }
 
-    fn lose_watch(&mut self, net: &mut Net, error: WatchError) -> Event {
+    fn lose_watch(&mut self, net: &mut SocketReactor, error: WatchError) -> Event {
         crate::log::line(format_args!("list-lost reason={error}"));
         self.close_watch(net);
         watch_failed()
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -16,7 +16,7 @@
 pub use access::{add_user, Rights};
 
 use super::{Front, FrontContext, FrontError, FrontSetup, OpenedFront, OptionalFront};
-use crate::net::{Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
@@ -67,12 +67,12 @@
     fn open(id: FrontId, config: AmqpConfig, setup: FrontSetup) -> Result<OpenedFront, FrontError> {
         let FrontSetup { net, node_name: name, site } = setup;
         let at = net
-            .listen(config.listen, Owner::Front(id))
+            .listen(config.listen, SocketOwner::Front(id))
             .map_err(|error| FrontError::Listen { socket: "amqp listen", error })?;
         let mut line = format!("listen={at}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
-            let bound = net.listen_at(tls.listen, Owner::Front(id));
+            let bound = net.listen_with_token(tls.listen, SocketOwner::Front(id));
             let (token, at) =
                 bound.map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
             line = format!("tls={at} {line}");
@@ -220,7 +220,7 @@
 }
 
 impl Front for AmqpFront {
-    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: Notice) {
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: SocketEvent) {
         match self.servers.of(notice.token) {
             Some(_) => self.server_notice(ctx, notice),
             None => self.client_notice(ctx, notice),
@@ -270,7 +270,7 @@
                 Outcome::ConnectFailed
             }
             Stage::Sent { token, link, id, end } => {
-                let written = ctx.net.written(token) >= end;
+                let written = ctx.net.bytes_written(token) >= end;
                 if let Some(at) = self.servers.get(token) {
                     at.conn.forget(link, id);
                 }
--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -2,7 +2,7 @@
 
 use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
-use crate::net::{Net, Notice, Token, Wheel};
+use crate::net::{SocketEvent, SocketReactor, TimerWheel, Token};
 use crate::requests::{FrontId, RequestTable};
 use crate::vocabulary::{Event, Nanos, Outcome, RequestClass, RequestId, ServerId};
 use std::any::Any;
@@ -17,13 +17,13 @@
     /// The time of this call, in nanoseconds on the node's clock.
     pub now: Nanos,
     /// The sockets of all fronts.
-    pub net: &'a mut Net,
+    pub net: &'a mut SocketReactor,
     /// The requests and their attempts.
     pub requests: &'a mut RequestTable,
     /// The known servers.
     pub registry: &'a EndpointRegistry,
     /// Timers; each comes back as the [`TimerEvent`] that was put in.
-    pub wheel: &'a mut Wheel<TimerEvent>,
+    pub wheel: &'a mut TimerWheel<TimerEvent>,
     /// The settings that fronts need and the balancer does not.
     pub site: &'a SiteSettings,
     /// The request classes, in the order of the settings.
@@ -58,7 +58,7 @@
 /// A front: the server of one client protocol. Methods without a default are required of every front.
 pub trait Front {
     /// Handles an event at one of the front's sockets.
-    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: Notice);
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: SocketEvent);
     /// Starts the only attempt of a request. `timeout` is how long the attempt may take.
     fn start_attempt(
         &mut self,
--- a/src/front/optional.rs
+++ b/src/front/optional.rs
@@ -2,7 +2,7 @@
 
 use super::api::Front;
 use crate::config::SiteSettings;
-use crate::net::Net;
+use crate::net::SocketReactor;
 use crate::requests::FrontId;
 use std::any::Any;
 use std::error::Error;
@@ -32,7 +32,7 @@
 /// What a front is opened with, beside its id and its configuration.
 pub struct FrontSetup<'a> {
     /// The sockets.
-    pub net: &'a mut Net,
+    pub net: &'a mut SocketReactor,
     /// The node's name.
     pub node_name: &'a str,
     /// The settings that fronts need.
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -15,7 +15,7 @@
 use crate::handover::{self, FrontConnection, Handover, HandoverEvent, PredecessorState, StateSnapshot};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
-use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::quota::transport::{self, LeaseTransport};
 use crate::quota::QuotaAdmission;
 use crate::requests::{Command, FrontId, RequestTable};
@@ -48,11 +48,11 @@
 
 struct Node {
     clock: Clock,
-    net: Net,
+    net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
     discovery: DiscoveryClient,
-    wheel: Wheel<TimerEvent>,
+    wheel: TimerWheel<TimerEvent>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
     files: FrontFiles,
@@ -119,7 +119,7 @@
     let Options { fronts: files, ipfix, .. } = options;
     let Configuration { node: config, fronts: opened } = configuration;
     let at = |what: &str, e: io::Error| format!("{what}: {e}");
-    let mut net = Net::new(config.max_descriptors).map_err(|e| at("epoll", e))?;
+    let mut net = SocketReactor::new(config.max_descriptors).map_err(|e| at("epoll", e))?;
     let signals = Signals {
         stop: signal(&mut net, &[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])
             .map_err(|e| at("signals", e))?,
@@ -141,18 +141,18 @@
     match inherited {
         Some(PredecessorState { channel: from, snapshot, listening, watch }) => {
             requests.push_event(discovery.take_over(&mut net, &mut registry, &snapshot.endpoint_list, watch));
-            net.inherit(listening);
+            net.inherit_listeners(listening);
             (before, channel) = (Some(snapshot), Some(from));
         }
         None => requests.push_event(registry.restore(&config.known_endpoints)),
     }
     if place.is_some() {
-        net.set_aside(handover::SUCCESSOR_DESCRIPTORS);
+        net.reserve_descriptors(handover::SUCCESSOR_DESCRIPTORS);
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
-        Some(fd) => net.listen_on(fd, Owner::Front(TEXT_FRONT)),
-        None => net.listen(config.listen, Owner::Front(TEXT_FRONT)),
+        Some(fd) => net.register_listener(fd, SocketOwner::Front(TEXT_FRONT)),
+        None => net.listen(config.listen, SocketOwner::Front(TEXT_FRONT)),
     };
     let listen = listen.map_err(|e| at("listen", e))?;
     log::line(format_args!("started name={} listen={listen}", config.name));
@@ -178,10 +178,10 @@
         let (quotas, open) = seated(plan, &config, &mut net, clock.now())?;
         (requests.quotas, talk) = (Some(quotas), Some(open));
     }
-    let mut wheel = Wheel::new(clock.now());
-    wheel.at(clock.now(), TimerEvent::Tick);
+    let mut wheel = TimerWheel::new(clock.now());
+    wheel.schedule(clock.now(), TimerEvent::Tick);
     if talk.is_some() {
-        wheel.at(clock.now(), TimerEvent::LeaseExchange);
+        wheel.schedule(clock.now(), TimerEvent::LeaseExchange);
     }
     let (lifecycle, stepping) = (Lifecycle::default(), false);
     let handover = place.map(|place| Handover::open(&mut net, &place, channel));
@@ -214,7 +214,7 @@
 fn seated(
     (plan, seat): (Plan, usize),
     config: &Config,
-    net: &mut Net,
+    net: &mut SocketReactor,
     now: Nanos,
 ) -> Result<(QuotaAdmission, LeaseTransport), String> {
     let talk = LeaseTransport::open(net, &plan, seat, now);
@@ -227,29 +227,29 @@
     Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
-fn signal(net: &mut Net, signals: &[i32]) -> io::Result<Token> {
+fn signal(net: &mut SocketReactor, signals: &[i32]) -> io::Result<Token> {
     let (ours, theirs) = UnixStream::pair()?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
     }
-    net.adopt(OwnedFd::from(ours), Owner::Signal)
+    net.register_reader(OwnedFd::from(ours), SocketOwner::Signal)
 }
 
 impl Node {
     fn run(mut self) -> Result<(), String> {
         loop {
             let now = self.clock.now();
-            let wait = self.wheel.next_in(now);
+            let wait = self.wheel.time_until_next(now);
             let notices = self.net.poll(now, wait).map_err(|e| format!("epoll: {e}"))?;
             for notice in notices {
                 self.dispatch(notice);
             }
-            for due in self.wheel.due(self.clock.now()) {
+            for due in self.wheel.take_expired(self.clock.now()) {
                 self.due(due);
             }
             self.decide();
             self.pass_on();
-            self.net.write_risen();
+            self.net.flush_connected();
             self.print_trace();
             if self.should_exit() {
                 self.export_flows(self.clock.now());
@@ -260,11 +260,11 @@
         }
     }
 
-    fn dispatch(&mut self, notice: Notice) {
+    fn dispatch(&mut self, notice: SocketEvent) {
         match notice.owner {
-            Owner::Front(id) => front!(self, id, on_socket_event, notice),
-            Owner::Discovery => {
-                let broken = matches!(notice.kind, Kind::Broken(_));
+            SocketOwner::Front(id) => front!(self, id, on_socket_event, notice),
+            SocketOwner::Discovery => {
+                let broken = matches!(notice.kind, SocketEventKind::Failed { .. });
                 let now = self.clock.now();
                 for event in self.discovery.on_socket_event(
                     now,
@@ -276,7 +276,7 @@
                     self.listed(event);
                 }
             }
-            Owner::Admin => {
+            SocketOwner::Admin => {
                 let now = self.clock.now();
                 let call = self
                     .operator
@@ -289,20 +289,20 @@
                     }
                 }
             }
-            Owner::Quota => {
+            SocketOwner::Quota => {
                 if let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) {
                     talk.notice(self.clock.now(), &mut self.net, quotas, notice);
                 }
             }
-            Owner::Handover => {
+            SocketOwner::Handover => {
                 let news = self.handover.as_mut().map(|t| t.on_socket_event(&mut self.net, notice));
                 self.heard(news.unwrap_or_default());
             }
-            Owner::Signal => {
-                if let Some(input) = self.net.input(notice.token) {
+            SocketOwner::Signal => {
+                if let Some(input) = self.net.input_buffer(notice.token) {
                     input.clear();
                 }
-                self.net.rearm(notice.token);
+                self.net.update_interest(notice.token);
                 if notice.token == self.signals.print {
                     self.print_counters();
                 } else if notice.token == self.signals.reload {
@@ -338,7 +338,7 @@
 
     /// The process before this one holds so many descriptors: both together hold no more than one may.
     fn limit_beside_predecessor(&mut self, descriptors: usize) {
-        self.net.limit(self.config.max_descriptors.saturating_sub(descriptors));
+        self.net.set_descriptor_limit(self.config.max_descriptors.saturating_sub(descriptors));
     }
 
     fn longest(&self) -> Nanos {
@@ -353,9 +353,9 @@
                         is_drained: !self.lifecycle.accepts_clients(),
                         endpoint_list: self.registry.snapshot(),
                         balancer_state: self.requests.state_snapshot(),
-                        open_descriptors: self.net.in_use(),
+                        open_descriptors: self.net.descriptors_in_use(),
                     };
-                    let listening = self.net.listening(TEXT_FRONT);
+                    let listening = self.net.listeners_except(TEXT_FRONT);
                     let watch = self.discovery.release_watch(&mut self.net);
                     let told = self
                         .handover
@@ -364,7 +364,7 @@
                     self.heard(told.unwrap_or_default());
                 }
                 HandoverEvent::SuccessorReady => {
-                    self.net.take_in(false);
+                    self.net.set_accepting(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
                     self.requests.counters.handovers += 1;
                     log::line(format_args!(
@@ -377,7 +377,7 @@
                     for FrontConnection { front, connection } in unsent {
                         self.came(&front, connection);
                     }
-                    self.net.take_in(true);
+                    self.net.set_accepting(true);
                     self.lifecycle.successor_lost(self.clock.now());
                     // The watch went with it.
                     if !self.discovery.has_watch() {
@@ -453,7 +453,7 @@
     /// From now on there are steps, until clients stay again.
     fn begin_steps(&mut self) {
         if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.at(self.clock.now(), TimerEvent::DrainStep);
+            self.wheel.schedule(self.clock.now(), TimerEvent::DrainStep);
         }
     }
 
@@ -470,7 +470,7 @@
             fixed.extend(self.fronts.reload(which, file));
         }
         // Where another process is still there, it says again what it holds.
-        self.net.limit(self.config.max_descriptors);
+        self.net.set_descriptor_limit(self.config.max_descriptors);
         self.requests.update_settings(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
@@ -519,7 +519,7 @@
                 }
                 fronts!(self, on_tick);
                 self.export_flows(now);
-                self.wheel.at(now + TICK_INTERVAL, TimerEvent::Tick);
+                self.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
             }
             TimerEvent::DrainStep => self.leave(),
             TimerEvent::LeaseExchange => self.fleet(),
@@ -555,7 +555,7 @@
                 front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::MIGRATION_STEP_INTERVAL, TimerEvent::DrainStep);
+        self.wheel.schedule(now + lifecycle::MIGRATION_STEP_INTERVAL, TimerEvent::DrainStep);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
@@ -568,12 +568,12 @@
         for command in self.requests.migrate_over_quota(now) {
             self.carry_out(now, command);
         }
-        self.wheel.at(now + transport::TURN, TimerEvent::LeaseExchange);
+        self.wheel.schedule(now + transport::TURN, TimerEvent::LeaseExchange);
     }
 
     fn should_exit(&self) -> bool {
         // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
-        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
+        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.all_closes_complete();
         self.lifecycle.is_shutting_down() && self.lifecycle.should_exit(self.clock.now(), idle())
     }
 
@@ -652,7 +652,7 @@
         }
         match command {
             Command::StartAttempt { front, request_id, server, wait } => {
-                self.wheel.at(
+                self.wheel.schedule(
                     now + wait,
                     TimerEvent::AttemptTimeout(request_id, self.requests.attempt_number(request_id)),
                 );
@@ -668,7 +668,7 @@
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
             Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
             Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
+            Command::Timer { after, token } => self.wheel.schedule(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
                 if let Some(event) = self.discovery.subscribe(now, &mut self.net, &self.registry) {
                     self.listed(event);
