--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,13 +1,12 @@
-//! The command line.
+//! The command line: arguments in, exit code and printed line out.
 
 use crate::front::amqp::{add_user, Rights};
-use crate::front::{FrontFiles, OPTIONAL_FRONTS};
-use crate::node::Configuration;
-use lexopt::prelude::*;
-use sparbank_quota::Plan;
-use std::net::SocketAddr;
-use std::os::fd::OwnedFd;
-use std::path::PathBuf;
+use crate::front::OPTIONAL_FRONTS;
+use crate::log;
+use crate::node::{Configuration, Options, PreparedNode};
+use crate::quota;
+use lexopt::prelude::{Long, Short, Value, ValueExt};
+use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
 const USAGE: &str = "\
@@ -16,143 +15,163 @@
        sparbank amqp-user FILE NAME [--class CLASS]... [--subscriber NAME]   (the password on standard input)
        sparbank version | help";
 
+/// Exit code where serving failed.
+const EXIT_SERVING_FAILED: u8 = 1;
+/// Exit code for a wrong call or configuration.
+const EXIT_INVALID: u8 = 2;
+
+/// What the program was called for.
+enum Command {
+    Serve(Options),
+    CheckConfig(Options),
+    CheckQuotaFile(PathBuf),
+    AddAmqpUser { users_file: PathBuf, name: String, rights: Rights },
+    Version,
+    Help,
+}
+
+/// What is printed where a command failed, and the program's exit code.
+struct Failure {
+    message: String,
+    exit_code: u8,
+}
+
+impl Failure {
+    fn invalid(error: impl ToString) -> Failure {
+        Failure { message: error.to_string(), exit_code: EXIT_INVALID }
+    }
+
+    fn serving_failed(error: impl ToString) -> Failure {
+        Failure { message: error.to_string(), exit_code: EXIT_SERVING_FAILED }
+    }
+}
+
 /// Runs the program: 0 when all went well, 1 when serving failed, 2 for a wrong call or configuration.
 pub fn run() -> ExitCode {
-    match command() {
-        Ok(Command::Serve(options)) => match prepared(&options) {
-            Ok((loaded, passed, fleet)) => match crate::node::serve(loaded, options, passed, fleet) {
-                Ok(()) => ExitCode::SUCCESS,
-                Err(problem) => stop(&problem, 1),
-            },
-            Err(problem) => stop(&problem, 2),
-        },
-        Ok(Command::CheckFleet(file)) => match crate::quota::read(&file) {
-            Ok(plan) => {
-                println!(
-                    "{}: {} seats, {} budgets: right",
-                    file.display(),
-                    plan.seats.len(),
-                    plan.budgets.len()
-                );
-                ExitCode::SUCCESS
-            }
-            Err(problem) => stop(&problem, 2),
-        },
-        Ok(Command::CheckConfig(options)) => match Configuration::read(&options.fronts) {
-            Ok(loaded) => {
-                println!("{}: the configuration is right", loaded.node.name);
-                ExitCode::SUCCESS
-            }
-            Err(problem) => stop(&problem.to_string(), 2),
-        },
-        Ok(Command::AmqpUser { file, name, rights }) => match amqp_user(&file, &name, rights) {
-            Ok(()) => ExitCode::SUCCESS,
-            Err(problem) => stop(&problem, 2),
-        },
-        Ok(Command::Version) => {
+    let result = match parse_arguments(lexopt::Parser::from_env()) {
+        Ok(command) => execute(command),
+        Err(error) => Err(Failure::invalid(format!("{error}; {USAGE}"))),
+    };
+    match result {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(failure) => {
+            log::line(format_args!("error {}", failure.message));
+            ExitCode::from(failure.exit_code)
+        }
+    }
+}
+
+fn execute(command: Command) -> Result<(), Failure> {
+    match command {
+        Command::Serve(options) => serve(options),
+        Command::CheckConfig(options) => check_config(&options),
+        Command::CheckQuotaFile(file) => check_quota_file(&file),
+        Command::AddAmqpUser { users_file, name, rights } => add_amqp_user(&users_file, &name, rights),
+        Command::Version => {
             println!("sparbank {}", env!("CARGO_PKG_VERSION"));
-            ExitCode::SUCCESS
+            Ok(())
         }
-        Ok(Command::Help) => {
+        Command::Help => {
             println!("{USAGE}");
-            ExitCode::SUCCESS
+            Ok(())
         }
-        Err(problem) => stop(&format!("{problem}; {USAGE}"), 2),
     }
 }
 
-/// What a node is started with.
-type Prepared = (Configuration, Option<OwnedFd>, Option<(Plan, usize)>);
+fn serve(options: Options) -> Result<(), Failure> {
+    let node = PreparedNode::prepare(options).map_err(Failure::invalid)?;
+    node.serve().map_err(Failure::serving_failed)
+}
+
+fn check_config(options: &Options) -> Result<(), Failure> {
+    let configuration = Configuration::read(&options.front_files).map_err(Failure::invalid)?;
+    println!("{}: the configuration is right", configuration.node.name);
+    Ok(())
+}
 
-/// All that is configured is right, or nothing starts.
-fn prepared(options: &Options) -> Result<Prepared, String> {
-    let loaded = Configuration::read(&options.fronts).map_err(|e| e.to_string())?;
-    let seat = |file: &PathBuf| crate::quota::seat(file, &loaded.node.name, loaded.node.max_descriptors);
-    let fleet = options.fleet.as_ref().map(seat).transpose()?;
-    let passed_listener = crate::handover::passed_listener().map_err(|error| error.to_string())?;
-    Ok((loaded, passed_listener, fleet))
+fn check_quota_file(file: &Path) -> Result<(), Failure> {
+    let plan = quota::read(file).map_err(Failure::invalid)?;
+    println!("{}: {} seats, {} budgets: right", file.display(), plan.seats.len(), plan.budgets.len());
+    Ok(())
 }
 
-/// What is off by default.
+/// Writes a user into the AMQP front's users' file; its password is the first line of standard input.
+fn add_amqp_user(users_file: &Path, name: &str, rights: Rights) -> Result<(), Failure> {
+    let mut line = String::new();
+    let read = std::io::stdin().read_line(&mut line);
+    read.map_err(|error| Failure::invalid(format!("standard input: {error}")))?;
+    let password = line.trim_end_matches(['\r', '\n']);
+    if password.is_empty() {
+        return Err(Failure::invalid("the password is missing on standard input"));
+    }
+    add_user(users_file, name, password, rights).map_err(Failure::invalid)
+}
+
+/// The arguments, before the sub-command says which of them count.
 #[derive(Default)]
-pub(crate) struct Options {
-    pub(crate) fronts: FrontFiles,
-    pub(crate) ipfix: Option<SocketAddr>,
-    /// The fleet's budgets.
-    pub(crate) fleet: Option<PathBuf>,
-    /// What follows the sub-command.
+struct Arguments {
+    sub_command: Option<String>,
+    options: Options,
+    /// What follows `amqp-user`.
     values: Vec<String>,
     rights: Rights,
 }
 
-enum Command {
-    Serve(Options),
-    CheckConfig(Options),
-    CheckFleet(PathBuf),
-    AmqpUser { file: PathBuf, name: String, rights: Rights },
-    Version,
-    Help,
-}
-
-fn command() -> Result<Command, lexopt::Error> {
-    let mut parser = lexopt::Parser::from_env();
-    let (mut word, mut options) = (None, Options::default());
-    while let Some(arg) = parser.next()? {
-        match arg {
+fn parse_arguments(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
+    let mut arguments = Arguments::default();
+    while let Some(argument) = parser.next()? {
+        match argument {
             Short('h') | Long("help") => return Ok(Command::Help),
             Short('V') | Long("version") => return Ok(Command::Version),
-            Long(name) if optional(name).is_some() => {
-                if let Some(which) = optional(name) {
-                    options.fronts.retain(|(front, _)| *front != which);
-                    options.fronts.push((which, PathBuf::from(parser.value()?)));
-                }
-            }
-            Long("trace") => crate::log::trace_on(),
-            Long("ipfix") => options.ipfix = Some(parser.value()?.parse()?),
-            Long("fleet") => options.fleet = Some(PathBuf::from(parser.value()?)),
+            Long("trace") => log::trace_on(),
+            Long("ipfix") => arguments.options.flow_collector = Some(parser.value()?.parse()?),
+            Long("fleet") => arguments.options.quota_file = Some(PathBuf::from(parser.value()?)),
             Long("class") => {
-                options.rights.classes.get_or_insert_default().push(parser.value()?.string()?);
+                let class = parser.value()?.string()?;
+                arguments.rights.classes.get_or_insert_default().push(class);
+            }
+            Long("subscriber") => arguments.rights.subscriber = Some(parser.value()?.string()?),
+            Long(name) => {
+                let Some(front) = optional_front(name) else { return Err(argument.unexpected()) };
+                let file = PathBuf::from(parser.value()?);
+                arguments.options.front_files.retain(|(other, _)| *other != front);
+                arguments.options.front_files.push((front, file));
             }
-            Long("subscriber") => options.rights.subscriber = Some(parser.value()?.string()?),
-            Value(value) if word.as_deref() == Some("amqp-user") => options.values.push(value.string()?),
-            Value(value) if word.is_none() => word = Some(value.string()?),
-            _ => return Err(arg.unexpected()),
+            Value(value) if arguments.sub_command.as_deref() == Some("amqp-user") => {
+                arguments.values.push(value.string()?);
+            }
+            Value(value) if arguments.sub_command.is_none() => {
+                arguments.sub_command = Some(value.string()?);
+            }
+            _ => return Err(argument.unexpected()),
         }
     }
-    match word.as_deref() {
-        Some("serve") => Ok(Command::Serve(options)),
-        Some("check-config") => match options.fleet {
-            Some(file) => Ok(Command::CheckFleet(file)),
-            None => Ok(Command::CheckConfig(options)),
-        },
-        Some("amqp-user") => match <[String; 2]>::try_from(options.values) {
-            Ok([file, name]) => Ok(Command::AmqpUser { file: file.into(), name, rights: options.rights }),
-            Err(_) => Err("amqp-user takes a file and a name".into()),
-        },
-        Some("version") => Ok(Command::Version),
-        Some("help") => Ok(Command::Help),
-        Some(other) => Err(format!("there is no sub-command {other:?}").into()),
-        None => Err("a sub-command is missing".into()),
-    }
+    arguments.into_command()
 }
 
-/// Writes a user into the AMQP front's users' file; its password is the first line of standard input.
-fn amqp_user(file: &std::path::Path, name: &str, rights: Rights) -> Result<(), String> {
-    let mut line = String::new();
-    std::io::stdin().read_line(&mut line).map_err(|e| format!("standard input: {e}"))?;
-    let password = line.trim_end_matches(['\r', '\n']);
-    if password.is_empty() {
-        return Err("the password is missing on standard input".to_string());
+impl Arguments {
+    fn into_command(self) -> Result<Command, lexopt::Error> {
+        match self.sub_command.as_deref() {
+            Some("serve") => Ok(Command::Serve(self.options)),
+            Some("check-config") => match self.options.quota_file {
+                Some(file) => Ok(Command::CheckQuotaFile(file)),
+                None => Ok(Command::CheckConfig(self.options)),
+            },
+            Some("amqp-user") => match <[String; 2]>::try_from(self.values) {
+                Ok([file, name]) => {
+                    Ok(Command::AddAmqpUser { users_file: file.into(), name, rights: self.rights })
+                }
+                Err(_) => Err("amqp-user takes a file and a name".into()),
+            },
+            Some("version") => Ok(Command::Version),
+            Some("help") => Ok(Command::Help),
+            Some(other) => Err(format!("there is no sub-command {other:?}").into()),
+            None => Err("a sub-command is missing".into()),
+        }
     }
-    add_user(file, name, password, rights)
 }
 
-/// The optional front that an option turns on.
-fn optional(name: &str) -> Option<usize> {
+/// The optional front that `--NAME` turns on, by its index into [`OPTIONAL_FRONTS`].
+fn optional_front(name: &str) -> Option<usize> {
     OPTIONAL_FRONTS.iter().position(|front| front.name == name)
 }
-
-fn stop(problem: &str, code: u8) -> ExitCode {
-    crate::log::line(format_args!("error {problem}"));
-    ExitCode::from(code)
-}
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -8,7 +8,7 @@
 mod listener;
 mod message;
 
-pub use listener::passed_listener;
+pub use listener::{passed_listener, PassedListenerError};
 pub use message::{Message, StateSnapshot};
 
 use crate::discovery::TransferredWatch;
--- /dev/null
+++ b/src/node/commands.rs
@@ -0,0 +1,95 @@
+//! Runs the balancer on what has happened, and executes the commands that come back.
+
+use super::Node;
+use crate::front::{TimerEvent, TEXT_FRONT};
+use crate::log;
+use crate::requests::{Command, FrontId};
+use crate::vocabulary::{Event, Nanos, Outcome, RequestId, ServerId};
+
+impl Node {
+    /// Lets the balancer decide on all pending events and executes its commands; then the fronts flush what they have
+    /// gathered. Repeats until neither yields another event.
+    pub(super) fn run_balancer(&mut self) {
+        loop {
+            let now = self.state.now();
+            let commands = self.state.requests.decide(now);
+            for command in commands {
+                self.execute(now, command);
+            }
+            if self.state.requests.has_pending_events() {
+                continue;
+            }
+            self.for_each_front(|front, ctx| front.flush(ctx));
+            if !self.state.requests.has_pending_events() {
+                return;
+            }
+        }
+    }
+
+    /// Executes a command of the request table.
+    pub(super) fn execute(&mut self, now: Nanos, command: Command) {
+        match command {
+            Command::StartAttempt { front, request_id, server, wait } => {
+                self.start_attempt(now, front, request_id, server, wait);
+            }
+            Command::CancelAttempt { front, request_id } => {
+                self.cancel_attempt(front, request_id);
+            }
+            Command::Reject { front, request_id, cool_down } => {
+                let ms = cool_down / 1_000_000;
+                log::trace(format_args!("trace refused request={} ms={ms}", request_id.0));
+                self.with_front(front, |front, ctx| front.reject(ctx, request_id, cool_down));
+            }
+            Command::Fail { front, request_id } => {
+                self.with_front(front, |front, ctx| front.fail(ctx, request_id));
+            }
+            Command::Migrate { front, request_id } => {
+                self.with_front(front, |front, ctx| front.migrate(ctx, request_id));
+            }
+            Command::HealthCheck { server } => {
+                self.with_front(TEXT_FRONT, |front, ctx| front.check_health(ctx, server));
+            }
+            Command::Timer { after: 0, token } => self.state.requests.push_event(Event::Timer(token)),
+            Command::Timer { after, token } => {
+                self.state.wheel.schedule(now + after, TimerEvent::Policy(token));
+            }
+            Command::Subscribe => self.subscribe(now),
+            Command::Log(text) => log::line(format_args!("module {text}")),
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Nanos,
+        front: FrontId,
+        request_id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+    ) {
+        let attempt = self.state.requests.attempt_number(request_id);
+        self.state.wheel.schedule(now + timeout, TimerEvent::AttemptTimeout(request_id, attempt));
+        self.with_front(front, |front, ctx| front.start_attempt(ctx, request_id, server, timeout));
+    }
+
+    /// Has the front cancel the attempt of a request. Returns the attempt's outcome.
+    fn cancel_attempt(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
+        let outcome = self.with_front(front, |front, ctx| front.cancel_attempt(ctx, request_id));
+        outcome.unwrap_or(Outcome::Cancelled)
+    }
+
+    /// An attempt's time is up; it may have ended before.
+    pub(super) fn on_attempt_timeout(&mut self, request_id: RequestId, attempt: u32) {
+        if let Some(front) = self.state.requests.front_of_attempt(request_id, attempt) {
+            let outcome = self.cancel_attempt(front, request_id);
+            self.state.requests.on_attempt_ended(self.state.clock.now(), request_id, outcome);
+        }
+    }
+
+    /// Starts the watch on the endpoint list.
+    fn subscribe(&mut self, now: Nanos) {
+        let event = self.discovery.subscribe(now, &mut self.state.net, &self.state.registry);
+        if let Some(event) = event {
+            self.on_endpoint_event(event);
+        }
+    }
+}
--- /dev/null
+++ b/src/node/event_loop.rs
@@ -0,0 +1,115 @@
+//! The event loop: handles what is ready, lets the balancer decide once, and executes its commands.
+
+use super::{Node, ServeError};
+use crate::front::TimerEvent;
+use crate::log;
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner};
+use crate::vocabulary::{Event, ListKind, Nanos};
+
+/// How often silent peers are looked for and flows exported.
+const TICK_INTERVAL: Nanos = 200_000_000;
+
+impl Node {
+    /// Serves until the node has shut down.
+    pub(super) fn run(mut self) -> Result<(), ServeError> {
+        loop {
+            let now = self.state.now();
+            let timeout = self.state.wheel.time_until_next(now);
+            let events = self.state.net.poll(now, timeout).map_err(ServeError::Poll)?;
+            for event in events {
+                self.on_socket_event(event);
+            }
+            for timer in self.state.wheel.take_expired(self.state.clock.now()) {
+                self.on_timer(timer);
+            }
+            self.run_balancer();
+            self.transfer_connections();
+            self.state.net.flush_connected();
+            self.print_trace();
+            if self.should_exit() {
+                self.export_flows(self.state.now());
+                self.print_counters();
+                log::line(format_args!("stopped"));
+                return Ok(());
+            }
+        }
+    }
+
+    fn on_socket_event(&mut self, event: SocketEvent) {
+        match event.owner {
+            SocketOwner::Front(id) => {
+                self.with_front(id, |front, ctx| front.on_socket_event(ctx, event));
+            }
+            SocketOwner::Discovery => self.on_discovery_socket(event),
+            SocketOwner::Admin => self.on_admin_socket(event),
+            SocketOwner::Quota => self.on_lease_socket(event),
+            SocketOwner::Handover => self.on_handover_socket(event),
+            SocketOwner::Signal => self.on_signal(event.token),
+        }
+    }
+
+    fn on_timer(&mut self, timer: TimerEvent) {
+        match timer {
+            TimerEvent::Policy(token) => self.state.requests.push_event(Event::Timer(token)),
+            TimerEvent::AttemptTimeout(request_id, attempt) => self.on_attempt_timeout(request_id, attempt),
+            TimerEvent::ConnectTimeout(id, token) => {
+                self.with_front(id, |front, ctx| front.on_connect_timeout(ctx, token));
+            }
+            TimerEvent::FrontTimer(id, token) => {
+                self.with_front(id, |front, ctx| front.on_timer(ctx, token));
+            }
+            TimerEvent::Tick => self.on_tick(),
+            TimerEvent::DrainStep => self.drain_step(),
+            TimerEvent::LeaseExchange => self.exchange_leases(),
+            TimerEvent::AdminTimeout(token) => {
+                if let Some(admin) = &mut self.admin {
+                    admin.on_timeout(&mut self.state.net, token);
+                }
+            }
+        }
+    }
+
+    fn on_tick(&mut self) {
+        let now = self.state.now();
+        if let Some(event) = self.discovery.close_silent_watch(now, &mut self.state.net) {
+            self.on_endpoint_event(event);
+        }
+        self.for_each_front(|front, ctx| front.on_tick(ctx));
+        self.export_flows(now);
+        self.state.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
+    }
+
+    fn on_discovery_socket(&mut self, event: SocketEvent) {
+        let failed = matches!(event.kind, SocketEventKind::Failed { .. });
+        let now = self.state.now();
+        let (net, registry) = (&mut self.state.net, &mut self.state.registry);
+        let endpoint_events = self.discovery.on_socket_event(now, net, registry, event.token, failed);
+        for endpoint_event in endpoint_events {
+            self.on_endpoint_event(endpoint_event);
+        }
+    }
+
+    /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the fronts.
+    pub(super) fn on_endpoint_event(&mut self, event: Event) {
+        if let Event::EndpointList(kind, endpoints) = &event {
+            log::trace(format_args!("trace list kind={kind:?} entries={}", endpoints.len()));
+        }
+        if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
+            self.state.requests.counters.discovery_failures += 1;
+        }
+        self.state.requests.push_event(event);
+        let not_ready = self.state.registry.not_ready();
+        self.for_each_front(|front, ctx| front.on_servers_draining(ctx, &not_ready));
+    }
+
+    fn should_exit(&self) -> bool {
+        if !self.state.lifecycle.is_shutting_down() {
+            return false;
+        }
+        // The exit resets connections that are still closing, and a reset may destroy the MOVE that a client has not
+        // read yet.
+        let is_idle =
+            self.state.requests.is_idle() && self.fronts.are_idle() && self.state.net.all_closes_complete();
+        self.state.lifecycle.should_exit(self.state.now(), is_idle)
+    }
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,680 +1,113 @@
-//! The loop: gathers what is ready, gives it to the core in one go, carries out what came back.
-
+//! The node: the process that serves clients on real sockets.
+//!
+//! One thread runs [`event_loop`]. Sockets, timers and signals become events for the request table and the fronts;
+//! the request table lets the balancer decide and returns commands, which [`commands`] has the fronts execute.
+//! [`startup`] opens everything in a fixed order; the other modules each hold the node's part of one concern.
+
+mod admin_calls;
+mod clock;
+mod commands;
 mod configuration;
+mod draining;
+mod error;
+mod event_loop;
+mod handover_steps;
+mod options;
+mod quotas;
+mod reload;
+mod reports;
+mod signals;
+mod startup;
 
 pub use configuration::Configuration;
+pub use error::{PrepareError, ServeError};
+pub use options::Options;
+pub use startup::PreparedNode;
 
-use crate::admin::{AdminCall, AdminServer, Response};
-use crate::cli::Options;
+use crate::admin::AdminServer;
 use crate::config::Config;
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::front::{
-    FrontContext, FrontFiles, FrontSetup, Fronts, TimerEvent, TransferredConnection, TEXT_FRONT,
-};
-use crate::handover::{self, FrontConnection, Handover, HandoverEvent, PredecessorState, StateSnapshot};
-use crate::lifecycle::{self, Lifecycle};
-use crate::log;
-use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
-use crate::quota::transport::{self, LeaseTransport};
-use crate::quota::QuotaAdmission;
-use crate::requests::{Command, FrontId, RequestTable};
-use crate::vocabulary::*;
-use sparbank_quota::Plan;
-use std::io;
-use std::os::fd::OwnedFd;
-use std::os::unix::net::UnixStream;
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
-
-/// The loop looks after silent peers this often.
-const TICK_INTERVAL: Nanos = 200_000_000;
-
-/// The module's clock: Unix time at the start, and from there on the steady clock.
-struct Clock {
-    start: Instant,
-    unix: Nanos,
-}
-
-impl Clock {
-    fn new() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_nanos() as Nanos);
-        Clock { start: Instant::now(), unix }
-    }
-
-    fn now(&self) -> Nanos {
-        self.unix + self.start.elapsed().as_nanos() as Nanos
-    }
-}
-
-struct Node {
+use crate::front::{Front, FrontContext, FrontFiles, Fronts, TimerEvent};
+use crate::handover::Handover;
+use crate::lifecycle::Lifecycle;
+use crate::net::{SocketReactor, TimerWheel};
+use crate::quota::transport::LeaseTransport;
+use crate::requests::{FrontId, RequestTable};
+use crate::vocabulary::Nanos;
+use clock::Clock;
+use signals::SignalSockets;
+
+/// What fronts work on, through a [`FrontContext`].
+struct NodeState {
     clock: Clock,
     net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
-    discovery: DiscoveryClient,
     wheel: TimerWheel<TimerEvent>,
     config: Config,
-    /// The optional fronts' files, to be read again with the configuration.
-    files: FrontFiles,
-    fronts: Fronts,
-    export: Option<FlowExport>,
-    signals: Signals,
-    operator: Option<AdminServer>,
     lifecycle: Lifecycle,
-    /// A step of moving is on the wheel.
-    stepping: bool,
-    handover: Option<Handover>,
-    /// The talk about the fleet's budgets, where there are any.
-    talk: Option<LeaseTransport>,
-}
-
-struct Signals {
-    stop: Token,
-    print: Token,
-    reload: Token,
-}
-
-macro_rules! ctx {
-    ($node:expr) => {
-        &mut FrontContext {
-            now: $node.clock.now(),
-            net: &mut $node.net,
-            requests: &mut $node.requests,
-            registry: &$node.registry,
-            wheel: &mut $node.wheel,
-            site: &$node.config.site,
-            classes: &$node.config.settings.classes,
-            accepts_clients: $node.lifecycle.accepts_clients(),
-            shutting_down: $node.lifecycle.is_closing($node.clock.now()),
-        }
-    };
 }
 
-/// Calls one front.
-macro_rules! front {
-    ($node:expr, $id:expr, $call:ident $(, $arg:expr)*) => {
-        match $node.fronts.get($id) {
-            Some(front) => front.$call(ctx!($node) $(, $arg)*),
-            None => Default::default(),
-        }
-    };
-}
-
-/// Calls every front.
-macro_rules! fronts {
-    ($node:expr, $call:ident $(, $arg:expr)*) => {
-        for front in $node.fronts.all() {
-            front.$call(ctx!($node) $(, $arg)*);
-        }
-    };
-}
+impl NodeState {
+    fn now(&self) -> Nanos {
+        self.clock.now()
+    }
 
-/// Serves until it is told to stop. Where the platform holds the clients' listening socket, it is given.
-pub(crate) fn serve(
-    configuration: Configuration,
-    options: Options,
-    passed: Option<OwnedFd>,
-    fleet: Option<(Plan, usize)>,
-) -> Result<(), String> {
-    let Options { fronts: files, ipfix, .. } = options;
-    let Configuration { node: config, fronts: opened } = configuration;
-    let at = |what: &str, e: io::Error| format!("{what}: {e}");
-    let mut net = SocketReactor::new(config.max_descriptors).map_err(|e| at("epoll", e))?;
-    let signals = Signals {
-        stop: signal(&mut net, &[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])
-            .map_err(|e| at("signals", e))?,
-        print: signal(&mut net, &[signal_hook::consts::SIGUSR1]).map_err(|e| at("signals", e))?,
-        reload: signal(&mut net, &[signal_hook::consts::SIGHUP]).map_err(|e| at("signals", e))?,
-    };
-    let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
-    requests.trace.on = log::tracing();
-    let operator = match config.admin_listen {
-        Some(at) => Some(AdminServer::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
-        None => None,
-    };
-    let mut registry = EndpointRegistry::new(config.site.zones.clone());
-    let mut discovery = DiscoveryClient::new(config.discovery);
-    // All is in place: from here on the process before this one may be asked for what it has.
-    let place = passed.as_ref().and_then(|_| handover::socket_path(&config.name));
-    let inherited = place.as_deref().and_then(|place| handover::request_state(place, &config.name));
-    let (mut before, mut channel) = (None, None);
-    match inherited {
-        Some(PredecessorState { channel: from, snapshot, listening, watch }) => {
-            requests.push_event(discovery.take_over(&mut net, &mut registry, &snapshot.endpoint_list, watch));
-            net.inherit_listeners(listening);
-            (before, channel) = (Some(snapshot), Some(from));
+    /// The context of one call of a front.
+    fn front_context(&mut self) -> FrontContext<'_> {
+        let now = self.clock.now();
+        FrontContext {
+            now,
+            net: &mut self.net,
+            requests: &mut self.requests,
+            registry: &self.registry,
+            wheel: &mut self.wheel,
+            site: &self.config.site,
+            classes: &self.config.settings.classes,
+            accepts_clients: self.lifecycle.accepts_clients(),
+            shutting_down: self.lifecycle.is_closing(now),
         }
-        None => requests.push_event(registry.restore(&config.known_endpoints)),
-    }
-    if place.is_some() {
-        net.reserve_descriptors(handover::SUCCESSOR_DESCRIPTORS);
-    }
-    let mut fronts = Fronts::new();
-    let listen = match passed {
-        Some(fd) => net.register_listener(fd, SocketOwner::Front(TEXT_FRONT)),
-        None => net.listen(config.listen, SocketOwner::Front(TEXT_FRONT)),
-    };
-    let listen = listen.map_err(|e| at("listen", e))?;
-    log::line(format_args!("started name={} listen={listen}", config.name));
-    for (which, file) in opened {
-        let setup = FrontSetup { net: &mut net, node_name: &config.name, site: &config.site };
-        let line = fronts.open(which, file, setup).map_err(|e| e.to_string())?;
-        log::line(format_args!("{line}"));
-    }
-    let operator = operator.map(|(operator, listen)| {
-        log::line(format_args!("operator listen={listen}"));
-        operator
-    });
-    let mut export = None;
-    if let Some(collector) = ipfix {
-        let domain = crate::hash::fnv1a(&config.name) as u32;
-        export = Some(FlowExport::new(config.listen.ip(), collector, domain).map_err(|e| at("ipfix", e))?);
-        requests.flows = Some(Vec::new());
-        log::line(format_args!("ipfix collector={collector} domain={domain}"));
-    }
-    let clock = Clock::new();
-    let mut talk = None;
-    if let Some(plan) = fleet {
-        let (quotas, open) = seated(plan, &config, &mut net, clock.now())?;
-        (requests.quotas, talk) = (Some(quotas), Some(open));
-    }
-    let mut wheel = TimerWheel::new(clock.now());
-    wheel.schedule(clock.now(), TimerEvent::Tick);
-    if talk.is_some() {
-        wheel.schedule(clock.now(), TimerEvent::LeaseExchange);
-    }
-    let (lifecycle, stepping) = (Lifecycle::default(), false);
-    let handover = place.map(|place| Handover::open(&mut net, &place, channel));
-    let mut node = Node {
-        clock,
-        net,
-        requests,
-        registry,
-        discovery,
-        wheel,
-        config,
-        files,
-        fronts,
-        export,
-        signals,
-        operator,
-        lifecycle,
-        stepping,
-        handover,
-        talk,
-    };
-    node.decide();
-    if let Some(snapshot) = before {
-        node.take_over(&snapshot);
     }
-    node.run()
-}
 
-/// The fleet's budgets and the talk about them: this node takes its seat.
-fn seated(
-    (plan, seat): (Plan, usize),
-    config: &Config,
-    net: &mut SocketReactor,
-    now: Nanos,
-) -> Result<(QuotaAdmission, LeaseTransport), String> {
-    let talk = LeaseTransport::open(net, &plan, seat, now);
-    let talk = talk.map_err(|e| format!("--fleet: seats[{seat}].address: {e}"))?;
-    match talk.grants_in(now) {
-        Some(wait) => log::line(format_args!("budgets seat={seat} grants-in-ms={}", wait / 1_000_000)),
-        None => log::line(format_args!("budgets seat={seat}")),
+    /// The longest deadline of any request class.
+    fn longest_deadline(&self) -> Nanos {
+        self.config.settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or(0)
     }
-    let classes: Vec<String> = config.site.classes.iter().map(|c| c.name.clone()).collect();
-    Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
-fn signal(net: &mut SocketReactor, signals: &[i32]) -> io::Result<Token> {
-    let (ours, theirs) = UnixStream::pair()?;
-    for signal in signals {
-        signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
-    }
-    net.register_reader(OwnedFd::from(ours), SocketOwner::Signal)
+/// A node that serves.
+struct Node {
+    state: NodeState,
+    fronts: Fronts,
+    /// The optional fronts' files, to be read again with the configuration.
+    front_files: FrontFiles,
+    discovery: DiscoveryClient,
+    admin: Option<AdminServer>,
+    handover: Option<Handover>,
+    /// Where this node is a member of a fleet with quotas.
+    lease_transport: Option<LeaseTransport>,
+    flow_export: Option<FlowExport>,
+    signals: SignalSockets,
+    /// A [`TimerEvent::DrainStep`] is on the timer wheel.
+    drain_step_scheduled: bool,
 }
 
 impl Node {
-    fn run(mut self) -> Result<(), String> {
-        loop {
-            let now = self.clock.now();
-            let wait = self.wheel.time_until_next(now);
-            let notices = self.net.poll(now, wait).map_err(|e| format!("epoll: {e}"))?;
-            for notice in notices {
-                self.dispatch(notice);
-            }
-            for due in self.wheel.take_expired(self.clock.now()) {
-                self.due(due);
-            }
-            self.decide();
-            self.pass_on();
-            self.net.flush_connected();
-            self.print_trace();
-            if self.should_exit() {
-                self.export_flows(self.clock.now());
-                self.print_counters();
-                log::line(format_args!("stopped"));
-                return Ok(());
-            }
-        }
-    }
-
-    fn dispatch(&mut self, notice: SocketEvent) {
-        match notice.owner {
-            SocketOwner::Front(id) => front!(self, id, on_socket_event, notice),
-            SocketOwner::Discovery => {
-                let broken = matches!(notice.kind, SocketEventKind::Failed { .. });
-                let now = self.clock.now();
-                for event in self.discovery.on_socket_event(
-                    now,
-                    &mut self.net,
-                    &mut self.registry,
-                    notice.token,
-                    broken,
-                ) {
-                    self.listed(event);
-                }
-            }
-            SocketOwner::Admin => {
-                let now = self.clock.now();
-                let call = self
-                    .operator
-                    .as_mut()
-                    .and_then(|o| o.on_socket_event(now, &mut self.net, &mut self.wheel, notice));
-                if let Some(call) = call {
-                    let answer = self.called(now, call);
-                    if let Some(operator) = &mut self.operator {
-                        operator.respond(&mut self.net, notice.token, &answer);
-                    }
-                }
-            }
-            SocketOwner::Quota => {
-                if let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) {
-                    talk.notice(self.clock.now(), &mut self.net, quotas, notice);
-                }
-            }
-            SocketOwner::Handover => {
-                let news = self.handover.as_mut().map(|t| t.on_socket_event(&mut self.net, notice));
-                self.heard(news.unwrap_or_default());
-            }
-            SocketOwner::Signal => {
-                if let Some(input) = self.net.input_buffer(notice.token) {
-                    input.clear();
-                }
-                self.net.update_interest(notice.token);
-                if notice.token == self.signals.print {
-                    self.print_counters();
-                } else if notice.token == self.signals.reload {
-                    self.reload();
-                } else if notice.token == self.signals.stop
-                    && self.lifecycle.shut_down(self.clock.now(), self.longest())
-                {
-                    log::line(format_args!("shutting-down standing={}", self.requests.established().len()));
-                    if let Some(quotas) = &mut self.requests.quotas {
-                        quotas.go();
-                    }
-                    self.begin_steps();
-                }
-            }
-        }
-    }
-
-    /// What the process before this one knew: its list has been told already.
-    fn take_over(&mut self, snapshot: &StateSnapshot) {
-        if let Err(e) = self.requests.restore_state(&snapshot.balancer_state) {
-            log::line(format_args!("handover-state-unreadable reason={e}"));
-        }
-        if snapshot.is_drained && self.lifecycle.drain(self.clock.now()) {
-            self.begin_steps();
-        }
-        self.requests.counters.handovers += 1;
-        self.limit_beside_predecessor(snapshot.open_descriptors);
-        log::line(format_args!(
-            "handover-from-predecessor drained={} descriptors={}",
-            snapshot.is_drained, snapshot.open_descriptors
-        ));
-    }
-
-    /// The process before this one holds so many descriptors: both together hold no more than one may.
-    fn limit_beside_predecessor(&mut self, descriptors: usize) {
-        self.net.set_descriptor_limit(self.config.max_descriptors.saturating_sub(descriptors));
-    }
-
-    fn longest(&self) -> Nanos {
-        self.config.settings.classes.iter().map(|c| c.hard_limit).max().unwrap_or(0)
-    }
-
-    fn heard(&mut self, news: Vec<HandoverEvent>) {
-        for news in news {
-            match news {
-                HandoverEvent::StateRequested => {
-                    let snapshot = StateSnapshot {
-                        is_drained: !self.lifecycle.accepts_clients(),
-                        endpoint_list: self.registry.snapshot(),
-                        balancer_state: self.requests.state_snapshot(),
-                        open_descriptors: self.net.descriptors_in_use(),
-                    };
-                    let listening = self.net.listeners_except(TEXT_FRONT);
-                    let watch = self.discovery.release_watch(&mut self.net);
-                    let told = self
-                        .handover
-                        .as_mut()
-                        .map(|t| t.send_state(&mut self.net, &snapshot, listening, watch));
-                    self.heard(told.unwrap_or_default());
-                }
-                HandoverEvent::SuccessorReady => {
-                    self.net.set_accepting(false);
-                    self.lifecycle.hand_over(self.clock.now(), self.longest());
-                    self.requests.counters.handovers += 1;
-                    log::line(format_args!(
-                        "handover-to-successor standing={}",
-                        self.requests.established().len()
-                    ));
-                    self.begin_steps();
-                }
-                HandoverEvent::SuccessorLost { unsent } => {
-                    for FrontConnection { front, connection } in unsent {
-                        self.came(&front, connection);
-                    }
-                    self.net.set_accepting(true);
-                    self.lifecycle.successor_lost(self.clock.now());
-                    // The watch went with it.
-                    if !self.discovery.has_watch() {
-                        self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
-                    }
-                }
-                HandoverEvent::ConnectionReceived { received, predecessor_descriptors } => {
-                    self.limit_beside_predecessor(predecessor_descriptors);
-                    self.came(&received.front, received.connection);
-                }
-                HandoverEvent::PredecessorExited => {
-                    self.limit_beside_predecessor(0);
-                    log::line(format_args!(
-                        "handover-complete standing={}",
-                        self.requests.established().len()
-                    ));
-                }
-            }
-        }
-    }
-
-    fn came(&mut self, front: &str, transferred_connection: TransferredConnection) {
-        if let Some(id) = self.fronts.id_by_name(front) {
-            front!(self, id, receive_connection, transferred_connection);
-        }
-    }
-
-    /// Passes on to the successor what can be passed on by now.
-    fn pass_on(&mut self) {
-        while self.handover.as_ref().is_some_and(Handover::can_transfer) {
-            let transferred_connection: Vec<TransferredConnection> =
-                front!(self, TEXT_FRONT, hand_over_connections, handover::CONNECTIONS_PER_TURN);
-            if transferred_connection.is_empty() {
-                return;
-            }
-            let news = self
-                .handover
-                .as_mut()
-                .map(|t| t.transfer(&mut self.net, TEXT_FRONT.name, transferred_connection));
-            self.heard(news.unwrap_or_default());
-            self.decide();
-        }
-    }
-
-    /// What an operator's call does, and its answer.
-    fn called(&mut self, now: Nanos, call: AdminCall) -> Response {
-        match call {
-            AdminCall::Ready if self.lifecycle.is_shutting_down() => Response::new(503, "leaving"),
-            AdminCall::Ready => Response::new(200, "ready"),
-            AdminCall::Drain => {
-                let standing = self.requests.established().len();
-                if self.lifecycle.drain(now) {
-                    self.requests.counters.drains += 1;
-                    log::line(format_args!("draining standing={standing}"));
-                    self.begin_steps();
-                }
-                Response::new(200, format!("draining standing={standing}"))
-            }
-            AdminCall::Resume => match self.lifecycle.resume() {
-                Ok(drained) => {
-                    if drained {
-                        self.requests.counters.resumes += 1;
-                        log::line(format_args!("resumed standing={}", self.requests.established().len()));
-                        fronts!(self, resume_serving);
-                    }
-                    Response::new(200, "serving")
-                }
-                Err(lifecycle::ShuttingDownError) => Response::new(409, "leaving: start it again"),
-            },
-        }
-    }
-
-    /// From now on there are steps, until clients stay again.
-    fn begin_steps(&mut self) {
-        if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.schedule(self.clock.now(), TimerEvent::DrainStep);
-        }
-    }
-
-    /// SIGHUP: the configuration is read again. What is wrong changes nothing; what is right changes what
-    /// a running node can change. Clients that stand and servers that are known stay.
-    fn reload(&mut self) {
-        let Configuration { node: new, fronts } = match Configuration::reread(&self.config, &self.files) {
-            Ok(loaded) => loaded,
-            Err(problem) => return log::line(format_args!("reload-refused {problem}")),
-        };
-        let moved = new.discovery != self.config.discovery;
-        let mut fixed = self.config.apply_reload(new);
-        for (which, file) in fronts {
-            fixed.extend(self.fronts.reload(which, file));
-        }
-        // Where another process is still there, it says again what it holds.
-        self.net.set_descriptor_limit(self.config.max_descriptors);
-        self.requests.update_settings(self.config.settings.clone());
-        log::line(format_args!("reloaded discovery={}", self.config.discovery));
-        if !fixed.is_empty() {
-            log::line(format_args!("reload-needs-restart fields={}", fixed.join(",")));
-        }
-        if moved {
-            let now = self.clock.now();
-            for event in self.discovery.read_pending(now, &mut self.net, &mut self.registry) {
-                self.listed(event);
-            }
-            if let Some(event) =
-                self.discovery.change_address(now, &mut self.net, &mut self.registry, self.config.discovery)
-            {
-                self.listed(event);
-            }
-        }
-    }
-
-    fn listed(&mut self, event: Event) {
-        if let Event::EndpointList(kind, members) = &event {
-            log::trace(format_args!("trace list kind={kind:?} entries={}", members.len()));
-        }
-        if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.requests.counters.discovery_failures += 1;
-        }
-        self.requests.push_event(event);
-        let stopped = self.registry.not_ready();
-        fronts!(self, on_servers_draining, &stopped);
-    }
-
-    fn due(&mut self, due: TimerEvent) {
-        match due {
-            TimerEvent::Policy(token) => self.requests.push_event(Event::Timer(token)),
-            TimerEvent::AttemptTimeout(request_id, attempt) => {
-                if let Some(front) = self.requests.front_of_attempt(request_id, attempt) {
-                    let outcome = self.take_back(front, request_id);
-                    self.requests.on_attempt_ended(self.clock.now(), request_id, outcome);
-                }
-            }
-            TimerEvent::ConnectTimeout(id, token) => front!(self, id, on_connect_timeout, token),
-            TimerEvent::FrontTimer(id, token) => front!(self, id, on_timer, token),
-            TimerEvent::Tick => {
-                let now = self.clock.now();
-                if let Some(event) = self.discovery.close_silent_watch(now, &mut self.net) {
-                    self.listed(event);
-                }
-                fronts!(self, on_tick);
-                self.export_flows(now);
-                self.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
-            }
-            TimerEvent::DrainStep => self.leave(),
-            TimerEvent::LeaseExchange => self.fleet(),
-            TimerEvent::AdminTimeout(token) => {
-                if let Some(operator) = &mut self.operator {
-                    operator.on_timeout(&mut self.net, token);
-                }
-            }
-        }
-    }
-
-    fn export_flows(&mut self, now: Nanos) {
-        if let (Some(export), Some(flows)) = (&mut self.export, &mut self.requests.flows) {
-            export.send(now, &std::mem::take(flows), &self.registry, &self.config.site);
-        }
-    }
-
-    /// One step of sending clients away: of those that stand, so many are moved that all have been by the end.
-    fn leave(&mut self) {
-        let (now, standing) = (self.clock.now(), self.requests.established());
-        let Some(step) = self.lifecycle.migration_step(now, standing.len()) else {
-            self.stepping = false;
-            return;
-        };
-        if step.started {
-            fronts!(self, on_drain_step);
-        }
-        for command in self.requests.fail_unanswered(now, step.abandon_before) {
-            self.carry_out(now, command);
-        }
-        for request_id in standing.into_iter().take(step.migrations) {
-            if let Some(id) = self.requests.close_for_migration(now, request_id, Outcome::Cancelled) {
-                front!(self, id, migrate, request_id);
-            }
-        }
-        self.wheel.schedule(now + lifecycle::MIGRATION_STEP_INTERVAL, TimerEvent::DrainStep);
-    }
-
-    /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
-    fn fleet(&mut self) {
-        let now = self.clock.now();
-        let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) else { return };
-        if let Some(line) = talk.turn(now, &mut self.net, quotas) {
-            log::line(format_args!("{line}"));
-        }
-        for command in self.requests.migrate_over_quota(now) {
-            self.carry_out(now, command);
-        }
-        self.wheel.schedule(now + transport::TURN, TimerEvent::LeaseExchange);
-    }
-
-    fn should_exit(&self) -> bool {
-        // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
-        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.all_closes_complete();
-        self.lifecycle.is_shutting_down() && self.lifecycle.should_exit(self.clock.now(), idle())
-    }
-
-    /// Hands the core all there is, carries out what comes back, and has the fronts write what they
-    /// gathered; what that brings is handed over in its turn.
-    fn decide(&mut self) {
-        loop {
-            let now = self.clock.now();
-            let commands = self.requests.decide(now);
-            for command in commands {
-                self.carry_out(now, command);
-            }
-            if self.requests.has_pending_events() {
-                continue;
-            }
-            fronts!(self, flush);
-            if !self.requests.has_pending_events() {
-                return;
-            }
-        }
-    }
-
-    /// The lines of `--trace`.
-    fn print_trace(&mut self) {
-        for (request_id, server, outcome, waited) in std::mem::take(&mut self.requests.trace.tasks) {
-            let server = self.registry.entry(server).map_or("?", |r| r.name());
-            let ms = waited / 1_000_000;
-            match outcome {
-                Some(outcome) => log::line(format_args!(
-                    "trace attempt request={} server={server} ended={outcome:?} after_ms={ms}",
-                    request_id.0
-                )),
-                None => log::line(format_args!(
-                    "trace attempt request={} server={server} up after_ms={ms}",
-                    request_id.0
-                )),
-            }
-        }
-    }
-
-    fn print_counters(&mut self) {
-        self.requests.counters.discovery_polls = self.discovery.watch_requests;
-        self.requests.counters.stale_lists = self.registry.stale_lists;
-        if let Some(counts) = self.operator.as_ref().map(AdminServer::counts) {
-            let counters = &mut self.requests.counters;
-            (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
-                (counts.succeeded, counts.failed, counts.incomplete);
-        }
-        log::line(format_args!("{}", self.requests.counters));
-        if let (Some(talk), Some(quotas)) = (&self.talk, &self.requests.quotas) {
-            let (c, left) = (talk.counts(), quotas.lease_left(self.clock.now()) / 1_000_000);
-            log::line(format_args!(
-                "budgets lease_left_ms={left} asks={} answers={} unread={} written={} freed={}",
-                c.asks, c.answers, c.unread, c.written, c.freed
-            ));
-            for (name, r) in quotas.readings() {
-                log::line(format_args!(
-                    "budget name={name} whole={} floor={} part={} used={} refused={}",
-                    r.whole, r.floor, r.part, r.used, r.refused
-                ));
-            }
-        }
-        for line in self.fronts.counter_lines() {
-            log::line(format_args!("{line}"));
-        }
-    }
-
-    /// Takes the attempt of a request back from its server.
-    fn take_back(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
-        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.cancel_attempt(ctx!(self), request_id))
-    }
-
-    fn carry_out(&mut self, now: Nanos, command: Command) {
-        if let Command::Reject { request_id, cool_down, .. } = &command {
-            log::trace(format_args!("trace refused request={} ms={}", request_id.0, cool_down / 1_000_000));
-        }
-        match command {
-            Command::StartAttempt { front, request_id, server, wait } => {
-                self.wheel.schedule(
-                    now + wait,
-                    TimerEvent::AttemptTimeout(request_id, self.requests.attempt_number(request_id)),
-                );
-                front!(self, front, start_attempt, request_id, server, wait)
-            }
-            Command::CancelAttempt { front, request_id } => {
-                self.take_back(front, request_id);
-            }
-            Command::Reject { front, request_id, cool_down } => {
-                front!(self, front, reject, request_id, cool_down)
-            }
-            Command::Fail { front, request_id } => front!(self, front, fail, request_id),
-            Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
-            Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
-            Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.schedule(now + after, TimerEvent::Policy(token)),
-            Command::Subscribe => {
-                if let Some(event) = self.discovery.subscribe(now, &mut self.net, &self.registry) {
-                    self.listed(event);
-                }
-            }
-            Command::Log(words) => log::line(format_args!("module {words}")),
+    /// Calls the front with this id. None where there is no such front.
+    fn with_front<R>(
+        &mut self,
+        id: FrontId,
+        call: impl FnOnce(&mut dyn Front, &mut FrontContext) -> R,
+    ) -> Option<R> {
+        let front = self.fronts.get(id)?;
+        Some(call(front, &mut self.state.front_context()))
+    }
+
+    /// Calls every front, in the order of their ids.
+    fn for_each_front(&mut self, mut call: impl FnMut(&mut dyn Front, &mut FrontContext)) {
+        for front in self.fronts.all() {
+            call(front.as_mut(), &mut self.state.front_context());
         }
     }
 }
--- /dev/null
+++ b/src/node/quotas.rs
@@ -0,0 +1,32 @@
+//! This node's membership of a fleet with quotas: the exchange of leases, and migrations of connections over quota.
+
+use super::Node;
+use crate::front::TimerEvent;
+use crate::log;
+use crate::net::SocketEvent;
+use crate::quota::transport;
+
+impl Node {
+    /// Handles an event at a socket of the lease protocol.
+    pub(super) fn on_lease_socket(&mut self, event: SocketEvent) {
+        let now = self.state.now();
+        if let (Some(transport), Some(quotas)) = (&mut self.lease_transport, &mut self.state.requests.quotas)
+        {
+            transport.notice(now, &mut self.state.net, quotas, event);
+        }
+    }
+
+    /// Exchanges leases with the grantor, and migrates established connections over this node's allotment.
+    pub(super) fn exchange_leases(&mut self) {
+        let now = self.state.now();
+        let Some(transport) = &mut self.lease_transport else { return };
+        let Some(quotas) = &mut self.state.requests.quotas else { return };
+        if let Some(line) = transport.turn(now, &mut self.state.net, quotas) {
+            log::line(format_args!("{line}"));
+        }
+        for command in self.state.requests.migrate_over_quota(now) {
+            self.execute(now, command);
+        }
+        self.state.wheel.schedule(now + transport::TURN, TimerEvent::LeaseExchange);
+    }
+}
--- /dev/null
+++ b/src/node/signals.rs
@@ -0,0 +1,67 @@
+//! Signals, received as readable sockets: SIGTERM and SIGINT shut the node down, SIGUSR1 prints the counters, SIGHUP
+//! reloads the configuration.
+
+use super::Node;
+use crate::log;
+use crate::net::{SocketOwner, SocketReactor, Token};
+use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
+use std::io;
+use std::os::fd::OwnedFd;
+use std::os::unix::net::UnixStream;
+
+/// The sockets that become readable when a signal arrives.
+pub(super) struct SignalSockets {
+    shutdown: Token,
+    print_counters: Token,
+    reload: Token,
+}
+
+impl SignalSockets {
+    /// Installs the signal handlers.
+    pub(super) fn register(net: &mut SocketReactor) -> io::Result<SignalSockets> {
+        Ok(SignalSockets {
+            shutdown: register(net, &[SIGTERM, SIGINT])?,
+            print_counters: register(net, &[SIGUSR1])?,
+            reload: register(net, &[SIGHUP])?,
+        })
+    }
+}
+
+/// Registers a socket that gets a byte whenever one of the signals arrives.
+fn register(net: &mut SocketReactor, signals: &[i32]) -> io::Result<Token> {
+    let (reader, writer) = UnixStream::pair()?;
+    for signal in signals {
+        signal_hook::low_level::pipe::register(*signal, writer.try_clone()?)?;
+    }
+    net.register_reader(OwnedFd::from(reader), SocketOwner::Signal)
+}
+
+impl Node {
+    /// A signal has arrived, perhaps several times.
+    pub(super) fn on_signal(&mut self, token: Token) {
+        if let Some(input) = self.state.net.input_buffer(token) {
+            input.clear();
+        }
+        self.state.net.update_interest(token);
+        if token == self.signals.print_counters {
+            self.print_counters();
+        } else if token == self.signals.reload {
+            self.reload();
+        } else if token == self.signals.shutdown {
+            self.shut_down();
+        }
+    }
+
+    /// Begins a graceful shutdown, once.
+    fn shut_down(&mut self) {
+        let (now, longest_deadline) = (self.state.now(), self.state.longest_deadline());
+        if !self.state.lifecycle.shut_down(now, longest_deadline) {
+            return;
+        }
+        log::line(format_args!("shutting-down standing={}", self.state.requests.established().len()));
+        if let Some(quotas) = &mut self.state.requests.quotas {
+            quotas.go();
+        }
+        self.schedule_drain_steps();
+    }
+}
--- /dev/null
+++ b/src/node/startup.rs
@@ -0,0 +1,241 @@
+//! Start-up: first everything configured is read and checked, then everything is opened, in a fixed order.
+
+use super::clock::Clock;
+use super::configuration::Configuration;
+use super::signals::SignalSockets;
+use super::{Node, NodeState, Options, PrepareError, ServeError};
+use crate::admin::AdminServer;
+use crate::config::Config;
+use crate::discovery::{DiscoveryClient, EndpointRegistry};
+use crate::flow_export::FlowExport;
+use crate::front::{FrontFiles, FrontSetup, Fronts, ParsedFrontFiles, TimerEvent, TEXT_FRONT};
+use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
+use crate::hash::fnv1a;
+use crate::lifecycle::Lifecycle;
+use crate::log;
+use crate::net::{SocketOwner, SocketReactor, TimerWheel};
+use crate::quota::transport::LeaseTransport;
+use crate::quota::{self, QuotaAdmission};
+use crate::requests::RequestTable;
+use crate::vocabulary::Nanos;
+use sparbank_quota::Plan;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::path::Path;
+
+/// A node whose configuration has been read and checked, and which has opened nothing yet.
+pub struct PreparedNode {
+    configuration: Configuration,
+    front_files: FrontFiles,
+    flow_collector: Option<SocketAddr>,
+    quota_membership: Option<QuotaMembership>,
+    /// The clients' listening socket, where the platform passes it.
+    passed_listener: Option<OwnedFd>,
+}
+
+/// The plan of the fleet-wide quotas, and this node's index among its members.
+struct QuotaMembership {
+    plan: Plan,
+    member: usize,
+}
+
+impl PreparedNode {
+    /// Reads and checks all that is configured: it is valid, or nothing starts.
+    pub fn prepare(options: Options) -> Result<PreparedNode, PrepareError> {
+        let configuration = Configuration::read(&options.front_files)?;
+        let quota_membership = match &options.quota_file {
+            Some(file) => Some(load_quota_membership(file, &configuration.node)?),
+            None => None,
+        };
+        let passed_listener = handover::passed_listener()?;
+        Ok(PreparedNode {
+            configuration,
+            front_files: options.front_files,
+            flow_collector: options.flow_collector,
+            quota_membership,
+            passed_listener,
+        })
+    }
+
+    /// Starts the node and serves until it is told to stop.
+    pub fn serve(self) -> Result<(), ServeError> {
+        let (mut node, predecessor) = self.start()?;
+        node.run_balancer();
+        if let Some(snapshot) = predecessor {
+            node.restore_snapshot(&snapshot);
+        }
+        node.run()
+    }
+
+    /// Opens everything. Also returns the state of the predecessor, where there is one.
+    fn start(self) -> Result<(Node, Option<StateSnapshot>), ServeError> {
+        let Configuration { node: config, fronts: front_configs } = self.configuration;
+        let mut net = SocketReactor::new(config.max_descriptors).map_err(ServeError::Poll)?;
+        let signals = SignalSockets::register(&mut net).map_err(ServeError::Signals)?;
+        let mut startup = Startup::new(config, net)?;
+        let admin = startup.open_admin()?;
+        // What can fail without the predecessor's sockets is open: its state may be requested now.
+        let handover_path =
+            self.passed_listener.as_ref().and_then(|_| handover::socket_path(&startup.config.name));
+        let predecessor = startup.take_over_state(handover_path.as_deref());
+        if handover_path.is_some() {
+            startup.net.reserve_descriptors(handover::SUCCESSOR_DESCRIPTORS);
+        }
+        let mut fronts = Fronts::new();
+        startup.listen_for_clients(self.passed_listener)?;
+        startup.open_optional_fronts(&mut fronts, front_configs)?;
+        if let Some(admin) = &admin {
+            log::line(format_args!("operator listen={}", admin.listen));
+        }
+        let flow_export = startup.open_flow_export(self.flow_collector)?;
+        let clock = Clock::new();
+        let lease_transport = match self.quota_membership {
+            Some(membership) => Some(startup.join_fleet(membership, clock.now())?),
+            None => None,
+        };
+        let wheel = first_timers(&clock, lease_transport.is_some());
+        let handover = handover_path.map(|path| Handover::open(&mut startup.net, &path, predecessor.channel));
+        let Startup { config, net, requests, registry, discovery } = startup;
+        let lifecycle = Lifecycle::default();
+        let node = Node {
+            state: NodeState { clock, net, requests, registry, wheel, config, lifecycle },
+            fronts,
+            front_files: self.front_files,
+            discovery,
+            admin: admin.map(|admin| admin.server),
+            handover,
+            lease_transport,
+            flow_export,
+            signals,
+            drain_step_scheduled: false,
+        };
+        Ok((node, predecessor.snapshot))
+    }
+}
+
+fn load_quota_membership(file: &Path, config: &Config) -> Result<QuotaMembership, PrepareError> {
+    let loaded = quota::seat(file, &config.name, config.max_descriptors);
+    let (plan, member) = loaded.map_err(PrepareError::Quota)?;
+    Ok(QuotaMembership { plan, member })
+}
+
+/// The timers that run from the start on.
+fn first_timers(clock: &Clock, exchanges_leases: bool) -> TimerWheel<TimerEvent> {
+    let mut wheel = TimerWheel::new(clock.now());
+    wheel.schedule(clock.now(), TimerEvent::Tick);
+    if exchanges_leases {
+        wheel.schedule(clock.now(), TimerEvent::LeaseExchange);
+    }
+    wheel
+}
+
+/// What the steps of the start-up work on.
+struct Startup {
+    config: Config,
+    net: SocketReactor,
+    requests: RequestTable,
+    registry: EndpointRegistry,
+    discovery: DiscoveryClient,
+}
+
+/// The admin API, and where it listens.
+struct OpenedAdmin {
+    server: AdminServer,
+    listen: SocketAddr,
+}
+
+/// What is left to do of the handover from a predecessor; nothing where there is none.
+#[derive(Default)]
+struct Predecessor {
+    /// The balancer's state, to be restored once the node runs.
+    snapshot: Option<StateSnapshot>,
+    /// The socket over which connections come.
+    channel: Option<OwnedFd>,
+}
+
+impl Startup {
+    fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
+        let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
+        requests.trace.on = log::tracing();
+        let registry = EndpointRegistry::new(config.site.zones.clone());
+        let discovery = DiscoveryClient::new(config.discovery);
+        Ok(Startup { config, net, requests, registry, discovery })
+    }
+
+    fn open_admin(&mut self) -> Result<Option<OpenedAdmin>, ServeError> {
+        let Some(address) = self.config.admin_listen else { return Ok(None) };
+        match AdminServer::open(&mut self.net, address) {
+            Ok((server, listen)) => Ok(Some(OpenedAdmin { server, listen })),
+            Err(source) => Err(ServeError::AdminListen { address, source }),
+        }
+    }
+
+    /// Takes over the endpoint list, the watch and the listening sockets of a predecessor. Without one, the endpoint
+    /// list of the configuration is where the balancer starts from.
+    fn take_over_state(&mut self, handover_path: Option<&Path>) -> Predecessor {
+        let inherited = handover_path.and_then(|path| handover::request_state(path, &self.config.name));
+        let Some(PredecessorState { channel, snapshot, listening, watch }) = inherited else {
+            let event = self.registry.restore(&self.config.known_endpoints);
+            self.requests.push_event(event);
+            return Predecessor::default();
+        };
+        let list = &snapshot.endpoint_list;
+        let event = self.discovery.take_over(&mut self.net, &mut self.registry, list, watch);
+        self.requests.push_event(event);
+        self.net.inherit_listeners(listening);
+        Predecessor { snapshot: Some(snapshot), channel: Some(channel) }
+    }
+
+    /// Opens the platform's own front to clients.
+    fn listen_for_clients(&mut self, passed_listener: Option<OwnedFd>) -> Result<(), ServeError> {
+        let owner = SocketOwner::Front(TEXT_FRONT);
+        let listening = match passed_listener {
+            Some(socket) => self.net.register_listener(socket, owner),
+            None => self.net.listen(self.config.listen, owner),
+        };
+        let listen = listening.map_err(ServeError::Listen)?;
+        log::line(format_args!("started name={} listen={listen}", self.config.name));
+        Ok(())
+    }
+
+    fn open_optional_fronts(
+        &mut self,
+        fronts: &mut Fronts,
+        front_configs: ParsedFrontFiles,
+    ) -> Result<(), ServeError> {
+        for (which, front_config) in front_configs {
+            let setup =
+                FrontSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
+            let line = fronts.open(which, front_config, setup)?;
+            log::line(format_args!("{line}"));
+        }
+        Ok(())
+    }
+
+    fn open_flow_export(&mut self, collector: Option<SocketAddr>) -> Result<Option<FlowExport>, ServeError> {
+        let Some(collector) = collector else { return Ok(None) };
+        let domain = fnv1a(&self.config.name) as u32;
+        let export = FlowExport::new(self.config.listen.ip(), collector, domain);
+        let export = export.map_err(ServeError::FlowExport)?;
+        self.requests.flows = Some(Vec::new());
+        log::line(format_args!("ipfix collector={collector} domain={domain}"));
+        Ok(Some(export))
+    }
+
+    /// Opens the lease protocol's transport, and admits requests against the fleet-wide quotas from now on.
+    fn join_fleet(&mut self, membership: QuotaMembership, now: Nanos) -> Result<LeaseTransport, ServeError> {
+        let QuotaMembership { plan, member } = membership;
+        let transport = match LeaseTransport::open(&mut self.net, &plan, member, now) {
+            Ok(transport) => transport,
+            Err(source) => return Err(ServeError::LeaseTransport { member, source }),
+        };
+        match transport.grants_in(now) {
+            Some(wait) => log::line(format_args!("budgets seat={member} grants-in-ms={}", wait / 1_000_000)),
+            None => log::line(format_args!("budgets seat={member}")),
+        }
+        let classes: Vec<String> = self.config.site.classes.iter().map(|class| class.name.clone()).collect();
+        let max_retry_after = self.config.settings.max_retry_after;
+        self.requests.quotas = Some(QuotaAdmission::new(plan, member, now, &classes, max_retry_after));
+        Ok(transport)
+    }
+}
