--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -7,6 +7,8 @@
 mod channel;
 mod listener;
 mod message;
+#[cfg(test)]
+mod tests;
 
 pub use listener::passed_listener;
 pub use message::{Message, StateSnapshot};
--- /dev/null
+++ b/src/handover/tests.rs
@@ -0,0 +1,169 @@
+//! The messages that a process of version 00677b7 wrote are read and written byte for byte.
+//! `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
+
+use super::channel::FramedMessage;
+use super::message::{Message, Pieces, StateSnapshot};
+use crate::discovery::EndpointRegistry;
+use crate::net::Net;
+use crate::policy::Balancer;
+use crate::vocabulary::{Class, Discovery, Effect, Scope, Settings};
+use rstest::rstest;
+use std::fs::File;
+use std::os::fd::OwnedFd;
+use std::path::PathBuf;
+
+const SECOND: u64 = 1_000_000_000;
+
+/// A recorded message and the number of descriptors that came beside it.
+struct Recorded {
+    bytes: Vec<u8>,
+    descriptors: usize,
+}
+
+impl Recorded {
+    fn framed(&self) -> FramedMessage {
+        let descriptor = |_| OwnedFd::from(File::open("/dev/null").expect("a file"));
+        FramedMessage { bytes: self.bytes.clone(), fds: (0..self.descriptors).map(descriptor).collect() }
+    }
+
+    fn message(&self) -> Message {
+        let (message, fds) = Message::unpack(self.framed()).expect("a message of the older version");
+        assert_eq!(fds.len(), self.descriptors);
+        message
+    }
+}
+
+/// The messages of a recording, in the order in which they were sent.
+fn recording(name: &str) -> Vec<Recorded> {
+    let folder = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover-00677b7").join(name);
+    let manifest = std::fs::read_to_string(folder.join("MANIFEST.txt")).expect("a manifest");
+    let messages = manifest.lines().filter_map(|line| line.strip_prefix("message "));
+    messages
+        .map(|line| {
+            let (file, descriptors) = line.split_once(" descriptors=").expect("a file and a number");
+            let bytes = std::fs::read(folder.join(file)).expect("a recorded message");
+            Recorded { bytes, descriptors: descriptors.parse().expect("a number") }
+        })
+        .collect()
+}
+
+fn snapshot(name: &str) -> StateSnapshot {
+    let mut pieces = Pieces::default();
+    for recorded in recording(name) {
+        if let Message::State { piece } = recorded.message() {
+            pieces.add(&piece).expect("it fits");
+        }
+    }
+    pieces.whole().expect("the state is complete")
+}
+
+fn kind(message: &Message) -> &'static str {
+    match message {
+        Message::Take { .. } => "take",
+        Message::State { .. } => "state",
+        Message::Listener { .. } => "listener",
+        Message::Watch(..) => "watch",
+        Message::Whole => "whole",
+        Message::Ready => "ready",
+        Message::Connection { .. } => "connection",
+    }
+}
+
+#[rstest]
+#[case::established("established", &[("state", 1), ("listener", 1), ("watch", 1), ("whole", 1), ("connection", 7)])]
+#[case::drained("drained", &[("state", 2), ("listener", 1), ("watch", 1), ("whole", 1)])]
+fn each_recorded_message_is_read_and_written_as_it_was(
+    #[case] name: &str,
+    #[case] expected: &[(&'static str, usize)],
+) {
+    let recorded = recording(name);
+    let mut kinds = Vec::new();
+    for recorded in &recorded {
+        let message = recorded.message();
+        kinds.push(kind(&message));
+        let written = message.pack(Vec::new()).expect("it is written").bytes;
+        assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(&recorded.bytes));
+    }
+    let expected: Vec<_> =
+        expected.iter().flat_map(|(kind, count)| std::iter::repeat_n(*kind, *count)).collect();
+    assert_eq!(kinds, expected);
+}
+
+#[test]
+fn the_successors_own_messages_are_those_that_the_older_version_reads() {
+    let written = |message: Message| {
+        String::from_utf8(message.pack(Vec::new()).expect("it is written").bytes).expect("text")
+    };
+    let take = Message::Take { version: super::message::VERSION, name: "n1".to_string() };
+    assert_eq!(written(take), r#"{"Take":{"version":1,"name":"n1"}}"#);
+    assert_eq!(written(Message::Ready), r#""Ready""#);
+}
+
+#[rstest]
+#[case::established("established", false, 5, 23)]
+#[case::drained("drained", true, 120, 10)]
+fn the_recorded_state_is_reassembled_and_written_as_it_was(
+    #[case] name: &str,
+    #[case] is_drained: bool,
+    #[case] endpoints: usize,
+    #[case] open_descriptors: usize,
+) {
+    let snapshot = snapshot(name);
+    assert_eq!((snapshot.is_drained, snapshot.open_descriptors), (is_drained, open_descriptors));
+    let list = serde_json::to_value(&snapshot.endpoint_list).expect("a list");
+    assert_eq!(list["instances"].as_array().map(Vec::len), Some(endpoints));
+    let states = recording(name).into_iter().filter(|recorded| recorded.bytes.starts_with(b"{\"State\""));
+    let pieces = snapshot.pieces().expect("pieces");
+    let written: Vec<_> =
+        pieces.iter().map(|piece| piece.pack(Vec::new()).expect("it is written").bytes).collect();
+    assert!(written == states.map(|recorded| recorded.bytes).collect::<Vec<_>>(), "other pieces");
+}
+
+/// The settings of the node that was recorded, as far as the balancer's state depends on them.
+fn settings() -> Settings {
+    let class = Class {
+        objective: 3 * SECOND / 10,
+        hard_limit: 12 * SECOND / 10,
+        effect: Effect::ReadLike,
+        scope: Scope::All,
+        window: 0,
+        priority_weight: 2.0,
+        message_latency_objective: None,
+    };
+    Settings {
+        instances: 1,
+        zone: 0,
+        classes: vec![class],
+        discovery: Discovery::Polled,
+        weight_by_work: false,
+        max_attempts: 3,
+        may_cancel: true,
+        max_retry_after: 6 * SECOND / 10,
+        poll_within: 16 * SECOND / 10,
+        dial_timeout: SECOND / 4,
+        slow_start_floor: 0.12,
+        slow_start_duration: 23 * SECOND,
+        overload_multiple: 3.0,
+        overload_after: 2 * SECOND,
+        quota_connections: 0.0,
+        quota_setups_per_second: 0.0,
+        probes: false,
+    }
+}
+
+/// What the balancer restores it writes again to the last digit: nothing of it was left out.
+#[rstest]
+#[case::established("established")]
+#[case::drained("drained")]
+fn the_recorded_balancer_state_is_restored_whole(#[case] name: &str) {
+    let snapshot = snapshot(name);
+    let mut net = Net::new(8).expect("epoll");
+    let discovery = "127.0.0.1:9".parse().expect("an address");
+    let mut registry = EndpointRegistry::new(discovery, vec!["a".to_string()]);
+    let list = registry.take_over(&mut net, &snapshot.endpoint_list, None);
+    let mut balancer = Balancer::new(7, settings()).expect("valid settings");
+    balancer.handle(SECOND, list, &mut Vec::new());
+    assert_ne!(balancer.learned(), snapshot.balancer_state, "nothing is known yet");
+    balancer.learn(&snapshot.balancer_state).expect("it is read");
+    assert_eq!(balancer.learned(), snapshot.balancer_state);
+}
