--- /dev/null
+++ b/src/lifecycle/phases.rs
@@ -0,0 +1,156 @@
+//! The phases of a process and the moves between them. A phase has methods for its legal moves only: a process
+//! that shuts down cannot resume, and one that serves has nothing to resume from.
+
+use super::schedule::MigrationSchedule;
+use crate::vocabulary::Nanos;
+
+/// An operator's drain is complete this long after the call.
+const DRAIN_DURATION: Nanos = 4_000_000_000;
+/// SIGKILL follows SIGTERM after the longest request deadline and this.
+const KILL_DELAY_AFTER_DEADLINE: Nanos = 700_000_000;
+/// No more of the longest deadline counts than this: SIGKILL once came on a node that still counted on 3.7 s where
+/// the deadlines are 1.2 s.
+const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
+/// The process ends this long before SIGKILL, whether or not its clients have read their last line.
+const EXIT_BEFORE_KILL: Nanos = 100_000_000;
+/// A process whose successor serves waits for SIGTERM no longer than this.
+const MAX_WAIT_FOR_SIGTERM: Nanos = 10_000_000_000;
+
+/// When SIGKILL comes if SIGTERM comes now.
+fn kill_time(now: Nanos, longest_deadline: Nanos) -> Nanos {
+    now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
+}
+
+fn drain_schedule(now: Nanos) -> MigrationSchedule {
+    MigrationSchedule::until(now, now + DRAIN_DURATION)
+}
+
+/// Clients are accepted, and stay.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct Serving(());
+
+impl Serving {
+    pub(super) fn drain(self, now: Nanos) -> Draining {
+        Draining { schedule: drain_schedule(now) }
+    }
+
+    pub(super) fn hand_over(self, now: Nanos, longest_deadline: Nanos) -> HandedOver {
+        HandedOver {
+            schedule: MigrationSchedule::until(now, kill_time(now, longest_deadline)),
+            exit_at: now + MAX_WAIT_FOR_SIGTERM,
+            is_drained: false,
+        }
+    }
+
+    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+        let kill = kill_time(now, longest_deadline);
+        ShuttingDown {
+            schedule: MigrationSchedule::until(now, kill),
+            exit_by: kill - EXIT_BEFORE_KILL,
+            is_drained: false,
+            has_successor: false,
+        }
+    }
+}
+
+/// An operator has drained the node: clients are migrated until it is resumed.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Draining {
+    pub(super) schedule: MigrationSchedule,
+}
+
+impl Draining {
+    pub(super) fn resume(self) -> Serving {
+        Serving::default()
+    }
+
+    pub(super) fn hand_over(self, now: Nanos, longest_deadline: Nanos) -> HandedOver {
+        let handed_over = Serving::default().hand_over(now, longest_deadline);
+        HandedOver {
+            schedule: handed_over.schedule.or_earlier(self.schedule),
+            is_drained: true,
+            ..handed_over
+        }
+    }
+
+    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+        let shutting_down = Serving::default().shut_down(now, longest_deadline);
+        ShuttingDown {
+            schedule: shutting_down.schedule.or_earlier(self.schedule),
+            is_drained: true,
+            ..shutting_down
+        }
+    }
+}
+
+/// What a process does when its successor is gone.
+pub(super) enum WithoutSuccessor {
+    Serving(Serving),
+    Draining(Draining),
+}
+
+/// A successor serves. Connections are transferred to it, those that cannot be are migrated, and the process ends by
+/// itself if no SIGTERM comes.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HandedOver {
+    pub(super) schedule: MigrationSchedule,
+    /// The process ends then, once it is idle.
+    pub(super) exit_at: Nanos,
+    pub(super) is_drained: bool,
+}
+
+impl HandedOver {
+    pub(super) fn drain(self, now: Nanos) -> HandedOver {
+        HandedOver { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
+    }
+
+    pub(super) fn successor_lost(self, now: Nanos) -> WithoutSuccessor {
+        let serving = Serving::default();
+        if self.is_drained {
+            WithoutSuccessor::Draining(serving.drain(now))
+        } else {
+            WithoutSuccessor::Serving(serving)
+        }
+    }
+
+    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+        let shutting_down = Serving::default().shut_down(now, longest_deadline);
+        ShuttingDown {
+            schedule: shutting_down.schedule.or_earlier(self.schedule),
+            is_drained: self.is_drained,
+            has_successor: true,
+            ..shutting_down
+        }
+    }
+}
+
+/// SIGTERM has come: the process ends before SIGKILL.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ShuttingDown {
+    pub(super) schedule: MigrationSchedule,
+    /// The process ends no later than this.
+    pub(super) exit_by: Nanos,
+    pub(super) is_drained: bool,
+    /// A successor serves: nothing new comes here.
+    pub(super) has_successor: bool,
+}
+
+impl ShuttingDown {
+    pub(super) fn drain(self, now: Nanos) -> ShuttingDown {
+        ShuttingDown { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
+    }
+
+    pub(super) fn hand_over(self) -> ShuttingDown {
+        ShuttingDown { has_successor: true, ..self }
+    }
+
+    pub(super) fn successor_lost(self) -> ShuttingDown {
+        ShuttingDown { has_successor: false, ..self }
+    }
+
+    /// Whether the process is to end now.
+    pub(super) fn should_exit(&self, now: Nanos, idle: bool) -> bool {
+        let nothing_more_comes = self.has_successor || self.schedule.is_over(now);
+        now >= self.exit_by || (idle && nothing_more_comes)
+    }
+}
--- /dev/null
+++ b/src/lifecycle/tests.rs
@@ -0,0 +1,133 @@
+//! The times of drain, shutdown and handover, and their crossings.
+
+use super::{Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
+use crate::vocabulary::Nanos;
+use rstest::rstest;
+
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+
+/// Runs the steps from a time on, and gives the time until the last client was migrated.
+fn time_to_migrate(lifecycle: &Lifecycle, from: Nanos, mut established: usize) -> Nanos {
+    let mut now = from;
+    while established > 0 {
+        now += MIGRATION_STEP_INTERVAL;
+        let step = lifecycle.migration_step(now, established).expect("clients are migrated");
+        assert!(step.migrations <= established && now < from + 10 * SECOND);
+        established -= step.migrations;
+    }
+    now - from
+}
+
+#[rstest]
+#[case(1)]
+#[case(40)]
+#[case(1_000)]
+#[case(100_000)]
+fn a_drain_migrates_evenly_and_completes_before_its_end(#[case] established: usize) {
+    let mut lifecycle = Lifecycle::default();
+    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(SECOND, established).is_none());
+    assert!(lifecycle.drain(SECOND) && !lifecycle.accepts_clients());
+    assert_eq!(
+        lifecycle.migration_step(SECOND + 299 * MILLISECOND, established),
+        Some(MigrationStep::default()),
+        "migrated clients would come back"
+    );
+    let took = time_to_migrate(&lifecycle, SECOND, established);
+    assert!(took <= 3_600 * MILLISECOND, "{took}");
+    let half = lifecycle.migration_step(SECOND + 2 * SECOND, established).expect("a step").migrations;
+    assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
+    assert!(!lifecycle.should_exit(100 * SECOND, true), "a drained process stays");
+    // A client that is established later is migrated at the next step.
+    assert_eq!(
+        lifecycle.migration_step(60 * SECOND, 7),
+        Some(MigrationStep {
+            started: true,
+            migrations: 7,
+            abandon_before: Some(SECOND + 3_600 * MILLISECOND)
+        })
+    );
+}
+
+#[test]
+fn a_second_drain_changes_nothing_and_resume_ends_a_drain_at_any_point() {
+    let mut lifecycle = Lifecycle::default();
+    assert_eq!(lifecycle.resume(), Ok(false));
+    assert!(lifecycle.drain(SECOND));
+    let before = lifecycle;
+    assert!(!lifecycle.drain(3 * SECOND));
+    assert_eq!(lifecycle, before);
+    assert_eq!(lifecycle.resume(), Ok(true));
+    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(4 * SECOND, 9).is_none());
+    assert!(lifecycle.drain(10 * SECOND));
+    assert_eq!(
+        lifecycle.migration_step(10 * SECOND, 9),
+        Some(MigrationStep::default()),
+        "a new drain has its own schedule"
+    );
+}
+
+#[rstest]
+// After SIGTERM at 1 s the process ends at 2.8 s; a drain at 1 s has migrated all clients at 4.6 s.
+#[case::sigterm_in_a_drain(SECOND, 2 * SECOND, 2_500 * MILLISECOND + SECOND)]
+#[case::sigterm_long_after_a_drain(SECOND, 20 * SECOND, 4_600 * MILLISECOND)]
+#[case::drain_after_sigterm(5 * SECOND, SECOND, 2_500 * MILLISECOND)]
+fn of_drain_and_sigterm_the_earlier_end_counts(
+    #[case] drain: Nanos,
+    #[case] sigterm: Nanos,
+    #[case] migrated_by: Nanos,
+) {
+    let mut lifecycle = Lifecycle::default();
+    if drain < sigterm {
+        assert!(lifecycle.drain(drain) && lifecycle.shut_down(sigterm, 1_200 * MILLISECOND));
+    } else {
+        assert!(lifecycle.shut_down(sigterm, 1_200 * MILLISECOND) && lifecycle.drain(drain));
+    }
+    assert!(!lifecycle.shut_down(sigterm + 1, 0) && !lifecycle.accepts_clients());
+    assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
+    assert!(!lifecycle.should_exit(migrated_by - 1, true));
+    assert!(lifecycle.should_exit(migrated_by.max(sigterm), true));
+    assert!(
+        !lifecycle.should_exit(sigterm + 1_799 * MILLISECOND, false)
+            && lifecycle.should_exit(sigterm + 1_800 * MILLISECOND, false)
+    );
+}
+
+#[rstest]
+#[case::serving(false)]
+#[case::drained(true)]
+fn with_a_successor_sigterm_ends_the_process_and_losing_it_restores_the_phase(#[case] drained: bool) {
+    let mut lifecycle = Lifecycle::default();
+    if drained {
+        lifecycle.drain(SECOND);
+    }
+    lifecycle.hand_over(2 * SECOND, 1_200 * MILLISECOND);
+    assert_eq!((lifecycle.accepts_clients(), lifecycle.is_shutting_down()), (!drained, true));
+    assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
+    // What cannot be transferred is migrated, and the process waits for SIGTERM for a bounded time.
+    assert!(time_to_migrate(&lifecycle, 2 * SECOND, 100) <= 1_500 * MILLISECOND);
+    assert!(!lifecycle.should_exit(11 * SECOND, true) && lifecycle.should_exit(12 * SECOND, true));
+    let mut alone = lifecycle;
+    alone.successor_lost(3 * SECOND);
+    assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
+    assert!(!alone.should_exit(60 * SECOND, true));
+    assert!(lifecycle.shut_down(3 * SECOND, 1_200 * MILLISECOND));
+    assert!(lifecycle.should_exit(3 * SECOND, true), "nothing new comes");
+    assert!(!lifecycle.should_exit(4 * SECOND, false) && lifecycle.should_exit(4_800 * MILLISECOND, false));
+    // The successor dies after SIGTERM: what comes until the end is served here again.
+    lifecycle.successor_lost(3_100 * MILLISECOND);
+    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(3_200 * MILLISECOND, true));
+}
+
+#[rstest]
+#[case(1_200 * MILLISECOND, 1_900 * MILLISECOND)]
+#[case(60 * SECOND, 3_700 * MILLISECOND)]
+fn sigterm_answers_and_migrates_before_sigkill(#[case] longest: Nanos, #[case] kill: Nanos) {
+    let mut lifecycle = Lifecycle::default();
+    assert!(lifecycle.shut_down(SECOND, longest) && lifecycle.accepts_clients(), "arrivals still come");
+    assert!(time_to_migrate(&lifecycle, SECOND, 500) <= kill - 400 * MILLISECOND);
+    let abandon_before =
+        |ms| lifecycle.migration_step(SECOND + kill - ms * MILLISECOND, 0).expect("a step").abandon_before;
+    assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(Nanos::MAX)));
+    assert!(lifecycle.should_exit(SECOND + kill - 100 * MILLISECOND, false));
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -524,8 +524,10 @@
         if step.started {
             fronts!(self, leave);
         }
-        for command in self.requests.abandon(now, step.abandon_before) {
-            self.carry_out(now, command);
+        if let Some(abandon_before) = step.abandon_before {
+            for command in self.requests.abandon(now, abandon_before) {
+                self.carry_out(now, command);
+            }
         }
         for request_id in standing.into_iter().take(step.migrations) {
             if let Some(id) = self.requests.moved(now, request_id, Outcome::Cancelled) {
