--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -83,7 +83,7 @@
     }
 
     /// A successor serves: connections are transferred to it, and those that cannot be are migrated before SIGKILL
-    /// could come if SIGTERM came now. `longest_deadline` is that of all request classes.
+    /// could follow if SIGTERM arrived now. `longest_deadline` is that of all request classes.
     pub fn hand_over(&mut self, now: Nanos, longest_deadline: Nanos) {
         *self = match *self {
             Lifecycle::Serving(serving) => Lifecycle::HandedOver(serving.hand_over(now, longest_deadline)),
@@ -119,7 +119,7 @@
     }
 
     /// Whether the load balancer in front of the nodes is to send clients here: what `PING` asks. SIGTERM alone
-    /// does not change it, since clients still come until the platform has noticed.
+    /// does not change it, since clients still arrive until the platform has noticed.
     pub fn accepts_clients(&self) -> bool {
         match self {
             Lifecycle::Serving(_) => true,
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -8,7 +8,7 @@
 const DRAIN_DURATION: Nanos = 4_000_000_000;
 /// SIGKILL follows SIGTERM after the longest request deadline and this.
 const KILL_DELAY_AFTER_DEADLINE: Nanos = 700_000_000;
-/// No more of the longest deadline counts than this: SIGKILL once came on a node that still counted on 3.7 s where
+/// No more of the longest deadline counts than this: SIGKILL once ended a node that still counted on 3.7 s where
 /// the deadlines are 1.2 s.
 const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
 /// The process ends this long before SIGKILL, whether or not its clients have read their last line.
@@ -16,7 +16,7 @@
 /// A process whose successor serves waits for SIGTERM no longer than this.
 const MAX_WAIT_FOR_SIGTERM: Nanos = 10_000_000_000;
 
-/// When SIGKILL comes if SIGTERM comes now.
+/// When SIGKILL follows if SIGTERM arrives now.
 fn kill_time(now: Nanos, longest_deadline: Nanos) -> Nanos {
     now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
 }
