--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,14 +1,14 @@
 //! The second address: operators' calls over HTTP/1.1, one to a connection, on the loop.
 //!
-//! Callers have descriptors of their own ([`Net::listen_reserved`]), so that no crowd of clients takes
+//! Callers have descriptors of their own ([`SocketReactor::listen_with_reserve`]), so that no crowd of clients takes
 //! them; among callers the longest idle makes room. What a call does is the loop's to say.
 
 mod call;
 
 pub use call::{AdminCall, Response};
 
-use crate::front::Due;
-use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::front::TimerEvent;
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::vocabulary::Nanos;
 use call::Head;
 use std::collections::HashSet;
@@ -38,8 +38,8 @@
 
 impl AdminServer {
     /// Listens there; says where.
-    pub fn open(net: &mut Net, at: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
-        let at = net.listen_reserved(at, Owner::Admin, MOST_CALLERS)?;
+    pub fn open(net: &mut SocketReactor, at: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
+        let at = net.listen_with_reserve(at, SocketOwner::Admin, MOST_CALLERS)?;
         Ok((AdminServer { callers: HashSet::new(), counts: CallCounts::default() }, at))
     }
 
@@ -47,36 +47,36 @@
     pub fn on_socket_event(
         &mut self,
         now: Nanos,
-        net: &mut Net,
-        wheel: &mut Wheel<Due>,
-        notice: Notice,
+        net: &mut SocketReactor,
+        wheel: &mut TimerWheel<TimerEvent>,
+        notice: SocketEvent,
     ) -> Option<AdminCall> {
         let token = notice.token;
         match notice.kind {
-            Kind::Accepted => {
+            SocketEventKind::Accepted => {
                 self.callers.insert(token);
-                wheel.at(now + WHOLE_WITHIN, Due::Admin(token));
+                wheel.schedule(now + WHOLE_WITHIN, TimerEvent::AdminTimeout(token));
                 None
             }
-            Kind::Evicted => {
+            SocketEventKind::Evicted => {
                 self.on_incomplete(token);
                 None
             }
-            Kind::Broken(_) | Kind::Overdue => {
+            SocketEventKind::Failed { .. } | SocketEventKind::HandshakeTimeout => {
                 self.on_incomplete(token);
                 net.close(token);
                 None
             }
-            Kind::Readable | Kind::Drained => self.read(net, token),
+            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read(net, token),
         }
     }
 
-    fn read(&mut self, net: &mut Net, token: Token) -> Option<AdminCall> {
+    fn read(&mut self, net: &mut SocketReactor, token: Token) -> Option<AdminCall> {
         if !self.callers.contains(&token) {
             return None;
         }
-        let at_end = net.at_end(token);
-        let bytes = net.input(token)?;
+        let at_end = net.is_read_closed(token);
+        let bytes = net.input_buffer(token)?;
         match call::read(bytes) {
             Head::AdminCall(call) => return Some(call),
             Head::Wrong(answer) => self.respond(net, token, &answer),
@@ -85,20 +85,20 @@
                 net.close(token);
             }
             Head::More if at_end => self.respond(net, token, &Response::new(400, "half a call")),
-            Head::More => net.rearm(token),
+            Head::More => net.update_interest(token),
         }
         None
     }
 
     /// The time for a call is over.
-    pub fn on_timeout(&mut self, net: &mut Net, token: Token) {
+    pub fn on_timeout(&mut self, net: &mut SocketReactor, token: Token) {
         if self.callers.contains(&token) {
             self.respond(net, token, &Response::new(408, "no whole call came"));
         }
     }
 
     /// Answers a call and ends its connection.
-    pub fn respond(&mut self, net: &mut Net, token: Token, answer: &Response) {
+    pub fn respond(&mut self, net: &mut SocketReactor, token: Token, answer: &Response) {
         self.callers.remove(&token);
         let count = if answer.is_success() { &mut self.counts.succeeded } else { &mut self.counts.failed };
         *count += 1;
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -3,8 +3,11 @@
 //! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
 //! Only whole lines go to a client, so that `MOVE` can always follow.
 
-use super::{Ctx, Due, Front, TransferredConnection, ANSWER_MARGIN, TEXT};
-use crate::net::{Flow, Kind, Notice, Owner, Token, SLOW};
+use super::{Front, FrontContext, TimerEvent, TransferredConnection, ANSWER_MARGIN, TEXT_FRONT};
+use crate::net::{
+    BufferedConnection, SocketEvent, SocketEventKind, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES,
+};
+use crate::requests::HandedOverConnection;
 use crate::vocabulary::*;
 use first_line::{FirstLine, Open};
 use probe::{Ask, Probes, PROBE_WAIT, STATS};
@@ -51,7 +54,7 @@
 }
 
 impl Session {
-    fn trace(&self, what: &str, ctx: &Ctx) {
+    fn trace(&self, what: &str, ctx: &FrontContext) {
         if crate::log::tracing() {
             let (request_id, open) = (self.request_id.map_or(0, |request_id| request_id.0), &self.open);
             let server = self.server.and_then(|server| ctx.registry.entry(server)).map_or("-", |r| r.name());
@@ -67,7 +70,7 @@
 #[derive(Debug, Deserialize, Serialize)]
 enum Passed {
     /// Accepted; so many questions.
-    Fresh(u32, Flow),
+    Fresh(u32, BufferedConnection),
     /// It stands.
     Standing {
         line: String,
@@ -78,8 +81,8 @@
         last: Ending,
         load: Option<Nanos>,
         #[serde(rename = "terminal")]
-        client: Flow,
-        task: Flow,
+        client: BufferedConnection,
+        task: BufferedConnection,
     },
 }
 
@@ -124,16 +127,16 @@
 
     // ---- The client's side -------------------------------------------------------------------
 
-    fn fresh(&mut self, ctx: &mut Ctx, token: Token) {
-        while let Some(input) = ctx.net.input(token) {
+    fn fresh(&mut self, ctx: &mut FrontContext, token: Token) {
+        while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
-                Line::None if ctx.net.at_end(token) => {
+                Line::None if ctx.net.is_read_closed(token) => {
                     self.sides.remove(&token);
                     return ctx.net.close(token);
                 }
                 Line::None => return,
                 Line::TooLong => return self.malformed(ctx, token),
-                Line::Whole(line) => match FirstLine::parse(&line, ctx.facts, ctx.classes) {
+                Line::Whole(line) => match FirstLine::parse(&line, ctx.site, ctx.classes) {
                     Some(FirstLine::Ping) => {
                         // Each answer is held until it is read: a flood of questions is held back.
                         match self.sides.get_mut(&token) {
@@ -141,7 +144,7 @@
                             _ => return self.malformed(ctx, token),
                         }
                         // What is not PONG tells the front that deals clients out to send none here.
-                        let word: &[u8] = if ctx.takes_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
+                        let word: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
                         ctx.net.send(token, word);
                     }
                     Some(FirstLine::Open(open)) => return self.open(ctx, token, open),
@@ -152,7 +155,7 @@
     }
 
     /// Nothing that a server could use: the answer is given here, at once.
-    fn malformed(&mut self, ctx: &mut Ctx, token: Token) {
+    fn malformed(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.requests.counters.malformed += 1;
         self.answer(ctx, token, b"ERR\r\n");
     }
@@ -160,11 +163,11 @@
     /// A connection on which no request has come: it is ended. What arrives in that instant is answered, one way
     /// or the other: a whole line that is there is taken, and to one that is still to come the answer is there
     /// already.
-    fn end_resting(&mut self, ctx: &mut Ctx, token: Token) {
-        ctx.net.look(token);
+    fn end_resting(&mut self, ctx: &mut FrontContext, token: Token) {
+        ctx.net.read_available(token);
         self.fresh(ctx, token);
         if let Some(Side::Fresh(pings)) = self.sides.get(&token) {
-            ctx.requests.counters.silent += 1;
+            ctx.requests.counters.idle_closed += 1;
             // Whoever asked whether the node is there has had its answer.
             if *pings == 0 {
                 ctx.net.send(token, b"BUSY\r\n");
@@ -174,20 +177,20 @@
         }
     }
 
-    fn open(&mut self, ctx: &mut Ctx, token: Token, open: Open) {
+    fn open(&mut self, ctx: &mut FrontContext, token: Token, open: Open) {
         // The id of another's open request, or more after the one line, after which a client waits:
         // servers close on the one and cannot use the other.
-        let more = ctx.net.input(token).is_some_and(|input| !input.is_empty());
+        let more = ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty());
         if more || self.ids.contains(&open.id) {
             return self.malformed(ctx, token);
         }
-        ctx.net.prove(token);
+        ctx.net.mark_handshake_complete(token);
         // The process is about to end: nothing that is sent on now would be answered from there.
-        if ctx.closing && open.at.is_none() {
+        if ctx.shutting_down && open.at.is_none() {
             return self.answer(ctx, token, b"BUSY\r\n");
         }
-        if !ctx.net.make_room() {
-            ctx.requests.counters.over_budget += 1;
+        if !ctx.net.reclaim_descriptors() {
+            ctx.requests.counters.capacity_rejected += 1;
             return self.answer(ctx, token, b"BUSY 500\r\n");
         }
         let arrival = arrival(&open);
@@ -201,7 +204,7 @@
         match at {
             Some(name) => self.restore(ctx, token, &name),
             None => {
-                let request_id = ctx.requests.arrive(ctx.now, TEXT, arrival);
+                let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONT, arrival);
                 self.clients.insert(request_id, token);
                 if let Some(session) = self.sessions.get_mut(&token) {
                     session.request_id = Some(request_id);
@@ -213,33 +216,39 @@
     }
 
     /// A connection open since before the run: it goes to the server that held it, not to a placement.
-    fn restore(&mut self, ctx: &mut Ctx, token: Token, name: &str) {
-        let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
+    fn restore(&mut self, ctx: &mut FrontContext, token: Token, name: &str) {
+        let Some(server) = ctx.registry.id_of(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
-        ctx.wheel.at(ctx.now + wait.saturating_sub(ANSWER_MARGIN), Due::Timer(TEXT, token));
+        ctx.wheel.schedule(
+            ctx.now + wait.saturating_sub(ANSWER_MARGIN),
+            TimerEvent::FrontTimer(TEXT_FRONT, token),
+        );
         if !self.dial(ctx, token, server, wait) {
             self.answer(ctx, token, b"ERR\r\n");
         }
     }
 
     /// Connects to a server and sends it the client's line.
-    fn dial(&mut self, ctx: &mut Ctx, client: Token, server: ServerId, wait: Nanos) -> bool {
+    fn dial(&mut self, ctx: &mut FrontContext, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
-        let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
-        let Ok(task) = ctx.net.connect(addr, Owner::Front(TEXT)) else { return false };
+        let Some(addr) = ctx.registry.entry(server).map(|r| r.address()) else { return false };
+        let Ok(task) = ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(TEXT, task));
+        ctx.wheel.schedule(
+            ctx.now + ctx.site.limits.dial_timeout_ns,
+            TimerEvent::ConnectTimeout(TEXT_FRONT, task),
+        );
         session.task = Some(task);
         session.server = Some(server);
         self.sides.insert(task, Side::Task(client));
         true
     }
 
-    fn client(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
+    fn client(&mut self, ctx: &mut FrontContext, token: Token, broken: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         if let (true, Some(task)) = (session.up, session.task) {
-            if ctx.net.unwritten(task) < SLOW {
-                let bytes = ctx.net.input(token).map(std::mem::take).unwrap_or_default();
+            if ctx.net.pending_output_bytes(task) < OUTPUT_HIGH_WATERMARK_BYTES {
+                let bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
                 if bytes.contains(&b'\n') {
                     session.asked.get_or_insert(ctx.now);
                 }
@@ -248,34 +257,35 @@
             if broken {
                 return self.end(ctx, token, Outcome::Cancelled, true);
             }
-            if ctx.net.at_end(token) && ctx.net.input(token).is_none_or(|left| left.is_empty()) {
-                ctx.net.finish(task);
-                ctx.wheel.at(ctx.now + HALF_OPEN, Due::Timer(TEXT, token));
+            if ctx.net.is_read_closed(token) && ctx.net.input_buffer(token).is_none_or(|left| left.is_empty())
+            {
+                ctx.net.shutdown_write(task);
+                ctx.wheel.schedule(ctx.now + HALF_OPEN, TimerEvent::FrontTimer(TEXT_FRONT, token));
             }
-        } else if ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
+        } else if ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
             // It waits for UP and may say nothing before it: nobody could say what its lines belong to.
             if let Some(request_id) = session.request_id {
-                ctx.requests.left(ctx.now, request_id);
+                ctx.requests.on_client_disconnected(ctx.now, request_id);
             }
             self.malformed(ctx, token);
-        } else if broken || ctx.net.at_end(token) {
+        } else if broken || ctx.net.is_read_closed(token) {
             // It gave up. Its line is owed an answer as long as anyone may read one.
             if let Some(request_id) = session.request_id {
-                ctx.requests.left(ctx.now, request_id);
+                ctx.requests.on_client_disconnected(ctx.now, request_id);
             }
             self.answer(ctx, token, b"BUSY\r\n");
         }
     }
 
     /// The final answer of a client that has none, and its end.
-    fn answer(&mut self, ctx: &mut Ctx, token: Token, answer: &[u8]) {
+    fn answer(&mut self, ctx: &mut FrontContext, token: Token, answer: &[u8]) {
         ctx.net.send(token, answer);
         self.forget(ctx, token);
         ctx.net.close(token);
     }
 
     /// Drops what is known of a client, and its attempt.
-    fn forget(&mut self, ctx: &mut Ctx, token: Token) {
+    fn forget(&mut self, ctx: &mut FrontContext, token: Token) {
         self.sides.remove(&token);
         if let Some(session) = self.sessions.remove(&token) {
             session.trace("over", ctx);
@@ -291,25 +301,25 @@
 
     /// Ends the attempt's connection. What is left of a first line must not go out any more: whole, it would
     /// be an attempt.
-    fn end_task(&mut self, ctx: &mut Ctx, task: Token, up: bool) {
+    fn end_task(&mut self, ctx: &mut FrontContext, task: Token, up: bool) {
         self.sides.remove(&task);
-        if !up && ctx.net.unwritten(task) > 0 {
-            ctx.net.abandon(task);
+        if !up && ctx.net.pending_output_bytes(task) > 0 {
+            ctx.net.close_without_flush(task);
         } else {
             ctx.net.close(task);
         }
     }
 
     /// A standing connection is over: both sides end, the same way.
-    fn end(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    fn end(&mut self, ctx: &mut FrontContext, client: Token, outcome: Outcome, by_reset: bool) {
         let Some(session) = self.sessions.get(&client) else { return };
         if let Some(request_id) = session.request_id {
-            ctx.requests.task_ended(ctx.now, request_id, outcome);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
         }
         let task = session.task;
         if by_reset {
             for token in [Some(client), task].into_iter().flatten() {
-                if ctx.net.unwritten(token) == 0 {
+                if ctx.net.pending_output_bytes(token) == 0 {
                     ctx.net.reset(token);
                 }
             }
@@ -321,8 +331,8 @@
     // ---- Probes --------------------------------------------------------------------------------
 
     /// Lines on a probe connection: each answers the probe out on it, if any.
-    fn probed(&mut self, ctx: &mut Ctx, token: Token, broken: bool) {
-        while let Some(input) = ctx.net.input(token) {
+    fn probed(&mut self, ctx: &mut FrontContext, token: Token, broken: bool) {
+        while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
                 Line::None => break,
                 Line::TooLong => return self.end_probe(ctx, token),
@@ -337,35 +347,35 @@
                     };
                     let name = ctx.registry.entry(server).map_or("?", |r| r.name());
                     crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
-                    ctx.requests.tell(Event::HealthCheckResult { server, over });
+                    ctx.requests.push_event(Event::HealthCheckResult { server, utilization: over });
                 }
             }
         }
-        if broken || ctx.net.at_end(token) {
+        if broken || ctx.net.is_read_closed(token) {
             self.end_probe(ctx, token);
         }
     }
 
     /// A probe connection is over: the probe out on it, if any, found nothing.
-    fn end_probe(&mut self, ctx: &mut Ctx, token: Token) {
+    fn end_probe(&mut self, ctx: &mut FrontContext, token: Token) {
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
-            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+            ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
         }
     }
 
     // ---- The server's side ---------------------------------------------------------------------
 
-    fn task(&mut self, ctx: &mut Ctx, client: Token, task: Token, broken: Option<bool>) {
+    fn task(&mut self, ctx: &mut FrontContext, client: Token, task: Token, broken: Option<bool>) {
         while let Some(session) = self.sessions.get_mut(&client) {
             if session.task != Some(task) {
                 break;
             }
-            if session.up && ctx.net.unwritten(client) >= SLOW {
+            if session.up && ctx.net.pending_output_bytes(client) >= OUTPUT_HIGH_WATERMARK_BYTES {
                 return;
             }
-            let Some(input) = ctx.net.input(task) else { break };
+            let Some(input) = ctx.net.input_buffer(task) else { break };
             match take_line(input) {
                 Line::Whole(line) if session.up => pass(ctx, session, &mut self.delays, client, &line),
                 Line::Whole(line) => self.first_answer(ctx, client, &line),
@@ -381,12 +391,12 @@
         }
         let up = self.sessions.get(&client).is_some_and(|s| s.up);
         match broken {
-            None if ctx.net.at_end(task) => {
+            None if ctx.net.is_read_closed(task) => {
                 if up {
-                    let rest = ctx.net.input(task).map(std::mem::take).unwrap_or_default();
+                    let rest = ctx.net.input_buffer(task).map(std::mem::take).unwrap_or_default();
                     ctx.net.send(client, &rest);
                 }
-                let written = ctx.net.unwritten(task) == 0;
+                let written = ctx.net.pending_output_bytes(task) == 0;
                 self.over(ctx, client, if written { Outcome::Reset } else { Outcome::ConnectFailed }, false);
             }
             None if up => self.client(ctx, client, false),
@@ -397,14 +407,15 @@
         }
     }
 
-    fn first_answer(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+    fn first_answer(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let word = line.split(|b| b.is_ascii_whitespace()).next().unwrap_or(b"");
         if word == b"UP" {
             match (session.request_id, session.server) {
-                (Some(request_id), _) => ctx.requests.up(ctx.now, request_id),
+                (Some(request_id), _) => ctx.requests.on_established(ctx.now, request_id),
                 (None, Some(server)) => {
-                    let request_id = ctx.requests.resume(ctx.now, TEXT, arrival(&session.open), server);
+                    let request_id =
+                        ctx.requests.restore_established(ctx.now, TEXT_FRONT, arrival(&session.open), server);
                     session.request_id = Some(request_id);
                     self.clients.insert(request_id, client);
                 }
@@ -428,14 +439,14 @@
     }
 
     /// The attempt is over, before or after it stood.
-    fn over(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    fn over(&mut self, ctx: &mut FrontContext, client: Token, outcome: Outcome, by_reset: bool) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         if session.up {
             return match session.last {
                 Ending::Bye => self.end(ctx, client, Outcome::Ok, false),
                 Ending::Moved => self.end(ctx, client, Outcome::Cancelled, false),
                 // The client ended first; the server follows.
-                Ending::Broken if ctx.net.at_end(client) => {
+                Ending::Broken if ctx.net.is_read_closed(client) => {
                     self.end(ctx, client, Outcome::Cancelled, by_reset)
                 }
                 Ending::Broken => self.end(ctx, client, Outcome::Reset, by_reset),
@@ -444,14 +455,14 @@
         self.drop_task(ctx, client);
         match self.sessions.get(&client).and_then(|s| s.request_id) {
             Some(request_id) => {
-                ctx.requests.task_ended(ctx.now, request_id, outcome);
+                ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
             }
             None if outcome == Outcome::Rejected => self.answer(ctx, client, b"BUSY\r\n"),
             None => self.answer(ctx, client, b"ERR\r\n"),
         }
     }
 
-    fn drop_task(&mut self, ctx: &mut Ctx, client: Token) {
+    fn drop_task(&mut self, ctx: &mut FrontContext, client: Token) {
         if let Some(session) = self.sessions.get_mut(&client) {
             if let Some(task) = session.task.take() {
                 let up = session.up;
@@ -463,8 +474,11 @@
     // ---- From one process to the next ----------------------------------------------------------
 
     /// Whether a connection can go on in another process as it is.
-    fn can_pass(&self, ctx: &Ctx, client: Token) -> bool {
-        let goes = |token: Token| ctx.net.can_release(token) && ctx.net.unwritten(token) < 2 * SLOW;
+    fn can_pass(&self, ctx: &FrontContext, client: Token) -> bool {
+        let goes = |token: Token| {
+            ctx.net.can_transfer(token)
+                && ctx.net.pending_output_bytes(token) < 2 * OUTPUT_HIGH_WATERMARK_BYTES
+        };
         match (self.sides.get(&client), self.sessions.get(&client)) {
             (Some(Side::Fresh(_)), _) => goes(client),
             (Some(Side::Client), Some(s)) => s.up && goes(client) && s.task.is_some_and(goes),
@@ -472,9 +486,9 @@
         }
     }
 
-    fn pack(&mut self, ctx: &mut Ctx, token: Token) -> Option<TransferredConnection> {
+    fn pack(&mut self, ctx: &mut FrontContext, token: Token) -> Option<TransferredConnection> {
         let side = self.sides.remove(&token)?;
-        let (fd, client) = ctx.net.release(token)?;
+        let (fd, client) = ctx.net.export_connection(token)?;
         let Some(session) = self.sessions.get_mut(&token) else {
             let Side::Fresh(pings) = side else { return None };
             let text = serde_json::to_string(&Passed::Fresh(pings, client)).ok()?;
@@ -482,43 +496,53 @@
         };
         let (task_fd, task) = session.task.take().and_then(|task| {
             self.sides.remove(&task);
-            ctx.net.release(task)
+            ctx.net.export_connection(task)
         })?;
         let (line, asked, last, load) =
             (session.open.line().to_string(), session.asked, session.last, session.load);
         let server = session.server.and_then(|server| ctx.registry.entry(server))?.name().to_string();
-        let began = session.request_id.and_then(|request_id| ctx.requests.passed_on(request_id))?;
+        let began = session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?;
         self.forget(ctx, token);
         let passed = Passed::Standing { line, server, began, asked, last, load, client, task };
         Some(TransferredConnection { text: serde_json::to_string(&passed).ok()?, fds: vec![fd, task_fd] })
     }
 
-    fn unpack(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) -> Option<()> {
+    fn unpack(
+        &mut self,
+        ctx: &mut FrontContext,
+        transferred_connection: TransferredConnection,
+    ) -> Option<()> {
         let mut fds = transferred_connection.fds.into_iter();
         let mut fd = || fds.next();
         match serde_json::from_str(&transferred_connection.text).ok()? {
             Passed::Fresh(pings, client) => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
+                let token = ctx.net.import_connection(fd()?, client, SocketOwner::Front(TEXT_FRONT)).ok()?;
                 self.sides.insert(token, Side::Fresh(pings));
                 self.fresh(ctx, token);
-                ctx.net.rearm(token);
+                ctx.net.update_interest(token);
             }
             Passed::Standing { line, server, began, asked, last, load, client, task } => {
-                let token = ctx.net.receive(fd()?, client, Owner::Front(TEXT)).ok()?;
-                let task = ctx.net.receive(fd()?, task, Owner::Front(TEXT)).ok()?;
-                let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
+                let token = ctx.net.import_connection(fd()?, client, SocketOwner::Front(TEXT_FRONT)).ok()?;
+                let task = ctx.net.import_connection(fd()?, task, SocketOwner::Front(TEXT_FRONT)).ok()?;
+                let open = match FirstLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
-                let (Some(open), Some(server)) = (open, ctx.registry.named(&server)) else {
+                let (Some(open), Some(server)) = (open, ctx.registry.id_of(&server)) else {
                     // It was placed under other classes, or where nobody knows of: it is placed anew.
                     ctx.net.send(token, b"MOVE\r\n");
                     ctx.net.close(token);
                     ctx.net.close(task);
                     return Some(());
                 };
-                let request_id =
-                    ctx.requests.taken_over((ctx.now, began), TEXT, arrival(&open), server, load);
+                let connection = HandedOverConnection {
+                    front: TEXT_FRONT,
+                    arrival: arrival(&open),
+                    server,
+                    started_at: began,
+                    load,
+                };
+                let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
                 self.ids.insert(open.id.clone());
                 self.sides.insert(token, Side::Client);
                 self.sides.insert(task, Side::Task(token));
@@ -528,14 +552,14 @@
                 session.trace("took", ctx);
                 self.sessions.insert(token, session);
                 self.task(ctx, token, task, None);
-                ctx.net.rearm(task);
-                ctx.net.rearm(token);
+                ctx.net.update_interest(task);
+                ctx.net.update_interest(token);
             }
         }
         Some(())
     }
 
-    fn note_delays(&mut self, ctx: &mut Ctx) {
+    fn note_delays(&mut self, ctx: &mut FrontContext) {
         let aim = ctx.classes.iter().filter_map(|c| c.message_latency_objective).min().unwrap_or(Nanos::MAX);
         let mut notes: Vec<(ServerId, Nanos)> = Vec::new();
         for (server, delay) in &mut self.delays {
@@ -548,7 +572,7 @@
         }
         notes.sort_unstable();
         for (server, delay) in notes {
-            ctx.requests.tell(Event::LatencyReport { server, delay });
+            ctx.requests.push_event(Event::LatencyReport { server, latency: delay });
         }
     }
 }
@@ -560,25 +584,25 @@
     }
 
     /// Something happened at one of this front's sockets.
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: SocketEvent) {
         let token = notice.token;
-        if notice.kind == Kind::Accepted {
+        if notice.kind == SocketEventKind::Accepted {
             self.sides.insert(token, Side::Fresh(0));
             return;
         }
-        if notice.kind == Kind::Evicted {
-            ctx.requests.counters.silent += 1;
+        if notice.kind == SocketEventKind::Evicted {
+            ctx.requests.counters.idle_closed += 1;
             self.sides.remove(&token);
             return;
         }
-        if notice.kind == Kind::Overdue {
+        if notice.kind == SocketEventKind::HandshakeTimeout {
             if let Some(Side::Fresh(_)) = self.sides.get(&token) {
                 self.end_resting(ctx, token);
             }
             return;
         }
         let broken = match notice.kind {
-            Kind::Broken(remains) => Some(remains.all_written),
+            SocketEventKind::Failed { all_written } => Some(all_written),
             _ => None,
         };
         match self.sides.get(&token) {
@@ -596,30 +620,38 @@
             }
             Some(Side::Probe) => self.probed(ctx, token, broken.is_some()),
         }
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
-    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        wait: Nanos,
+    ) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // Nothing is begun for a client that has gone by now, nor at a server that has been told to stop in this
         // very turn, after the pick.
-        ctx.net.look(client);
-        let said = ctx.net.input(client).is_none_or(|input| !input.is_empty());
-        if said || ctx.net.at_end(client) || ctx.net.is_broken(client) {
-            return self.client(ctx, client, ctx.net.is_broken(client));
-        }
-        if !ctx.net.has_room() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
+        ctx.net.read_available(client);
+        let said = ctx.net.input_buffer(client).is_none_or(|input| !input.is_empty());
+        if said || ctx.net.is_read_closed(client) || ctx.net.is_failed(client) {
+            return self.client(ctx, client, ctx.net.is_failed(client));
+        }
+        if !ctx.net.has_descriptor_for_attempt() || !ctx.registry.entry(server).is_some_and(|r| r.is_ready())
+        {
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::ConnectFailed);
         }
     }
 
     /// Takes an attempt back and says what that makes of it: unsent, it never ran.
-    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
         let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
         let task = self.sessions.get(&client).and_then(|s| s.task);
-        let unsent = task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.unwritten(task) > 0);
+        let unsent =
+            task.is_some_and(|task| ctx.net.is_connecting(task) || ctx.net.pending_output_bytes(task) > 0);
         self.drop_task(ctx, client);
         if unsent {
             Outcome::ConnectFailed
@@ -628,7 +660,7 @@
         }
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, cool_down: Nanos) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             let busy = match cool_down / 1_000_000 {
                 0 => "BUSY\r\n".to_string(),
@@ -638,40 +670,41 @@
         }
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer(ctx, client, b"ERR\r\n");
         }
     }
 
     /// `STATS` to the server, on its probe connection or a new one.
-    fn probe(&mut self, ctx: &mut Ctx, server: ServerId) {
+    fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
         let token = match self.probes.ask(ctx.now, server) {
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
-                let addr = ctx.registry.entry(server).map(|r| r.addr());
-                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, Owner::Front(TEXT))) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+                let addr = ctx.registry.entry(server).map(|r| r.address());
+                let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)))
+                else {
+                    return ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
                 token
             }
         };
-        ctx.requests.counters.probes += 1;
+        ctx.requests.counters.health_checks += 1;
         ctx.net.send(token, STATS);
-        ctx.wheel.at(ctx.now + PROBE_WAIT, Due::Timer(TEXT, token));
+        ctx.wheel.schedule(ctx.now + PROBE_WAIT, TimerEvent::FrontTimer(TEXT_FRONT, token));
     }
 
     /// Asks a client to come again. The core has already let it go.
-    fn migrate(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer(ctx, client, b"MOVE\r\n");
         }
     }
 
-    fn pass_on(&mut self, ctx: &mut Ctx, most: usize) -> Vec<TransferredConnection> {
+    fn hand_over_connections(&mut self, ctx: &mut FrontContext, most: usize) -> Vec<TransferredConnection> {
         let mut tokens: Vec<Token> =
             self.sides.keys().filter(|token| self.can_pass(ctx, **token)).copied().collect();
         tokens.sort_unstable();
@@ -679,14 +712,14 @@
         tokens.into_iter().filter_map(|token| self.pack(ctx, token)).collect()
     }
 
-    fn take_in(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) {
+    fn receive_connection(&mut self, ctx: &mut FrontContext, transferred_connection: TransferredConnection) {
         if self.unpack(ctx, transferred_connection).is_none() {
             crate::log::line(format_args!("handover-lost a connection that cannot be read"));
         }
     }
 
     /// A connection should be up by now.
-    fn dial_due(&mut self, ctx: &mut Ctx, task: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, task: Token) {
         if let (true, Some(Side::Task(client))) = (ctx.net.is_connecting(task), self.sides.get(&task)) {
             let client = *client;
             self.over(ctx, client, Outcome::ConnectFailed, true);
@@ -694,20 +727,20 @@
     }
 
     /// A client's time is up: to stand again, or to end its other half.
-    fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
         if self.probes.is_late(token, (ctx.now + 1).saturating_sub(PROBE_WAIT)) {
             return self.end_probe(ctx, token);
         }
         let Some(session) = self.sessions.get(&token) else { return };
         if session.request_id.is_none() {
             self.answer(ctx, token, b"ERR\r\n");
-        } else if session.up && ctx.net.at_end(token) {
+        } else if session.up && ctx.net.is_read_closed(token) {
             self.end(ctx, token, Outcome::Cancelled, false);
         }
     }
 
     /// Servers that get nothing new: connections to them on which no byte has gone out are called off.
-    fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
         let unsent = |(client, s): (&Token, &Session)| {
             let task = s.task.filter(|task| !s.up && !ctx.net.has_written(*task))?;
             s.server.filter(|server| stopped.contains(server)).map(|_| (*client, task))
@@ -719,8 +752,8 @@
     }
 
     /// The process is about to end: so do connections on which no request has come.
-    fn leave(&mut self, ctx: &mut Ctx) {
-        if ctx.closing {
+    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
+        if ctx.shutting_down {
             let fresh = |(token, side): (&Token, &Side)| matches!(side, Side::Fresh(_)).then_some(*token);
             let mut resting: Vec<Token> = self.sides.iter().filter_map(fresh).collect();
             resting.sort_unstable();
@@ -729,7 +762,7 @@
     }
 
     /// Once in a while: silent servers and notes of delay.
-    fn look(&mut self, ctx: &mut Ctx) {
+    fn on_tick(&mut self, ctx: &mut FrontContext) {
         let now = ctx.now;
         let silent =
             |s: &Session| s.up && s.asked.is_some_and(|asked| now.saturating_sub(asked) > SILENT_AFTER);
@@ -737,10 +770,10 @@
             self.sessions.values().filter(|s| silent(s)).filter_map(|s| s.request_id).collect();
         for request_id in silent {
             crate::log::trace(format_args!("trace silent request={}", request_id.0));
-            ctx.requests.moved(now, request_id, Outcome::Reset);
+            ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
-        if ctx.facts.family_info.tells_delay && now.saturating_sub(self.noted) >= 1_000_000_000 {
+        if ctx.site.family_info.reports_message_latency && now.saturating_sub(self.noted) >= 1_000_000_000 {
             self.noted = now;
             self.note_delays(ctx);
         }
@@ -749,7 +782,7 @@
 
 /// Passes a server's line on and notes what it says.
 fn pass(
-    ctx: &mut Ctx,
+    ctx: &mut FrontContext,
     session: &mut Session,
     delays: &mut HashMap<ServerId, Delay>,
     client: Token,
@@ -772,7 +805,7 @@
             if let Some(cost) = told {
                 crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
                 session.load = Some(cost);
-                ctx.requests.tell(Event::LoadReport { id, cost });
+                ctx.requests.push_event(Event::LoadReport { id, cost });
             }
         }
         _ => {
@@ -801,7 +834,7 @@
     Arrival {
         id: RequestId(0),
         class: open.class,
-        grace: open.grace.saturating_sub(ANSWER_MARGIN),
+        time_left: open.grace.saturating_sub(ANSWER_MARGIN),
         cost: open.hint,
         key: Some(open.key),
         group: open.group,
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -4,9 +4,8 @@
 use super::channel::FramedMessage;
 use super::message::{Message, Pieces, StateSnapshot};
 use crate::discovery::EndpointRegistry;
-use crate::net::Net;
 use crate::policy::Balancer;
-use crate::vocabulary::{Class, Discovery, Effect, Scope, Settings};
+use crate::vocabulary::{DedupScope, Discovery, Effect, RequestClass, Settings};
 use rstest::rstest;
 use std::fs::File;
 use std::os::fd::OwnedFd;
@@ -121,12 +120,12 @@
 
 /// The settings of the node that was recorded, as far as the balancer's state depends on them.
 fn settings() -> Settings {
-    let class = Class {
+    let class = RequestClass {
         objective: 3 * SECOND / 10,
         hard_limit: 12 * SECOND / 10,
         effect: Effect::ReadLike,
-        scope: Scope::All,
-        window: 0,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
         priority_weight: 2.0,
         message_latency_objective: None,
     };
@@ -157,13 +156,10 @@
 #[case::drained("drained")]
 fn the_recorded_balancer_state_is_restored_whole(#[case] name: &str) {
     let snapshot = snapshot(name);
-    let mut net = Net::new(8).expect("epoll");
-    let discovery = "127.0.0.1:9".parse().expect("an address");
-    let mut registry = EndpointRegistry::new(discovery, vec!["a".to_string()]);
-    let list = registry.take_over(&mut net, &snapshot.endpoint_list, None);
+    let list = EndpointRegistry::new(vec!["a".to_string()]).restore(&snapshot.endpoint_list);
     let mut balancer = Balancer::new(7, settings()).expect("valid settings");
     balancer.handle(SECOND, list, &mut Vec::new());
-    assert_ne!(balancer.learned(), snapshot.balancer_state, "nothing is known yet");
-    balancer.learn(&snapshot.balancer_state).expect("it is read");
-    assert_eq!(balancer.learned(), snapshot.balancer_state);
+    assert_ne!(balancer.state_snapshot(), snapshot.balancer_state, "nothing is known yet");
+    balancer.restore_state(&snapshot.balancer_state).expect("it is read");
+    assert_eq!(balancer.state_snapshot(), snapshot.balancer_state);
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,15 +1,21 @@
 //! The loop: gathers what is ready, gives it to the core in one go, carries out what came back.
 
+mod configuration;
+
+pub use configuration::Configuration;
+
 use crate::admin::{AdminCall, AdminServer, Response};
 use crate::cli::Options;
-use crate::config::{Config, Loaded};
-use crate::discovery::EndpointRegistry;
+use crate::config::Config;
+use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::front::{Ctx, Due, Files, Fronts, TransferredConnection, TEXT};
+use crate::front::{
+    FrontContext, FrontFiles, FrontSetup, Fronts, TimerEvent, TransferredConnection, TEXT_FRONT,
+};
 use crate::handover::{self, FrontConnection, Handover, HandoverEvent, PredecessorState, StateSnapshot};
 use crate::lifecycle::{self, Lifecycle};
 use crate::log;
-use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
+use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::quota::transport::{self, LeaseTransport};
 use crate::quota::QuotaAdmission;
 use crate::requests::{Command, FrontId, RequestTable};
@@ -21,7 +27,7 @@
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// The loop looks after silent peers this often.
-const LOOK_EVERY: Nanos = 200_000_000;
+const TICK_INTERVAL: Nanos = 200_000_000;
 
 /// The module's clock: Unix time at the start, and from there on the steady clock.
 struct Clock {
@@ -42,13 +48,14 @@
 
 struct Node {
     clock: Clock,
-    net: Net,
+    net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
-    wheel: Wheel<Due>,
+    discovery: DiscoveryClient,
+    wheel: TimerWheel<TimerEvent>,
     config: Config,
     /// The optional fronts' files, to be read again with the configuration.
-    files: Files,
+    files: FrontFiles,
     fronts: Fronts,
     export: Option<FlowExport>,
     signals: Signals,
@@ -69,16 +76,16 @@
 
 macro_rules! ctx {
     ($node:expr) => {
-        &mut Ctx {
+        &mut FrontContext {
             now: $node.clock.now(),
             net: &mut $node.net,
             requests: &mut $node.requests,
             registry: &$node.registry,
             wheel: &mut $node.wheel,
-            facts: &$node.config.facts,
+            site: &$node.config.site,
             classes: &$node.config.settings.classes,
-            takes_clients: $node.lifecycle.accepts_clients(),
-            closing: $node.lifecycle.is_closing($node.clock.now()),
+            accepts_clients: $node.lifecycle.accepts_clients(),
+            shutting_down: $node.lifecycle.is_closing($node.clock.now()),
         }
     };
 }
@@ -104,15 +111,15 @@
 
 /// Serves until it is told to stop. Where the platform holds the clients' listening socket, it is given.
 pub(crate) fn serve(
-    loaded: Loaded,
+    configuration: Configuration,
     options: Options,
     passed: Option<OwnedFd>,
     fleet: Option<(Plan, usize)>,
 ) -> Result<(), String> {
     let Options { fronts: files, ipfix, .. } = options;
-    let Loaded { node: config, fronts: opened } = loaded;
+    let Configuration { node: config, fronts: opened } = configuration;
     let at = |what: &str, e: io::Error| format!("{what}: {e}");
-    let mut net = Net::new(config.sockets).map_err(|e| at("epoll", e))?;
+    let mut net = SocketReactor::new(config.max_descriptors).map_err(|e| at("epoll", e))?;
     let signals = Signals {
         stop: signal(&mut net, &[signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT])
             .map_err(|e| at("signals", e))?,
@@ -121,35 +128,37 @@
     };
     let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
     requests.trace.on = log::tracing();
-    let operator = match config.operator {
+    let operator = match config.admin_listen {
         Some(at) => Some(AdminServer::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
     };
-    let mut registry = EndpointRegistry::new(config.discovery, config.facts.zones.clone());
+    let mut registry = EndpointRegistry::new(config.site.zones.clone());
+    let mut discovery = DiscoveryClient::new(config.discovery);
     // All is in place: from here on the process before this one may be asked for what it has.
     let place = passed.as_ref().and_then(|_| handover::socket_path(&config.name));
     let inherited = place.as_deref().and_then(|place| handover::request_state(place, &config.name));
     let (mut before, mut channel) = (None, None);
     match inherited {
         Some(PredecessorState { channel: from, snapshot, listening, watch }) => {
-            requests.tell(registry.take_over(&mut net, &snapshot.endpoint_list, watch));
-            net.inherit(listening);
+            requests.push_event(discovery.take_over(&mut net, &mut registry, &snapshot.endpoint_list, watch));
+            net.inherit_listeners(listening);
             (before, channel) = (Some(snapshot), Some(from));
         }
-        None => requests.tell(registry.saved(&config.known)),
+        None => requests.push_event(registry.restore(&config.known_endpoints)),
     }
     if place.is_some() {
-        net.set_aside(handover::SUCCESSOR_DESCRIPTORS);
+        net.reserve_descriptors(handover::SUCCESSOR_DESCRIPTORS);
     }
     let mut fronts = Fronts::new();
     let listen = match passed {
-        Some(fd) => net.listen_on(fd, Owner::Front(TEXT)),
-        None => net.listen(config.listen, Owner::Front(TEXT)),
+        Some(fd) => net.register_listener(fd, SocketOwner::Front(TEXT_FRONT)),
+        None => net.listen(config.listen, SocketOwner::Front(TEXT_FRONT)),
     };
     let listen = listen.map_err(|e| at("listen", e))?;
     log::line(format_args!("started name={} listen={listen}", config.name));
     for (which, file) in opened {
-        let line = fronts.open(which, file, &mut net, &config.name, &config.facts)?;
+        let setup = FrontSetup { net: &mut net, node_name: &config.name, site: &config.site };
+        let line = fronts.open(which, file, setup).map_err(|e| e.to_string())?;
         log::line(format_args!("{line}"));
     }
     let operator = operator.map(|(operator, listen)| {
@@ -169,10 +178,10 @@
         let (quotas, open) = seated(plan, &config, &mut net, clock.now())?;
         (requests.quotas, talk) = (Some(quotas), Some(open));
     }
-    let mut wheel = Wheel::new(clock.now());
-    wheel.at(clock.now(), Due::Look);
+    let mut wheel = TimerWheel::new(clock.now());
+    wheel.schedule(clock.now(), TimerEvent::Tick);
     if talk.is_some() {
-        wheel.at(clock.now(), Due::Quota);
+        wheel.schedule(clock.now(), TimerEvent::LeaseExchange);
     }
     let (lifecycle, stepping) = (Lifecycle::default(), false);
     let handover = place.map(|place| Handover::open(&mut net, &place, channel));
@@ -181,6 +190,7 @@
         net,
         requests,
         registry,
+        discovery,
         wheel,
         config,
         files,
@@ -204,7 +214,7 @@
 fn seated(
     (plan, seat): (Plan, usize),
     config: &Config,
-    net: &mut Net,
+    net: &mut SocketReactor,
     now: Nanos,
 ) -> Result<(QuotaAdmission, LeaseTransport), String> {
     let talk = LeaseTransport::open(net, &plan, seat, now);
@@ -213,33 +223,33 @@
         Some(wait) => log::line(format_args!("budgets seat={seat} grants-in-ms={}", wait / 1_000_000)),
         None => log::line(format_args!("budgets seat={seat}")),
     }
-    let classes: Vec<String> = config.facts.classes.iter().map(|c| c.name.clone()).collect();
+    let classes: Vec<String> = config.site.classes.iter().map(|c| c.name.clone()).collect();
     Ok((QuotaAdmission::new(plan, seat, now, &classes, config.settings.max_retry_after), talk))
 }
 
-fn signal(net: &mut Net, signals: &[i32]) -> io::Result<Token> {
+fn signal(net: &mut SocketReactor, signals: &[i32]) -> io::Result<Token> {
     let (ours, theirs) = UnixStream::pair()?;
     for signal in signals {
         signal_hook::low_level::pipe::register(*signal, theirs.try_clone()?)?;
     }
-    net.adopt(OwnedFd::from(ours), Owner::Signal)
+    net.register_reader(OwnedFd::from(ours), SocketOwner::Signal)
 }
 
 impl Node {
     fn run(mut self) -> Result<(), String> {
         loop {
             let now = self.clock.now();
-            let wait = self.wheel.next_in(now);
+            let wait = self.wheel.time_until_next(now);
             let notices = self.net.poll(now, wait).map_err(|e| format!("epoll: {e}"))?;
             for notice in notices {
                 self.dispatch(notice);
             }
-            for due in self.wheel.due(self.clock.now()) {
+            for due in self.wheel.take_expired(self.clock.now()) {
                 self.due(due);
             }
             self.decide();
             self.pass_on();
-            self.net.write_risen();
+            self.net.flush_connected();
             self.print_trace();
             if self.should_exit() {
                 self.export_flows(self.clock.now());
@@ -250,17 +260,23 @@
         }
     }
 
-    fn dispatch(&mut self, notice: Notice) {
+    fn dispatch(&mut self, notice: SocketEvent) {
         match notice.owner {
-            Owner::Front(id) => front!(self, id, notice, notice),
-            Owner::Discovery => {
-                let broken = matches!(notice.kind, Kind::Broken(_));
+            SocketOwner::Front(id) => front!(self, id, on_socket_event, notice),
+            SocketOwner::Discovery => {
+                let broken = matches!(notice.kind, SocketEventKind::Failed { .. });
                 let now = self.clock.now();
-                for event in self.registry.ready(now, &mut self.net, notice.token, broken) {
+                for event in self.discovery.on_socket_event(
+                    now,
+                    &mut self.net,
+                    &mut self.registry,
+                    notice.token,
+                    broken,
+                ) {
                     self.listed(event);
                 }
             }
-            Owner::Admin => {
+            SocketOwner::Admin => {
                 let now = self.clock.now();
                 let call = self
                     .operator
@@ -273,20 +289,20 @@
                     }
                 }
             }
-            Owner::Quota => {
+            SocketOwner::Quota => {
                 if let (Some(talk), Some(quotas)) = (&mut self.talk, &mut self.requests.quotas) {
                     talk.notice(self.clock.now(), &mut self.net, quotas, notice);
                 }
             }
-            Owner::Handover => {
+            SocketOwner::Handover => {
                 let news = self.handover.as_mut().map(|t| t.on_socket_event(&mut self.net, notice));
                 self.heard(news.unwrap_or_default());
             }
-            Owner::Signal => {
-                if let Some(input) = self.net.input(notice.token) {
+            SocketOwner::Signal => {
+                if let Some(input) = self.net.input_buffer(notice.token) {
                     input.clear();
                 }
-                self.net.rearm(notice.token);
+                self.net.update_interest(notice.token);
                 if notice.token == self.signals.print {
                     self.print_counters();
                 } else if notice.token == self.signals.reload {
@@ -294,7 +310,7 @@
                 } else if notice.token == self.signals.stop
                     && self.lifecycle.shut_down(self.clock.now(), self.longest())
                 {
-                    log::line(format_args!("shutting-down standing={}", self.requests.standing().len()));
+                    log::line(format_args!("shutting-down standing={}", self.requests.established().len()));
                     if let Some(quotas) = &mut self.requests.quotas {
                         quotas.go();
                     }
@@ -306,13 +322,13 @@
 
     /// What the process before this one knew: its list has been told already.
     fn take_over(&mut self, snapshot: &StateSnapshot) {
-        if let Err(e) = self.requests.learn(&snapshot.balancer_state) {
+        if let Err(e) = self.requests.restore_state(&snapshot.balancer_state) {
             log::line(format_args!("handover-state-unreadable reason={e}"));
         }
         if snapshot.is_drained && self.lifecycle.drain(self.clock.now()) {
             self.begin_steps();
         }
-        self.requests.counters.upgrades += 1;
+        self.requests.counters.handovers += 1;
         self.limit_beside_predecessor(snapshot.open_descriptors);
         log::line(format_args!(
             "handover-from-predecessor drained={} descriptors={}",
@@ -322,7 +338,7 @@
 
     /// The process before this one holds so many descriptors: both together hold no more than one may.
     fn limit_beside_predecessor(&mut self, descriptors: usize) {
-        self.net.limit(self.config.sockets.saturating_sub(descriptors));
+        self.net.set_descriptor_limit(self.config.max_descriptors.saturating_sub(descriptors));
     }
 
     fn longest(&self) -> Nanos {
@@ -335,12 +351,12 @@
                 HandoverEvent::StateRequested => {
                     let snapshot = StateSnapshot {
                         is_drained: !self.lifecycle.accepts_clients(),
-                        endpoint_list: self.registry.list(),
-                        balancer_state: self.requests.learned(),
-                        open_descriptors: self.net.in_use(),
+                        endpoint_list: self.registry.snapshot(),
+                        balancer_state: self.requests.state_snapshot(),
+                        open_descriptors: self.net.descriptors_in_use(),
                     };
-                    let listening = self.net.listening(TEXT);
-                    let watch = self.registry.release_watch(&mut self.net);
+                    let listening = self.net.listeners_except(TEXT_FRONT);
+                    let watch = self.discovery.release_watch(&mut self.net);
                     let told = self
                         .handover
                         .as_mut()
@@ -348,12 +364,12 @@
                     self.heard(told.unwrap_or_default());
                 }
                 HandoverEvent::SuccessorReady => {
-                    self.net.take_in(false);
+                    self.net.set_accepting(false);
                     self.lifecycle.hand_over(self.clock.now(), self.longest());
-                    self.requests.counters.upgrades += 1;
+                    self.requests.counters.handovers += 1;
                     log::line(format_args!(
                         "handover-to-successor standing={}",
-                        self.requests.standing().len()
+                        self.requests.established().len()
                     ));
                     self.begin_steps();
                 }
@@ -361,10 +377,10 @@
                     for FrontConnection { front, connection } in unsent {
                         self.came(&front, connection);
                     }
-                    self.net.take_in(true);
+                    self.net.set_accepting(true);
                     self.lifecycle.successor_lost(self.clock.now());
                     // The watch went with it.
-                    if !self.registry.is_watched() {
+                    if !self.discovery.has_watch() {
                         self.listed(Event::EndpointList(ListKind::Failed, Vec::new()));
                     }
                 }
@@ -374,15 +390,18 @@
                 }
                 HandoverEvent::PredecessorExited => {
                     self.limit_beside_predecessor(0);
-                    log::line(format_args!("handover-complete standing={}", self.requests.standing().len()));
+                    log::line(format_args!(
+                        "handover-complete standing={}",
+                        self.requests.established().len()
+                    ));
                 }
             }
         }
     }
 
     fn came(&mut self, front: &str, transferred_connection: TransferredConnection) {
-        if let Some(id) = self.fronts.named(front) {
-            front!(self, id, take_in, transferred_connection);
+        if let Some(id) = self.fronts.id_by_name(front) {
+            front!(self, id, receive_connection, transferred_connection);
         }
     }
 
@@ -390,12 +409,14 @@
     fn pass_on(&mut self) {
         while self.handover.as_ref().is_some_and(Handover::can_transfer) {
             let transferred_connection: Vec<TransferredConnection> =
-                front!(self, TEXT, pass_on, handover::CONNECTIONS_PER_TURN);
+                front!(self, TEXT_FRONT, hand_over_connections, handover::CONNECTIONS_PER_TURN);
             if transferred_connection.is_empty() {
                 return;
             }
-            let news =
-                self.handover.as_mut().map(|t| t.transfer(&mut self.net, TEXT.name, transferred_connection));
+            let news = self
+                .handover
+                .as_mut()
+                .map(|t| t.transfer(&mut self.net, TEXT_FRONT.name, transferred_connection));
             self.heard(news.unwrap_or_default());
             self.decide();
         }
@@ -407,7 +428,7 @@
             AdminCall::Ready if self.lifecycle.is_shutting_down() => Response::new(503, "leaving"),
             AdminCall::Ready => Response::new(200, "ready"),
             AdminCall::Drain => {
-                let standing = self.requests.standing().len();
+                let standing = self.requests.established().len();
                 if self.lifecycle.drain(now) {
                     self.requests.counters.drains += 1;
                     log::line(format_args!("draining standing={standing}"));
@@ -419,8 +440,8 @@
                 Ok(drained) => {
                     if drained {
                         self.requests.counters.resumes += 1;
-                        log::line(format_args!("resumed standing={}", self.requests.standing().len()));
-                        fronts!(self, stay);
+                        log::line(format_args!("resumed standing={}", self.requests.established().len()));
+                        fronts!(self, resume_serving);
                     }
                     Response::new(200, "serving")
                 }
@@ -432,35 +453,37 @@
     /// From now on there are steps, until clients stay again.
     fn begin_steps(&mut self) {
         if !std::mem::replace(&mut self.stepping, true) {
-            self.wheel.at(self.clock.now(), Due::Drain);
+            self.wheel.schedule(self.clock.now(), TimerEvent::DrainStep);
         }
     }
 
     /// SIGHUP: the configuration is read again. What is wrong changes nothing; what is right changes what
     /// a running node can change. Clients that stand and servers that are known stay.
     fn reload(&mut self) {
-        let Loaded { node: new, fronts } = match Loaded::again(&self.config, &self.files) {
+        let Configuration { node: new, fronts } = match Configuration::reread(&self.config, &self.files) {
             Ok(loaded) => loaded,
             Err(problem) => return log::line(format_args!("reload-refused {problem}")),
         };
         let moved = new.discovery != self.config.discovery;
-        let mut fixed = self.config.take_over(new);
+        let mut fixed = self.config.apply_reload(new);
         for (which, file) in fronts {
-            fixed.extend(self.fronts.take_over(which, file));
+            fixed.extend(self.fronts.reload(which, file));
         }
         // Where another process is still there, it says again what it holds.
-        self.net.limit(self.config.sockets);
-        self.requests.set(self.config.settings.clone());
+        self.net.set_descriptor_limit(self.config.max_descriptors);
+        self.requests.update_settings(self.config.settings.clone());
         log::line(format_args!("reloaded discovery={}", self.config.discovery));
         if !fixed.is_empty() {
             log::line(format_args!("reload-needs-restart fields={}", fixed.join(",")));
         }
         if moved {
             let now = self.clock.now();
-            for event in self.registry.last_words(now, &mut self.net) {
+            for event in self.discovery.read_pending(now, &mut self.net, &mut self.registry) {
                 self.listed(event);
             }
-            if let Some(event) = self.registry.follow(now, &mut self.net, self.config.discovery) {
+            if let Some(event) =
+                self.discovery.change_address(now, &mut self.net, &mut self.registry, self.config.discovery)
+            {
                 self.listed(event);
             }
         }
@@ -471,36 +494,36 @@
             log::trace(format_args!("trace list kind={kind:?} entries={}", members.len()));
         }
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.requests.counters.list_failed += 1;
+            self.requests.counters.discovery_failures += 1;
         }
-        self.requests.tell(event);
-        let stopped = self.registry.stopped();
-        fronts!(self, drained, &stopped);
+        self.requests.push_event(event);
+        let stopped = self.registry.not_ready();
+        fronts!(self, on_servers_draining, &stopped);
     }
 
-    fn due(&mut self, due: Due) {
+    fn due(&mut self, due: TimerEvent) {
         match due {
-            Due::Policy(token) => self.requests.tell(Event::Timer(token)),
-            Due::AttemptTimeout(request_id, attempt) => {
-                if let Some(front) = self.requests.is_out(request_id, attempt) {
+            TimerEvent::Policy(token) => self.requests.push_event(Event::Timer(token)),
+            TimerEvent::AttemptTimeout(request_id, attempt) => {
+                if let Some(front) = self.requests.front_of_attempt(request_id, attempt) {
                     let outcome = self.take_back(front, request_id);
-                    self.requests.task_ended(self.clock.now(), request_id, outcome);
+                    self.requests.on_attempt_ended(self.clock.now(), request_id, outcome);
                 }
             }
-            Due::Dial(id, token) => front!(self, id, dial_due, token),
-            Due::Timer(id, token) => front!(self, id, timer_due, token),
-            Due::Look => {
+            TimerEvent::ConnectTimeout(id, token) => front!(self, id, on_connect_timeout, token),
+            TimerEvent::FrontTimer(id, token) => front!(self, id, on_timer, token),
+            TimerEvent::Tick => {
                 let now = self.clock.now();
-                if let Some(event) = self.registry.check(now, &mut self.net) {
+                if let Some(event) = self.discovery.close_silent_watch(now, &mut self.net) {
                     self.listed(event);
                 }
-                fronts!(self, look);
+                fronts!(self, on_tick);
                 self.export_flows(now);
-                self.wheel.at(now + LOOK_EVERY, Due::Look);
+                self.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
             }
-            Due::Drain => self.leave(),
-            Due::Quota => self.fleet(),
-            Due::Admin(token) => {
+            TimerEvent::DrainStep => self.leave(),
+            TimerEvent::LeaseExchange => self.fleet(),
+            TimerEvent::AdminTimeout(token) => {
                 if let Some(operator) = &mut self.operator {
                     operator.on_timeout(&mut self.net, token);
                 }
@@ -510,31 +533,31 @@
 
     fn export_flows(&mut self, now: Nanos) {
         if let (Some(export), Some(flows)) = (&mut self.export, &mut self.requests.flows) {
-            export.send(now, &std::mem::take(flows), &self.registry, &self.config.facts);
+            export.send(now, &std::mem::take(flows), &self.registry, &self.config.site);
         }
     }
 
     /// One step of sending clients away: of those that stand, so many are moved that all have been by the end.
     fn leave(&mut self) {
-        let (now, standing) = (self.clock.now(), self.requests.standing());
+        let (now, standing) = (self.clock.now(), self.requests.established());
         let Some(step) = self.lifecycle.migration_step(now, standing.len()) else {
             self.stepping = false;
             return;
         };
         if step.started {
-            fronts!(self, leave);
+            fronts!(self, on_drain_step);
         }
         if let Some(abandon_before) = step.abandon_before {
-            for command in self.requests.abandon(now, abandon_before) {
+            for command in self.requests.fail_unanswered(now, abandon_before) {
                 self.carry_out(now, command);
             }
         }
         for request_id in standing.into_iter().take(step.migrations) {
-            if let Some(id) = self.requests.moved(now, request_id, Outcome::Cancelled) {
+            if let Some(id) = self.requests.close_for_migration(now, request_id, Outcome::Cancelled) {
                 front!(self, id, migrate, request_id);
             }
         }
-        self.wheel.at(now + lifecycle::MIGRATION_STEP_INTERVAL, Due::Drain);
+        self.wheel.schedule(now + lifecycle::MIGRATION_STEP_INTERVAL, TimerEvent::DrainStep);
     }
 
     /// A turn of the talk about the fleet's budgets; what stands over this node's parts is moved.
@@ -544,15 +567,15 @@
         if let Some(line) = talk.turn(now, &mut self.net, quotas) {
             log::line(format_args!("{line}"));
         }
-        for command in self.requests.shed(now) {
+        for command in self.requests.migrate_over_quota(now) {
             self.carry_out(now, command);
         }
-        self.wheel.at(now + transport::TURN, Due::Quota);
+        self.wheel.schedule(now + transport::TURN, TimerEvent::LeaseExchange);
     }
 
     fn should_exit(&self) -> bool {
         // Exiting resets what still lingers, and a reset may eat the MOVE that it has not read.
-        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.is_quiet();
+        let idle = || self.requests.is_idle() && self.fronts.are_idle() && self.net.all_closes_complete();
         self.lifecycle.is_shutting_down() && self.lifecycle.should_exit(self.clock.now(), idle())
     }
 
@@ -565,11 +588,11 @@
             for command in commands {
                 self.carry_out(now, command);
             }
-            if self.requests.has_news() {
+            if self.requests.has_pending_events() {
                 continue;
             }
             fronts!(self, flush);
-            if !self.requests.has_news() {
+            if !self.requests.has_pending_events() {
                 return;
             }
         }
@@ -594,11 +617,11 @@
     }
 
     fn print_counters(&mut self) {
-        self.requests.counters.list_calls = self.registry.calls;
-        self.requests.counters.list_back = self.registry.backs;
+        self.requests.counters.discovery_polls = self.discovery.watch_requests;
+        self.requests.counters.stale_lists = self.registry.stale_lists;
         if let Some(counts) = self.operator.as_ref().map(AdminServer::counts) {
             let counters = &mut self.requests.counters;
-            (counters.operator_yes, counters.operator_no, counters.operator_unheard) =
+            (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
                 (counts.succeeded, counts.failed, counts.incomplete);
         }
         log::line(format_args!("{}", self.requests.counters));
@@ -615,14 +638,14 @@
                 ));
             }
         }
-        for line in self.fronts.counters() {
+        for line in self.fronts.counter_lines() {
             log::line(format_args!("{line}"));
         }
     }
 
     /// Takes the attempt of a request back from its server.
     fn take_back(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
-        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.give_up(ctx!(self), request_id))
+        self.fronts.get(front).map_or(Outcome::Cancelled, |f| f.cancel_attempt(ctx!(self), request_id))
     }
 
     fn carry_out(&mut self, now: Nanos, command: Command) {
@@ -631,22 +654,25 @@
         }
         match command {
             Command::StartAttempt { front, request_id, server, wait } => {
-                self.wheel.at(now + wait, Due::AttemptTimeout(request_id, self.requests.attempt(request_id)));
-                front!(self, front, start, request_id, server, wait)
+                self.wheel.schedule(
+                    now + wait,
+                    TimerEvent::AttemptTimeout(request_id, self.requests.attempt_number(request_id)),
+                );
+                front!(self, front, start_attempt, request_id, server, wait)
             }
             Command::CancelAttempt { front, request_id } => {
                 self.take_back(front, request_id);
             }
             Command::Reject { front, request_id, cool_down } => {
-                front!(self, front, refuse, request_id, cool_down)
+                front!(self, front, reject, request_id, cool_down)
             }
             Command::Fail { front, request_id } => front!(self, front, fail, request_id),
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
-            Command::HealthCheck { server } => front!(self, TEXT, probe, server),
-            Command::Timer { after: 0, token } => self.requests.tell(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, Due::Policy(token)),
+            Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
+            Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
+            Command::Timer { after, token } => self.wheel.schedule(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
-                if let Some(event) = self.registry.subscribe(now, &mut self.net) {
+                if let Some(event) = self.discovery.subscribe(now, &mut self.net, &self.registry) {
                     self.listed(event);
                 }
             }
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -65,6 +65,21 @@
     counted: bool,
 }
 
+/// An established connection that the process before this one handed over.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HandedOverConnection {
+    /// The front that it came through.
+    pub front: FrontId,
+    /// The request that opened it.
+    pub arrival: Arrival,
+    /// The server that holds it.
+    pub server: ServerId,
+    /// When its request arrived, on the node's clock.
+    pub started_at: Nanos,
+    /// Its last load report, in nanoseconds of work a second.
+    pub load: Option<Nanos>,
+}
+
 /// A flow that ended, as it is exported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Flow {
@@ -139,14 +154,14 @@
     }
 
     /// Newer settings, with the same classes in the same places.
-    pub fn set(&mut self, settings: Settings) {
-        self.balancer.set(settings);
+    pub fn update_settings(&mut self, settings: Settings) {
+        self.balancer.update_settings(settings);
     }
 
     fn admit(&mut self, now: Nanos, front: FrontId, arrival: &mut Arrival, state: State) -> RequestId {
         self.next += 1;
         arrival.id = RequestId(self.next);
-        let deadline = now.saturating_add(arrival.grace);
+        let deadline = now.saturating_add(arrival.time_left);
         let (class, began) = (arrival.class, now);
         let request = Request { front, class, began, deadline, attempts: 0, state, counted: false };
         self.requests.insert(arrival.id, request);
@@ -154,25 +169,25 @@
     }
 
     /// What the module learned, for a process that takes this one's place.
-    pub fn learned(&self) -> String {
-        self.balancer.learned()
+    pub fn state_snapshot(&self) -> String {
+        self.balancer.state_snapshot()
     }
 
     /// Takes that over, once the module has the list that it is about and before anything stands.
-    pub fn learn(&mut self, learned: &str) -> Result<(), serde_json::Error> {
-        self.balancer.learn(learned)
+    pub fn restore_state(&mut self, learned: &str) -> Result<(), serde_json::Error> {
+        self.balancer.restore_state(learned)
     }
 
     /// A request comes in; its id is dealt here.
-    pub fn arrive(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
-        self.counters.taken += 1;
+    pub fn on_request(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
+        self.counters.requests += 1;
         let id = self.admit(now, front, &mut arrival, State::Waiting);
         match self.quotas.as_mut().map(|quotas| quotas.first(now, arrival.class)) {
             Some(Err(wait)) => {
                 self.turned_away.push((id, wait));
                 return id;
             }
-            Some(Ok(())) => self.counts(id),
+            Some(Ok(())) => self.mark_quota_held(id),
             None => {}
         }
         self.inbox.push(Event::Request(arrival));
@@ -180,29 +195,41 @@
     }
 
     /// A connection that stood before this node started stands again: no placement.
-    pub fn resume(&mut self, now: Nanos, front: FrontId, arrival: Arrival, server: ServerId) -> RequestId {
+    pub fn restore_established(
+        &mut self,
+        now: Nanos,
+        front: FrontId,
+        arrival: Arrival,
+        server: ServerId,
+    ) -> RequestId {
         self.counters.resumed += 1;
-        self.stands(now, front, arrival, server)
+        self.insert_established(now, front, arrival, server)
     }
 
-    fn stands(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival, server: ServerId) -> RequestId {
+    fn insert_established(
+        &mut self,
+        now: Nanos,
+        front: FrontId,
+        mut arrival: Arrival,
+        server: ServerId,
+    ) -> RequestId {
         let id = self.admit(now, front, &mut arrival, State::Up { server });
         if let Some(quotas) = &mut self.quotas {
             quotas.stands(arrival.class);
-            self.counts(id);
+            self.mark_quota_held(id);
         }
         self.inbox.push(Event::Resumed(arrival, server));
         id
     }
 
-    fn counts(&mut self, id: RequestId) {
+    fn mark_quota_held(&mut self, id: RequestId) {
         if let Some(t) = self.requests.get_mut(&id) {
             t.counted = true;
         }
     }
 
     /// What has to end since the fleet's budgets no longer bear it: the newest connections first.
-    pub fn shed(&mut self, now: Nanos) -> Vec<Command> {
+    pub fn migrate_over_quota(&mut self, now: Nanos) -> Vec<Command> {
         let Some(quotas) = &mut self.quotas else { return Vec::new() };
         if !quotas.is_over(now) {
             return Vec::new();
@@ -215,37 +242,31 @@
         let ends = quotas.excess(now, newest.iter().map(|(_, class, _)| *class));
         let mut commands = Vec::new();
         for ((request_id, _, front), _) in newest.into_iter().zip(ends).filter(|(_, ends)| *ends) {
-            self.moved(now, request_id, Outcome::Cancelled);
-            self.counters.budget_moved += 1;
+            self.close_for_migration(now, request_id, Outcome::Cancelled);
+            self.counters.quota_migrated += 1;
             commands.push(Command::Migrate { front, request_id });
         }
         commands
     }
 
     /// A standing connection goes on in another process. Gives when it began, for a record of the whole of it.
-    pub fn passed_on(&mut self, id: RequestId) -> Option<Nanos> {
+    pub fn hand_over(&mut self, id: RequestId) -> Option<Nanos> {
         let State::Up { server } = self.requests.get(&id)?.state else { return None };
         let gone = self.requests.remove(&id)?;
         let began = gone.began;
-        self.uncount(&gone);
-        self.counters.passed_on += 1;
+        self.release_quota(&gone);
+        self.counters.handed_over += 1;
         self.inbox.push(Event::AttemptEnded { id, server, outcome: Outcome::Cancelled, done: true });
         Some(began)
     }
 
     /// One that stood in the process before this one stands here, since then, with this load if it was told.
-    pub fn taken_over(
-        &mut self,
-        (now, began): (Nanos, Nanos),
-        front: FrontId,
-        arrival: Arrival,
-        server: ServerId,
-        load: Option<Nanos>,
-    ) -> RequestId {
-        self.counters.taken_over += 1;
-        let id = self.stands(now, front, arrival, server);
+    pub fn receive_handed_over(&mut self, now: Nanos, connection: HandedOverConnection) -> RequestId {
+        let HandedOverConnection { front, arrival, server, started_at, load } = connection;
+        self.counters.inherited += 1;
+        let id = self.insert_established(now, front, arrival, server);
         if let Some(t) = self.requests.get_mut(&id) {
-            t.began = began;
+            t.began = started_at;
         }
         if let Some(cost) = load {
             self.inbox.push(Event::LoadReport { id, cost });
@@ -254,25 +275,25 @@
     }
 
     /// The attempt stands: from here on the client has its answer.
-    pub fn up(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_established(&mut self, now: Nanos, id: RequestId) {
         let Some(t) = self.requests.get_mut(&id) else { return };
         let State::Trying { server, since, .. } = t.state else { return };
         t.state = State::Up { server };
-        self.counters.up += 1;
+        self.counters.established += 1;
         self.counters.served += 1;
         let waited = now.saturating_sub(since);
         self.trace.task(id, server, None, waited);
-        self.inbox.push(Event::Established { id, server, waited });
+        self.inbox.push(Event::Established { id, server, setup_time: waited });
     }
 
     /// The attempt, or the connection that it became, is over. True if that was the final answer.
-    pub fn task_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(t) = self.requests.get_mut(&id) else { return false };
         let (server, done) = match t.state {
             State::Waiting => return false,
             State::Trying { server, since, .. } => {
                 t.state = State::Waiting;
-                self.counters.task(outcome);
+                self.counters.count_attempt(outcome);
                 self.trace.task(id, server, Some(outcome), now.saturating_sub(since));
                 (server, outcome == Outcome::Ok)
             }
@@ -288,7 +309,7 @@
             };
             // One that is served to its end in one step stood for no time.
             if matches!(t.state, State::Waiting) {
-                self.counters.up += 1;
+                self.counters.established += 1;
                 self.counters.served += 1;
             }
             self.counters.ended += 1;
@@ -300,10 +321,10 @@
 
     /// The attempt is over and the item cannot be sent again: its front no longer holds what it would
     /// send. That is the final answer, failed; true if it was still owed.
-    pub fn spent(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_unrepeatable_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(t) = self.requests.get(&id) else { return false };
         let State::Trying { server, .. } = t.state else { return false };
-        self.counters.task(outcome);
+        self.counters.count_attempt(outcome);
         self.counters.failed += 1;
         self.inbox.push(Event::ClientDisconnected(id));
         self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
@@ -312,23 +333,23 @@
     }
 
     /// Whether anything waits for [`Core::decide`].
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_events(&self) -> bool {
         !self.inbox.is_empty() || !self.turned_away.is_empty()
     }
 
     /// The client left; the front has dropped the attempt, if one was out.
-    pub fn left(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_client_disconnected(&mut self, now: Nanos, id: RequestId) {
         let Some(t) = self.requests.get(&id) else { return };
         let (outcome, done) = (Outcome::Cancelled, true);
         match t.state {
             State::Waiting => {
-                self.counters.left += 1;
+                self.counters.client_disconnected += 1;
                 self.inbox.push(Event::ClientDisconnected(id));
                 self.finish(now, id, None, FlowResult::Left);
             }
             State::Trying { server, .. } => {
-                self.counters.left += 1;
-                self.counters.task(outcome);
+                self.counters.client_disconnected += 1;
+                self.counters.count_attempt(outcome);
                 self.inbox.push(Event::ClientDisconnected(id));
                 self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                 self.finish(now, id, Some(server), FlowResult::Left);
@@ -343,7 +364,7 @@
 
     /// The node ends or is drained: what came before a time and still waits for an answer gets one, and it
     /// promises nothing.
-    pub fn abandon(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
+    pub fn fail_unanswered(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
         let waiting = |t: &Request| !matches!(t.state, State::Up { .. }) && t.began < before;
         let mut ids: Vec<_> = self.requests.iter().filter(|(_, t)| waiting(t)).map(|(id, _)| *id).collect();
         ids.sort_unstable();
@@ -353,7 +374,7 @@
             let front = t.front;
             if let State::Trying { server, .. } = t.state {
                 commands.push(Command::CancelAttempt { front, request_id: id });
-                self.counters.task(Outcome::Cancelled);
+                self.counters.count_attempt(Outcome::Cancelled);
                 self.inbox.push(Event::ClientDisconnected(id));
                 let (outcome, done) = (Outcome::Cancelled, true);
                 self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
@@ -369,11 +390,11 @@
 
     /// The node itself moves a standing connection: it leaves, or the server went silent. Gives the front
     /// that has to tell the client.
-    pub fn moved(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
+    pub fn close_for_migration(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
         let t = self.requests.get(&id)?;
         let State::Up { server } = t.state else { return None };
         let front = t.front;
-        self.counters.moved += 1;
+        self.counters.migrated += 1;
         self.trace.task(id, server, Some(outcome), now.saturating_sub(t.began));
         self.finish(now, id, Some(server), FlowResult::Moved);
         self.inbox.push(Event::AttemptEnded { id, server, outcome, done: true });
@@ -381,23 +402,23 @@
     }
 
     /// Anything else that the balancer is to hear: notes, lists, timers.
-    pub fn tell(&mut self, event: Event) {
+    pub fn push_event(&mut self, event: Event) {
         self.inbox.push(event);
     }
 
     /// The time-out of an attempt has come: says whether that very task is still out, and where.
-    pub fn is_out(&self, id: RequestId, attempt: u32) -> Option<FrontId> {
+    pub fn front_of_attempt(&self, id: RequestId, attempt: u32) -> Option<FrontId> {
         let t = self.requests.get(&id)?;
         matches!(t.state, State::Trying { attempt: out, .. } if out == attempt).then_some(t.front)
     }
 
     /// The number of the latest attempt, for its time-out.
-    pub fn attempt(&self, id: RequestId) -> u32 {
+    pub fn attempt_number(&self, id: RequestId) -> u32 {
         self.requests.get(&id).map_or(0, |t| t.attempts)
     }
 
     /// Requests that stand, oldest first.
-    pub fn standing(&self) -> Vec<RequestId> {
+    pub fn established(&self) -> Vec<RequestId> {
         let up = |(id, t): (&RequestId, &Request)| matches!(t.state, State::Up { .. }).then_some(*id);
         let mut standing: Vec<_> = self.requests.iter().filter_map(up).collect();
         standing.sort_unstable();
@@ -415,9 +436,9 @@
         let mut actions = Vec::new();
         for (request_id, cool_down) in std::mem::take(&mut self.turned_away) {
             if let Some(front) = self.answer(now, request_id, FlowResult::Refused) {
-                self.counters.refused += 1;
-                self.counters.refused_unsent += 1;
-                self.counters.budget_refused += 1;
+                self.counters.rejected += 1;
+                self.counters.rejected_unsent += 1;
+                self.counters.quota_rejected += 1;
                 commands.push(Command::Reject { front, request_id, cool_down });
             }
         }
@@ -434,7 +455,7 @@
 
     fn carry_out(&mut self, now: Nanos, action: Action) -> Option<Command> {
         match action {
-            Action::StartAttempt { id, server, give_up } => {
+            Action::StartAttempt { id, server, timeout } => {
                 let Some(t) = self.requests.get_mut(&id).filter(|t| matches!(t.state, State::Waiting)) else {
                     let (outcome, done) = (Outcome::NotSent, true);
                     self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
@@ -444,26 +465,26 @@
                 let retry = t.attempts > 0;
                 if self.quotas.as_mut().is_some_and(|b| retry && b.again(now, class).is_err()) {
                     let (outcome, done) = (Outcome::Rejected, false);
-                    self.counters.budget_refused += 1;
+                    self.counters.quota_rejected += 1;
                     self.inbox.push(Event::AttemptEnded { id, server, outcome, done });
                     return None;
                 }
                 t.attempts += 1;
                 t.state = State::Trying { server, since: now, attempt: t.attempts };
                 self.counters.sent += 1;
-                let wait = give_up.min(t.deadline.saturating_sub(now));
+                let wait = timeout.min(t.deadline.saturating_sub(now));
                 Some(Command::StartAttempt { front: t.front, request_id: id, server, wait })
             }
             Action::CancelAttempt { id, .. } => {
                 let front = self.requests.get(&id)?.front;
-                self.task_ended(now, id, Outcome::Cancelled);
+                self.on_attempt_ended(now, id, Outcome::Cancelled);
                 Some(Command::CancelAttempt { front, request_id: id })
             }
-            Action::Reject { id, cool_down } => {
+            Action::Reject { id, retry_after: cool_down } => {
                 let unsent = self.requests.get(&id).is_some_and(|t| t.attempts == 0);
                 let front = self.answer(now, id, FlowResult::Refused)?;
-                self.counters.refused += 1;
-                self.counters.refused_unsent += u64::from(unsent);
+                self.counters.rejected += 1;
+                self.counters.rejected_unsent += u64::from(unsent);
                 Some(Command::Reject { front, request_id: id, cool_down })
             }
             Action::Fail(id) => {
@@ -473,7 +494,7 @@
             }
             Action::Migrate(id) => {
                 let front = self.requests.get(&id)?.front;
-                self.moved(now, id, Outcome::Cancelled);
+                self.close_for_migration(now, id, Outcome::Cancelled);
                 Some(Command::Migrate { front, request_id: id })
             }
             Action::SetTimer { after, token } => Some(Command::Timer { after, token }),
@@ -494,7 +515,7 @@
         Some(front)
     }
 
-    fn uncount(&mut self, gone: &Request) {
+    fn release_quota(&mut self, gone: &Request) {
         if let (Some(quotas), true) = (&mut self.quotas, gone.counted) {
             quotas.over(gone.class);
         }
@@ -502,7 +523,7 @@
 
     fn finish(&mut self, now: Nanos, id: RequestId, server: Option<ServerId>, result: FlowResult) {
         let Some(t) = self.requests.remove(&id) else { return };
-        self.uncount(&t);
+        self.release_quota(&t);
         if let Some(flows) = &mut self.flows {
             flows.push(Flow {
                 request_id: id,
