--- a/src/node/draining.rs
+++ b/src/node/draining.rs
@@ -25,8 +25,10 @@
         if step.started {
             self.for_each_front(|front, ctx| front.on_drain_step(ctx));
         }
-        for command in self.state.requests.fail_unanswered(now, step.abandon_before) {
-            self.execute(now, command);
+        if let Some(abandon_before) = step.abandon_before {
+            for command in self.state.requests.fail_unanswered(now, abandon_before) {
+                self.execute(now, command);
+            }
         }
         for request_id in established.into_iter().take(step.migrations) {
             let closed = self.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
