--- a/src/counters.rs
+++ b/src/counters.rs
@@ -26,7 +26,7 @@
     pub client_disconnected: u64,
     /// Served requests that the client or the server ended.
     pub ended: u64,
-    /// Established connections that this node asked to reconnect.
+    /// Established connections whose clients this node told to reconnect.
     pub migrated: u64,
     /// Attempts that ended in an error answer.
     pub attempt_error: u64,
@@ -36,7 +36,7 @@
     pub attempt_timeout: u64,
     /// Attempts that found no connection, or whose request was not written completely.
     pub attempt_connect_failed: u64,
-    /// Attempts whose connection broke after the request was written.
+    /// Attempts whose connection was lost after the request was written.
     pub attempt_reset: u64,
     /// Attempts that were cancelled.
     pub attempt_cancelled: u64,
--- a/src/flow_export.rs
+++ b/src/flow_export.rs
@@ -4,7 +4,7 @@
 
 use crate::config::Facts;
 use crate::discovery::EndpointRegistry;
-use crate::requests::{Flow, FlowResult};
+use crate::requests::{FlowRecord, FlowResult};
 use crate::vocabulary::Nanos;
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, UdpSocket};
@@ -47,7 +47,7 @@
     }
 
     /// Sends flows that have ended, at the module's time (Unix time in nanoseconds).
-    pub fn send(&mut self, now: Nanos, flows: &[Flow], registry: &EndpointRegistry, facts: &Facts) {
+    pub fn send(&mut self, now: Nanos, flows: &[FlowRecord], registry: &EndpointRegistry, facts: &Facts) {
         let due = |at: Nanos| now.saturating_sub(at) >= TEMPLATE_EVERY;
         if !flows.is_empty() && self.template_at.is_none_or(due) {
             self.template_at = Some(now);
@@ -95,7 +95,7 @@
     out
 }
 
-fn record(flow: &Flow, registry: &EndpointRegistry, facts: &Facts) -> Vec<u8> {
+fn record(flow: &FlowRecord, registry: &EndpointRegistry, facts: &Facts) -> Vec<u8> {
     let addr = flow.server.and_then(|server| registry.entry(server)).map(|server| server.addr());
     let ip = match addr.map(|a| a.ip()) {
         Some(IpAddr::V4(ip)) => ip,
@@ -104,17 +104,17 @@
     // IANA's reasons: 3 end of flow, 4 forced end, 5 lack of resources.
     let (reason, result) = match flow.result {
         FlowResult::Served => (3, "served"),
-        FlowResult::Refused => (5, "refused"),
+        FlowResult::Rejected => (5, "refused"),
         FlowResult::Failed => (4, "failed"),
-        FlowResult::Left => (3, "left"),
-        FlowResult::Moved => (4, "moved"),
+        FlowResult::ClientDisconnected => (3, "left"),
+        FlowResult::Migrated => (4, "moved"),
         FlowResult::Broken => (4, "broken"),
     };
     let class = facts.classes.get(flow.class).map_or("", |c| c.name.as_str());
     let mut out = Vec::new();
     out.extend(flow.request_id.0.to_be_bytes());
-    out.extend((flow.began / 1_000_000).to_be_bytes());
-    out.extend((flow.ended / 1_000_000).to_be_bytes());
+    out.extend((flow.started_at / 1_000_000).to_be_bytes());
+    out.extend((flow.ended_at / 1_000_000).to_be_bytes());
     out.push(reason);
     out.extend(ip.octets());
     out.extend(addr.map_or(0, |a| a.port()).to_be_bytes());
--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -73,7 +73,7 @@
     fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos);
     /// Sends the final answer "failed".
     fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId);
-    /// Asks the client of an established connection to reconnect. The request table has already dropped the request.
+    /// Tells the client of an established connection to reconnect. The request table has already dropped the request.
     fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId);
     /// These servers accept no new attempts: cancels those that have not been sent to them.
     fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -14,7 +14,7 @@
 use crate::net::{Kind, Net, Notice, Owner, Token, Wheel};
 use crate::quota::transport::{self, LeaseTransport};
 use crate::quota::QuotaAdmission;
-use crate::requests::{Command, FrontId, RequestTable};
+use crate::requests::{AttemptStep, Command, FrontId, RequestTable};
 use crate::vocabulary::*;
 use sparbank_quota::Plan;
 use std::io;
@@ -122,7 +122,9 @@
         reload: signal(&mut net, &[signal_hook::consts::SIGHUP]).map_err(|e| at("signals", e))?,
     };
     let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
-    requests.trace.on = log::tracing();
+    if log::tracing() {
+        requests.attempt_trace.enable();
+    }
     let operator = match config.operator {
         Some(at) => Some(Operator::open(&mut net, at).map_err(|e| format!("operator: {at}: {e}"))?),
         None => None,
@@ -163,7 +165,7 @@
     if let Some(collector) = ipfix {
         let domain = crate::hash::fnv1a(&config.name) as u32;
         export = Some(FlowExport::new(config.listen.ip(), collector, domain).map_err(|e| at("ipfix", e))?);
-        requests.flows = Some(Vec::new());
+        requests.ended_flows.enable();
         log::line(format_args!("ipfix collector={collector} domain={domain}"));
     }
     let clock = Clock::new();
@@ -506,8 +508,9 @@
     }
 
     fn export_flows(&mut self, now: Nanos) {
-        if let (Some(export), Some(flows)) = (&mut self.export, &mut self.requests.flows) {
-            export.send(now, &std::mem::take(flows), &self.registry, &self.config.facts);
+        if let Some(export) = &mut self.export {
+            let flows = self.requests.ended_flows.take();
+            export.send(now, &flows, &self.registry, &self.config.facts);
         }
     }
 
@@ -572,19 +575,17 @@
 
     /// The lines of `--trace`.
     fn print_trace(&mut self) {
-        for (request_id, server, outcome, waited) in std::mem::take(&mut self.requests.trace.tasks) {
-            let server = self.registry.entry(server).map_or("?", |r| r.name());
-            let ms = waited / 1_000_000;
-            match outcome {
-                Some(outcome) => log::line(format_args!(
-                    "trace attempt request={} server={server} ended={outcome:?} after_ms={ms}",
-                    request_id.0
-                )),
-                None => log::line(format_args!(
-                    "trace attempt request={} server={server} up after_ms={ms}",
-                    request_id.0
-                )),
-            }
+        for record in self.requests.attempt_trace.take() {
+            let server = self.registry.entry(record.server).map_or("?", |server| server.name());
+            let step = match record.step {
+                AttemptStep::Ended(outcome) => format!("ended={outcome:?}"),
+                AttemptStep::Established => "up".to_string(),
+            };
+            log::line(format_args!(
+                "trace attempt request={} server={server} {step} after_ms={}",
+                record.request_id.0,
+                record.elapsed / 1_000_000
+            ));
         }
     }
 
@@ -621,28 +622,28 @@
     }
 
     fn carry_out(&mut self, now: Nanos, command: Command) {
-        if let Command::Reject { request_id, cool_down, .. } = &command {
-            log::trace(format_args!("trace refused request={} ms={}", request_id.0, cool_down / 1_000_000));
+        if let Command::Reject { request_id, retry_after, .. } = &command {
+            log::trace(format_args!("trace refused request={} ms={}", request_id.0, retry_after / 1_000_000));
         }
         match command {
-            Command::StartAttempt { front, request_id, server, wait } => {
+            Command::StartAttempt { front, request_id, server, timeout } => {
                 self.wheel.at(
-                    now + wait,
+                    now + timeout,
                     TimerEvent::AttemptTimeout(request_id, self.requests.attempt_number(request_id)),
                 );
-                front!(self, front, start_attempt, request_id, server, wait)
+                front!(self, front, start_attempt, request_id, server, timeout)
             }
             Command::CancelAttempt { front, request_id } => {
                 self.take_back(front, request_id);
             }
-            Command::Reject { front, request_id, cool_down } => {
-                front!(self, front, reject, request_id, cool_down)
+            Command::Reject { front, request_id, retry_after } => {
+                front!(self, front, reject, request_id, retry_after)
             }
             Command::Fail { front, request_id } => front!(self, front, fail, request_id),
             Command::Migrate { front, request_id } => front!(self, front, migrate, request_id),
             Command::HealthCheck { server } => front!(self, TEXT_FRONT, check_health, server),
-            Command::Timer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
-            Command::Timer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
+            Command::SetTimer { after: 0, token } => self.requests.push_event(Event::Timer(token)),
+            Command::SetTimer { after, token } => self.wheel.at(now + after, TimerEvent::Policy(token)),
             Command::Subscribe => {
                 if let Some(event) = self.registry.subscribe(now, &mut self.net) {
                     self.listed(event);
--- /dev/null
+++ b/src/requests/command.rs
@@ -0,0 +1,75 @@
+//! Commands of the request table to the node.
+
+use crate::vocabulary::{Nanos, RequestId, ServerId};
+
+/// Identifies the front through which a request arrived.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FrontId {
+    /// Its index among the fronts that are on.
+    pub index: u8,
+    /// Its name in exports and log lines.
+    pub name: &'static str,
+}
+
+/// A command that the node carries out.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Command {
+    /// Start the only attempt of a request.
+    StartAttempt {
+        /// The request's front.
+        front: FrontId,
+        /// The request.
+        request_id: RequestId,
+        /// The server to send it to.
+        server: ServerId,
+        /// How long the attempt may take, in nanoseconds.
+        timeout: Nanos,
+    },
+    /// Cancel the attempt of a request.
+    CancelAttempt {
+        /// The request's front.
+        front: FrontId,
+        /// The request.
+        request_id: RequestId,
+    },
+    /// Send the final answer "rejected".
+    Reject {
+        /// The request's front.
+        front: FrontId,
+        /// The request.
+        request_id: RequestId,
+        /// The advice when to retry, in nanoseconds from now; zero for none.
+        retry_after: Nanos,
+    },
+    /// Send the final answer "failed".
+    Fail {
+        /// The request's front.
+        front: FrontId,
+        /// The request.
+        request_id: RequestId,
+    },
+    /// Tell the client of an established connection to reconnect.
+    Migrate {
+        /// The request's front.
+        front: FrontId,
+        /// The request.
+        request_id: RequestId,
+    },
+    /// Request a server's load report; an [`Event::HealthCheckResult`](crate::vocabulary::Event::HealthCheckResult)
+    /// answers it.
+    HealthCheck {
+        /// The server.
+        server: ServerId,
+    },
+    /// Push an [`Event::Timer`](crate::vocabulary::Event::Timer) with this token.
+    SetTimer {
+        /// In nanoseconds from now.
+        after: Nanos,
+        /// Returned as it is.
+        token: u64,
+    },
+    /// Start a watch on the endpoint registry.
+    Subscribe,
+    /// Write a log line.
+    Log(String),
+}
--- /dev/null
+++ b/src/requests/decide.rs
@@ -0,0 +1,112 @@
+//! Decisions: passes the gathered events to the balancer and turns its actions into commands.
+
+use super::command::{Command, FrontId};
+use super::open_requests::{Attempt, RequestState};
+use super::records::FlowResult;
+use super::table::{QuotaRejection, RequestTable};
+use crate::vocabulary::{Action, Event, Nanos, Outcome, RequestId, ServerId};
+
+impl RequestTable {
+    /// Passes all pending events to the balancer and returns the commands that follow, in order.
+    pub fn decide(&mut self, now: Nanos) -> Vec<Command> {
+        let mut commands = self.answer_quota_rejections(now);
+        let mut actions = Vec::new();
+        while !self.pending_events.is_empty() {
+            for event in std::mem::take(&mut self.pending_events) {
+                self.balancer.handle(now, event, &mut actions);
+            }
+            for action in actions.drain(..) {
+                commands.extend(self.apply(now, action));
+            }
+        }
+        commands
+    }
+
+    fn answer_quota_rejections(&mut self, now: Nanos) -> Vec<Command> {
+        let mut commands = Vec::new();
+        for rejection in std::mem::take(&mut self.quota_rejections) {
+            let QuotaRejection { request_id, retry_after } = rejection;
+            if let Some(front) = self.close_unanswered(now, request_id, FlowResult::Rejected) {
+                self.counters.rejected += 1;
+                self.counters.rejected_unsent += 1;
+                self.counters.quota_rejected += 1;
+                commands.push(Command::Reject { front, request_id, retry_after });
+            }
+        }
+        commands
+    }
+
+    fn apply(&mut self, now: Nanos, action: Action) -> Option<Command> {
+        match action {
+            Action::StartAttempt { id, server, give_up } => self.start_attempt(now, id, server, give_up),
+            Action::CancelAttempt { id, .. } => {
+                let front = self.open.get(id)?.front;
+                self.on_attempt_ended(now, id, Outcome::Cancelled);
+                Some(Command::CancelAttempt { front, request_id: id })
+            }
+            Action::Reject { id, cool_down } => self.reject(now, id, cool_down),
+            Action::Fail(id) => {
+                let front = self.close_unanswered(now, id, FlowResult::Failed)?;
+                self.counters.failed += 1;
+                Some(Command::Fail { front, request_id: id })
+            }
+            Action::Migrate(id) => {
+                let front = self.open.get(id)?.front;
+                self.close_for_migration(now, id, Outcome::Cancelled);
+                Some(Command::Migrate { front, request_id: id })
+            }
+            Action::SetTimer { after, token } => Some(Command::SetTimer { after, token }),
+            Action::HealthCheck(server) => Some(Command::HealthCheck { server }),
+            Action::Subscribe => Some(Command::Subscribe),
+            Action::Log(text) => Some(Command::Log(text)),
+        }
+    }
+
+    fn start_attempt(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+    ) -> Option<Command> {
+        let waiting = self.open.get_mut(id).filter(|request| request.state == RequestState::NoAttempt);
+        let Some(request) = waiting else {
+            self.push_last_attempt_ended(id, server, Outcome::NotSent);
+            return None;
+        };
+        let is_retry = request.attempts > 0;
+        if let Some(quotas) = self.quotas.as_mut().filter(|_| is_retry) {
+            if quotas.again(now, request.class).is_err() {
+                self.counters.quota_rejected += 1;
+                let outcome = Outcome::Rejected;
+                self.pending_events.push(Event::AttemptEnded { id, server, outcome, done: false });
+                return None;
+            }
+        }
+        request.attempts += 1;
+        let attempt = Attempt { server, sent_at: now, number: request.attempts };
+        request.state = RequestState::InFlight(attempt);
+        self.counters.sent += 1;
+        let timeout = timeout.min(request.deadline.saturating_sub(now));
+        Some(Command::StartAttempt { front: request.front, request_id: id, server, timeout })
+    }
+
+    fn reject(&mut self, now: Nanos, id: RequestId, retry_after: Nanos) -> Option<Command> {
+        let is_unsent = self.open.get(id).is_some_and(|request| request.attempts == 0);
+        let front = self.close_unanswered(now, id, FlowResult::Rejected)?;
+        self.counters.rejected += 1;
+        self.counters.rejected_unsent += u64::from(is_unsent);
+        Some(Command::Reject { front, request_id: id, retry_after })
+    }
+
+    /// Closes a request that has no attempt in flight and no answer yet.
+    fn close_unanswered(&mut self, now: Nanos, id: RequestId, result: FlowResult) -> Option<FrontId> {
+        let request = self.open.get(id)?;
+        if request.state != RequestState::NoAttempt {
+            return None;
+        }
+        let front = request.front;
+        self.close(now, id, None, result);
+        Some(front)
+    }
+}
