--- a/src/node/commands.rs
+++ b/src/node/commands.rs
@@ -29,16 +29,16 @@
     /// Executes a command of the request table.
     pub(super) fn execute(&mut self, now: Nanos, command: Command) {
         match command {
-            Command::StartAttempt { front, request_id, server, wait } => {
-                self.start_attempt(now, front, request_id, server, wait);
+            Command::StartAttempt { front, request_id, server, timeout } => {
+                self.start_attempt(now, front, request_id, server, timeout);
             }
             Command::CancelAttempt { front, request_id } => {
                 self.cancel_attempt(front, request_id);
             }
-            Command::Reject { front, request_id, cool_down } => {
-                let ms = cool_down / 1_000_000;
+            Command::Reject { front, request_id, retry_after } => {
+                let ms = retry_after / 1_000_000;
                 log::trace(format_args!("trace refused request={} ms={ms}", request_id.0));
-                self.with_front(front, |front, ctx| front.reject(ctx, request_id, cool_down));
+                self.with_front(front, |front, ctx| front.reject(ctx, request_id, retry_after));
             }
             Command::Fail { front, request_id } => {
                 self.with_front(front, |front, ctx| front.fail(ctx, request_id));
@@ -49,8 +49,8 @@
             Command::HealthCheck { server } => {
                 self.with_front(TEXT_FRONT, |front, ctx| front.check_health(ctx, server));
             }
-            Command::Timer { after: 0, token } => self.state.requests.push_event(Event::Timer(token)),
-            Command::Timer { after, token } => {
+            Command::SetTimer { after: 0, token } => self.state.requests.push_event(Event::Timer(token)),
+            Command::SetTimer { after, token } => {
                 self.state.wheel.schedule(now + after, TimerEvent::Policy(token));
             }
             Command::Subscribe => self.subscribe(now),
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -3,6 +3,7 @@
 use super::Node;
 use crate::admin::AdminServer;
 use crate::log;
+use crate::requests::AttemptStep;
 use crate::vocabulary::Nanos;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -10,18 +11,14 @@
 impl Node {
     /// Prints the lines of `--trace` on attempts.
     pub(super) fn print_trace(&mut self) {
-        let attempts = std::mem::take(&mut self.state.requests.trace.tasks);
-        for (request_id, server, outcome, waited) in attempts {
-            let server = self.state.registry.entry(server).map_or("?", |entry| entry.name());
-            let (request, ms) = (request_id.0, waited / NANOS_PER_MS);
-            match outcome {
-                Some(outcome) => log::line(format_args!(
-                    "trace attempt request={request} server={server} ended={outcome:?} after_ms={ms}"
-                )),
-                None => log::line(format_args!(
-                    "trace attempt request={request} server={server} up after_ms={ms}"
-                )),
-            }
+        for record in self.state.requests.attempt_trace.take() {
+            let server = self.state.registry.entry(record.server).map_or("?", |entry| entry.name());
+            let step = match record.step {
+                AttemptStep::Ended(outcome) => format!("ended={outcome:?}"),
+                AttemptStep::Established => "up".to_string(),
+            };
+            let (request, ms) = (record.request_id.0, record.elapsed / NANOS_PER_MS);
+            log::line(format_args!("trace attempt request={request} server={server} {step} after_ms={ms}"));
         }
     }
 
@@ -61,9 +58,9 @@
 
     /// Exports the flows that have ended since the last call.
     pub(super) fn export_flows(&mut self, now: Nanos) {
-        if let (Some(export), Some(flows)) = (&mut self.flow_export, &mut self.state.requests.flows) {
-            let ended = std::mem::take(flows);
-            export.send(now, &ended, &self.state.registry, &self.state.config.site);
+        if let Some(export) = &mut self.flow_export {
+            let flows = self.state.requests.ended_flows.take();
+            export.send(now, &flows, &self.state.registry, &self.state.config.site);
         }
     }
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -156,7 +156,9 @@
 impl Startup {
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
-        requests.trace.on = log::tracing();
+        if log::tracing() {
+            requests.attempt_trace.enable();
+        }
         let registry = EndpointRegistry::new(config.site.zones.clone());
         let discovery = DiscoveryClient::new(config.discovery);
         Ok(Startup { config, net, requests, registry, discovery })
@@ -217,7 +219,7 @@
         let domain = fnv1a(&self.config.name) as u32;
         let export = FlowExport::new(self.config.listen.ip(), collector, domain);
         let export = export.map_err(ServeError::FlowExport)?;
-        self.requests.flows = Some(Vec::new());
+        self.requests.ended_flows.enable();
         log::line(format_args!("ipfix collector={collector} domain={domain}"));
         Ok(Some(export))
     }
