--- a/src/cli.rs
+++ b/src/cli.rs
@@ -90,8 +90,8 @@
 }
 
 fn check_quota_file(file: &Path) -> Result<(), Failure> {
-    let plan = quota::read(file).map_err(Failure::invalid)?;
-    println!("{}: {} seats, {} budgets: right", file.display(), plan.seats.len(), plan.budgets.len());
+    let plan = quota::read_plan(file).map_err(Failure::invalid)?;
+    println!("{}: {} seats, {} budgets: right", file.display(), plan.members.len(), plan.quotas.len());
     Ok(())
 }
 
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -92,7 +92,7 @@
         self.counters.requests += 1;
         let request_id = self.open.insert(now, front, &mut arrival, RequestState::NoAttempt);
         if let Some(quotas) = &mut self.quotas {
-            if let Err(retry_after) = quotas.first(now, arrival.class) {
+            if let Err(retry_after) = quotas.admit_request(now, arrival.class) {
                 self.quota_rejections.push(QuotaRejection { request_id, retry_after });
                 return request_id;
             }
@@ -137,7 +137,7 @@
     ) -> RequestId {
         let id = self.open.insert(now, front, &mut arrival, RequestState::Established(server));
         if let Some(quotas) = &mut self.quotas {
-            quotas.stands(arrival.class);
+            quotas.adopt_connection(arrival.class);
             self.mark_quota_used(id);
         }
         self.pending_events.push(Event::Resumed(arrival, server));
@@ -264,13 +264,13 @@
     /// Closes the established connections that exceed the quotas, the newest first.
     pub fn migrate_over_quota(&mut self, now: Nanos) -> Vec<Command> {
         let Some(quotas) = &mut self.quotas else { return Vec::new() };
-        if !quotas.is_over(now) {
+        if !quotas.has_excess(now) {
             return Vec::new();
         }
         let mut newest = self.open.ids_oldest_first(|request| request.uses_quota && request.is_established());
         newest.reverse();
         let classes = newest.iter().filter_map(|id| self.open.get(*id)).map(|request| request.class);
-        let is_excess = quotas.excess(now, classes);
+        let is_excess = quotas.select_excess(now, classes);
         let mut commands = Vec::new();
         for (request_id, is_excess) in newest.into_iter().zip(is_excess) {
             if !is_excess {
@@ -380,7 +380,7 @@
 
     fn release_quota(&mut self, request: &Request) {
         if let Some(quotas) = self.quotas.as_mut().filter(|_| request.uses_quota) {
-            quotas.over(request.class);
+            quotas.release(request.class);
         }
     }
 }
