--- a/src/quota/file.rs
+++ b/src/quota/file.rs
@@ -112,7 +112,7 @@
 fn decode_plan(path: &Path) -> Result<QuotaPlan, QuotaFileProblem> {
     let text = std::fs::read_to_string(path).map_err(QuotaFileProblem::Unreadable)?;
     let plan: QuotaPlan =
-        crate::config::json::parse(&text).map_err(|error| QuotaFileProblem::Undecodable(error.into()))?;
+        crate::json::parse(&text).map_err(|error| QuotaFileProblem::Undecodable(error.into()))?;
     plan.validate().map_err(QuotaFileProblem::Invalid)?;
     Ok(plan)
 }
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -6,4 +6,4 @@
 pub mod transport;
 
 pub use admission::QuotaAdmission;
-pub use file::{load_membership, read_plan, QuotaMembership};
+pub use file::{load_membership, read_plan, QuotaFileError, QuotaMembership};
