--- a/src/node/quotas.rs
+++ b/src/node/quotas.rs
@@ -12,7 +12,7 @@
         let now = self.state.now();
         if let (Some(transport), Some(quotas)) = (&mut self.lease_transport, &mut self.state.requests.quotas)
         {
-            transport.on_notice(now, &mut self.state.net, quotas, event);
+            transport.on_socket_event(now, &mut self.state.net, quotas, event);
         }
     }
 
