--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -1,5 +1,6 @@
-//! The Unix socket between an old process and its successor: whole messages, some with descriptors.
+//! The handover socket: a Unix socket between a process and its successor that carries messages with descriptors.
 
+use crate::log;
 use rustix::fd::AsFd;
 use rustix::io::Errno;
 use rustix::net::{
@@ -7,35 +8,65 @@
     ReturnFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketFlags,
     SocketType,
 };
+use std::fmt;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::os::fd::OwnedFd;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The longest message, in octets: what is buffered for two sockets, in base64, and their state.
-pub const MOST_MESSAGE: usize = 128 * 1024;
-/// The most descriptors in one message.
-pub const MOST_FDS: usize = 2;
+/// The longest message: the buffers of two connections, in base64, and their state.
+pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
+/// The most descriptors in one message: those of a client's connection and of its attempt.
+pub const MAX_DESCRIPTORS_PER_MESSAGE: usize = 2;
+/// The longest path of a Unix socket that the system allows, without its terminating zero.
+const MAX_SOCKET_PATH_BYTES: usize = 107;
+/// Successors that may wait to be accepted.
+const BACKLOG: i32 = 4;
 
-/// A message as it is carried.
+/// A message and the descriptors that travel beside it.
 #[derive(Debug)]
 pub struct FramedMessage {
+    /// The message, in JSON.
     pub bytes: Vec<u8>,
+    /// Its descriptors.
     pub fds: Vec<OwnedFd>,
 }
 
-/// What became of a try to send or to receive.
-#[derive(Debug)]
-pub enum Carried<T> {
-    Done(T),
-    /// Not now.
-    Later,
-    /// The other side is gone, or what came is no message.
-    Over,
+/// Why a message was not sent or received.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ChannelError {
+    /// The socket takes or has nothing now, or a blocking call timed out.
+    WouldBlock,
+    /// The other process is gone, or what it sent is no message.
+    Closed,
+}
+
+impl fmt::Display for ChannelError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ChannelError::WouldBlock => write!(f, "the handover socket would block"),
+            ChannelError::Closed => write!(f, "the handover socket is closed"),
+        }
+    }
 }
 
-/// Listens at a path for the successor of this process. Whatever was left there is replaced.
+impl std::error::Error for ChannelError {}
+
+/// The path of a node's handover socket: in `$TMPDIR`, by the node's name. None where there is no such folder.
+pub fn socket_path(node_name: &str) -> Option<PathBuf> {
+    let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    let name: String = node_name.chars().map(|c| if is_plain(c) { c } else { '_' }).collect();
+    // The name is that of earlier versions: an older process listens there.
+    let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
+    if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
+        log::line(format_args!("handover-off reason=TMPDIR is too long for a socket's path"));
+        return None;
+    }
+    Some(path)
+}
+
+/// Listens at a path for the successor of this process. What another process left there is replaced.
 pub fn listen(path: &Path) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?;
     match std::fs::remove_file(path) {
@@ -44,11 +75,11 @@
     }
     rustix::net::bind(&fd, &SocketAddrUnix::new(path)?)?;
     rustix::fs::chmod(path, rustix::fs::Mode::RUSR | rustix::fs::Mode::WUSR)?;
-    rustix::net::listen(&fd, 4)?;
+    rustix::net::listen(&fd, BACKLOG)?;
     Ok(fd)
 }
 
-/// Takes in a successor that runs under our own user; none where nobody waits or it is somebody else.
+/// Accepts a successor that runs under this process's user. None where nobody waits or it is another user's.
 pub fn accept(listener: impl AsFd) -> Option<OwnedFd> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let fd = rustix::net::accept_with(listener, flags).ok()?;
@@ -56,11 +87,12 @@
     (peer.uid == rustix::process::geteuid()).then_some(fd)
 }
 
-/// Connects to the process that listens at a path. It blocks: a call of [`receive`] takes no longer than this.
-pub fn connect(path: &Path, within: Duration) -> io::Result<OwnedFd> {
+/// Connects to the process that listens at a path. The socket blocks: [`send`] and [`receive`] on it return within
+/// `timeout`.
+pub fn connect(path: &Path, timeout: Duration) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC)?;
-    sockopt::set_socket_timeout(&fd, sockopt::Timeout::Recv, Some(within))?;
-    sockopt::set_socket_timeout(&fd, sockopt::Timeout::Send, Some(within))?;
+    sockopt::set_socket_timeout(&fd, sockopt::Timeout::Recv, Some(timeout))?;
+    sockopt::set_socket_timeout(&fd, sockopt::Timeout::Send, Some(timeout))?;
     rustix::net::connect(&fd, &SocketAddrUnix::new(path)?)?;
     Ok(fd)
 }
@@ -69,115 +101,53 @@
     Ok(rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Sends one message, whole or not at all.
-pub fn send(fd: impl AsFd, framed_message: &FramedMessage) -> Carried<()> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
+/// Sends one message, complete or not at all.
+pub fn send(fd: impl AsFd, message: &FramedMessage) -> Result<(), ChannelError> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = SendAncillaryBuffer::new(&mut space);
-    let fds: Vec<_> = framed_message.fds.iter().map(|fd| fd.as_fd()).collect();
+    let fds: Vec<_> = message.fds.iter().map(|fd| fd.as_fd()).collect();
     if !fds.is_empty() && !control.push(SendAncillaryMessage::ScmRights(&fds)) {
-        return Carried::Over;
+        return Err(ChannelError::Closed);
     }
     loop {
-        match sendmsg(&fd, &[IoSlice::new(&framed_message.bytes)], &mut control, SendFlags::NOSIGNAL) {
-            Ok(_) => return Carried::Done(()),
+        match sendmsg(&fd, &[IoSlice::new(&message.bytes)], &mut control, SendFlags::NOSIGNAL) {
+            Ok(_) => return Ok(()),
             Err(Errno::INTR) => {}
-            // The last: too many descriptors are on their way at once.
-            Err(Errno::AGAIN | Errno::NOBUFS | Errno::TOOMANYREFS) => return Carried::Later,
-            Err(_) => return Carried::Over,
+            // TOOMANYREFS: too many descriptors are in flight between processes.
+            Err(Errno::AGAIN | Errno::NOBUFS | Errno::TOOMANYREFS) => return Err(ChannelError::WouldBlock),
+            Err(_) => return Err(ChannelError::Closed),
         }
     }
 }
 
 /// Receives one message.
-pub fn receive(fd: impl AsFd) -> Carried<FramedMessage> {
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MOST_FDS))];
+pub fn receive(fd: impl AsFd) -> Result<FramedMessage, ChannelError> {
+    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
-    let mut bytes = vec![0; MOST_MESSAGE];
-    loop {
-        let (mut parts, flags) = ([IoSliceMut::new(&mut bytes)], RecvFlags::CMSG_CLOEXEC);
-        match recvmsg(&fd, &mut parts, &mut control, flags) {
-            // Cut off: a descriptor may be lost, and with it a connection.
-            Ok(came) if came.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC) => {
-                return Carried::Over
-            }
-            Ok(came) if came.bytes == 0 => return Carried::Over,
-            Ok(came) => {
-                let mut fds = Vec::new();
-                for message in control.drain() {
-                    if let RecvAncillaryMessage::ScmRights(passed) = message {
-                        fds.extend(passed);
-                    }
-                }
-                bytes.truncate(came.bytes);
-                return Carried::Done(FramedMessage { bytes, fds });
-            }
+    let mut bytes = vec![0; MAX_MESSAGE_BYTES];
+    let received = loop {
+        let mut buffers = [IoSliceMut::new(&mut bytes)];
+        match recvmsg(&fd, &mut buffers, &mut control, RecvFlags::CMSG_CLOEXEC) {
+            Ok(received) => break received,
             Err(Errno::INTR) => {}
-            Err(Errno::AGAIN) => return Carried::Later,
-            Err(_) => return Carried::Over,
+            Err(Errno::AGAIN) => return Err(ChannelError::WouldBlock),
+            Err(_) => return Err(ChannelError::Closed),
         }
+    };
+    // Of a truncated message a descriptor may be lost, and with it a connection.
+    let is_truncated = received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC);
+    if is_truncated || received.bytes == 0 {
+        return Err(ChannelError::Closed);
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use std::io::{Read, Write};
-
-    fn path(name: &str) -> std::path::PathBuf {
-        std::env::temp_dir().join(format!("sparbank-channel-{}-{name}", std::process::id()))
-    }
-
-    #[test]
-    fn a_message_arrives_whole_with_its_descriptors() {
-        let path = path("whole");
-        std::fs::write(&path, "left behind").expect("a file");
-        let listener = listen(&path).expect("it listens");
-        let theirs = connect(&path, Duration::from_secs(5)).expect("it connects");
-        let ours = accept(&listener).expect("our own user");
-        let _ = std::fs::remove_file(&path);
-        assert!(matches!(receive(&ours), Carried::Later), "nothing yet");
-        let (mut near, far) = std::os::unix::net::UnixStream::pair().expect("a pair");
-        let framed_message = FramedMessage { bytes: vec![7; 100_000], fds: vec![OwnedFd::from(far)] };
-        assert!(matches!(send(&ours, &framed_message), Carried::Done(())));
-        drop(framed_message);
-        let Carried::Done(mut came) = receive(&theirs) else { panic!("it came") };
-        assert_eq!((came.bytes.len(), came.fds.len()), (100_000, 1));
-        let mut far = std::os::unix::net::UnixStream::from(came.fds.remove(0));
-        far.write_all(b"x").expect("it is open");
-        drop(far);
-        let mut said = Vec::new();
-        near.read_to_end(&mut said).expect("it ends");
-        assert_eq!(said, b"x");
-        drop(ours);
-        assert!(matches!(receive(&theirs), Carried::Over), "the other side is gone");
-    }
-
-    #[test]
-    fn what_does_not_fit_waits_and_is_not_lost() {
-        let path = path("full");
-        let listener = listen(&path).expect("it listens");
-        let theirs = connect(&path, Duration::from_secs(5)).expect("it connects");
-        let ours = accept(&listener).expect("our own user");
-        let _ = std::fs::remove_file(&path);
-        let framed_message = |number: u8| FramedMessage { bytes: vec![number; 10_000], fds: Vec::new() };
-        let sent =
-            (0..).take_while(|n| matches!(send(&ours, &framed_message(*n)), Carried::Done(()))).count();
-        assert!((1..200).contains(&sent), "{sent}");
-        for number in 0..sent {
-            let Carried::Done(came) = receive(&theirs) else { panic!("{number} came") };
-            assert_eq!((came.bytes[0] as usize, came.bytes.len()), (number, 10_000));
+    let mut fds = Vec::new();
+    for message in control.drain() {
+        if let RecvAncillaryMessage::ScmRights(rights) = message {
+            fds.extend(rights);
         }
-        assert!(matches!(send(&ours, &framed_message(0)), Carried::Done(())), "there is room again");
-    }
-
-    #[test]
-    fn nobody_there_is_an_error_and_so_is_a_leftover() {
-        let path = path("nobody");
-        assert!(connect(&path, Duration::from_secs(1)).is_err());
-        drop(listen(&path).expect("it listens"));
-        assert!(path.exists(), "the path stays when a process is killed");
-        assert!(connect(&path, Duration::from_secs(1)).is_err());
-        drop(listen(&path).expect("it is replaced"));
-        let _ = std::fs::remove_file(&path);
     }
+    bytes.truncate(received.bytes);
+    Ok(FramedMessage { bytes, fds })
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform holds it and every process inherits it.
+//! The clients' listening socket, where the platform opens it and passes it to every process.
 
 use rustix::io::Errno;
 use rustix::net::{sockopt, AddressFamily};
@@ -8,7 +8,7 @@
 use std::io;
 use std::os::fd::OwnedFd;
 
-/// Names the inherited descriptor, as a decimal number.
+/// The environment variable with the number of the passed descriptor, in decimal.
 pub const VARIABLE: &str = "NODE_PASSED_SOCKET";
 
 /// Why the descriptor that [`VARIABLE`] names cannot be used. The text is one line that names the variable.
@@ -98,52 +98,13 @@
     Ok(fd)
 }
 
-/// A descriptor known by its number alone, under a number of our own. To take the number itself for a
-/// descriptor would be `unsafe`; so we ask the system for one of this process's own. The inherited one stays
-/// open, and goes on to nobody: what we start ourselves is nothing.
+/// Duplicates a descriptor that is known by its number alone. To own the number itself would be `unsafe`, so the system
+/// is asked for a descriptor of this process. The inherited one remains open; this process starts no other that could
+/// inherit it.
 fn duplicate(number: i32) -> io::Result<OwnedFd> {
-    let myself = pidfd_open(getpid(), PidfdFlags::empty())?;
-    Ok(pidfd_getfd(myself, number, PidfdGetfdFlags::empty())?)
+    let this_process = pidfd_open(getpid(), PidfdFlags::empty())?;
+    Ok(pidfd_getfd(this_process, number, PidfdGetfdFlags::empty())?)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
-    use std::os::fd::AsRawFd;
-    use std::os::unix::net::UnixListener;
-
-    #[test]
-    fn a_listening_socket_is_taken_by_its_number() {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at = listener.local_addr().expect("an address");
-        let taken = TcpListener::from(open_listener(&listener.as_raw_fd().to_string()).expect("it is taken"));
-        drop(listener);
-        assert_eq!(taken.local_addr().expect("an address"), at);
-        TcpStream::connect(at).expect("it still listens");
-    }
-
-    #[rstest::rstest]
-    #[case("")]
-    #[case("-1")]
-    #[case("three")]
-    #[case("99999")]
-    fn what_names_no_open_descriptor_is_an_error(#[case] text: &str) {
-        assert!(open_listener(text).is_err());
-    }
-
-    #[test]
-    fn what_takes_no_clients_is_an_error() {
-        let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let at: SocketAddr = listener.local_addr().expect("an address");
-        let stream = TcpStream::connect(at).expect("a connection");
-        let file = std::fs::File::open("/dev/null").expect("a file");
-        let path = std::env::temp_dir().join(format!("sparbank-unix-{}", std::process::id()));
-        let unix = UnixListener::bind(&path).expect("a path");
-        let _ = std::fs::remove_file(&path);
-        for fd in [udp.as_raw_fd(), stream.as_raw_fd(), file.as_raw_fd(), unix.as_raw_fd()] {
-            assert!(open_listener(&fd.to_string()).is_err(), "{fd}");
-        }
-    }
-}
+mod tests;
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,193 +1,211 @@
-//! What an old process and its successor tell each other. No I/O.
+//! The messages between a process and its successor. No I/O.
 //!
 //! ```text
-//! successor   old process
-//! Take    -->             it has read its configuration and could serve
-//!         <-- State ...   the list and what the module learned, in pieces
-//!         <-- Listener *  where optional fronts listen
-//!         <-- Watch ?     discovery's watch
-//!         <-- Whole
-//! Ready   -->             it serves; the old process takes in nothing more
-//!         <-- Connection *  connections, as each can be passed on
-//!         <-- (the end)   the old process is gone
+//! successor      predecessor
+//! StateRequest     -->                the successor has read its configuration and could serve
+//!                  <-- StatePiece ... the endpoint list and the balancer's state, in pieces
+//!                  <-- Listener *     listening sockets of the optional fronts
+//!                  <-- Watch ?        the watch of the discovery service
+//!                  <-- StateComplete
+//! Ready            -->                the successor serves; the predecessor accepts nothing more
+//!                  <-- Connection *   connections, as each can be transferred
+//!                  <-- (end)          the predecessor has exited
 //! ```
 //!
-//! An end before `Ready` changes nothing for the old process.
+//! An end before `Ready` changes nothing for the predecessor. A message is one JSON value; its names are those of
+//! version 00677b7, since either side may be an older process.
 
-use super::channel::{FramedMessage, MOST_FDS};
-use crate::discovery::{EndpointListDocument, WatchState};
+use super::channel::{FramedMessage, MAX_DESCRIPTORS_PER_MESSAGE};
+use crate::discovery::{TransferredWatch, WatchState};
+use crate::front::TransferredConnection;
 use crate::net::BufferedConnection;
 use serde::{Deserialize, Serialize};
+use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// Rises with every change of these types: what another version says is not guessed at.
-pub const VERSION: u32 = 1;
-/// A piece of the state, in octets.
-const PIECE: usize = 32 * 1024;
-/// The longest state, in octets. A list of 10,000 servers and what is known of them takes 5 MB.
-const MOST_STATE: usize = 16 * 1024 * 1024;
+/// Rises with every change of what is sent. A process ends the exchange with another version.
+pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A message; descriptors travel beside it.
-#[derive(Debug, Serialize, Deserialize)]
+/// A message with the descriptors that belong to it.
 pub enum Message {
-    Take {
+    /// The successor requests this process's state.
+    StateRequest {
+        /// [`PROTOCOL_VERSION`] of the successor.
         version: u32,
+        /// The node's name.
         name: String,
     },
-    State {
+    /// A piece of a [`StateSnapshot`](super::StateSnapshot), in JSON.
+    StatePiece {
+        /// The next characters of the text.
         piece: String,
     },
+    /// A listening socket of an optional front.
     Listener {
-        at: SocketAddr,
+        /// The address that it is bound to.
+        address: SocketAddr,
+        /// The socket.
+        socket: OwnedFd,
     },
-    Watch(WatchState, BufferedConnection),
-    Whole,
+    /// The watch of the discovery service.
+    Watch(TransferredWatch),
+    /// The state has been sent completely.
+    StateComplete,
+    /// The successor serves.
     Ready,
-    #[serde(rename = "Terminal")]
+    /// A client's connection.
     Connection {
+        /// Name of the front that owns it.
         front: String,
-        #[serde(rename = "luggage")]
-        state: String,
-        descriptors: usize,
+        /// The connection.
+        connection: TransferredConnection,
+        /// Descriptors that the sender still has open.
+        open_descriptors: usize,
     },
 }
 
-/// What a process tells its successor about itself before it hands over.
+/// A message as JSON; its descriptors travel beside it.
 #[derive(Debug, Serialize, Deserialize)]
-pub struct StateSnapshot {
-    /// An operator has drained the node.
-    #[serde(rename = "drained")]
-    pub is_drained: bool,
-    /// The endpoint list, as discovery writes it.
-    #[serde(rename = "list")]
-    pub endpoint_list: EndpointListDocument,
-    /// The state of the balancer, as the balancer wrote it.
-    #[serde(rename = "learned")]
-    pub balancer_state: String,
-    /// Descriptors that the process has open.
-    #[serde(rename = "descriptors")]
-    pub open_descriptors: usize,
+enum WireMessage {
+    #[serde(rename = "Take")]
+    StateRequest {
+        version: u32,
+        name: String,
+    },
+    #[serde(rename = "State")]
+    StatePiece {
+        piece: String,
+    },
+    Listener {
+        #[serde(rename = "at")]
+        address: SocketAddr,
+    },
+    Watch(WatchState, BufferedConnection),
+    #[serde(rename = "Whole")]
+    StateComplete,
+    Ready,
+    #[serde(rename = "Terminal")]
+    Connection {
+        front: String,
+        #[serde(rename = "luggage")]
+        connection: String,
+        #[serde(rename = "descriptors")]
+        open_descriptors: usize,
+    },
 }
 
 /// Why a message cannot be used.
 #[derive(Debug, PartialEq, Eq)]
 pub enum MessageError {
-    NotJson(String),
-    Descriptors,
-    TooLong,
+    /// It is no JSON value of the expected form.
+    InvalidJson(String),
+    /// Its descriptors are missing, or it has some that it should not have.
+    WrongDescriptors,
+    /// The state is longer than a process accepts.
+    StateTooLong {
+        /// The longest state that is accepted.
+        max_bytes: usize,
+    },
 }
 
-impl std::fmt::Display for MessageError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Display for MessageError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            MessageError::NotJson(problem) => write!(f, "no message: {problem}"),
-            MessageError::Descriptors => write!(f, "a message without its descriptors"),
-            MessageError::TooLong => write!(f, "a state of more than {MOST_STATE} octets"),
+            MessageError::InvalidJson(problem) => write!(f, "no message: {problem}"),
+            MessageError::WrongDescriptors => write!(f, "a message without its descriptors"),
+            MessageError::StateTooLong { max_bytes } => write!(f, "a state of more than {max_bytes} octets"),
         }
     }
 }
 
-impl Message {
-    /// As it is carried, with its descriptors.
-    pub fn pack(&self, fds: Vec<OwnedFd>) -> Result<FramedMessage, MessageError> {
-        let bytes = serde_json::to_vec(self).map_err(|e| MessageError::NotJson(e.to_string()))?;
-        Ok(FramedMessage { bytes, fds })
-    }
-
-    pub fn unpack(framed_message: FramedMessage) -> Result<(Message, Vec<OwnedFd>), MessageError> {
-        let message: Message = serde_json::from_slice(&framed_message.bytes)
-            .map_err(|e| MessageError::NotJson(e.to_string()))?;
-        let right = match message {
-            Message::Listener { .. } | Message::Watch(..) => framed_message.fds.len() == 1,
-            Message::Connection { .. } => (1..=MOST_FDS).contains(&framed_message.fds.len()),
-            _ => framed_message.fds.is_empty(),
-        };
-        if right {
-            Ok((message, framed_message.fds))
-        } else {
-            Err(MessageError::Descriptors)
-        }
-    }
-}
+impl std::error::Error for MessageError {}
 
-impl StateSnapshot {
-    /// In pieces that each fit a message.
-    pub fn pieces(&self) -> Result<Vec<Message>, MessageError> {
-        let text = serde_json::to_string(self).map_err(|e| MessageError::NotJson(e.to_string()))?;
-        let (mut rest, mut pieces) = (text.as_str(), Vec::new());
-        while !rest.is_empty() {
-            // The text is cut between characters.
-            let at = (0..=PIECE.min(rest.len())).rev().find(|at| rest.is_char_boundary(*at)).unwrap_or(0);
-            let (piece, after) = rest.split_at(at);
-            pieces.push(Message::State { piece: piece.to_string() });
-            rest = after;
-        }
-        Ok(pieces)
+impl From<serde_json::Error> for MessageError {
+    fn from(error: serde_json::Error) -> MessageError {
+        MessageError::InvalidJson(error.to_string())
     }
 }
 
-/// A state as its pieces come.
-#[derive(Debug, Default)]
-pub struct Pieces(String);
-
-impl Pieces {
-    pub fn add(&mut self, piece: &str) -> Result<(), MessageError> {
-        if self.0.len() + piece.len() > MOST_STATE {
-            return Err(MessageError::TooLong);
-        }
-        self.0.push_str(piece);
-        Ok(())
+impl Message {
+    /// Encodes the message for the handover socket.
+    pub fn encode(self) -> Result<FramedMessage, MessageError> {
+        let (wire_message, fds) = self.into_wire();
+        Ok(FramedMessage { bytes: serde_json::to_vec(&wire_message)?, fds })
     }
 
-    pub fn whole(&self) -> Result<StateSnapshot, MessageError> {
-        serde_json::from_str(&self.0).map_err(|e| MessageError::NotJson(e.to_string()))
+    /// Decodes a message of the handover socket.
+    pub fn decode(framed: FramedMessage) -> Result<Message, MessageError> {
+        let wire_message = serde_json::from_slice(&framed.bytes)?;
+        Message::from_wire(wire_message, framed.fds)
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use proptest::prelude::*;
 
-    fn state(balancer_state: String) -> StateSnapshot {
-        let list = r#"{"generation":7,"reset":true,"instances":[{"instanceId":"s-è","hostPort":"10.0.0.1:80",
-            "zone":"a","cell":3,"lifecycle":"draining","weight":2.0,"startedAtMs":12}]}"#;
-        let endpoint_list = serde_json::from_str(list).expect("a list");
-        StateSnapshot { is_drained: true, endpoint_list, balancer_state, open_descriptors: 5 }
-    }
-
-    proptest! {
-        #[test]
-        fn a_state_is_the_same_after_its_journey(learned in "\\PC{0,200}", times in 1usize..300) {
-            let sent = state(learned.repeat(times));
-            let mut pieces = Pieces::default();
-            for message in sent.pieces().expect("pieces") {
-                let framed_message = message.pack(Vec::new()).expect("packed");
-                prop_assert!(framed_message.bytes.len() < crate::handover::channel::MOST_MESSAGE);
-                let Ok((Message::State { piece }, _)) = Message::unpack(framed_message) else { panic!("a piece") };
-                pieces.add(&piece).expect("it fits");
+    fn into_wire(self) -> (WireMessage, Vec<OwnedFd>) {
+        match self {
+            Message::StateRequest { version, name } => {
+                (WireMessage::StateRequest { version, name }, Vec::new())
+            }
+            Message::StatePiece { piece } => (WireMessage::StatePiece { piece }, Vec::new()),
+            Message::Listener { address, socket } => (WireMessage::Listener { address }, vec![socket]),
+            Message::Watch(TransferredWatch { socket, state, flow }) => {
+                (WireMessage::Watch(state, flow), vec![socket])
+            }
+            Message::StateComplete => (WireMessage::StateComplete, Vec::new()),
+            Message::Ready => (WireMessage::Ready, Vec::new()),
+            Message::Connection { front, connection, open_descriptors } => {
+                let TransferredConnection { text, fds } = connection;
+                (WireMessage::Connection { front, connection: text, open_descriptors }, fds)
             }
-            let came = pieces.whole().expect("whole");
-            prop_assert_eq!(format!("{came:?}"), format!("{sent:?}"));
         }
+    }
 
-        #[test]
-        fn what_is_no_message_is_an_error(bytes: Vec<u8>) {
-            let came = Message::unpack(FramedMessage { bytes, fds: Vec::new() });
-            prop_assert!(came.is_err());
+    fn from_wire(wire_message: WireMessage, fds: Vec<OwnedFd>) -> Result<Message, MessageError> {
+        match wire_message {
+            WireMessage::StateRequest { version, name } => {
+                no_descriptor(fds)?;
+                Ok(Message::StateRequest { version, name })
+            }
+            WireMessage::StatePiece { piece } => {
+                no_descriptor(fds)?;
+                Ok(Message::StatePiece { piece })
+            }
+            WireMessage::Listener { address } => {
+                Ok(Message::Listener { address, socket: one_descriptor(fds)? })
+            }
+            WireMessage::Watch(state, flow) => {
+                Ok(Message::Watch(TransferredWatch { socket: one_descriptor(fds)?, state, flow }))
+            }
+            WireMessage::StateComplete => {
+                no_descriptor(fds)?;
+                Ok(Message::StateComplete)
+            }
+            WireMessage::Ready => {
+                no_descriptor(fds)?;
+                Ok(Message::Ready)
+            }
+            WireMessage::Connection { front, connection, open_descriptors } => {
+                if !(1..=MAX_DESCRIPTORS_PER_MESSAGE).contains(&fds.len()) {
+                    return Err(MessageError::WrongDescriptors);
+                }
+                let connection = TransferredConnection { text: connection, fds };
+                Ok(Message::Connection { front, connection, open_descriptors })
+            }
         }
     }
+}
 
-    #[test]
-    fn a_message_without_its_descriptors_is_none() {
-        let text = |s: &str| s.to_string();
-        let message = Message::Connection { front: text("text"), state: text(""), descriptors: 0 };
-        let framed_message = message.pack(Vec::new()).expect("packed");
-        assert_eq!(Message::unpack(framed_message).expect_err("none"), MessageError::Descriptors);
-        let mut pieces = Pieces::default();
-        pieces.add(r#"{"drained":"#).expect("it fits");
-        assert!(matches!(pieces.whole(), Err(MessageError::NotJson(_))));
-        assert_eq!(pieces.add(&" ".repeat(MOST_STATE)), Err(MessageError::TooLong));
+fn no_descriptor(fds: Vec<OwnedFd>) -> Result<(), MessageError> {
+    if fds.is_empty() {
+        Ok(())
+    } else {
+        Err(MessageError::WrongDescriptors)
     }
 }
+
+fn one_descriptor(fds: Vec<OwnedFd>) -> Result<OwnedFd, MessageError> {
+    let [fd] = <[OwnedFd; 1]>::try_from(fds).map_err(|_| MessageError::WrongDescriptors)?;
+    Ok(fd)
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,251 +1,157 @@
-//! A new version under load: two processes are one node for a while.
+//! Handover to a new process beside the old one (hot restart).
 //!
-//! Where the platform passes the clients' listening socket, each process also listens on a Unix socket in
-//! `$TMPDIR`. A process that finds another there asks it for what it knows, and once it serves, for its
-//! connections: they go on as they are, and no client hears of it. `message.rs` has the order of things.
+//! Where the platform passes the clients' listening socket, each process also listens on a Unix socket in `$TMPDIR`,
+//! the handover socket. A process that starts and finds another one there requests its state; once the new process
+//! serves, the old one transfers its connections, which go on without the clients' notice. [`message`] has the order
+//! of the messages.
+//!
+//! A process may have a predecessor and a successor at the same time: [`Handover`] owns both links, and reports
+//! what the event loop has to do as [`HandoverEvent`]s.
 
 mod channel;
+mod link;
 mod listener;
 mod message;
+mod predecessor;
+mod snapshot;
+mod state_request;
+mod successor;
 #[cfg(test)]
 mod tests;
 
+pub use channel::socket_path;
 pub use listener::passed_listener;
-pub use message::{Message, StateSnapshot};
+pub use snapshot::StateSnapshot;
+pub use state_request::{request_state, PredecessorState};
 
 use crate::discovery::TransferredWatch;
 use crate::front::TransferredConnection;
 use crate::log;
 use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
-use channel::{Carried, FramedMessage};
-use message::{MessageError, Pieces, VERSION};
-use std::collections::VecDeque;
-use std::io;
+use link::{Peer, Turn};
+use message::Message;
+use predecessor::PredecessorLink;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
-use std::path::{Path, PathBuf};
-use std::time::Duration;
+use std::path::Path;
+use successor::SuccessorLink;
 
-/// The process before this one has so long for each message of what it knows. After that this one starts
-/// as if there were none: the platform waits 6 s for a yes.
-const WITHIN: Duration = Duration::from_millis(1500);
-/// Descriptors that a process takes which starts beside this one.
+/// Descriptors to reserve for the start of a successor.
 pub const SUCCESSOR_DESCRIPTORS: usize = 20;
-/// Connections passed on in one turn; the next turn goes on.
+/// The most connections that are transferred in one turn of the event loop.
 pub const CONNECTIONS_PER_TURN: usize = 32;
-/// A path is no longer than this: what the system allows for a Unix socket, less its end.
-const MOST_PATH: usize = 107;
-
-/// What a process got from the one before it, ready to be used.
-pub struct PredecessorState {
-    /// Where its connections come from; its end tells that the other process is gone.
-    pub channel: OwnedFd,
-    pub snapshot: StateSnapshot,
-    /// Where its optional fronts listen.
-    pub listening: Vec<(SocketAddr, OwnedFd)>,
-    /// Discovery's watch.
-    pub watch: Option<TransferredWatch>,
-}
 
-/// Where a node's processes meet: in `$TMPDIR`, by the node's name. None where there is no such place.
-pub fn socket_path(name: &str) -> Option<PathBuf> {
-    let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    let name: String = name.chars().map(|c| if plain(c) { c } else { '_' }).collect();
-    let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
-    if path.as_os_str().len() > MOST_PATH {
-        log::line(format_args!("handover-off reason=TMPDIR is too long for a socket's path"));
-        return None;
-    }
-    Some(path)
-}
-
-/// Asks the process that serves at a place for what it knows. None where there is none, or where it does not
-/// say all of it: this process then starts as if it were the first.
-pub fn request_state(path: &Path, name: &str) -> Option<PredecessorState> {
-    let channel = match channel::connect(path, WITHIN) {
-        Ok(channel) => channel,
-        Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
-        Err(e) => {
-            log::line(format_args!("handover-none reason=left behind: {e}"));
-            return None;
-        }
-    };
-    match ask(channel, name) {
-        Ok(inherited) => Some(inherited),
-        Err(problem) => {
-            log::line(format_args!("handover-none reason={problem}"));
-            None
-        }
-    }
-}
-
-fn ask(channel: OwnedFd, name: &str) -> Result<PredecessorState, String> {
-    let named = |e: MessageError| e.to_string();
-    let take = Message::Take { version: VERSION, name: name.to_string() }.pack(Vec::new()).map_err(named)?;
-    let Carried::Done(()) = channel::send(&channel, &take) else { return Err("it does not listen".into()) };
-    let (mut pieces, mut listening, mut watch) = (Pieces::default(), Vec::new(), None);
-    loop {
-        let framed_message = match channel::receive(&channel) {
-            Carried::Done(framed_message) => framed_message,
-            Carried::Later => return Err("it does not answer".into()),
-            Carried::Over => return Err("it ended or is of another version".into()),
-        };
-        let (message, mut fds) = Message::unpack(framed_message).map_err(named)?;
-        match (message, fds.pop()) {
-            (Message::State { piece }, _) => pieces.add(&piece).map_err(named)?,
-            (Message::Listener { at }, Some(fd)) => listening.push((at, fd)),
-            (Message::Watch(state, flow), Some(fd)) => {
-                watch = Some(TransferredWatch { socket: fd, state, flow })
-            }
-            (Message::Whole, _) => break,
-            _ => return Err("a message out of turn".into()),
-        }
-    }
-    Ok(PredecessorState { channel, snapshot: pieces.whole().map_err(named)?, listening, watch })
-}
-
-/// A connection on its way between two processes, with the name of the front that owns it.
+/// A connection in transfer between two processes.
 pub struct FrontConnection {
+    /// Name of the front that owns it.
     pub front: String,
+    /// The connection.
     pub connection: TransferredConnection,
 }
 
-/// What the loop has to do.
+/// What the event loop has to do for the handover.
 pub enum HandoverEvent {
-    /// A successor wants to know what this process knows.
+    /// A successor requests the state: answer with [`Handover::send_state`].
     StateRequested,
-    /// The successor serves: this process takes in nothing more, and passes on what it can.
+    /// The successor serves: accept nothing more, and transfer connections with [`Handover::transfer`].
     SuccessorReady,
-    /// The successor is gone; these were on their way to it.
-    SuccessorLost { unsent: Vec<FrontConnection> },
-    /// A connection of the process before this one, which still holds so many descriptors.
-    ConnectionReceived { received: FrontConnection, predecessor_descriptors: usize },
-    /// The process before this one is gone.
+    /// The successor is gone.
+    SuccessorLost {
+        /// Connections that were released for it and not sent: continue them here.
+        unsent: Vec<FrontConnection>,
+    },
+    /// A connection of the predecessor has arrived.
+    ConnectionReceived {
+        /// The connection.
+        received: FrontConnection,
+        /// Descriptors that the predecessor still has open.
+        predecessor_descriptors: usize,
+    },
+    /// The predecessor is gone.
     PredecessorExited,
 }
 
-struct Successor {
-    token: Token,
-    serves: bool,
-    /// Not sent yet; bounded by one state and a turn's connections.
-    outbox: VecDeque<FramedMessage>,
-}
-
-/// The loop's side of it.
+/// The handover socket and the links to the predecessor and the successor, on the event loop.
 pub struct Handover {
     listener: Option<Token>,
-    predecessor: Option<Token>,
-    successor: Option<Successor>,
+    predecessor: Option<PredecessorLink>,
+    successor: Option<SuccessorLink>,
 }
 
 impl Handover {
-    /// Listens at a place for a successor, and hears what the process before this one still has to pass on.
+    /// Listens at a path for a successor. Where there is a predecessor, it is notified that this process serves.
     pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
         let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
-        if let Err(e) = &listener {
-            log::line(format_args!("handover-off reason=listen: {e}"));
-        }
-        let predecessor = predecessor.and_then(|fd| net.register_raw(fd, SocketOwner::Handover).ok());
-        let mut handover = Handover { listener: listener.ok(), predecessor, successor: None };
-        if let Some(token) = handover.predecessor {
-            if let (Some(fd), Ok(ready)) = (net.raw_descriptor(token), Message::Ready.pack(Vec::new())) {
-                if !matches!(channel::send(fd, &ready), Carried::Done(())) {
-                    handover.predecessor = None;
-                    net.close(token);
-                }
-            }
+        if let Err(error) = &listener {
+            log::line(format_args!("handover-off reason=listen: {error}"));
         }
-        handover
+        let predecessor = predecessor.and_then(|channel| PredecessorLink::open(net, channel));
+        Handover { listener: listener.ok(), predecessor, successor: None }
     }
 
-    /// Whether the successor serves and takes more now.
+    /// Whether a successor takes connections now.
     pub fn can_transfer(&self) -> bool {
-        self.successor.as_ref().is_some_and(|s| s.serves && s.outbox.is_empty())
+        self.successor.as_ref().is_some_and(SuccessorLink::can_transfer)
     }
 
-    /// Something happened at one of its sockets.
-    pub fn on_socket_event(&mut self, net: &mut SocketReactor, notice: SocketEvent) -> Vec<HandoverEvent> {
-        if Some(notice.token) == self.listener {
-            self.meet(net);
+    /// Handles an event at one of the sockets.
+    pub fn on_socket_event(&mut self, net: &mut SocketReactor, event: SocketEvent) -> Vec<HandoverEvent> {
+        if self.listener == Some(event.token) {
+            self.accept_successor(net);
             return Vec::new();
         }
-        let from = Some(notice.token) == self.predecessor;
-        let mut news = Vec::new();
-        // A turn's worth: the rest leaves the socket readable.
-        for _ in 0..CONNECTIONS_PER_TURN {
-            let Some(fd) = net.raw_descriptor(notice.token) else { break };
-            let message = match channel::receive(fd) {
-                Carried::Done(framed_message) => Message::unpack(framed_message).map_err(|e| e.to_string()),
-                Carried::Later => break,
-                Carried::Over => Err("ended".to_string()),
-            };
-            match message {
-                Ok((Message::Connection { front, state, descriptors }, fds)) if from => {
-                    let connection = TransferredConnection { text: state, fds };
-                    let received = FrontConnection { front, connection };
-                    news.push(HandoverEvent::ConnectionReceived {
-                        received,
-                        predecessor_descriptors: descriptors,
-                    });
-                }
-                Ok((Message::Take { version: VERSION, .. }, _)) if !from => {
-                    news.push(HandoverEvent::StateRequested)
-                }
-                Ok((Message::Ready, _)) if !from => {
-                    if let Some(successor) = &mut self.successor {
-                        successor.serves = true;
-                    }
-                    news.push(HandoverEvent::SuccessorReady);
-                }
-                Ok(_) => {
-                    log::line(format_args!("handover-end reason=a message out of turn"));
-                    news.extend(self.end(net, notice.token));
-                    break;
-                }
-                Err(reason) => {
-                    let whose = if from { "predecessor" } else { "successor" };
-                    log::line(format_args!("handover-end {whose} reason={reason}"));
-                    news.extend(self.end(net, notice.token));
-                    break;
-                }
-            }
-        }
-        news.extend(self.flush(net));
-        news
+        let mut events = if self.predecessor.as_ref().map(PredecessorLink::token) == Some(event.token) {
+            self.receive_from_predecessor(net)
+        } else if self.successor.as_ref().map(SuccessorLink::token) == Some(event.token) {
+            self.receive_from_successor(net)
+        } else {
+            Vec::new()
+        };
+        events.extend(self.flush(net));
+        events
     }
 
-    /// One successor at a time: a second one is turned away, and starts as if it were the first.
-    fn meet(&mut self, net: &mut SocketReactor) {
-        let Some(fd) = self.listener.and_then(|token| net.raw_descriptor(token)).and_then(channel::accept)
-        else {
-            return;
-        };
+    /// Accepts one successor at a time: another one is closed, and starts without a predecessor.
+    fn accept_successor(&mut self, net: &mut SocketReactor) {
+        let listener = self.listener.and_then(|token| net.raw_descriptor(token));
+        let Some(channel) = listener.and_then(channel::accept) else { return };
         if self.successor.is_none() {
-            if let Ok(token) = net.register_raw(fd, SocketOwner::Handover) {
-                self.successor = Some(Successor { token, serves: false, outbox: VecDeque::new() });
-            }
+            self.successor = SuccessorLink::open(net, channel);
         }
     }
 
-    /// The other side is gone.
-    fn end(&mut self, net: &mut SocketReactor, token: Token) -> Option<HandoverEvent> {
-        net.close(token);
-        if self.predecessor == Some(token) {
-            self.predecessor = None;
-            return Some(HandoverEvent::PredecessorExited);
+    fn receive_from_predecessor(&mut self, net: &mut SocketReactor) -> Vec<HandoverEvent> {
+        let Some(predecessor) = &self.predecessor else { return Vec::new() };
+        let Turn { mut events, end } = predecessor.receive(net);
+        if let Some(error) = end {
+            Peer::Predecessor.log_end(&error);
+            events.extend(self.close_predecessor(net));
         }
-        let successor = self.successor.take_if(|s| s.token == token)?;
-        let unsent =
-            successor.outbox.into_iter().filter_map(|framed_message| match Message::unpack(framed_message) {
-                Ok((Message::Connection { front, state, .. }, fds)) => {
-                    Some(FrontConnection { front, connection: TransferredConnection { text: state, fds } })
-                }
-                _ => None,
-            });
-        Some(HandoverEvent::SuccessorLost { unsent: unsent.collect() })
+        events
     }
 
-    /// Tells the successor what this process knows.
+    fn receive_from_successor(&mut self, net: &mut SocketReactor) -> Vec<HandoverEvent> {
+        let Some(successor) = &mut self.successor else { return Vec::new() };
+        let Turn { mut events, end } = successor.receive(net);
+        if let Some(error) = end {
+            Peer::Successor.log_end(&error);
+            events.extend(self.close_successor(net));
+        }
+        events
+    }
+
+    fn close_predecessor(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
+        self.predecessor.take()?.close(net);
+        Some(HandoverEvent::PredecessorExited)
+    }
+
+    fn close_successor(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
+        let unsent = self.successor.take()?.close(net);
+        Some(HandoverEvent::SuccessorLost { unsent })
+    }
+
+    /// Sends the successor this process's state, the listening sockets of the optional fronts, and the watch of the
+    /// discovery service.
     pub fn send_state(
         &mut self,
         net: &mut SocketReactor,
@@ -253,53 +159,39 @@
         listening: Vec<(SocketAddr, OwnedFd)>,
         watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
-        let pieces = snapshot.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
-        let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
-        let watch =
-            watch.into_iter().map(|watch| (Message::Watch(watch.state, watch.flow), vec![watch.socket]));
-        let whole = std::iter::once((Message::Whole, Vec::new()));
-        for (message, fds) in pieces.chain(listening).chain(watch).chain(whole) {
-            self.post(&message, fds);
+        let Some(successor) = &mut self.successor else { return Vec::new() };
+        for piece in snapshot.to_pieces().unwrap_or_default() {
+            successor.queue(piece);
+        }
+        for (address, socket) in listening {
+            successor.queue(Message::Listener { address, socket });
         }
+        if let Some(watch) = watch {
+            successor.queue(Message::Watch(watch));
+        }
+        successor.queue(Message::StateComplete);
         self.flush(net).into_iter().collect()
     }
 
-    /// Passes connections on.
+    /// Transfers connections of a front to the successor.
     pub fn transfer(
         &mut self,
         net: &mut SocketReactor,
         front: &str,
-        transferred_connection: Vec<TransferredConnection>,
+        connections: Vec<TransferredConnection>,
     ) -> Vec<HandoverEvent> {
-        let descriptors = net.descriptors_in_use();
-        for TransferredConnection { text, fds } in transferred_connection {
-            self.post(&Message::Connection { front: front.to_string(), state: text, descriptors }, fds);
+        let Some(successor) = &mut self.successor else { return Vec::new() };
+        let open_descriptors = net.descriptors_in_use();
+        for connection in connections {
+            successor.queue(Message::Connection { front: front.to_string(), connection, open_descriptors });
         }
         self.flush(net).into_iter().collect()
     }
 
-    fn post(&mut self, message: &Message, fds: Vec<OwnedFd>) {
-        if let (Some(successor), Ok(framed_message)) = (&mut self.successor, message.pack(fds)) {
-            successor.outbox.push_back(framed_message);
-        }
-    }
-
     fn flush(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
-        let successor = self.successor.as_mut()?;
-        let token = successor.token;
-        while let Some(framed_message) = successor.outbox.front() {
-            match channel::send(net.raw_descriptor(token)?, framed_message) {
-                // Its descriptors are closed here with it: the other process has them now.
-                Carried::Done(()) => drop(successor.outbox.pop_front()),
-                Carried::Later => break,
-                Carried::Over => {
-                    log::line(format_args!("handover-end successor reason=it takes nothing"));
-                    return self.end(net, token);
-                }
-            }
+        match self.successor.as_mut()?.flush(net) {
+            Ok(()) => None,
+            Err(_) => self.close_successor(net),
         }
-        let more = !successor.outbox.is_empty();
-        net.set_writable_interest(token, more);
-        None
     }
 }
--- /dev/null
+++ b/src/handover/predecessor.rs
@@ -0,0 +1,52 @@
+//! The link to the predecessor: the role of a process that has requested a state and serves now.
+
+use super::channel;
+use super::link::{read_turn, LinkError, Turn};
+use super::message::Message;
+use super::{FrontConnection, HandoverEvent};
+use crate::net::{SocketOwner, SocketReactor, Token};
+use std::os::fd::OwnedFd;
+
+/// The link to the process that served before this one.
+pub(super) struct PredecessorLink {
+    token: Token,
+}
+
+impl PredecessorLink {
+    /// Tells the predecessor that this process serves. None where the predecessor is gone.
+    pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<PredecessorLink> {
+        let ready = Message::Ready.encode().ok()?;
+        let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
+        if channel::send(net.raw_descriptor(token)?, &ready).is_err() {
+            net.close(token);
+            return None;
+        }
+        Some(PredecessorLink { token })
+    }
+
+    pub(super) fn token(&self) -> Token {
+        self.token
+    }
+
+    /// Receives connections.
+    pub(super) fn receive(&self, net: &SocketReactor) -> Turn {
+        read_turn(net, self.token, on_message)
+    }
+
+    /// Ends the link.
+    pub(super) fn close(self, net: &mut SocketReactor) {
+        net.close(self.token);
+    }
+}
+
+fn on_message(message: Message) -> Result<HandoverEvent, LinkError> {
+    match message {
+        Message::Connection { front, connection, open_descriptors } => {
+            Ok(HandoverEvent::ConnectionReceived {
+                received: FrontConnection { front, connection },
+                predecessor_descriptors: open_descriptors,
+            })
+        }
+        _ => Err(LinkError::UnexpectedMessage),
+    }
+}
--- /dev/null
+++ b/src/handover/state_request.rs
@@ -0,0 +1,113 @@
+//! The start of a successor: before it serves, it requests the state of the process that serves now.
+
+use super::channel::{self, ChannelError};
+use super::message::{Message, MessageError, PROTOCOL_VERSION};
+use super::snapshot::{SnapshotAssembler, StateSnapshot};
+use crate::discovery::TransferredWatch;
+use crate::log;
+use std::fmt;
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::path::Path;
+use std::time::Duration;
+
+/// The predecessor has this long for each message of its state. After that this process starts without one: the
+/// platform waits 6 s until a process is ready.
+const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
+
+/// What a process received from its predecessor.
+pub struct PredecessorState {
+    /// The handover socket, over which connections follow. Its end says that the predecessor has exited.
+    pub channel: OwnedFd,
+    /// The predecessor's state.
+    pub snapshot: StateSnapshot,
+    /// The listening sockets of its optional fronts, with their addresses.
+    pub listening: Vec<(SocketAddr, OwnedFd)>,
+    /// Its watch of the discovery service.
+    pub watch: Option<TransferredWatch>,
+}
+
+/// Why a process starts without its predecessor's state.
+#[derive(Debug)]
+enum StateRequestError {
+    /// Nobody listens at the handover socket, though it is there.
+    NotConnected(io::Error),
+    NotSent,
+    NoAnswer,
+    Closed,
+    UnexpectedMessage,
+    Message(MessageError),
+}
+
+impl fmt::Display for StateRequestError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            StateRequestError::NotConnected(error) => write!(f, "left behind: {error}"),
+            StateRequestError::NotSent => write!(f, "it does not listen"),
+            StateRequestError::NoAnswer => write!(f, "it does not answer"),
+            StateRequestError::Closed => write!(f, "it ended or is of another version"),
+            StateRequestError::UnexpectedMessage => write!(f, "a message out of turn"),
+            StateRequestError::Message(error) => write!(f, "{error}"),
+        }
+    }
+}
+
+impl std::error::Error for StateRequestError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            StateRequestError::NotConnected(error) => Some(error),
+            StateRequestError::Message(error) => Some(error),
+            _ => None,
+        }
+    }
+}
+
+impl From<MessageError> for StateRequestError {
+    fn from(error: MessageError) -> StateRequestError {
+        StateRequestError::Message(error)
+    }
+}
+
+/// Requests the state of the process that listens at a path. None where there is no such process, or where it does not
+/// send all of its state: this process then starts without a predecessor.
+pub fn request_state(path: &Path, node_name: &str) -> Option<PredecessorState> {
+    match exchange(path, node_name) {
+        Ok(state) => Some(state),
+        // There is no handover socket: no process of this node runs.
+        Err(StateRequestError::NotConnected(error)) if error.kind() == io::ErrorKind::NotFound => None,
+        Err(error) => {
+            log::line(format_args!("handover-none reason={error}"));
+            None
+        }
+    }
+}
+
+fn exchange(path: &Path, node_name: &str) -> Result<PredecessorState, StateRequestError> {
+    let channel = channel::connect(path, MESSAGE_TIMEOUT).map_err(StateRequestError::NotConnected)?;
+    let request = Message::StateRequest { version: PROTOCOL_VERSION, name: node_name.to_string() };
+    channel::send(&channel, &request.encode()?).map_err(|_| StateRequestError::NotSent)?;
+    let mut assembler = SnapshotAssembler::default();
+    let mut listening = Vec::new();
+    let mut watch = None;
+    loop {
+        match receive(&channel)? {
+            Message::StatePiece { piece } => assembler.add(&piece)?,
+            Message::Listener { address, socket } => listening.push((address, socket)),
+            Message::Watch(transferred) => watch = Some(transferred),
+            Message::StateComplete => break,
+            Message::StateRequest { .. } | Message::Ready | Message::Connection { .. } => {
+                return Err(StateRequestError::UnexpectedMessage)
+            }
+        }
+    }
+    Ok(PredecessorState { channel, snapshot: assembler.finish()?, listening, watch })
+}
+
+fn receive(channel: &OwnedFd) -> Result<Message, StateRequestError> {
+    let framed = channel::receive(channel).map_err(|error| match error {
+        ChannelError::WouldBlock => StateRequestError::NoAnswer,
+        ChannelError::Closed => StateRequestError::Closed,
+    })?;
+    Ok(Message::decode(framed)?)
+}
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -2,7 +2,8 @@
 //! `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
 
 use super::channel::FramedMessage;
-use super::message::{Message, Pieces, StateSnapshot};
+use super::message::{Message, PROTOCOL_VERSION};
+use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::EndpointRegistry;
 use crate::policy::Balancer;
 use crate::vocabulary::{DedupScope, Discovery, Effect, RequestClass, Settings};
@@ -13,7 +14,7 @@
 
 const SECOND: u64 = 1_000_000_000;
 
-/// A recorded message and the number of descriptors that came beside it.
+/// A recorded message and the number of descriptors that arrived beside it.
 struct Recorded {
     bytes: Vec<u8>,
     descriptors: usize,
@@ -26,9 +27,7 @@
     }
 
     fn message(&self) -> Message {
-        let (message, fds) = Message::unpack(self.framed()).expect("a message of the older version");
-        assert_eq!(fds.len(), self.descriptors);
-        message
+        Message::decode(self.framed()).ok().expect("a message of the older version")
     }
 }
 
@@ -47,30 +46,30 @@
 }
 
 fn snapshot(name: &str) -> StateSnapshot {
-    let mut pieces = Pieces::default();
+    let mut assembler = SnapshotAssembler::default();
     for recorded in recording(name) {
-        if let Message::State { piece } = recorded.message() {
-            pieces.add(&piece).expect("it fits");
+        if let Message::StatePiece { piece } = recorded.message() {
+            assembler.add(&piece).expect("it fits");
         }
     }
-    pieces.whole().expect("the state is complete")
+    assembler.finish().expect("the state is complete")
 }
 
 fn kind(message: &Message) -> &'static str {
     match message {
-        Message::Take { .. } => "take",
-        Message::State { .. } => "state",
+        Message::StateRequest { .. } => "request",
+        Message::StatePiece { .. } => "piece",
         Message::Listener { .. } => "listener",
         Message::Watch(..) => "watch",
-        Message::Whole => "whole",
+        Message::StateComplete => "complete",
         Message::Ready => "ready",
         Message::Connection { .. } => "connection",
     }
 }
 
 #[rstest]
-#[case::established("established", &[("state", 1), ("listener", 1), ("watch", 1), ("whole", 1), ("connection", 7)])]
-#[case::drained("drained", &[("state", 2), ("listener", 1), ("watch", 1), ("whole", 1)])]
+#[case::established("established", &[("piece", 1), ("listener", 1), ("watch", 1), ("complete", 1), ("connection", 7)])]
+#[case::drained("drained", &[("piece", 2), ("listener", 1), ("watch", 1), ("complete", 1)])]
 fn each_recorded_message_is_read_and_written_as_it_was(
     #[case] name: &str,
     #[case] expected: &[(&'static str, usize)],
@@ -80,8 +79,9 @@
     for recorded in &recorded {
         let message = recorded.message();
         kinds.push(kind(&message));
-        let written = message.pack(Vec::new()).expect("it is written").bytes;
-        assert_eq!(String::from_utf8_lossy(&written), String::from_utf8_lossy(&recorded.bytes));
+        let written = message.encode().expect("it is written");
+        assert_eq!(written.fds.len(), recorded.descriptors);
+        assert_eq!(String::from_utf8_lossy(&written.bytes), String::from_utf8_lossy(&recorded.bytes));
     }
     let expected: Vec<_> =
         expected.iter().flat_map(|(kind, count)| std::iter::repeat_n(*kind, *count)).collect();
@@ -90,11 +90,10 @@
 
 #[test]
 fn the_successors_own_messages_are_those_that_the_older_version_reads() {
-    let written = |message: Message| {
-        String::from_utf8(message.pack(Vec::new()).expect("it is written").bytes).expect("text")
-    };
-    let take = Message::Take { version: super::message::VERSION, name: "n1".to_string() };
-    assert_eq!(written(take), r#"{"Take":{"version":1,"name":"n1"}}"#);
+    let written =
+        |message: Message| String::from_utf8(message.encode().expect("it is written").bytes).expect("text");
+    let request = Message::StateRequest { version: PROTOCOL_VERSION, name: "n1".to_string() };
+    assert_eq!(written(request), r#"{"Take":{"version":1,"name":"n1"}}"#);
     assert_eq!(written(Message::Ready), r#""Ready""#);
 }
 
@@ -112,9 +111,9 @@
     let list = serde_json::to_value(&snapshot.endpoint_list).expect("a list");
     assert_eq!(list["instances"].as_array().map(Vec::len), Some(endpoints));
     let states = recording(name).into_iter().filter(|recorded| recorded.bytes.starts_with(b"{\"State\""));
-    let pieces = snapshot.pieces().expect("pieces");
+    let pieces = snapshot.to_pieces().expect("pieces");
     let written: Vec<_> =
-        pieces.iter().map(|piece| piece.pack(Vec::new()).expect("it is written").bytes).collect();
+        pieces.into_iter().map(|piece| piece.encode().expect("it is written").bytes).collect();
     assert!(written == states.map(|recorded| recorded.bytes).collect::<Vec<_>>(), "other pieces");
 }
 
@@ -154,7 +153,7 @@
 #[rstest]
 #[case::established("established")]
 #[case::drained("drained")]
-fn the_recorded_balancer_state_is_restored_whole(#[case] name: &str) {
+fn the_recorded_balancer_state_is_restored_completely(#[case] name: &str) {
     let snapshot = snapshot(name);
     let list = EndpointRegistry::new(vec!["a".to_string()]).restore(&snapshot.endpoint_list);
     let mut balancer = Balancer::new(7, settings()).expect("valid settings");
