--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -99,8 +99,8 @@
 }
 
 /// Duplicates a descriptor that is known by its number alone. To own the number itself would be `unsafe`, so the system
-/// is asked for a descriptor of this process. The inherited one remains open; this process starts no other that could
-/// inherit it.
+/// duplicates it through this process's pidfd. The inherited one remains open; this process starts no other that
+/// could inherit it.
 fn duplicate(number: i32) -> io::Result<OwnedFd> {
     let this_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     Ok(pidfd_getfd(this_process, number, PidfdGetfdFlags::empty())?)
