--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -20,7 +20,7 @@
 mod tests;
 
 pub use channel::socket_path;
-pub use listener::passed_listener;
+pub use listener::{passed_listener, PassedListenerError};
 pub use snapshot::StateSnapshot;
 pub use state_request::{request_state, PredecessorState};
 
