--- a/src/cli.rs
+++ b/src/cli.rs
@@ -106,7 +106,7 @@
                     options.fronts.push((which, PathBuf::from(parser.value()?)));
                 }
             }
-            Long("trace") => crate::log::trace_on(),
+            Long("trace") => crate::log::enable_trace(),
             Long("ipfix") => options.ipfix = Some(parser.value()?.parse()?),
             Long("fleet") => options.fleet = Some(PathBuf::from(parser.value()?)),
             Long("class") => {
--- /dev/null
+++ b/src/flow_export/ipfix.rs
@@ -0,0 +1,159 @@
+//! The IPFIX encoding (RFC 7011): messages, the one template, and its data records.
+
+use crate::requests::{FlowRecord, FlowResult};
+use crate::vocabulary::Nanos;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+
+const VERSION: u16 = 10;
+/// The id of sets that carry templates.
+const TEMPLATE_SET_ID: u16 = 2;
+/// The id of the one template, and of the data sets that it describes.
+const TEMPLATE_ID: u16 = 256;
+const MESSAGE_HEADER_BYTES: usize = 16;
+const SET_HEADER_BYTES: usize = 4;
+/// The size of a message without the records of its set.
+const MESSAGE_OVERHEAD_BYTES: usize = MESSAGE_HEADER_BYTES + SET_HEADER_BYTES;
+/// The field length in the template of a string that has its own length in each record.
+const VARIABLE_LENGTH: u16 = 0xffff;
+/// The longest string whose length takes one byte; longer ones are cut.
+const MAX_STRING_BYTES: usize = 254;
+/// The largest message: a datagram of this size is not fragmented on any usual path.
+const MAX_MESSAGE_BYTES: usize = 1400;
+/// How many bytes of records fit into one message.
+pub const MAX_RECORDS_BYTES: usize = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
+
+const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// A field of the template: an information element of IANA's registry and its length in bytes.
+struct Field {
+    element: u16,
+    length: u16,
+}
+
+const fn field(element: u16, length: u16) -> Field {
+    Field { element, length }
+}
+
+/// The fields of a record, in their order.
+const FIELDS: [Field; 10] = [
+    field(148, 8),               // flowId
+    field(152, 8),               // flowStartMilliseconds
+    field(153, 8),               // flowEndMilliseconds
+    field(136, 1),               // flowEndReason
+    field(12, 4),                // destinationIPv4Address: the server, or 0.0.0.0
+    field(11, 2),                // destinationTransportPort
+    field(278, 4),               // connectionCountNew: attempts sent
+    field(96, VARIABLE_LENGTH),  // applicationName: the class
+    field(94, VARIABLE_LENGTH),  // applicationDescription: the front
+    field(372, VARIABLE_LENGTH), // applicationCategoryName: how it ended
+];
+
+/// IANA's flowEndReason values.
+#[derive(Clone, Copy)]
+enum EndReason {
+    EndOfFlow = 3,
+    ForcedEnd = 4,
+    LackOfResources = 5,
+}
+
+/// What a message carries.
+#[derive(Clone, Copy)]
+pub enum SetKind {
+    /// The template.
+    Template,
+    /// Data records.
+    Data,
+}
+
+/// The header fields of a message that differ from one message to the next.
+pub struct MessageHeader {
+    /// The time of the export, in Unix nanoseconds.
+    pub export_time: Nanos,
+    /// The number of data records sent before this message.
+    pub sequence: u32,
+    /// The observation domain, which tells nodes apart.
+    pub domain: u32,
+}
+
+/// A message with one set.
+pub fn encode_message(header: &MessageHeader, kind: SetKind, records: &[u8]) -> Vec<u8> {
+    let set_id = match kind {
+        SetKind::Template => TEMPLATE_SET_ID,
+        SetKind::Data => TEMPLATE_ID,
+    };
+    let message_bytes = (records.len() + MESSAGE_OVERHEAD_BYTES) as u16;
+    let set_bytes = (records.len() + SET_HEADER_BYTES) as u16;
+    let mut out = Vec::with_capacity(usize::from(message_bytes));
+    out.extend(VERSION.to_be_bytes());
+    out.extend(message_bytes.to_be_bytes());
+    out.extend(((header.export_time / NANOS_PER_SECOND) as u32).to_be_bytes());
+    out.extend(header.sequence.to_be_bytes());
+    out.extend(header.domain.to_be_bytes());
+    out.extend(set_id.to_be_bytes());
+    out.extend(set_bytes.to_be_bytes());
+    out.extend(records);
+    out
+}
+
+/// The template record.
+pub fn encode_template() -> Vec<u8> {
+    let mut out = Vec::new();
+    out.extend(TEMPLATE_ID.to_be_bytes());
+    out.extend((FIELDS.len() as u16).to_be_bytes());
+    for field in FIELDS {
+        out.extend(field.element.to_be_bytes());
+        out.extend(field.length.to_be_bytes());
+    }
+    out
+}
+
+/// The data record of a flow, with its server's address and the name of its class.
+pub fn encode_record(flow: &FlowRecord, server: Option<SocketAddr>, class: &str) -> Vec<u8> {
+    let ip = match server.map(|address| address.ip()) {
+        Some(IpAddr::V4(ip)) => ip,
+        _ => Ipv4Addr::UNSPECIFIED,
+    };
+    let port = server.map_or(0, |address| address.port());
+    let mut out = Vec::new();
+    out.extend(flow.request_id.0.to_be_bytes());
+    out.extend((flow.started_at / NANOS_PER_MILLISECOND).to_be_bytes());
+    out.extend((flow.ended_at / NANOS_PER_MILLISECOND).to_be_bytes());
+    out.push(end_reason(flow.result) as u8);
+    out.extend(ip.octets());
+    out.extend(port.to_be_bytes());
+    out.extend(flow.attempts.to_be_bytes());
+    for text in [class, flow.front.name, result_name(flow.result)] {
+        encode_string(text, &mut out);
+    }
+    out
+}
+
+fn encode_string(text: &str, out: &mut Vec<u8>) {
+    let bytes = &text.as_bytes()[..text.len().min(MAX_STRING_BYTES)];
+    out.push(bytes.len() as u8);
+    out.extend(bytes);
+}
+
+fn end_reason(result: FlowResult) -> EndReason {
+    match result {
+        FlowResult::Served | FlowResult::ClientDisconnected => EndReason::EndOfFlow,
+        FlowResult::Failed | FlowResult::Migrated | FlowResult::Broken => EndReason::ForcedEnd,
+        FlowResult::Rejected => EndReason::LackOfResources,
+    }
+}
+
+/// How a flow ended, as collectors know it: these names are fixed by the operators' pages.
+fn result_name(result: FlowResult) -> &'static str {
+    match result {
+        FlowResult::Served => "served",
+        FlowResult::Rejected => "refused",
+        FlowResult::Failed => "failed",
+        FlowResult::ClientDisconnected => "left",
+        FlowResult::Migrated => "moved",
+        FlowResult::Broken => "broken",
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/flow_export/mod.rs
@@ -0,0 +1,81 @@
+//! Exports ended flows as IPFIX over UDP, where `--ipfix ADDRESS` is given.
+//!
+//! UDP has no acknowledgement: a collector that cannot be reached loses records and delays nothing. The sequence
+//! number in each message tells the collector how many records it missed.
+
+mod ipfix;
+
+use crate::config::Facts;
+use crate::discovery::EndpointRegistry;
+use crate::requests::FlowRecord;
+use crate::vocabulary::Nanos;
+use ipfix::{MessageHeader, SetKind};
+use std::io;
+use std::net::{IpAddr, SocketAddr, UdpSocket};
+
+/// Over UDP the template has to be repeated, for collectors that start later or missed it.
+const TEMPLATE_REFRESH_INTERVAL: Nanos = 60_000_000_000;
+
+/// The exporter.
+pub struct FlowExport {
+    socket: UdpSocket,
+    domain: u32,
+    /// The number of data records sent so far.
+    sequence: u32,
+    /// When the template was last sent.
+    template_sent_at: Option<Nanos>,
+}
+
+impl FlowExport {
+    /// An exporter from the node's own address to this collector. The observation domain tells nodes apart.
+    ///
+    /// # Errors
+    ///
+    /// The UDP socket cannot be opened or connected.
+    pub fn new(own: IpAddr, collector: SocketAddr, domain: u32) -> io::Result<FlowExport> {
+        let socket = UdpSocket::bind((own, 0))?;
+        socket.connect(collector)?;
+        socket.set_nonblocking(true)?;
+        Ok(FlowExport { socket, domain, sequence: 0, template_sent_at: None })
+    }
+
+    /// Sends flows that have ended, preceded by the template when that is due. `now` is the Unix time in nanoseconds.
+    pub fn send(&mut self, now: Nanos, flows: &[FlowRecord], registry: &EndpointRegistry, facts: &Facts) {
+        if flows.is_empty() {
+            return;
+        }
+        self.send_template_if_due(now);
+        let mut records = Vec::new();
+        let mut count = 0;
+        for flow in flows {
+            let endpoint = flow.server.and_then(|server| registry.entry(server));
+            let address = endpoint.map(|endpoint| endpoint.addr());
+            let class = facts.classes.get(flow.class).map_or("", |class| class.name.as_str());
+            let record = ipfix::encode_record(flow, address, class);
+            if records.len() + record.len() > ipfix::MAX_RECORDS_BYTES {
+                self.send_message(now, SetKind::Data, &records, count);
+                records.clear();
+                count = 0;
+            }
+            records.extend(record);
+            count += 1;
+        }
+        self.send_message(now, SetKind::Data, &records, count);
+    }
+
+    fn send_template_if_due(&mut self, now: Nanos) {
+        let is_due = |sent_at: Nanos| now.saturating_sub(sent_at) >= TEMPLATE_REFRESH_INTERVAL;
+        if self.template_sent_at.is_none_or(is_due) {
+            self.template_sent_at = Some(now);
+            self.send_message(now, SetKind::Template, &ipfix::encode_template(), 0);
+        }
+    }
+
+    /// Sends one message with this many data records. An error is ignored: see the sequence number above.
+    fn send_message(&mut self, now: Nanos, kind: SetKind, records: &[u8], count: u32) {
+        let header = MessageHeader { export_time: now, sequence: self.sequence, domain: self.domain };
+        let message = ipfix::encode_message(&header, kind, records);
+        let _ = self.socket.send(&message);
+        self.sequence = self.sequence.wrapping_add(count);
+    }
+}
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -53,7 +53,7 @@
 
 impl Session {
     fn trace(&self, what: &str, ctx: &FrontContext) {
-        if crate::log::tracing() {
+        if crate::log::is_trace_enabled() {
             let (request_id, open) = (self.request_id.map_or(0, |request_id| request_id.0), &self.open);
             let server = self.server.and_then(|server| ctx.registry.entry(server)).map_or("-", |r| r.name());
             crate::log::line(format_args!(
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,28 +1,29 @@
-//! One line an event on standard error: `sparbank EVENT key=value ...`. `docs/ON-CALL.md` lists them.
+//! Log lines on standard error, one an event: `sparbank EVENT key=value ...`. `docs/ON-CALL.md` lists them.
 
+use std::fmt::Arguments;
+use std::io::Write;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-static TRACING: AtomicBool = AtomicBool::new(false);
+static TRACE_ENABLED: AtomicBool = AtomicBool::new(false);
 
-/// From now on a line is written for each attempt and each call to discovery (`--trace`).
-pub fn trace_on() {
-    TRACING.store(true, Ordering::Relaxed);
+/// Writes trace lines from now on (`--trace`): a line for each attempt and each call to discovery.
+pub fn enable_trace() {
+    TRACE_ENABLED.store(true, Ordering::Relaxed);
 }
 
-/// Whether those lines are written.
-pub fn tracing() -> bool {
-    TRACING.load(Ordering::Relaxed)
+/// Whether trace lines are written.
+pub fn is_trace_enabled() -> bool {
+    TRACE_ENABLED.load(Ordering::Relaxed)
 }
 
-/// Writes a line of the trace, where it is on.
-pub fn trace(text: std::fmt::Arguments<'_>) {
-    if tracing() {
+/// Writes a trace line, where these are enabled.
+pub fn trace(text: Arguments<'_>) {
+    if is_trace_enabled() {
         line(text);
     }
 }
 
-/// Writes a log line; a closed standard error is no reason to stop.
-pub fn line(text: std::fmt::Arguments<'_>) {
-    use std::io::Write;
+/// Writes a log line. An error is ignored: a closed standard error is no reason to stop serving.
+pub fn line(text: Arguments<'_>) {
     let _ = writeln!(std::io::stderr(), "sparbank {text}");
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -122,7 +122,7 @@
         reload: signal(&mut net, &[signal_hook::consts::SIGHUP]).map_err(|e| at("signals", e))?,
     };
     let mut requests = RequestTable::new(config.seed, config.settings.clone()).map_err(|e| e.to_string())?;
-    if log::tracing() {
+    if log::is_trace_enabled() {
         requests.attempt_trace.enable();
     }
     let operator = match config.operator {
