--- a/src/counters.rs
+++ b/src/counters.rs
@@ -53,7 +53,7 @@
     /// Failed calls to discovery, and lost watches.
     pub discovery_failures: u64,
     /// Endpoint lists with a lower version than the last one, which bring no server back.
-    pub stale_lists: u64,
+    pub discovery_stale_lists: u64,
     /// Handovers of this process: from its predecessor, or to its successor.
     pub handovers: u64,
     /// Established connections handed over to the successor.
@@ -117,7 +117,7 @@
             ("health_checks", self.health_checks),
             ("discovery_polls", self.discovery_polls),
             ("discovery_failures", self.discovery_failures),
-            ("stale_lists", self.stale_lists),
+            ("discovery_stale_lists", self.discovery_stale_lists),
             ("handovers", self.handovers),
             ("handed_over", self.handed_over),
             ("inherited", self.inherited),
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -591,7 +591,7 @@
 
     fn print_counters(&mut self) {
         self.requests.counters.discovery_polls = self.registry.calls;
-        self.requests.counters.stale_lists = self.registry.backs;
+        self.requests.counters.discovery_stale_lists = self.registry.backs;
         if let Some(counts) = self.operator.as_ref().map(Operator::counts) {
             let counters = &mut self.requests.counters;
             (counters.admin_accepted, counters.admin_rejected, counters.admin_incomplete) =
