--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -5,7 +5,7 @@
 
 mod ipfix;
 
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
 use crate::requests::FlowRecord;
 use crate::vocabulary::Nanos;
@@ -40,7 +40,13 @@
     }
 
     /// Sends flows that have ended, preceded by the template when that is due. `now` is the Unix time in nanoseconds.
-    pub fn send(&mut self, now: Nanos, flows: &[FlowRecord], registry: &EndpointRegistry, facts: &Facts) {
+    pub fn send(
+        &mut self,
+        now: Nanos,
+        flows: &[FlowRecord],
+        registry: &EndpointRegistry,
+        site: &SiteSettings,
+    ) {
         if flows.is_empty() {
             return;
         }
@@ -49,8 +55,8 @@
         let mut count = 0;
         for flow in flows {
             let endpoint = flow.server.and_then(|server| registry.entry(server));
-            let address = endpoint.map(|endpoint| endpoint.addr());
-            let class = facts.classes.get(flow.class).map_or("", |class| class.name.as_str());
+            let address = endpoint.map(|endpoint| endpoint.address());
+            let class = site.classes.get(flow.class).map_or("", |class| class.name.as_str());
             let record = ipfix::encode_record(flow, address, class);
             if records.len() + record.len() > ipfix::MAX_RECORDS_BYTES {
                 self.send_message(now, SetKind::Data, &records, count);
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -65,7 +65,7 @@
 
 impl AmqpFront {
     fn open(id: FrontId, config: AmqpConfig, setup: FrontSetup) -> Result<OpenedFront, FrontError> {
-        let FrontSetup { net, node_name: name, facts } = setup;
+        let FrontSetup { net, node_name: name, site } = setup;
         let at = net
             .listen(config.listen, SocketOwner::Front(id))
             .map_err(|error| FrontError::Listen { socket: "amqp listen", error })?;
@@ -78,7 +78,7 @@
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
         }
-        let classes: Vec<String> = facts.classes.iter().map(|c| c.name.clone()).collect();
+        let classes: Vec<String> = site.classes.iter().map(|c| c.name.clone()).collect();
         let front = AmqpFront {
             id,
             container: name.to_string(),
--- a/src/front/optional.rs
+++ b/src/front/optional.rs
@@ -1,7 +1,7 @@
 //! Fronts that are off unless their configuration file is named on the command line.
 
 use super::api::Front;
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::net::SocketReactor;
 use crate::requests::FrontId;
 use std::any::Any;
@@ -36,7 +36,7 @@
     /// The node's name.
     pub node_name: &'a str,
     /// The settings that fronts need.
-    pub facts: &'a Facts,
+    pub site: &'a SiteSettings,
 }
 
 /// A front that was opened.
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -136,7 +136,7 @@
                 }
                 Line::None => return,
                 Line::TooLong => return self.malformed(ctx, token),
-                Line::Whole(line) => match FirstLine::parse(&line, ctx.facts, ctx.classes) {
+                Line::Whole(line) => match FirstLine::parse(&line, ctx.site, ctx.classes) {
                     Some(FirstLine::Ping) => {
                         // Each answer is held until it is read: a flood of questions is held back.
                         match self.sides.get_mut(&token) {
@@ -217,7 +217,7 @@
 
     /// A connection open since before the run: it goes to the server that held it, not to a placement.
     fn restore(&mut self, ctx: &mut FrontContext, token: Token, name: &str) {
-        let Some(server) = ctx.registry.named(name) else { return self.malformed(ctx, token) };
+        let Some(server) = ctx.registry.id_of(name) else { return self.malformed(ctx, token) };
         let wait = self.sessions.get(&token).map_or(0, |s| s.open.grace);
         ctx.wheel.schedule(
             ctx.now + wait.saturating_sub(ANSWER_MARGIN),
@@ -231,11 +231,11 @@
     /// Connects to a server and sends it the client's line.
     fn dial(&mut self, ctx: &mut FrontContext, client: Token, server: ServerId, wait: Nanos) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
-        let Some(addr) = ctx.registry.entry(server).map(|r| r.addr()) else { return false };
+        let Some(addr) = ctx.registry.entry(server).map(|r| r.address()) else { return false };
         let Ok(task) = ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)) else { return false };
         ctx.net.send(task, session.open.for_server(wait).as_bytes());
         ctx.wheel.schedule(
-            ctx.now + ctx.facts.limits.dial_timeout_ns,
+            ctx.now + ctx.site.limits.dial_timeout_ns,
             TimerEvent::ConnectTimeout(TEXT_FRONT, task),
         );
         session.task = Some(task);
@@ -347,7 +347,7 @@
                     };
                     let name = ctx.registry.entry(server).map_or("?", |r| r.name());
                     crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
-                    ctx.requests.push_event(Event::HealthCheckResult { server, over });
+                    ctx.requests.push_event(Event::HealthCheckResult { server, utilization: over });
                 }
             }
         }
@@ -361,7 +361,7 @@
         self.sides.remove(&token);
         ctx.net.close(token);
         if let Some((server, true)) = self.probes.ended(token) {
-            ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
+            ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
         }
     }
 
@@ -524,11 +524,11 @@
             Passed::Standing { line, server, began, asked, last, load, client, task } => {
                 let token = ctx.net.import_connection(fd()?, client, SocketOwner::Front(TEXT_FRONT)).ok()?;
                 let task = ctx.net.import_connection(fd()?, task, SocketOwner::Front(TEXT_FRONT)).ok()?;
-                let open = match FirstLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
+                let open = match FirstLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
                     Some(FirstLine::Open(open)) => Some(open),
                     _ => None,
                 };
-                let (Some(open), Some(server)) = (open, ctx.registry.named(&server)) else {
+                let (Some(open), Some(server)) = (open, ctx.registry.id_of(&server)) else {
                     // It was placed under other classes, or where nobody knows of: it is placed anew.
                     ctx.net.send(token, b"MOVE\r\n");
                     ctx.net.close(token);
@@ -572,7 +572,7 @@
         }
         notes.sort_unstable();
         for (server, delay) in notes {
-            ctx.requests.push_event(Event::LatencyReport { server, delay });
+            ctx.requests.push_event(Event::LatencyReport { server, latency: delay });
         }
     }
 }
@@ -638,7 +638,8 @@
         if said || ctx.net.is_read_closed(client) || ctx.net.is_failed(client) {
             return self.client(ctx, client, ctx.net.is_failed(client));
         }
-        if !ctx.net.has_descriptor_for_attempt() || !ctx.registry.entry(server).is_some_and(|r| r.serving()) {
+        if !ctx.net.has_descriptor_for_attempt() || !ctx.registry.entry(server).is_some_and(|r| r.is_ready())
+        {
             ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Rejected);
         } else if !self.dial(ctx, client, server, wait) {
             ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::ConnectFailed);
@@ -681,10 +682,10 @@
             Ask::Out => return,
             Ask::On(token) => token,
             Ask::Dial => {
-                let addr = ctx.registry.entry(server).map(|r| r.addr());
+                let addr = ctx.registry.entry(server).map(|r| r.address());
                 let Some(Ok(token)) = addr.map(|addr| ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)))
                 else {
-                    return ctx.requests.push_event(Event::HealthCheckResult { server, over: None });
+                    return ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
                 };
                 self.probes.dialled(ctx.now, server, token);
                 self.sides.insert(token, Side::Probe);
@@ -713,7 +714,7 @@
 
     fn receive_connection(&mut self, ctx: &mut FrontContext, transferred_connection: TransferredConnection) {
         if self.unpack(ctx, transferred_connection).is_none() {
-            crate::log::line(format_args!("takeover-lost a connection that cannot be read"));
+            crate::log::line(format_args!("handover-lost a connection that cannot be read"));
         }
     }
 
@@ -772,7 +773,7 @@
             ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
-        if ctx.facts.family_info.tells_delay && now.saturating_sub(self.noted) >= 1_000_000_000 {
+        if ctx.site.family_info.reports_message_latency && now.saturating_sub(self.noted) >= 1_000_000_000 {
             self.noted = now;
             self.note_delays(ctx);
         }
@@ -833,7 +834,7 @@
     Arrival {
         id: RequestId(0),
         class: open.class,
-        grace: open.grace.saturating_sub(ANSWER_MARGIN),
+        time_left: open.grace.saturating_sub(ANSWER_MARGIN),
         cost: open.hint,
         key: Some(open.key),
         group: open.group,
--- a/src/requests/decide.rs
+++ b/src/requests/decide.rs
@@ -38,13 +38,13 @@
 
     fn apply(&mut self, now: Nanos, action: Action) -> Option<Command> {
         match action {
-            Action::StartAttempt { id, server, give_up } => self.start_attempt(now, id, server, give_up),
+            Action::StartAttempt { id, server, timeout } => self.start_attempt(now, id, server, timeout),
             Action::CancelAttempt { id, .. } => {
                 let front = self.open.get(id)?.front;
                 self.on_attempt_ended(now, id, Outcome::Cancelled);
                 Some(Command::CancelAttempt { front, request_id: id })
             }
-            Action::Reject { id, cool_down } => self.reject(now, id, cool_down),
+            Action::Reject { id, retry_after } => self.reject(now, id, retry_after),
             Action::Fail(id) => {
                 let front = self.close_unanswered(now, id, FlowResult::Failed)?;
                 self.counters.failed += 1;
@@ -76,7 +76,7 @@
         };
         let is_retry = request.attempts > 0;
         if let Some(quotas) = self.quotas.as_mut().filter(|_| is_retry) {
-            if quotas.again(now, request.class).is_err() {
+            if quotas.admit_retry(now, request.class).is_err() {
                 self.counters.quota_rejected += 1;
                 let outcome = Outcome::Rejected;
                 self.pending_events.push(Event::AttemptEnded { id, server, outcome, done: false });
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -74,7 +74,7 @@
             front,
             class: arrival.class,
             started_at: now,
-            deadline: now.saturating_add(arrival.grace),
+            deadline: now.saturating_add(arrival.time_left),
             attempts: 0,
             state,
             uses_quota: false,
--- a/tests/operator.rs
+++ b/tests/admin.rs
@@ -117,7 +117,7 @@
     let (mut bench, at) = node(1);
     let (mut client, _task) = established_client(&bench, 1);
     bench.signal("-TERM");
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -269,7 +269,7 @@
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
@@ -317,6 +317,9 @@
     }
 }
 
+/// They count at their own times, whichever front is at work.
+const DISCOVERY_COUNTERS: [&str; 3] = ["discovery_polls", "discovery_failures", "stale_lists"];
+
 #[rstest]
 fn the_two_fronts_account_alike_side_by_side() {
     use Act::*;
@@ -360,9 +363,8 @@
         }
         let after = bench.counters();
         let grown = |(name, count): (&String, &u64)| (name.clone(), count - before[name]);
-        counted.push(
-            after.iter().map(grown).filter(|(name, _)| !name.starts_with("discovery_")).collect::<Vec<_>>(),
-        );
+        let of_a_front = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
+        counted.push(after.iter().map(grown).filter(of_a_front).collect::<Vec<_>>());
     }
     assert_eq!(counted[0], counted[1]);
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
--- a/tests/upgrade.rs
+++ b/tests/handover.rs
@@ -61,8 +61,8 @@
     fn upgraded(&mut self) -> Process {
         let mut old = self.bench.start_successor();
         self.operator = operator(&mut self.bench);
-        self.bench.wait_for_log("taking-over");
-        old.wait_for_log("handing-over");
+        self.bench.wait_for_log("handover-from-predecessor");
+        old.wait_for_log("handover-to-successor");
         old
     }
 
@@ -72,7 +72,7 @@
         old.signal("-TERM");
         let counters = old.wait_for_log("counters");
         assert!(old.child.wait().expect("it ends").success());
-        self.bench.wait_for_log("taken-over");
+        self.bench.wait_for_log("handover-complete");
         counters
     }
 }
@@ -180,11 +180,11 @@
     if serves {
         // It ends without having taken what is on its way: this client is lost with it.
         say(&successor, "\"Ready\"");
-        node.bench.wait_for_log("handing-over");
+        node.bench.wait_for_log("handover-to-successor");
         assert!(hear(&successor).starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
-    node.bench.wait_for_log("takeover-end successor");
+    node.bench.wait_for_log("handover-end successor");
     // Discovery is asked anew: the watch was given away.
     let _watch = node.bench.accept_watch();
     if serves {
@@ -252,7 +252,7 @@
     let mut node = node();
     let (mut client, mut task) = established_client(&node.bench, 1);
     node.bench.signal("-TERM");
-    node.bench.wait_for_log("leaving");
+    node.bench.wait_for_log("shutting-down");
     let mut old = node.upgraded();
     assert_eq!(counter_value(&old.wait_for_log("counters"), "handed_over"), 1);
     assert!(old.child.wait().expect("it ends").success());
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -133,7 +133,7 @@
     }
     let told = Instant::now();
     bench.resume();
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     assert_eq!(answers(&mut client), ["MOVE"]);
     drop((client, attempt));
     ends(bench, told);
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -265,7 +265,7 @@
     let mut bench = Bench::start(1);
     let (mut first, _task) = established_client(&bench, 0x9b1f);
     bench.signal("-TERM");
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     let mut second = bench.connect_client(&open_line(2));
     let (_, mut other) = task(&bench);
     other.read_line();
