--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,14 @@
-//! sparbank makes the decisions of a balancer for long-lived connections.
+//! sparbank is a node that places long-lived client connections on servers.
 //!
-//! A node tells a [`Balancer`] what happens and does what it answers. Here one request meets a server
-//! that cannot be reached, sleeps, and is placed on the other:
+//! The decisions are made by a [`Balancer`], a state machine without clock and I/O: a node reports events to it and
+//! carries out its actions. In this example the server of a request's first attempt cannot be reached; the request
+//! backs off and is placed on the other server:
 //!
 //! ```
-//! use sparbank::vocabulary::*;
+//! use sparbank::vocabulary::{
+//!     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
+//!     RequestId, ServerId, Settings, SettingsError, Status,
+//! };
 //! use sparbank::Balancer;
 //!
 //! const SECOND: Nanos = 1_000_000_000;
@@ -37,28 +41,41 @@
 //!     probes: false,
 //! };
 //! let mut balancer = Balancer::new(42, settings)?;
-//! let (mut now, mut actions) = (0, Vec::new());
-//! let status = Status::Serving;
-//! let endpoint = |n: u32| {
-//!     let (server, tag) = (ServerId(n), u64::from(n) + 1);
-//!     Endpoint { server, tag, zone: 0, cell: 0, nominal: 1.0, started_at: 0, status }
+//! let mut now = 0;
+//! let mut actions = Vec::new();
+//! let endpoint = |number: u32| Endpoint {
+//!     server: ServerId(number),
+//!     tag: u64::from(number) + 1,
+//!     zone: 0,
+//!     cell: 0,
+//!     nominal: 1.0,
+//!     started_at: 0,
+//!     status: Status::Serving,
 //! };
 //! balancer.handle(now, Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]), &mut actions);
 //!
 //! let id = RequestId(7);
-//! let (reconnect, client_retry, rerouted) = (false, false, false);
-//! let (class, time_left, cost, key, group) = (0, 2 * SECOND, None, None, None);
-//! let arrival = Arrival { id, class, time_left, cost, key, group, reconnect, client_retry, rerouted };
+//! let arrival = Arrival {
+//!     id,
+//!     class: 0,
+//!     time_left: 2 * SECOND,
+//!     cost: None,
+//!     key: None,
+//!     group: None,
+//!     reconnect: false,
+//!     client_retry: false,
+//!     rerouted: false,
+//! };
 //! balancer.handle(now, Event::Request(arrival), &mut actions);
-//! let Some(Action::StartAttempt { server: first, .. }) = actions.pop() else { panic!("tried at once") };
+//! let Some(Action::StartAttempt { server: first, .. }) = actions.pop() else { panic!("attempted at once") };
 //!
 //! let outcome = Outcome::ConnectFailed;
 //! balancer.handle(now, Event::AttemptEnded { id, server: first, outcome, done: false }, &mut actions);
-//! let Some(Action::SetTimer { after, token }) = actions.pop() else { panic!("it sleeps") };
+//! let Some(Action::SetTimer { after, token }) = actions.pop() else { panic!("it backs off") };
 //!
 //! now += after;
 //! balancer.handle(now, Event::Timer(token), &mut actions);
-//! let Some(Action::StartAttempt { server: second, .. }) = actions.pop() else { panic!("tried again") };
+//! let Some(Action::StartAttempt { server: second, .. }) = actions.pop() else { panic!("attempted again") };
 //! assert_ne!(first, second);
 //! # Ok::<(), SettingsError>(())
 //! ```
