--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -89,7 +89,7 @@
         self.outlier.on_success();
     }
 
-    /// An attempt failed; see [`OutlierState::on_failure`].
+    /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error.
     pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
         self.outlier.on_failure(now, roll, answered);
     }
--- /dev/null
+++ b/tests/properties/simulation.rs
@@ -0,0 +1,333 @@
+//! The surroundings of one node: clients, servers and timers. They check each action of the balancer.
+
+use crate::common::{arrival, endpoint, serving_endpoints, settings, MILLIS, SECOND};
+use sparbank::vocabulary::{
+    Action, Arrival, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestId, ServerId, Settings, Status,
+};
+use sparbank::Balancer;
+use std::collections::BTreeMap;
+
+/// The number of servers that are ever listed.
+pub const SERVERS: u32 = 6;
+/// Attempts may be sent to a draining server for this long.
+const DRAIN_GRACE: Nanos = 500 * MILLIS;
+/// A final answer may be this late.
+const ANSWER_SLACK: Nanos = 20 * MILLIS;
+/// Timers and timeouts are handled at the first tick after their time.
+const TICK: Nanos = 5 * MILLIS;
+/// Latency reports and health checks also name servers that are never listed.
+const REPORTED_SERVERS: u32 = 8;
+/// How attempts and connections end, other than by a timeout.
+const ENDS: [Outcome; 7] = [
+    Outcome::Error,
+    Outcome::Rejected,
+    Outcome::ConnectFailed,
+    Outcome::Reset,
+    Outcome::Cancelled,
+    Outcome::NotSent,
+    Outcome::Ok,
+];
+
+/// One random step.
+pub struct Step {
+    /// What happens.
+    pub kind: u8,
+    /// To which client or server it happens, and how.
+    pub choice: u64,
+    /// The time that passes afterwards, in milliseconds.
+    pub pause_ms: u16,
+}
+
+#[derive(Clone, Copy, PartialEq)]
+enum AttemptState {
+    InFlight { until: Nanos },
+    Established,
+    Ended(Outcome),
+}
+
+struct Attempt {
+    server: ServerId,
+    sent_at: Nanos,
+    state: AttemptState,
+}
+
+impl Attempt {
+    fn is_ended(&self) -> bool {
+        matches!(self.state, AttemptState::Ended(_))
+    }
+
+    fn is_in_flight(&self) -> bool {
+        matches!(self.state, AttemptState::InFlight { .. })
+    }
+
+    fn may_have_run(&self) -> bool {
+        !matches!(self.state, AttemptState::Ended(outcome) if outcome.never_ran())
+    }
+}
+
+struct Client {
+    class: usize,
+    deadline: Nanos,
+    /// The final answer was given, or the client has disconnected.
+    is_over: bool,
+    attempts: Vec<Attempt>,
+}
+
+impl Client {
+    fn is_in_flight(&self) -> bool {
+        self.attempts.last().is_some_and(Attempt::is_in_flight)
+    }
+
+    fn is_established(&self) -> bool {
+        self.attempts.last().is_some_and(|attempt| attempt.state == AttemptState::Established)
+    }
+
+    fn is_overdue(&self, now: Nanos) -> bool {
+        !self.is_over && !self.is_established() && now > self.deadline + ANSWER_SLACK
+    }
+
+    fn has_timed_out(&self, now: Nanos) -> bool {
+        let last = self.attempts.last();
+        last.is_some_and(|last| matches!(last.state, AttemptState::InFlight { until } if until <= now))
+    }
+
+    /// The server of the last attempt.
+    fn server(&self) -> ServerId {
+        self.attempts.last().map_or(ServerId(0), |attempt| attempt.server)
+    }
+}
+
+struct Timer {
+    at: Nanos,
+    token: u64,
+}
+
+pub struct Simulation {
+    /// All actions so far.
+    pub journal: Vec<Action>,
+    settings: Settings,
+    balancer: Balancer,
+    now: Nanos,
+    timers: Vec<Timer>,
+    clients: BTreeMap<u64, Client>,
+    draining_since: BTreeMap<ServerId, Nanos>,
+    listed: BTreeMap<ServerId, Status>,
+    next_request: u64,
+}
+
+impl Simulation {
+    pub fn new(seed: u64) -> Simulation {
+        let settings = Settings { probes: seed.is_multiple_of(2), ..settings() };
+        Simulation {
+            journal: Vec::new(),
+            balancer: Balancer::new(seed, settings.clone()).expect("valid settings"),
+            settings,
+            now: 100 * SECOND,
+            timers: Vec::new(),
+            clients: BTreeMap::new(),
+            draining_since: BTreeMap::new(),
+            listed: BTreeMap::new(),
+            next_request: 1,
+        }
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        for action in actions {
+            self.check(&action);
+            self.journal.push(action);
+        }
+    }
+
+    fn check(&mut self, action: &Action) {
+        match action {
+            Action::StartAttempt { id, server, timeout } => self.check_attempt(*id, *server, *timeout),
+            Action::Reject { id, .. } => self.check_final_answer(*id, true),
+            Action::Fail(id) => self.check_final_answer(*id, false),
+            Action::Migrate(id) => {
+                let client = self.clients.get_mut(&id.0).expect("a request that arrived");
+                assert!(!client.is_over && client.is_established());
+                client.is_over = true;
+            }
+            Action::CancelAttempt { id, attempt } => {
+                assert!(self.clients[&id.0].attempts.len() > *attempt as usize)
+            }
+            Action::SetTimer { after, token } => {
+                self.timers.push(Timer { at: self.now + after, token: *token });
+            }
+            Action::HealthCheck(server) => {
+                assert!(self.settings.probes, "a health check where none is allowed");
+                assert!(server.0 < SERVERS, "a health check of a server never listed");
+            }
+            Action::Subscribe | Action::Log(_) => {}
+        }
+    }
+
+    fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
+        let client = self.clients.get_mut(&id.0).expect("a request that arrived");
+        assert!(!client.is_over, "rule 1: an attempt after the end");
+        assert!(client.attempts.iter().all(Attempt::is_ended), "one attempt at a time");
+        assert!(client.attempts.len() < self.settings.max_attempts as usize, "attempts used up");
+        if let Some(since) = self.draining_since.get(&server) {
+            assert!(self.now <= since + DRAIN_GRACE, "rule 3: {server:?} is draining or removed");
+        }
+        let class = &self.settings.classes[client.class];
+        if let Some(first) = client.attempts.iter().find(|attempt| attempt.may_have_run()) {
+            match class.effect {
+                Effect::ReadLike => {}
+                Effect::NonIdempotent => panic!("rule 2: a non-idempotent request twice"),
+                Effect::IdempotencyKey => {
+                    let age = self.now - first.sent_at;
+                    assert!(age <= class.dedup_window, "rule 2: the repeat is not discarded any more");
+                    assert_eq!(first.server.0 % 2, server.0 % 2, "rule 2: another zone");
+                }
+            }
+        }
+        let until = (self.now + timeout).min(client.deadline).max(self.now);
+        let state = AttemptState::InFlight { until };
+        client.attempts.push(Attempt { server, sent_at: self.now, state });
+    }
+
+    fn check_final_answer(&mut self, id: RequestId, is_rejection: bool) {
+        let client = self.clients.get_mut(&id.0).expect("a request that arrived");
+        assert!(!client.is_over, "rule 1: two final answers");
+        assert!(self.now <= client.deadline + ANSWER_SLACK, "rule 1: too late");
+        client.is_over = true;
+        let may_have_run = client.attempts.iter().any(Attempt::may_have_run);
+        let is_safe = client.class == 0 || !may_have_run;
+        assert!(!is_rejection || is_safe, "rule 2: a rejection that may do harm");
+    }
+
+    /// Lets time pass.
+    pub fn pass(&mut self, span: Nanos) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now += TICK;
+            let timers = std::mem::take(&mut self.timers);
+            let (elapsed, later): (Vec<Timer>, Vec<Timer>) =
+                timers.into_iter().partition(|timer| timer.at <= self.now);
+            self.timers = later;
+            for timer in elapsed {
+                self.handle(Event::Timer(timer.token));
+            }
+            let timed_out = self.clients.iter().filter(|(_, client)| client.has_timed_out(self.now));
+            let timed_out: Vec<_> = timed_out.map(|(id, client)| (*id, client.server())).collect();
+            for (id, server) in timed_out {
+                self.end_attempt(id, server, Outcome::Timeout);
+            }
+            let is_overdue = |client: &Client| client.is_overdue(self.now);
+            assert!(!self.clients.values().any(is_overdue), "rule 1: no answer in time");
+        }
+    }
+
+    fn client_mut(&mut self, id: u64) -> &mut Client {
+        self.clients.get_mut(&id).expect("a client that sent a request")
+    }
+
+    fn end_attempt(&mut self, id: u64, server: ServerId, outcome: Outcome) {
+        let client = self.client_mut(id);
+        let was_established = client.is_established();
+        client.attempts.last_mut().expect("an attempt").state = AttemptState::Ended(outcome);
+        client.is_over |= was_established || outcome == Outcome::Ok;
+        let done = client.is_over;
+        self.handle(Event::AttemptEnded { id: RequestId(id), server, outcome, done });
+    }
+
+    /// One of the clients that fit, and the server of its last attempt.
+    fn choose_client(&self, choice: u64, fits: impl Fn(&Client) -> bool) -> Option<(u64, ServerId)> {
+        let fitting: Vec<_> = self.clients.iter().filter(|(_, client)| fits(client)).collect();
+        let (id, client) = fitting.get(choice as usize % fitting.len().max(1))?;
+        Some((**id, client.server()))
+    }
+
+    pub fn send_list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
+        let status = |endpoint: &Endpoint| (endpoint.server, endpoint.status);
+        let mut listed: BTreeMap<ServerId, Status> = endpoints.iter().map(status).collect();
+        if kind != ListKind::Incremental {
+            let absent = self.listed.keys().filter(|server| !listed.contains_key(server));
+            let removed: Vec<_> = absent.map(|server| (*server, Status::Removed)).collect();
+            listed.extend(removed);
+        }
+        for (server, status) in listed {
+            if status == Status::Serving {
+                self.draining_since.remove(&server);
+            } else {
+                self.draining_since.entry(server).or_insert(self.now);
+            }
+            self.listed.insert(server, status);
+        }
+        self.handle(Event::EndpointList(kind, endpoints));
+    }
+
+    pub fn step(&mut self, step: &Step) {
+        let choice = step.choice;
+        let reported = ServerId(choice as u32 % REPORTED_SERVERS);
+        match step.kind % 17 {
+            0..=4 => self.send_request(choice),
+            5 | 6 => self.establish_one(choice),
+            7..=9 => self.end_one(choice, Client::is_in_flight),
+            10 => self.end_one(choice, Client::is_established),
+            11 => self.send_changed_endpoint(choice),
+            12 => {
+                let endpoints = serving_endpoints(SERVERS).into_iter();
+                let full = endpoints.filter(|endpoint| choice >> endpoint.server.0 & 1 == 0);
+                self.send_list(ListKind::Full, full.collect());
+            }
+            13 => {
+                let latency = choice % 900 * MILLIS;
+                self.handle(Event::LatencyReport { server: reported, latency });
+            }
+            14 => self.disconnect_one(choice),
+            15 => self.handle(Event::EndpointList(ListKind::Failed, vec![])),
+            _ => {
+                let utilization = (!choice.is_multiple_of(3)).then_some((choice % 40) as f64 / 20.0);
+                self.handle(Event::HealthCheckResult { server: reported, utilization });
+            }
+        }
+        self.pass(Nanos::from(step.pause_ms) * MILLIS);
+    }
+
+    fn send_request(&mut self, choice: u64) {
+        let id = self.next_request;
+        self.next_request += 1;
+        let class = choice as usize % 3;
+        let time_left = 50 * MILLIS + choice % 1950 * MILLIS;
+        let deadline = self.now + time_left;
+        self.clients.insert(id, Client { class, deadline, is_over: false, attempts: Vec::new() });
+        self.handle(Event::Request(Arrival {
+            reconnect: choice.is_multiple_of(5),
+            rerouted: choice.is_multiple_of(7),
+            time_left,
+            ..arrival(id, class)
+        }));
+    }
+
+    fn establish_one(&mut self, choice: u64) {
+        let Some((id, server)) = self.choose_client(choice, Client::is_in_flight) else { return };
+        let attempt = self.client_mut(id).attempts.last_mut().expect("an attempt in flight");
+        attempt.state = AttemptState::Established;
+        let setup_time = choice % 400 * MILLIS;
+        self.handle(Event::Established { id: RequestId(id), server, setup_time });
+    }
+
+    fn end_one(&mut self, choice: u64, fits: impl Fn(&Client) -> bool) {
+        if let Some((id, server)) = self.choose_client(choice, fits) {
+            self.end_attempt(id, server, ENDS[choice as usize % ENDS.len()]);
+        }
+    }
+
+    fn send_changed_endpoint(&mut self, choice: u64) {
+        let status = [Status::Serving, Status::Draining, Status::Removed][choice as usize % 3];
+        let started_at = if choice.is_multiple_of(2) { self.now - SECOND } else { 0 };
+        let changed = endpoint(choice as u32 % SERVERS, started_at, status);
+        self.send_list(ListKind::Incremental, vec![changed.clone(), changed]);
+    }
+
+    fn disconnect_one(&mut self, choice: u64) {
+        if let Some((id, _)) = self.choose_client(choice, |client| !client.is_over) {
+            self.client_mut(id).is_over = true;
+            self.handle(Event::ClientDisconnected(RequestId(id)));
+        }
+    }
+}
