--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -45,7 +45,7 @@
 
 impl std::error::Error for ResponseError {}
 
-/// The element of the response that comes next. Its names are part of the handover's wire.
+/// The element of the response that is decoded next. The handover carries its serde names, so they are fixed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 enum Stage {
     /// The status line and the header fields.
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -24,7 +24,7 @@
     state: WatchState,
 }
 
-/// A client of the discovery service. It holds at most one watch.
+/// A client of the discovery service with at most one watch.
 pub struct DiscoveryClient {
     address: SocketAddr,
     watch: Option<Watch>,
@@ -43,8 +43,8 @@
         self.watch.is_some()
     }
 
-    /// Requests the changes since the registry's generation, unless there is a watch already. Returns a failure event
-    /// where no connection can be opened.
+    /// Requests the changes since the registry's generation, unless there is a watch already. The result is a failure
+    /// event where no connection can be opened.
     pub fn subscribe(&mut self, now: Nanos, net: &mut Net, registry: &EndpointRegistry) -> Option<Event> {
         if self.watch.is_some() {
             return None;
@@ -62,7 +62,7 @@
     }
 
     /// Moves to a service at another address. Its generations may differ from those of the old one, so a complete list
-    /// is requested; the registry keeps its endpoints until that list has come.
+    /// is requested; the registry keeps its endpoints until that list has arrived.
     pub fn change_address(
         &mut self,
         now: Nanos,
@@ -76,8 +76,8 @@
         self.subscribe(now, net, registry)
     }
 
-    /// Handles an event on a discovery socket and returns the changes that it brought, in order. `is_broken` says that
-    /// the connection failed. A socket other than the current watch's is closed.
+    /// Handles an event on a discovery socket. The result is the changes that it brought, in order. `is_broken` says
+    /// that the connection failed. A socket other than the current watch's is closed.
     pub fn on_socket_event(
         &mut self,
         now: Nanos,
@@ -111,7 +111,7 @@
         self.on_socket_event(now, net, registry, token, false)
     }
 
-    /// Closes a watch that has fallen silent and returns the failure event.
+    /// Closes a watch that has fallen silent. The result is then the failure event.
     pub fn close_silent_watch(&mut self, now: Nanos, net: &mut Net) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
         is_silent.then(|| self.lose_watch(net, WatchError::Silent))
@@ -160,7 +160,7 @@
     }
 }
 
-/// Applies the lists that a watch brought and returns the changes.
+/// Applies the lists that a watch brought. The result is the changes.
 fn apply_lists(registry: &mut EndpointRegistry, received: &Received) -> Vec<Event> {
     let mut events = Vec::new();
     if received.starts_unchanged && received.lists.is_empty() && registry.generation() > 0 {
--- a/src/discovery/framing.rs
+++ b/src/discovery/framing.rs
@@ -31,7 +31,7 @@
 
 impl std::error::Error for FramingError {}
 
-/// Position of a byte in a JSON text. Its names are part of the handover's wire.
+/// Position of a byte in a JSON text. The handover carries its serde names, so they are fixed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct Nesting {
     /// Open brackets.
@@ -39,7 +39,7 @@
     in_string: bool,
     /// The last byte was a backslash that escapes the next one.
     escaped: bool,
-    /// There have been nothing but blanks since the last line end.
+    /// Only blanks have followed the last line end.
     #[serde(rename = "blank")]
     line_is_blank: bool,
 }
@@ -52,7 +52,7 @@
             return Ok(false);
         }
         match byte {
-            // No service writes an empty line inside an object: what came before it was broken off.
+            // No service writes an empty line inside an object: the object was broken off.
             b'\n' if self.depth > 0 && self.line_is_blank => return Err(FramingError::Truncated),
             b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Service discovery: the endpoint registry and the watch that keeps it up to date.
 //!
-//! [`DiscoveryClient`] holds one HTTP/1.1 watch open. The bytes of its response go through [`chunked`] (the chunked
+//! [`DiscoveryClient`] keeps one HTTP/1.1 watch open. The bytes of its response go through [`chunked`] (the chunked
 //! transfer coding) and [`framing`] (one JSON object at a time) into an [`EndpointListDocument`], which
 //! [`EndpointRegistry::apply`] turns into the change that the balancer is notified of. Only [`client`] does I/O.
 
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -78,7 +78,7 @@
         self.generation
     }
 
-    /// Takes the list that the node last held, which may be stale by now.
+    /// Applies the list that the node saved before its start, which may be stale by now.
     pub fn restore(&mut self, list: &EndpointListDocument) -> Event {
         Event::EndpointList(ListKind::Saved, self.apply(list, true))
     }
@@ -95,7 +95,7 @@
         self.generation = 0;
     }
 
-    /// Applies a list and returns what it changes. A list whose generation goes back removes nothing, and what has
+    /// Applies a list. The result is what it changes. A list whose generation goes back removes nothing, and what has
     /// stopped since is not revived by it.
     pub fn apply(&mut self, list: &EndpointListDocument, is_complete: bool) -> Vec<Endpoint> {
         // The first complete list from another source may be older than what the source before it reported: it sets
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -55,7 +55,7 @@
     assert_eq!(registry.stale_lists, 1);
 }
 
-/// A list of version 00677b7, as it stands in that process's handover state.
+/// A list of version 00677b7, as that process writes it into its handover state.
 #[test]
 fn a_list_of_version_00677b7_is_read_and_written_in_the_same_form() {
     const SNAPSHOT: &str = include_str!("../fixtures/list-00677b7.json");
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -29,7 +29,7 @@
     Framing(FramingError),
     /// An object is no endpoint list.
     InvalidDocument,
-    /// Nothing came for longer than the time limits allow.
+    /// Nothing has arrived for longer than the time limits allow.
     Silent,
 }
 
@@ -93,10 +93,10 @@
 /// A watch's state. It is handed over to the process that continues the watch, so its serde names are fixed.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct WatchState {
-    /// When the last complete object or empty line came, at first when the watch was requested.
+    /// When the last complete object or empty line arrived, at first when the watch was requested.
     #[serde(rename = "heard")]
     last_frame_at: Nanos,
-    /// When the last byte came, at first when the watch was requested.
+    /// When the last byte arrived, at first when the watch was requested.
     #[serde(rename = "moved", default)]
     last_byte_at: Nanos,
     /// Complete objects and empty lines so far.
@@ -161,7 +161,7 @@
     }
 }
 
-/// The list that a complete object holds; none for an empty line.
+/// The list that a complete object describes; none for an empty line.
 fn parse_frame(frame: &[u8]) -> Result<Option<EndpointListDocument>, WatchError> {
     let text = std::str::from_utf8(frame).map_err(|_| WatchError::InvalidDocument)?.trim();
     if text.is_empty() {
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -109,7 +109,7 @@
     }
 }
 
-/// The first of these states stands inside a string of a list that is cut in the middle of a chunk.
+/// The first of these states was taken inside a string of a list that is cut in the middle of a chunk.
 #[test]
 fn a_watch_of_version_00677b7_goes_on_where_it_was_cut() {
     let text = STATES_00677B7.lines().next().expect("a state");
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -1,13 +1,16 @@
-//! Crossings of discovery's list, forced over loopback: what was told is acted on, whatever else happens then.
+//! Races of the endpoint list, forced over loopback: the node acts on every change that discovery has written to its
+//! watch, whatever else happens at that moment.
 
 mod support;
 
 use rstest::rstest;
-use support::*;
+use std::ops::Range;
+use std::time::{Duration, Instant};
+use support::{accept_any, instance, listener, open, Bench, Peer};
 
-/// Where lists are pushed, they wait at the machine's agent: a node that asked for none would never hear of a drain.
+/// Pushed lists wait at the machine's agent: a node without a watch would never be notified of a drain.
 #[rstest]
-fn where_lists_are_pushed_the_node_opens_a_watch_and_opens_it_anew() {
+fn with_pushed_lists_the_node_opens_a_watch_and_reopens_it() {
     let pushed = |text: &str| {
         assert!(text.contains(r#""Discovery":"ask""#));
         text.replace(r#""Discovery":"ask""#, r#""Discovery":"push""#)
@@ -17,131 +20,125 @@
     let mut watch = bench.watch();
     bench.change(&mut watch, 0, "draining");
     drop(watch);
-    // The watch that broke is opened anew, and by then the drain is known.
+    // The node reopens the watch that was reset, and the drain is known by then.
     let mut watch = bench.watch();
-    for number in 0..6 {
-        let mut client = bench.client(&open(number));
-        let (at, mut attempt) = accept_any(&bench.servers);
-        assert_eq!(at, 1, "nothing new goes to the one that drains");
-        attempt.line();
-        attempt.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
-    }
+    all_clients_connect_to_server_1(&bench, 0..6);
     bench.lists(&mut watch, false, "");
 }
 
-/// Nothing new goes to server 0: as many clients come to stand at server 1.
-fn all_go_to_the_other(bench: &Bench, numbers: std::ops::Range<u64>) {
-    for number in numbers {
+/// Nothing new goes to server 0, which drains: each of these clients is connected to server 1.
+fn all_clients_connect_to_server_1(bench: &Bench, clients: Range<u64>) {
+    for number in clients {
         let mut client = bench.client(&open(number));
-        let (at, mut attempt) = accept_any(&bench.servers);
-        assert_eq!(at, 1, "nothing new goes to the one that drains");
+        let (server, mut attempt) = accept_any(&bench.servers);
+        assert_eq!(server, 1, "nothing new goes to the one that drains");
         attempt.line();
         attempt.say("UP r1\r\n");
         assert_eq!(client.line(), "UP r1");
     }
 }
 
-fn chunk(watch: &mut Peer, text: &str) {
+/// Writes text to a watch, as a chunk of its own.
+fn send_chunk(watch: &mut Peer, text: &str) {
     watch.say(&format!("{:x}\r\n{text}\r\n", text.len()));
 }
 
-/// An object over several lines, and one whose bytes come in chunks of their own.
+/// An object over several lines, in one chunk and with each byte in a chunk of its own.
 #[rstest]
-#[case::at_once(usize::MAX)]
+#[case::in_one_chunk(usize::MAX)]
 #[case::byte_by_byte(1)]
-fn an_indented_object_is_one_list(#[case] piece: usize) {
+fn an_indented_object_is_one_list(#[case] chunk_bytes: usize) {
     let mut bench = Bench::start(2);
     let mut watch = bench.watch();
     let entry = instance(0, bench.servers[0].local_addr().expect("an address"), "draining");
     let text = format!(
         "{{\r\n  \"generation\": 2,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}\n\n"
     );
-    for part in text.as_bytes().chunks(piece.min(text.len())) {
-        chunk(&mut watch, std::str::from_utf8(part).expect("plain text"));
+    for piece in text.as_bytes().chunks(chunk_bytes.min(text.len())) {
+        send_chunk(&mut watch, std::str::from_utf8(piece).expect("plain text"));
     }
     drop(watch);
-    // The watch was sound to its end, and the next one asks from what it brought.
-    let mut again = Peer::accept(&bench.discovery);
-    assert!(again.line().contains("from=2 "));
-    all_go_to_the_other(&bench, 0..6);
+    // The watch was valid to its end, and the next one is requested from the generation that it brought.
+    let mut next_watch = Peer::accept(&bench.discovery);
+    assert!(next_watch.line().contains("from=2 "));
+    all_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// What is broken off inside an object is no list, and is not waited for.
+/// An object that is broken off is no list, and the node does not wait for the rest of it.
 #[rstest]
-#[case::then_an_empty_line("{\"generation\":2,\"inst\n\n")]
-#[case::inside_a_word("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
-fn an_object_that_is_broken_off_ends_the_watch(#[case] text: &str) {
+#[case::empty_line_follows("{\"generation\":2,\"inst\n\n")]
+#[case::line_end_inside_a_string("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
+fn a_truncated_object_ends_the_watch(#[case] text: &str) {
     let mut bench = Bench::start(1);
     let mut watch = bench.watch();
-    chunk(&mut watch, text);
+    send_chunk(&mut watch, text);
     assert!(bench.logged("list-lost").contains("NotJson"));
     bench.watch();
 }
 
-/// As long as nothing changes, empty lines come every 2 s, and nothing else: such a watch is sound.
+/// While nothing changes, discovery writes an empty line every 2 s and nothing else: such a watch is healthy.
 #[rstest]
-fn a_watch_that_brings_empty_lines_only_is_kept() {
+fn a_watch_with_empty_lines_only_stays_open() {
     let mut bench = Bench::start(2);
     let mut watch = bench.watch();
-    chunk(&mut watch, "\n");
-    std::thread::sleep(std::time::Duration::from_millis(2_600));
+    send_chunk(&mut watch, "\n");
+    std::thread::sleep(Duration::from_millis(2_600));
     bench.change(&mut watch, 0, "draining");
     drop(watch);
     bench.logged("list-lost reason=Ended");
-    all_go_to_the_other(&bench, 0..6);
+    all_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// One that falls silent inside an object is opened anew in time: what it missed counts as told 6 s after.
+/// A watch that falls silent is reopened in time: a change counts as known to the node 6 s after it.
 #[rstest]
-#[case::at_once("")]
+#[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
-fn a_watch_that_falls_silent_is_opened_anew_within_six_seconds(#[case] text: &str) {
+fn a_silent_watch_is_reopened_within_six_seconds(#[case] text: &str) {
     let mut bench = Bench::start(2);
     let mut watch = bench.watch();
-    let fell = std::time::Instant::now();
+    let silent_since = Instant::now();
     if !text.is_empty() {
-        chunk(&mut watch, text);
+        send_chunk(&mut watch, text);
     }
-    let mut again = bench.watch();
-    bench.change(&mut again, 0, "draining");
-    assert!(fell.elapsed() < std::time::Duration::from_secs(6));
-    drop(again);
+    let mut next_watch = bench.watch();
+    bench.change(&mut next_watch, 0, "draining");
+    assert!(silent_since.elapsed() < Duration::from_secs(6));
+    drop(next_watch);
     bench.logged("list-lost reason=Ended");
-    all_go_to_the_other(&bench, 0..6);
+    all_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// The old watch's last words and the signal that moves the address come in one turn, and the new address is silent:
-/// what was told counts.
+/// A change on the old watch and the signal that moves discovery's address are handled in one turn of the loop, and the
+/// new address is silent: the change counts.
 #[rstest]
-fn what_the_old_watch_told_in_the_turn_of_its_move_counts() {
+fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_turn() {
     let mut bench = Bench::start(2);
-    let mut old = bench.watch();
-    bench.change(&mut old, 1, "ready");
+    let mut old_watch = bench.watch();
+    bench.change(&mut old_watch, 1, "ready");
     bench.freeze();
-    bench.change(&mut old, 0, "draining");
+    bench.change(&mut old_watch, 0, "draining");
     bench.move_discovery();
     bench.thaw();
     bench.logged("reloaded");
-    let _silent = Peer::accept(&bench.discovery);
-    all_go_to_the_other(&bench, 0..6);
+    let _silent_watch = Peer::accept(&bench.discovery);
+    all_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// The new address answers with a list from before the newest that was told: it is no news.
+/// The new address answers with a list that is older than the last change from the old one: it revives nothing.
 #[rstest]
-fn a_list_from_before_the_newest_is_no_news_from_another_address_either() {
+fn a_stale_list_from_another_address_revives_nothing() {
     let mut bench = Bench::start(2);
-    let mut old = bench.watch();
-    bench.change(&mut old, 1, "ready");
-    bench.change(&mut old, 0, "draining");
+    let mut old_watch = bench.watch();
+    bench.change(&mut old_watch, 1, "ready");
+    bench.change(&mut old_watch, 0, "draining");
     bench.move_discovery();
     bench.logged("reloaded");
     bench.generation = 2;
     let mut watch = bench.watch();
-    let address = |at: usize| bench.servers[at].local_addr().expect("an address");
+    let address = |server: usize| bench.servers[server].local_addr().expect("an address");
     let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
     bench.lists(&mut watch, true, &entries);
     drop(watch);
     bench.logged("list-lost reason=Ended");
-    all_go_to_the_other(&bench, 0..6);
+    all_clients_connect_to_server_1(&bench, 0..6);
 }
