--- a/src/discovery/document.rs
+++ b/src/discovery/document.rs
@@ -1,13 +1,15 @@
 //! The documents of the discovery service.
 //!
 //! The same form is used on the discovery service's wire, in the `known` list of `NODE_CONFIG` and in the state that
-//! one process hands over to the next, so the field names are fixed.
+//! one process hands over to the next, so the field names are fixed. So are the `expecting` texts: the errors of
+//! `NODE_CONFIG` print them.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// A list of endpoints: a complete one, or the entries that changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
+#[serde(expecting = "struct List")]
 pub struct EndpointListDocument {
     /// Version of the list; it rises with every change.
     pub generation: u64,
@@ -21,7 +23,7 @@
 
 /// One endpoint of a list.
 #[derive(Clone, Debug, Deserialize, Serialize)]
-#[serde(rename_all = "camelCase")]
+#[serde(rename_all = "camelCase", expecting = "struct Entry")]
 pub struct EndpointDocument {
     /// The endpoint's name; it stays the same over restarts.
     #[serde(rename = "instanceId")]
@@ -47,7 +49,7 @@
 
 /// State of an endpoint as the discovery service reports it.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
-#[serde(rename_all = "lowercase")]
+#[serde(rename_all = "lowercase", expecting = "enum Lifecycle")]
 pub enum EndpointLifecycle {
     /// Takes new connections.
     Ready,
--- /dev/null
+++ b/src/simulator/host.rs
@@ -0,0 +1,106 @@
+//! The host of all simulated nodes.
+
+use super::error::{BatchError, EventError};
+use super::incoming::{BatchDocument, EndpointListDocument, EventHeader, InstanceEvents};
+use super::instance::{decode, Instance, ListsBySlot};
+use super::outgoing::{ActionDocument, InstanceActions, ReplyDocument};
+use super::panics::capture_panic_messages;
+use crate::vocabulary::Nanos;
+use std::collections::BTreeMap;
+
+/// Hosts the simulated nodes of one run: takes batches and gives replies.
+#[derive(Default)]
+pub struct Host {
+    instances: BTreeMap<u64, Instance>,
+    lists: ListsBySlot,
+}
+
+impl Host {
+    /// A host without instances. From now on panics of this process are not printed: one in a decision is reported on
+    /// the wire.
+    pub fn new() -> Host {
+        capture_panic_messages();
+        Host::default()
+    }
+
+    /// Handles one batch, a line of JSON, and gives the reply with its line end.
+    ///
+    /// # Errors
+    ///
+    /// A [`BatchError`] for the first event that cannot be handled. The events before it have been handled, without a
+    /// reply, so the host is of no use afterwards.
+    pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
+        let text =
+            std::str::from_utf8(line).map_err(|error| BatchError::of_batch(EventError::NotUtf8(error)))?;
+        let batch: BatchDocument = decode(text).map_err(BatchError::of_batch)?;
+        let mut reply = ReplyDocument { frame: batch.frame, instances: Vec::new() };
+        for instance_events in &batch.instances {
+            let actions = self.handle_instance_events(&batch, instance_events)?;
+            if let (Some(instance), false) = (instance_events.instance, actions.is_empty()) {
+                reply.instances.push(InstanceActions { instance, actions });
+            }
+        }
+        let reply =
+            serde_json::to_string(&reply).map_err(|error| BatchError::of_batch(EventError::Encode(error)))?;
+        Ok(reply + "\n")
+    }
+
+    fn handle_instance_events(
+        &mut self,
+        batch: &BatchDocument,
+        instance_events: &InstanceEvents,
+    ) -> Result<Vec<ActionDocument>, BatchError> {
+        let instance = instance_events.instance;
+        let mut actions = Vec::new();
+        for raw in &instance_events.events {
+            let located = |event: &str, error: EventError| BatchError {
+                frame: Some(batch.frame),
+                instance,
+                event: event.to_string(),
+                error,
+            };
+            let header: EventHeader = decode(raw.get()).map_err(|error| located("event", error))?;
+            self.handle_event(batch.now, instance, &header.name, raw.get(), &mut actions)
+                .map_err(|error| located(&header.name, error))?;
+        }
+        Ok(actions)
+    }
+
+    fn handle_event(
+        &mut self,
+        now: Nanos,
+        instance: Option<u64>,
+        name: &str,
+        raw: &str,
+        actions: &mut Vec<ActionDocument>,
+    ) -> Result<(), EventError> {
+        if name == "CENSUS" {
+            let list: EndpointListDocument = decode(raw)?;
+            self.lists.insert(list.slot, list);
+            return Ok(());
+        }
+        let number = instance.ok_or(EventError::MissingField("I"))?;
+        match name {
+            "INIT" => {
+                let instance = Instance::start(decode(raw)?)?;
+                self.instances.insert(number, instance);
+                return Ok(());
+            }
+            "CRASH_NOW" => {
+                self.instances.remove(&number).ok_or(EventError::UnknownInstance)?;
+                return Ok(());
+            }
+            _ => {}
+        }
+        let instance = self.instances.get_mut(&number).ok_or(EventError::UnknownInstance)?;
+        let Some(event) = instance.decode_event(name, raw, &self.lists)? else { return Ok(()) };
+        match instance.handle(now, event) {
+            Ok(decided) => actions.extend(decided),
+            Err(panic) => {
+                let text = format!("instance {number}, {name}: {panic}");
+                actions.push(ActionDocument::DecisionFailed { text });
+            }
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/src/simulator/incoming.rs
@@ -0,0 +1,275 @@
+//! The documents that the simulator sends.
+//!
+//! A field whose name begins with an underscore is checked and not used.
+
+use crate::config::settings::SettingsDocument;
+use crate::vocabulary::{Arrival, ListKind, Outcome, RequestId, Status};
+use serde::Deserialize;
+use serde_json::value::RawValue;
+use std::borrow::Cow;
+use std::collections::HashMap;
+
+/// One line: events for several instances at one moment.
+#[derive(Deserialize)]
+pub struct BatchDocument<'a> {
+    /// The moment, in nanoseconds.
+    #[serde(rename = "TsNs")]
+    pub now: u64,
+    pub frame: u64,
+    #[serde(rename = "parts", borrow)]
+    pub instances: Vec<InstanceEvents<'a>>,
+}
+
+/// The events of one instance, in order.
+#[derive(Deserialize)]
+pub struct InstanceEvents<'a> {
+    /// Number of the instance; an endpoint list is for all of them and needs none.
+    #[serde(rename = "I")]
+    pub instance: Option<u64>,
+    #[serde(rename = "in", borrow)]
+    pub events: Vec<&'a RawValue>,
+}
+
+/// What all events have.
+#[derive(Deserialize)]
+pub struct EventHeader<'a> {
+    #[serde(rename = "msg", borrow)]
+    pub name: Cow<'a, str>,
+}
+
+/// `INIT`: an instance starts.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct InitDocument {
+    pub seed: u64,
+    pub settings: SettingsDocument,
+}
+
+/// `CENSUS`: an endpoint list, stored in a slot for the `MEMBERS` events after it.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct EndpointListDocument {
+    pub slot: usize,
+    #[serde(rename = "NodesList")]
+    pub endpoints: Vec<EndpointDocument>,
+}
+
+/// One endpoint of a list.
+#[derive(Deserialize)]
+pub struct EndpointDocument {
+    #[serde(rename = "Hall", default)]
+    pub zone: u32,
+    #[serde(rename = "BornNs", default)]
+    pub started_at_ns: u64,
+    #[serde(rename = "Backend")]
+    pub server: String,
+    #[serde(rename = "UnitGroup", default)]
+    pub cell: u32,
+    #[serde(rename = "Nominal", default = "default_nominal")]
+    pub nominal: f64,
+    #[serde(rename = "Status")]
+    pub status: StatusDocument,
+}
+
+fn default_nominal() -> f64 {
+    1.0
+}
+
+/// State of an endpoint.
+#[derive(Deserialize, Clone, Copy)]
+#[serde(rename_all = "UPPERCASE")]
+pub enum StatusDocument {
+    Serving,
+    Draining,
+    #[serde(rename = "DELETED")]
+    Removed,
+}
+
+impl From<StatusDocument> for Status {
+    fn from(status: StatusDocument) -> Status {
+        match status {
+            StatusDocument::Serving => Status::Serving,
+            StatusDocument::Draining => Status::Draining,
+            StatusDocument::Removed => Status::Removed,
+        }
+    }
+}
+
+/// `MEMBERS`: an instance receives the endpoint list of a slot.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct ListReceivedDocument {
+    pub kind: ListKindDocument,
+    #[serde(default)]
+    pub slot: usize,
+}
+
+/// What kind of list an instance receives.
+#[derive(Deserialize, Clone, Copy)]
+#[serde(rename_all = "UPPERCASE")]
+pub enum ListKindDocument {
+    Saved,
+    Full,
+    Incremental,
+    Failed,
+}
+
+impl From<ListKindDocument> for ListKind {
+    fn from(kind: ListKindDocument) -> ListKind {
+        match kind {
+            ListKindDocument::Saved => ListKind::Saved,
+            ListKindDocument::Full => ListKind::Full,
+            ListKindDocument::Incremental => ListKind::Incremental,
+            ListKindDocument::Failed => ListKind::Failed,
+        }
+    }
+}
+
+/// `REQUEST` and `RESUMED`: a client's request, and a connection that already runs through an instance at its start.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct RequestDocument {
+    #[serde(rename = "Txn")]
+    request_id: u64,
+    #[serde(rename = "CameBack", default)]
+    reconnect: bool,
+    #[serde(rename = "AgainByClient", default)]
+    client_retry: bool,
+    grace_ns: u64,
+    #[serde(rename = "Category")]
+    class: usize,
+    #[serde(rename = "Project", default)]
+    _tenant: u64,
+    cost_ns: Option<u64>,
+    #[serde(default)]
+    rerouted: bool,
+    key: Option<u64>,
+    group: Option<u64>,
+    /// The server of a resumed connection.
+    #[serde(rename = "Backend")]
+    pub server: Option<String>,
+}
+
+impl RequestDocument {
+    /// The request as the balancer knows it.
+    pub fn arrival(&self) -> Arrival {
+        Arrival {
+            id: RequestId(self.request_id),
+            class: self.class,
+            grace: self.grace_ns,
+            cost: self.cost_ns,
+            key: self.key,
+            group: self.group,
+            reconnect: self.reconnect,
+            client_retry: self.client_retry,
+            rerouted: self.rerouted,
+        }
+    }
+}
+
+/// `ESTABLISHED`: a connection is established.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct EstablishedDocument {
+    #[serde(rename = "Txn")]
+    pub request_id: u64,
+    #[serde(rename = "Backend")]
+    pub server: String,
+    #[serde(rename = "Shot")]
+    _attempt: u32,
+    /// Time since the attempt was sent, in nanoseconds.
+    pub wait_time_ns: u64,
+}
+
+/// Topic of an `UPDATE_OF` event: load of an open connection, in microseconds of work a second.
+pub const TOPIC_LOAD: u32 = 1;
+/// Topic of an `UPDATE_OF` event: latency of messages at a server, in milliseconds.
+pub const TOPIC_LATENCY: u32 = 2;
+
+/// `UPDATE_OF`: a load or latency report. Other topics are ignored.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct ReportDocument {
+    #[serde(rename = "Txn")]
+    pub request_id: u64,
+    #[serde(rename = "Shot")]
+    _attempt: u32,
+    pub level: f64,
+    pub topic: u32,
+    #[serde(rename = "Backend")]
+    pub server: String,
+}
+
+/// `RESPONSE`: an attempt has ended.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct AttemptEndedDocument {
+    #[serde(rename = "Txn")]
+    pub request_id: u64,
+    #[serde(rename = "Shot")]
+    _attempt: u32,
+    #[serde(rename = "WaitTimeNs", default)]
+    _wait: u64,
+    #[serde(rename = "Backend")]
+    pub server: String,
+    status: u32,
+    #[serde(rename = "DoneFlag", default)]
+    pub done: bool,
+}
+
+/// Status of an attempt or a health check that succeeded.
+const STATUS_OK: u32 = 100;
+
+impl AttemptEndedDocument {
+    /// How the attempt ended; a status that is not known counts as an error.
+    pub fn outcome(&self) -> Outcome {
+        match self.status {
+            STATUS_OK => Outcome::Ok,
+            302 => Outcome::Rejected,
+            303 => Outcome::Timeout,
+            304 => Outcome::ConnectFailed,
+            305 => Outcome::Reset,
+            306 => Outcome::Cancelled,
+            307 => Outcome::NotSent,
+            _ => Outcome::Error,
+        }
+    }
+}
+
+/// `VANISHED`: a client has disconnected.
+#[derive(Deserialize)]
+pub struct ClientDisconnectedDocument {
+    #[serde(rename = "Txn")]
+    pub request_id: u64,
+}
+
+/// `TICK_DUE`: a timer has elapsed.
+#[derive(Deserialize)]
+pub struct TimerDocument {
+    #[serde(rename = "Cookie")]
+    pub token: u64,
+}
+
+/// Key of a server's load over its capacity in a load report.
+const LOAD_OVER_CAPACITY: &str = "x0";
+
+/// `CHECK_RESULT`: a health check has ended.
+#[derive(Deserialize)]
+#[serde(rename_all = "PascalCase")]
+pub struct HealthCheckDocument {
+    #[serde(rename = "Backend")]
+    pub server: String,
+    status: u32,
+    #[serde(rename = "Gauge", default)]
+    load_report: Option<HashMap<String, f64>>,
+}
+
+impl HealthCheckDocument {
+    /// Load over capacity; none where the check failed or the report lacks it.
+    pub fn load_over_capacity(&self) -> Option<f64> {
+        if self.status != STATUS_OK {
+            return None;
+        }
+        self.load_report.as_ref()?.get(LOAD_OVER_CAPACITY).copied()
+    }
+}
--- /dev/null
+++ b/src/simulator/instance.rs
@@ -0,0 +1,182 @@
+//! One simulated node: its balancer, and the translation between names on the wire and the balancer's ids.
+
+use super::error::EventError;
+use super::incoming::{
+    AttemptEndedDocument, ClientDisconnectedDocument, EndpointDocument, EndpointListDocument,
+    EstablishedDocument, HealthCheckDocument, InitDocument, ListReceivedDocument, ReportDocument,
+    RequestDocument, TimerDocument, TOPIC_LATENCY, TOPIC_LOAD,
+};
+use super::outgoing::ActionDocument;
+use super::panics::{catch_panic, DecisionPanic};
+use crate::config::json;
+use crate::config::settings::settings;
+use crate::hash::fnv1a;
+use crate::policy::Balancer;
+use crate::vocabulary::{Action, Endpoint, Event, ListKind, Nanos, RequestId, ServerId};
+use serde::Deserialize;
+use std::collections::HashMap;
+use std::rc::Rc;
+
+/// Endpoint lists by the slot in which the simulator stored them.
+pub type ListsBySlot = HashMap<usize, EndpointListDocument>;
+
+/// Decodes a document of the wire.
+pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, EventError> {
+    json::parse(text).map_err(|error| EventError::InvalidDocument(error.to_string()))
+}
+
+/// A simulated node.
+pub struct Instance {
+    balancer: Balancer,
+    server_ids: HashMap<Rc<str>, ServerId>,
+    /// Names of the servers, by [`ServerId`].
+    server_names: Vec<Rc<str>>,
+}
+
+impl Instance {
+    /// Starts a node from its `INIT` event.
+    pub fn start(init: InitDocument) -> Result<Instance, EventError> {
+        let balancer = Balancer::new(init.seed, settings(init.settings)).map_err(EventError::Settings)?;
+        Ok(Instance { balancer, server_ids: HashMap::new(), server_names: Vec::new() })
+    }
+
+    /// Decodes an event for the balancer, by its name. The result is none for an event that the balancer has no use
+    /// for.
+    pub fn decode_event(
+        &mut self,
+        name: &str,
+        raw: &str,
+        lists: &ListsBySlot,
+    ) -> Result<Option<Event>, EventError> {
+        let event = match name {
+            "MEMBERS" => self.endpoint_list(&decode(raw)?, lists)?,
+            "REQUEST" => Event::Request(decode::<RequestDocument>(raw)?.arrival()),
+            "RESUMED" => self.resumed(&decode(raw)?)?,
+            "ESTABLISHED" => self.established(&decode(raw)?),
+            "UPDATE_OF" => return Ok(self.report(&decode(raw)?)),
+            "RESPONSE" => self.attempt_ended(&decode(raw)?),
+            "VANISHED" => {
+                let document: ClientDisconnectedDocument = decode(raw)?;
+                Event::ClientDisconnected(RequestId(document.request_id))
+            }
+            "TICK_DUE" => Event::Timer(decode::<TimerDocument>(raw)?.token),
+            "CHECK_RESULT" => self.health_check_result(&decode(raw)?),
+            "MAIL" => return Ok(None),
+            _ => return Err(EventError::UnknownEvent),
+        };
+        Ok(Some(event))
+    }
+
+    /// Lets the balancer handle an event; the result is its actions as they go on the wire.
+    pub fn handle(&mut self, now: Nanos, event: Event) -> Result<Vec<ActionDocument>, DecisionPanic> {
+        let actions = catch_panic(|actions| self.balancer.handle(now, event, actions))?;
+        Ok(actions.into_iter().map(|action| self.action_document(action)).collect())
+    }
+
+    fn endpoint_list(
+        &mut self,
+        document: &ListReceivedDocument,
+        lists: &ListsBySlot,
+    ) -> Result<Event, EventError> {
+        let kind = ListKind::from(document.kind);
+        let mut endpoints = Vec::new();
+        if kind != ListKind::Failed {
+            let list = lists.get(&document.slot).ok_or(EventError::UnknownList(document.slot))?;
+            endpoints.extend(list.endpoints.iter().map(|endpoint| self.endpoint(endpoint)));
+        }
+        Ok(Event::EndpointList(kind, endpoints))
+    }
+
+    fn endpoint(&mut self, document: &EndpointDocument) -> Endpoint {
+        Endpoint {
+            server: self.server_id(&document.server),
+            tag: fnv1a(&document.server),
+            zone: document.zone,
+            cell: document.cell,
+            nominal: document.nominal,
+            started_at: document.started_at_ns,
+            status: document.status.into(),
+        }
+    }
+
+    fn resumed(&mut self, document: &RequestDocument) -> Result<Event, EventError> {
+        let server = document.server.as_ref().ok_or(EventError::MissingField("Backend"))?;
+        let server = self.server_id(server);
+        Ok(Event::Resumed(document.arrival(), server))
+    }
+
+    fn established(&mut self, document: &EstablishedDocument) -> Event {
+        Event::Established {
+            id: RequestId(document.request_id),
+            server: self.server_id(&document.server),
+            waited: document.wait_time_ns,
+        }
+    }
+
+    fn report(&mut self, document: &ReportDocument) -> Option<Event> {
+        let server = self.server_id(&document.server);
+        match document.topic {
+            TOPIC_LOAD => {
+                let cost = (document.level * 1e3) as u64;
+                Some(Event::LoadReport { id: RequestId(document.request_id), cost })
+            }
+            TOPIC_LATENCY => {
+                let delay = (document.level * 1e6) as u64;
+                Some(Event::LatencyReport { server, delay })
+            }
+            _ => None,
+        }
+    }
+
+    fn attempt_ended(&mut self, document: &AttemptEndedDocument) -> Event {
+        Event::AttemptEnded {
+            id: RequestId(document.request_id),
+            server: self.server_id(&document.server),
+            outcome: document.outcome(),
+            done: document.done,
+        }
+    }
+
+    fn health_check_result(&mut self, document: &HealthCheckDocument) -> Event {
+        let server = self.server_id(&document.server);
+        Event::HealthCheckResult { server, over: document.load_over_capacity() }
+    }
+
+    fn action_document(&self, action: Action) -> ActionDocument {
+        match action {
+            Action::StartAttempt { id, server, give_up } => ActionDocument::StartAttempt {
+                request_id: id.0,
+                server: self.server_name(server),
+                give_up_after_ns: give_up,
+            },
+            Action::CancelAttempt { id, attempt } => {
+                ActionDocument::CancelAttempt { request_id: id.0, attempt }
+            }
+            Action::Reject { id, cool_down } => {
+                ActionDocument::Reject { request_id: id.0, cool_down_ns: cool_down }
+            }
+            Action::Fail(id) => ActionDocument::Fail { request_id: id.0 },
+            Action::Migrate(id) => ActionDocument::Migrate { request_id: id.0 },
+            Action::HealthCheck(server) => ActionDocument::HealthCheck { server: self.server_name(server) },
+            Action::SetTimer { after, token } => ActionDocument::SetTimer { after_ns: after, token },
+            Action::Subscribe => ActionDocument::Subscribe { on: true },
+            Action::Log(text) => ActionDocument::Log { text },
+        }
+    }
+
+    /// The id of a server; a name that is new gets the next one.
+    fn server_id(&mut self, name: &str) -> ServerId {
+        if let Some(id) = self.server_ids.get(name) {
+            return *id;
+        }
+        let id = ServerId(self.server_names.len() as u32);
+        let name = Rc::<str>::from(name);
+        self.server_names.push(name.clone());
+        self.server_ids.insert(name, id);
+        id
+    }
+
+    fn server_name(&self, id: ServerId) -> String {
+        self.server_names[id.0 as usize].to_string()
+    }
+}
--- /dev/null
+++ b/src/simulator/outgoing.rs
@@ -0,0 +1,93 @@
+//! The documents that the simulator receives.
+
+use serde::Serialize;
+
+/// One line: the actions that a batch led to.
+#[derive(Serialize)]
+pub struct ReplyDocument {
+    pub frame: u64,
+    #[serde(rename = "parts")]
+    pub instances: Vec<InstanceActions>,
+}
+
+/// The actions of one instance, in order.
+#[derive(Serialize)]
+pub struct InstanceActions {
+    /// Number of the instance.
+    #[serde(rename = "I")]
+    pub instance: u64,
+    #[serde(rename = "outbox")]
+    pub actions: Vec<ActionDocument>,
+}
+
+/// One action.
+#[derive(Serialize)]
+#[serde(tag = "msg", rename_all_fields = "PascalCase")]
+pub enum ActionDocument {
+    /// Start an attempt.
+    #[serde(rename = "TRY")]
+    StartAttempt {
+        #[serde(rename = "Txn")]
+        request_id: u64,
+        #[serde(rename = "Backend")]
+        server: String,
+        /// Time after which the attempt has failed, in nanoseconds.
+        give_up_after_ns: u64,
+    },
+    /// Cancel an attempt.
+    #[serde(rename = "RECALL")]
+    CancelAttempt {
+        #[serde(rename = "Txn")]
+        request_id: u64,
+        #[serde(rename = "Shot")]
+        attempt: u32,
+    },
+    /// Reject a request; the client may retry after the cool-down.
+    #[serde(rename = "DECLINE")]
+    Reject {
+        #[serde(rename = "Txn")]
+        request_id: u64,
+        cool_down_ns: u64,
+    },
+    /// Answer that a request has failed.
+    #[serde(rename = "REPORT_FAILURE")]
+    Fail {
+        #[serde(rename = "Txn")]
+        request_id: u64,
+    },
+    /// Migrate an open connection: its client is to reconnect.
+    #[serde(rename = "GO_AWAY")]
+    Migrate {
+        #[serde(rename = "Txn")]
+        request_id: u64,
+    },
+    /// Check a server's health.
+    #[serde(rename = "INSPECT")]
+    HealthCheck {
+        #[serde(rename = "Backend")]
+        server: String,
+    },
+    /// Set a timer.
+    #[serde(rename = "NOTIFY_ME")]
+    SetTimer {
+        #[serde(rename = "FromNowNs")]
+        after_ns: u64,
+        #[serde(rename = "Cookie")]
+        token: u64,
+    },
+    /// Subscribe to changes of the endpoint list.
+    #[serde(rename = "KEEP_INFORMED")]
+    Subscribe { on: bool },
+    /// Write a log line.
+    #[serde(rename = "SAY_LOG")]
+    Log {
+        #[serde(rename = "Words")]
+        text: String,
+    },
+    /// A decision has panicked.
+    #[serde(rename = "EXCEPTION")]
+    DecisionFailed {
+        #[serde(rename = "Words")]
+        text: String,
+    },
+}
