--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -14,7 +14,7 @@
 use crate::discovery::TransferredWatch;
 use crate::front::TransferredConnection;
 use crate::log;
-use crate::net::{Net, Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
 use channel::{Carried, FramedMessage};
 use message::{MessageError, Pieces, VERSION};
 use std::collections::VecDeque;
@@ -93,7 +93,7 @@
             (Message::State { piece }, _) => pieces.add(&piece).map_err(named)?,
             (Message::Listener { at }, Some(fd)) => listening.push((at, fd)),
             (Message::Watch(state, flow), Some(fd)) => {
-                watch = Some(TransferredWatch { socket: fd, state, flow })
+                watch = Some(TransferredWatch { socket: fd, state, connection: flow })
             }
             (Message::Whole, _) => break,
             _ => return Err("a message out of turn".into()),
@@ -132,15 +132,15 @@
 
 impl Handover {
     /// Listens at a place for a successor, and hears what the process before this one still has to pass on.
-    pub fn open(net: &mut Net, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
-        let listener = channel::listen(path).and_then(|fd| net.watch(fd, Owner::Handover));
+    pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
+        let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
         if let Err(e) = &listener {
             log::line(format_args!("takeover-off reason=listen: {e}"));
         }
-        let predecessor = predecessor.and_then(|fd| net.watch(fd, Owner::Handover).ok());
+        let predecessor = predecessor.and_then(|fd| net.register_raw(fd, SocketOwner::Handover).ok());
         let mut handover = Handover { listener: listener.ok(), predecessor, successor: None };
         if let Some(token) = handover.predecessor {
-            if let (Some(fd), Ok(ready)) = (net.raw(token), Message::Ready.pack(Vec::new())) {
+            if let (Some(fd), Ok(ready)) = (net.raw_descriptor(token), Message::Ready.pack(Vec::new())) {
                 if !matches!(channel::send(fd, &ready), Carried::Done(())) {
                     handover.predecessor = None;
                     net.close(token);
@@ -156,7 +156,7 @@
     }
 
     /// Something happened at one of its sockets.
-    pub fn notice(&mut self, net: &mut Net, notice: Notice) -> Vec<HandoverEvent> {
+    pub fn notice(&mut self, net: &mut SocketReactor, notice: SocketEvent) -> Vec<HandoverEvent> {
         if Some(notice.token) == self.listener {
             self.meet(net);
             return Vec::new();
@@ -165,7 +165,7 @@
         let mut news = Vec::new();
         // A turn's worth: the rest leaves the socket readable.
         for _ in 0..A_TURN {
-            let Some(fd) = net.raw(notice.token) else { break };
+            let Some(fd) = net.raw_descriptor(notice.token) else { break };
             let message = match channel::receive(fd) {
                 Carried::Done(framed_message) => Message::unpack(framed_message).map_err(|e| e.to_string()),
                 Carried::Later => break,
@@ -201,19 +201,20 @@
     }
 
     /// One successor at a time: a second one is turned away, and starts as if it were the first.
-    fn meet(&mut self, net: &mut Net) {
-        let Some(fd) = self.listener.and_then(|token| net.raw(token)).and_then(channel::accept) else {
+    fn meet(&mut self, net: &mut SocketReactor) {
+        let Some(fd) = self.listener.and_then(|token| net.raw_descriptor(token)).and_then(channel::accept)
+        else {
             return;
         };
         if self.successor.is_none() {
-            if let Ok(token) = net.watch(fd, Owner::Handover) {
+            if let Ok(token) = net.register_raw(fd, SocketOwner::Handover) {
                 self.successor = Some(Successor { token, serves: false, outbox: VecDeque::new() });
             }
         }
     }
 
     /// The other side is gone.
-    fn end(&mut self, net: &mut Net, token: Token) -> Option<HandoverEvent> {
+    fn end(&mut self, net: &mut SocketReactor, token: Token) -> Option<HandoverEvent> {
         net.close(token);
         if self.predecessor == Some(token) {
             self.predecessor = None;
@@ -233,15 +234,16 @@
     /// Tells the successor what this process knows.
     pub fn tell(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         state: &State,
         listening: Vec<(SocketAddr, OwnedFd)>,
         watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
         let pieces = state.pieces().unwrap_or_default().into_iter().map(|piece| (piece, Vec::new()));
         let listening = listening.into_iter().map(|(at, fd)| (Message::Listener { at }, vec![fd]));
-        let watch =
-            watch.into_iter().map(|watch| (Message::Watch(watch.state, watch.flow), vec![watch.socket]));
+        let watch = watch
+            .into_iter()
+            .map(|watch| (Message::Watch(watch.state, watch.connection), vec![watch.socket]));
         let whole = std::iter::once((Message::Whole, Vec::new()));
         for (message, fds) in pieces.chain(listening).chain(watch).chain(whole) {
             self.post(&message, fds);
@@ -252,11 +254,11 @@
     /// Passes connections on.
     pub fn pass_on(
         &mut self,
-        net: &mut Net,
+        net: &mut SocketReactor,
         front: &str,
         transferred_connection: Vec<TransferredConnection>,
     ) -> Vec<HandoverEvent> {
-        let descriptors = net.in_use();
+        let descriptors = net.descriptors_in_use();
         for TransferredConnection { text, fds } in transferred_connection {
             self.post(&Message::Connection { front: front.to_string(), state: text, descriptors }, fds);
         }
@@ -269,11 +271,11 @@
         }
     }
 
-    fn flush(&mut self, net: &mut Net) -> Option<HandoverEvent> {
+    fn flush(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
         let successor = self.successor.as_mut()?;
         let token = successor.token;
         while let Some(framed_message) = successor.outbox.front() {
-            match channel::send(net.raw(token)?, framed_message) {
+            match channel::send(net.raw_descriptor(token)?, framed_message) {
                 // Its descriptors are closed here with it: the other process has them now.
                 Carried::Done(()) => drop(successor.outbox.pop_front()),
                 Carried::Later => break,
@@ -284,7 +286,7 @@
             }
         }
         let more = !successor.outbox.is_empty();
-        net.watch_room(token, more);
+        net.set_writable_interest(token, more);
         None
     }
 }
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::ops::Range;
 use std::time::{Duration, Instant};
-use support::{accept_any, instance, listener, open, Bench, Peer};
+use support::{accept_any, instance, listener, open_line, Bench, Peer};
 
 /// Pushed lists wait at the machine's agent: a node without a watch would never be notified of a drain.
 #[rstest]
@@ -17,30 +17,30 @@
             .replace(r#""AskWithinNs":1600000000,"#, "")
     };
     let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], pushed);
-    let mut watch = bench.watch();
-    bench.change(&mut watch, 0, "draining");
+    let mut watch = bench.accept_watch();
+    bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
     // The node reopens the watch that was reset, and the drain is known by then.
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     all_clients_connect_to_server_1(&bench, 0..6);
-    bench.lists(&mut watch, false, "");
+    bench.send_endpoints(&mut watch, false, "");
 }
 
 /// Nothing new goes to server 0, which drains: each of these clients is connected to server 1.
 fn all_clients_connect_to_server_1(bench: &Bench, clients: Range<u64>) {
     for number in clients {
-        let mut client = bench.client(&open(number));
+        let mut client = bench.connect_client(&open_line(number));
         let (server, mut attempt) = accept_any(&bench.servers);
         assert_eq!(server, 1, "nothing new goes to the one that drains");
-        attempt.line();
-        attempt.say("UP r1\r\n");
-        assert_eq!(client.line(), "UP r1");
+        attempt.read_line();
+        attempt.send("UP r1\r\n");
+        assert_eq!(client.read_line(), "UP r1");
     }
 }
 
 /// Writes text to a watch, as a chunk of its own.
 fn send_chunk(watch: &mut Peer, text: &str) {
-    watch.say(&format!("{:x}\r\n{text}\r\n", text.len()));
+    watch.send(&format!("{:x}\r\n{text}\r\n", text.len()));
 }
 
 /// An object over several lines, in one chunk and with each byte in a chunk of its own.
@@ -49,7 +49,7 @@
 #[case::byte_by_byte(1)]
 fn an_indented_object_is_one_list(#[case] chunk_bytes: usize) {
     let mut bench = Bench::start(2);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let entry = instance(0, bench.servers[0].local_addr().expect("an address"), "draining");
     let text = format!(
         "{{\r\n  \"generation\": 2,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}\n\n"
@@ -60,7 +60,7 @@
     drop(watch);
     // The watch was valid to its end, and the next one is requested from the generation that it brought.
     let mut next_watch = Peer::accept(&bench.discovery);
-    assert!(next_watch.line().contains("from=2 "));
+    assert!(next_watch.read_line().contains("from=2 "));
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -70,22 +70,22 @@
 #[case::line_end_inside_a_string("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
 fn a_truncated_object_ends_the_watch(#[case] text: &str) {
     let mut bench = Bench::start(1);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     send_chunk(&mut watch, text);
-    assert!(bench.logged("list-lost").contains("NotJson"));
-    bench.watch();
+    assert!(bench.wait_for_log("list-lost").contains("NotJson"));
+    bench.accept_watch();
 }
 
 /// While nothing changes, discovery writes an empty line every 2 s and nothing else: such a watch is healthy.
 #[rstest]
 fn a_watch_with_empty_lines_only_stays_open() {
     let mut bench = Bench::start(2);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     send_chunk(&mut watch, "\n");
     std::thread::sleep(Duration::from_millis(2_600));
-    bench.change(&mut watch, 0, "draining");
+    bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.logged("list-lost reason=Ended");
+    bench.wait_for_log("list-lost reason=Ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -95,16 +95,16 @@
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
 fn a_silent_watch_is_reopened_within_six_seconds(#[case] text: &str) {
     let mut bench = Bench::start(2);
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let silent_since = Instant::now();
     if !text.is_empty() {
         send_chunk(&mut watch, text);
     }
-    let mut next_watch = bench.watch();
-    bench.change(&mut next_watch, 0, "draining");
+    let mut next_watch = bench.accept_watch();
+    bench.update_lifecycle(&mut next_watch, 0, "draining");
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     drop(next_watch);
-    bench.logged("list-lost reason=Ended");
+    bench.wait_for_log("list-lost reason=Ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -113,13 +113,13 @@
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_turn() {
     let mut bench = Bench::start(2);
-    let mut old_watch = bench.watch();
-    bench.change(&mut old_watch, 1, "ready");
-    bench.freeze();
-    bench.change(&mut old_watch, 0, "draining");
+    let mut old_watch = bench.accept_watch();
+    bench.update_lifecycle(&mut old_watch, 1, "ready");
+    bench.pause();
+    bench.update_lifecycle(&mut old_watch, 0, "draining");
     bench.move_discovery();
-    bench.thaw();
-    bench.logged("reloaded");
+    bench.resume();
+    bench.wait_for_log("reloaded");
     let _silent_watch = Peer::accept(&bench.discovery);
     all_clients_connect_to_server_1(&bench, 0..6);
 }
@@ -128,17 +128,17 @@
 #[rstest]
 fn a_stale_list_from_another_address_revives_nothing() {
     let mut bench = Bench::start(2);
-    let mut old_watch = bench.watch();
-    bench.change(&mut old_watch, 1, "ready");
-    bench.change(&mut old_watch, 0, "draining");
+    let mut old_watch = bench.accept_watch();
+    bench.update_lifecycle(&mut old_watch, 1, "ready");
+    bench.update_lifecycle(&mut old_watch, 0, "draining");
     bench.move_discovery();
-    bench.logged("reloaded");
+    bench.wait_for_log("reloaded");
     bench.generation = 2;
-    let mut watch = bench.watch();
+    let mut watch = bench.accept_watch();
     let address = |server: usize| bench.servers[server].local_addr().expect("an address");
     let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
-    bench.lists(&mut watch, true, &entries);
+    bench.send_endpoints(&mut watch, true, &entries);
     drop(watch);
-    bench.logged("list-lost reason=Ended");
+    bench.wait_for_log("list-lost reason=Ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
