--- a/tests/simulator.rs
+++ b/tests/simulator.rs
@@ -1,9 +1,10 @@
-//! The built host, driven end to end over its standard input and output.
+//! The simulator's adapter, driven end to end over its standard input and output.
 
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
+/// Runs the program on these lines, to its end.
 fn run(lines: &[String]) -> Output {
     let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator"))
         .stdin(Stdio::piped())
@@ -17,7 +18,8 @@
     host.wait_with_output().expect("the host ends at the end of its input")
 }
 
-fn replies(lines: &[String]) -> Vec<Value> {
+/// The replies to valid batches, one for each.
+fn run_batches(lines: &[String]) -> Vec<Value> {
     let output = run(lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
     let text = String::from_utf8(output.stdout).expect("UTF-8");
@@ -34,20 +36,24 @@
         "FamilyInfo": {"MessageAimNs": [100_000_000u64]}})
 }
 
-fn batch(frame: u64, parts: Value) -> String {
-    json!({"TsNs": 1_000_000_000u64 * (frame + 1), "frame": frame, "parts": parts}).to_string()
+/// A batch of events by instance; frames are a second apart.
+fn batch(frame: u64, instances: Value) -> String {
+    json!({"TsNs": 1_000_000_000u64 * (frame + 1), "frame": frame, "parts": instances}).to_string()
 }
 
 fn init(seed: u64) -> Value {
     json!({"msg": "INIT", "Seed": seed, "Settings": settings()})
 }
 
-fn census(slot: u64, names: &[&str]) -> Value {
-    let line = |name: &&str| json!({"Backend": name, "Hall": 0, "Nominal": 1, "Status": "SERVING", "New": 0});
-    json!({"msg": "CENSUS", "Slot": slot, "NodesList": names.iter().map(line).collect::<Vec<_>>()})
+/// An endpoint list for the `MEMBERS` events of its slot.
+fn endpoint_list(slot: u64, servers: &[&str]) -> Value {
+    let endpoint =
+        |name: &&str| json!({"Backend": name, "Hall": 0, "Nominal": 1, "Status": "SERVING", "New": 0});
+    json!({"msg": "CENSUS", "Slot": slot, "NodesList": servers.iter().map(endpoint).collect::<Vec<_>>()})
 }
 
-fn members(kind: &str, slot: u64) -> Value {
+/// The endpoint list of a slot reaches an instance.
+fn list_received(kind: &str, slot: u64) -> Value {
     json!({"msg": "MEMBERS", "Index": 1, "Kind": kind, "Slot": slot})
 }
 
@@ -55,95 +61,104 @@
     json!({"msg": "REQUEST", "Txn": id, "GraceNs": 2_000_000_000u64, "Category": 0, "Key": id, "Later": "x"})
 }
 
-fn response(id: u64, backend: &str, status: u32) -> Value {
-    json!({"msg": "RESPONSE", "Txn": id, "Shot": 0, "Backend": backend, "Status": status, "WaitTimeNs": 5})
+/// An attempt has ended.
+fn attempt_ended(id: u64, server: &str, status: u32) -> Value {
+    json!({"msg": "RESPONSE", "Txn": id, "Shot": 0, "Backend": server, "Status": status, "WaitTimeNs": 5})
 }
 
-fn sent<'a>(reply: &'a Value, msg: &str) -> Vec<&'a Value> {
-    let parts = reply["parts"].as_array().expect("parts").iter();
-    parts.flat_map(|part| part["outbox"].as_array().expect("outbox")).filter(|a| a["msg"] == msg).collect()
+/// The actions of this name in a reply, of all instances.
+fn actions<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
+    let instances = reply["parts"].as_array().expect("parts").iter();
+    let all = instances.flat_map(|instance| instance["outbox"].as_array().expect("outbox"));
+    all.filter(|action| action["msg"] == name).collect()
 }
 
 #[test]
 fn an_empty_batch_is_answered_by_an_empty_reply() {
-    assert_eq!(replies(&[batch(1, json!([]))]), [json!({"frame": 1, "parts": []})]);
+    assert_eq!(run_batches(&[batch(1, json!([]))]), [json!({"frame": 1, "parts": []})]);
 }
 
 #[test]
-fn every_event_is_taken_and_a_request_is_placed_retried_and_answered() {
-    let update = |topic: u32| json!({"msg": "UPDATE_OF", "Txn": 7, "Level": 120.5, "Shot": 0, "Topic": topic, "Backend": "s"});
+fn every_event_is_accepted_and_a_request_is_placed_retried_and_answered() {
+    let report = |topic: u32| json!({"msg": "UPDATE_OF", "Txn": 7, "Level": 120.5, "Shot": 0, "Topic": topic, "Backend": "s"});
     let resumed = json!({"msg": "RESUMED", "Txn": 7, "Backend": "s", "Category": 0, "GraceNs": 5});
     let established = json!({"msg": "ESTABLISHED", "Txn": 9, "Backend": "s", "WaitTimeNs": 9, "Shot": 0});
-    let probed =
+    let checked =
         json!({"msg": "CHECK_RESULT", "Backend": "s", "Status": 100, "WaitTimeNs": 1, "Gauge": {"x0": 1}});
-    let got = replies(&[
-        batch(0, json!([{"I": 0, "in": [init(1), census(3, &["s"]), members("SAVED", 3), resumed]}])),
-        batch(1, json!([{"I": 0, "in": [request(8), request(9), established, update(1), update(2)]}])),
-        batch(2, json!([{"I": 0, "in": [response(8, "s", 304), {"msg": "VANISHED", "Txn": 9}]}])),
+    let replies = run_batches(&[
+        batch(
+            0,
+            json!([{"I": 0, "in": [init(1), endpoint_list(3, &["s"]), list_received("SAVED", 3), resumed]}]),
+        ),
+        batch(1, json!([{"I": 0, "in": [request(8), request(9), established, report(1), report(2)]}])),
+        batch(2, json!([{"I": 0, "in": [attempt_ended(8, "s", 304), {"msg": "VANISHED", "Txn": 9}]}])),
         batch(
             3,
-            json!([{"I": 0, "in": [probed, {"msg": "MAIL", "By": 1, "Raw": "00"}, members("FAILED", 9)]}]),
+            json!([{"I": 0, "in": [checked, {"msg": "MAIL", "By": 1, "Raw": "00"}, list_received("FAILED", 9)]}]),
         ),
         batch(
             4,
             json!([{"I": 0, "in": [{"msg": "TICK_DUE", "Cookie": 8}, {"msg": "TICK_DUE", "Cookie": 5}]}]),
         ),
     ]);
-    let placed: Vec<_> = sent(&got[1], "TRY").iter().map(|a| a["Txn"].clone()).collect();
+    let placed: Vec<_> = actions(&replies[1], "TRY").iter().map(|action| action["Txn"].clone()).collect();
     assert_eq!(placed, [8, 9]);
-    assert_eq!(sent(&got[1], "TRY")[0]["Backend"], "s");
-    let sleep = &sent(&got[2], "NOTIFY_ME")[0];
-    assert_eq!(sleep["Cookie"], 8);
-    assert_eq!(sent(&got[4], "DECLINE")[0]["Txn"], 8, "two seconds on, its time is over");
+    assert_eq!(actions(&replies[1], "TRY")[0]["Backend"], "s");
+    let retry_timer = &actions(&replies[2], "NOTIFY_ME")[0];
+    assert_eq!(retry_timer["Cookie"], 8);
+    assert_eq!(actions(&replies[4], "DECLINE")[0]["Txn"], 8, "two seconds on, its time is over");
 }
 
 #[test]
-fn a_slot_used_again_in_one_batch_is_resolved_in_order() {
+fn a_list_slot_used_twice_in_one_batch_is_resolved_in_order() {
     let events = json!([
         init(1),
-        census(0, &["old"]),
-        members("SAVED", 0),
+        endpoint_list(0, &["old"]),
+        list_received("SAVED", 0),
         request(1),
-        census(0, &["new"]),
-        members("FULL", 0),
+        endpoint_list(0, &["new"]),
+        list_received("FULL", 0),
         request(2)
     ]);
-    let got = replies(&[batch(0, json!([{"I": 4, "in": events}]))]);
-    let backends: Vec<_> = sent(&got[0], "TRY").iter().map(|a| a["Backend"].clone()).collect();
+    let replies = run_batches(&[batch(0, json!([{"I": 4, "in": events}]))]);
+    let backends: Vec<_> =
+        actions(&replies[0], "TRY").iter().map(|action| action["Backend"].clone()).collect();
     assert_eq!(backends, ["old", "new"]);
 }
 
 #[test]
-fn a_crash_and_a_start_in_one_batch_forget_everything() {
-    let first = json!([init(1), census(0, &["s"]), members("SAVED", 0), request(1)]);
-    let again =
-        json!([{"msg": "CRASH_NOW"}, init(2), members("SAVED", 0), response(1, "s", 301), request(2)]);
-    let got = replies(&[batch(0, json!([{"I": 0, "in": first}])), batch(1, json!([{"I": 0, "in": again}]))]);
-    assert_eq!(sent(&got[1], "TRY").len(), 1);
-    assert_eq!(sent(&got[1], "TRY")[0]["Txn"], 2);
+fn a_crash_and_a_restart_in_one_batch_forget_everything() {
+    let first = json!([init(1), endpoint_list(0, &["s"]), list_received("SAVED", 0), request(1)]);
+    let again = json!([{"msg": "CRASH_NOW"}, init(2), list_received("SAVED", 0), attempt_ended(1, "s", 301), request(2)]);
+    let replies =
+        run_batches(&[batch(0, json!([{"I": 0, "in": first}])), batch(1, json!([{"I": 0, "in": again}]))]);
+    assert_eq!(actions(&replies[1], "TRY").len(), 1);
+    assert_eq!(actions(&replies[1], "TRY")[0]["Txn"], 2);
 }
 
 #[test]
-fn an_unknown_outcome_is_one_that_may_have_run() {
+fn an_attempt_with_an_unknown_status_may_have_run() {
     let mut settings = settings();
     settings["Profiles"][0]["Effect"] = json!("non_idempotent");
     let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
-    let first = json!([start, census(0, &["s", "t"]), members("SAVED", 0), request(1)]);
-    let got = replies(&[batch(0, json!([{"I": 0, "in": first}]))]);
-    let backend = sent(&got[0], "TRY")[0]["Backend"].as_str().expect("a name").to_string();
-    let got = replies(&[
+    let first = json!([start, endpoint_list(0, &["s", "t"]), list_received("SAVED", 0), request(1)]);
+    let replies = run_batches(&[batch(0, json!([{"I": 0, "in": first}]))]);
+    let backend = actions(&replies[0], "TRY")[0]["Backend"].as_str().expect("a name").to_string();
+    let replies = run_batches(&[
         batch(0, json!([{"I": 0, "in": first}])),
-        batch(1, json!([{"I": 0, "in": [response(1, &backend, 399), {"msg": "TICK_DUE", "Cookie": 1}]}])),
+        batch(
+            1,
+            json!([{"I": 0, "in": [attempt_ended(1, &backend, 399), {"msg": "TICK_DUE", "Cookie": 1}]}]),
+        ),
     ]);
-    assert_eq!(sent(&got[1], "REPORT_FAILURE").len(), 1);
+    assert_eq!(actions(&replies[1], "REPORT_FAILURE").len(), 1);
 }
 
 #[test]
-fn instances_in_one_host_and_in_hosts_of_their_own_act_alike() {
+fn an_instance_decides_alike_in_a_shared_host_and_in_its_own() {
     let names: Vec<String> = (0..30).map(|n| format!("server-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    let start =
-        |id: u64| json!({"I": id, "in": [init(id), census(1, &names[id as usize..]), members("SAVED", 1)]});
+    let start = |id: u64| json!({"I": id, "in": [init(id), endpoint_list(1, &names[id as usize..]), list_received("SAVED", 1)]});
     let later = |id: u64, frame: u64| {
         let events: Vec<_> = (0..20).map(|n| request(1000 * frame + 100 * id + n)).collect();
         json!({"I": id, "in": events})
@@ -153,28 +168,28 @@
         lines.extend((1..20).map(|frame| batch(frame, ids.iter().map(|id| later(*id, frame)).collect())));
         lines
     };
-    let together = replies(&script(&[0, 1, 2]));
+    let together = run_batches(&script(&[0, 1, 2]));
     for id in 0..3 {
-        let alone = replies(&script(&[id]));
+        let alone = run_batches(&script(&[id]));
         for (one, all) in alone.iter().zip(&together) {
             let all = all["parts"].as_array().expect("parts").iter().find(|p| p["I"] == id);
             assert_eq!(one["parts"].get(0), all);
         }
     }
-    assert_eq!(together, replies(&script(&[0, 1, 2])), "the same events, the same actions");
+    assert_eq!(together, run_batches(&script(&[0, 1, 2])), "the same events, the same actions");
 }
 
 #[test]
-fn a_batch_of_megabytes_is_answered() {
-    let mut events = vec![init(1), census(0, &["s", "t"]), members("SAVED", 0)];
+fn a_batch_of_some_megabytes_is_answered() {
+    let mut events = vec![init(1), endpoint_list(0, &["s", "t"]), list_received("SAVED", 0)];
     events.extend((0..30_000).map(request));
-    let got = replies(&[batch(0, json!([{"I": 0, "in": events}])), batch(1, json!([]))]);
-    assert_eq!(sent(&got[0], "TRY").len(), 30_000);
-    assert_eq!(got.len(), 2);
+    let replies = run_batches(&[batch(0, json!([{"I": 0, "in": events}])), batch(1, json!([]))]);
+    assert_eq!(actions(&replies[0], "TRY").len(), 30_000);
+    assert_eq!(replies.len(), 2);
 }
 
-/// One plain line on standard error that names frame, instance and field; nothing on standard output.
-fn refused(lines: &[String], names: &[&str]) {
+/// The program fails with one line on standard error that names these, and without output.
+fn assert_rejected(lines: &[String], names: &[&str]) {
     let output = run(lines);
     let error = String::from_utf8_lossy(&output.stderr).to_string();
     assert!(!output.status.success(), "{lines:?}");
@@ -185,26 +200,36 @@
 }
 
 #[test]
-fn bad_input_is_named_plainly() {
-    refused(&["{not json".to_string()], &["batch"]);
-    refused(&[json!({"TsNs": 1, "frame": 3}).to_string()], &["parts"]);
-    refused(&[json!({"TsNs": "x", "frame": 3, "parts": []}).to_string()], &["TsNs"]);
-    refused(&[batch(5, json!([{"in": [{"msg": "CRASH_NOW"}]}]))], &["frame 5", "field I"]);
+fn invalid_input_is_reported_with_frame_instance_and_field() {
+    assert_rejected(&["{not json".to_string()], &["batch"]);
+    assert_rejected(&[json!({"TsNs": 1, "frame": 3}).to_string()], &["parts"]);
+    assert_rejected(&[json!({"TsNs": "x", "frame": 3, "parts": []}).to_string()], &["TsNs"]);
+    assert_rejected(&[batch(5, json!([{"in": [{"msg": "CRASH_NOW"}]}]))], &["frame 5", "field I"]);
     let one = |event: Value| vec![batch(5, json!([{"I": 9, "in": [init(1), event]}]))];
-    refused(
+    assert_rejected(
         &one(json!({"msg": "REQUEST", "GraceNs": 5, "Category": 0})),
         &["frame 5", "instance 9", "REQUEST", "Txn"],
     );
-    refused(&one(json!({"msg": "REQUEST", "Txn": "x", "GraceNs": 5, "Category": 0})), &["instance 9", "Txn"]);
-    refused(&one(json!({"msg": "RESPONSE", "Txn": 1, "Backend": "s", "Status": 100})), &["RESPONSE", "Shot"]);
-    refused(&one(json!({"msg": "RESUMED", "Txn": 1, "Category": 0, "GraceNs": 1})), &["RESUMED", "Backend"]);
-    refused(&one(json!({"msg": "SURPRISE"})), &["SURPRISE", "field msg"]);
-    refused(&one(json!({"Txn": 1})), &["msg"]);
-    refused(&one(members("SAVED", 7)), &["MEMBERS", "Slot", "7"]);
-    let census = json!({"msg": "CENSUS", "Slot": 0, "NodesList": [{"Backend": "s", "Status": "ASLEEP"}]});
-    refused(&one(census), &["CENSUS", "NodesList[0].Status"]);
-    let never = vec![batch(5, json!([{"I": 2, "in": [{"msg": "VANISHED", "Txn": 1}]}]))];
-    refused(&never, &["frame 5", "instance 2", "never started"]);
+    assert_rejected(
+        &one(json!({"msg": "REQUEST", "Txn": "x", "GraceNs": 5, "Category": 0})),
+        &["instance 9", "Txn"],
+    );
+    assert_rejected(
+        &one(json!({"msg": "RESPONSE", "Txn": 1, "Backend": "s", "Status": 100})),
+        &["RESPONSE", "Shot"],
+    );
+    assert_rejected(
+        &one(json!({"msg": "RESUMED", "Txn": 1, "Category": 0, "GraceNs": 1})),
+        &["RESUMED", "Backend"],
+    );
+    assert_rejected(&one(json!({"msg": "SURPRISE"})), &["SURPRISE", "field msg"]);
+    assert_rejected(&one(json!({"Txn": 1})), &["msg"]);
+    assert_rejected(&one(list_received("SAVED", 7)), &["MEMBERS", "Slot", "7"]);
+    let invalid_list =
+        json!({"msg": "CENSUS", "Slot": 0, "NodesList": [{"Backend": "s", "Status": "ASLEEP"}]});
+    assert_rejected(&one(invalid_list), &["CENSUS", "NodesList[0].Status"]);
+    let never_started = vec![batch(5, json!([{"I": 2, "in": [{"msg": "VANISHED", "Txn": 1}]}]))];
+    assert_rejected(&never_started, &["frame 5", "instance 2", "never started"]);
     for (path, value, name) in [
         ("/Profiles", json!([]), "classes"),
         ("/Limits/MaxAttempts", json!(0), "max_attempts"),
@@ -214,15 +239,15 @@
         let mut settings = settings();
         *settings.pointer_mut(path).expect("a setting") = value;
         let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
-        refused(&[batch(1, json!([{"I": 0, "in": [start]}]))], &["INIT", name]);
+        assert_rejected(&[batch(1, json!([{"I": 0, "in": [start]}]))], &["INIT", name]);
     }
 }
 
 #[test]
 fn unknown_requests_and_servers_are_harmless() {
-    let events = json!([init(1), census(0, &["s"]), members("SAVED", 0), response(99, "nobody", 100),
+    let events = json!([init(1), endpoint_list(0, &["s"]), list_received("SAVED", 0), attempt_ended(99, "nobody", 100),
         {"msg": "VANISHED", "Txn": 98}, {"msg": "TICK_DUE", "Cookie": 97},
         {"msg": "ESTABLISHED", "Txn": 96, "Backend": "nobody", "WaitTimeNs": 1, "Shot": 0}, request(1)]);
-    let got = replies(&[batch(0, json!([{"I": 0, "in": events}]))]);
-    assert_eq!(sent(&got[0], "TRY").len(), 1);
+    let replies = run_batches(&[batch(0, json!([{"I": 0, "in": events}]))]);
+    assert_eq!(actions(&replies[0], "TRY").len(), 1);
 }
