--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -3,7 +3,7 @@
 use super::chunked::{ChunkedDecoder, ResponseError};
 use super::document::EndpointListDocument;
 use super::framing::{FramingError, ObjectFramer};
-use crate::config::json;
+use crate::json;
 use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 use std::fmt;
--- a/src/simulator/incoming.rs
+++ b/src/simulator/incoming.rs
@@ -156,7 +156,7 @@
         Arrival {
             id: RequestId(self.request_id),
             class: self.class,
-            grace: self.grace_ns,
+            time_left: self.grace_ns,
             cost: self.cost_ns,
             key: self.key,
             group: self.group,
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -8,11 +8,10 @@
 };
 use super::outgoing::ActionDocument;
 use super::panics::{catch_panic, DecisionPanic};
-use crate::config::json;
-use crate::config::settings::settings;
 use crate::hash::fnv1a;
+use crate::json;
 use crate::policy::Balancer;
-use crate::vocabulary::{Action, Endpoint, Event, ListKind, Nanos, RequestId, ServerId};
+use crate::vocabulary::{Action, Endpoint, Event, ListKind, Nanos, RequestId, ServerId, Settings};
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -36,7 +35,8 @@
 impl Instance {
     /// Starts a node from its `INIT` event.
     pub fn start(init: InitDocument) -> Result<Instance, EventError> {
-        let balancer = Balancer::new(init.seed, settings(init.settings)).map_err(EventError::Settings)?;
+        let balancer =
+            Balancer::new(init.seed, Settings::from(init.settings)).map_err(EventError::Settings)?;
         Ok(Instance { balancer, server_ids: HashMap::new(), server_names: Vec::new() })
     }
 
@@ -109,7 +109,7 @@
         Event::Established {
             id: RequestId(document.request_id),
             server: self.server_id(&document.server),
-            waited: document.wait_time_ns,
+            setup_time: document.wait_time_ns,
         }
     }
 
@@ -121,8 +121,8 @@
                 Some(Event::LoadReport { id: RequestId(document.request_id), cost })
             }
             TOPIC_LATENCY => {
-                let delay = (document.level * 1e6) as u64;
-                Some(Event::LatencyReport { server, delay })
+                let latency = (document.level * 1e6) as u64;
+                Some(Event::LatencyReport { server, latency })
             }
             _ => None,
         }
@@ -139,21 +139,21 @@
 
     fn health_check_result(&mut self, document: &HealthCheckDocument) -> Event {
         let server = self.server_id(&document.server);
-        Event::HealthCheckResult { server, over: document.load_over_capacity() }
+        Event::HealthCheckResult { server, utilization: document.load_over_capacity() }
     }
 
     fn action_document(&self, action: Action) -> ActionDocument {
         match action {
-            Action::StartAttempt { id, server, give_up } => ActionDocument::StartAttempt {
+            Action::StartAttempt { id, server, timeout } => ActionDocument::StartAttempt {
                 request_id: id.0,
                 server: self.server_name(server),
-                give_up_after_ns: give_up,
+                give_up_after_ns: timeout,
             },
             Action::CancelAttempt { id, attempt } => {
                 ActionDocument::CancelAttempt { request_id: id.0, attempt }
             }
-            Action::Reject { id, cool_down } => {
-                ActionDocument::Reject { request_id: id.0, cool_down_ns: cool_down }
+            Action::Reject { id, retry_after } => {
+                ActionDocument::Reject { request_id: id.0, cool_down_ns: retry_after }
             }
             Action::Fail(id) => ActionDocument::Fail { request_id: id.0 },
             Action::Migrate(id) => ActionDocument::Migrate { request_id: id.0 },
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -62,7 +62,7 @@
     let counters = bench.stop();
     assert_eq!(
         [
-            counter_value(&counters, "taken"),
+            counter_value(&counters, "requests"),
             counter_value(&counters, "sent"),
             counter_value(&counters, "served")
         ],
@@ -71,10 +71,10 @@
 }
 
 #[rstest]
-#[case::released(State::Released, "task_full", false)]
-#[case::modified_unfailed(modified(false), "task_full", false)]
-#[case::modified_failed(modified(true), "task_error", true)]
-#[case::rejected(State::Rejected(None), "task_error", true)]
+#[case::released(State::Released, "attempt_rejected", false)]
+#[case::modified_unfailed(modified(false), "attempt_rejected", false)]
+#[case::modified_failed(modified(true), "attempt_error", true)]
+#[case::rejected(State::Rejected(None), "attempt_error", true)]
 fn what_a_server_settles_with_decides_whether_it_may_have_run(
     #[case] with: State,
     #[case] counter: &str,
@@ -94,8 +94,8 @@
 }
 
 #[rstest]
-#[case::never_settles(true, "task_timeout", true)]
-#[case::never_gives_credit(false, "task_connect_failed", false)]
+#[case::never_settles(true, "attempt_timeout", true)]
+#[case::never_gives_credit(false, "attempt_connect_failed", false)]
 fn a_server_that_accepts_links_and_leaves_it_there_is_timed_out(
     #[case] credit: bool,
     #[case] counter: &str,
@@ -127,7 +127,7 @@
         drop(server);
     }
     assert!(has_failed(&answer(&mut client)));
-    assert_eq!(counter_value(&bench.stop(), "task_reset"), 1);
+    assert_eq!(counter_value(&bench.stop(), "attempt_reset"), 1);
 }
 
 #[rstest]
@@ -151,7 +151,10 @@
     server.flow(10, 1, 100);
     assert_eq!(until!(server, Transfer).0.aborted, Some(true));
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "sent"), counter_value(&counters, "task_connect_failed")], [2, 1]);
+    assert_eq!(
+        [counter_value(&counters, "sent"), counter_value(&counters, "attempt_connect_failed")],
+        [2, 1]
+    );
 }
 
 #[rstest]
@@ -165,7 +168,7 @@
     let State::Rejected(Some(error)) = answer(&mut client) else { panic!("rejected") };
     assert!([condition::DECODE_ERROR, condition::INVALID_FIELD].contains(&&*error.condition));
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 0]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "requests")], [1, 0]);
 }
 
 #[rstest]
@@ -203,7 +206,7 @@
     // The node settles on its side: nobody waits any more.
     assert_eq!(until!(server, Disposition).0.settled, Some(true));
     until!(client, Detach);
-    assert_eq!([bench.counter("taken"), bench.counter("left")], [1, 1]);
+    assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 1]);
     // Nor does a delivery reach a server after its time.
     assert!(client.attach(CLASS).expect("again") > 0);
     client.deliver(2, &message(0, "7f3a", b"late"));
@@ -266,7 +269,7 @@
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
@@ -314,6 +317,9 @@
     }
 }
 
+/// They count at their own times, whichever front is at work.
+const DISCOVERY_COUNTERS: [&str; 3] = ["discovery_polls", "discovery_failures", "stale_lists"];
+
 #[rstest]
 fn the_two_fronts_account_alike_side_by_side() {
     use Act::*;
@@ -357,8 +363,8 @@
         }
         let after = bench.counters();
         let grown = |(name, count): (&String, &u64)| (name.clone(), count - before[name]);
-        counted
-            .push(after.iter().map(grown).filter(|(name, _)| !name.starts_with("list_")).collect::<Vec<_>>());
+        let of_a_front = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
+        counted.push(after.iter().map(grown).filter(of_a_front).collect::<Vec<_>>());
     }
     assert_eq!(counted[0], counted[1]);
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
@@ -377,5 +383,5 @@
         client.read_exact(&mut [0; 8]);
     }
     client.expect_closed();
-    assert_eq!(counter_value(&bench.stop(), "silent"), 1);
+    assert_eq!(counter_value(&bench.stop(), "idle_closed"), 1);
 }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -36,7 +36,7 @@
     let counters = bench.stop();
     assert_eq!(
         [
-            counter_value(&counters, "taken"),
+            counter_value(&counters, "requests"),
             counter_value(&counters, "served"),
             counter_value(&counters, "ended")
         ],
@@ -115,9 +115,9 @@
         task.send("UP r1\r\n");
         assert_eq!(client.read_line(), "UP r1");
     }
-    assert!(bench.counter("task_connect_failed") > 0);
+    assert!(bench.counter("attempt_connect_failed") > 0);
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "task_reset")], [6, 0]);
+    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "attempt_reset")], [6, 0]);
 }
 
 #[rstest]
@@ -144,8 +144,8 @@
     assert!(client.read_line().starts_with("BUSY"));
     client.expect_closed();
     let counters = bench.stop();
-    assert!(counter_value(&counters, "task_timeout") >= 1);
-    assert_eq!([counter_value(&counters, "taken"), counter_value(&counters, "refused")], [1, 1]);
+    assert!(counter_value(&counters, "attempt_timeout") >= 1);
+    assert_eq!([counter_value(&counters, "requests"), counter_value(&counters, "rejected")], [1, 1]);
 }
 
 #[rstest]
@@ -171,7 +171,7 @@
     assert_eq!(client.read_line(), "ERR");
     client.expect_closed();
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 0]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "requests")], [1, 0]);
 }
 
 #[rstest]
@@ -233,7 +233,7 @@
     task.read_line();
     task.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
-    assert_eq!(bench.counter("task_connect_failed"), 1);
+    assert_eq!(bench.counter("attempt_connect_failed"), 1);
 }
 
 #[rstest]
@@ -247,7 +247,7 @@
     bench.wait_for_log("list-lost");
     let _stands = established_client(&bench, 0x9b1f);
     let _watch = bench.accept_watch();
-    assert_eq!(bench.counter("list_failed"), 1);
+    assert_eq!(bench.counter("discovery_failures"), 1);
 }
 
 #[rstest]
@@ -265,7 +265,7 @@
     let mut bench = Bench::start(1);
     let (mut first, _task) = established_client(&bench, 0x9b1f);
     bench.signal("-TERM");
-    bench.wait_for_log("leaving");
+    bench.wait_for_log("shutting-down");
     let mut second = bench.connect_client(&open_line(2));
     let (_, mut other) = task(&bench);
     other.read_line();
@@ -273,7 +273,7 @@
     assert_eq!(second.read_line(), "UP r2");
     assert_eq!([first.read_line(), second.read_line()], ["MOVE", "MOVE"]);
     let counters = bench.wait_for_log("counters");
-    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "moved")], [2, 2]);
+    assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "migrated")], [2, 2]);
     assert!(bench.child.wait().expect("it ends").success());
 }
 
@@ -301,8 +301,8 @@
     let _stands = established_client(&bench, 0x9b1f);
     idle[0].expect_closed();
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "over_budget"), counter_value(&counters, "served")], [0, 1]);
-    assert!(counter_value(&counters, "silent") > 100);
+    assert_eq!([counter_value(&counters, "capacity_rejected"), counter_value(&counters, "served")], [0, 1]);
+    assert!(counter_value(&counters, "idle_closed") > 100);
 }
 
 /// An answer and a close are owed within 3 s of connecting, however slowly something comes: a request that arrives
@@ -319,7 +319,7 @@
     assert_eq!(client.read_line(), answer);
     client.expect_closed();
     assert!(came.elapsed() < Duration::from_secs(3));
-    assert_eq!(counter_value(&bench.stop(), "silent"), 1);
+    assert_eq!(counter_value(&bench.stop(), "idle_closed"), 1);
 }
 
 /// Megabytes without an end: the answer is not eaten by the reset that ends them.
@@ -350,7 +350,7 @@
     // Over, it is free again.
     let _stands = established_client(&bench, 0x9b1f);
     let counters = bench.stop();
-    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "taken")], [1, 2]);
+    assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "requests")], [1, 2]);
 }
 
 #[rstest]
@@ -368,7 +368,7 @@
     }
     assert_eq!(client.read_line(), "ERR");
     client.expect_closed();
-    assert_eq!(counter_value(&bench.stop(), "up"), 0);
+    assert_eq!(counter_value(&bench.stop(), "established"), 0);
 }
 
 fn descriptors(bench: &Bench, most: u64) {
@@ -383,7 +383,7 @@
     descriptors(&bench, 32);
     let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
     established_client(&bench, 0x9b1f);
-    assert!(counter_value(&bench.stop(), "silent") > 30);
+    assert!(counter_value(&bench.stop(), "idle_closed") > 30);
 }
 
 #[rstest]
