--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,5 +1,6 @@
 //! Errors of the simulator's wire.
 
+use crate::json::JsonError;
 use crate::vocabulary::SettingsError;
 use std::fmt;
 
@@ -9,8 +10,8 @@
 pub enum EventError {
     /// The line is not UTF-8.
     NotUtf8(std::str::Utf8Error),
-    /// A document does not have its form; the text names the field.
-    InvalidDocument(String),
+    /// A document does not have its form.
+    InvalidDocument(JsonError),
     /// The settings of an instance are contradictory or out of range.
     Settings(SettingsError),
     /// The reply cannot be encoded.
@@ -29,7 +30,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EventError::NotUtf8(error) => write!(f, "not UTF-8: {error}"),
-            EventError::InvalidDocument(problem) => write!(f, "{problem}"),
+            EventError::InvalidDocument(error) => write!(f, "{error}"),
             EventError::Settings(error) => write!(f, "{error}"),
             EventError::Encode(error) => write!(f, "{error}"),
             EventError::MissingField(field) => write!(f, "field {field}: missing"),
@@ -44,6 +45,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             EventError::NotUtf8(error) => Some(error),
+            EventError::InvalidDocument(error) => Some(error),
             EventError::Settings(error) => Some(error),
             EventError::Encode(error) => Some(error),
             _ => None,
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -21,7 +21,7 @@
 
 /// Decodes a document of the wire.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, EventError> {
-    json::parse(text).map_err(|error| EventError::InvalidDocument(error.to_string()))
+    json::parse(text).map_err(EventError::InvalidDocument)
 }
 
 /// A simulated node.
