--- a/src/cli.rs
+++ b/src/cli.rs
@@ -123,7 +123,7 @@
         match argument {
             Short('h') | Long("help") => return Ok(Command::Help),
             Short('V') | Long("version") => return Ok(Command::Version),
-            Long("trace") => log::trace_on(),
+            Long("trace") => log::enable_trace(),
             Long("ipfix") => arguments.options.flow_collector = Some(parser.value()?.parse()?),
             Long("fleet") => arguments.options.quota_file = Some(PathBuf::from(parser.value()?)),
             Long("class") => {
--- a/tests/cluster/config.rs
+++ b/tests/cluster/config.rs
@@ -25,13 +25,13 @@
     /// Polls that wait at discovery; it rejects the rest.
     pub discovery_queue_length: usize,
     /// A quota that all nodes share, where there is one.
-    pub quota: Option<SharedQuota>,
+    pub quota: Option<ConnectionQuota>,
 }
 
 /// A quota on the established connections of all nodes together.
 #[derive(Clone, Copy, Debug)]
-pub struct SharedQuota {
-    pub max_connections: usize,
+pub struct ConnectionQuota {
+    pub total: usize,
     pub lease_ms: u64,
     /// Time after the end of a lease until its connections count as closed.
     pub clear_ms: u64,
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -18,7 +18,7 @@
 
 use auditor::{Auditor, Summary};
 use clients::Clients;
-pub use config::{ClusterConfig, SharedQuota};
+pub use config::{ClusterConfig, ConnectionQuota};
 use discovery::{Discovery, DiscoveryMode};
 use ledger::Ledger;
 use links::{Link, LinkMode};
@@ -117,8 +117,8 @@
 
     async fn wait_until_in_service(&mut self) {
         let config = &self.shared.config;
-        let max_connections = config.quota.map_or(usize::MAX, |quota| quota.max_connections * 90 / 95);
-        let wanted = config.clients.min(max_connections) * 95 / 100;
+        let max_established = config.quota.map_or(usize::MAX, |quota| quota.total * 90 / 95);
+        let wanted = config.clients.min(max_established) * 95 / 100;
         let is_in_service = |cluster: &mut Cluster| cluster.shared.auditor.borrow().established() >= wanted;
         self.wait_until("the cluster is in service", START_TIMEOUT_SECS, is_in_service).await;
         self.run_for_secs(WARM_UP_SECS).await;
--- a/tests/cluster/nodes.rs
+++ b/tests/cluster/nodes.rs
@@ -1,6 +1,6 @@
 //! The processes under test: started, killed, stopped and continued, each by its own process id alone.
 
-use super::{Addresses, Shared, SharedQuota};
+use super::{Addresses, ConnectionQuota, Shared};
 use rustix::process::{kill_process, Pid, Signal};
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -102,7 +102,7 @@
     }
 
     /// Where a node listens to other nodes.
-    pub fn quota_address(&self, number: usize) -> SocketAddr {
+    pub fn member_address(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.nodes.borrow()[number].address.ip(), QUOTA_PORT)
     }
 
@@ -163,11 +163,11 @@
     }
 }
 
-fn quota_json(members: &str, quota: SharedQuota) -> String {
+fn quota_json(members: &str, quota: ConnectionQuota) -> String {
     format!(
-        r#"{{"seats":[{members}],"grantors":["{GRANTOR}"],"lease_ms":{},"clear_ms":{},
-                "budgets":[{{"name":"standing","limits":"connections","whole":{},"floor_percent":45}}]}}"#,
-        quota.lease_ms, quota.clear_ms, quota.max_connections
+        r#"{{"members":[{members}],"grantors":["{GRANTOR}"],"lease_ms":{},"clear_ms":{},
+                "budgets":[{{"name":"standing","limits":"connections","total":{},"floor_percent":45}}]}}"#,
+        quota.lease_ms, quota.clear_ms, quota.total
     )
 }
 
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -1,27 +1,58 @@
-//! A level of the whole fleet, divided among its nodes by one grantor: several processes, faults between them, and an
+//! A fleet-wide quota of connections, leased to the nodes by one grantor: several processes, faults between them, and an
 //! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` play others.
 
 mod cluster;
 
-use cluster::{block_on, program_under_test, Cluster, ClusterConfig, SharedQuota, TestPlan};
+use cluster::{block_on, program_under_test, Cluster, ClusterConfig, ConnectionQuota, TestPlan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Six clients in ten can stand at a time.
+const LEASE_MS: u64 = 1500;
+/// Enough for connections of the dead, whose sockets their kernel closes.
+const SHORT_CLEAR_MS: u64 = 500;
+/// Longer than the stops of the stories: a stopped process keeps its connections.
+const LONG_CLEAR_MS: u64 = 8000;
+/// How long the quota may take to be used again: a lease and the time after it in which connections are cleared, and the
+/// time that the clients take to reconnect.
+const RECOVERY_SECONDS: u64 = 30;
+/// The grantor closes a connection with an undecodable frame within this time.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The nodes' `floor_percent`.
+const FLOOR_PERCENT: usize = 45;
+
+/// Six clients in ten can be connected at a time.
 fn config(nodes: usize, clear_ms: u64) -> ClusterConfig {
     let config = ClusterConfig::for_nodes(nodes);
-    let max_connections = config.clients * 6 / 10;
-    let quota = SharedQuota { max_connections, lease_ms: 1500, clear_ms };
+    let total = config.clients * 6 / 10;
+    let quota = ConnectionQuota { total, lease_ms: LEASE_MS, clear_ms };
     ClusterConfig { quota: Some(quota), ..config }
 }
 
-/// Plays a script and gives the most that were open at once, of the whole.
-fn play(story: &str, clear: u64, script: impl AsyncFn(&mut Cluster)) -> Vec<(usize, usize)> {
+fn total(config: &ClusterConfig) -> usize {
+    config.quota.expect("a quota").total
+}
+
+/// The auditor's finding of one run.
+#[derive(Debug)]
+struct Audit {
+    /// The most connections that were open at once.
+    max_open: usize,
+    total: usize,
+}
+
+impl Audit {
+    fn exceeds_total(&self) -> bool {
+        self.max_open > self.total
+    }
+}
+
+/// Plays a script with each seed.
+fn play(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) -> Vec<Audit> {
     let TestPlan { seeds, nodes } = TestPlan::from_env_or(&[1], 12);
-    let mut all = Vec::new();
+    let mut audits = Vec::new();
     for seed in seeds {
-        let config = config(nodes, clear);
-        let whole = config.quota.expect("a quota").max_connections;
+        let config = config(nodes, clear_ms);
+        let total = total(&config);
         let peak = block_on(async {
             let mut cluster = Cluster::start(seed, config, program_under_test()).await;
             script(&mut cluster).await;
@@ -29,92 +60,93 @@
             cluster.finish().await;
             peak
         });
-        let (most, counted) = (peak.max_open, peak.counted);
-        println!("{story} seed={seed} nodes={nodes} whole={whole} most_open={most} instants={counted}");
-        all.push((most, whole));
+        let max_open = peak.max_open;
+        println!(
+            "{story} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={}",
+            peak.counted
+        );
+        audits.push(Audit { max_open, total });
     }
-    all
+    audits
 }
 
-fn never_over(story: &str, all: Vec<(usize, usize)>) {
-    assert!(all.iter().all(|(most, whole)| most <= whole), "{story}: {all:?}");
+/// Plays a script with each seed; the total is never exceeded.
+fn play_within_total(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) {
+    let audits = play(story, clear_ms, script);
+    assert!(!audits.iter().any(Audit::exceeds_total), "{story}: {audits:?}");
 }
 
-/// The level is in use again to nine tenths.
-async fn is_full(cluster: &mut Cluster, what: &str, seconds: u64) {
-    let wanted = cluster.shared.config.quota.expect("a quota").max_connections * 9 / 10;
-    cluster.wait_until(what, seconds, |cluster| cluster.servers.open_connections() >= wanted).await;
+/// Waits until nine tenths of the quota are in use.
+async fn until_quota_is_used(cluster: &mut Cluster, what: &str) {
+    let wanted = total(&cluster.shared.config) * 9 / 10;
+    cluster.wait_until(what, RECOVERY_SECONDS, |cluster| cluster.servers.open_connections() >= wanted).await;
     cluster.run_for_secs(2).await;
 }
 
 #[test]
-fn holders_that_die_and_come_back() {
-    let story = "holders killed";
-    let all = play(story, 500, async |cluster| {
-        is_full(cluster, "the level is in use", 30).await;
-        let nodes = cluster.shared.config.nodes;
-        let which: Vec<usize> = (1..=nodes / 3).collect();
-        cluster.kill(&which);
-        // A lease and its clearing, and what the clients take to come.
-        is_full(cluster, "the others have the parts of the dead", 30).await;
+fn killed_and_restarted_holders_never_exceed_the_total() {
+    play_within_total("holders killed", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
+        let killed: Vec<usize> = (1..=cluster.shared.config.nodes / 3).collect();
+        cluster.kill(&killed);
+        until_quota_is_used(cluster, "the others have the allotments of the killed nodes").await;
         let known = cluster.servers.complete_list_json();
-        cluster.restart(&which, &known);
+        cluster.restart(&killed, &known);
         cluster.run_for_secs(6).await;
-        is_full(cluster, "all have parts again", 30).await;
+        until_quota_is_used(cluster, "all have allotments again").await;
     });
-    never_over(story, all);
 }
 
-/// It comes back with an empty book, and grants nothing until every lease that it may have given is over.
+/// The grantor restarts with an empty lease table, and grants nothing until every lease that it may have granted has
+/// expired.
 #[test]
-fn the_grantor_dies_and_comes_back_with_nothing() {
-    let story = "the grantor killed";
-    let all = play(story, 500, async |cluster| {
-        is_full(cluster, "the level is in use", 30).await;
+fn restarted_grantor_without_lease_table_never_exceeds_the_total() {
+    play_within_total("the grantor killed", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
         cluster.kill(&[0]);
         cluster.run_for_millis(300).await;
         let known = cluster.servers.complete_list_json();
         cluster.restart(&[0], &known);
         cluster.run_for_secs(4).await;
-        is_full(cluster, "parts are granted again", 30).await;
+        until_quota_is_used(cluster, "leases are granted again").await;
         cluster.kill(&[0]);
         cluster.run_for_secs(4).await;
-        // Nobody grants: each of the others has its floor, of 45 in 100 of the whole.
-        let (nodes, whole) =
-            (cluster.shared.config.nodes, cluster.shared.config.quota.expect("a quota").max_connections);
-        let floors = whole * 45 / 100 / nodes * (nodes - 1);
+        // Nobody grants leases: each of the other nodes has its floor.
+        let nodes = cluster.shared.config.nodes;
+        let floors = total(&cluster.shared.config) * FLOOR_PERCENT / 100 / nodes * (nodes - 1);
         let open = cluster.servers.open_connections();
         assert!(open <= floors, "{open} are open on floors of {floors}");
         assert!(open * 2 >= floors, "service goes on: {open} of {floors}");
     });
-    never_over(story, all);
 }
 
-/// What it forgot is still in use: most holders stand still with their connections while it comes back.
+/// The leases that the restarted grantor does not know are still in use: most holders are stopped, with their
+/// connections, while it restarts.
 #[test]
-fn the_grantor_forgets_while_others_stand_still() {
-    let story = "the grantor killed while others are stopped";
-    let all = play(story, 8000, async |cluster| {
-        is_full(cluster, "the level is in use", 30).await;
+fn grantor_restart_while_holders_are_stopped_never_exceeds_the_total() {
+    play_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
         let nodes = cluster.shared.config.nodes;
         let stopped: Vec<usize> = (nodes / 3..nodes).collect();
-        stopped.iter().for_each(|node| cluster.nodes.pause(*node));
+        for node in &stopped {
+            cluster.nodes.pause(*node);
+        }
         cluster.kill(&[0]);
         let known = cluster.servers.complete_list_json();
         cluster.restart(&[0], &known);
         cluster.run_for_secs(5).await;
-        stopped.iter().for_each(|node| cluster.nodes.resume(*node));
+        for node in &stopped {
+            cluster.nodes.resume(*node);
+        }
         cluster.run_for_secs(2).await;
     });
-    never_over(story, all);
 }
 
-/// It keeps its sockets while it is stopped, for longer than its lease: its connections count until `clear_ms` is over.
+/// Stopped nodes keep their sockets for longer than their leases: their connections count until `clear_ms` has passed.
 #[test]
-fn a_holder_stopped_past_its_lease() {
-    let story = "a holder stopped";
-    let stopped = async |cluster: &mut Cluster| {
-        is_full(cluster, "the level is in use", 30).await;
+fn holders_stopped_past_their_lease_never_exceed_the_total() {
+    let stop_two_nodes = async |cluster: &mut Cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
         cluster.nodes.pause(1);
         cluster.nodes.pause(2);
         cluster.run_for_secs(5).await;
@@ -122,29 +154,27 @@
         cluster.nodes.resume(2);
         cluster.run_for_secs(3).await;
     };
-    never_over(story, play(story, 8000, stopped));
-    // The check sees it where the file says that such connections are gone at once, and they are not.
-    let all = play("a holder stopped, cleared too soon", 0, stopped);
-    assert!(all.iter().any(|(most, whole)| most > whole), "went unseen: {all:?}");
+    play_within_total("holders stopped", LONG_CLEAR_MS, stop_two_nodes);
+    // The auditor detects it if the file says that such connections are gone at once, and they are not.
+    let audits = play("holders stopped, cleared too soon", 0, stop_two_nodes);
+    assert!(audits.iter().any(Audit::exceeds_total), "not detected: {audits:?}");
 }
 
-/// What cannot be read at the grantor's address ends its connection within 3 s, and parts are granted as before.
+/// A frame that cannot be decoded ends its connection to the grantor, and leases are granted as before.
 #[test]
-fn whoever_says_nonsense_to_the_grantor_is_closed() {
-    let story = "nonsense at the grantor";
-    let all = play(story, 500, async |cluster| {
-        is_full(cluster, "the level is in use", 30).await;
+fn undecodable_frames_end_their_connection_to_the_grantor() {
+    play_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
         let other_version = [0, 0, 0, 2, 9, 0];
         let longer_than_any = [0xff; 8];
-        let half = [0, 0, 0, 9, 1];
-        for bytes in [&other_version[..], &longer_than_any, &half] {
-            let mut caller =
-                tokio::net::TcpStream::connect(cluster.nodes.quota_address(0)).await.expect("it listens");
+        let incomplete = [0, 0, 0, 9, 1];
+        for bytes in [&other_version[..], &longer_than_any, &incomplete] {
+            let grantor = cluster.nodes.member_address(0);
+            let mut caller = tokio::net::TcpStream::connect(grantor).await.expect("it listens");
             caller.write_all(bytes).await.expect("it takes them");
-            let end = tokio::time::timeout(Duration::from_secs(3), caller.read(&mut [0; 8])).await;
+            let end = tokio::time::timeout(CLOSE_TIMEOUT, caller.read(&mut [0; 8])).await;
             assert!(matches!(end, Ok(Ok(0) | Err(_))), "{bytes:?}: {end:?}");
         }
-        is_full(cluster, "parts are granted", 30).await;
+        until_quota_is_used(cluster, "leases are granted").await;
     });
-    never_over(story, all);
 }
