--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,91 +1,100 @@
-//! The second address: operators' calls over HTTP/1.1, one to a connection, on the loop.
+//! The admin API: operators' calls over HTTP/1.1, one to a connection, on the event loop.
 //!
-//! Callers have descriptors of their own ([`SocketReactor::listen_with_reserve`]), so that no crowd of clients takes
-//! them; among callers the longest idle makes room. What a call does is the loop's to say.
+//! Callers have reserved descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a
+//! further caller closes the one that has been idle longest. The event loop executes the calls.
 
-mod call;
+mod request;
+mod response;
 
-pub use call::{AdminCall, Response};
+pub use request::AdminCall;
+pub use response::Response;
 
 use crate::front::TimerEvent;
 use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use crate::vocabulary::Nanos;
-use call::Head;
+use request::ParsedHead;
 use std::collections::HashSet;
 use std::io;
 use std::net::SocketAddr;
 
-/// Callers at a time; each has a descriptor set aside.
-const MOST_CALLERS: usize = 8;
-/// A call that is not whole after this is answered as such. An answer is due within 1 s of a whole one.
-const WHOLE_WITHIN: Nanos = 2_500_000_000;
+/// Callers at a time; each has a reserved descriptor.
+const MAX_CALLERS: usize = 8;
+/// A call that is not complete after this is answered as such. Operators expect the answer to a complete one within
+/// 1 s.
+const CALL_TIMEOUT: Nanos = 2_500_000_000;
 
-/// The operators' address.
+/// The server of the admin API.
 pub struct AdminServer {
-    /// Whose call is not whole yet.
+    /// Callers whose call has not been answered yet.
     callers: HashSet<Token>,
     counts: CallCounts,
 }
 
-/// Calls answered so far, and what became of the rest.
+/// What became of the calls so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
+    /// Calls answered with a 2xx status.
     pub succeeded: u64,
+    /// Calls answered with another status.
     pub failed: u64,
-    /// Left, or closed for a later one's sake, before the call was whole.
+    /// Connections that ended, or were closed for a further caller, before the call was complete.
     pub incomplete: u64,
 }
 
 impl AdminServer {
-    /// Listens there; says where.
-    pub fn open(net: &mut SocketReactor, at: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
-        let at = net.listen_with_reserve(at, SocketOwner::Admin, MOST_CALLERS)?;
-        Ok((AdminServer { callers: HashSet::new(), counts: CallCounts::default() }, at))
+    /// Listens at an address; also gives the address that the socket is bound to.
+    pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
+        let bound = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
+        let server = AdminServer { callers: HashSet::new(), counts: CallCounts::default() };
+        Ok((server, bound))
     }
 
-    /// Something happened at one of its sockets. Gives a call that is whole now.
+    /// Handles an event at one of the server's sockets. A call that is complete now is to be answered with
+    /// [`AdminServer::respond`].
     pub fn on_socket_event(
         &mut self,
         now: Nanos,
         net: &mut SocketReactor,
         wheel: &mut TimerWheel<TimerEvent>,
-        notice: SocketEvent,
+        event: SocketEvent,
     ) -> Option<AdminCall> {
-        let token = notice.token;
-        match notice.kind {
+        let token = event.token;
+        match event.kind {
             SocketEventKind::Accepted => {
                 self.callers.insert(token);
-                wheel.schedule(now + WHOLE_WITHIN, TimerEvent::AdminTimeout(token));
+                wheel.schedule(now + CALL_TIMEOUT, TimerEvent::AdminTimeout(token));
                 None
             }
             SocketEventKind::Evicted => {
-                self.on_incomplete(token);
+                self.count_incomplete(token);
                 None
             }
             SocketEventKind::Failed { .. } | SocketEventKind::HandshakeTimeout => {
-                self.on_incomplete(token);
+                self.count_incomplete(token);
                 net.close(token);
                 None
             }
-            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read(net, token),
+            SocketEventKind::Readable | SocketEventKind::OutputFlushed => self.read_call(net, token),
         }
     }
 
-    fn read(&mut self, net: &mut SocketReactor, token: Token) -> Option<AdminCall> {
+    fn read_call(&mut self, net: &mut SocketReactor, token: Token) -> Option<AdminCall> {
         if !self.callers.contains(&token) {
             return None;
         }
-        let at_end = net.is_read_closed(token);
+        let is_read_closed = net.is_read_closed(token);
         let bytes = net.input_buffer(token)?;
-        match call::read(bytes) {
-            Head::AdminCall(call) => return Some(call),
-            Head::Wrong(answer) => self.respond(net, token, &answer),
-            Head::More if at_end && bytes.is_empty() => {
-                self.on_incomplete(token);
+        match request::parse(bytes) {
+            ParsedHead::Call(call) => return Some(call),
+            ParsedHead::Rejected(response) => self.respond(net, token, &response),
+            ParsedHead::Incomplete if is_read_closed && bytes.is_empty() => {
+                self.count_incomplete(token);
                 net.close(token);
             }
-            Head::More if at_end => self.respond(net, token, &Response::new(400, "half a call")),
-            Head::More => net.update_interest(token),
+            ParsedHead::Incomplete if is_read_closed => {
+                self.respond(net, token, &Response::new(400, "half a call"))
+            }
+            ParsedHead::Incomplete => net.update_interest(token),
         }
         None
     }
@@ -97,21 +106,24 @@
         }
     }
 
-    /// Answers a call and ends its connection.
-    pub fn respond(&mut self, net: &mut SocketReactor, token: Token, answer: &Response) {
+    /// Answers a call and closes its connection.
+    pub fn respond(&mut self, net: &mut SocketReactor, token: Token, response: &Response) {
         self.callers.remove(&token);
-        let count = if answer.is_success() { &mut self.counts.succeeded } else { &mut self.counts.failed };
-        *count += 1;
-        net.send(token, &answer.to_bytes());
+        if response.is_success() {
+            self.counts.succeeded += 1;
+        } else {
+            self.counts.failed += 1;
+        }
+        net.send(token, &response.to_bytes());
         net.close(token);
     }
 
-    /// Calls answered so far.
+    /// What became of the calls so far.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
-    fn on_incomplete(&mut self, token: Token) {
+    fn count_incomplete(&mut self, token: Token) {
         if self.callers.remove(&token) {
             self.counts.incomplete += 1;
         }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -27,7 +27,8 @@
     }
 
     fn message(&self) -> Message {
-        Message::decode(self.framed()).ok().expect("a message of the older version")
+        Message::decode(self.framed())
+            .unwrap_or_else(|error| panic!("a message of the older version: {error}"))
     }
 }
 
