--- a/src/cli.rs
+++ b/src/cli.rs
@@ -90,8 +90,8 @@
 }
 
 fn check_quota_file(file: &Path) -> Result<(), Failure> {
-    let plan = quota::read(file).map_err(Failure::invalid)?;
-    println!("{}: {} seats, {} budgets: right", file.display(), plan.seats.len(), plan.budgets.len());
+    let plan = quota::read_plan(file).map_err(Failure::invalid)?;
+    println!("{}: {} seats, {} budgets: right", file.display(), plan.members.len(), plan.quotas.len());
     Ok(())
 }
 
@@ -123,7 +123,7 @@
         match argument {
             Short('h') | Long("help") => return Ok(Command::Help),
             Short('V') | Long("version") => return Ok(Command::Version),
-            Long("trace") => log::trace_on(),
+            Long("trace") => log::enable_trace(),
             Long("ipfix") => arguments.options.flow_collector = Some(parser.value()?.parse()?),
             Long("fleet") => arguments.options.quota_file = Some(PathBuf::from(parser.value()?)),
             Long("class") => {
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -3,6 +3,7 @@
 use super::configuration::ConfigurationError;
 use crate::front::FrontError;
 use crate::handover::PassedListenerError;
+use crate::quota::QuotaFileError;
 use crate::vocabulary::SettingsError;
 use std::error::Error;
 use std::fmt;
@@ -15,7 +16,7 @@
     /// The configuration, or an optional front's file.
     Configuration(ConfigurationError),
     /// The file of the fleet-wide quotas.
-    Quota(String),
+    Quota(QuotaFileError),
     /// The listening socket that the platform passes.
     PassedListener(PassedListenerError),
 }
@@ -38,6 +39,12 @@
     }
 }
 
+impl From<QuotaFileError> for PrepareError {
+    fn from(error: QuotaFileError) -> PrepareError {
+        PrepareError::Quota(error)
+    }
+}
+
 impl From<PassedListenerError> for PrepareError {
     fn from(error: PassedListenerError) -> PrepareError {
         PrepareError::PassedListener(error)
@@ -86,7 +93,7 @@
             ServeError::Front(error) => error.fmt(f),
             ServeError::FlowExport(error) => write!(f, "ipfix: {error}"),
             ServeError::LeaseTransport { member, source } => {
-                write!(f, "--fleet: seats[{member}].address: {source}")
+                write!(f, "--fleet: members[{member}].address: {source}")
             }
         }
     }
--- a/src/node/quotas.rs
+++ b/src/node/quotas.rs
@@ -12,7 +12,7 @@
         let now = self.state.now();
         if let (Some(transport), Some(quotas)) = (&mut self.lease_transport, &mut self.state.requests.quotas)
         {
-            transport.notice(now, &mut self.state.net, quotas, event);
+            transport.on_socket_event(now, &mut self.state.net, quotas, event);
         }
     }
 
@@ -21,12 +21,12 @@
         let now = self.state.now();
         let Some(transport) = &mut self.lease_transport else { return };
         let Some(quotas) = &mut self.state.requests.quotas else { return };
-        if let Some(line) = transport.turn(now, &mut self.state.net, quotas) {
-            log::line(format_args!("{line}"));
+        if let Some(transition) = transport.exchange(now, &mut self.state.net, quotas) {
+            log::line(format_args!("{transition}"));
         }
         for command in self.state.requests.migrate_over_quota(now) {
             self.execute(now, command);
         }
-        self.state.wheel.schedule(now + transport::TURN, TimerEvent::LeaseExchange);
+        self.state.wheel.schedule(now + transport::EXCHANGE_INTERVAL, TimerEvent::LeaseExchange);
     }
 }
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -42,16 +42,20 @@
     fn print_quotas(&self) {
         let Some(transport) = &self.lease_transport else { return };
         let Some(quotas) = &self.state.requests.quotas else { return };
-        let counts = transport.counts();
-        let lease_left_ms = quotas.lease_left(self.state.now()) / NANOS_PER_MS;
+        let counters = transport.counters();
+        let lease_left_ms = quotas.lease_remaining(self.state.now()) / NANOS_PER_MS;
         log::line(format_args!(
-            "budgets lease_left_ms={lease_left_ms} asks={} answers={} unread={} written={} freed={}",
-            counts.asks, counts.answers, counts.unread, counts.written, counts.freed
+            "quotas lease_left_ms={lease_left_ms} requests={} grants={} unread={} written={} freed={}",
+            counters.requests,
+            counters.grants,
+            counters.undecodable_frames,
+            counters.applied_requests,
+            counters.reclaimed_leases
         ));
-        for (name, reading) in quotas.readings() {
+        for (name, status) in quotas.statuses() {
             log::line(format_args!(
-                "budget name={name} whole={} floor={} part={} used={} refused={}",
-                reading.whole, reading.floor, reading.part, reading.used, reading.refused
+                "quota name={name} total={} floor={} allotment={} used={} refused={}",
+                status.total, status.floor, status.allotment, status.used, status.rejected
             ));
         }
     }
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -60,7 +60,7 @@
         }
         log::line(format_args!("shutting-down standing={}", self.state.requests.established().len()));
         if let Some(quotas) = &mut self.state.requests.quotas {
-            quotas.go();
+            quotas.shut_down();
         }
         self.schedule_drain_steps();
     }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -15,10 +15,9 @@
 use crate::log;
 use crate::net::{SocketOwner, SocketReactor, TimerWheel};
 use crate::quota::transport::LeaseTransport;
-use crate::quota::{self, QuotaAdmission};
+use crate::quota::{self, QuotaAdmission, QuotaMembership};
 use crate::requests::RequestTable;
 use crate::vocabulary::Nanos;
-use sparbank_quota::Plan;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::Path;
@@ -33,18 +32,15 @@
     passed_listener: Option<OwnedFd>,
 }
 
-/// The plan of the fleet-wide quotas, and this node's index among its members.
-struct QuotaMembership {
-    plan: Plan,
-    member: usize,
-}
-
 impl PreparedNode {
     /// Reads and checks all that is configured: it is valid, or nothing starts.
     pub fn prepare(options: Options) -> Result<PreparedNode, PrepareError> {
         let configuration = Configuration::read(&options.front_files)?;
         let quota_membership = match &options.quota_file {
-            Some(file) => Some(load_quota_membership(file, &configuration.node)?),
+            Some(file) => {
+                let Config { name, max_descriptors, .. } = &configuration.node;
+                Some(quota::load_membership(file, name, *max_descriptors)?)
+            }
             None => None,
         };
         let passed_listener = handover::passed_listener()?;
@@ -113,12 +109,6 @@
     }
 }
 
-fn load_quota_membership(file: &Path, config: &Config) -> Result<QuotaMembership, PrepareError> {
-    let loaded = quota::seat(file, &config.name, config.max_descriptors);
-    let (plan, member) = loaded.map_err(PrepareError::Quota)?;
-    Ok(QuotaMembership { plan, member })
-}
-
 /// The timers that run from the start on.
 fn first_timers(clock: &Clock, exchanges_leases: bool) -> TimerWheel<TimerEvent> {
     let mut wheel = TimerWheel::new(clock.now());
@@ -156,7 +146,7 @@
 impl Startup {
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
-        if log::tracing() {
+        if log::is_trace_enabled() {
             requests.attempt_trace.enable();
         }
         let registry = EndpointRegistry::new(config.site.zones.clone());
@@ -226,18 +216,18 @@
 
     /// Opens the lease protocol's transport, and admits requests against the fleet-wide quotas from now on.
     fn join_fleet(&mut self, membership: QuotaMembership, now: Nanos) -> Result<LeaseTransport, ServeError> {
-        let QuotaMembership { plan, member } = membership;
-        let transport = match LeaseTransport::open(&mut self.net, &plan, member, now) {
+        let member = membership.member;
+        let transport = match LeaseTransport::open(&mut self.net, &membership, now) {
             Ok(transport) => transport,
             Err(source) => return Err(ServeError::LeaseTransport { member, source }),
         };
-        match transport.grants_in(now) {
-            Some(wait) => log::line(format_args!("budgets seat={member} grants-in-ms={}", wait / 1_000_000)),
-            None => log::line(format_args!("budgets seat={member}")),
+        match transport.grant_delay(now) {
+            Some(wait) => log::line(format_args!("quotas member={member} grants-in-ms={}", wait / 1_000_000)),
+            None => log::line(format_args!("quotas member={member}")),
         }
         let classes: Vec<String> = self.config.site.classes.iter().map(|class| class.name.clone()).collect();
         let max_retry_after = self.config.settings.max_retry_after;
-        self.requests.quotas = Some(QuotaAdmission::new(plan, member, now, &classes, max_retry_after));
+        self.requests.quotas = Some(QuotaAdmission::new(membership, now, &classes, max_retry_after));
         Ok(transport)
     }
 }
--- a/src/requests/decide.rs
+++ b/src/requests/decide.rs
@@ -76,7 +76,7 @@
         };
         let is_retry = request.attempts > 0;
         if let Some(quotas) = self.quotas.as_mut().filter(|_| is_retry) {
-            if quotas.again(now, request.class).is_err() {
+            if quotas.admit_retry(now, request.class).is_err() {
                 self.counters.quota_rejected += 1;
                 let outcome = Outcome::Rejected;
                 self.pending_events.push(Event::AttemptEnded { id, server, outcome, done: false });
