--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -14,3 +14,6 @@
 pub use command::{Command, FrontId};
 pub use records::{AttemptStep, FlowRecord, FlowResult};
 pub use table::{HandedOverConnection, RequestTable};
+
+#[cfg(test)]
+mod tests;
