--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -387,7 +387,7 @@
         fixed
     }
 
-    fn counters(&self) -> Option<String> {
+    fn counter_line(&self) -> Option<String> {
         Some(format!(
             "clients={} servers={} forwarders={} forwarded={} held={} held_most={} aborted={} \
              logins_refused={} remembered={} resumed={} fate_unknown={}",
--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -8,6 +8,9 @@
 use std::any::Any;
 use std::os::fd::OwnedFd;
 
+/// The id of the platform's own front.
+pub const TEXT_FRONT: FrontId = FrontId { index: 0, name: "text" };
+
 /// Time, in nanoseconds, by which a front's answer precedes the client's deadline: the timer wheel, the event loop
 /// and the way back to the client take this much at most.
 pub const ANSWER_MARGIN: Nanos = 12_000_000;
@@ -114,7 +117,7 @@
         Vec::new()
     }
     /// The line of the front's own counters, if it has any.
-    fn counters(&self) -> Option<String> {
+    fn counter_line(&self) -> Option<String> {
         None
     }
 }
--- a/src/front/fronts.rs
+++ b/src/front/fronts.rs
@@ -1,13 +1,13 @@
 //! The fronts that are on, by their ids.
 
-use super::api::Front;
-use super::optional::{FrontError, FrontSetup, OPTIONAL_FRONTS};
-use super::text;
+use super::api::{Front, TEXT_FRONT};
+use super::optional::{FrontError, FrontSetup, OptionalFront};
+use super::{amqp, text};
 use crate::requests::FrontId;
 use std::any::Any;
 
-/// The platform's own front.
-pub const TEXT_FRONT: FrontId = FrontId { index: 0, name: "text" };
+/// All fronts beside the platform's own.
+pub const OPTIONAL_FRONTS: &[OptionalFront] = &[amqp::OPTIONAL_FRONT];
 
 /// The fronts that are on, each at the index of its id.
 pub struct Fronts {
@@ -74,7 +74,7 @@
 
     /// The log lines of the fronts' own counters.
     pub fn counter_lines(&self) -> Vec<String> {
-        let line = |entry: &Entry| Some(format!("{}-counters {}", entry.name, entry.front.counters()?));
+        let line = |entry: &Entry| Some(format!("{}-counters {}", entry.name, entry.front.counter_line()?));
         self.entries.iter().filter_map(line).collect()
     }
 }
--- a/src/front/mod.rs
+++ b/src/front/mod.rs
@@ -11,7 +11,6 @@
 mod fronts;
 mod optional;
 
-pub use api::{Front, FrontContext, TimerEvent, TransferredConnection, ANSWER_MARGIN};
-pub use fronts::{Fronts, TEXT_FRONT};
-pub use optional::{FrontError, FrontFiles, FrontSetup, OpenedFront, OptionalFront};
-pub use optional::{ParsedFrontFiles, OPTIONAL_FRONTS};
+pub use api::{Front, FrontContext, TimerEvent, TransferredConnection, ANSWER_MARGIN, TEXT_FRONT};
+pub use fronts::{Fronts, OPTIONAL_FRONTS};
+pub use optional::{FrontError, FrontFiles, FrontSetup, OpenedFront, OptionalFront, ParsedFrontFiles};
--- a/src/front/optional.rs
+++ b/src/front/optional.rs
@@ -10,13 +10,10 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// All fronts beside the platform's own.
-pub const OPTIONAL_FRONTS: &[OptionalFront] = &[super::amqp::OPTIONAL_FRONT];
-
-/// Configuration files of the optional fronts that are on: an index into [`OPTIONAL_FRONTS`] and a path.
+/// Configuration files of the optional fronts that are on: an index into [`OPTIONAL_FRONTS`](super::OPTIONAL_FRONTS) and a path.
 pub type FrontFiles = Vec<(usize, PathBuf)>;
 
-/// Parsed configurations of optional fronts, each with its front's index into [`OPTIONAL_FRONTS`].
+/// Parsed configurations of optional fronts, each with its front's index into [`OPTIONAL_FRONTS`](super::OPTIONAL_FRONTS).
 pub type ParsedFrontFiles = Vec<(usize, Box<dyn Any>)>;
 
 /// A front that is off unless its configuration file is named on the command line.
