--- a/src/counters.rs
+++ b/src/counters.rs
@@ -26,7 +26,7 @@
     pub client_disconnected: u64,
     /// Served requests that the client or the server ended.
     pub ended: u64,
-    /// Established connections whose clients this node told to reconnect.
+    /// Established connections that this node closed for their clients to reconnect.
     pub migrated: u64,
     /// Attempts that ended in an error answer.
     pub attempt_error: u64,
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -64,7 +64,7 @@
     Failed,
     /// The client disconnected before the final answer.
     ClientDisconnected,
-    /// This node told its client to reconnect.
+    /// This node closed it for its client to reconnect.
     Migrated,
     /// Its established connection was lost.
     Broken,
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -64,157 +64,160 @@
 }
 
 /// A table whose balancer knows two servers, with flow records and the attempt trace enabled.
-fn table() -> RequestTable {
-    let mut table = RequestTable::new(42, settings()).expect("valid settings");
-    table.ended_flows.enable();
-    table.attempt_trace.enable();
-    table.push_event(Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]));
-    table.decide(0);
-    table
+fn two_server_requests() -> RequestTable {
+    let mut requests = RequestTable::new(42, settings()).expect("valid settings");
+    requests.ended_flows.enable();
+    requests.attempt_trace.enable();
+    requests.push_event(Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]));
+    requests.decide(0);
+    requests
 }
 
 /// The server of the attempt that a new request's first decision starts.
-fn start_request(table: &mut RequestTable, now: Nanos) -> (RequestId, ServerId) {
-    let id = table.on_request(now, FRONT, arrival());
-    match table.decide(now)[..] {
+fn start_request(requests: &mut RequestTable, now: Nanos) -> (RequestId, ServerId) {
+    let id = requests.on_request(now, FRONT, arrival());
+    match requests.decide(now)[..] {
         [Command::StartAttempt { request_id, server, front: FRONT, .. }] if request_id == id => (id, server),
         ref other => panic!("one attempt is started, not {other:?}"),
     }
 }
 
-fn results(table: &mut RequestTable) -> Vec<FlowResult> {
-    table.ended_flows.take().into_iter().map(|flow| flow.result).collect()
+fn results(requests: &mut RequestTable) -> Vec<FlowResult> {
+    requests.ended_flows.take().into_iter().map(|flow| flow.result).collect()
 }
 
 #[test]
 fn established_request_is_served_to_its_end() {
-    let mut table = table();
-    let (id, server) = start_request(&mut table, SECOND);
-    table.on_established(SECOND + MILLISECOND, id);
-    assert_eq!(table.established(), [id]);
-    assert!(table.on_attempt_ended(3 * SECOND, id, Outcome::Ok));
-    assert!(table.is_idle());
-    let flows = table.ended_flows.take();
+    let mut requests = two_server_requests();
+    let (id, server) = start_request(&mut requests, SECOND);
+    requests.on_established(SECOND + MILLISECOND, id);
+    assert_eq!(requests.established(), [id]);
+    assert!(requests.on_attempt_ended(3 * SECOND, id, Outcome::Ok));
+    assert!(requests.is_idle());
+    let flows = requests.ended_flows.take();
     let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
     assert_eq!((flow.server, flow.result, flow.attempts), (Some(server), FlowResult::Served, 1));
     assert_eq!((flow.started_at, flow.ended_at), (SECOND, 3 * SECOND));
-    let counters = &table.counters;
+    let counters = &requests.counters;
     assert_eq!([counters.requests, counters.sent, counters.established], [1, 1, 1]);
     assert_eq!([counters.served, counters.ended], [1, 1]);
 }
 
 #[test]
 fn attempt_trace_has_each_step_with_its_time() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    table.on_established(SECOND + MILLISECOND, id);
-    table.on_attempt_ended(3 * SECOND, id, Outcome::Reset);
-    let steps: Vec<_> = table.attempt_trace.take().iter().map(|r| (r.step, r.elapsed)).collect();
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    requests.on_established(SECOND + MILLISECOND, id);
+    requests.on_attempt_ended(3 * SECOND, id, Outcome::Reset);
+    let steps: Vec<_> = requests.attempt_trace.take().iter().map(|r| (r.step, r.elapsed)).collect();
     let expected =
         [(AttemptStep::Established, MILLISECOND), (AttemptStep::Ended(Outcome::Reset), 2 * SECOND)];
     assert_eq!(steps, expected);
-    assert_eq!(results(&mut table), [FlowResult::Broken]);
+    assert_eq!(results(&mut requests), [FlowResult::Broken]);
 }
 
 #[test]
 fn request_answered_in_one_step_is_served() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    assert!(table.on_attempt_ended(2 * SECOND, id, Outcome::Ok));
-    assert_eq!([table.counters.established, table.counters.served, table.counters.ended], [1, 1, 1]);
-    assert_eq!(results(&mut table), [FlowResult::Served]);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    assert!(requests.on_attempt_ended(2 * SECOND, id, Outcome::Ok));
+    assert_eq!([requests.counters.established, requests.counters.served, requests.counters.ended], [1, 1, 1]);
+    assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
 
 #[test]
 fn failed_attempt_is_no_final_answer() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    assert!(!table.on_attempt_ended(SECOND, id, Outcome::ConnectFailed));
-    assert!(!table.is_idle());
-    assert!(!table.on_attempt_ended(SECOND, id, Outcome::ConnectFailed), "no attempt is in flight any more");
-    assert_eq!(table.counters.attempt_connect_failed, 1);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    assert!(!requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed));
+    assert!(!requests.is_idle());
+    assert!(
+        !requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed),
+        "no attempt is in flight any more"
+    );
+    assert_eq!(requests.counters.attempt_connect_failed, 1);
 }
 
 #[test]
 fn second_final_answer_finds_no_request() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    table.on_client_disconnected(SECOND, id);
-    table.on_client_disconnected(SECOND, id);
-    assert!(!table.on_attempt_ended(SECOND, id, Outcome::Ok));
-    assert_eq!((table.counters.client_disconnected, table.counters.served), (1, 0));
-    assert_eq!(results(&mut table), [FlowResult::ClientDisconnected]);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    requests.on_client_disconnected(SECOND, id);
+    requests.on_client_disconnected(SECOND, id);
+    assert!(!requests.on_attempt_ended(SECOND, id, Outcome::Ok));
+    assert_eq!((requests.counters.client_disconnected, requests.counters.served), (1, 0));
+    assert_eq!(results(&mut requests), [FlowResult::ClientDisconnected]);
 }
 
 #[test]
 fn client_that_disconnects_once_established_was_served() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    table.on_established(SECOND, id);
-    table.on_client_disconnected(2 * SECOND, id);
-    assert_eq!((table.counters.client_disconnected, table.counters.ended), (0, 1));
-    assert_eq!(results(&mut table), [FlowResult::Served]);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    requests.on_established(SECOND, id);
+    requests.on_client_disconnected(2 * SECOND, id);
+    assert_eq!((requests.counters.client_disconnected, requests.counters.ended), (0, 1));
+    assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
 
 #[test]
 fn time_out_of_an_earlier_attempt_finds_no_front() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    let first = table.attempt_number(id);
-    assert_eq!((first, table.front_of_attempt(id, first)), (1, Some(FRONT)));
-    assert_eq!(table.front_of_attempt(id, first + 1), None);
-    table.on_attempt_ended(SECOND, id, Outcome::ConnectFailed);
-    assert_eq!(table.front_of_attempt(id, first), None);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    let first = requests.attempt_number(id);
+    assert_eq!((first, requests.front_of_attempt(id, first)), (1, Some(FRONT)));
+    assert_eq!(requests.front_of_attempt(id, first + 1), None);
+    requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed);
+    assert_eq!(requests.front_of_attempt(id, first), None);
 }
 
 #[test]
 fn unrepeatable_attempt_fails_its_request_once() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    assert!(table.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
-    assert!(!table.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
-    let commands = table.decide(SECOND);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    assert!(requests.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
+    assert!(!requests.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
+    let commands = requests.decide(SECOND);
     assert!(!commands.iter().any(|command| matches!(command, Command::StartAttempt { .. })), "{commands:?}");
-    assert_eq!((table.counters.failed, table.counters.attempt_reset), (1, 1));
-    assert_eq!(results(&mut table), [FlowResult::Failed]);
+    assert_eq!((requests.counters.failed, requests.counters.attempt_reset), (1, 1));
+    assert_eq!(results(&mut requests), [FlowResult::Failed]);
 }
 
 #[test]
 fn unanswered_requests_fail_and_established_ones_stay() {
-    let mut table = table();
-    let (established, _) = start_request(&mut table, SECOND);
-    table.on_established(SECOND, established);
-    let (in_flight, _) = start_request(&mut table, SECOND);
-    let waiting = table.on_request(SECOND, FRONT, arrival());
-    let late = table.on_request(2 * SECOND, FRONT, arrival());
-    let commands = table.fail_unanswered(3 * SECOND, 2 * SECOND);
+    let mut requests = two_server_requests();
+    let (established, _) = start_request(&mut requests, SECOND);
+    requests.on_established(SECOND, established);
+    let (in_flight, _) = start_request(&mut requests, SECOND);
+    let waiting = requests.on_request(SECOND, FRONT, arrival());
+    let late = requests.on_request(2 * SECOND, FRONT, arrival());
+    let commands = requests.fail_unanswered(3 * SECOND, 2 * SECOND);
     let expected = [
         Command::CancelAttempt { front: FRONT, request_id: in_flight },
         Command::Fail { front: FRONT, request_id: in_flight },
         Command::Fail { front: FRONT, request_id: waiting },
     ];
     assert_eq!(commands, expected);
-    assert_eq!(table.established(), [established]);
-    assert_eq!(table.front_of_attempt(late, 0), None);
-    assert!(!table.is_idle(), "the late request is still open");
-    assert_eq!(results(&mut table), [FlowResult::Failed, FlowResult::Failed]);
+    assert_eq!(requests.established(), [established]);
+    assert_eq!(requests.front_of_attempt(late, 0), None);
+    assert!(!requests.is_idle(), "the late request is still open");
+    assert_eq!(results(&mut requests), [FlowResult::Failed, FlowResult::Failed]);
 }
 
 #[test]
 fn only_an_established_connection_is_migrated() {
-    let mut table = table();
-    let (id, _) = start_request(&mut table, SECOND);
-    assert_eq!(table.close_for_migration(SECOND, id, Outcome::Cancelled), None);
-    table.on_established(SECOND, id);
-    assert_eq!(table.close_for_migration(2 * SECOND, id, Outcome::Cancelled), Some(FRONT));
-    assert!(table.is_idle());
-    assert_eq!(table.counters.migrated, 1);
-    assert_eq!(results(&mut table), [FlowResult::Migrated]);
+    let mut requests = two_server_requests();
+    let (id, _) = start_request(&mut requests, SECOND);
+    assert_eq!(requests.close_for_migration(SECOND, id, Outcome::Cancelled), None);
+    requests.on_established(SECOND, id);
+    assert_eq!(requests.close_for_migration(2 * SECOND, id, Outcome::Cancelled), Some(FRONT));
+    assert!(requests.is_idle());
+    assert_eq!(requests.counters.migrated, 1);
+    assert_eq!(results(&mut requests), [FlowResult::Migrated]);
 }
 
 #[test]
 fn handed_over_connection_is_recorded_by_the_process_that_receives_it() {
-    let mut predecessor = table();
+    let mut predecessor = two_server_requests();
     let (id, _) = start_request(&mut predecessor, SECOND);
     assert_eq!(predecessor.hand_over(id), None, "it is not established yet");
     predecessor.on_established(SECOND, id);
@@ -222,7 +225,7 @@
     assert!(predecessor.is_idle());
     assert_eq!(results(&mut predecessor), []);
 
-    let mut successor = table();
+    let mut successor = two_server_requests();
     let connection =
         HandedOverConnection { front: FRONT, arrival: arrival(), server: SERVER, started_at, load: Some(7) };
     let id = successor.receive_handed_over(5 * SECOND, connection);
@@ -235,9 +238,9 @@
 
 #[test]
 fn disabled_record_buffer_gathers_nothing() {
-    let mut table = RequestTable::new(42, settings()).expect("valid settings");
-    let id = table.restore_established(SECOND, FRONT, arrival(), SERVER);
-    table.on_attempt_ended(2 * SECOND, id, Outcome::Ok);
-    assert_eq!(table.ended_flows.take(), []);
-    assert_eq!(table.attempt_trace.take(), []);
+    let mut requests = RequestTable::new(42, settings()).expect("valid settings");
+    let id = requests.restore_established(SECOND, FRONT, arrival(), SERVER);
+    requests.on_attempt_ended(2 * SECOND, id, Outcome::Ok);
+    assert_eq!(requests.ended_flows.take(), []);
+    assert_eq!(requests.attempt_trace.take(), []);
 }
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -109,12 +109,12 @@
 
 /// An attempt that never ran is repeated at another server, whatever the class; then lines are forwarded.
 fn serve_after_a_retry(bench: &Bench, class: usize) {
-    /// Shorter deadlines leave no time for a retry.
-    const MIN_DEADLINE_FOR_RETRY_MS: u64 = 500;
+    /// Up to this deadline there is no time for a retry.
+    const MAX_DEADLINE_WITHOUT_RETRY_MS: u64 = 500;
     let mut client = bench.connect_client(&request_line(class, class));
     let (_, mut attempt) = accept_any(&bench.servers);
     assert!(attempt.read_line().contains(&format!("c={}", CLASSES[class].name)));
-    if CLASSES[class].deadline_ms > MIN_DEADLINE_FOR_RETRY_MS {
+    if CLASSES[class].deadline_ms > MAX_DEADLINE_WITHOUT_RETRY_MS {
         attempt.send("BUSY\r\n");
         let (_, mut retry) = accept_any(&bench.servers);
         retry.read_line();
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -12,7 +12,7 @@
 const SET_HEADER_BYTES: usize = 4;
 const TEMPLATE_SET_ID: u64 = 2;
 const TEMPLATE_ID: u64 = 256;
-/// A field length that stands for a length of its own in each record.
+/// The field length of a string that has its own length in each record.
 const VARIABLE_LENGTH: u64 = 0xffff;
 const END_OF_FLOW: u64 = 3;
 /// A time in 2017, in Unix milliseconds: exported times are Unix times.
