--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -157,7 +157,7 @@
     let mut settings = settings::parse(text).map_err(|e| e.within("settings"))?;
     let site: SiteSettings = json::parse(text).map_err(|e| e.within("settings"))?;
     settings.dial_timeout = site.limits.dial_timeout_ns;
-    // Nothing is pushed to a socket that has not asked: pushed lists wait at the machine's agent for a watch.
+    // On sockets nothing is pushed without a request: pushed lists are at the machine's agent, which serves a watch.
     if settings.discovery == Discovery::Pushed {
         settings.discovery = Discovery::LocalAgent;
     }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -120,7 +120,7 @@
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 struct TenantDocument {
-    /// New connections a second, rounded to a whole number.
+    /// New connections a second, rounded to an integer.
     quota_per_s: f64,
     /// The fraction of the fleet's rate that `quota_per_s` was rounded from; zero where it is not stated.
     share: f64,
@@ -151,7 +151,7 @@
 
 /// New connections a second that the tenants' quotas admit together.
 ///
-/// Quotas are rounded to whole numbers. In a small fleet some are rounded to zero, and their sum is too low; where
+/// Quotas are rounded to integers. In a small fleet some are rounded to zero, and their sum is too low; where
 /// shares are stated, the result is the largest rate of the fleet that rounds to the same quotas.
 fn quota_setups_per_second(tenants: &[TenantDocument]) -> f64 {
     let with_share = tenants.iter().filter(|tenant| tenant.share > 0.0);
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,4 +1,4 @@
-//! The part of the platform's settings that fronts and exports need and the balancer does not.
+//! Those of the platform's settings that fronts and exports need and the balancer does not.
 
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -5,7 +5,7 @@
 const SETTINGS: &str = r#"{"Profiles":[{"ObjectiveNs":1,"HardLimitNs":2,"Effect":"read_like","Name":"a"}],
     "Limits":{"MaxAttempts":3},"Rules":{}}"#;
 
-/// The text of a configuration file, edited by replacing one part.
+/// The text of a configuration file, with one replacement.
 fn file(from: &str, to: &str) -> String {
     let head = r#""name":"n1","listen":"127.0.0.1:1","operator":"127.0.0.1:2","discovery":"127.0.0.1:3","seed":"7f""#;
     let known = r#""known":{"generation":0,"reset":true,"instances":[]}"#;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread runs [`event_loop`]. Sockets, timers and signals become events for the request table and the fronts;
 //! the request table lets the balancer decide and returns commands, which [`commands`] has the fronts execute.
-//! [`startup`] opens everything in a fixed order; the other modules each hold the node's part of one concern.
+//! [`startup`] opens everything in a fixed order; the other modules each have the node's steps of one concern.
 
 mod admin_calls;
 mod clock;
@@ -18,6 +18,8 @@
 mod reports;
 mod signals;
 mod startup;
+#[cfg(test)]
+mod tests;
 
 pub use configuration::Configuration;
 pub use error::{PrepareError, ServeError};
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -55,16 +55,12 @@
 
     /// Starts the node and serves until it is told to stop.
     pub fn serve(self) -> Result<(), ServeError> {
-        let (mut node, predecessor) = self.start()?;
-        node.run_balancer();
-        if let Some(snapshot) = predecessor {
-            node.restore_snapshot(&snapshot);
-        }
+        let node = self.start()?;
         node.run()
     }
 
-    /// Opens everything. Also returns the state of the predecessor, where there is one.
-    fn start(self) -> Result<(Node, Option<StateSnapshot>), ServeError> {
+    /// Opens everything, and lets the balancer decide on the endpoints that are known from the start.
+    fn start(self) -> Result<Node, ServeError> {
         let Configuration { node: config, fronts: front_configs } = self.configuration;
         let mut net = SocketReactor::new(config.max_descriptors).map_err(ServeError::Poll)?;
         let signals = SignalSockets::register(&mut net).map_err(ServeError::Signals)?;
@@ -93,7 +89,7 @@
         let handover = handover_path.map(|path| Handover::open(&mut startup.net, &path, predecessor.channel));
         let Startup { config, net, requests, registry, discovery } = startup;
         let lifecycle = Lifecycle::default();
-        let node = Node {
+        let mut node = Node {
             state: NodeState { clock, net, requests, registry, wheel, config, lifecycle },
             fronts,
             front_files: self.front_files,
@@ -105,7 +101,11 @@
             signals,
             drain_step_scheduled: false,
         };
-        Ok((node, predecessor.snapshot))
+        node.run_balancer();
+        if let Some(snapshot) = predecessor.snapshot {
+            node.restore_snapshot(&snapshot);
+        }
+        Ok(node)
     }
 }
 
--- /dev/null
+++ b/src/node/tests.rs
@@ -0,0 +1,39 @@
+//! Unit tests of the lines that a failed start prints.
+
+use super::{PrepareError, ServeError};
+use crate::front::FrontError;
+use crate::vocabulary::SettingsError;
+use std::io::{Error, ErrorKind};
+
+fn refused() -> Error {
+    Error::new(ErrorKind::AddrInUse, "in use")
+}
+
+#[rstest::rstest]
+#[case(ServeError::Poll(refused()), "epoll: in use")]
+#[case(ServeError::Signals(refused()), "signals: in use")]
+#[case(ServeError::Listen(refused()), "listen: in use")]
+#[case(ServeError::FlowExport(refused()), "ipfix: in use")]
+#[case(
+    ServeError::AdminListen { address: "127.0.0.1:9".parse().expect("an address"), source: refused() },
+    "operator: 127.0.0.1:9: in use"
+)]
+#[case(
+    ServeError::LeaseTransport { member: 2, source: refused() },
+    "--fleet: members[2].address: in use"
+)]
+#[case(
+    ServeError::Settings(SettingsError { field: "classes", problem: "there must be a request class" }),
+    "setting classes: there must be a request class"
+)]
+#[case(ServeError::Front(FrontError::WrongConfigType), "not this front's file")]
+fn a_failed_start_names_what_failed(#[case] error: ServeError, #[case] line: &str) {
+    assert_eq!(error.to_string(), line);
+}
+
+#[test]
+fn an_invalid_configuration_is_printed_as_it_is() {
+    let error = crate::config::ConfigError::NotSet("NODE_CONFIG");
+    let error = PrepareError::from(super::configuration::ConfigurationError::from(error));
+    assert_eq!(error.to_string(), "NODE_CONFIG: not set");
+}
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,36 +1,33 @@
-//! Stories over loopback for SIGHUP: the configuration is read again while the node serves.
+//! SIGHUP over loopback: the configuration is reloaded while the node serves.
 
 mod support;
 
 use rstest::rstest;
-use support::*;
+use support::{accept_any, counter_value, instance, listener, open_line, Bench, Peer};
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
-/// A new client stands at this server.
-fn stands_at(bench: &Bench, at: usize, key: u64) -> (Peer, Peer) {
+/// Connects a client and establishes its connection at this server.
+fn establish_at(bench: &Bench, server: usize, key: u64) -> (Peer, Peer) {
     let mut client = bench.connect_client(&open_line(key));
-    let mut task = Peer::accept(&bench.servers[at]);
-    task.read_line();
-    task.send("UP r1\r\n");
+    let mut attempt = Peer::accept(&bench.servers[server]);
+    attempt.read_line();
+    attempt.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
-    (client, task)
+    (client, attempt)
 }
 
 #[rstest]
 #[case::draining("draining")]
 #[case::missing("")]
-fn the_watch_moves_and_its_first_list_is_set_against_what_is_known(#[case] lifecycle: &str) {
+fn the_watch_moves_and_its_first_list_replaces_the_known_one(#[case] lifecycle: &str) {
     let mut bench = Bench::start(2);
     let _old = bench.accept_watch();
-    let (_, mut client, mut task) = {
-        let mut client = bench.connect_client(OPEN);
-        let (at, mut task) = accept_any(&bench.servers);
-        task.read_line();
-        task.send("UP r1\r\n");
-        assert_eq!(client.read_line(), "UP r1");
-        (at, client, task)
-    };
+    let mut client = bench.connect_client(OPEN);
+    let (_, mut attempt) = accept_any(&bench.servers);
+    attempt.read_line();
+    attempt.send("UP r1\r\n");
+    assert_eq!(client.read_line(), "UP r1");
     bench.move_discovery();
     bench.wait_for_log("reloaded");
     // The new discovery counts its versions from elsewhere.
@@ -42,49 +39,49 @@
         entries.push(instance(0, address(0), lifecycle));
     }
     bench.send_endpoints(&mut watch, true, &entries.join(","));
-    // The watch ends after the list, so that its loss shows that the list was heard.
+    // The watch ends after the list, so that its loss shows that the list was handled.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("list-lost");
-    let _placed: Vec<_> = (0..4).map(|key| stands_at(&bench, 1, key)).collect();
-    // What stood goes on, at whichever server.
+    let _placed: Vec<_> = (0..4).map(|key| establish_at(&bench, 1, key)).collect();
+    // The established connection goes on, at whichever server.
     client.send("M 1 x\r\n");
-    assert_eq!(task.read_line(), "M 1 x");
-    task.send("M 1 x\r\n");
+    assert_eq!(attempt.read_line(), "M 1 x");
+    attempt.send("M 1 x\r\n");
     assert_eq!(client.read_line(), "M 1 x");
     assert_eq!(bench.counter("migrated"), 0);
 }
 
 #[rstest]
-fn a_new_address_that_fails_is_asked_again_and_what_is_known_stays() {
+fn a_new_address_that_fails_is_polled_again_and_known_servers_stay() {
     let mut bench = Bench::start(1);
     let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
     bench.wait_for_log("list-lost");
-    let _stands = stands_at(&bench, 0, 1);
-    // One during the call that follows, and one more: each ends the watch before it.
+    let _established = establish_at(&bench, 0, 1);
+    // One reload during the poll that follows, and one more: each ends the watch before it.
     let mut pending = Peer::accept(&bench.discovery);
     bench.move_discovery();
     assert!(pending.read_line().starts_with("GET"));
     bench.move_discovery();
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "ready");
-    let _stands = stands_at(&bench, 0, 2);
+    let _established = establish_at(&bench, 0, 2);
     bench.reconfigure(str::to_string);
     assert_eq!(counter_value(&bench.stop(), "served"), 2);
 }
 
 #[rstest]
 #[case::not_json(|_: &str| "{".to_string(), "EOF")]
-#[case::a_wrong_field(|text: &str| text.replace("read_like", "odd"), "field settings.Profiles[0].Effect")]
+#[case::a_field_with_an_invalid_value(|text: &str| text.replace("read_like", "odd"), "field settings.Profiles[0].Effect")]
 #[case::no_discovery(|text: &str| text.replace("\"discovery\"", "\"elsewhere\""), "discovery")]
-fn a_file_that_is_wrong_changes_nothing(#[case] edit: fn(&str) -> String, #[case] names: &str) {
+fn an_invalid_file_changes_nothing(#[case] edit: fn(&str) -> String, #[case] expected: &str) {
     let mut bench = Bench::start(1);
     let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
-    let told = bench.wait_for_log("reload-refused");
-    assert!(told.contains("node.json") && told.contains(names), "{told}");
-    let _stands = stands_at(&bench, 0, 1);
+    let refusal = bench.wait_for_log("reload-refused");
+    assert!(refusal.contains("node.json") && refusal.contains(expected), "{refusal}");
+    let _established = establish_at(&bench, 0, 1);
     // The watch is still the same.
     bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
@@ -93,7 +90,7 @@
 }
 
 #[rstest]
-fn what_can_change_does_and_the_rest_is_named() {
+fn what_needs_a_restart_is_named_and_the_rest_is_applied() {
     let amqp = r#"{"listen":"127.0.0.1:0"}"#;
     let mut bench = Bench::with(vec![listener()], Some(amqp));
     let _watch = bench.accept_watch();
