--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -58,7 +58,7 @@
 /// A front: the server of one client protocol. Methods without a default are required of every front.
 pub trait Front {
     /// Handles an event at one of the front's sockets.
-    fn on_socket_event(&mut self, ctx: &mut FrontContext, notice: SocketEvent);
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, event: SocketEvent);
     /// Starts the only attempt of a request. `timeout` is how long the attempt may take.
     fn start_attempt(
         &mut self,
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -146,7 +146,7 @@
 impl Startup {
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
-        if log::tracing() {
+        if log::is_trace_enabled() {
             requests.attempt_trace.enable();
         }
         let registry = EndpointRegistry::new(config.site.zones.clone());
--- a/src/quota/transport/mod.rs
+++ b/src/quota/transport/mod.rs
@@ -118,15 +118,15 @@
     }
 
     /// Handles an event of a socket that belongs to the transport.
-    pub fn on_notice(
+    pub fn on_socket_event(
         &mut self,
         now: Nanos,
         net: &mut SocketReactor,
         quotas: &mut QuotaAdmission,
-        notice: SocketEvent,
+        event: SocketEvent,
     ) {
-        let token = notice.token;
-        match notice.kind {
+        let token = event.token;
+        match event.kind {
             SocketEventKind::Accepted => {
                 net.set_read_limit(token, self.limits.max_frame_bytes());
                 self.callers.insert(token, None);
@@ -150,7 +150,7 @@
     }
 
     fn read(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission, token: Token) {
-        let at_end = net.is_read_closed(token);
+        let is_read_closed = net.is_read_closed(token);
         let Some(input) = net.input_buffer(token) else { return };
         let mut messages = Vec::new();
         let decoded = decode_all(input, self.limits, &mut messages);
@@ -165,7 +165,7 @@
         if decoded.is_err() {
             self.counters.undecodable_frames += 1;
         }
-        if at_end || decoded.is_err() {
+        if is_read_closed || decoded.is_err() {
             self.close(net, token);
         } else {
             net.update_interest(token);
@@ -185,8 +185,8 @@
     }
 
     /// The periodic work, once per [`EXCHANGE_INTERVAL`]: sends this node's lease request if it is due, ends the
-    /// connections whose frames stay incomplete, and answers requests if this node is the grantor. Returns a change of
-    /// this node's lease.
+    /// connections whose frames stay incomplete, and answers requests if this node is the grantor. The result is a
+    /// change of this node's lease.
     pub fn exchange(
         &mut self,
         now: Nanos,
