--- a/src/lib.rs
+++ b/src/lib.rs
@@ -71,6 +71,7 @@
 mod discovery;
 mod flow_export;
 mod front;
+mod front_id;
 mod handover;
 mod hash;
 mod json;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -5,7 +5,7 @@
 use super::reactor::{stream_socket, SocketDeadline, SocketReactor};
 use super::slab::Token;
 use super::socket::{Socket, SocketState};
-use crate::requests::FrontId;
+use crate::front_id::FrontId;
 use crate::vocabulary::Nanos;
 use rustix::io::Errno;
 use rustix::net::{sockopt, SocketFlags};
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -1,7 +1,7 @@
 //! Events of sockets, for their owners.
 
 use super::Token;
-use crate::requests::FrontId;
+use crate::front_id::FrontId;
 
 /// The module that receives a socket's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,16 +1,8 @@
 //! Commands of the request table to the node.
 
+use crate::front_id::FrontId;
 use crate::vocabulary::{Nanos, RequestId, ServerId};
 
-/// Identifies the front through which a request arrived.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FrontId {
-    /// Its index among the fronts that are on.
-    pub index: u8,
-    /// Its name in exports and log lines.
-    pub name: &'static str,
-}
-
 /// A command that the node carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
--- a/src/requests/decide.rs
+++ b/src/requests/decide.rs
@@ -1,9 +1,10 @@
 //! Decisions: passes the gathered events to the balancer and turns its actions into commands.
 
-use super::command::{Command, FrontId};
+use super::command::Command;
 use super::open_requests::{Attempt, RequestState};
 use super::records::FlowResult;
 use super::table::{QuotaRejection, RequestTable};
+use crate::front_id::FrontId;
 use crate::vocabulary::{Action, Event, Nanos, Outcome, RequestId, ServerId};
 
 impl RequestTable {
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -11,6 +11,7 @@
 mod records;
 mod table;
 
-pub use command::{Command, FrontId};
+pub use crate::front_id::FrontId;
+pub use command::Command;
 pub use records::{AttemptStep, FlowRecord, FlowResult};
 pub use table::{HandedOverConnection, RequestTable};
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,6 +1,6 @@
 //! The requests that may still be answered or ended, by their ids.
 
-use super::command::FrontId;
+use crate::front_id::FrontId;
 use crate::vocabulary::{Arrival, Nanos, RequestId, ServerId};
 use std::collections::HashMap;
 
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -1,6 +1,6 @@
 //! Records of ended flows and of attempts, gathered for an export or a trace.
 
-use super::command::FrontId;
+use crate::front_id::FrontId;
 use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 
 /// Records gathered between two turns of the event loop; none while it is disabled.
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -1,9 +1,10 @@
 //! The request table: keeps the open requests and gathers events about them for the balancer.
 
-use super::command::{Command, FrontId};
+use super::command::Command;
 use super::open_requests::{Attempt, OpenRequests, Request, RequestState};
 use super::records::{AttemptRecord, AttemptStep, FlowRecord, FlowResult, RecordBuffer};
 use crate::counters::Counters;
+use crate::front_id::FrontId;
 use crate::policy::Balancer;
 use crate::quota::QuotaAdmission;
 use crate::vocabulary::{Arrival, Event, Nanos, Outcome, RequestId, ServerId, Settings, SettingsError};
