--- a/src/cli.rs
+++ b/src/cli.rs
@@ -6,6 +6,7 @@
 use crate::node::{Configuration, Options, PreparedNode};
 use crate::quota;
 use lexopt::prelude::{Long, Short, Value, ValueExt};
+use std::fmt::Display;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -37,11 +38,11 @@
 }
 
 impl Failure {
-    fn invalid(error: impl ToString) -> Failure {
+    fn invalid(error: impl Display) -> Failure {
         Failure { message: error.to_string(), exit_code: EXIT_INVALID }
     }
 
-    fn serving_failed(error: impl ToString) -> Failure {
+    fn serving_failed(error: impl Display) -> Failure {
         Failure { message: error.to_string(), exit_code: EXIT_SERVING_FAILED }
     }
 }
@@ -115,6 +116,8 @@
     /// What follows `amqp-user`.
     values: Vec<String>,
     rights: Rights,
+    /// Trace lines are written from now on.
+    trace: bool,
 }
 
 fn parse_arguments(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
@@ -146,6 +149,9 @@
             _ => return Err(argument.unexpected()),
         }
     }
+    if arguments.trace {
+        log::enable_trace();
+    }
     arguments.into_command()
 }
 
--- a/src/node/commands.rs
+++ b/src/node/commands.rs
@@ -84,12 +84,4 @@
             self.state.requests.on_attempt_ended(self.state.clock.now(), request_id, outcome);
         }
     }
-
-    /// Starts the watch on the endpoint list.
-    fn subscribe(&mut self, now: Nanos) {
-        let event = self.discovery.subscribe(now, &mut self.state.net, &self.state.registry);
-        if let Some(event) = event {
-            self.on_endpoint_event(event);
-        }
-    }
 }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -53,7 +53,14 @@
     }
 }
 
-impl Error for ConfigurationError {}
+impl Error for ConfigurationError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            ConfigurationError::Node(error) => Some(error),
+            ConfigurationError::Front(error) => Some(error),
+        }
+    }
+}
 
 impl From<ConfigError> for ConfigurationError {
     fn from(error: ConfigError) -> ConfigurationError {
--- /dev/null
+++ b/src/node/endpoint_events.rs
@@ -0,0 +1,54 @@
+//! The discovery watch, and the endpoint events that it yields.
+
+use super::Node;
+use crate::log;
+use crate::net::{SocketEvent, SocketEventKind};
+use crate::vocabulary::{Event, ListKind, Nanos};
+
+impl Node {
+    /// Starts the watch on the endpoint list.
+    pub(super) fn subscribe(&mut self, now: Nanos) {
+        let event = self.discovery.subscribe(now, &mut self.state.net, &self.state.registry);
+        if let Some(event) = event {
+            self.on_endpoint_event(event);
+        }
+    }
+
+    /// Moves the watch to the configured address, after what the old one has sent.
+    pub(super) fn change_discovery_address(&mut self) {
+        let now = self.state.now();
+        let pending = self.discovery.read_pending(now, &mut self.state.net, &mut self.state.registry);
+        for event in pending {
+            self.on_endpoint_event(event);
+        }
+        let address = self.state.config.discovery;
+        let (net, registry) = (&mut self.state.net, &mut self.state.registry);
+        if let Some(event) = self.discovery.change_address(now, net, registry, address) {
+            self.on_endpoint_event(event);
+        }
+    }
+
+    /// Handles an event at the socket of the watch.
+    pub(super) fn on_discovery_socket(&mut self, event: SocketEvent) {
+        let failed = matches!(event.kind, SocketEventKind::Failed { .. });
+        let now = self.state.now();
+        let (net, registry) = (&mut self.state.net, &mut self.state.registry);
+        let endpoint_events = self.discovery.on_socket_event(now, net, registry, event.token, failed);
+        for endpoint_event in endpoint_events {
+            self.on_endpoint_event(endpoint_event);
+        }
+    }
+
+    /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the fronts.
+    pub(super) fn on_endpoint_event(&mut self, event: Event) {
+        if let Event::EndpointList(kind, endpoints) = &event {
+            log::trace(format_args!("trace list kind={kind:?} entries={}", endpoints.len()));
+        }
+        if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
+            self.state.requests.counters.discovery_failures += 1;
+        }
+        self.state.requests.push_event(event);
+        let not_ready = self.state.registry.not_ready();
+        self.for_each_front(|front, ctx| front.on_servers_draining(ctx, &not_ready));
+    }
+}
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -31,7 +31,15 @@
     }
 }
 
-impl Error for PrepareError {}
+impl Error for PrepareError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            PrepareError::Configuration(error) => Some(error),
+            PrepareError::Quota(error) => Some(error),
+            PrepareError::PassedListener(error) => Some(error),
+        }
+    }
+}
 
 impl From<ConfigurationError> for PrepareError {
     fn from(error: ConfigurationError) -> PrepareError {
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -3,8 +3,8 @@
 use super::{Node, ServeError};
 use crate::front::TimerEvent;
 use crate::log;
-use crate::net::{SocketEvent, SocketEventKind, SocketOwner};
-use crate::vocabulary::{Event, ListKind, Nanos};
+use crate::net::{SocketEvent, SocketOwner};
+use crate::vocabulary::{Event, Nanos};
 
 /// How often silent peers are looked for and flows exported.
 const TICK_INTERVAL: Nanos = 200_000_000;
@@ -79,29 +79,6 @@
         self.state.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
     }
 
-    fn on_discovery_socket(&mut self, event: SocketEvent) {
-        let failed = matches!(event.kind, SocketEventKind::Failed { .. });
-        let now = self.state.now();
-        let (net, registry) = (&mut self.state.net, &mut self.state.registry);
-        let endpoint_events = self.discovery.on_socket_event(now, net, registry, event.token, failed);
-        for endpoint_event in endpoint_events {
-            self.on_endpoint_event(endpoint_event);
-        }
-    }
-
-    /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the fronts.
-    pub(super) fn on_endpoint_event(&mut self, event: Event) {
-        if let Event::EndpointList(kind, endpoints) = &event {
-            log::trace(format_args!("trace list kind={kind:?} entries={}", endpoints.len()));
-        }
-        if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.state.requests.counters.discovery_failures += 1;
-        }
-        self.state.requests.push_event(event);
-        let not_ready = self.state.registry.not_ready();
-        self.for_each_front(|front, ctx| front.on_servers_draining(ctx, &not_ready));
-    }
-
     fn should_exit(&self) -> bool {
         if !self.state.lifecycle.is_shutting_down() {
             return false;
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -9,6 +9,7 @@
 mod commands;
 mod configuration;
 mod draining;
+mod endpoint_events;
 mod error;
 mod event_loop;
 mod handover_steps;
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -28,18 +28,4 @@
             self.change_discovery_address();
         }
     }
-
-    /// Moves the watch to the configured address, after what the old one has sent.
-    fn change_discovery_address(&mut self) {
-        let now = self.state.now();
-        let pending = self.discovery.read_pending(now, &mut self.state.net, &mut self.state.registry);
-        for event in pending {
-            self.on_endpoint_event(event);
-        }
-        let address = self.state.config.discovery;
-        let (net, registry) = (&mut self.state.net, &mut self.state.registry);
-        if let Some(event) = self.discovery.change_address(now, net, registry, address) {
-            self.on_endpoint_event(event);
-        }
-    }
 }
