--- a/src/json.rs
+++ b/src/json.rs
@@ -3,6 +3,9 @@
 use serde::Deserialize;
 use std::fmt;
 
+#[cfg(test)]
+mod tests;
+
 /// Why a JSON text could not be decoded.
 #[derive(Debug)]
 pub struct JsonError {
