--- a/src/json.rs
+++ b/src/json.rs
@@ -9,7 +9,8 @@
 /// Why a JSON text could not be decoded.
 #[derive(Debug)]
 pub struct JsonError {
-    /// The path of the field at fault, such as `Profiles[0].Effect`; `.` for the document itself.
+    /// The path of the field at fault, such as `Profiles[0].Effect`; `.` for the document itself, `?` where it is not
+    /// known.
     field_path: String,
     source: serde_json::Error,
 }
--- a/src/json/tests.rs
+++ b/src/json/tests.rs
@@ -22,7 +22,7 @@
 #[case(r#"{"items":[{"count":300}]}"#, "field items[0].count: invalid value: integer `300`")]
 #[case(r#"{"items":[{}]}"#, "field items[0]: missing field `count`")]
 #[case("{}", "field .: missing field `items`")]
-#[case("{", "field .: EOF while parsing an object")]
+#[case("{", "field ?: EOF while parsing an object")]
 fn an_error_names_the_path_of_the_field(#[case] text: &str, #[case] expected: &str) {
     let error = error_of(text).to_string();
     assert!(error.starts_with(expected), "{error}");
