--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,7 +1,7 @@
 //! Fleet-wide quotas, divided among the nodes of a fleet by time-limited leases.
 //!
 //! A quota bounds what all nodes together may use: established connections (a *level*) or events per second (a
-//! *rate*). Each node holds an *allotment* of every quota, on a lease. The bound holds by construction:
+//! *rate*). Each node has an *allotment* of every quota, on a lease. The bound holds by construction:
 //!
 //! - the grantors' [`LeaseTable`] hands out only units that no holder can still be using;
 //! - a [`LeaseHolder`] lowers its allotments before it reports them, raises them only on the grant for its newest
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -132,7 +132,7 @@
     }
 
     /// A hash of what two nodes need to have in common for their allotments to mean the same: members, lease and
-    /// clear time, drift, and the order, names and resources of the quotas. It is part of the lease protocol.
+    /// clear time, drift, and the order, names and resources of the quotas. Lease requests carry it.
     pub fn layout_hash(&self) -> u64 {
         let mut hash = LayoutHash::new();
         for member in &self.members {
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -163,7 +163,7 @@
         self.tokens = self.tokens.min(self.bucket_capacity());
     }
 
-    /// The tokens that the bucket holds at most: one event of the member, and the node's share of the shared burst.
+    /// The capacity of the bucket in tokens: one event of the member, and the node's share of the shared burst.
     fn bucket_capacity(&self) -> u64 {
         let shared_tokens =
             u128::from(self.shared_burst) * u128::from(self.allowed_units()) * u128::from(TOKENS_PER_EVENT);
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -2,11 +2,18 @@
 //! again after nodes shut down or were killed, in virtual time, beside an even static division. Twelve nodes, messages
 //! take 5 ms, the grantor applies its log every 50 ms, connections live 1 s on average. `QUOTA_SEEDS` sets the seeds.
 
+mod support {
+    pub mod plan;
+    pub mod seeds;
+}
+
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Member, Nanos, Quota,
-    QuotaPlan, Resource,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, Quota, QuotaPlan,
+    Resource,
 };
+use support::plan::{members, quota};
+use support::seeds::seeds_from_env;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 const NODES: usize = 12;
@@ -66,24 +73,14 @@
 }
 
 fn plan() -> QuotaPlan {
-    let member =
-        |i: usize| Member { name: format!("n{i}"), address: ([127, 0, 0, 1], 9000 + i as u16).into() };
-    let quota = Quota {
-        name: "standing".into(),
-        resource: Resource::Connections,
-        total: TOTAL,
-        burst: 0,
-        floor_percent: 10,
-        subscriber: None,
-        class: None,
-    };
+    let connections = quota("standing", Resource::Connections, TOTAL);
     QuotaPlan {
-        members: (0..NODES).map(member).collect(),
+        members: members(NODES as u16),
         grantors: vec!["n0".into()],
         lease_ms: 3000,
         clear_ms: 0,
         drift_ppm: 1000,
-        quotas: vec![quota],
+        quotas: vec![Quota { floor_percent: 10, ..connections }],
     }
 }
 
@@ -263,11 +260,6 @@
     Spread { least: values[0], median: values[values.len() / 2], greatest: values[values.len() - 1] }
 }
 
-fn seeds_from_env() -> Vec<u64> {
-    let Ok(seeds) = std::env::var("QUOTA_SEEDS") else { return (1..=10).collect() };
-    seeds.split(',').map(|seed| seed.trim().parse().expect("QUOTA_SEEDS: numbers")).collect()
-}
-
 /// Plays all seeds; none may exceed the total.
 fn play_all(seeds: &[u64], division: Division, first_node_weight: f64, event: Event) -> Vec<Outcome> {
     let outcomes: Vec<Outcome> =
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,12 +1,17 @@
-//! The lease protocol, checked exhaustively at a small scope: two holders that renew their leases twice, two grantors
+//! The lease protocol, checked exhaustively at a small scope: two holders, two grantors
 //! either of which leads, messages lost, duplicated and reordered, clocks that tick apart, a grantor restarted. The
 //! holders, lease tables and grantors are the crate's own; the checker only chooses what happens next.
 
+mod support {
+    pub mod plan;
+}
+
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Member, Nanos, Quota,
-    QuotaPlan, Resource,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, QuotaPlan,
+    Resource,
 };
 use stateright::{Checker, Model, Property};
+use support::plan::{members, quota};
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// A lease of 300 ms has expired after two ticks, on the clock of the grantor too, which adds a nanosecond.
@@ -180,22 +185,13 @@
 
 /// Two members and a level of two connections.
 fn plan() -> QuotaPlan {
-    let member = |i: u16| Member { name: format!("n{i}"), address: ([127, 0, 0, 1], 9000 + i).into() };
     QuotaPlan {
-        members: (0..2).map(member).collect(),
+        members: members(2),
         grantors: vec!["n0".into()],
         lease_ms: 300,
         clear_ms: 0,
         drift_ppm: 0,
-        quotas: vec![Quota {
-            name: "standing".into(),
-            resource: Resource::Connections,
-            total: 2,
-            burst: 0,
-            floor_percent: 0,
-            subscriber: None,
-            class: None,
-        }],
+        quotas: vec![quota("standing", Resource::Connections, 2)],
     }
 }
 
--- a/crates/quota/tests/schedules.rs
+++ b/crates/quota/tests/schedules.rs
@@ -3,16 +3,23 @@
 //! with empty lease tables. An auditor counts what was really opened and spent. `QUOTA_SEEDS` and `QUOTA_STEPS` set what
 //! is played.
 
+mod support {
+    pub mod plan;
+    pub mod seeds;
+}
+
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Member, Nanos, Quota,
-    QuotaPlan, Resource,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, Quota, QuotaPlan,
+    Resource,
 };
 use std::fmt;
+use support::plan::{members, quota};
+use support::seeds::seeds_from_env;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 const NANOS_PER_SECOND: f64 = 1e9;
-const MEMBERS: u64 = 6;
+const MEMBERS: u16 = 6;
 const GRANTORS: usize = 3;
 const MAX_MESSAGE_DELAY: Nanos = 5000 * NANOS_PER_MS;
 const USUAL_MESSAGE_DELAY: Nanos = 20 * NANOS_PER_MS;
@@ -29,26 +36,19 @@
 const RETRY: [usize; 2] = [SETUPS, RETRIES];
 
 fn plan() -> QuotaPlan {
-    let member = |i| Member { name: format!("n{i}"), address: ([127, 0, 0, 1], 9000 + i as u16).into() };
-    let quota = |name: &str, resource, total, burst, floor_percent| Quota {
-        name: name.to_string(),
-        resource,
-        total,
-        burst,
-        floor_percent,
-        subscriber: None,
-        class: None,
-    };
+    let connections = quota("standing", Resource::Connections, 60);
+    let setups = quota("ledger", Resource::Setups, 100);
+    let retries = quota("retries", Resource::Retries, 30);
     let plan = QuotaPlan {
-        members: (0..MEMBERS).map(member).collect(),
+        members: members(MEMBERS),
         grantors: vec!["n0".into(), "n1".into(), "n2".into()],
         lease_ms: 1000,
         clear_ms: 600,
         drift_ppm: 20_000,
         quotas: vec![
-            quota("standing", Resource::Connections, 60, 0, 10),
-            quota("ledger", Resource::Setups, 100, 10 + MEMBERS, 20),
-            quota("retries", Resource::Retries, 30, MEMBERS, 0),
+            Quota { floor_percent: 10, ..connections },
+            Quota { burst: 10 + u64::from(MEMBERS), floor_percent: 20, ..setups },
+            Quota { burst: u64::from(MEMBERS), ..retries },
         ],
     };
     plan.validate().unwrap();
@@ -209,7 +209,7 @@
     /// One step: some time passes, and something happens.
     fn step(&mut self) -> Result<(), Breach> {
         self.now += self.rng.random_range(0..2 * NANOS_PER_MS);
-        let member = self.rng.random_range(0..MEMBERS as usize);
+        let member = self.rng.random_range(0..usize::from(MEMBERS));
         match self.rng.random_range(0..10_000) {
             0..=7 => self.nodes[member] = None,
             8..=27 if self.nodes[member].is_none() => self.start_node(member),
@@ -460,11 +460,6 @@
     std::env::var("QUOTA_STEPS").ok().and_then(|steps| steps.parse().ok()).unwrap_or(100_000)
 }
 
-fn seeds_from_env() -> Vec<u64> {
-    let Ok(seeds) = std::env::var("QUOTA_SEEDS") else { return (1..=10).collect() };
-    seeds.split(',').map(|seed| seed.trim().parse().expect("QUOTA_SEEDS: numbers")).collect()
-}
-
 /// A million steps: never above the total, whatever fails, and not because nothing is granted.
 #[test]
 fn random_faults_never_exceed_a_total() {
