--- /dev/null
+++ b/crates/quota/tests/schedules/fleet.rs
@@ -0,0 +1,66 @@
+//! The fleet that is played: its plan and its nodes.
+
+use crate::support::plan::{members, quota};
+use sparbank_quota::{LeaseHolder, Nanos, Quota, QuotaPlan, Resource};
+
+pub const NANOS_PER_MS: Nanos = 1_000_000;
+pub const NANOS_PER_SECOND: f64 = 1e9;
+pub const MEMBERS: u16 = 6;
+pub const GRANTORS: usize = 3;
+
+// The quotas, as indices in the plan.
+pub const CONNECTIONS: usize = 0;
+pub const SETUPS: usize = 1;
+pub const RETRIES: usize = 2;
+pub const QUOTAS: usize = 3;
+
+pub fn plan() -> QuotaPlan {
+    let connections = quota("standing", Resource::Connections, 60);
+    let setups = quota("ledger", Resource::Setups, 100);
+    let retries = quota("retries", Resource::Retries, 30);
+    let plan = QuotaPlan {
+        members: members(MEMBERS),
+        grantors: vec!["n0".into(), "n1".into(), "n2".into()],
+        lease_ms: 1000,
+        clear_ms: 600,
+        drift_ppm: 20_000,
+        quotas: vec![
+            Quota { floor_percent: 10, ..connections },
+            Quota { burst: 10 + u64::from(MEMBERS), floor_percent: 20, ..setups },
+            Quota { burst: u64::from(MEMBERS), ..retries },
+        ],
+    };
+    plan.validate().unwrap();
+    plan
+}
+
+pub struct Node {
+    pub holder: LeaseHolder,
+    pub incarnation: u64,
+    pub clock_offset: Nanos,
+    /// How much faster than true time its clock runs, in millionths.
+    pub clock_drift_ppm: i64,
+    /// The true time at which it was stopped.
+    pub stopped_at: Option<Nanos>,
+    /// What its clock read when it last ran.
+    pub last_reading: Nanos,
+    pub established: u64,
+    pub last_sequence: u64,
+}
+
+impl Node {
+    /// What its clock reads at a true time.
+    pub fn clock(&self, true_time: Nanos) -> Nanos {
+        let drift = true_time as i64 / 1_000_000 * self.clock_drift_ppm;
+        self.clock_offset + (true_time as i64 + drift) as u64
+    }
+
+    /// What its clock read when it last ran, whatever the time is.
+    pub fn stale_clock(&self, _true_time: Nanos) -> Nanos {
+        self.last_reading
+    }
+
+    pub fn is_running(&self) -> bool {
+        self.stopped_at.is_none()
+    }
+}
--- a/crates/quota/tests/schedules.rs
+++ b/crates/quota/tests/schedules/world.rs
@@ -1,63 +1,21 @@
-//! Long random schedules in virtual time: nodes that start, shut down, are killed, stopped and continued, with clocks
-//! that drift apart; messages lost, delayed, duplicated and reordered; grantors that lead in turn, lag, and restart
-//! with empty lease tables. An auditor counts what was really opened and spent. `QUOTA_SEEDS` and `QUOTA_STEPS` set what
-//! is played.
-
-mod support {
-    pub mod plan;
-    pub mod seeds;
-}
+//! The world in virtual time: what happens to the nodes, the messages and the grantors, drawn from one seed.
 
+use crate::auditor::{Auditor, Breach};
+use crate::fleet::{plan, Node, CONNECTIONS, GRANTORS, MEMBERS, NANOS_PER_MS, QUOTAS, RETRIES, SETUPS};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, Quota, QuotaPlan,
-    Resource,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, QuotaPlan,
 };
-use std::fmt;
-use support::plan::{members, quota};
-use support::seeds::seeds_from_env;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
-const NANOS_PER_SECOND: f64 = 1e9;
-const MEMBERS: u16 = 6;
-const GRANTORS: usize = 3;
 const MAX_MESSAGE_DELAY: Nanos = 5000 * NANOS_PER_MS;
 const USUAL_MESSAGE_DELAY: Nanos = 20 * NANOS_PER_MS;
-/// The clocks of the nodes drift apart by less than a hundredth, and so do the seconds of their rates.
-const CLOCK_TOLERANCE: f64 = 1.01;
-
-// The quotas, as indices in the plan.
-const CONNECTIONS: usize = 0;
-const SETUPS: usize = 1;
-const RETRIES: usize = 2;
-const QUOTAS: usize = 3;
 
 const FIRST_ATTEMPT: [usize; 2] = [CONNECTIONS, SETUPS];
 const RETRY: [usize; 2] = [SETUPS, RETRIES];
 
-fn plan() -> QuotaPlan {
-    let connections = quota("standing", Resource::Connections, 60);
-    let setups = quota("ledger", Resource::Setups, 100);
-    let retries = quota("retries", Resource::Retries, 30);
-    let plan = QuotaPlan {
-        members: members(MEMBERS),
-        grantors: vec!["n0".into(), "n1".into(), "n2".into()],
-        lease_ms: 1000,
-        clear_ms: 600,
-        drift_ppm: 20_000,
-        quotas: vec![
-            Quota { floor_percent: 10, ..connections },
-            Quota { burst: 10 + u64::from(MEMBERS), floor_percent: 20, ..setups },
-            Quota { burst: u64::from(MEMBERS), ..retries },
-        ],
-    };
-    plan.validate().unwrap();
-    plan
-}
-
 /// A fault that is injected to see that the auditor detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fault {
+pub enum Fault {
     None,
     /// Grantors reclaim leases by a clock that is ahead.
     EarlyReclaim,
@@ -69,64 +27,6 @@
     StaleClock,
 }
 
-/// A breach of a quota that the auditor saw.
-#[derive(Debug)]
-enum Breach {
-    /// More events at once than the burst.
-    Burst { quota: String, at_once: f64, at: Nanos },
-    /// More established connections than the total.
-    Connections { established: u64, total: u64, at: Nanos },
-    /// More units allowed, over all running nodes, than the total.
-    Allowed { quota: String, units: u64, at: Nanos },
-}
-
-impl fmt::Display for Breach {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Breach::Burst { quota, at_once, at } => {
-                write!(f, "{quota}: {at_once:.2} at once at {} ms", at / NANOS_PER_MS)
-            }
-            Breach::Connections { established, total, at } => {
-                write!(f, "standing: {established} of {total} at {} ms", at / NANOS_PER_MS)
-            }
-            Breach::Allowed { quota, units, at } => {
-                write!(f, "{quota}: {units} granted at {} ms", at / NANOS_PER_MS)
-            }
-        }
-    }
-}
-
-struct Node {
-    holder: LeaseHolder,
-    incarnation: u64,
-    clock_offset: Nanos,
-    /// How much faster than true time its clock runs, in millionths.
-    clock_drift_ppm: i64,
-    /// The true time at which it was stopped.
-    stopped_at: Option<Nanos>,
-    /// What its clock read when it last ran.
-    last_reading: Nanos,
-    established: u64,
-    last_sequence: u64,
-}
-
-impl Node {
-    /// What its clock reads at a true time.
-    fn clock(&self, true_time: Nanos) -> Nanos {
-        let drift = true_time as i64 / 1_000_000 * self.clock_drift_ppm;
-        self.clock_offset + (true_time as i64 + drift) as u64
-    }
-
-    /// What its clock read when it last ran, whatever the time is.
-    fn stale_clock(&self, _true_time: Nanos) -> Nanos {
-        self.last_reading
-    }
-
-    fn is_running(&self) -> bool {
-        self.stopped_at.is_none()
-    }
-}
-
 #[derive(Clone)]
 enum Message {
     Request(LeaseRequest),
@@ -138,20 +38,13 @@
     message: Message,
 }
 
-/// The auditor's bucket for a rate of all nodes together: it overflows if in any window there are more events than rate
-/// times window plus burst.
-struct AuditBucket {
-    level: f64,
-    updated_at: Nanos,
-}
-
 /// A grantor and how many entries of the log it has applied.
 struct Replica {
     grantor: Grantor,
     applied: usize,
 }
 
-struct World {
+pub struct World {
     rng: StdRng,
     fault: Fault,
     plan: QuotaPlan,
@@ -164,13 +57,11 @@
     leader: usize,
     in_flight: Vec<InFlightMessage>,
     pending_requests: Vec<LeaseRequest>,
-    audit_buckets: Vec<AuditBucket>,
-    checks: u64,
-    spent: [u64; QUOTAS],
+    auditor: Auditor,
 }
 
 impl World {
-    fn new(seed: u64, fault: Fault) -> World {
+    pub fn new(seed: u64, fault: Fault) -> World {
         let plan = plan();
         let replica = || Replica { grantor: Grantor::new(LeaseTable::new(plan.clone()), 0), applied: 0 };
         World {
@@ -184,13 +75,19 @@
             leader: 0,
             in_flight: Vec::new(),
             pending_requests: Vec::new(),
-            audit_buckets: (0..QUOTAS).map(|_| AuditBucket { level: 0.0, updated_at: 0 }).collect(),
-            checks: 0,
-            spent: [0; QUOTAS],
+            auditor: Auditor::new(&plan),
             plan,
         }
     }
 
+    pub fn now(&self) -> Nanos {
+        self.now
+    }
+
+    pub fn auditor(&self) -> &Auditor {
+        &self.auditor
+    }
+
     /// Sends a message, sometimes twice; each copy may be lost or delayed.
     fn send(&mut self, message: Message) {
         let is_duplicated = self.rng.random_bool(0.05);
@@ -207,7 +104,7 @@
     }
 
     /// One step: some time passes, and something happens.
-    fn step(&mut self) -> Result<(), Breach> {
+    pub fn step(&mut self) -> Result<(), Breach> {
         self.now += self.rng.random_range(0..2 * NANOS_PER_MS);
         let member = self.rng.random_range(0..usize::from(MEMBERS));
         match self.rng.random_range(0..10_000) {
@@ -303,34 +200,14 @@
         }
         node.established += u64::from(quotas.contains(&CONNECTIONS));
         for &quota in quotas {
-            self.spent[quota] += 1;
-            if quota != CONNECTIONS {
-                self.audit_event(quota)?;
-            }
+            self.auditor.on_admitted(quota, self.now)?;
         }
         self.audit_established()
     }
 
-    fn audit_event(&mut self, quota: usize) -> Result<(), Breach> {
-        let settings = &self.plan.quotas[quota];
-        let bucket = &mut self.audit_buckets[quota];
-        let leaked = (self.now - bucket.updated_at) as f64 * settings.total as f64 / NANOS_PER_SECOND;
-        bucket.level = (bucket.level - leaked).max(0.0) + 1.0;
-        bucket.updated_at = self.now;
-        if bucket.level > settings.burst as f64 * CLOCK_TOLERANCE + 1e-6 {
-            let quota = settings.name.clone();
-            return Err(Breach::Burst { quota, at_once: bucket.level, at: self.now });
-        }
-        Ok(())
-    }
-
     fn audit_established(&self) -> Result<(), Breach> {
-        let total = self.plan.quotas[CONNECTIONS].total;
-        let established: u64 = self.nodes.iter().flatten().map(|node| node.established).sum();
-        if established > total {
-            return Err(Breach::Connections { established, total, at: self.now });
-        }
-        Ok(())
+        let established = self.nodes.iter().flatten().map(|node| node.established).sum();
+        self.auditor.check_established(established, self.now)
     }
 
     fn end_connection(&mut self, member: usize) {
@@ -424,67 +301,8 @@
                 let reading = node.clock(self.now);
                 units += node.holder.allowed_units(reading, quota);
             }
-            self.checks += 1;
-            let settings = &self.plan.quotas[quota];
-            if units > settings.total_units() {
-                return Err(Breach::Allowed { quota: settings.name.clone(), units, at: self.now });
-            }
+            self.auditor.check_allowed(quota, units, self.now)?;
         }
         Ok(())
     }
 }
-
-/// A breach, and where in which schedule it happened.
-#[derive(Debug)]
-struct FoundBreach {
-    seed: u64,
-    step: u64,
-    breach: Breach,
-}
-
-impl fmt::Display for FoundBreach {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "seed {}, step {}: {}", self.seed, self.step, self.breach)
-    }
-}
-
-fn play(seed: u64, fault: Fault, steps: u64) -> Result<World, FoundBreach> {
-    let mut world = World::new(seed, fault);
-    for step in 0..steps {
-        world.step().map_err(|breach| FoundBreach { seed, step, breach })?;
-    }
-    Ok(world)
-}
-
-fn steps_from_env() -> u64 {
-    std::env::var("QUOTA_STEPS").ok().and_then(|steps| steps.parse().ok()).unwrap_or(100_000)
-}
-
-/// A million steps: never above the total, whatever fails, and not because nothing is granted.
-#[test]
-fn random_faults_never_exceed_a_total() {
-    let steps = steps_from_env();
-    let mut checks = 0;
-    let mut setups = 0;
-    let mut seconds = 0.0;
-    for seed in seeds_from_env() {
-        let world = play(seed, Fault::None, steps).unwrap_or_else(|found| panic!("{found}"));
-        checks += world.checks;
-        setups += world.spent[SETUPS];
-        seconds += world.now as f64 / NANOS_PER_SECOND;
-    }
-    println!("{checks} checks, 0 breaches; {:.1} set-ups a second of 100", setups as f64 / seconds);
-    assert!(setups as f64 > seconds * 10.0, "nothing was granted");
-}
-
-/// The auditor detects each injected fault.
-#[rstest::rstest]
-#[case(Fault::EarlyReclaim)]
-#[case(Fault::LostLeaseTable)]
-#[case(Fault::StaleGrantAccepted)]
-#[case(Fault::StaleClock)]
-fn auditor_detects_injected_fault(#[case] fault: Fault) {
-    let found = (1..=40).find_map(|seed| play(seed, fault, 100_000).err());
-    println!("{fault:?}: {found:?}");
-    assert!(found.is_some(), "{fault:?} was not detected");
-}
