--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,7 +1,9 @@
 //! Hashes that are the same on every node and in every version.
 
-/// FNV-1a of a server's name: the same at every node and in every version.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+
+/// The 64-bit FNV-1a hash of a name.
 pub fn fnv1a(name: &str) -> u64 {
-    name.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
+    name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME))
 }
--- /dev/null
+++ b/src/resilience/connection_value.rs
@@ -0,0 +1,40 @@
+//! Which connections to migrate from a server: those of the least value for their load.
+
+use crate::random::unit_interval;
+use crate::vocabulary::{Nanos, RequestId};
+
+/// A connection that may be migrated.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Connection {
+    /// The request that established it.
+    pub id: RequestId,
+    /// Its priority weight for the load that it brings; see [`value`].
+    pub value: f64,
+    /// Decides between equal values.
+    pub rank: u64,
+}
+
+/// The value of a connection for its load of `cost` nanoseconds of work per second, zero if unknown. Where the weight
+/// counts per unit of work anyway, it is the value.
+pub fn value(priority_weight: f64, cost: Nanos, weight_by_work: bool) -> f64 {
+    if weight_by_work {
+        priority_weight
+    } else {
+        priority_weight / cost.max(1) as f64
+    }
+}
+
+/// The connections to migrate: this fraction of all, those of the least value first. `roll`, a uniform random number,
+/// decides how the number is rounded.
+pub fn least_valuable(
+    mut connections: Vec<Connection>,
+    fraction: f64,
+    roll: u64,
+) -> impl Iterator<Item = RequestId> {
+    connections.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.rank.cmp(&b.rank)));
+    let count = (fraction * connections.len() as f64 + unit_interval(roll)) as usize;
+    connections.into_iter().take(count).map(|connection| connection.id)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/resilience/latency_overload.rs
@@ -0,0 +1,84 @@
+//! Overload detection by message latency, for one server.
+//!
+//! A server that reports high latency gets nothing new until a report says that the overload is over or is overdue,
+//! and is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
+//! is to be migrated.
+
+use crate::vocabulary::Nanos;
+use serde::{Deserialize, Serialize};
+
+/// A report is valid this long unless another comes: they come once per [`REPORT_INTERVAL`].
+const REPORT_VALIDITY: Nanos = 2_500_000_000;
+/// How far apart latency reports of one server are.
+const REPORT_INTERVAL: Nanos = 1_000_000_000;
+/// A server is overloaded above this fraction of the objective. Servers report from a third of the strictest
+/// objective on, and once more below it when the overload is over.
+const OVERLOAD_FRACTION: f64 = 0.33;
+/// The fraction of the connections that is migrated beside what the growth of the latency calls for, so that the
+/// backlog shrinks.
+const BACKLOG_MIGRATION: f64 = 0.15;
+/// The largest fraction that is migrated for the growth of the latency.
+const MAX_GROWTH_MIGRATION: f64 = 0.3;
+/// A latency that is lower by more than one in this many is falling.
+const FALLING_DIVISOR: Nanos = 16;
+
+/// The latency state of one server.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
+pub struct LatencyOverload {
+    /// The latency last reported.
+    #[serde(rename = "delay")]
+    latency: Nanos,
+    #[serde(rename = "busy_until")]
+    overloaded_until: Nanos,
+    #[serde(rename = "paced_until")]
+    recovering_until: Nanos,
+}
+
+/// A request to migrate connections away from a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct MigrationDemand {
+    /// The fraction of the server's connections to migrate.
+    pub fraction: f64,
+    /// The report before this one was above the objective too: not a single stall.
+    pub is_confirmed: bool,
+}
+
+impl LatencyOverload {
+    /// Whether nothing new should be sent there now.
+    pub fn is_overloaded(&self, now: Nanos) -> bool {
+        self.overloaded_until > now
+    }
+
+    /// Until then the server is filled slowly.
+    pub fn recovering_until(&self) -> Nanos {
+        self.recovering_until
+    }
+
+    /// Records a report. Gives what to migrate if the latency is above the objective and not falling.
+    pub fn on_report(
+        &mut self,
+        now: Nanos,
+        latency: Nanos,
+        objective: Nanos,
+        recovery_time: Nanos,
+    ) -> Option<MigrationDemand> {
+        let previous = if self.is_overloaded(now) { self.latency } else { 0 };
+        self.latency = latency;
+        if latency as f64 > objective as f64 * OVERLOAD_FRACTION {
+            self.overloaded_until = now.saturating_add(REPORT_VALIDITY);
+            self.recovering_until = now.saturating_add(recovery_time);
+        } else {
+            self.overloaded_until = now;
+        }
+        let is_falling = latency < previous - previous / FALLING_DIVISOR;
+        if latency <= objective || is_falling {
+            return None;
+        }
+        let growth = latency.saturating_sub(previous) as f64 / REPORT_INTERVAL as f64;
+        let fraction = growth.min(MAX_GROWTH_MIGRATION) + BACKLOG_MIGRATION;
+        Some(MigrationDemand { fraction, is_confirmed: previous > objective })
+    }
+}
+
+#[cfg(test)]
+mod tests;
