--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -1,6 +1,6 @@
 //! Records of ended flows and of attempts, gathered for an export or a trace.
 
-use super::command::FrontId;
+use crate::front_id::FrontId;
 use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 
 /// Records gathered between two turns of the event loop; none while it is disabled.
@@ -64,7 +64,7 @@
     Failed,
     /// The client disconnected before the final answer.
     ClientDisconnected,
-    /// This node told its client to reconnect.
+    /// This node closed it for its client to reconnect.
     Migrated,
     /// Its established connection was lost.
     Broken,
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -1,6 +1,27 @@
 //! Mechanisms that the policy builds on, each with one job: no clock, no random numbers of their own, no I/O.
 
-pub mod fleet_limits;
-pub mod outlier;
-pub mod poll_backoff;
-pub mod retry_admission;
+mod backoff;
+mod connection_value;
+mod endpoint_subscription;
+mod fleet_limits;
+mod in_flight;
+mod latency_overload;
+mod outlier;
+mod poll_backoff;
+mod recent_resets;
+mod rendezvous;
+mod retry_admission;
+mod retry_safety;
+mod server_health;
+mod slow_start;
+
+pub use backoff::request_backoff_limit;
+pub use connection_value::{least_valuable, value, Connection};
+pub use endpoint_subscription::{EndpointSubscription, ScheduledPoll};
+pub use fleet_limits::FleetLimits;
+pub use in_flight::InFlight;
+pub use rendezvous::{rank, LowestRanks, Ranked};
+pub use retry_admission::{Admission, RetryAdmission, ThrottleChange};
+pub use retry_safety::{deduplicates, AttemptHistory, PossibleRun};
+pub use server_health::{LatencyResponse, ServerHealth};
+pub use slow_start::{FillTarget, ServerRamp, SlowStart};
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -1,123 +1,86 @@
-//! How far a node trusts an entry of the list, and how long it leaves one alone that failed.
+//! Outlier detection for one endpoint: how long a server is ejected after a failure.
 //!
-//! What a newer list confirmed, or what answered, is *sure*: its failures eject it for a Full Jitter time from
-//! about a second on. What only a saved list names is *unsure*, and may be long gone: while there are others it
-//! gets one attempt at a time, until one shows that somebody is there; its first failure ejects it for up to
-//! [`EJECT_CAP`], its second for longer than that. So within any `EJECT_CAP` it costs two attempts, and more only
-//! where all that may be sent to have one out. No clock, no random numbers, no I/O.
+//! An endpoint that discovery has confirmed, or that has answered, is *confirmed*: its failures eject it for a Full
+//! Jitter time whose limit doubles from [`EJECTION_BASE`] to [`EJECTION_CAP`]. An endpoint that only a cached list
+//! contains is *unconfirmed* and may be long gone. While there are others it gets one attempt at a time until one
+//! succeeds; its first failure ejects it for up to [`EJECTION_CAP`], its second for longer than that. So within any
+//! `EJECTION_CAP` it costs two attempts, and more only where all eligible servers have an attempt in flight.
 
-use crate::random::below;
-use crate::resilience::retry_admission::backoff;
+use super::backoff::full_jitter_limit;
+use crate::random::uniform_up_to;
 use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// Ejection starts at up to this and doubles: about the time of one noticed failure.
-const EJECT_BASE: Nanos = 1_000_000_000;
-/// A sure entry's ejection never exceeds this, so that a server restored unseen is tried again.
-pub const EJECT_CAP: Nanos = 30_000_000_000;
+/// The limit of an ejection starts here and doubles: about the time of one failure that is noticed.
+const EJECTION_BASE: Nanos = 1_000_000_000;
+/// A confirmed endpoint is ejected no longer than this, so that a server that recovered unseen is tried again.
+pub const EJECTION_CAP: Nanos = 30_000_000_000;
 
-/// One entry's standing.
+/// The outlier state of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
-pub struct Trust {
-    /// Failures since it last stood.
+pub struct OutlierState {
+    /// Consecutive failures.
     failures: u32,
     ejected_until: Nanos,
-    /// Only a list that may be old names it. A process that takes this one's place has a newer one.
+    /// Only a cached list contains it. Not handed over: the next process receives a newer list.
     #[serde(skip)]
-    unsure: bool,
+    unconfirmed: bool,
 }
 
-impl Trust {
-    /// A list names the entry: a saved one, or one from discovery; `new` if under another start than before.
-    pub fn named(&mut self, saved: bool, new: bool) {
-        if new {
-            *self = Trust::default();
-        }
-        self.unsure = saved;
+impl OutlierState {
+    /// A list contains the endpoint: a cached one, or one from discovery.
+    pub fn on_listed(&mut self, cached: bool) {
+        self.unconfirmed = cached;
+    }
+
+    /// The server's process has restarted: what was known of the one before is void.
+    pub fn reset(&mut self) {
+        *self = OutlierState::default();
     }
 
-    /// A newer list than the saved one has come: what it removed is gone, what it left is there.
-    pub fn confirmed(&mut self) {
-        if std::mem::take(&mut self.unsure) {
-            *self = Trust::default();
+    /// Discovery has sent a list: the cached entries that it did not remove exist.
+    pub fn confirm(&mut self) {
+        if self.unconfirmed {
+            self.reset();
         }
     }
 
-    /// Whether it may be sent to now.
-    pub fn allows(&self, now: Nanos) -> bool {
-        self.ejected_until <= now
+    /// Whether attempts may not be sent to it now.
+    pub fn is_ejected(&self, now: Nanos) -> bool {
+        self.ejected_until > now
     }
 
-    /// Whether one more attempt there, beside so many that are out, is no bet on an entry that may be gone:
-    /// others go first.
-    pub fn is_free(&self, held: usize) -> bool {
-        !self.unsure || held == 0
+    /// Whether it takes one more attempt beside those in flight. An unconfirmed endpoint takes one at a time.
+    pub fn admits_another(&self, in_flight: usize) -> bool {
+        !self.unconfirmed || in_flight == 0
     }
 
-    /// Whether it may be long gone: then a broken connection counts as a failure too.
-    pub fn is_unsure(&self) -> bool {
-        self.unsure
+    /// Whether it may be long gone: then a reset counts as a failure too.
+    pub fn is_unconfirmed(&self) -> bool {
+        self.unconfirmed
     }
 
-    /// Something stands there, or stood before this process began.
-    pub fn stood(&mut self) {
-        *self = Trust::default();
+    /// An attempt succeeded, or a connection was established before this process started.
+    pub fn on_success(&mut self) {
+        self.reset();
     }
 
-    /// An attempt failed; `answered` if with an answer, which shows that somebody is there.
-    pub fn failed(&mut self, now: Nanos, roll: u64, answered: bool) {
+    /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error,
+    /// which confirms the endpoint.
+    pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
         self.failures += 1;
-        self.unsure &= !answered;
-        let rest = match (self.unsure, self.failures) {
-            (true, 1) => below(roll, EJECT_CAP),
-            (true, _) => EJECT_CAP + below(roll, EJECT_CAP),
-            (false, failures) => below(roll, backoff(EJECT_BASE, EJECT_CAP, failures)),
+        self.unconfirmed &= !answered;
+        let ejection = match (self.unconfirmed, self.failures) {
+            (true, 1) => uniform_up_to(roll, EJECTION_CAP),
+            (true, _) => EJECTION_CAP + uniform_up_to(roll, EJECTION_CAP),
+            (false, failures) => {
+                let limit = full_jitter_limit(EJECTION_BASE, EJECTION_CAP, failures);
+                uniform_up_to(roll, limit)
+            }
         };
-        self.ejected_until = self.ejected_until.max(now.saturating_add(rest));
+        self.ejected_until = self.ejected_until.max(now.saturating_add(ejection));
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const ROLLS: [u64; 3] = [0, u64::MAX / 2, u64::MAX];
-
-    #[test]
-    fn an_old_entry_costs_two_attempts_within_any_cap() {
-        for (first, second) in ROLLS.iter().flat_map(|a| ROLLS.iter().map(move |b| (*a, *b))) {
-            let mut trust = Trust::default();
-            trust.named(true, false);
-            assert!(trust.is_free(0) && !trust.is_free(1), "one at a time");
-            let sent = 7;
-            trust.failed(sent, first, false);
-            let again = sent + below(first, EJECT_CAP);
-            assert!(trust.allows(again));
-            trust.failed(again, second, false);
-            assert!(!trust.allows(sent + EJECT_CAP - 1), "no third within {first} {second}");
-            trust.confirmed();
-            assert!(trust.allows(sent) && trust.is_free(9), "a newer list names it");
-        }
-    }
-
-    #[test]
-    fn one_that_answers_is_as_any_other() {
-        let mut trust = Trust::default();
-        trust.named(true, false);
-        trust.failed(0, u64::MAX, true);
-        assert!(!trust.is_unsure() && trust.allows(2 * EJECT_BASE));
-        trust.named(true, false);
-        trust.stood();
-        assert!(trust.allows(0) && trust.is_free(5), "it stands: more than one at a time");
-    }
-
-    #[test]
-    fn another_start_begins_anew_and_the_same_does_not() {
-        let mut trust = Trust::default();
-        trust.failed(0, u64::MAX, false);
-        trust.named(false, false);
-        assert!(!trust.allows(EJECT_BASE));
-        trust.named(false, true);
-        assert!(trust.allows(0));
-    }
-}
+mod tests;
--- a/src/vocabulary/endpoint.rs
+++ b/src/vocabulary/endpoint.rs
@@ -1,6 +1,7 @@
 //! Entries of the endpoint list.
 
 use super::{Nanos, ServerId};
+use serde::{Deserialize, Serialize};
 
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -33,6 +34,52 @@
     pub status: Status,
 }
 
+/// What an endpoint list tells of a server beside its state. The serialized form is handed over to other versions of
+/// this program: its names stay.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
+pub struct ServerAttributes {
+    /// Hash of the server's name; the same at every node.
+    pub tag: u64,
+    /// The zone of the server.
+    pub zone: u32,
+    /// The cell of the server, within its zone.
+    pub cell: u32,
+    /// Capacity relative to other servers; positive and finite.
+    pub nominal: f64,
+    /// When the server's process last started; zero means long ago.
+    #[serde(rename = "born")]
+    pub started_at: Nanos,
+}
+
+/// Where a server is.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Location {
+    /// The zone.
+    pub zone: u32,
+    /// The cell within the zone.
+    pub cell: u32,
+}
+
+impl ServerAttributes {
+    /// Where the server is.
+    pub fn location(&self) -> Location {
+        Location { zone: self.zone, cell: self.cell }
+    }
+}
+
+impl From<&Endpoint> for ServerAttributes {
+    fn from(endpoint: &Endpoint) -> ServerAttributes {
+        let is_valid = endpoint.nominal.is_finite() && endpoint.nominal > 0.0;
+        ServerAttributes {
+            tag: endpoint.tag,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+            nominal: if is_valid { endpoint.nominal } else { 1.0 },
+            started_at: endpoint.started_at,
+        }
+    }
+}
+
 /// What kind of endpoint list an [`Event::EndpointList`](super::Event::EndpointList) carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
--- a/tests/cluster/mod.rs
+++ b/tests/cluster/mod.rs
@@ -4,7 +4,7 @@
 //! A run is judged by the peers' own clocks and records ([`auditor::Auditor`]), never by what a node logs. A script
 //! injects the faults. The same seed gives the same script, the same population and the same random draws of every
 //! peer. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` set what a test plays.
-#![allow(dead_code)]
+#![allow(dead_code, reason = "each test that includes this module uses some of it")]
 
 pub mod auditor;
 pub mod clients;
--- /dev/null
+++ b/tests/policy_rules/state_snapshot.rs
@@ -0,0 +1,51 @@
+//! The state that a handover transfers.
+
+use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, SECOND};
+use sparbank::vocabulary::{Endpoint, Event, ListKind, Outcome, ServerId, Status};
+
+/// Three servers that could not be reached stay ejected in the next process, which numbers them anew.
+#[test]
+fn a_restored_snapshot_keeps_ejections_under_new_server_ids() {
+    let mut node = Node::new(3, settings(), serving_endpoints(6));
+    for id in 0..60 {
+        if let Some(server) = attempted_server(&node.request(id, 0)) {
+            if server.0 < 3 {
+                node.end_attempt(id, server, Outcome::ConnectFailed);
+            } else {
+                node.establish(id, server);
+            }
+        }
+    }
+    let snapshot = node.balancer.state_snapshot();
+    let renumbered = || {
+        serving_endpoints(6).into_iter().map(|m| Endpoint { server: ServerId(5 - m.server.0), ..m }).collect()
+    };
+    let mut next = Node::new(4, settings(), renumbered());
+    let mut unrelated = Node::new(4, settings(), renumbered());
+    next.balancer.restore_state(&snapshot).expect("it is read");
+    let attempts = |node: &mut Node| -> usize {
+        (100..200)
+            .filter(|id| attempted_server(&node.request(*id, 0)).is_some_and(|server| server.0 > 2))
+            .count()
+    };
+    assert_eq!(attempts(&mut next), 0);
+    assert!(attempts(&mut unrelated) > 30);
+    assert!(next.balancer.restore_state("[1,").is_err());
+    assert_eq!(attempts(&mut next), 0, "what cannot be read changes nothing");
+}
+
+/// What version 00677b7 wrote: four servers of the first list, one of them restarted later, and one whose
+/// number skips one.
+const SNAPSHOT_00677B7: &str = include_str!("server-state-00677b7.json");
+
+#[test]
+fn a_snapshot_of_version_00677b7_is_read_and_written_back_identically() {
+    let snapshot = SNAPSHOT_00677B7.trim_end();
+    let mut node = Node::new(1, settings(), serving_endpoints(4));
+    let started = endpoint(1, 92 * SECOND + 123, Status::Serving);
+    let later = vec![started, endpoint(5, 0, Status::Serving)];
+    node.handle(Event::EndpointList(ListKind::Incremental, later));
+    assert_ne!(node.balancer.state_snapshot(), snapshot);
+    node.balancer.restore_state(snapshot).expect("it is read");
+    assert_eq!(node.balancer.state_snapshot(), snapshot);
+}
