--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -147,8 +147,8 @@
             }
             Message::StatePiece { piece } => (WireMessage::StatePiece { piece }, Vec::new()),
             Message::Listener { address, socket } => (WireMessage::Listener { address }, vec![socket]),
-            Message::Watch(TransferredWatch { socket, state, flow }) => {
-                (WireMessage::Watch(state, flow), vec![socket])
+            Message::Watch(TransferredWatch { socket, state, connection }) => {
+                (WireMessage::Watch(state, connection), vec![socket])
             }
             Message::StateComplete => (WireMessage::StateComplete, Vec::new()),
             Message::Ready => (WireMessage::Ready, Vec::new()),
@@ -172,8 +172,8 @@
             WireMessage::Listener { address } => {
                 Ok(Message::Listener { address, socket: one_descriptor(fds)? })
             }
-            WireMessage::Watch(state, flow) => {
-                Ok(Message::Watch(TransferredWatch { socket: one_descriptor(fds)?, state, flow }))
+            WireMessage::Watch(state, connection) => {
+                Ok(Message::Watch(TransferredWatch { socket: one_descriptor(fds)?, state, connection }))
             }
             WireMessage::StateComplete => {
                 no_descriptor(fds)?;
