--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -96,6 +96,16 @@
     assert!(!watch.is_transferable());
 }
 
+/// The words that `docs/ON-CALL.md` lists.
+#[rstest::rstest]
+#[case(WatchError::Response(ResponseError::Status(503)), "Status(503)")]
+#[case(WatchError::Framing(FramingError::Truncated), "NotJson")]
+#[case(WatchError::InvalidDocument, "NotJson")]
+#[case(WatchError::Silent, "Silent")]
+fn an_error_is_printed_as_the_log_line_names_it(#[case] error: WatchError, #[case] text: &str) {
+    assert_eq!(error.to_string(), text);
+}
+
 /// The states that version 00677b7 hands over, in the middle of each element of a response.
 const STATES_00677B7: &str = include_str!("../fixtures/watch-00677b7.jsonl");
 
--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -9,18 +9,23 @@
 use std::collections::BTreeMap;
 
 /// Hosts the simulated nodes of one run: takes batches and gives replies.
-#[derive(Default)]
 pub struct Host {
     instances: BTreeMap<u64, Instance>,
     lists: ListsBySlot,
 }
 
+impl Default for Host {
+    fn default() -> Host {
+        Host::new()
+    }
+}
+
 impl Host {
     /// A host without instances. From now on panics of this process are not printed: one in a decision is reported on
     /// the wire.
     pub fn new() -> Host {
         capture_panic_messages();
-        Host::default()
+        Host { instances: BTreeMap::new(), lists: ListsBySlot::new() }
     }
 
     /// Handles one batch, a line of JSON, and gives the reply with its line end.
