--- /dev/null
+++ b/src/front/text/client_side.rs
@@ -0,0 +1,236 @@
+//! The client's side: request lines, forwarding to the server, final answers.
+
+use super::line_buffer::{take_line, LineRead};
+use super::request_line::{OpenRequest, RequestLine};
+use super::session::{arrival, ConnectionRole, Session, SessionState};
+use super::TextFront;
+use crate::front::{Ctx, Due, ANSWER_MARGIN, TEXT};
+use crate::net::{SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use crate::vocabulary::{Nanos, Outcome, ServerId};
+
+/// A client may send this many `PING`s on one connection.
+const MAX_PINGS: u32 = 8;
+/// A server whose client has ended its sending has this long to end its own side.
+const HALF_CLOSED_TIMEOUT: Nanos = 2_000_000_000;
+
+impl TextFront {
+    // ---- Before a request ----------------------------------------------------------------------
+
+    /// Lines of a client that has sent no request yet.
+    pub(super) fn on_request_input(&mut self, ctx: &mut Ctx, token: Token) {
+        while let Some(input) = ctx.net.input_buffer(token) {
+            let line = match take_line(input) {
+                LineRead::Incomplete => {
+                    if ctx.net.is_read_closed(token) {
+                        self.connections.remove(&token);
+                        ctx.net.close(token);
+                    }
+                    return;
+                }
+                LineRead::TooLong => return self.reject_malformed(ctx, token),
+                LineRead::Complete(line) => line,
+            };
+            match RequestLine::parse(&line, ctx.facts, ctx.classes) {
+                Some(RequestLine::Ping) => {
+                    if !self.count_ping(token) {
+                        return self.reject_malformed(ctx, token);
+                    }
+                    // What is not PONG tells the load balancer in front of the nodes to send no clients here.
+                    let answer: &[u8] = if ctx.takes_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
+                    ctx.net.send(token, answer);
+                }
+                Some(RequestLine::Open(open)) => return self.open_request(ctx, token, open),
+                None => return self.reject_malformed(ctx, token),
+            }
+        }
+    }
+
+    /// Counts a `PING`; false where the client has sent too many. Each answer is buffered until it is read, so a
+    /// flood of them must be bounded.
+    fn count_ping(&mut self, token: Token) -> bool {
+        match self.connections.get_mut(&token) {
+            Some(ConnectionRole::AwaitingRequest { pings }) if *pings < MAX_PINGS => {
+                *pings += 1;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    /// Answers a line that no server could use, here and at once.
+    fn reject_malformed(&mut self, ctx: &mut Ctx, token: Token) {
+        ctx.requests.counters.malformed += 1;
+        self.answer_and_close(ctx, token, b"ERR\r\n");
+    }
+
+    /// Closes a connection on which no request has come. What arrives in that instant is answered, one way or the
+    /// other: a complete line that is there is handled, and for one that is still to come the answer is there
+    /// already.
+    pub(super) fn close_without_request(&mut self, ctx: &mut Ctx, token: Token) {
+        ctx.net.read_available(token);
+        self.on_request_input(ctx, token);
+        if let Some(ConnectionRole::AwaitingRequest { pings }) = self.connections.get(&token) {
+            ctx.requests.counters.silent += 1;
+            // A client that has sent a PING has its answer.
+            if *pings == 0 {
+                ctx.net.send(token, b"BUSY\r\n");
+            }
+            self.connections.remove(&token);
+            ctx.net.close(token);
+        }
+    }
+
+    // ---- A request -----------------------------------------------------------------------------
+
+    fn open_request(&mut self, ctx: &mut Ctx, token: Token, open: OpenRequest) {
+        // Neither the id of another open request nor a second line behind the first can be used: servers close on
+        // the one, and the other has no meaning before UP.
+        let has_more_input = ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty());
+        if has_more_input || self.open_ids.contains(&open.id) {
+            return self.reject_malformed(ctx, token);
+        }
+        ctx.net.mark_handshake_complete(token);
+        // The process is about to end: a request that is forwarded now would not be answered from there.
+        if ctx.closing && open.resumed_at.is_none() {
+            return self.answer_and_close(ctx, token, b"BUSY\r\n");
+        }
+        if !ctx.net.reclaim_descriptors() {
+            ctx.requests.counters.over_budget += 1;
+            return self.answer_and_close(ctx, token, b"BUSY 500\r\n");
+        }
+        self.open_ids.insert(open.id.clone());
+        self.connections.insert(token, ConnectionRole::Client);
+        match open.resumed_at.clone() {
+            Some(server_name) => {
+                self.sessions.insert(token, Session::new(open));
+                self.restore_session(ctx, token, &server_name);
+            }
+            None => self.place_request(ctx, token, open),
+        }
+    }
+
+    fn place_request(&mut self, ctx: &mut Ctx, token: Token, open: OpenRequest) {
+        let request_id = ctx.requests.arrive(ctx.now, TEXT, arrival(&open));
+        self.clients.insert(request_id, token);
+        let session = Session { request_id: Some(request_id), ..Session::new(open) };
+        session.trace("arrived", ctx);
+        self.sessions.insert(token, session);
+        self.on_client_input(ctx, token, false);
+    }
+
+    /// Reconnects a client that was connected before the run to the server that it had: it is no placement.
+    fn restore_session(&mut self, ctx: &mut Ctx, token: Token, server_name: &str) {
+        let Some(server) = ctx.registry.named(server_name) else { return self.reject_malformed(ctx, token) };
+        let timeout = self.sessions.get(&token).map_or(0, |session| session.open.grace);
+        let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
+        ctx.wheel.schedule(answer_by, Due::Timer(TEXT, token));
+        if !self.connect_to_server(ctx, token, server, timeout) {
+            self.answer_and_close(ctx, token, b"ERR\r\n");
+        }
+    }
+
+    /// Connects to a server and sends it the client's line. False where no connection could be started.
+    pub(super) fn connect_to_server(
+        &mut self,
+        ctx: &mut Ctx,
+        client: Token,
+        server: ServerId,
+        timeout: Nanos,
+    ) -> bool {
+        let Some(session) = self.sessions.get_mut(&client) else { return true };
+        let Some(addr) = ctx.registry.entry(server).map(|endpoint| endpoint.addr()) else { return false };
+        let Ok(server_connection) = ctx.net.connect(addr, SocketOwner::Front(TEXT)) else { return false };
+        ctx.net.send(server_connection, session.open.line_for_server(timeout).as_bytes());
+        let connect_by = ctx.now + ctx.facts.limits.dial_timeout_ns;
+        ctx.wheel.schedule(connect_by, Due::Dial(TEXT, server_connection));
+        session.state = SessionState::Attempting { server_connection };
+        session.server = Some(server);
+        self.connections.insert(server_connection, ConnectionRole::Server { client });
+        true
+    }
+
+    // ---- Input of a client with a request ------------------------------------------------------
+
+    /// Input of a client with a request, its end, or the failure of its connection.
+    pub(super) fn on_client_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+        let Some(session) = self.sessions.get(&token) else { return };
+        if session.is_established() {
+            self.forward_client_input(ctx, token, failed);
+            return;
+        }
+        let request_id = session.request_id;
+        let has_input = ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty());
+        if !has_input && !failed && !ctx.net.is_read_closed(token) {
+            return;
+        }
+        if let Some(request_id) = request_id {
+            ctx.requests.left(ctx.now, request_id);
+        }
+        if has_input {
+            // A client may send nothing before UP: nobody could say what its lines belong to.
+            self.reject_malformed(ctx, token);
+        } else {
+            // The client has given up. Its request is owed an answer as long as anyone may read one.
+            self.answer_and_close(ctx, token, b"BUSY\r\n");
+        }
+    }
+
+    fn forward_client_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+        let Some(session) = self.sessions.get_mut(&token) else { return };
+        let SessionState::Established(established) = &mut session.state else { return };
+        let server_connection = established.server_connection;
+        if ctx.net.pending_output_bytes(server_connection) < OUTPUT_HIGH_WATERMARK_BYTES {
+            let bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
+            if bytes.contains(&b'\n') {
+                established.unanswered_since.get_or_insert(ctx.now);
+            }
+            ctx.net.send(server_connection, &bytes);
+        }
+        if failed {
+            return self.end_session(ctx, token, Outcome::Cancelled, true);
+        }
+        let all_forwarded = ctx.net.input_buffer(token).is_none_or(|left| left.is_empty());
+        if ctx.net.is_read_closed(token) && all_forwarded {
+            ctx.net.shutdown_write(server_connection);
+            ctx.wheel.schedule(ctx.now + HALF_CLOSED_TIMEOUT, Due::Timer(TEXT, token));
+        }
+    }
+
+    // ---- Ending --------------------------------------------------------------------------------
+
+    /// Sends the final answer of a client that has none, and closes its connection.
+    pub(super) fn answer_and_close(&mut self, ctx: &mut Ctx, token: Token, answer: &[u8]) {
+        ctx.net.send(token, answer);
+        self.remove_session(ctx, token);
+        ctx.net.close(token);
+    }
+
+    /// Ends an established session: both connections end, the same way.
+    pub(super) fn end_session(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+        let Some(session) = self.sessions.get(&client) else { return };
+        if let Some(request_id) = session.request_id {
+            ctx.requests.task_ended(ctx.now, request_id, outcome);
+        }
+        if by_reset {
+            for token in [Some(client), session.server_connection()].into_iter().flatten() {
+                if ctx.net.pending_output_bytes(token) == 0 {
+                    ctx.net.reset(token);
+                }
+            }
+        }
+        self.remove_session(ctx, client);
+        ctx.net.close(client);
+    }
+
+    /// Removes all that is known of a client, and ends its attempt.
+    pub(super) fn remove_session(&mut self, ctx: &mut Ctx, client: Token) {
+        self.connections.remove(&client);
+        let Some(session) = self.sessions.remove(&client) else { return };
+        session.trace("over", ctx);
+        self.open_ids.remove(&session.open.id);
+        if let Some(request_id) = session.request_id {
+            self.clients.remove(&request_id);
+        }
+        self.close_server_connection(ctx, &session.state);
+    }
+}
--- /dev/null
+++ b/src/front/text/health_check.rs
@@ -0,0 +1,173 @@
+//! Health checks of servers.
+//!
+//! Where the settings allow it, a connection to a server may begin with `STATS`, which the server answers `PONG`
+//! with its [load report](super::load_report), or `ERR`; the connection may go on so. Elsewhere a server answers
+//! `NO`.
+//!
+//! The node has one health-check connection a server at most and one check in flight on it at a time, so the
+//! descriptors that checks use are bounded by the servers in the endpoint registry.
+
+use super::line_buffer::{take_line, LineRead};
+use super::load_report::{LoadReport, UTILIZATION};
+use super::session::ConnectionRole;
+use super::TextFront;
+use crate::front::{Ctx, Due, TEXT};
+use crate::net::{SocketOwner, Token};
+use crate::vocabulary::{Event, Nanos, ServerId};
+use std::collections::HashMap;
+
+/// What a health check is sent as.
+const HEALTH_CHECK_LINE: &[u8] = b"STATS\r\n";
+/// A check without an answer after this has failed, and its connection is closed: a server that takes longer to
+/// answer a check than the latency objective of a message is no better for being known.
+const HEALTH_CHECK_TIMEOUT: Nanos = 250_000_000;
+
+/// A health-check connection.
+struct CheckConnection {
+    token: Token,
+    /// When the check in flight was sent, if one is.
+    in_flight_since: Option<Nanos>,
+}
+
+/// A health-check connection that is over.
+#[derive(Debug, PartialEq, Eq)]
+struct EndedConnection {
+    server: ServerId,
+    /// A check was in flight.
+    was_in_flight: bool,
+}
+
+/// The health-check connections of the node.
+#[derive(Default)]
+pub(super) struct HealthChecks {
+    by_server: HashMap<ServerId, CheckConnection>,
+    servers: HashMap<Token, ServerId>,
+}
+
+/// How a health check is carried out.
+#[derive(Debug, PartialEq, Eq)]
+enum CheckStep {
+    /// One is in flight: its answer will do.
+    AlreadyInFlight,
+    /// It is sent on this connection, which is established.
+    Reuse(Token),
+    /// It is sent on a new connection.
+    Connect,
+}
+
+impl HealthChecks {
+    /// A check of this server begins at `now`.
+    fn begin(&mut self, now: Nanos, server: ServerId) -> CheckStep {
+        match self.by_server.get_mut(&server) {
+            None => CheckStep::Connect,
+            Some(connection) if connection.in_flight_since.is_some() => CheckStep::AlreadyInFlight,
+            Some(connection) => {
+                connection.in_flight_since = Some(now);
+                CheckStep::Reuse(connection.token)
+            }
+        }
+    }
+
+    /// A connection was opened for a check sent at `now`.
+    fn add_connection(&mut self, now: Nanos, server: ServerId, token: Token) {
+        self.by_server.insert(server, CheckConnection { token, in_flight_since: Some(now) });
+        self.servers.insert(token, server);
+    }
+
+    /// An answer has arrived on a connection: the server, where a check was in flight on it.
+    fn on_answer(&mut self, token: Token) -> Option<ServerId> {
+        let server = *self.servers.get(&token)?;
+        self.by_server.get_mut(&server)?.in_flight_since.take().map(|_| server)
+    }
+
+    /// Whether the check in flight on this connection, if any, was sent before this time.
+    fn was_sent_before(&self, token: Token, time: Nanos) -> bool {
+        let connection = self.servers.get(&token).and_then(|server| self.by_server.get(server));
+        let sent_at = connection.and_then(|connection| connection.in_flight_since);
+        sent_at.is_some_and(|sent_at| sent_at < time)
+    }
+
+    /// Whether the check in flight on this connection, if any, has timed out.
+    pub(super) fn has_timed_out(&self, token: Token, now: Nanos) -> bool {
+        self.was_sent_before(token, (now + 1).saturating_sub(HEALTH_CHECK_TIMEOUT))
+    }
+
+    /// A connection is over.
+    fn remove_connection(&mut self, token: Token) -> Option<EndedConnection> {
+        let server = self.servers.remove(&token)?;
+        let connection = self.by_server.remove(&server)?;
+        Some(EndedConnection { server, was_in_flight: connection.in_flight_since.is_some() })
+    }
+}
+
+impl TextFront {
+    /// Sends a health check, on the server's connection for them or on a new one.
+    pub(super) fn start_health_check(&mut self, ctx: &mut Ctx, server: ServerId) {
+        let token = match self.health_checks.begin(ctx.now, server) {
+            CheckStep::AlreadyInFlight => return,
+            CheckStep::Reuse(token) => token,
+            CheckStep::Connect => {
+                let Some(token) = self.connect_for_health_checks(ctx, server) else {
+                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+                };
+                token
+            }
+        };
+        ctx.requests.counters.probes += 1;
+        ctx.net.send(token, HEALTH_CHECK_LINE);
+        ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, Due::Timer(TEXT, token));
+    }
+
+    fn connect_for_health_checks(&mut self, ctx: &mut Ctx, server: ServerId) -> Option<Token> {
+        let addr = ctx.registry.entry(server)?.addr();
+        let token = ctx.net.connect(addr, SocketOwner::Front(TEXT)).ok()?;
+        self.health_checks.add_connection(ctx.now, server, token);
+        self.connections.insert(token, ConnectionRole::HealthCheck);
+        Some(token)
+    }
+
+    /// Lines on a health-check connection: each answers the check in flight on it, if any.
+    pub(super) fn on_health_check_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+        while let Some(input) = ctx.net.input_buffer(token) {
+            match take_line(input) {
+                LineRead::Incomplete => break,
+                LineRead::TooLong => return self.end_health_check(ctx, token),
+                LineRead::Complete(line) => {
+                    if let Some(server) = self.health_checks.on_answer(token) {
+                        report_health_check_answer(ctx, server, &line);
+                    }
+                }
+            }
+        }
+        if failed || ctx.net.is_read_closed(token) {
+            self.end_health_check(ctx, token);
+        }
+    }
+
+    /// Closes a health-check connection. The check in flight on it, if any, has no result.
+    pub(super) fn end_health_check(&mut self, ctx: &mut Ctx, token: Token) {
+        self.connections.remove(&token);
+        ctx.net.close(token);
+        if let Some(EndedConnection { server, was_in_flight: true }) =
+            self.health_checks.remove_connection(token)
+        {
+            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+        }
+    }
+}
+
+fn report_health_check_answer(ctx: &mut Ctx, server: ServerId, line: &[u8]) {
+    let over = match LoadReport::parse_health_check_answer(&String::from_utf8_lossy(line)) {
+        Ok(report) => report.and_then(|report| report.get(UTILIZATION)),
+        Err(error) => {
+            crate::log::line(format_args!("server-protocol-error reason=probe: {error}"));
+            None
+        }
+    };
+    let name = ctx.registry.entry(server).map_or("?", |endpoint| endpoint.name());
+    crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
+    ctx.requests.tell(Event::HealthCheckResult { server, over });
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/text/latency.rs
@@ -0,0 +1,62 @@
+//! Message latency by server, measured from a client's line to the server's next line.
+
+use crate::vocabulary::{Nanos, ServerId};
+use std::collections::HashMap;
+
+/// How often latencies are reported.
+const REPORT_INTERVAL: Nanos = 1_000_000_000;
+/// A latency is reported once it is above the objective divided by this.
+const REPORT_ABOVE_OBJECTIVE_DIVISOR: Nanos = 3;
+
+/// A server's latency since the last report.
+#[derive(Clone, Copy, Default)]
+struct ServerLatency {
+    worst: Option<Nanos>,
+    /// The latency was high in the last report, so the next one is reported whatever it is.
+    was_high: bool,
+}
+
+/// A latency to report to the balancer.
+pub(super) struct MeasuredLatency {
+    pub(super) server: ServerId,
+    pub(super) latency: Nanos,
+}
+
+/// The latencies of all servers.
+#[derive(Default)]
+pub(super) struct LatencyTracker {
+    by_server: HashMap<ServerId, ServerLatency>,
+    reported_at: Nanos,
+}
+
+impl LatencyTracker {
+    /// A server has answered a message after this time.
+    pub(super) fn record(&mut self, server: ServerId, latency: Nanos) {
+        let measured = self.by_server.entry(server).or_default();
+        measured.worst = measured.worst.max(Some(latency));
+    }
+
+    /// Whether the next reports are due; if so, the interval begins anew.
+    pub(super) fn begin_report(&mut self, now: Nanos) -> bool {
+        let report_due = now.saturating_sub(self.reported_at) >= REPORT_INTERVAL;
+        if report_due {
+            self.reported_at = now;
+        }
+        report_due
+    }
+
+    /// Takes the latencies that are high against this objective or were so in the last report, by server.
+    pub(super) fn take_reports(&mut self, objective: Nanos) -> Vec<MeasuredLatency> {
+        let mut reports = Vec::new();
+        for (server, measured) in &mut self.by_server {
+            let Some(latency) = measured.worst.take() else { continue };
+            let is_high = latency > objective / REPORT_ABOVE_OBJECTIVE_DIVISOR;
+            if is_high || measured.was_high {
+                reports.push(MeasuredLatency { server: *server, latency });
+            }
+            measured.was_high = is_high;
+        }
+        reports.sort_unstable_by_key(|report| report.server);
+        reports
+    }
+}
--- /dev/null
+++ b/src/front/text/session.rs
@@ -0,0 +1,142 @@
+//! A client's session: its request, and how far it has got.
+
+use super::request_line::OpenRequest;
+use crate::front::{Ctx, ANSWER_MARGIN};
+use crate::net::Token;
+use crate::vocabulary::{Arrival, Nanos, RequestId, ServerId};
+use serde::{Deserialize, Serialize};
+
+/// What a connection of this front is for.
+pub(super) enum ConnectionRole {
+    /// A client that has sent no request yet, but this many `PING`s.
+    AwaitingRequest { pings: u32 },
+    /// A client with a [`Session`].
+    Client,
+    /// The attempt of that client, or the established connection that it became.
+    Server { client: Token },
+    /// Health checks of a server.
+    HealthCheck,
+}
+
+/// A client with a request.
+pub(super) struct Session {
+    /// The client's request line.
+    pub(super) open: OpenRequest,
+    /// None while a connection from before the run is being restored: it becomes a request once its server has
+    /// accepted it.
+    pub(super) request_id: Option<RequestId>,
+    /// The server of the latest attempt.
+    pub(super) server: Option<ServerId>,
+    pub(super) state: SessionState,
+}
+
+/// How far a session has got.
+pub(super) enum SessionState {
+    /// The request waits for its first attempt, or for the next one.
+    AwaitingAttempt,
+    /// The request line is on its way to a server, which has not answered it.
+    Attempting { server_connection: Token },
+    /// The server has said `UP`: lines pass both ways.
+    Established(EstablishedSession),
+}
+
+/// What is known of an established session.
+pub(super) struct EstablishedSession {
+    pub(super) server_connection: Token,
+    /// When the oldest line that the server has not answered was sent.
+    pub(super) unanswered_since: Option<Nanos>,
+    /// How the server's last line announces the end.
+    pub(super) ending: SessionEnding,
+    /// The load that the server reported last.
+    pub(super) load: Option<Nanos>,
+}
+
+/// How a server's last line announces the end of its connection. The names on the handover wire are fixed.
+#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
+pub(super) enum SessionEnding {
+    /// It does not: an end would be a reset.
+    #[serde(rename = "Broken")]
+    Unannounced,
+    /// `BYE`: the service is complete.
+    #[serde(rename = "Bye")]
+    Completed,
+    /// `MOVE`: the client is to reconnect.
+    #[serde(rename = "Moved")]
+    Migrated,
+}
+
+impl Session {
+    /// A session whose request has just been read.
+    pub(super) fn new(open: OpenRequest) -> Session {
+        Session { open, request_id: None, server: None, state: SessionState::AwaitingAttempt }
+    }
+
+    /// Whether the server has accepted the client.
+    pub(super) fn is_established(&self) -> bool {
+        matches!(self.state, SessionState::Established(_))
+    }
+
+    /// What is known of the session, where it is established.
+    pub(super) fn established(&self) -> Option<&EstablishedSession> {
+        match &self.state {
+            SessionState::Established(established) => Some(established),
+            SessionState::AwaitingAttempt | SessionState::Attempting { .. } => None,
+        }
+    }
+
+    /// The connection to the server, if there is one.
+    pub(super) fn server_connection(&self) -> Option<Token> {
+        match &self.state {
+            SessionState::AwaitingAttempt => None,
+            SessionState::Attempting { server_connection } => Some(*server_connection),
+            SessionState::Established(established) => Some(established.server_connection),
+        }
+    }
+
+    /// The server has accepted the client.
+    pub(super) fn establish(&mut self) {
+        if let SessionState::Attempting { server_connection } = self.state {
+            self.state = SessionState::Established(EstablishedSession {
+                server_connection,
+                unanswered_since: None,
+                ending: SessionEnding::Unannounced,
+                load: None,
+            });
+        }
+    }
+
+    /// Writes the session's state to the trace, if that is on.
+    pub(super) fn trace(&self, what: &str, ctx: &Ctx) {
+        if !crate::log::tracing() {
+            return;
+        }
+        let request_id = self.request_id.map_or(0, |request_id| request_id.0);
+        let server = self.server.and_then(|server| ctx.registry.entry(server));
+        let server = server.map_or("-", |endpoint| endpoint.name());
+        let open = &self.open;
+        crate::log::line(format_args!(
+            "trace client {what} request={request_id} key={:x} group={:x} class={} server={server} again={} repeat={} up={}",
+            open.key,
+            open.group.unwrap_or(0),
+            open.class,
+            open.reconnect,
+            open.client_retry,
+            self.is_established()
+        ));
+    }
+}
+
+/// A request line as an arrival at the requests module.
+pub(super) fn arrival(open: &OpenRequest) -> Arrival {
+    Arrival {
+        id: RequestId(0),
+        class: open.class,
+        grace: open.grace.saturating_sub(ANSWER_MARGIN),
+        cost: open.load_hint,
+        key: Some(open.key),
+        group: open.group,
+        reconnect: open.reconnect,
+        client_retry: open.client_retry,
+        rerouted: false,
+    }
+}
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -108,7 +108,7 @@
     let bench = Bench::with_args(vec![server], None, &["--trace"], patient);
     let mut bench = bench;
     let client = bench.connect_client(&slow(1));
-    bench.wait_for_log("trace client came");
+    bench.wait_for_log("trace client arrived");
     settle();
     bench.pause();
     // The system comes up with the connection by itself, the node asleep.
@@ -129,7 +129,7 @@
     bench.update_lifecycle(&mut watch, 1, "gone");
     bench.wait_for_log("trace list kind=Incremental");
     let mut client = bench.connect_client(&slow(1));
-    bench.wait_for_log("trace client came");
+    bench.wait_for_log("trace client arrived");
     settle();
     bench.pause();
     let mut attempt = hesitant.accept_next();
