--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -4,7 +4,7 @@
 use super::config::AmqpConfig;
 use super::items::Map;
 use super::recovery::Key;
-use crate::front::tls::Tls;
+use crate::front::tls::TlsConnection;
 use crate::front::Ctx;
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Nanos, RequestId};
@@ -22,7 +22,7 @@
     pub who: Rc<Who>,
     ip: Option<IpAddr>,
     /// Its transport's encryption, and what came in the clear and was not taken.
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsConnection>,
     pub clear: Vec<u8>,
     /// There may be something to write.
     dirty: bool,
@@ -87,7 +87,7 @@
         &mut self,
         token: Token,
         conn: Connection,
-        tls: Option<Tls>,
+        tls: Option<TlsConnection>,
         ip: Option<IpAddr>,
         most: usize,
     ) -> bool {
@@ -250,7 +250,7 @@
         let mut out = self.conn.take_out(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
-            tls.write(&out, &mut wire);
+            tls.encrypt(&out, &mut wire);
             out = wire;
         }
         if !out.is_empty() {
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -2,7 +2,7 @@
 
 use super::access::Users;
 use crate::config::json;
-use crate::front::tls::TlsFile;
+use crate::front::tls::TlsListenerConfig;
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
@@ -67,7 +67,7 @@
     /// PLAIN passwords may come over connections that are not encrypted.
     pub plain_unencrypted: bool,
     /// Where clients connect under TLS.
-    pub tls: Option<TlsFile>,
+    pub tls: Option<TlsListenerConfig>,
     /// When the node leaves, clients are told to go there.
     pub redirect: Option<Redirect>,
     /// What [`AmqpConfig::users`] holds.
--- a/src/front/amqp/from_clients.rs
+++ b/src/front/amqp/from_clients.rs
@@ -4,7 +4,7 @@
 use super::items::Item;
 use super::recovery::{Fate, Key};
 use super::*;
-use crate::front::tls::Tls;
+use crate::front::tls::TlsConnection;
 use crate::front::{Ctx, Due, ANSWER_MARGIN};
 use crate::hash::fnv1a;
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
@@ -58,7 +58,8 @@
             return ctx.net.close(token);
         }
         let under_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
-        let tls = self.config.tls_config.as_ref().filter(|_| under_tls).and_then(|c| Tls::new(c).ok());
+        let tls =
+            self.config.tls_config.as_ref().filter(|_| under_tls).and_then(|c| TlsConnection::new(c).ok());
         if under_tls && tls.is_none() {
             return ctx.net.close(token);
         }
@@ -87,8 +88,8 @@
         let mut fault = None;
         if let Some(Client { tls: Some(tls), clear, .. }) = self.clients.get(token) {
             let mut all = std::mem::take(clear);
-            if let Err(words) = tls.read(&bytes, &mut all) {
-                fault = Some(sparbank_amqp::fault(condition::FRAMING_ERROR, words));
+            if let Err(error) = tls.decrypt(&bytes, &mut all) {
+                fault = Some(sparbank_amqp::fault(condition::FRAMING_ERROR, error.to_string()));
             }
             bytes = all;
         }
@@ -581,7 +582,7 @@
                 }
             }
             Asked::External => {
-                let name = self.clients.get(token).and_then(|t| t.tls.as_ref()?.peer_name());
+                let name = self.clients.get(token).and_then(|t| t.tls.as_ref()?.peer_certificate_name());
                 let who = name.and_then(|name| users.named(&name));
                 self.verdict(ctx, token, who);
             }
@@ -634,7 +635,7 @@
     pub(super) fn client_gone(&mut self, ctx: &mut Ctx, token: Token) {
         if let Some(client) = self.clients.get(token) {
             if let Some(tls) = &mut client.tls {
-                tls.close();
+                tls.send_close_notify();
             }
             client.say(ctx, token);
         }
