--- a/src/front/text/client_side.rs
+++ b/src/front/text/client_side.rs
@@ -4,7 +4,7 @@
 use super::request_line::{OpenRequest, RequestLine};
 use super::session::{arrival, ConnectionRole, Session, SessionState};
 use super::TextFront;
-use crate::front::{Ctx, Due, ANSWER_MARGIN, TEXT};
+use crate::front::{FrontContext, TimerEvent, ANSWER_MARGIN, TEXT_FRONT};
 use crate::net::{SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Nanos, Outcome, ServerId};
 
@@ -17,7 +17,7 @@
     // ---- Before a request ----------------------------------------------------------------------
 
     /// Lines of a client that has sent no request yet.
-    pub(super) fn on_request_input(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn on_request_input(&mut self, ctx: &mut FrontContext, token: Token) {
         while let Some(input) = ctx.net.input_buffer(token) {
             let line = match take_line(input) {
                 LineRead::Incomplete => {
@@ -30,13 +30,13 @@
                 LineRead::TooLong => return self.reject_malformed(ctx, token),
                 LineRead::Complete(line) => line,
             };
-            match RequestLine::parse(&line, ctx.facts, ctx.classes) {
+            match RequestLine::parse(&line, ctx.site, ctx.classes) {
                 Some(RequestLine::Ping) => {
                     if !self.count_ping(token) {
                         return self.reject_malformed(ctx, token);
                     }
                     // What is not PONG tells the load balancer in front of the nodes to send no clients here.
-                    let answer: &[u8] = if ctx.takes_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
+                    let answer: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
                     ctx.net.send(token, answer);
                 }
                 Some(RequestLine::Open(open)) => return self.open_request(ctx, token, open),
@@ -58,7 +58,7 @@
     }
 
     /// Answers a line that no server could use, here and at once.
-    fn reject_malformed(&mut self, ctx: &mut Ctx, token: Token) {
+    fn reject_malformed(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.requests.counters.malformed += 1;
         self.answer_and_close(ctx, token, b"ERR\r\n");
     }
@@ -66,11 +66,11 @@
     /// Closes a connection on which no request has come. What arrives in that instant is answered, one way or the
     /// other: a complete line that is there is handled, and for one that is still to come the answer is there
     /// already.
-    pub(super) fn close_without_request(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn close_without_request(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.net.read_available(token);
         self.on_request_input(ctx, token);
         if let Some(ConnectionRole::AwaitingRequest { pings }) = self.connections.get(&token) {
-            ctx.requests.counters.silent += 1;
+            ctx.requests.counters.idle_closed += 1;
             // A client that has sent a PING has its answer.
             if *pings == 0 {
                 ctx.net.send(token, b"BUSY\r\n");
@@ -82,7 +82,7 @@
 
     // ---- A request -----------------------------------------------------------------------------
 
-    fn open_request(&mut self, ctx: &mut Ctx, token: Token, open: OpenRequest) {
+    fn open_request(&mut self, ctx: &mut FrontContext, token: Token, open: OpenRequest) {
         // Neither the id of another open request nor a second line behind the first can be used: servers close on
         // the one, and the other has no meaning before UP.
         let has_more_input = ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty());
@@ -91,11 +91,11 @@
         }
         ctx.net.mark_handshake_complete(token);
         // The process is about to end: a request that is forwarded now would not be answered from there.
-        if ctx.closing && open.resumed_at.is_none() {
+        if ctx.shutting_down && open.resumed_at.is_none() {
             return self.answer_and_close(ctx, token, b"BUSY\r\n");
         }
         if !ctx.net.reclaim_descriptors() {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             return self.answer_and_close(ctx, token, b"BUSY 500\r\n");
         }
         self.open_ids.insert(open.id.clone());
@@ -109,8 +109,8 @@
         }
     }
 
-    fn place_request(&mut self, ctx: &mut Ctx, token: Token, open: OpenRequest) {
-        let request_id = ctx.requests.arrive(ctx.now, TEXT, arrival(&open));
+    fn place_request(&mut self, ctx: &mut FrontContext, token: Token, open: OpenRequest) {
+        let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONT, arrival(&open));
         self.clients.insert(request_id, token);
         let session = Session { request_id: Some(request_id), ..Session::new(open) };
         session.trace("arrived", ctx);
@@ -119,11 +119,11 @@
     }
 
     /// Reconnects a client that was connected before the run to the server that it had: it is no placement.
-    fn restore_session(&mut self, ctx: &mut Ctx, token: Token, server_name: &str) {
-        let Some(server) = ctx.registry.named(server_name) else { return self.reject_malformed(ctx, token) };
-        let timeout = self.sessions.get(&token).map_or(0, |session| session.open.grace);
+    fn restore_session(&mut self, ctx: &mut FrontContext, token: Token, server_name: &str) {
+        let Some(server) = ctx.registry.id_of(server_name) else { return self.reject_malformed(ctx, token) };
+        let timeout = self.sessions.get(&token).map_or(0, |session| session.open.time_left);
         let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
-        ctx.wheel.schedule(answer_by, Due::Timer(TEXT, token));
+        ctx.wheel.schedule(answer_by, TimerEvent::FrontTimer(TEXT_FRONT, token));
         if !self.connect_to_server(ctx, token, server, timeout) {
             self.answer_and_close(ctx, token, b"ERR\r\n");
         }
@@ -132,17 +132,19 @@
     /// Connects to a server and sends it the client's line. False where no connection could be started.
     pub(super) fn connect_to_server(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         client: Token,
         server: ServerId,
         timeout: Nanos,
     ) -> bool {
         let Some(session) = self.sessions.get_mut(&client) else { return true };
-        let Some(addr) = ctx.registry.entry(server).map(|endpoint| endpoint.addr()) else { return false };
-        let Ok(server_connection) = ctx.net.connect(addr, SocketOwner::Front(TEXT)) else { return false };
+        let Some(addr) = ctx.registry.entry(server).map(|endpoint| endpoint.address()) else { return false };
+        let Ok(server_connection) = ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)) else {
+            return false;
+        };
         ctx.net.send(server_connection, session.open.line_for_server(timeout).as_bytes());
-        let connect_by = ctx.now + ctx.facts.limits.dial_timeout_ns;
-        ctx.wheel.schedule(connect_by, Due::Dial(TEXT, server_connection));
+        let connect_by = ctx.now + ctx.site.limits.dial_timeout_ns;
+        ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONT, server_connection));
         session.state = SessionState::Attempting { server_connection };
         session.server = Some(server);
         self.connections.insert(server_connection, ConnectionRole::Server { client });
@@ -152,7 +154,7 @@
     // ---- Input of a client with a request ------------------------------------------------------
 
     /// Input of a client with a request, its end, or the failure of its connection.
-    pub(super) fn on_client_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+    pub(super) fn on_client_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
         let Some(session) = self.sessions.get(&token) else { return };
         if session.is_established() {
             self.forward_client_input(ctx, token, failed);
@@ -164,7 +166,7 @@
             return;
         }
         if let Some(request_id) = request_id {
-            ctx.requests.left(ctx.now, request_id);
+            ctx.requests.on_client_disconnected(ctx.now, request_id);
         }
         if has_input {
             // A client may send nothing before UP: nobody could say what its lines belong to.
@@ -175,7 +177,7 @@
         }
     }
 
-    fn forward_client_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+    fn forward_client_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         let SessionState::Established(established) = &mut session.state else { return };
         let server_connection = established.server_connection;
@@ -192,24 +194,30 @@
         let all_forwarded = ctx.net.input_buffer(token).is_none_or(|left| left.is_empty());
         if ctx.net.is_read_closed(token) && all_forwarded {
             ctx.net.shutdown_write(server_connection);
-            ctx.wheel.schedule(ctx.now + HALF_CLOSED_TIMEOUT, Due::Timer(TEXT, token));
+            ctx.wheel.schedule(ctx.now + HALF_CLOSED_TIMEOUT, TimerEvent::FrontTimer(TEXT_FRONT, token));
         }
     }
 
     // ---- Ending --------------------------------------------------------------------------------
 
     /// Sends the final answer of a client that has none, and closes its connection.
-    pub(super) fn answer_and_close(&mut self, ctx: &mut Ctx, token: Token, answer: &[u8]) {
+    pub(super) fn answer_and_close(&mut self, ctx: &mut FrontContext, token: Token, answer: &[u8]) {
         ctx.net.send(token, answer);
         self.remove_session(ctx, token);
         ctx.net.close(token);
     }
 
     /// Ends an established session: both connections end, the same way.
-    pub(super) fn end_session(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    pub(super) fn end_session(
+        &mut self,
+        ctx: &mut FrontContext,
+        client: Token,
+        outcome: Outcome,
+        by_reset: bool,
+    ) {
         let Some(session) = self.sessions.get(&client) else { return };
         if let Some(request_id) = session.request_id {
-            ctx.requests.task_ended(ctx.now, request_id, outcome);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
         }
         if by_reset {
             for token in [Some(client), session.server_connection()].into_iter().flatten() {
@@ -223,7 +231,7 @@
     }
 
     /// Removes all that is known of a client, and ends its attempt.
-    pub(super) fn remove_session(&mut self, ctx: &mut Ctx, client: Token) {
+    pub(super) fn remove_session(&mut self, ctx: &mut FrontContext, client: Token) {
         self.connections.remove(&client);
         let Some(session) = self.sessions.remove(&client) else { return };
         session.trace("over", ctx);
--- a/src/front/text/handover.rs
+++ b/src/front/text/handover.rs
@@ -4,8 +4,9 @@
 use super::server_side::ServerConnectionEvent;
 use super::session::{arrival, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState};
 use super::TextFront;
-use crate::front::{Ctx, TransferredConnection, TEXT};
+use crate::front::{FrontContext, TransferredConnection, TEXT_FRONT};
 use crate::net::{BufferedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use crate::requests::HandedOverConnection;
 use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -62,7 +63,7 @@
 
 impl TextFront {
     /// The clients' connections that can go on in another process as they are, at most so many.
-    pub(super) fn transferable_connections(&self, ctx: &Ctx, max_connections: usize) -> Vec<Token> {
+    pub(super) fn transferable_connections(&self, ctx: &FrontContext, max_connections: usize) -> Vec<Token> {
         let mut tokens: Vec<Token> =
             self.connections.keys().filter(|token| self.can_transfer(ctx, **token)).copied().collect();
         tokens.sort_unstable();
@@ -70,7 +71,7 @@
         tokens
     }
 
-    fn can_transfer(&self, ctx: &Ctx, client: Token) -> bool {
+    fn can_transfer(&self, ctx: &FrontContext, client: Token) -> bool {
         let is_ready = |token: Token| {
             ctx.net.can_transfer(token) && ctx.net.pending_output_bytes(token) < MAX_TRANSFERRED_OUTPUT_BYTES
         };
@@ -86,7 +87,11 @@
     }
 
     /// Takes a client's connection out of this process.
-    pub(super) fn export_client(&mut self, ctx: &mut Ctx, token: Token) -> Option<TransferredConnection> {
+    pub(super) fn export_client(
+        &mut self,
+        ctx: &mut FrontContext,
+        token: Token,
+    ) -> Option<TransferredConnection> {
         let role = self.connections.remove(&token)?;
         let (client_fd, client) = ctx.net.export_connection(token)?;
         match role {
@@ -104,7 +109,7 @@
 
     fn export_session(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         client_fd: OwnedFd,
         client: BufferedConnection,
@@ -117,7 +122,7 @@
         let transferred = TransferredEstablished {
             request_line: session.open.line().to_string(),
             server_name: endpoint.name().to_string(),
-            started_at: session.request_id.and_then(|request_id| ctx.requests.passed_on(request_id))?,
+            started_at: session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?,
             unanswered_since: established.unanswered_since,
             ending: established.ending,
             load: established.load,
@@ -135,7 +140,7 @@
     /// Goes on with a client's connection of the process before this one.
     pub(super) fn import_client(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         transferred: TransferredConnection,
     ) -> Result<(), UnreadableConnection> {
         let session = serde_json::from_str(&transferred.text).map_err(|_| UnreadableConnection)?;
@@ -158,21 +163,27 @@
 
     fn continue_session(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         client: Token,
         server_connection: Token,
         transferred: &TransferredEstablished,
     ) {
         let open = parse_open(ctx, &transferred.request_line);
-        let (Some(open), Some(server)) = (open, ctx.registry.named(&transferred.server_name)) else {
+        let (Some(open), Some(server)) = (open, ctx.registry.id_of(&transferred.server_name)) else {
             // It was placed under other classes, or on a server that is unknown here: it is placed anew.
             ctx.net.send(client, b"MOVE\r\n");
             ctx.net.close(client);
             ctx.net.close(server_connection);
             return;
         };
-        let times = (ctx.now, transferred.started_at);
-        let request_id = ctx.requests.taken_over(times, TEXT, arrival(&open), server, transferred.load);
+        let connection = HandedOverConnection {
+            front: TEXT_FRONT,
+            arrival: arrival(&open),
+            server,
+            started_at: transferred.started_at,
+            load: transferred.load,
+        };
+        let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
         self.open_ids.insert(open.id.clone());
         self.connections.insert(client, ConnectionRole::Client);
         self.connections.insert(server_connection, ConnectionRole::Server { client });
@@ -197,20 +208,22 @@
     }
 }
 
-fn parse_open(ctx: &Ctx, line: &str) -> Option<OpenRequest> {
-    match RequestLine::parse(line.as_bytes(), ctx.facts, ctx.classes) {
+fn parse_open(ctx: &FrontContext, line: &str) -> Option<OpenRequest> {
+    match RequestLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
         Some(RequestLine::Open(open)) => Some(open),
         Some(RequestLine::Ping) | None => None,
     }
 }
 
 fn import_connection(
-    ctx: &mut Ctx,
+    ctx: &mut FrontContext,
     fd: Option<OwnedFd>,
     connection: BufferedConnection,
 ) -> Result<Token, UnreadableConnection> {
     let fd = fd.ok_or(UnreadableConnection)?;
-    ctx.net.import_connection(fd, connection, SocketOwner::Front(TEXT)).map_err(|_| UnreadableConnection)
+    ctx.net
+        .import_connection(fd, connection, SocketOwner::Front(TEXT_FRONT))
+        .map_err(|_| UnreadableConnection)
 }
 
 #[cfg(test)]
--- a/src/front/text/health_check.rs
+++ b/src/front/text/health_check.rs
@@ -11,7 +11,7 @@
 use super::load_report::{LoadReport, UTILIZATION};
 use super::session::ConnectionRole;
 use super::TextFront;
-use crate::front::{Ctx, Due, TEXT};
+use crate::front::{FrontContext, TimerEvent, TEXT_FRONT};
 use crate::net::{SocketOwner, Token};
 use crate::vocabulary::{Event, Nanos, ServerId};
 use std::collections::HashMap;
@@ -102,32 +102,32 @@
 
 impl TextFront {
     /// Sends a health check, on the server's connection for them or on a new one.
-    pub(super) fn start_health_check(&mut self, ctx: &mut Ctx, server: ServerId) {
+    pub(super) fn start_health_check(&mut self, ctx: &mut FrontContext, server: ServerId) {
         let token = match self.health_checks.begin(ctx.now, server) {
             CheckStep::AlreadyInFlight => return,
             CheckStep::Reuse(token) => token,
             CheckStep::Connect => {
                 let Some(token) = self.connect_for_health_checks(ctx, server) else {
-                    return ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+                    return ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
                 };
                 token
             }
         };
-        ctx.requests.counters.probes += 1;
+        ctx.requests.counters.health_checks += 1;
         ctx.net.send(token, HEALTH_CHECK_LINE);
-        ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, Due::Timer(TEXT, token));
+        ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, TimerEvent::FrontTimer(TEXT_FRONT, token));
     }
 
-    fn connect_for_health_checks(&mut self, ctx: &mut Ctx, server: ServerId) -> Option<Token> {
-        let addr = ctx.registry.entry(server)?.addr();
-        let token = ctx.net.connect(addr, SocketOwner::Front(TEXT)).ok()?;
+    fn connect_for_health_checks(&mut self, ctx: &mut FrontContext, server: ServerId) -> Option<Token> {
+        let addr = ctx.registry.entry(server)?.address();
+        let token = ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)).ok()?;
         self.health_checks.add_connection(ctx.now, server, token);
         self.connections.insert(token, ConnectionRole::HealthCheck);
         Some(token)
     }
 
     /// Lines on a health-check connection: each answers the check in flight on it, if any.
-    pub(super) fn on_health_check_input(&mut self, ctx: &mut Ctx, token: Token, failed: bool) {
+    pub(super) fn on_health_check_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
         while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
                 LineRead::Incomplete => break,
@@ -145,19 +145,19 @@
     }
 
     /// Closes a health-check connection. The check in flight on it, if any, has no result.
-    pub(super) fn end_health_check(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn end_health_check(&mut self, ctx: &mut FrontContext, token: Token) {
         self.connections.remove(&token);
         ctx.net.close(token);
         if let Some(EndedConnection { server, was_in_flight: true }) =
             self.health_checks.remove_connection(token)
         {
-            ctx.requests.tell(Event::HealthCheckResult { server, over: None });
+            ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
         }
     }
 }
 
-fn report_health_check_answer(ctx: &mut Ctx, server: ServerId, line: &[u8]) {
-    let over = match LoadReport::parse_health_check_answer(&String::from_utf8_lossy(line)) {
+fn report_health_check_answer(ctx: &mut FrontContext, server: ServerId, line: &[u8]) {
+    let utilization = match LoadReport::parse_health_check_answer(&String::from_utf8_lossy(line)) {
         Ok(report) => report.and_then(|report| report.get(UTILIZATION)),
         Err(error) => {
             crate::log::line(format_args!("server-protocol-error reason=probe: {error}"));
@@ -165,8 +165,8 @@
         }
     };
     let name = ctx.registry.entry(server).map_or("?", |endpoint| endpoint.name());
-    crate::log::trace(format_args!("trace probe server={name} over={over:?}"));
-    ctx.requests.tell(Event::HealthCheckResult { server, over });
+    crate::log::trace(format_args!("trace probe server={name} over={utilization:?}"));
+    ctx.requests.push_event(Event::HealthCheckResult { server, utilization });
 }
 
 #[cfg(test)]
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -21,7 +21,7 @@
 mod server_side;
 mod session;
 
-use super::{Ctx, Front, TransferredConnection};
+use super::{Front, FrontContext, TransferredConnection};
 use crate::net::{SocketEvent, SocketEventKind, Token};
 use crate::vocabulary::{Event, Nanos, Outcome, RequestId, ServerId};
 use health_check::HealthChecks;
@@ -54,7 +54,7 @@
     }
 
     /// Migrates the clients whose servers have stopped answering.
-    fn migrate_from_silent_servers(&mut self, ctx: &mut Ctx) {
+    fn migrate_from_silent_servers(&mut self, ctx: &mut FrontContext) {
         let now = ctx.now;
         let is_silent = |session: &Session| {
             let since = session.established().and_then(|established| established.unanswered_since);
@@ -68,31 +68,31 @@
             .collect();
         for request_id in silent {
             crate::log::trace(format_args!("trace silent request={}", request_id.0));
-            ctx.requests.moved(now, request_id, Outcome::Reset);
+            ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
     }
 
     /// Reports latencies, where the settings say that the balancer uses them.
-    fn report_latencies(&mut self, ctx: &mut Ctx) {
-        if !ctx.facts.family_info.tells_delay || !self.latencies.begin_report(ctx.now) {
+    fn report_latencies(&mut self, ctx: &mut FrontContext) {
+        if !ctx.site.family_info.reports_message_latency || !self.latencies.begin_report(ctx.now) {
             return;
         }
         let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
         let objective = objectives.min().unwrap_or(Nanos::MAX);
         for report in self.latencies.take_reports(objective) {
-            ctx.requests.tell(Event::LatencyReport { server: report.server, delay: report.latency });
+            ctx.requests.push_event(Event::LatencyReport { server: report.server, latency: report.latency });
         }
     }
 
     /// Removes a connection that has no session and closes it.
-    fn close_connection(&mut self, ctx: &mut Ctx, token: Token) {
+    fn close_connection(&mut self, ctx: &mut FrontContext, token: Token) {
         self.connections.remove(&token);
         ctx.net.close(token);
     }
 
     /// Input, capacity for output, or a failure at a connection.
-    fn on_connection_event(&mut self, ctx: &mut Ctx, token: Token, event: ServerConnectionEvent) {
+    fn on_connection_event(&mut self, ctx: &mut FrontContext, token: Token, event: ServerConnectionEvent) {
         let failed = matches!(event, ServerConnectionEvent::Failed { .. });
         match self.connections.get(&token) {
             None => ctx.net.close(token),
@@ -112,14 +112,14 @@
         self.sessions.is_empty()
     }
 
-    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
-        let token = notice.token;
-        match notice.kind {
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+        let token = event.token;
+        match event.kind {
             SocketEventKind::Accepted => {
                 self.connections.insert(token, ConnectionRole::AwaitingRequest { pings: 0 });
             }
             SocketEventKind::Evicted => {
-                ctx.requests.counters.silent += 1;
+                ctx.requests.counters.idle_closed += 1;
                 self.connections.remove(&token);
             }
             SocketEventKind::HandshakeTimeout => {
@@ -136,7 +136,13 @@
         }
     }
 
-    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+    ) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // No attempt is started for a client that has disconnected by now, nor at a server that has begun to drain
         // in this very turn, after it was selected.
@@ -145,15 +151,15 @@
         if has_input || ctx.net.is_read_closed(client) || ctx.net.is_failed(client) {
             return self.on_client_input(ctx, client, ctx.net.is_failed(client));
         }
-        let is_serving = ctx.registry.entry(server).is_some_and(|endpoint| endpoint.serving());
+        let is_serving = ctx.registry.entry(server).is_some_and(|endpoint| endpoint.is_ready());
         if !ctx.net.has_descriptor_for_attempt() || !is_serving {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::Rejected);
-        } else if !self.connect_to_server(ctx, client, server, wait) {
-            ctx.requests.task_ended(ctx.now, request_id, Outcome::ConnectFailed);
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Rejected);
+        } else if !self.connect_to_server(ctx, client, server, timeout) {
+            ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::ConnectFailed);
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
         let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
         let connection = self.sessions.get(&client).and_then(|session| session.server_connection());
         let is_unsent = connection.is_some_and(|connection| {
@@ -167,9 +173,9 @@
         }
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos) {
         if let Some(client) = self.clients.get(&request_id).copied() {
-            let answer = match cool_down / 1_000_000 {
+            let answer = match retry_after / 1_000_000 {
                 0 => "BUSY\r\n".to_string(),
                 ms => format!("BUSY {ms}\r\n"),
             };
@@ -177,34 +183,38 @@
         }
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer_and_close(ctx, client, b"ERR\r\n");
         }
     }
 
-    fn probe(&mut self, ctx: &mut Ctx, server: ServerId) {
+    fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
         self.start_health_check(ctx, server);
     }
 
-    fn migrate(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer_and_close(ctx, client, b"MOVE\r\n");
         }
     }
 
-    fn pass_on(&mut self, ctx: &mut Ctx, most: usize) -> Vec<TransferredConnection> {
-        let tokens = self.transferable_connections(ctx, most);
+    fn hand_over_connections(
+        &mut self,
+        ctx: &mut FrontContext,
+        max_connections: usize,
+    ) -> Vec<TransferredConnection> {
+        let tokens = self.transferable_connections(ctx, max_connections);
         tokens.into_iter().filter_map(|token| self.export_client(ctx, token)).collect()
     }
 
-    fn take_in(&mut self, ctx: &mut Ctx, transferred_connection: TransferredConnection) {
-        if let Err(error) = self.import_client(ctx, transferred_connection) {
-            crate::log::line(format_args!("takeover-lost {error}"));
+    fn receive_connection(&mut self, ctx: &mut FrontContext, connection: TransferredConnection) {
+        if let Err(error) = self.import_client(ctx, connection) {
+            crate::log::line(format_args!("handover-lost {error}"));
         }
     }
 
-    fn dial_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, token: Token) {
         if !ctx.net.is_connecting(token) {
             return;
         }
@@ -215,7 +225,7 @@
 
     /// Three timers: of a health check, of a session that is being restored, and of a connection whose client has
     /// ended its sending.
-    fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
         if self.health_checks.has_timed_out(token, ctx.now) {
             return self.end_health_check(ctx, token);
         }
@@ -228,7 +238,7 @@
     }
 
     /// Attempts of which no byte has gone out are cancelled.
-    fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
         let is_unsent = |session: &Session| match session.state {
             SessionState::Attempting { server_connection } => !ctx.net.has_written(server_connection),
             SessionState::AwaitingAttempt | SessionState::Established(_) => false,
@@ -246,8 +256,8 @@
     }
 
     /// Connections without a request end with the process.
-    fn leave(&mut self, ctx: &mut Ctx) {
-        if !ctx.closing {
+    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
+        if !ctx.shutting_down {
             return;
         }
         let is_awaiting = |role: &ConnectionRole| matches!(role, ConnectionRole::AwaitingRequest { .. });
@@ -259,7 +269,7 @@
         }
     }
 
-    fn look(&mut self, ctx: &mut Ctx) {
+    fn on_tick(&mut self, ctx: &mut FrontContext) {
         self.migrate_from_silent_servers(ctx);
         self.report_latencies(ctx);
     }
--- a/src/front/text/request_line.rs
+++ b/src/front/text/request_line.rs
@@ -1,8 +1,8 @@
 //! A client's request line: read completely and checked before the requests module receives it.
 
-use crate::config::Facts;
+use crate::config::SiteSettings;
 use crate::hash::fnv1a;
-use crate::vocabulary::{Class, Nanos};
+use crate::vocabulary::{Nanos, RequestClass};
 use std::ops::Range;
 
 /// The longest id or key, in bytes.
@@ -35,7 +35,7 @@
     /// The class's index in the settings.
     pub(super) class: usize,
     /// How long the client waits.
-    pub(super) grace: Nanos,
+    pub(super) time_left: Nanos,
     /// The request's subject.
     pub(super) key: u64,
     /// The group that shares work on a server.
@@ -52,7 +52,7 @@
 
 impl RequestLine {
     /// Parses a line with its end. None is a line that no server could use: the node answers it itself, at once.
-    pub(super) fn parse(line: &[u8], facts: &Facts, classes: &[Class]) -> Option<RequestLine> {
+    pub(super) fn parse(line: &[u8], site: &SiteSettings, classes: &[RequestClass]) -> Option<RequestLine> {
         let text = std::str::from_utf8(line).ok()?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -62,7 +62,7 @@
         if text.chars().any(char::is_control) {
             return None;
         }
-        OpenRequest::parse(text, facts, classes).map(RequestLine::Open)
+        OpenRequest::parse(text, site, classes).map(RequestLine::Open)
     }
 }
 
@@ -81,21 +81,21 @@
 
 impl OpenFields {
     /// Parses the list of pairs, which begins at this offset of the line.
-    fn parse(list: &str, list_offset: usize, facts: &Facts) -> Option<OpenFields> {
+    fn parse(list: &str, list_offset: usize, site: &SiteSettings) -> Option<OpenFields> {
         let mut fields = OpenFields::default();
         let mut pair_offset = list_offset;
         for pair in list.split(',') {
-            fields.set(pair, pair_offset, facts)?;
+            fields.set(pair, pair_offset, site)?;
             pair_offset += pair.len() + 1;
         }
         Some(fields)
     }
 
-    fn set(&mut self, pair: &str, pair_offset: usize, facts: &Facts) -> Option<()> {
+    fn set(&mut self, pair: &str, pair_offset: usize, site: &SiteSettings) -> Option<()> {
         let (name, value) = pair.split_once('=')?;
         match name {
             "c" if self.class.is_none() => {
-                self.class = Some(facts.classes.iter().position(|class| class.name == value)?);
+                self.class = Some(site.classes.iter().position(|class| class.name == value)?);
             }
             "d" if self.deadline_ms.is_none() => {
                 self.deadline_ms = Some(parse_milliseconds(value)?);
@@ -115,7 +115,7 @@
 }
 
 impl OpenRequest {
-    fn parse(line: &str, facts: &Facts, classes: &[Class]) -> Option<OpenRequest> {
+    fn parse(line: &str, site: &SiteSettings, classes: &[RequestClass]) -> Option<OpenRequest> {
         let mut words = line.split(' ');
         let verb = words.next()?;
         let id = words.next()?;
@@ -124,13 +124,13 @@
         if verb != "OPEN" || !is_valid_id(id) || !is_valid_id(key) || words.next().is_some() {
             return None;
         }
-        let fields = OpenFields::parse(list, line.len() - list.len(), facts)?;
+        let fields = OpenFields::parse(list, line.len() - list.len(), site)?;
         let class = fields.class?;
         let is_placement = fields.resumed_at.is_none();
         if is_placement && fields.deadline_ms.is_some_and(|ms| ms > MAX_DEADLINE_MS) {
             return None;
         }
-        let grace = match fields.deadline_ms {
+        let time_left = match fields.deadline_ms {
             Some(ms) => ms * NANOS_PER_MS,
             None => classes.get(class)?.hard_limit,
         };
@@ -139,7 +139,7 @@
             line: line.to_string(),
             deadline_value: fields.deadline_value,
             class,
-            grace,
+            time_left,
             key: u64::from_str_radix(key, 16).unwrap_or_else(|_| fnv1a(key)),
             group: fields.group,
             reconnect: fields.reconnect,
--- a/src/front/text/server_side.rs
+++ b/src/front/text/server_side.rs
@@ -5,7 +5,7 @@
 use super::request_line::parse_load;
 use super::session::{arrival, ConnectionRole, SessionEnding, SessionState};
 use super::TextFront;
-use crate::front::{Ctx, TEXT};
+use crate::front::{FrontContext, TEXT_FRONT};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Event, Outcome, RequestId};
 use std::ops::ControlFlow;
@@ -26,7 +26,7 @@
     /// Something happened at a connection to a server.
     pub(super) fn on_server_event(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         client: Token,
         server_connection: Token,
         event: ServerConnectionEvent,
@@ -56,7 +56,7 @@
     /// attempt has ended over a line.
     fn handle_server_lines(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         client: Token,
         server_connection: Token,
     ) -> ControlFlow<()> {
@@ -84,7 +84,13 @@
     }
 
     /// The server has ended its sending.
-    fn on_server_end(&mut self, ctx: &mut Ctx, client: Token, server_connection: Token, established: bool) {
+    fn on_server_end(
+        &mut self,
+        ctx: &mut FrontContext,
+        client: Token,
+        server_connection: Token,
+        established: bool,
+    ) {
         if established {
             let rest = ctx.net.input_buffer(server_connection).map(std::mem::take).unwrap_or_default();
             ctx.net.send(client, &rest);
@@ -95,7 +101,7 @@
     }
 
     /// The first line of a server answers the request line.
-    fn on_first_answer(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+    fn on_first_answer(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
         let word = line.split(|byte| byte.is_ascii_whitespace()).next().unwrap_or(b"");
         let outcome = match word {
             b"UP" => return self.on_server_accepts(ctx, client, line),
@@ -116,13 +122,14 @@
         self.on_attempt_end(ctx, client, outcome, false);
     }
 
-    fn on_server_accepts(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+    fn on_server_accepts(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         match session.request_id {
-            Some(request_id) => ctx.requests.up(ctx.now, request_id),
+            Some(request_id) => ctx.requests.on_established(ctx.now, request_id),
             None => {
                 let Some(server) = session.server else { return };
-                let request_id = ctx.requests.resume(ctx.now, TEXT, arrival(&session.open), server);
+                let request_id =
+                    ctx.requests.restore_established(ctx.now, TEXT_FRONT, arrival(&session.open), server);
                 session.request_id = Some(request_id);
                 self.clients.insert(request_id, client);
             }
@@ -134,7 +141,7 @@
     }
 
     /// Forwards a line of an established session and records what it says.
-    fn forward_server_line(&mut self, ctx: &mut Ctx, client: Token, line: &[u8]) {
+    fn forward_server_line(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let SessionState::Established(established) = &mut session.state else { return };
         let text = line.trim_ascii_end();
@@ -168,7 +175,13 @@
     }
 
     /// The attempt has ended, before or after the session was established.
-    pub(super) fn on_attempt_end(&mut self, ctx: &mut Ctx, client: Token, outcome: Outcome, by_reset: bool) {
+    pub(super) fn on_attempt_end(
+        &mut self,
+        ctx: &mut FrontContext,
+        client: Token,
+        outcome: Outcome,
+        by_reset: bool,
+    ) {
         let Some(session) = self.sessions.get(&client) else { return };
         if let Some(established) = session.established() {
             let ending = established.ending;
@@ -186,7 +199,7 @@
         self.drop_attempt(ctx, client);
         match request_id {
             Some(request_id) => {
-                ctx.requests.task_ended(ctx.now, request_id, outcome);
+                ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
             }
             None if outcome == Outcome::Rejected => self.answer_and_close(ctx, client, b"BUSY\r\n"),
             None => self.answer_and_close(ctx, client, b"ERR\r\n"),
@@ -194,7 +207,7 @@
     }
 
     /// Ends a client's attempt; the request waits for another one.
-    pub(super) fn drop_attempt(&mut self, ctx: &mut Ctx, client: Token) {
+    pub(super) fn drop_attempt(&mut self, ctx: &mut FrontContext, client: Token) {
         if let Some(session) = self.sessions.get_mut(&client) {
             let state = std::mem::replace(&mut session.state, SessionState::AwaitingAttempt);
             self.close_server_connection(ctx, &state);
@@ -203,7 +216,7 @@
 
     /// Closes the connection to the server, if there is one. What is left of a request line must not be written
     /// any more: complete, it would be an attempt.
-    pub(super) fn close_server_connection(&mut self, ctx: &mut Ctx, state: &SessionState) {
+    pub(super) fn close_server_connection(&mut self, ctx: &mut FrontContext, state: &SessionState) {
         match state {
             SessionState::AwaitingAttempt => {}
             SessionState::Attempting { server_connection } => {
@@ -230,7 +243,7 @@
     }
 }
 
-fn report_load(ctx: &mut Ctx, id: RequestId, cost: crate::vocabulary::Nanos) {
+fn report_load(ctx: &mut FrontContext, id: RequestId, cost: crate::vocabulary::Nanos) {
     crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
-    ctx.requests.tell(Event::LoadReport { id, cost });
+    ctx.requests.push_event(Event::LoadReport { id, cost });
 }
--- a/src/front/text/session.rs
+++ b/src/front/text/session.rs
@@ -1,7 +1,7 @@
 //! A client's session: its request, and how far it has got.
 
 use super::request_line::OpenRequest;
-use crate::front::{Ctx, ANSWER_MARGIN};
+use crate::front::{FrontContext, ANSWER_MARGIN};
 use crate::net::Token;
 use crate::vocabulary::{Arrival, Nanos, RequestId, ServerId};
 use serde::{Deserialize, Serialize};
@@ -106,8 +106,8 @@
     }
 
     /// Writes the session's state to the trace, if that is on.
-    pub(super) fn trace(&self, what: &str, ctx: &Ctx) {
-        if !crate::log::tracing() {
+    pub(super) fn trace(&self, what: &str, ctx: &FrontContext) {
+        if !crate::log::is_trace_enabled() {
             return;
         }
         let request_id = self.request_id.map_or(0, |request_id| request_id.0);
@@ -131,7 +131,7 @@
     Arrival {
         id: RequestId(0),
         class: open.class,
-        grace: open.grace.saturating_sub(ANSWER_MARGIN),
+        time_left: open.time_left.saturating_sub(ANSWER_MARGIN),
         cost: open.load_hint,
         key: Some(open.key),
         group: open.group,
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
 //! The wire of the nodes' simulator: serde types and their translation. Nothing is decided here.
 
-use crate::config::json::parse;
-use crate::config::settings::{settings, SettingsDocument};
+use crate::config::settings::SettingsDocument;
 use crate::hash::fnv1a;
+use crate::json;
 use crate::policy::Balancer;
 use crate::vocabulary::*;
 use serde::{Deserialize, Serialize};
@@ -309,7 +309,7 @@
         Arrival {
             id: RequestId(wire.request_id),
             class: wire.category,
-            grace: wire.grace_ns,
+            time_left: wire.grace_ns,
             cost: wire.cost_ns,
             key: wire.key,
             group: wire.group,
@@ -321,13 +321,15 @@
 
     fn out(&self, action: Action) -> Out<'static> {
         match action {
-            Action::StartAttempt { id, server, give_up } => Out::Try {
+            Action::StartAttempt { id, server, timeout } => Out::Try {
                 request_id: id.0,
                 backend: Cow::Owned(self.names[server.0 as usize].to_string()),
-                give_up_after_ns: give_up,
+                give_up_after_ns: timeout,
             },
             Action::CancelAttempt { id, attempt } => Out::Recall { request_id: id.0, attempt },
-            Action::Reject { id, cool_down } => Out::Decline { request_id: id.0, cool_down_ns: cool_down },
+            Action::Reject { id, retry_after } => {
+                Out::Decline { request_id: id.0, cool_down_ns: retry_after }
+            }
             Action::Fail(id) => Out::ReportFailure { request_id: id.0 },
             Action::Migrate(id) => Out::GoAway { request_id: id.0 },
             Action::HealthCheck(server) => {
@@ -344,6 +346,10 @@
     1.0
 }
 
+fn parse<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, String> {
+    json::parse(text).map_err(|e| e.to_string())
+}
+
 /// Hosts instances: takes batches, gives replies.
 #[derive(Default)]
 pub struct Host {
@@ -403,7 +409,7 @@
             "INIT" => {
                 let init: InInit = parse(raw)?;
                 let balancer =
-                    Balancer::new(init.seed, settings(init.settings)).map_err(|e| e.to_string())?;
+                    Balancer::new(init.seed, Settings::from(init.settings)).map_err(|e| e.to_string())?;
                 let (numbers, names) = (HashMap::new(), Vec::new());
                 self.instances.insert(id, Instance { balancer, numbers, names });
                 return Ok(());
@@ -442,7 +448,7 @@
             "ESTABLISHED" => {
                 let wire: InEstablished = parse(raw)?;
                 let server = instance.number(&wire.backend);
-                Event::Established { id: RequestId(wire.request_id), server, waited: wire.wait_time_ns }
+                Event::Established { id: RequestId(wire.request_id), server, setup_time: wire.wait_time_ns }
             }
             "UPDATE_OF" => {
                 let wire: InUpdate = parse(raw)?;
@@ -451,7 +457,7 @@
                     1 => {
                         Event::LoadReport { id: RequestId(wire.request_id), cost: (wire.level * 1e3) as u64 }
                     }
-                    2 => Event::LatencyReport { server, delay: (wire.level * 1e6) as u64 },
+                    2 => Event::LatencyReport { server, latency: (wire.level * 1e6) as u64 },
                     _ => return Ok(()),
                 }
             }
@@ -469,7 +475,7 @@
             "CHECK_RESULT" => {
                 let wire: InChecked = parse(raw)?;
                 let over = wire.gauge.and_then(|g| g.get("x0").copied()).filter(|_| wire.status == 100);
-                Event::HealthCheckResult { server: instance.number(&wire.backend), over }
+                Event::HealthCheckResult { server: instance.number(&wire.backend), utilization: over }
             }
             "MAIL" => return Ok(()),
             _ => return Err("field msg: unknown event".to_string()),
