--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -324,7 +324,7 @@
         std::thread::spawn(move || server(copy, stop));
     }
     let bench = node(servers);
-    let (pid, addr) = (bench.child.id(), bench.amqp.expect("the front is on"));
+    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("the front is on"));
     let small = message(60_000, "7f3a", &[7; 200]);
     println!("{} octets a message, {SERVERS} servers", small.len());
     clients(pid, addr, 4, items / 10, &small, 64, None);
@@ -367,7 +367,7 @@
 /// 1,000 connections with 4 links each.
 fn memory() {
     let bench = node(vec![listener()]);
-    let (pid, addr) = (bench.child.id(), bench.amqp.expect("on"));
+    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("on"));
     let before = resident_mb(pid);
     let mut ends = Vec::new();
     for _ in 0..1000 {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -123,7 +123,7 @@
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!(says(&bench), "BUSY");
     assert_eq!(client.read_line(), "MOVE");
-    assert!(bench.child.wait().expect("it ends").success());
+    assert!(bench.process.child.wait().expect("it ends").success());
 }
 
 /// What a node says that does not start with this operators' address.
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -276,7 +276,7 @@
     assert_eq!(answer(&mut client), State::Accepted);
     let error = until!(client, Close).0.error.expect("why");
     assert_eq!(error.condition, condition::CONNECTION_FORCED);
-    assert!(bench.child.wait().expect("it ends").success());
+    assert!(bench.process.child.wait().expect("it ends").success());
 }
 
 /// How attempts go, in turn, at whichever server they come to.
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -36,7 +36,7 @@
             assert!(until!(client, Flow).0.link_credit > Some(0));
         }
     }
-    let held = resident(bench.child.id());
+    let held = resident(bench.process.child.id());
     assert!(held < 32.0, "{held:.1} MB for 10,000 links");
     println!("{held:.1} MB resident with 10,000 links");
     // The last link of each connection carries a delivery.
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -122,7 +122,7 @@
     drop(watch);
     bench.wait_for_log("list-lost reason=Ended");
     let open_descriptors =
-        || std::fs::read_dir(format!("/proc/{}/fd", bench.child.id())).expect("listed").count();
+        || std::fs::read_dir(format!("/proc/{}/fd", bench.process.child.id())).expect("listed").count();
     let held = open_descriptors();
     assert!(held <= 72, "{held} descriptors");
     let mut watch = bench.accept_watch();
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -58,7 +58,7 @@
 
 impl Node {
     /// Starts a successor and waits until it serves; gives the old process.
-    fn upgraded(&mut self) -> Process {
+    fn upgraded(&mut self) -> NodeProcess {
         let mut old = self.bench.start_successor();
         self.operator = operator(&mut self.bench);
         self.bench.wait_for_log("handover-from-predecessor");
@@ -160,7 +160,7 @@
     let (mut client, mut task) = established_client(&node.bench, 1);
     node.bench.rewrite_config(|_| "{".to_string());
     let mut failed = node.bench.spawn_duplicate();
-    assert_eq!(failed.wait().expect("it ends").code(), Some(2));
+    assert_eq!(failed.child.wait().expect("it ends").code(), Some(2));
     echo(&mut client, &mut task, "M 1 x");
     let _second = established_client(&node.bench, 2);
     assert_eq!(node.bench.counter("handovers"), 0);
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -13,7 +13,7 @@
 /// The node ends by itself before it would be killed; gives its last counters.
 fn ends(mut bench: Bench, told: Instant) -> String {
     let counters = bench.wait_for_log("counters");
-    assert!(bench.child.wait().expect("it ends").success(), "exit 0");
+    assert!(bench.process.child.wait().expect("it ends").success(), "exit 0");
     assert!(told.elapsed() < KILLED_AFTER, "{:?} after SIGTERM", told.elapsed());
     counters
 }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -274,7 +274,7 @@
     assert_eq!([first.read_line(), second.read_line()], ["MOVE", "MOVE"]);
     let counters = bench.wait_for_log("counters");
     assert_eq!([counter_value(&counters, "served"), counter_value(&counters, "migrated")], [2, 2]);
-    assert!(bench.child.wait().expect("it ends").success());
+    assert!(bench.process.child.wait().expect("it ends").success());
 }
 
 /// SIGKILL comes 0.7 s after the longest deadline: a request that no server answers is not left to it.
@@ -289,7 +289,7 @@
     hung.expect_closed();
     client.expect_closed();
     assert_eq!(counter_value(&bench.wait_for_log("counters"), "failed"), 1);
-    assert!(bench.child.wait().expect("it ends").success());
+    assert!(bench.process.child.wait().expect("it ends").success());
 }
 
 /// What is over, or has said nothing, makes room for a request; the oldest goes first.
@@ -374,7 +374,7 @@
 fn descriptors(bench: &Bench, most: u64) {
     use rustix::process::{prlimit, Pid, Resource, Rlimit};
     let few = Rlimit { current: Some(most), maximum: Some(1024) };
-    prlimit(Some(Pid::from_child(&bench.child)), Resource::Nofile, few).expect("a limit");
+    prlimit(Some(Pid::from_child(&bench.process.child)), Resource::Nofile, few).expect("a limit");
 }
 
 #[rstest]
