--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,7 +1,11 @@
-//! The decisions: which server an attempt goes to, when a retry is due, what is rejected and what is migrated.
+//! The decisions: which server an attempt goes to, when a retry is due, what is rejected and migrated.
 //!
-//! [`Balancer`] takes events and returns actions ([`crate::vocabulary`]). It has no clock and does no I/O.
+//! [`Balancer`] takes events and gives actions. It builds on the mechanisms in [`crate::resilience`].
 
 mod balancer;
+mod migration;
+mod request;
+mod selection;
+mod server;
 
 pub use balancer::Balancer;
--- /dev/null
+++ b/src/policy/request.rs
@@ -0,0 +1,64 @@
+//! The state of one request.
+
+use crate::random::mix64;
+use crate::resilience::AttemptHistory;
+use crate::vocabulary::{Arrival, Nanos, RequestId};
+use std::collections::BTreeMap;
+
+/// All requests of this node that are not over, in the order of their ids.
+pub(super) type Requests = BTreeMap<RequestId, Request>;
+
+#[derive(Clone, Copy, Default, PartialEq)]
+pub(super) enum Phase {
+    /// Waits for its backoff timer.
+    #[default]
+    BackingOff,
+    /// Has an attempt in flight.
+    Attempting,
+    /// Has an established connection.
+    Established,
+}
+
+#[derive(Default)]
+pub(super) struct Request {
+    pub class: usize,
+    pub deadline: Nanos,
+    pub phase: Phase,
+    pub attempts: AttemptHistory,
+    /// Backoffs begun, after attempts that failed and selections that found no server.
+    pub backoffs: u32,
+    /// Seed of its candidates; drawn from its group or key, so that it is the same at every node.
+    pub candidate_seed: u64,
+    /// Its own random number, which decides whether a server in slow start may take it.
+    pub slow_start_roll: u64,
+    pub group: Option<u64>,
+    pub rerouted: bool,
+    /// The client reconnects or retries: the first attempt is admitted like a retry.
+    pub client_retry: bool,
+    /// It is counted among those that wait for admission.
+    pub queued: bool,
+    /// Load in nanoseconds of work per second; zero if unknown.
+    pub cost: Nanos,
+    /// The client is gone or was migrated; the request stays until its attempt or connection has ended.
+    pub is_over: bool,
+}
+
+impl Request {
+    /// `roll` is a uniform random number of this node.
+    pub fn new(arrival: &Arrival, class: usize, now: Nanos, phase: Phase, roll: u64) -> Request {
+        // The requests of a group have the same candidates at every node: few servers pay for the group.
+        let shared_seed = arrival.group.or(arrival.key.filter(|_| !arrival.reconnect));
+        Request {
+            class,
+            deadline: now.saturating_add(arrival.time_left),
+            phase,
+            candidate_seed: shared_seed.map_or(roll, mix64),
+            slow_start_roll: roll,
+            group: arrival.group,
+            rerouted: arrival.rerouted,
+            client_retry: arrival.reconnect || arrival.client_retry,
+            cost: arrival.cost.unwrap_or(0),
+            ..Request::default()
+        }
+    }
+}
--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -1,22 +1,29 @@
-//! When a node calls discovery again: the bound of its Full Jitter sleep. Arithmetic alone.
+//! When a node polls discovery again after a poll that failed: the limit of its Full Jitter delay.
 
-use crate::resilience::retry_admission::backoff;
+use super::backoff::full_jitter_limit;
 use crate::vocabulary::{Discovery, Nanos, Settings};
 
-/// A change counts as told 6 s after discovery had it and could be reached, whatever a failed call allowed: a call
-/// that is given up after 2 s, this long a sleep and the next call's answer fit into that.
-const ASKED_CAP: Nanos = 2_500_000_000;
-/// Calls to the machine's own agent cost nothing: sleeps only keep a dead one from being called without end.
-const AGENT_BASE: Nanos = 10_000_000;
-const AGENT_CAP: Nanos = 200_000_000;
+/// A node counts as notified of a change 6 s after discovery had it and could be reached, whatever the settings
+/// allow after a failed poll. A poll that times out after 2 s, this delay and the next poll's answer fit into that.
+const MAX_POLL_DELAY: Nanos = 2_500_000_000;
+/// Polls of the machine's own agent cost nothing: the delay only bounds the rate at which a dead agent is polled.
+const AGENT_BASE_DELAY: Nanos = 10_000_000;
+const AGENT_MAX_DELAY: Nanos = 200_000_000;
+/// The first delay is [`Settings::poll_within`] divided by this.
+const BASE_DELAY_DIVISOR: Nanos = 16;
 
-/// How long the sleep before the next call may be at most, after so many calls that brought nothing. None where
-/// changes come unasked.
-pub fn again_within(settings: &Settings, calls: u32) -> Option<Nanos> {
+/// The longest delay before the next poll, after this many polls in a row that failed. `None` where changes are
+/// pushed and polls are not needed.
+pub fn max_poll_delay(settings: &Settings, failed_polls: u32) -> Option<Nanos> {
     let (base, cap) = match settings.discovery {
         Discovery::Pushed => return None,
-        Discovery::LocalAgent => (AGENT_BASE, AGENT_CAP),
-        Discovery::Polled => (settings.poll_within / 16, settings.poll_within.min(ASKED_CAP)),
+        Discovery::LocalAgent => (AGENT_BASE_DELAY, AGENT_MAX_DELAY),
+        Discovery::Polled => {
+            (settings.poll_within / BASE_DELAY_DIVISOR, settings.poll_within.min(MAX_POLL_DELAY))
+        }
     };
-    Some(backoff(base, cap, calls))
+    Some(full_jitter_limit(base, cap, failed_polls))
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/resilience/retry_safety.rs
@@ -0,0 +1,97 @@
+//! Retry safety: the attempts of a request so far, and which repeats cannot run an effect twice.
+
+use crate::vocabulary::{DedupScope, Effect, Location, Nanos, Outcome, RequestClass, ServerId};
+
+/// An attempt that may have run.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct PossibleRun {
+    /// Where it was sent.
+    pub server: ServerId,
+    /// When it was sent.
+    pub sent_at: Nanos,
+}
+
+/// The attempts of one request.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct AttemptHistory {
+    count: u32,
+    last_sent_at: Nanos,
+    tried: Vec<ServerId>,
+    first_possible_run: Option<PossibleRun>,
+}
+
+impl AttemptHistory {
+    /// The number of attempts sent.
+    pub fn count(&self) -> u32 {
+        self.count
+    }
+
+    /// When the last attempt was sent.
+    pub fn last_sent_at(&self) -> Nanos {
+        self.last_sent_at
+    }
+
+    /// Whether an attempt was sent to this server.
+    pub fn has_tried(&self, server: ServerId) -> bool {
+        self.tried.contains(&server)
+    }
+
+    /// The first attempt that may have run.
+    pub fn first_possible_run(&self) -> Option<PossibleRun> {
+        self.first_possible_run
+    }
+
+    /// The request's connection was established before this process started: its one attempt is not known here.
+    pub fn on_resumed(&mut self) {
+        self.count = 1;
+    }
+
+    /// An attempt is sent.
+    pub fn on_sent(&mut self, server: ServerId, now: Nanos) {
+        self.count += 1;
+        self.last_sent_at = now;
+        self.tried.push(server);
+    }
+
+    /// The last attempt has ended.
+    pub fn on_ended(&mut self, server: ServerId, outcome: Outcome) {
+        if !outcome.never_ran() && self.first_possible_run.is_none() {
+            self.first_possible_run = Some(PossibleRun { server, sent_at: self.last_sent_at });
+        }
+    }
+
+    /// Whether one more attempt can do no harm, at a server that [`deduplicates`] allows. `dial_timeout` is the
+    /// longest time until the attempt's connection is established and the request sent.
+    pub fn may_repeat(&self, class: &RequestClass, now: Nanos, dial_timeout: Nanos) -> bool {
+        match (class.effect, self.first_possible_run) {
+            (Effect::ReadLike, _) | (_, None) => true,
+            // The request is sent once its connection is established, which still has to be inside the window.
+            (Effect::IdempotencyKey, Some(run)) => {
+                now.saturating_sub(run.sent_at).saturating_add(dial_timeout) < class.dedup_window
+            }
+            (Effect::NonIdempotent, Some(_)) => false,
+        }
+    }
+
+    /// Whether a retry by the client, which may go to any server, can do no harm.
+    pub fn may_reject(&self, class: &RequestClass) -> bool {
+        match (class.effect, self.first_possible_run) {
+            (Effect::ReadLike, _) | (_, None) => true,
+            (Effect::IdempotencyKey, Some(_)) => class.dedup_scope == DedupScope::All,
+            (Effect::NonIdempotent, Some(_)) => false,
+        }
+    }
+}
+
+/// Whether a server at `location` discards a repeat of what may have run at `first`. True for requests without an
+/// idempotency key, which [`AttemptHistory::may_repeat`] decides.
+pub fn deduplicates(class: &RequestClass, first: Location, location: Location) -> bool {
+    match (class.effect, class.dedup_scope) {
+        (Effect::IdempotencyKey, DedupScope::Zone) => first.zone == location.zone,
+        (Effect::IdempotencyKey, DedupScope::Cell) => first == location,
+        _ => true,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/resilience/server_health/tests.rs
@@ -0,0 +1,60 @@
+use super::{LatencyResponse, ServerHealth};
+use crate::vocabulary::{DedupScope, Effect, RequestClass, Settings};
+
+const MS: u64 = 1_000_000;
+
+fn class(message_latency_objective: Option<u64>) -> RequestClass {
+    RequestClass {
+        objective: 1,
+        hard_limit: 1,
+        effect: Effect::ReadLike,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        priority_weight: 1.0,
+        message_latency_objective,
+    }
+}
+
+fn report(health: &mut ServerHealth, now: u64, latency: u64, probes: bool) -> LatencyResponse {
+    let classes = vec![class(Some(900 * MS)), class(None), class(Some(100 * MS))];
+    let settings = Settings { classes, slow_start_duration: 10_000 * MS, probes, ..Settings::default() };
+    health.on_latency_report(&settings, now, latency)
+}
+
+#[test]
+fn without_an_objective_reports_have_no_effect() {
+    let mut health = ServerHealth::default();
+    let settings = Settings { classes: vec![class(None)], ..Settings::default() };
+    assert_eq!(health.on_latency_report(&settings, 0, u64::MAX), LatencyResponse::None);
+    assert_eq!(health, ServerHealth::default());
+}
+
+#[test]
+fn one_health_check_decides_on_the_first_late_report() {
+    let mut health = ServerHealth::default();
+    assert_eq!(report(&mut health, 0, 200 * MS, true), LatencyResponse::CheckHealth);
+    assert!(!health.is_available(0));
+    // The report before is no longer valid, and the check is still in progress.
+    assert_eq!(report(&mut health, 3_000 * MS, 200 * MS, true), LatencyResponse::None);
+    assert_eq!(health.on_health_check(Some(1.2)), Some(0.2 + 0.15));
+    assert_eq!(health.on_health_check(Some(0.9)), None);
+    assert_eq!(report(&mut health, 6_000 * MS, 200 * MS, true), LatencyResponse::CheckHealth);
+    assert_eq!(health.on_health_check(None), None);
+}
+
+#[test]
+fn without_health_checks_the_first_late_report_migrates() {
+    let mut health = ServerHealth::default();
+    assert_eq!(report(&mut health, 0, 200 * MS, false), LatencyResponse::Migrate(0.2 + 0.15));
+}
+
+#[test]
+fn a_restart_voids_resets_and_ejection() {
+    let mut health = ServerHealth::default();
+    health.on_reset(5);
+    health.on_failure(5, u64::MAX, false);
+    health.on_listed(false, false);
+    assert!(health.recent_resets(5) == 1.0 && !health.is_available(5));
+    health.on_listed(false, true);
+    assert!(health.recent_resets(5) == 0.0 && health.is_available(5));
+}
--- a/src/vocabulary/mod.rs
+++ b/src/vocabulary/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary that the whole program shares: settings, endpoints, and the events and actions of the balancer.
+//! The vocabulary that all of the program shares: settings, endpoints, and the events and actions of the balancer.
 //!
 //! All times are nanoseconds on the node's own monotonic clock. Nothing here decides anything.
 
@@ -9,7 +9,7 @@
 mod settings;
 
 pub use action::Action;
-pub use endpoint::{Endpoint, ListKind, Status};
+pub use endpoint::{Endpoint, ListKind, Location, ServerAttributes, Status};
 pub use event::{Arrival, Event, Outcome};
 pub use id::{RequestId, ServerId};
 pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError};
