--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -16,7 +16,7 @@
     /// How far the response is decoded.
     pub state: WatchState,
     /// Bytes of the connection that are not read or written yet.
-    pub flow: BufferedConnection,
+    pub connection: BufferedConnection,
 }
 
 struct Watch {
@@ -24,7 +24,7 @@
     state: WatchState,
 }
 
-/// A client of the discovery service. It holds at most one watch.
+/// A client of the discovery service with at most one watch.
 pub struct DiscoveryClient {
     address: SocketAddr,
     watch: Option<Watch>,
@@ -43,8 +43,8 @@
         self.watch.is_some()
     }
 
-    /// Requests the changes since the registry's generation, unless there is a watch already. Returns a failure event
-    /// where no connection can be opened.
+    /// Requests the changes since the registry's generation, unless there is a watch already. The result is a failure
+    /// event where no connection can be opened.
     pub fn subscribe(
         &mut self,
         now: Nanos,
@@ -69,7 +69,7 @@
     }
 
     /// Moves to a service at another address. Its generations may differ from those of the old one, so a complete list
-    /// is requested; the registry keeps its endpoints until that list has come.
+    /// is requested; the registry keeps its endpoints until that list has arrived.
     pub fn change_address(
         &mut self,
         now: Nanos,
@@ -83,8 +83,8 @@
         self.subscribe(now, net, registry)
     }
 
-    /// Handles an event on a discovery socket and returns the changes that it brought, in order. `is_broken` says that
-    /// the connection failed. A socket other than the current watch's is closed.
+    /// Handles an event on a discovery socket. The result is the changes that it brought, in order. `is_broken` says
+    /// that the connection failed. A socket other than the current watch's is closed.
     pub fn on_socket_event(
         &mut self,
         now: Nanos,
@@ -123,7 +123,7 @@
         self.on_socket_event(now, net, registry, token, false)
     }
 
-    /// Closes a watch that has fallen silent and returns the failure event.
+    /// Closes a watch that has fallen silent. The result is then the failure event.
     pub fn close_silent_watch(&mut self, now: Nanos, net: &mut SocketReactor) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
         is_silent.then(|| self.lose_watch(net, WatchError::Silent))
@@ -135,9 +135,9 @@
         if !watch.state.is_transferable() {
             return None;
         }
-        let (socket, flow) = net.export_connection(watch.token)?;
+        let (socket, connection) = net.export_connection(watch.token)?;
         let state = self.watch.take()?.state;
-        Some(TransferredWatch { socket, state, flow })
+        Some(TransferredWatch { socket, state, connection })
     }
 
     /// Takes over the previous process's list and its watch, if it had one. What the watch brings next applies to
@@ -150,8 +150,8 @@
         transferred: Option<TransferredWatch>,
     ) -> Event {
         let endpoints = registry.apply(list, true);
-        self.watch = transferred.and_then(|TransferredWatch { socket, state, flow }| {
-            let token = net.import_connection(socket, flow, SocketOwner::Discovery).ok()?;
+        self.watch = transferred.and_then(|TransferredWatch { socket, state, connection }| {
+            let token = net.import_connection(socket, connection, SocketOwner::Discovery).ok()?;
             Some(Watch { token, state })
         });
         // Without a watch the list may be stale by now, like one from the configuration.
@@ -172,7 +172,7 @@
     }
 }
 
-/// Applies the lists that a watch brought and returns the changes.
+/// Applies the lists that a watch brought. The result is the changes.
 fn apply_lists(registry: &mut EndpointRegistry, received: &Received) -> Vec<Event> {
     let mut events = Vec::new();
     if received.starts_unchanged && received.lists.is_empty() && registry.generation() > 0 {
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -1,7 +1,7 @@
 //! The AMQP front's own file, such as `deploy/amqp.json`.
 
 use super::access::Users;
-use crate::front::tls::TlsFile;
+use crate::front::tls::TlsListenerConfig;
 use crate::json;
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
@@ -67,7 +67,7 @@
     /// PLAIN passwords may come over connections that are not encrypted.
     pub plain_unencrypted: bool,
     /// Where clients connect under TLS.
-    pub tls: Option<TlsFile>,
+    pub tls: Option<TlsListenerConfig>,
     /// When the node leaves, clients are told to go there.
     pub redirect: Option<Redirect>,
     /// What [`AmqpConfig::users`] holds.
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -27,7 +27,8 @@
     }
 
     fn message(&self) -> Message {
-        Message::decode(self.framed()).ok().expect("a message of the older version")
+        Message::decode(self.framed())
+            .unwrap_or_else(|error| panic!("a message of the older version: {error}"))
     }
 }
 
@@ -145,7 +146,7 @@
         overload_after: 2 * SECOND,
         quota_connections: 0.0,
         quota_setups_per_second: 0.0,
-        probes: false,
+        health_checks: false,
     }
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -38,7 +38,7 @@
 //!     overload_after: SECOND,
 //!     quota_connections: 0.0,
 //!     quota_setups_per_second: 0.0,
-//!     probes: false,
+//!     health_checks: false,
 //! };
 //! let mut balancer = Balancer::new(42, settings)?;
 //! let mut now = 0;
@@ -88,6 +88,7 @@
 mod discovery;
 mod flow_export;
 mod front;
+mod front_id;
 mod handover;
 mod hash;
 mod json;
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -8,7 +8,7 @@
 pub struct Connection {
     /// The request that established it.
     pub id: RequestId,
-    /// Its priority weight for the load that it brings; see [`value`].
+    /// Its priority weight for the load that it brings; see [`connection_value`].
     pub value: f64,
     /// Decides between equal values.
     pub rank: u64,
@@ -16,7 +16,7 @@
 
 /// The value of a connection for its load of `cost` nanoseconds of work per second, zero if unknown. Where the weight
 /// counts per unit of work anyway, it is the value.
-pub fn value(priority_weight: f64, cost: Nanos, weight_by_work: bool) -> f64 {
+pub fn connection_value(priority_weight: f64, cost: Nanos, weight_by_work: bool) -> f64 {
     if weight_by_work {
         priority_weight
     } else {
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -106,7 +106,7 @@
         let Some(objective) = objectives.min() else { return LatencyResponse::None };
         let demand = self.latency.on_report(now, latency, objective, settings.slow_start_duration);
         let Some(demand) = demand else { return LatencyResponse::None };
-        if demand.is_confirmed || !settings.probes {
+        if demand.is_confirmed || !settings.health_checks {
             return LatencyResponse::Migrate(demand.fraction);
         }
         let is_checking = self.pending_migration != 0.0;
--- a/src/vocabulary/settings.rs
+++ b/src/vocabulary/settings.rs
@@ -92,7 +92,7 @@
     /// New connections per second that all nodes together may get within the quotas; zero if unknown.
     pub quota_setups_per_second: f64,
     /// Servers may be health-checked, and their reports contain the utilization.
-    pub probes: bool,
+    pub health_checks: bool,
 }
 
 /// A setting that was rejected.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -45,7 +45,7 @@
         overload_after: SECOND,
         quota_connections: 0.0,
         quota_setups_per_second: 0.0,
-        probes: false,
+        health_checks: false,
     }
 }
 
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -117,7 +117,7 @@
 
 impl Simulation {
     pub fn new(seed: u64) -> Simulation {
-        let settings = Settings { probes: seed.is_multiple_of(2), ..settings() };
+        let settings = Settings { health_checks: seed.is_multiple_of(2), ..settings() };
         Simulation {
             journal: Vec::new(),
             balancer: Balancer::new(seed, settings.clone()).expect("valid settings"),
@@ -157,7 +157,7 @@
                 self.timers.push(Timer { at: self.now + after, token: *token });
             }
             Action::HealthCheck(server) => {
-                assert!(self.settings.probes, "a health check where none is allowed");
+                assert!(self.settings.health_checks, "a health check where none is allowed");
                 assert!(server.0 < SERVERS, "a health check of a server never listed");
             }
             Action::Subscribe | Action::Log(_) => {}
