--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -149,7 +149,7 @@
         let zone = self.zones.iter().position(|zone| *zone == document.zone).unwrap_or(self.zones.len());
         Endpoint {
             server,
-            tag: crate::hash::fnv1a(&document.name),
+            name_hash: crate::hash::fnv1a(&document.name),
             zone: zone as u32,
             cell: document.cell,
             nominal: document.weight,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -45,7 +45,7 @@
 //! let mut actions = Vec::new();
 //! let endpoint = |number: u32| Endpoint {
 //!     server: ServerId(number),
-//!     tag: u64::from(number) + 1,
+//!     name_hash: u64::from(number) + 1,
 //!     zone: 0,
 //!     cell: 0,
 //!     nominal: 1.0,
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -92,11 +92,11 @@
         let server = self.servers.get(id);
         let capacity_factor = self.capacity_factor(server);
         // While warming up it is up to twice as likely, by the seed: groups gather at few such servers too.
-        let bias = 2.0 * unit_interval(mix64(request.candidate_seed ^ server.attributes.tag));
+        let bias = 2.0 * unit_interval(mix64(request.candidate_seed ^ server.attributes.name_hash));
         let weight = if capacity_factor < 1.0 { bias * server.attributes.nominal } else { total_nominal };
         let ramp = server.health.ramp(capacity_factor, server.attributes.nominal);
         let admissible = self.slow_start.admissible_fraction(self.now, &ramp, &self.fill);
-        let roll = mix64(mix64(request.slow_start_roll ^ server.attributes.tag) ^ self.salt);
+        let roll = mix64(mix64(request.slow_start_roll ^ server.attributes.name_hash) ^ self.salt);
         unit_interval(roll) >= admissible * weight
     }
 
@@ -114,7 +114,7 @@
 }
 
 fn candidate_rank(request: &Request, server: &Server) -> f64 {
-    rendezvous_rank(request.candidate_seed, server.attributes.tag, server.attributes.nominal)
+    rendezvous_rank(request.candidate_seed, server.attributes.name_hash, server.attributes.nominal)
 }
 
 /// Removes the other items if any is preferred.
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -107,7 +107,7 @@
     /// Takes over the state of the servers that are listed here too. Others are ignored.
     pub fn restore(&mut self, servers: Vec<Server>) {
         for restored in servers {
-            let key = |server: &Server| (server.attributes.tag, server.attributes.started_at);
+            let key = |server: &Server| (server.attributes.name_hash, server.attributes.started_at);
             if let Some(known) = self.servers.iter_mut().find(|known| key(known) == key(&restored)) {
                 *known = Server { status: known.status, ..restored };
             }
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -40,7 +40,7 @@
 fn endpoint(number: u32) -> Endpoint {
     Endpoint {
         server: ServerId(number),
-        tag: u64::from(number) + 1,
+        name_hash: u64::from(number) + 1,
         zone: 0,
         cell: 0,
         nominal: 1.0,
--- a/src/resilience/rendezvous.rs
+++ b/src/resilience/rendezvous.rs
@@ -3,8 +3,8 @@
 use crate::random::{mix64, unit_interval};
 
 /// The rank of a server in the order that a seed draws; low ranks come first, and large weights tend to have them.
-pub fn rendezvous_rank(seed: u64, tag: u64, weight: f64) -> f64 {
-    -unit_interval(mix64(seed ^ tag)).ln() / weight
+pub fn rendezvous_rank(seed: u64, name_hash: u64, weight: f64) -> f64 {
+    -unit_interval(mix64(seed ^ name_hash)).ln() / weight
 }
 
 /// An item and its rank.
--- a/src/resilience/server_health/tests.rs
+++ b/src/resilience/server_health/tests.rs
@@ -1,7 +1,7 @@
 use super::{LatencyResponse, ServerHealth};
 use crate::vocabulary::{DedupScope, Effect, RequestClass, Settings};
 
-const MS: u64 = 1_000_000;
+const MILLIS: u64 = 1_000_000;
 
 fn class(message_latency_objective: Option<u64>) -> RequestClass {
     RequestClass {
@@ -16,9 +16,9 @@
 }
 
 fn report(health: &mut ServerHealth, now: u64, latency: u64, health_checks: bool) -> LatencyResponse {
-    let classes = vec![class(Some(900 * MS)), class(None), class(Some(100 * MS))];
+    let classes = vec![class(Some(900 * MILLIS)), class(None), class(Some(100 * MILLIS))];
     let settings =
-        Settings { classes, slow_start_duration: 10_000 * MS, health_checks, ..Settings::default() };
+        Settings { classes, slow_start_duration: 10_000 * MILLIS, health_checks, ..Settings::default() };
     health.on_latency_report(&settings, now, latency)
 }
 
@@ -33,20 +33,20 @@
 #[test]
 fn one_health_check_decides_on_the_first_late_report() {
     let mut health = ServerHealth::default();
-    assert_eq!(report(&mut health, 0, 200 * MS, true), LatencyResponse::CheckHealth);
+    assert_eq!(report(&mut health, 0, 200 * MILLIS, true), LatencyResponse::CheckHealth);
     assert!(!health.is_available(0));
     // The report before is no longer valid, and the check is still in progress.
-    assert_eq!(report(&mut health, 3_000 * MS, 200 * MS, true), LatencyResponse::None);
+    assert_eq!(report(&mut health, 3_000 * MILLIS, 200 * MILLIS, true), LatencyResponse::None);
     assert_eq!(health.on_health_check(Some(1.2)), Some(0.2 + 0.15));
     assert_eq!(health.on_health_check(Some(0.9)), None);
-    assert_eq!(report(&mut health, 6_000 * MS, 200 * MS, true), LatencyResponse::CheckHealth);
+    assert_eq!(report(&mut health, 6_000 * MILLIS, 200 * MILLIS, true), LatencyResponse::CheckHealth);
     assert_eq!(health.on_health_check(None), None);
 }
 
 #[test]
 fn without_health_checks_the_first_late_report_migrates() {
     let mut health = ServerHealth::default();
-    assert_eq!(report(&mut health, 0, 200 * MS, false), LatencyResponse::Migrate(0.2 + 0.15));
+    assert_eq!(report(&mut health, 0, 200 * MILLIS, false), LatencyResponse::Migrate(0.2 + 0.15));
 }
 
 #[test]
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -90,7 +90,7 @@
     fn endpoint(&mut self, document: &EndpointDocument) -> Endpoint {
         Endpoint {
             server: self.server_id(&document.server),
-            tag: fnv1a(&document.server),
+            name_hash: fnv1a(&document.server),
             zone: document.zone,
             cell: document.cell,
             nominal: document.nominal,
--- a/src/vocabulary/endpoint.rs
+++ b/src/vocabulary/endpoint.rs
@@ -21,7 +21,7 @@
     /// The server.
     pub server: ServerId,
     /// Hash of the server's name; the same at every node.
-    pub tag: u64,
+    pub name_hash: u64,
     /// The zone of the server.
     pub zone: u32,
     /// The cell of the server, within its zone.
@@ -39,7 +39,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServerAttributes {
     /// Hash of the server's name; the same at every node.
-    pub tag: u64,
+    #[serde(rename = "tag")]
+    pub name_hash: u64,
     /// The zone of the server.
     pub zone: u32,
     /// The cell of the server, within its zone.
@@ -71,7 +72,7 @@
     fn from(endpoint: &Endpoint) -> ServerAttributes {
         let is_valid = endpoint.nominal.is_finite() && endpoint.nominal > 0.0;
         ServerAttributes {
-            tag: endpoint.tag,
+            name_hash: endpoint.name_hash,
             zone: endpoint.zone,
             cell: endpoint.cell,
             nominal: if is_valid { endpoint.nominal } else { 1.0 },
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -50,10 +50,10 @@
 }
 
 pub fn endpoint(server: u32, started_at: Nanos, status: Status) -> Endpoint {
-    let tag = (u64::from(server) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    let name_hash = (u64::from(server) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Endpoint {
         server: ServerId(server),
-        tag,
+        name_hash,
         zone: server % 2,
         cell: server % 3,
         nominal: 1.0,
