--- a/src/front/api.rs
+++ b/src/front/api.rs
@@ -94,9 +94,9 @@
     fn on_timer(&mut self, _ctx: &mut FrontContext, _token: Token) {}
     /// Called periodically, for checks that need no timer of their own.
     fn on_tick(&mut self, _ctx: &mut FrontContext) {}
-    /// Called at the end of a loop iteration: writes what was gathered for each socket in one go.
+    /// Called after each round of decisions: writes what was gathered for each socket in one go.
     fn flush(&mut self, _ctx: &mut FrontContext) {}
-    /// Called at each step of a drain, whether the node resumes later or shuts down.
+    /// Called at each step of a drain, a handover or a shutdown, from the moment when connections are migrated.
     fn on_drain_step(&mut self, _ctx: &mut FrontContext) {}
     /// Releases at most `max_connections` connections for the process that replaces this one. Connections that are
     /// not handed over end here.
@@ -107,7 +107,7 @@
     ) -> Vec<TransferredConnection> {
         Vec::new()
     }
-    /// Continues a connection of the process that this one replaces.
+    /// Continues a connection of the process that this one replaces, or one that the replacement did not get.
     fn receive_connection(&mut self, _ctx: &mut FrontContext, _connection: TransferredConnection) {}
     /// The node accepts clients again after a drain.
     fn resume_serving(&mut self, _ctx: &mut FrontContext) {}
@@ -125,7 +125,7 @@
 /// A connection in transfer from one process to the next.
 pub struct TransferredConnection {
     /// The front's state of the connection, as JSON.
-    pub text: String,
+    pub state: String,
     /// Its file descriptors, the client's first.
     pub fds: Vec<OwnedFd>,
 }
--- a/src/front/text/handover.rs
+++ b/src/front/text/handover.rs
@@ -98,7 +98,7 @@
             ConnectionRole::AwaitingRequest { pings } => {
                 let transferred = TransferredSession::AwaitingRequest(pings, client);
                 Some(TransferredConnection {
-                    text: serde_json::to_string(&transferred).ok()?,
+                    state: serde_json::to_string(&transferred).ok()?,
                     fds: vec![client_fd],
                 })
             }
@@ -132,7 +132,7 @@
         self.remove_session(ctx, token);
         let transferred = TransferredSession::Established(transferred);
         Some(TransferredConnection {
-            text: serde_json::to_string(&transferred).ok()?,
+            state: serde_json::to_string(&transferred).ok()?,
             fds: vec![client_fd, server_fd],
         })
     }
@@ -143,7 +143,7 @@
         ctx: &mut FrontContext,
         transferred: TransferredConnection,
     ) -> Result<(), UnreadableConnection> {
-        let session = serde_json::from_str(&transferred.text).map_err(|_| UnreadableConnection)?;
+        let session = serde_json::from_str(&transferred.state).map_err(|_| UnreadableConnection)?;
         let mut fds = transferred.fds.into_iter();
         match session {
             TransferredSession::AwaitingRequest(pings, client) => {
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -153,8 +153,8 @@
             Message::StateComplete => (WireMessage::StateComplete, Vec::new()),
             Message::Ready => (WireMessage::Ready, Vec::new()),
             Message::Connection { front, connection, open_descriptors } => {
-                let TransferredConnection { text, fds } = connection;
-                (WireMessage::Connection { front, connection: text, open_descriptors }, fds)
+                let TransferredConnection { state, fds } = connection;
+                (WireMessage::Connection { front, connection: state, open_descriptors }, fds)
             }
         }
     }
@@ -187,7 +187,7 @@
                 if !(1..=MAX_DESCRIPTORS_PER_MESSAGE).contains(&fds.len()) {
                     return Err(MessageError::WrongDescriptors);
                 }
-                let connection = TransferredConnection { text: connection, fds };
+                let connection = TransferredConnection { state: connection, fds };
                 Ok(Message::Connection { front, connection, open_descriptors })
             }
         }
--- a/src/handover/message/tests.rs
+++ b/src/handover/message/tests.rs
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_connection_without_its_descriptors_is_an_error() {
-    let connection = TransferredConnection { text: String::new(), fds: Vec::new() };
+    let connection = TransferredConnection { state: String::new(), fds: Vec::new() };
     let message = Message::Connection { front: "text".to_string(), connection, open_descriptors: 0 };
     let framed = message.encode().expect("it is encoded");
     assert_eq!(Message::decode(framed).err(), Some(MessageError::WrongDescriptors));
