--- a/src/cli.rs
+++ b/src/cli.rs
@@ -143,7 +143,7 @@
     if password.is_empty() {
         return Err("the password is missing on standard input".to_string());
     }
-    add_user(file, name, password, rights)
+    add_user(file, name, password, rights).map_err(|error| error.to_string())
 }
 
 /// The optional front that an option turns on.
--- /dev/null
+++ b/src/front/amqp/authentication.rs
@@ -0,0 +1,92 @@
+//! Authentication of clients by SASL.
+
+use super::password_checks::{fake_salt, nonce};
+use super::users::Identity;
+use super::AmqpFront;
+use crate::front::{Ctx, Due};
+use crate::net::Token;
+use crate::vocabulary::Nanos;
+use sparbank_amqp::Asked;
+use std::rc::Rc;
+
+/// A failed authentication is answered after this: it limits how fast passwords can be guessed.
+const FAILED_LOGIN_DELAY: Nanos = 1_000_000_000;
+
+impl AmqpFront {
+    /// A client authenticates. Without a users' file every anonymous client is let in.
+    pub(super) fn authenticate(&mut self, ctx: &mut Ctx, token: Token, request: Asked) {
+        let Some(users) = &self.config.known_users else {
+            if let Some(client) = self.clients.get(token) {
+                client.conn.verdict(request == Asked::Anonymous);
+            }
+            return;
+        };
+        match request {
+            Asked::Anonymous => {
+                let identity = users.anonymous();
+                self.finish_login(ctx, token, identity);
+            }
+            Asked::Keys { user } => {
+                let keys = users.keys(&user).cloned();
+                if let Some(client) = self.clients.get(token) {
+                    client.conn.keys(keys, &fake_salt(&user), &nonce());
+                }
+            }
+            Asked::Proven { user, holds } => {
+                let identity = users.named(&user).filter(|_| holds);
+                self.finish_login(ctx, token, identity);
+            }
+            Asked::Plain { user, password } => {
+                if self.password_checks.start(token, users, user, &password) {
+                    ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                } else {
+                    self.finish_login(ctx, token, None);
+                }
+            }
+            Asked::External => {
+                let name = self.clients.get(token).and_then(|client| client.tls.as_ref()?.peer_name());
+                let identity = name.and_then(|name| users.named(&name));
+                self.finish_login(ctx, token, identity);
+            }
+        }
+    }
+
+    /// Lets in a client with an identity. Without one it is rejected after a delay.
+    fn finish_login(&mut self, ctx: &mut Ctx, token: Token, identity: Option<Rc<Identity>>) {
+        let Some(client) = self.clients.get(token) else { return };
+        match identity {
+            Some(identity) => {
+                client.identity = identity;
+                client.conn.verdict(true);
+                self.clients.mark_dirty(token);
+            }
+            None => {
+                self.rejected_logins += 1;
+                client.reject_login_at = Some(ctx.now + FAILED_LOGIN_DELAY);
+                ctx.wheel.at(ctx.now + FAILED_LOGIN_DELAY, Due::Timer(self.id, token));
+            }
+        }
+    }
+
+    /// Rejects a client's login where its delay has passed.
+    pub(super) fn reject_due_login(&mut self, ctx: &mut Ctx, token: Token) {
+        let Some(client) = self.clients.get(token) else { return };
+        if client.reject_login_at.is_some_and(|at| at <= ctx.now) {
+            client.reject_login_at = None;
+            client.conn.verdict(false);
+            self.clients.mark_dirty(token);
+        }
+    }
+
+    /// Does one slice of one password check, whichever client waits: no slice delays the event loop noticeably.
+    pub(super) fn check_passwords(&mut self, ctx: &mut Ctx) {
+        if let Some(checked) = self.password_checks.step() {
+            let users = self.config.known_users.as_ref();
+            let identity = users.and_then(|users| users.named(&checked.user)).filter(|_| checked.is_valid);
+            self.finish_login(ctx, checked.token, identity);
+        }
+        if let Some(token) = self.password_checks.next_token() {
+            ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+        }
+    }
+}
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -1,9 +1,10 @@
-//! The clients' connections and links: the table, credit, and what is written to them.
+//! The clients' connections and links: who they are, credit, and what is written to them.
 
-use super::access::Who;
 use super::config::AmqpConfig;
-use super::items::Map;
-use super::recovery::Key;
+use super::deliveries::Map;
+use super::forwarders::ForwarderId;
+use super::recovery::LinkKey;
+use super::users::Identity;
 use crate::front::tls::Tls;
 use crate::front::Ctx;
 use crate::net::{Token, SLOW};
@@ -15,124 +16,150 @@
 
 /// A client's connection.
 pub struct Client {
+    /// The protocol state.
     pub conn: Connection,
-    pub links: Map<LinkId, Use>,
-    /// Requests of its that are open.
-    pub live: usize,
-    pub who: Rc<Who>,
-    ip: Option<IpAddr>,
-    /// Its transport's encryption, and what came in the clear and was not taken.
+    /// What its links are for.
+    pub links: Map<LinkId, ClientLink>,
+    /// Its requests that are not answered yet and whose link is attached.
+    pub open_requests: usize,
+    /// Who it is.
+    pub identity: Rc<Identity>,
+    address: Option<IpAddr>,
+    /// Its encryption, where it connected under TLS.
     pub tls: Option<Tls>,
-    pub clear: Vec<u8>,
-    /// There may be something to write.
+    /// Decrypted input that was not processed yet.
+    pub plaintext: Vec<u8>,
+    /// It is listed among the connections that may have something to write.
     dirty: bool,
-    /// Requests whose link is going, until it is known whether it may come again.
-    pub dropped: Vec<RequestId>,
+    /// Requests whose link is being detached, until it is known whether the link may be resumed.
+    pub detached_requests: Vec<RequestId>,
     /// A forwarder has more for it than is written at one time.
     pub stalled: bool,
-    /// A wrong password is answered at this time, not before.
-    pub refuse_at: Option<Nanos>,
+    /// When a failed authentication is answered.
+    pub reject_login_at: Option<Nanos>,
 }
 
 /// What a client's link is for.
-pub enum Use {
+pub enum ClientLink {
     /// Its deliveries are requests.
-    Intake(Intake),
+    Sending(SendingLink),
     /// A forwarder's deliveries go out on it: a standing connection, or a node for replies.
-    Forwarder(u64),
+    Receiving(ForwarderId),
 }
 
-/// A link on which deliveries come in.
-pub struct Intake {
+/// A link on which a client sends.
+pub struct SendingLink {
     /// The class that its target names; none at the anonymous terminus.
     pub class: Option<usize>,
-    /// What it goes by, on whichever connection it comes.
-    pub key: Rc<Key>,
-    /// What became of its deliveries is remembered.
-    pub remembered: bool,
-    /// Deliveries that the peer asked about when it attached, and of which nothing is known any more.
+    /// Its identity across connections.
+    pub key: Rc<LinkKey>,
+    /// Its deliveries are remembered while it may be resumed.
+    pub is_remembered: bool,
+    /// Deliveries in the peer's unsettled map when it attached, and of which nothing is known.
     pub unknown: HashSet<Tag>,
-    /// The delivery whose last part has not come.
-    pub partial: Partial,
+    /// The delivery whose last transfer has not been received.
+    pub incomplete: IncompleteDelivery,
 }
 
-/// A delivery that comes in parts.
+/// A delivery of several transfers, the last of which has not been received.
 #[derive(Default)]
-pub enum Partial {
+pub enum IncompleteDelivery {
+    /// There is none.
     #[default]
     None,
-    /// Its head has not come whole.
-    Gathering(Vec<u8>),
-    /// It is a request.
-    Running(RequestId),
-    /// It was answered before its end.
+    /// The sections before its body are incomplete: the octets so far.
+    ReadingHead(Vec<u8>),
+    /// It is a request already.
+    Request(RequestId),
+    /// It was answered before its end: the rest is ignored.
     Ignored,
 }
 
-/// The table.
+/// All clients' connections.
 #[derive(Default)]
 pub struct Clients {
-    map: Map<Token, Box<Client>>,
-    by_ip: Map<IpAddr, usize>,
-    /// Links that take credit, by subscriber.
-    links: Map<String, u32>,
+    by_token: Map<Token, Box<Client>>,
+    connections_by_address: Map<IpAddr, usize>,
+    /// Sending links, by subscriber.
+    links_by_subscriber: Map<String, u32>,
     dirty: Vec<Token>,
-    /// Not read on while messages take too much room.
+    /// Clients that are not read while messages take too much memory.
     paused: Vec<Token>,
 }
 
 impl Clients {
-    /// Takes a connection in. False where its address holds as many as it may.
+    /// Adds a connection. False where its address has `max_per_address` already.
     pub fn insert(
         &mut self,
         token: Token,
         conn: Connection,
         tls: Option<Tls>,
-        ip: Option<IpAddr>,
-        most: usize,
+        address: Option<IpAddr>,
+        max_per_address: usize,
     ) -> bool {
-        if let Some(ip) = ip {
-            let count = self.by_ip.entry(ip).or_default();
-            if *count >= most {
+        if let Some(address) = address {
+            let count = self.connections_by_address.entry(address).or_default();
+            if *count >= max_per_address {
                 return false;
             }
             *count += 1;
         }
-        let (links, who) = (Map::default(), Rc::new(Who::default()));
-        let (dirty, stalled, refuse_at) = (false, false, None);
-        let (dropped, clear) = (Vec::new(), Vec::new());
-        let client = Client { conn, links, live: 0, who, ip, tls, clear, dirty, dropped, stalled, refuse_at };
-        self.map.insert(token, Box::new(client));
+        let client = Client {
+            conn,
+            links: Map::default(),
+            open_requests: 0,
+            identity: Rc::new(Identity::default()),
+            address,
+            tls,
+            plaintext: Vec::new(),
+            dirty: false,
+            detached_requests: Vec::new(),
+            stalled: false,
+            reject_login_at: None,
+        };
+        self.by_token.insert(token, Box::new(client));
         true
     }
 
+    /// Removes a connection.
     pub fn remove(&mut self, token: Token) -> Option<Box<Client>> {
-        let client = self.map.remove(&token)?;
-        if let Some(count) = client.ip.and_then(|ip| self.by_ip.get_mut(&ip)) {
+        let client = self.by_token.remove(&token)?;
+        if let Some(address) = client.address {
+            self.uncount_connection(address);
+        }
+        let sending_links = client.links.values().filter(|link| matches!(link, ClientLink::Sending(_)));
+        let count = sending_links.count() as u32;
+        self.count_links(client.identity.subscriber(), -i64::from(count));
+        Some(client)
+    }
+
+    fn uncount_connection(&mut self, address: IpAddr) {
+        if let Some(count) = self.connections_by_address.get_mut(&address) {
             *count -= 1;
             if *count == 0 {
-                client.ip.map(|ip| self.by_ip.remove(&ip));
+                self.connections_by_address.remove(&address);
             }
         }
-        let intakes = client.links.values().filter(|l| matches!(l, Use::Intake(_))).count() as u32;
-        self.count_links(client.who.subscriber(), -i64::from(intakes));
-        Some(client)
     }
 
+    /// A client by its connection.
     pub fn get(&mut self, token: Token) -> Option<&mut Client> {
-        self.map.get_mut(&token).map(|client| &mut **client)
+        self.by_token.get_mut(&token).map(|client| &mut **client)
     }
 
+    /// Whether there is no connection.
     pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+        self.by_token.is_empty()
     }
 
+    /// The number of connections.
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.by_token.len()
     }
 
+    /// All connections, in order.
     pub fn tokens(&self) -> Vec<Token> {
-        let mut tokens: Vec<Token> = self.map.keys().copied().collect();
+        let mut tokens: Vec<Token> = self.by_token.keys().copied().collect();
         tokens.sort_unstable();
         tokens
     }
@@ -141,112 +168,144 @@
         if change == 0 {
             return;
         }
-        let count = self.links.entry(subscriber.to_string()).or_default();
+        let count = self.links_by_subscriber.entry(subscriber.to_string()).or_default();
         *count = (i64::from(*count) + change).max(0) as u32;
         if *count == 0 {
-            self.links.remove(subscriber);
+            self.links_by_subscriber.remove(subscriber);
         }
     }
 
-    /// A link for deliveries is attached.
-    pub fn add_intake(&mut self, token: Token, link: LinkId, intake: Intake) {
-        let Some(client) = self.map.get_mut(&token) else { return };
-        client.links.insert(link, Use::Intake(intake));
-        let who = client.who.clone();
-        self.count_links(who.subscriber(), 1);
+    /// A sending link is attached.
+    pub fn add_sending_link(&mut self, token: Token, id: LinkId, link: SendingLink) {
+        let Some(client) = self.by_token.get_mut(&token) else { return };
+        client.links.insert(id, ClientLink::Sending(link));
+        let identity = client.identity.clone();
+        self.count_links(identity.subscriber(), 1);
     }
 
-    /// A link is gone: what it was for.
-    pub fn remove_link(&mut self, token: Token, link: LinkId) -> Option<Use> {
-        let client = self.map.get_mut(&token)?;
-        let gone = client.links.remove(&link)?;
-        let who = client.who.clone();
-        if matches!(gone, Use::Intake(_)) {
-            self.count_links(who.subscriber(), -1);
+    /// A link is detached. Gives what it was for.
+    pub fn remove_link(&mut self, token: Token, id: LinkId) -> Option<ClientLink> {
+        let client = self.by_token.get_mut(&token)?;
+        let link = client.links.remove(&id)?;
+        if matches!(link, ClientLink::Sending(_)) {
+            let identity = client.identity.clone();
+            self.count_links(identity.subscriber(), -1);
         }
-        Some(gone)
+        Some(link)
     }
 
-    /// There may be something to write to this client.
-    pub fn touch(&mut self, token: Token) {
-        if let Some(client) = self.map.get_mut(&token).filter(|t| !t.dirty) {
+    /// Marks a connection: there may be something to write to it.
+    pub fn mark_dirty(&mut self, token: Token) {
+        if let Some(client) = self.by_token.get_mut(&token).filter(|client| !client.dirty) {
             client.dirty = true;
             self.dirty.push(token);
         }
     }
 
-    /// Whether there may be something to write, or to read after a pause.
+    /// Whether any connection is marked.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
+    /// Gives the marked connections and unmarks them.
     pub fn take_dirty(&mut self) -> Vec<Token> {
         let dirty = std::mem::take(&mut self.dirty);
         for token in &dirty {
-            if let Some(client) = self.map.get_mut(token) {
+            if let Some(client) = self.by_token.get_mut(token) {
                 client.dirty = false;
             }
         }
         dirty
     }
 
-    /// This client is not read on until there is room again.
+    /// Stops reading a client until [`Clients::take_paused`].
     pub fn pause(&mut self, token: Token) {
         if !self.paused.contains(&token) {
             self.paused.push(token);
         }
     }
 
+    /// Gives the clients that were paused, to be read again.
     pub fn take_paused(&mut self) -> Vec<Token> {
         std::mem::take(&mut self.paused)
     }
 
-    /// Gives a link fresh credit, once less than half of what it should have is left. What it should have
-    /// is the subscriber's credit over its links, and shrinks with the octets that are held: half full it
-    /// starts to, and at nine tenths there is none.
-    pub fn grant(&mut self, token: Token, link: LinkId, config: &AmqpConfig, held: usize) {
-        let Some(client) = self.map.get_mut(&token) else { return };
-        let links = self.links.get(client.who.subscriber()).copied().unwrap_or(1).max(1);
-        let fair = (config.subscriber_credit / links).clamp(1, config.credit);
-        let credit = shrunk(fair, held, config.max_held);
-        let now = client.conn.credit(link);
-        if credit > now && now <= credit / 2 {
-            client.conn.grant(link, credit);
-            self.touch(token);
+    /// Gives a sending link fresh credit, once no more than half of its share is left. The share is the subscriber's
+    /// credit divided by its links, and shrinks with the octets that are buffered: it starts to at half of the
+    /// allowed octets, and is 0 at nine tenths.
+    pub fn replenish_credit(
+        &mut self,
+        token: Token,
+        link: LinkId,
+        config: &AmqpConfig,
+        buffered_bytes: usize,
+    ) {
+        let Some(client) = self.by_token.get_mut(&token) else { return };
+        let subscriber = client.identity.subscriber();
+        let links = self.links_by_subscriber.get(subscriber).copied().unwrap_or(1).max(1);
+        let fair_share = (config.subscriber_credit / links).clamp(1, config.credit);
+        let target = shrink_credit(fair_share, buffered_bytes, config.max_buffered_bytes);
+        let current = client.conn.credit(link);
+        if target > current && current <= target / 2 {
+            client.conn.grant(link, target);
+            self.mark_dirty(token);
         }
     }
 
-    /// No link gets any more credit, and what it had is taken back.
-    pub fn stop_credit(&mut self, token: Token) {
-        let Some(client) = self.map.get_mut(&token) else { return };
-        for (link, kind) in &client.links {
-            if matches!(kind, Use::Intake(_)) {
-                client.conn.grant(*link, 0);
+    /// Takes back the credit of all sending links of a client.
+    pub fn revoke_credit(&mut self, token: Token) {
+        let Some(client) = self.by_token.get_mut(&token) else { return };
+        for (id, link) in &client.links {
+            if matches!(link, ClientLink::Sending(_)) {
+                client.conn.grant(*id, 0);
             }
         }
-        self.touch(token);
+        self.mark_dirty(token);
     }
 
-    /// Whether forwarders had more for a client than was written at one time, and there is room again. Where
-    /// the socket took it all at once, no notice says so.
-    pub fn takes_more(&mut self, ctx: &Ctx, token: Token) -> bool {
-        let Some(client) = self.map.get_mut(&token) else { return false };
-        let more = client.stalled && ctx.net.unwritten(token) < SLOW;
-        client.stalled &= !more;
-        more
+    /// Whether forwarders had more for a client than was written at one time, and its socket takes more now. Clears
+    /// that mark: where the socket took everything at once, no notice says so.
+    pub fn clear_stall(&mut self, ctx: &Ctx, token: Token) -> bool {
+        let Some(client) = self.by_token.get_mut(&token) else { return false };
+        let can_resume = client.stalled && ctx.net.unwritten(token) < SLOW;
+        client.stalled &= !can_resume;
+        can_resume
     }
 
-    /// Writes what there is. False where the connection is over with it.
+    /// Writes a client's pending output. False where its connection is closed with it.
     pub fn flush(&mut self, ctx: &mut Ctx, token: Token) -> bool {
-        let Some(client) = self.map.get_mut(&token) else { return true };
-        client.say(ctx, token);
+        let Some(client) = self.by_token.get_mut(&token) else { return true };
+        client.write_pending(ctx, token);
         !client.conn.is_closed()
     }
 }
 
 impl Client {
-    /// Sends what there is to say.
-    pub fn say(&mut self, ctx: &mut Ctx, token: Token) {
+    /// Whether it has no open request and no forwarder.
+    pub fn is_idle(&self) -> bool {
+        let has_forwarder = self.links.values().any(|link| matches!(link, ClientLink::Receiving(_)));
+        self.open_requests == 0 && !has_forwarder
+    }
+
+    /// Its sending links that have no credit left, in no order.
+    pub fn links_without_credit(&self) -> Vec<LinkId> {
+        let has_none = |(id, link): &(&LinkId, &ClientLink)| {
+            matches!(link, ClientLink::Sending(_)) && self.conn.credit(**id) == 0
+        };
+        self.links.iter().filter(has_none).map(|(id, _)| *id).collect()
+    }
+
+    /// The forwarders that send on its links, in no order.
+    pub fn forwarders(&self) -> Vec<ForwarderId> {
+        let receiving = |link: &ClientLink| match link {
+            ClientLink::Receiving(forwarder) => Some(*forwarder),
+            ClientLink::Sending(_) => None,
+        };
+        self.links.values().filter_map(receiving).collect()
+    }
+
+    /// Passes its pending output to the socket, encrypted where it uses TLS.
+    pub fn write_pending(&mut self, ctx: &mut Ctx, token: Token) {
         let mut out = self.conn.take_out(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
@@ -259,25 +318,17 @@
     }
 }
 
-/// A credit at this fill.
-fn shrunk(credit: u32, held: usize, most: usize) -> u32 {
-    let (half, full) = (most / 2, most / 10 * 9);
-    if held <= half {
+/// A link's credit while so many octets are buffered of at most `max_bytes`.
+fn shrink_credit(credit: u32, buffered_bytes: usize, max_bytes: usize) -> u32 {
+    let start = max_bytes / 2;
+    let end = max_bytes / 10 * 9;
+    if buffered_bytes <= start {
         return credit;
     }
-    let left = full.saturating_sub(held) as u64;
-    let room = full.saturating_sub(half).max(1) as u64;
-    (u64::from(credit) * left / room) as u32
+    let left = end.saturating_sub(buffered_bytes) as u64;
+    let range = end.saturating_sub(start).max(1) as u64;
+    (u64::from(credit) * left / range) as u32
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn credit_shrinks_with_what_is_held() {
-        let credits: Vec<u32> =
-            [0, 500, 600, 700, 899, 900, 5000].iter().map(|held| shrunk(64, *held, 1000)).collect();
-        assert_eq!(credits, [64, 64, 48, 32, 0, 0, 0]);
-    }
-}
+mod tests;
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -1,6 +1,8 @@
-//! The AMQP front's own file, such as `deploy/amqp.json`.
+//! The AMQP front's configuration file, such as `deploy/amqp.json`. `docs/AMQP.md` lists its fields.
 
-use super::access::Users;
+use super::error::FileError;
+use super::recovery::RecoveryLimits;
+use super::users::Users;
 use crate::config::json;
 use crate::front::tls::TlsFile;
 use crate::vocabulary::Nanos;
@@ -11,15 +13,23 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-const MS: Nanos = 1_000_000;
+const NANOS_PER_MS: Nanos = 1_000_000;
+/// Every peer takes frames of this size (2.4.1).
+const MIN_MAX_FRAME_BYTES: u32 = 512;
+/// A frame is buffered completely.
+const MAX_MAX_FRAME_BYTES: u32 = 1024 * 1024;
+/// Input that is buffered beyond one frame.
+const READ_AHEAD_BEYOND_FRAME_BYTES: usize = 1024;
+/// The highest handle on a session with a server.
+const SERVER_HANDLE_MAX: u32 = 1023;
 
-/// The file.
+/// The configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AmqpConfig {
-    /// Where AMQP clients connect; port 0 lets the system pick one.
+    /// The address where AMQP clients connect; port 0 lets the system pick one.
     pub listen: SocketAddr,
-    /// The largest frame taken, in octets.
+    /// The largest frame accepted, in octets.
     pub max_frame: u32,
     /// The highest channel: sessions on a connection, less one.
     pub channel_max: u16,
@@ -27,86 +37,94 @@
     pub handle_max: u32,
     /// The most links on one connection.
     pub max_links: usize,
-    /// Frames that a peer may send ahead on a session.
+    /// The session's incoming window, in frames.
     pub window: u32,
-    /// Deliveries on one link that neither side has settled.
-    pub unsettled: u32,
+    /// The most deliveries on one link that neither side has settled.
+    #[serde(rename = "unsettled")]
+    pub max_unsettled: u32,
     /// The credit of a link, where nothing is short.
     pub credit: u32,
     /// The credit of all links of one subscriber together.
     pub subscriber_credit: u32,
-    /// The largest message taken, in octets.
+    /// The largest message accepted, in octets.
     pub max_message: u64,
-    /// Messages up to this size are kept whole until they are answered, so that they can be tried again
-    /// elsewhere; of larger ones what has gone out is let go.
-    pub keep: usize,
-    /// Octets of all messages in hand together.
-    pub max_held: usize,
-    /// Connections that one address may hold.
-    pub peer_connections: usize,
-    /// Clients that are silent for this long are closed.
-    pub idle_ms: u32,
-    /// Servers that are silent for this long are given up.
+    /// Messages up to this size, in octets, are buffered until they are answered, so that they can be retried. Of
+    /// larger ones, what was sent is discarded.
+    #[serde(rename = "keep")]
+    pub max_retryable_bytes: usize,
+    /// The most octets buffered of all messages together.
+    #[serde(rename = "max_held")]
+    pub max_buffered_bytes: usize,
+    /// The most connections from one address.
+    #[serde(rename = "peer_connections")]
+    pub max_connections_per_address: usize,
+    /// Clients that are silent for this long, in milliseconds, are disconnected.
+    #[serde(rename = "idle_ms")]
+    pub client_idle_ms: u32,
+    /// Servers that are silent for this long, in milliseconds, are disconnected.
     #[serde(alias = "region_idle_ms")]
     pub server_idle_ms: u32,
-    /// Connections to one server.
-    #[serde(alias = "region_connections")]
-    pub server_connections: usize,
-    /// Links to one server for one class: a long message holds up its own link and no other.
-    #[serde(alias = "region_lanes")]
-    pub server_lanes: usize,
-    /// Links that are remembered while they may come again.
-    pub resume_links: usize,
-    /// For no longer than this, whatever they ask for.
-    pub resume_ms: u32,
-    /// Where servers speak AMQP, by instance id. A server that is not named is met at discovery's address.
+    /// The most connections to one server.
+    #[serde(rename = "server_connections", alias = "region_connections")]
+    pub max_server_connections: usize,
+    /// The most links to one server for one class: a long message delays others on its own link only.
+    #[serde(rename = "server_lanes", alias = "region_lanes")]
+    pub max_server_links_per_class: usize,
+    /// The most links that are remembered while they may be resumed.
+    #[serde(rename = "resume_links")]
+    pub max_resumable_links: usize,
+    /// The longest time that a link may be resumed after, in milliseconds.
+    #[serde(rename = "resume_ms")]
+    pub max_resume_timeout_ms: u32,
+    /// Where servers speak AMQP, by instance id. A server that is not named here is reached at its address in
+    /// discovery.
     #[serde(alias = "regions")]
-    pub servers: HashMap<String, Place>,
-    /// Who may come in, as `sparbank amqp-user` writes it. Without it everyone may, unnamed.
+    pub servers: HashMap<String, ServerEntry>,
+    /// The users' file, as `sparbank amqp-user` writes it. Without it every client may connect, as anonymous.
     pub users: Option<PathBuf>,
-    /// PLAIN passwords may come over connections that are not encrypted.
+    /// PLAIN passwords may be sent over connections that are not encrypted.
     pub plain_unencrypted: bool,
     /// Where clients connect under TLS.
     pub tls: Option<TlsFile>,
-    /// When the node leaves, clients are told to go there.
+    /// Where clients are redirected when the node shuts down.
     pub redirect: Option<Redirect>,
-    /// What [`AmqpConfig::users`] holds.
+    /// The contents of the file that [`AmqpConfig::users`] names.
     #[serde(skip)]
-    pub known: Option<Users>,
-    /// What [`AmqpConfig::tls`] names.
+    pub known_users: Option<Users>,
+    /// The certificates and the key that [`AmqpConfig::tls`] names.
     #[serde(skip)]
     pub tls_config: Option<Arc<rustls::ServerConfig>>,
 }
 
-/// Where a server speaks AMQP, and how the node makes itself known there.
+/// Where a server speaks AMQP, and how the node authenticates there.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
-pub enum Place {
+pub enum ServerEntry {
     /// An address alone: SASL ANONYMOUS, or none where the server has no SASL.
     Address(SocketAddr),
-    /// An address and more.
-    Full(FullPlace),
+    /// An address with credentials.
+    Full(FullServerEntry),
 }
 
-/// A place with its particulars.
+/// A server's address and the credentials for it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FullPlace {
-    /// The address; discovery's where it is absent.
+pub struct FullServerEntry {
+    /// The address; the one in discovery where it is absent.
     #[serde(default)]
     pub address: Option<SocketAddr>,
-    /// The user to come as, by PLAIN.
+    /// The user to authenticate as.
     #[serde(default)]
     pub user: Option<String>,
     /// Its password.
     #[serde(default)]
     pub password: String,
-    /// `plain` (the default), `scram-sha-256`, or `none` for no SASL at all.
+    /// `plain` (the default), `scram-sha-256`, or `none` for no SASL layer.
     #[serde(default)]
     pub sasl: Sasl,
 }
 
-/// How to come to a server.
+/// How to authenticate at a server.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sasl {
@@ -120,11 +138,20 @@
     None,
 }
 
-/// Where clients are sent when the node leaves (part 2, 2.8.16).
+/// How to connect to a server.
+#[derive(Clone, Debug)]
+pub struct ServerAccess {
+    /// The address to connect to.
+    pub address: SocketAddr,
+    /// The credentials; none for no SASL layer.
+    pub credentials: Option<Credentials>,
+}
+
+/// Where clients are redirected when the node shuts down (part 2 of the standard, 2.8.16).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
-    /// The container to ask for.
+    /// The container to request.
     pub hostname: String,
     /// The host to connect to.
     pub network_host: String,
@@ -141,65 +168,76 @@
             handle_max: 255,
             max_links: 256,
             window: 256,
-            unsettled: 1024,
+            max_unsettled: 1024,
             credit: 64,
             subscriber_credit: 65_536,
             max_message: 1024 * 1024,
-            keep: 64 * 1024,
-            max_held: 8 * 1024 * 1024,
-            peer_connections: 1024,
-            idle_ms: 10_000,
+            max_retryable_bytes: 64 * 1024,
+            max_buffered_bytes: 8 * 1024 * 1024,
+            max_connections_per_address: 1024,
+            client_idle_ms: 10_000,
             server_idle_ms: 4_500,
-            server_connections: 4,
-            server_lanes: 4,
-            resume_links: 256,
-            resume_ms: 30_000,
+            max_server_connections: 4,
+            max_server_links_per_class: 4,
+            max_resumable_links: 256,
+            max_resume_timeout_ms: 30_000,
             servers: HashMap::new(),
             users: None,
             plain_unencrypted: false,
             tls: None,
             redirect: None,
-            known: None,
+            known_users: None,
             tls_config: None,
         }
     }
 }
 
 impl AmqpConfig {
-    /// Reads the file and what it names.
-    pub fn read(path: &Path) -> Result<AmqpConfig, String> {
-        let name = path.display();
-        let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-        let mut config: AmqpConfig = json::parse(&text).map_err(|e| format!("{name}: {e}"))?;
-        let wrong = |field: &str, problem: &str| Err(format!("{name}: field {field}: {problem}"));
-        if config.max_frame < 512 {
+    /// Reads and checks the file and the files that it names.
+    pub fn read(path: &Path) -> Result<AmqpConfig, FileError> {
+        let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
+        let mut config: AmqpConfig = json::parse(&text).map_err(|error| FileError::parse(path, error))?;
+        config.check(path)?;
+        let directory = path.parent().unwrap_or(Path::new(""));
+        if let Some(tls) = &config.tls {
+            let loaded = tls.load(directory, "tls");
+            let loaded = loaded.map_err(|source| FileError::Tls { path: path.to_path_buf(), source })?;
+            config.tls_config = Some(loaded);
+        }
+        if let Some(users) = &config.users {
+            config.known_users = Some(Users::read(&directory.join(users))?);
+        }
+        Ok(config)
+    }
+
+    /// Checks the fields' values; `path` is the file, for errors.
+    fn check(&self, path: &Path) -> Result<(), FileError> {
+        let wrong = |field: &str, problem: &str| Err(FileError::field(path, field, problem));
+        if self.max_frame < MIN_MAX_FRAME_BYTES {
             return wrong("max_frame", "at least 512");
         }
-        if config.max_frame > 1024 * 1024 {
+        if self.max_frame > MAX_MAX_FRAME_BYTES {
             return wrong("max_frame", "at most 1048576: a frame is held whole");
         }
-        if config.window == 0 || config.credit == 0 || config.unsettled == 0 || config.max_links == 0 {
+        if self.window == 0 || self.credit == 0 || self.max_unsettled == 0 || self.max_links == 0 {
             return wrong("window, credit, unsettled, max_links", "at least 1");
         }
-        if config.server_lanes == 0 || config.server_connections == 0 {
+        if self.max_server_links_per_class == 0 || self.max_server_connections == 0 {
             return wrong("server_lanes, server_connections", "at least 1");
         }
-        if config.max_held < config.keep {
+        if self.max_buffered_bytes < self.max_retryable_bytes {
             return wrong("max_held", "at least keep");
         }
-        let beside = path.parent().unwrap_or(Path::new(""));
-        if let Some(tls) = &config.tls {
-            config.tls_config = Some(tls.load(beside, "tls").map_err(|e| format!("{name}: {e}"))?);
-        }
-        if let Some(users) = &config.users {
-            let users = beside.join(users);
-            config.known = Some(Users::read(&users)?);
-        }
-        Ok(config)
+        Ok(())
+    }
+
+    /// The octets of input that a connection buffers: a frame, and the start of the next.
+    pub fn read_ahead_bytes(&self) -> usize {
+        self.max_frame as usize + READ_AHEAD_BEYOND_FRAME_BYTES
     }
 
-    /// What clients' connections are bound by.
-    pub fn client(&self, container: &str) -> Settings {
+    /// The limits of clients' connections.
+    pub fn client_settings(&self, container: &str) -> Settings {
         Settings {
             container: container.to_string(),
             hostname: None,
@@ -208,42 +246,61 @@
             handle_max: self.handle_max,
             links: self.max_links,
             window: self.window,
-            unsettled: self.unsettled,
+            unsettled: self.max_unsettled,
             max_message: self.max_message,
-            idle: Nanos::from(self.idle_ms) * MS,
+            idle: Nanos::from(self.client_idle_ms) * NANOS_PER_MS,
             first: 0,
         }
     }
 
-    /// What is remembered of links that may come again.
-    pub fn recovery(&self) -> super::recovery::Bounds {
-        let ended = self.unsettled as usize;
-        super::recovery::Bounds { links: self.resume_links, ended, timeout: Nanos::from(self.resume_ms) * MS }
+    /// The limits of connections to servers.
+    pub fn server_settings(&self, container: &str) -> Settings {
+        Settings {
+            idle: Nanos::from(self.server_idle_ms) * NANOS_PER_MS,
+            links: usize::MAX,
+            handle_max: SERVER_HANDLE_MAX,
+            ..self.client_settings(container)
+        }
     }
 
-    /// What the connections to servers are bound by.
-    pub fn server(&self, container: &str) -> Settings {
-        let idle = Nanos::from(self.server_idle_ms) * MS;
-        Settings { idle, links: usize::MAX, handle_max: 1023, ..self.client(container) }
+    /// The limits of what is remembered of links that may be resumed.
+    pub fn recovery_limits(&self) -> RecoveryLimits {
+        RecoveryLimits {
+            max_links: self.max_resumable_links,
+            max_settled_per_link: self.max_unsettled as usize,
+            max_timeout: Nanos::from(self.max_resume_timeout_ms) * NANOS_PER_MS,
+        }
     }
 
-    /// How to come to a server: its address, and how the node makes itself known.
-    pub fn place(&self, name: &str, addr: SocketAddr, nonce: &str) -> (SocketAddr, Option<Credentials>) {
+    /// How to connect to the server `name`, whose address in discovery is `discovered`.
+    pub fn server_access(&self, name: &str, discovered: SocketAddr, nonce: &str) -> ServerAccess {
         match self.servers.get(name) {
-            None => (addr, Some(Credentials::Anonymous)),
-            Some(Place::Address(addr)) => (*addr, Some(Credentials::Anonymous)),
-            Some(Place::Full(place)) => {
-                let (user, password) = (place.user.clone(), place.password.clone());
-                let credentials = match (place.sasl, user) {
-                    (Sasl::None, _) => None,
-                    (_, None) => Some(Credentials::Anonymous),
-                    (Sasl::Plain, Some(user)) => Some(Credentials::Plain { user, password }),
-                    (Sasl::ScramSha256, Some(user)) => {
-                        Some(Credentials::Scram { user, password, nonce: nonce.to_string() })
-                    }
-                };
-                (place.address.unwrap_or(addr), credentials)
+            None => ServerAccess { address: discovered, credentials: Some(Credentials::Anonymous) },
+            Some(ServerEntry::Address(address)) => {
+                ServerAccess { address: *address, credentials: Some(Credentials::Anonymous) }
             }
+            Some(ServerEntry::Full(entry)) => ServerAccess {
+                address: entry.address.unwrap_or(discovered),
+                credentials: entry.credentials(nonce),
+            },
         }
     }
 }
+
+impl FullServerEntry {
+    /// The credentials to authenticate with; none for no SASL layer.
+    fn credentials(&self, nonce: &str) -> Option<Credentials> {
+        let password = self.password.clone();
+        match (self.sasl, self.user.clone()) {
+            (Sasl::None, _) => None,
+            (_, None) => Some(Credentials::Anonymous),
+            (Sasl::Plain, Some(user)) => Some(Credentials::Plain { user, password }),
+            (Sasl::ScramSha256, Some(user)) => {
+                Some(Credentials::Scram { user, password, nonce: nonce.to_string() })
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/amqp/error.rs
@@ -0,0 +1,87 @@
+//! Errors in the AMQP front's own files.
+
+use crate::front::tls::TlsError;
+use std::error::Error;
+use std::fmt;
+use std::io;
+use std::path::{Path, PathBuf};
+
+/// Why a file of the AMQP front cannot be used. Printed in one line that names the file and, where there is one, the
+/// field.
+#[derive(Debug)]
+pub enum FileError {
+    /// The file cannot be read or written.
+    Io {
+        /// The file.
+        path: PathBuf,
+        /// What the system said.
+        source: io::Error,
+    },
+    /// The file is not JSON of the expected form.
+    Parse {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong, and in which field.
+        problem: String,
+    },
+    /// A field has a value out of its range.
+    Field {
+        /// The file.
+        path: PathBuf,
+        /// The field's path in the file.
+        field: String,
+        /// What its value must be.
+        problem: String,
+    },
+    /// The certificates or the key that the file names cannot be used.
+    Tls {
+        /// The file.
+        path: PathBuf,
+        /// What is wrong with them.
+        source: TlsError,
+    },
+    /// The system has no random numbers for a salt.
+    Randomness(getrandom::Error),
+}
+
+impl FileError {
+    /// A file that cannot be read or written.
+    pub fn io(path: &Path, source: io::Error) -> FileError {
+        FileError::Io { path: path.to_path_buf(), source }
+    }
+
+    /// A file that is not JSON of the expected form.
+    pub fn parse(path: &Path, problem: impl ToString) -> FileError {
+        FileError::Parse { path: path.to_path_buf(), problem: problem.to_string() }
+    }
+
+    /// A field with a value out of its range.
+    pub fn field(path: &Path, field: impl Into<String>, problem: impl Into<String>) -> FileError {
+        FileError::Field { path: path.to_path_buf(), field: field.into(), problem: problem.into() }
+    }
+}
+
+impl fmt::Display for FileError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            FileError::Io { path, source } => write!(f, "{}: {source}", path.display()),
+            FileError::Parse { path, problem } => write!(f, "{}: {problem}", path.display()),
+            FileError::Field { path, field, problem } => {
+                write!(f, "{}: field {field}: {problem}", path.display())
+            }
+            FileError::Tls { path, source } => write!(f, "{}: {source}", path.display()),
+            FileError::Randomness(source) => write!(f, "no random numbers: {source}"),
+        }
+    }
+}
+
+impl Error for FileError {
+    fn source(&self) -> Option<&(dyn Error + 'static)> {
+        match self {
+            FileError::Io { source, .. } => Some(source),
+            FileError::Tls { source, .. } => Some(source),
+            FileError::Randomness(source) => Some(source),
+            FileError::Parse { .. } | FileError::Field { .. } => None,
+        }
+    }
+}
--- /dev/null
+++ b/src/front/amqp/fair_queue.rs
@@ -0,0 +1,66 @@
+//! A queue of requests that is fair between clients.
+
+use super::deliveries::Map;
+use crate::net::Token;
+use crate::vocabulary::RequestId;
+use std::collections::VecDeque;
+
+/// Requests that wait for a server's links of one class. Clients take turns (round robin), so that many deliveries
+/// of one client do not delay a single delivery of another.
+#[derive(Default)]
+pub struct FairQueue {
+    turns: VecDeque<Token>,
+    by_client: Map<Token, VecDeque<RequestId>>,
+    len: usize,
+}
+
+impl FairQueue {
+    /// Appends a request to its client's queue.
+    pub fn push(&mut self, client: Token, request_id: RequestId) {
+        let queue = self.by_client.entry(client).or_default();
+        if queue.is_empty() {
+            self.turns.push_back(client);
+        }
+        queue.push_back(request_id);
+        self.len += 1;
+    }
+
+    /// Removes and gives the next request.
+    pub fn pop(&mut self) -> Option<RequestId> {
+        let client = self.turns.pop_front()?;
+        let queue = self.by_client.get_mut(&client)?;
+        let request_id = queue.pop_front();
+        if queue.is_empty() {
+            self.by_client.remove(&client);
+        } else {
+            self.turns.push_back(client);
+        }
+        self.len -= usize::from(request_id.is_some());
+        request_id
+    }
+
+    /// Removes a request, wherever it is in its client's queue.
+    pub fn remove(&mut self, client: Token, request_id: RequestId) {
+        let Some(queue) = self.by_client.get_mut(&client) else { return };
+        let before = queue.len();
+        queue.retain(|waiting| *waiting != request_id);
+        self.len -= before - queue.len();
+        if queue.is_empty() {
+            self.by_client.remove(&client);
+            self.turns.retain(|waiting| *waiting != client);
+        }
+    }
+
+    /// Whether no request waits.
+    pub fn is_empty(&self) -> bool {
+        self.len == 0
+    }
+
+    /// Removes all requests and gives them in the order of their turns.
+    pub fn drain(&mut self) -> Vec<RequestId> {
+        std::iter::from_fn(|| self.pop()).collect()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/front/amqp/forwarder.rs
@@ -0,0 +1,288 @@
+//! One forwarder: the transfers that wait in it, and how the client's credit is shared out between its sources.
+
+use super::clients::{Client, Clients};
+use super::forwarders::Peers;
+use super::servers::Servers;
+use crate::front::Ctx;
+use crate::net::{Token, SLOW};
+use crate::vocabulary::{RequestId, ServerId};
+use sparbank_amqp::{Attach, LinkId, Outgoing, Part, State, Tag};
+use std::collections::VecDeque;
+
+/// Octets that wait for a slow client: above these its servers get no more credit.
+const MAX_WAITING_BYTES: usize = 64 * 1024;
+/// The most credit that one server is granted, whatever the client grants.
+const MAX_SOURCE_CREDIT: u32 = 256;
+
+/// Servers that may send to one reply node at the same time.
+const MAX_SOURCES: usize = 16;
+
+/// A transfer that waits for the client.
+struct WaitingTransfer {
+    delivery_id: u32,
+    tag: Tag,
+    settled: bool,
+    last: bool,
+    bytes: Vec<u8>,
+}
+
+/// A server's link that a forwarder receives from.
+struct Source {
+    token: Token,
+    link: LinkId,
+    transfers: VecDeque<WaitingTransfer>,
+    waiting_bytes: usize,
+    /// Deliveries of which nothing was sent to the client.
+    unsent_deliveries: u32,
+}
+
+/// Identifies a delivery on the client's link: its source, and its delivery id there.
+struct DeliveryKey {
+    source: usize,
+    delivery_id: u32,
+}
+
+impl DeliveryKey {
+    fn encode(&self) -> u64 {
+        ((self.source as u64) << 32) | u64::from(self.delivery_id)
+    }
+
+    fn decode(key: u64) -> DeliveryKey {
+        DeliveryKey { source: (key >> 32) as usize, delivery_id: key as u32 }
+    }
+}
+
+/// A forwarder.
+pub struct Forwarder {
+    /// Its request; none for a node for replies.
+    pub request_id: Option<RequestId>,
+    /// The client's connection.
+    pub client: Token,
+    /// The client's link.
+    pub link: LinkId,
+    /// The client's attach.
+    pub attach: Box<Attach>,
+    /// The server of its attempt.
+    pub server: Option<ServerId>,
+    /// The client's link is attached.
+    pub established: bool,
+    /// Its sources; a free place is none, since a delivery's key names its source's place.
+    sources: Vec<Option<Source>>,
+    /// The source of the delivery that was sent to the client partly.
+    current: Option<usize>,
+}
+
+impl Forwarder {
+    /// A forwarder for a client's receiving link. Without a request it is a node for replies, and established at once.
+    pub fn new(request_id: Option<RequestId>, client: Token, link: LinkId, attach: Box<Attach>) -> Forwarder {
+        Forwarder {
+            request_id,
+            client,
+            link,
+            attach,
+            server: None,
+            established: request_id.is_none(),
+            sources: Vec::new(),
+            current: None,
+        }
+    }
+
+    /// Whether its attach to one of these servers was not answered.
+    pub fn is_unanswered_at(&self, servers: &[ServerId]) -> bool {
+        let is_attempted = self.server.is_some_and(|server| servers.contains(&server));
+        !self.established && self.sources.is_empty() && is_attempted
+    }
+
+    /// Adds a server's link as a source. False where there are too many.
+    pub fn add_source(&mut self, token: Token, link: LinkId) -> bool {
+        let place = self.sources.iter().position(Option::is_none).unwrap_or(self.sources.len());
+        if place >= MAX_SOURCES {
+            return false;
+        }
+        if place == self.sources.len() {
+            self.sources.push(None);
+        }
+        let transfers = VecDeque::new();
+        self.sources[place] = Some(Source { token, link, transfers, waiting_bytes: 0, unsent_deliveries: 0 });
+        true
+    }
+
+    /// Removes a source and drops what waits of it. A delivery that the client has partly is aborted.
+    pub fn remove_source(&mut self, token: Token, link: LinkId, clients: &mut Clients) {
+        let Some(place) = self.place_of(token, link) else { return };
+        self.sources[place] = None;
+        if self.current == Some(place) {
+            self.abort_current(clients);
+        }
+    }
+
+    /// Forgets all sources.
+    pub fn clear_sources(&mut self) {
+        self.sources.clear();
+    }
+
+    /// Detaches the links of all sources.
+    pub fn detach_sources(&self, servers: &mut Servers) {
+        for source in self.sources.iter().flatten() {
+            servers.detach_source(source.token, source.link);
+        }
+    }
+
+    /// Adds a transfer that was received from a source. False where there is nothing new to send to the client.
+    pub fn push_transfer(
+        &mut self,
+        token: Token,
+        link: LinkId,
+        transfer: Part<'_>,
+        peers: &mut Peers<'_>,
+    ) -> bool {
+        let Some(place) = self.place_of(token, link) else { return false };
+        if transfer.first {
+            if let Some(server) = peers.servers.get(token) {
+                server.conn.name_delivery(link.channel, transfer.id, u64::from(transfer.id));
+            }
+        }
+        if transfer.aborted {
+            self.on_aborted(place, transfer.id, peers.clients);
+            return false;
+        }
+        let Some(source) = self.sources[place].as_mut() else { return false };
+        source.unsent_deliveries += u32::from(transfer.first);
+        source.waiting_bytes += transfer.payload.len();
+        source.transfers.push_back(WaitingTransfer {
+            delivery_id: transfer.id,
+            tag: transfer.tag,
+            settled: transfer.settled,
+            last: transfer.last,
+            bytes: transfer.payload.to_vec(),
+        });
+        true
+    }
+
+    /// Sends the client as much as its credit and its socket take, and passes its credit on to the servers. Gives the
+    /// number of deliveries that were completed.
+    pub fn forward(&mut self, ctx: &Ctx, peers: Peers) -> u64 {
+        let Some(client) = peers.clients.get(self.client) else { return 0 };
+        let capacity = SLOW.saturating_sub(ctx.net.unwritten(self.client));
+        let completed = self.send_waiting(client, capacity);
+        let credit = client.conn.credit(self.link);
+        if self.next_source().is_none() && client.conn.is_draining(self.link) {
+            client.conn.drained(self.link);
+        }
+        peers.clients.mark_dirty(self.client);
+        self.distribute_credit(credit, peers.servers);
+        completed
+    }
+
+    /// The client has settled the delivery with this key: the node settles it with its server.
+    pub fn settled_by_client(&self, key: u64, state: Option<State>, servers: &mut Servers) {
+        let key = DeliveryKey::decode(key);
+        let Some(source) = self.sources.get(key.source).and_then(Option::as_ref) else { return };
+        if let Some(server) = servers.get(source.token) {
+            // Settled without a state, it may have been processed or not: the server decides.
+            let state = state.unwrap_or(State::Modified {
+                failed: true,
+                undeliverable_here: false,
+                annotations: None,
+            });
+            server.conn.settle(source.link.channel, key.delivery_id, state);
+            servers.mark_connection_dirty(source.token);
+        }
+    }
+
+    /// The server has settled its delivery `delivery_id` by itself: the node settles it with the client.
+    pub fn settled_by_server(&self, token: Token, link: LinkId, delivery_id: u32, clients: &mut Clients) {
+        let Some(place) = self.place_of(token, link) else { return };
+        let key = DeliveryKey { source: place, delivery_id }.encode();
+        if let Some(client) = clients.get(self.client) {
+            if let Some(outgoing_id) = client.conn.delivery(self.link, key) {
+                client.conn.forget(self.link, outgoing_id);
+            }
+        }
+        clients.mark_dirty(self.client);
+    }
+
+    fn place_of(&self, token: Token, link: LinkId) -> Option<usize> {
+        let is_it = |source: &Source| (source.token, source.link) == (token, link);
+        self.sources.iter().position(|source| source.as_ref().is_some_and(is_it))
+    }
+
+    /// The first source that has something for the client.
+    fn next_source(&self) -> Option<usize> {
+        let has_waiting = |source: &Source| !source.transfers.is_empty();
+        self.sources.iter().position(|source| source.as_ref().is_some_and(has_waiting))
+    }
+
+    /// Aborts the delivery that was sent to the client partly.
+    fn abort_current(&mut self, clients: &mut Clients) {
+        self.current = None;
+        if let Some(client) = clients.get(self.client) {
+            client.conn.abort(self.link);
+        }
+        clients.mark_dirty(self.client);
+    }
+
+    /// A server has aborted a delivery.
+    fn on_aborted(&mut self, place: usize, delivery_id: u32, clients: &mut Clients) {
+        let Some(source) = self.sources[place].as_mut() else { return };
+        let before = source.transfers.len();
+        source.transfers.retain(|transfer| transfer.delivery_id != delivery_id);
+        source.waiting_bytes = source.transfers.iter().map(|transfer| transfer.bytes.len()).sum();
+        let dropped = source.transfers.len() < before;
+        if self.current == Some(place) {
+            self.abort_current(clients);
+        } else if dropped {
+            source.unsent_deliveries = source.unsent_deliveries.saturating_sub(1);
+        }
+    }
+
+    /// Sends waiting transfers up to `capacity` octets of output. Gives how many deliveries were completed.
+    fn send_waiting(&mut self, client: &mut Client, capacity: usize) -> u64 {
+        let mut completed = 0;
+        while let Some(place) = self.current.or_else(|| self.next_source()) {
+            let Some(source) = self.sources.get_mut(place).and_then(Option::as_mut) else { break };
+            let Some(transfer) = source.transfers.front_mut() else { break };
+            let key = DeliveryKey { source: place, delivery_id: transfer.delivery_id }.encode();
+            let delivery = Outgoing { key, tag: transfer.tag, settled: transfer.settled };
+            let sent = client.conn.send(self.link, delivery, &transfer.bytes, transfer.last, capacity);
+            if sent.begun && self.current.is_none() {
+                self.current = Some(place);
+                source.unsent_deliveries = source.unsent_deliveries.saturating_sub(1);
+            }
+            source.waiting_bytes -= sent.taken;
+            if sent.taken < transfer.bytes.len() || (transfer.last && !sent.done) {
+                transfer.bytes.drain(..sent.taken);
+                client.stalled = client.conn.pending() >= capacity;
+                break;
+            }
+            if sent.done {
+                self.current = None;
+                completed += 1;
+            }
+            source.transfers.pop_front();
+        }
+        completed
+    }
+
+    /// Shares the client's credit out between the sources.
+    fn distribute_credit(&self, client_credit: u32, servers: &mut Servers) {
+        let count = self.sources.iter().flatten().count().max(1) as u32;
+        let fair_share = (client_credit / count).max(client_credit.min(1));
+        for source in self.sources.iter().flatten() {
+            let Some(server) = servers.get(source.token) else { continue };
+            let current = server.conn.credit(source.link);
+            let target = if source.waiting_bytes > MAX_WAITING_BYTES {
+                0
+            } else {
+                fair_share.saturating_sub(source.unsent_deliveries).min(MAX_SOURCE_CREDIT)
+            };
+            // Granted anew when half of it is used, or when the client takes its credit back.
+            let is_half_used = target > current && current <= target / 2;
+            let is_revoked = target == 0 && current > 0 && client_credit == 0;
+            if is_half_used || is_revoked {
+                server.conn.grant(source.link, target);
+                servers.mark_connection_dirty(source.token);
+            }
+        }
+    }
+}
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -1,67 +1,87 @@
-//! AMQP 1.0. A client's delivery is a request whose answer is its outcome; a client's receiving
-//! link is a request that stands once its server sends. The protocol is `sparbank-amqp`'s.
+//! The AMQP 1.0 front. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
+//! is a request that is established once its server sends. The protocol itself is `sparbank-amqp`'s.
 //!
-//! `clients`, `servers`, `items` and `forwarders` each own one table; here is what passes between them.
-
-mod access;
+//! `clients`, `servers`, `deliveries`, `forwarders` and `recovery` each own one piece of the state. The methods of
+//! [`AmqpFront`] that pass events between them are in a file per concern: `client_connections`, `authentication`,
+//! `client_links`, `client_transfers`, `server_connections`, `forwarding` and `outcomes`.
+
+mod authentication;
+mod client_connections;
+mod client_links;
+mod client_transfers;
 mod clients;
 mod config;
+mod deliveries;
+mod error;
+mod fair_queue;
+mod forwarder;
 mod forwarders;
-mod from_clients;
-mod from_servers;
-mod items;
+mod forwarding;
+mod outcomes;
+mod password_checks;
 mod recovery;
+mod replies;
+mod sending;
+mod server_connections;
+mod server_links;
 mod servers;
+mod users;
 
-pub use access::{add_user, Rights};
+pub use users::{add_user, Rights};
 
 use super::{Ctx, Front, Opened, Optional};
 use crate::config::Facts;
 use crate::net::{Net, Notice, Owner, Token};
 use crate::requests::FrontId;
-use crate::vocabulary::{Arrival, Nanos, Outcome, RequestId, ServerId};
+use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
 use config::AmqpConfig;
-use forwarders::{Forwarders, Sides};
-use items::{Items, Stage, Task};
+use deliveries::{Attempt, AttemptStage, Deliveries};
+use forwarders::Forwarders;
+use password_checks::PasswordChecks;
 use recovery::Recovery;
-use servers::{Happened, Servers};
-use sparbank_amqp::{condition, Error, State, Value};
+use replies::{failed_state, rejected_state, retry_error};
+use servers::Servers;
+use sparbank_amqp::{condition, Error};
 use std::any::Any;
 
-/// How this front is turned on.
+const NANOS_PER_MS: Nanos = 1_000_000;
+
+/// How this front is enabled.
 pub const OPTIONAL: Optional = Optional {
     name: "amqp",
-    read: |path| Ok(Box::new(AmqpConfig::read(path)?)),
+    read: |path| Ok(Box::new(AmqpConfig::read(path).map_err(|error| error.to_string())?)),
     open: |id, file, net, name, facts| {
         let config = file.downcast::<AmqpConfig>().map_err(|_| "not this front's file".to_string())?;
         AmqpFront::open(id, *config, net, name, facts)
     },
 };
 
-/// Advice to those that come while there is no room, in milliseconds.
-const COME_AGAIN: u32 = 500;
-
-/// The front.
+/// The AMQP front.
 pub struct AmqpFront {
     id: FrontId,
     config: AmqpConfig,
+    /// The node's container id.
     container: String,
+    /// The names of the classes.
     classes: Vec<String>,
     clients: Clients,
     servers: Servers,
-    items: Items,
+    deliveries: Deliveries,
     forwarders: Forwarders,
     recovery: Recovery,
-    checks: access::Checks,
+    password_checks: PasswordChecks,
     tls_listener: Option<Token>,
+    /// Deliveries aborted after they were sent partly.
     aborted: u64,
-    refused_logins: u64,
+    rejected_logins: u64,
+    /// Deliveries in clients' unsettled maps of which nothing was known.
     fate_unknown: u64,
-    leaving: bool,
+    shutting_down: bool,
 }
 
 impl AmqpFront {
+    /// Listens as the configuration says. Gives the front, and its log line with the addresses.
     fn open(
         id: FrontId,
         config: AmqpConfig,
@@ -78,7 +98,7 @@
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
         }
-        let classes: Vec<String> = facts.classes.iter().map(|c| c.name.clone()).collect();
+        let classes: Vec<String> = facts.classes.iter().map(|class| class.name.clone()).collect();
         let front = AmqpFront {
             id,
             container: name.to_string(),
@@ -86,223 +106,96 @@
             classes,
             config,
             clients: Clients::default(),
-            items: Items::default(),
+            deliveries: Deliveries::default(),
             forwarders: Forwarders::default(),
             recovery: Recovery::default(),
-            checks: access::Checks::default(),
+            password_checks: PasswordChecks::default(),
             tls_listener,
             aborted: 0,
-            refused_logins: 0,
+            rejected_logins: 0,
             fate_unknown: 0,
-            leaving: false,
+            shutting_down: false,
         };
         Ok((Box::new(front), line))
     }
 
-    // ---- What happened at the servers ------------------------------------------------------------
-
-    fn happened(&mut self, ctx: &mut Ctx, happened: Vec<Happened>) {
-        for what in happened {
-            match what {
-                Happened::Over(request_id, outcome) => self.over(ctx, request_id, outcome),
-                Happened::NoForwarder(forwarder) => {
-                    self.forwarder_failed(ctx, forwarder, Outcome::ConnectFailed)
-                }
+    /// Reads the clients that were paused while memory for messages was short.
+    fn read_paused_clients(&mut self, ctx: &mut Ctx) {
+        if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 4 * 3 {
+            for token in self.clients.take_paused() {
+                self.read_client(ctx, token);
             }
         }
     }
 
-    /// The attempt of a delivery is over.
-    fn over(&mut self, ctx: &mut Ctx, request_id: RequestId, outcome: Outcome) {
-        let Some(item) = self.items.get_mut(request_id) else { return };
-        item.task = None;
-        let again = item.is_repeatable();
-        if outcome != Outcome::Ok && !again && ctx.requests.spent(ctx.now, request_id, outcome) {
-            return self.answer(ctx, request_id, failed());
-        }
-        if ctx.requests.task_ended(ctx.now, request_id, outcome) {
-            self.answer(ctx, request_id, State::Accepted);
-        }
-    }
-
-    /// The attempt of a forwarder is over before it stood: another may be tried.
-    fn forwarder_failed(&mut self, ctx: &mut Ctx, forwarder: u64, outcome: Outcome) {
-        self.forwarders.take_back(forwarder, &mut self.servers);
-        if let Some(request_id) = self.forwarders.get(forwarder).filter(|r| !r.up).and_then(|r| r.request_id)
-        {
-            ctx.requests.task_ended(ctx.now, request_id, outcome);
-        }
-    }
-
-    // ---- Answers -------------------------------------------------------------------------------------
-
-    /// The final answer to a delivery.
-    fn answer(&mut self, _ctx: &mut Ctx, request_id: RequestId, state: State) {
-        let Some(item) = self.items.remove(request_id) else { return };
-        self.recovery.ended(self.config.recovery(), request_id, &state);
-        if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
-            client.live -= 1;
-            client.conn.settle(item.link.channel, item.delivery, state);
-            self.clients.touch(item.client);
-            self.grant(item.client, item.link);
-        }
-    }
-
-    fn grant(&mut self, token: Token, link: sparbank_amqp::LinkId) {
-        if !self.leaving {
-            self.clients.grant(token, link, &self.config, self.items.held());
-        }
-    }
-
-    /// The client gave a request up, or is gone.
-    fn left(&mut self, ctx: &mut Ctx, request_id: RequestId) {
-        self.give_up(ctx, request_id);
-        ctx.requests.left(ctx.now, request_id);
-        self.recovery.left(request_id);
-        if let Some(item) = self.items.remove(request_id) {
-            if let Some(client) = self.clients.get(item.client).filter(|_| item.attached) {
-                client.live -= 1;
+    /// Writes to the clients that are marked dirty.
+    fn flush_clients(&mut self, ctx: &mut Ctx) {
+        for token in self.clients.take_dirty() {
+            if !self.clients.flush(ctx, token) {
+                self.on_client_gone(ctx, token);
+            } else if self.clients.clear_stall(ctx, token) {
+                self.forward_all(ctx, token);
             }
         }
     }
-
-    /// The link of a request is gone and may come again: it goes on, and its answer is remembered.
-    fn suspend(&mut self, key: &recovery::Key, request_id: RequestId) {
-        let Some(item) = self.items.get_mut(request_id).filter(|item| item.attached) else { return };
-        item.attached = false;
-        let (client, tag) = (item.client, item.tag);
-        if let Some(client) = self.clients.get(client) {
-            client.live -= 1;
-        }
-        self.recovery.runs(key, tag, request_id);
-    }
-
-    /// A standing connection ends at its client: detached between two deliveries, with the reason.
-    fn end_client_link(&mut self, token: Token, link: sparbank_amqp::LinkId, error: Option<Error>) {
-        self.clients.remove_link(token, link);
-        if let Some(client) = self.clients.get(token) {
-            if client.conn.is_sending(link) {
-                self.aborted += 1;
-                client.conn.abort(link);
-            }
-            client.conn.detach(link, true, error.map(Box::new));
-        }
-        self.clients.touch(token);
-    }
-}
-
-/// Refused: it did not run, and trying again after this is harmless.
-fn refused(after_ms: u32) -> State {
-    let after = vec![(Value::symbol("retry-after"), Value::Uint(after_ms))];
-    let annotations = Some(Box::new(Value::Map(after)));
-    State::Modified { failed: false, undeliverable_here: false, annotations }
-}
-
-/// Failed: it may have run.
-fn failed() -> State {
-    State::Modified { failed: true, undeliverable_here: false, annotations: None }
-}
-
-/// Nothing is known any more of a delivery that the peer asks about: it may have run.
-fn unknown() -> State {
-    let told = vec![(Value::symbol("fate"), Value::symbol("unknown"))];
-    let annotations = Some(Box::new(Value::Map(told)));
-    State::Modified { failed: true, undeliverable_here: false, annotations }
-}
-
-/// An error that says when to come again.
-fn come_again(condition: &str, words: &str, after_ms: u32) -> Error {
-    let info = Value::Map(vec![(Value::symbol("retry-after"), Value::Uint(after_ms))]);
-    Error { info: Some(info), ..Error::new(condition, words) }
 }
 
 impl Front for AmqpFront {
     fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
-        match self.servers.of(notice.token) {
-            Some(_) => self.server_notice(ctx, notice),
-            None => self.client_notice(ctx, notice),
+        match self.servers.server_of(notice.token) {
+            Some(_) => self.on_server_notice(ctx, notice),
+            None => self.on_client_notice(ctx, notice),
         }
     }
 
     fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
-        if let Some(id) = self.forwarders.of(request_id) {
+        if let Some(id) = self.forwarders.of_request(request_id) {
             if let Some(forwarder) = self.forwarders.get(id) {
                 forwarder.server = Some(server);
-                let attach = from_clients::towards_server(&forwarder.attach);
-                self.servers.forwarder(server, id, Box::new(attach));
+                let attach = client_links::attach_for_server(&forwarder.attach);
+                self.servers.enqueue_forwarder(server, id, Box::new(attach));
             }
             return;
         }
-        if let Some(item) = self.items.get_mut(request_id) {
-            item.task = Some(Task { server, until: ctx.now + wait, stage: Stage::Queued });
-            self.servers.queue(server, item.class, item.client, request_id);
+        if let Some(delivery) = self.deliveries.get_mut(request_id) {
+            let deadline = ctx.now + wait;
+            delivery.attempt = Some(Attempt { server, deadline, stage: AttemptStage::Queued });
+            self.servers.enqueue(server, delivery.class, delivery.client, request_id);
         }
     }
 
     fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
-        if let Some(forwarder) = self.forwarders.of(request_id) {
-            let unsent = self.forwarders.take_back(forwarder, &mut self.servers);
-            return if unsent { Outcome::ConnectFailed } else { Outcome::Timeout };
-        }
-        let Some(item) = self.items.get_mut(request_id) else { return Outcome::Cancelled };
-        let Some(task) = item.task.take() else { return Outcome::Cancelled };
-        let (server, class) = (task.server, item.class);
-        let outcome = match task.stage {
-            Stage::Queued => {
-                self.servers.unqueue(server, class, item.client, request_id);
-                Outcome::ConnectFailed
-            }
-            Stage::Sending { token, link, .. } => {
-                self.aborted += 1;
-                if let Some(at) = self.servers.get(token) {
-                    at.conn.abort(link);
-                }
-                self.servers.free_lane(server, class, request_id);
-                Outcome::ConnectFailed
-            }
-            Stage::Sent { token, link, id, end } => {
-                let written = ctx.net.written(token) >= end;
-                if let Some(at) = self.servers.get(token) {
-                    at.conn.forget(link, id);
-                }
-                self.servers.touch(server);
-                if written {
-                    Outcome::Timeout
-                } else {
-                    Outcome::Reset
-                }
-            }
-        };
-        outcome
+        self.cancel_delivery_or_forwarder(ctx, request_id)
     }
 
-    fn refuse(&mut self, ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
-        let after = (cool_down / 1_000_000) as u32;
-        let words = "no region takes it now; come again";
-        self.refuse_forwarder(request_id, come_again(condition::RESOURCE_LIMIT_EXCEEDED, words, after));
-        self.answer(ctx, request_id, refused(after));
+    fn refuse(&mut self, _ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
+        let retry_after_ms = (cool_down / NANOS_PER_MS) as u32;
+        let description = "no region takes it now; come again";
+        let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
+        self.refuse_forwarder(request_id, error);
+        self.answer(request_id, rejected_state(retry_after_ms));
     }
 
-    fn fail(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
         self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
-        self.answer(ctx, request_id, failed());
+        self.answer(request_id, failed_state());
     }
 
     fn migrate(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
-        let Some(forwarder) = self.forwarders.of(request_id) else { return };
-        if let Some(gone) = self.forwarders.remove(forwarder, &mut self.servers) {
-            let error = come_again(condition::DETACH_FORCED, "moved: come again", 0);
-            self.end_client_link(gone.client, gone.link, Some(error));
+        let Some(id) = self.forwarders.of_request(request_id) else { return };
+        if let Some(forwarder) = self.forwarders.remove(id, &mut self.servers) {
+            let error = retry_error(condition::DETACH_FORCED, "moved: come again", 0);
+            self.detach_client_link(&forwarder, Some(error));
         }
     }
 
     fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
-        for request_id in self.items.unsent(stopped) {
-            self.give_up(ctx, request_id);
-            self.over(ctx, request_id, Outcome::ConnectFailed);
+        for request_id in self.deliveries.unsent_at(stopped) {
+            self.cancel_delivery_or_forwarder(ctx, request_id);
+            self.on_attempt_ended(ctx, request_id, Outcome::ConnectFailed);
         }
-        for (_, forwarder) in self.forwarders.unsent(stopped) {
-            self.forwarder_failed(ctx, forwarder, Outcome::ConnectFailed);
+        for forwarder in self.forwarders.unanswered_at(stopped) {
+            self.on_forwarder_attempt_failed(ctx, forwarder, Outcome::ConnectFailed);
         }
     }
 
@@ -311,93 +204,81 @@
     }
 
     fn dial_due(&mut self, ctx: &mut Ctx, token: Token) {
-        if self.servers.is_late(token) {
-            self.lose_server(ctx, token);
+        if self.servers.is_opening(token) {
+            self.on_server_connection_lost(ctx, token);
         }
     }
 
     fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
         self.check_passwords(ctx);
-        self.refuse_due(ctx, token);
+        self.reject_due_login(ctx, token);
     }
 
     fn look(&mut self, ctx: &mut Ctx) {
-        self.look_at_clients(ctx);
-        self.look_at_servers(ctx);
+        self.check_client_connections(ctx);
+        self.check_server_connections(ctx);
         for request_id in self.recovery.expire(ctx.now) {
-            self.left(ctx, request_id);
+            self.abandon_request(ctx, request_id);
         }
-        if self.items.held() < self.config.max_held / 2 {
-            self.grant_all();
+        if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 2 {
+            self.replenish_all_credit();
         }
     }
 
     fn flush(&mut self, ctx: &mut Ctx) {
-        // What one side writes may make room for the other: both are gone through until neither has more.
+        // What one side writes may give capacity to the other: both are flushed until neither has more.
         while self.servers.is_dirty() || self.clients.is_dirty() {
-            let happened = self.servers.flush(ctx, &self.config, &mut self.items);
-            self.happened(ctx, happened);
-            if self.items.held() < self.config.max_held / 4 * 3 {
-                for token in self.clients.take_paused() {
-                    self.read_client(ctx, token);
-                }
-            }
-            for token in self.clients.take_dirty() {
-                if !self.clients.flush(ctx, token) {
-                    self.client_gone(ctx, token);
-                } else if self.clients.takes_more(ctx, token) {
-                    self.forward_all(ctx, token);
-                }
-            }
+            let results = self.servers.flush(ctx, &self.config, &mut self.deliveries);
+            self.on_attempt_results(ctx, results);
+            self.read_paused_clients(ctx);
+            self.flush_clients(ctx);
         }
     }
 
     fn leave(&mut self, ctx: &mut Ctx) {
-        if !std::mem::replace(&mut self.leaving, true) {
+        if !std::mem::replace(&mut self.shutting_down, true) {
             for token in self.clients.tokens() {
-                self.clients.stop_credit(token);
+                self.clients.revoke_credit(token);
             }
         }
-        self.look_at_clients(ctx);
+        self.check_client_connections(ctx);
     }
 
     fn stay(&mut self, _ctx: &mut Ctx) {
-        if std::mem::take(&mut self.leaving) {
-            self.grant_all();
+        if std::mem::take(&mut self.shutting_down) {
+            self.replenish_all_credit();
         }
     }
 
     fn take_over(&mut self, new: Box<dyn Any>) -> Vec<&'static str> {
         let Ok(new) = new.downcast::<AmqpConfig>() else { return Vec::new() };
-        let mut fixed = if new.listen == self.config.listen { Vec::new() } else { vec!["amqp listen"] };
-        let at = |config: &AmqpConfig| config.tls.as_ref().map(|tls| tls.listen);
-        if at(&new) != at(&self.config) {
-            fixed.push("amqp tls.listen");
+        let mut unchangeable = Vec::new();
+        if new.listen != self.config.listen {
+            unchangeable.push("amqp listen");
+        }
+        let tls_address = |config: &AmqpConfig| config.tls.as_ref().map(|tls| tls.listen);
+        if tls_address(&new) != tls_address(&self.config) {
+            unchangeable.push("amqp tls.listen");
         }
         self.config = AmqpConfig { listen: self.config.listen, ..*new };
-        fixed
+        unchangeable
     }
 
     fn counters(&self) -> Option<String> {
         Some(format!(
-            "clients={} servers={} forwarders={} forwarded={} held={} held_most={} aborted={} \
-             logins_refused={} remembered={} resumed={} fate_unknown={}",
+            "clients={} servers={} forwarders={} forwarded={} buffered_bytes={} max_buffered_bytes={} \
+             aborted={} logins_refused={} remembered={} resumed={} fate_unknown={}",
             self.clients.len(),
             self.servers.len(),
             self.forwarders.len(),
-            self.forwarders.relayed,
-            self.items.held(),
-            self.items.most_held,
+            self.forwarders.forwarded,
+            self.deliveries.buffered_bytes(),
+            self.deliveries.max_buffered_bytes,
             self.aborted,
-            self.refused_logins,
+            self.rejected_logins,
             self.recovery.len(),
             self.recovery.resumed,
             self.fate_unknown,
         ))
     }
 }
-
-/// What is passed between the sides of a forwarder.
-fn sides<'a>(clients: &'a mut Clients, servers: &'a mut Servers) -> Sides<'a> {
-    Sides { clients, servers }
-}
--- a/src/front/amqp/recovery.rs
+++ b/src/front/amqp/recovery.rs
@@ -1,302 +1,262 @@
-//! What is remembered of deliveries whose link may come again (part 2, sections 2.6.5 and 2.6.13), so that
-//! none is run twice: those that still run, and how those ended that were answered. Sans I/O.
+//! Link recovery (part 2 of the standard, sections 2.6.5 and 2.6.13): the deliveries of links that may be resumed,
+//! remembered so that none is run twice. Knows which still run and the states of those that are settled. Sans I/O.
 //!
-//! A link goes by its peer's container, its user and its name. One whose target asks for a time-out is
-//! remembered from its attach on; any other only from a detach that does not close it, and only as long
-//! as its connection lasts.
+//! A link is identified by its peer's container, its user and its name. A link whose target requests a timeout is
+//! remembered from its attach on. Any other link is remembered only after a detach that does not close it, and only
+//! as long as its connection lasts.
 
-use super::items::Map;
+use super::deliveries::Map;
 use crate::net::Token;
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{State, Tag};
 use std::collections::{HashSet, VecDeque};
 
-/// A link's name among all peers.
+/// A link's identity across connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Key {
+pub struct LinkKey {
+    /// The peer's container id.
     pub container: String,
+    /// The authenticated user; none for an anonymous peer.
     pub user: Option<String>,
+    /// The link's name.
     pub name: String,
 }
 
-/// What became of a delivery.
+/// The state of a delivery on a remembered link.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fate {
+pub enum DeliveryStatus {
     /// It is a request that is not answered yet.
-    Runs(RequestId),
-    /// It was answered with this.
-    Ended(State),
+    Running(RequestId),
+    /// It was answered with this state.
+    Settled(State),
 }
 
-struct Memory {
+struct RememberedLink {
     /// The connection that the link is on or was on last.
     token: Token,
     attached: bool,
-    fates: Map<Tag, Fate>,
-    /// Those that ended, oldest first.
-    ended: VecDeque<Tag>,
-    /// How long it is kept after its link is gone; 0: as long as its connection lasts.
+    deliveries: Map<Tag, DeliveryStatus>,
+    /// The tags of settled deliveries, oldest first.
+    settled: VecDeque<Tag>,
+    /// How long it is remembered after its link is lost, in nanoseconds; 0: as long as its connection lasts.
     timeout: Nanos,
-    expires: Option<Nanos>,
+    expires_at: Option<Nanos>,
 }
 
-/// The bounds.
+/// Bounds on what is remembered.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Links that are remembered.
-    pub links: usize,
-    /// Ended deliveries that are remembered of each.
-    pub ended: usize,
-    /// The longest time-out.
-    pub timeout: Nanos,
+pub struct RecoveryLimits {
+    /// Links that are remembered at the same time.
+    pub max_links: usize,
+    /// Settled deliveries that are remembered of each link.
+    pub max_settled_per_link: usize,
+    /// The longest timeout, in nanoseconds.
+    pub max_timeout: Nanos,
 }
 
-/// All that is remembered.
+/// All remembered links.
 #[derive(Default)]
 pub struct Recovery {
-    links: Map<Key, Memory>,
-    runs: Map<RequestId, (Key, Tag)>,
-    /// Links that came again.
+    links: Map<LinkKey, RememberedLink>,
+    running: Map<RequestId, (LinkKey, Tag)>,
+    /// How many links were resumed.
     pub resumed: u64,
 }
 
-/// What a link finds when it attaches.
+/// What the node knows about a link's deliveries when it attaches.
 #[derive(Debug, Default, PartialEq)]
-pub struct Found {
-    /// The deliveries that the peer asks about and that are known, with their client state or none.
+pub struct ResumedLink {
+    /// Deliveries of the peer's unsettled map that are known, with their state if they are settled.
     pub known: Vec<(Tag, Option<State>)>,
-    /// The deliveries that the peer asks about while nothing at all is known of its link: whether they ran
-    /// cannot be told.
+    /// Deliveries of the peer's unsettled map while nothing at all is known of the link: whether they ran is
+    /// unknown.
     pub unknown: HashSet<Tag>,
-    /// Requests that the peer does not ask about any more.
-    pub forgotten: Vec<RequestId>,
+    /// Running requests whose deliveries are not in the peer's unsettled map any more.
+    pub abandoned: Vec<RequestId>,
 }
 
 impl Recovery {
-    /// A link attaches; `asked` are the tags of the peer's unsettled map. A time-out in nanoseconds has it
-    /// remembered from now on.
+    /// A link attaches. `unsettled` are the tags of the peer's unsettled map. A timeout above 0 (nanoseconds) has the
+    /// link remembered from now on.
     pub fn attach(
         &mut self,
-        bounds: Bounds,
-        key: &Key,
+        limits: RecoveryLimits,
+        key: &LinkKey,
         token: Token,
         timeout: Nanos,
-        asked: &[Tag],
-    ) -> Found {
-        let mut found = Found::default();
-        let timeout = timeout.min(bounds.timeout);
-        match self.links.get_mut(key) {
-            Some(memory) => {
-                self.resumed += u64::from(!memory.attached);
-                (memory.token, memory.attached, memory.expires) = (token, true, None);
-                memory.timeout = timeout;
-                for tag in asked {
-                    match memory.fates.get(tag) {
-                        Some(Fate::Ended(state)) => found.known.push((*tag, Some(state.clone()))),
-                        Some(Fate::Runs(_)) => found.known.push((*tag, None)),
-                        None => {}
-                    }
-                }
-                let asked: HashSet<Tag> = asked.iter().copied().collect();
-                memory.fates.retain(|tag, fate| {
-                    if let (Fate::Runs(request_id), false) = (&fate, asked.contains(tag)) {
-                        found.forgotten.push(*request_id);
-                    }
-                    asked.contains(tag)
-                });
-                memory.ended.retain(|tag| asked.contains(tag));
-                found.forgotten.sort_unstable();
-            }
-            None => {
-                found.unknown = asked.iter().take(bounds.ended).copied().collect();
-                if timeout > 0 {
-                    self.remember(bounds, key, token, timeout);
-                }
+        unsettled: &[Tag],
+    ) -> ResumedLink {
+        let timeout = timeout.min(limits.max_timeout);
+        let Some(link) = self.links.get_mut(key) else {
+            if timeout > 0 {
+                self.remember(limits, key, token, timeout);
             }
+            let unknown = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
+            return ResumedLink { unknown, ..ResumedLink::default() };
+        };
+        self.resumed += u64::from(!link.attached);
+        link.token = token;
+        link.attached = true;
+        link.expires_at = None;
+        link.timeout = timeout;
+        let known = link.known_among(unsettled);
+        let abandoned = link.retain_unsettled(unsettled);
+        for request_id in &abandoned {
+            self.running.remove(request_id);
         }
-        for request_id in &found.forgotten {
-            self.runs.remove(request_id);
-        }
-        found
+        ResumedLink { known, unknown: HashSet::new(), abandoned }
     }
 
-    fn remember(&mut self, bounds: Bounds, key: &Key, token: Token, timeout: Nanos) -> bool {
-        if self.links.len() >= bounds.links {
+    fn remember(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, timeout: Nanos) -> bool {
+        if self.links.len() >= limits.max_links {
             return false;
         }
-        let (fates, ended) = (Map::default(), VecDeque::new());
-        let memory = Memory { token, attached: true, fates, ended, timeout, expires: None };
-        self.links.insert(key.clone(), memory);
+        let link = RememberedLink {
+            token,
+            attached: true,
+            deliveries: Map::default(),
+            settled: VecDeque::new(),
+            timeout,
+            expires_at: None,
+        };
+        self.links.insert(key.clone(), link);
         true
     }
 
     /// Whether a link is remembered.
-    pub fn knows(&self, key: &Key) -> bool {
+    pub fn is_remembered(&self, key: &LinkKey) -> bool {
         self.links.contains_key(key)
     }
 
-    /// What became of a delivery on a link.
-    pub fn fate(&self, key: &Key, tag: &Tag) -> Option<&Fate> {
-        self.links.get(key)?.fates.get(tag)
+    /// The status of a delivery on a link.
+    pub fn status(&self, key: &LinkKey, tag: &Tag) -> Option<&DeliveryStatus> {
+        self.links.get(key)?.deliveries.get(tag)
     }
 
-    /// A delivery on a link that is remembered is a request.
-    pub fn runs(&mut self, key: &Key, tag: Tag, request_id: RequestId) {
-        if let Some(memory) = self.links.get_mut(key) {
-            memory.fates.insert(tag, Fate::Runs(request_id));
-            self.runs.insert(request_id, (key.clone(), tag));
+    /// A delivery on a remembered link has become a request.
+    pub fn record_running(&mut self, key: &LinkKey, tag: Tag, request_id: RequestId) {
+        if let Some(link) = self.links.get_mut(key) {
+            link.deliveries.insert(tag, DeliveryStatus::Running(request_id));
+            self.running.insert(request_id, (key.clone(), tag));
         }
     }
 
     /// A request has its answer.
-    pub fn ended(&mut self, bounds: Bounds, request_id: RequestId, state: &State) {
-        let Some((key, tag)) = self.runs.remove(&request_id) else { return };
-        let Some(memory) = self.links.get_mut(&key) else { return };
-        memory.fates.insert(tag, Fate::Ended(state.clone()));
-        memory.ended.push_back(tag);
-        while memory.ended.len() > bounds.ended {
-            if let Some(oldest) = memory.ended.pop_front() {
-                memory.fates.remove(&oldest);
+    pub fn record_settled(&mut self, limits: RecoveryLimits, request_id: RequestId, state: &State) {
+        let Some((key, tag)) = self.running.remove(&request_id) else { return };
+        let Some(link) = self.links.get_mut(&key) else { return };
+        link.deliveries.insert(tag, DeliveryStatus::Settled(state.clone()));
+        link.settled.push_back(tag);
+        while link.settled.len() > limits.max_settled_per_link {
+            if let Some(oldest) = link.settled.pop_front() {
+                link.deliveries.remove(&oldest);
             }
         }
     }
 
-    /// A request is of no interest any more.
-    pub fn left(&mut self, request_id: RequestId) {
-        if let Some((key, tag)) = self.runs.remove(&request_id) {
-            if let Some(memory) = self.links.get_mut(&key) {
-                memory.fates.remove(&tag);
-            }
+    /// A request was abandoned: its delivery is forgotten.
+    pub fn forget_request(&mut self, request_id: RequestId) {
+        let Some((key, tag)) = self.running.remove(&request_id) else { return };
+        if let Some(link) = self.links.get_mut(&key) {
+            link.deliveries.remove(&tag);
         }
     }
 
-    /// A link is detached and not closed: it may come again. False where there is no room to remember it.
-    pub fn suspend(&mut self, bounds: Bounds, key: &Key, token: Token, now: Nanos) -> bool {
-        if !self.knows(key) && !self.remember(bounds, key, token, 0) {
+    /// A link is detached and not closed: it may be resumed. False where there is no capacity to remember it.
+    pub fn suspend(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, now: Nanos) -> bool {
+        if !self.is_remembered(key) && !self.remember(limits, key, token, 0) {
             return false;
         }
-        if let Some(memory) = self.links.get_mut(key) {
-            memory.attached = false;
-            memory.expires = (memory.timeout > 0).then_some(now + memory.timeout);
+        if let Some(link) = self.links.get_mut(key) {
+            link.attached = false;
+            link.expires_at = (link.timeout > 0).then_some(now + link.timeout);
         }
         true
     }
 
-    /// A connection is gone. Gives the requests that nobody can ask about any more.
-    pub fn lost(&mut self, token: Token, now: Nanos) -> Vec<RequestId> {
-        let mut gone = Vec::new();
-        for (key, memory) in &mut self.links {
-            if memory.token == token {
-                memory.attached = false;
-                memory.expires.get_or_insert(now + memory.timeout);
-                if memory.timeout == 0 {
-                    gone.push(key.clone());
+    /// A connection is lost. Gives the requests whose outcome nobody can request any more.
+    pub fn connection_lost(&mut self, token: Token, now: Nanos) -> Vec<RequestId> {
+        let mut forgotten = Vec::new();
+        for (key, link) in &mut self.links {
+            if link.token == token {
+                link.attached = false;
+                link.expires_at.get_or_insert(now + link.timeout);
+                if link.timeout == 0 {
+                    forgotten.push(key.clone());
                 }
             }
         }
-        self.forget_all(gone)
+        self.forget_links(forgotten)
     }
 
-    /// A link is closed, or its time is over. Gives the requests that nobody can ask about any more.
-    pub fn forget(&mut self, key: &Key) -> Vec<RequestId> {
-        self.forget_all(vec![key.clone()])
+    /// A link is closed. Gives the requests whose outcome nobody can request any more.
+    pub fn forget(&mut self, key: &LinkKey) -> Vec<RequestId> {
+        self.forget_links(vec![key.clone()])
     }
 
-    /// What has expired by now.
+    /// Forgets the links that have expired by now. Gives the requests whose outcome nobody can request any more.
     pub fn expire(&mut self, now: Nanos) -> Vec<RequestId> {
-        let over = |m: &Memory| !m.attached && m.expires.is_some_and(|at| at <= now);
-        let over = self.links.iter().filter(|(_, m)| over(m)).map(|(key, _)| key.clone()).collect();
-        self.forget_all(over)
+        let expired = self.links.iter().filter(|(_, link)| link.is_expired(now));
+        let expired = expired.map(|(key, _)| key.clone()).collect();
+        self.forget_links(expired)
     }
 
-    fn forget_all(&mut self, mut keys: Vec<Key>) -> Vec<RequestId> {
+    fn forget_links(&mut self, mut keys: Vec<LinkKey>) -> Vec<RequestId> {
         keys.sort_unstable();
-        let mut left = Vec::new();
+        let mut abandoned = Vec::new();
         for key in keys {
-            let Some(memory) = self.links.remove(&key) else { continue };
-            for fate in memory.fates.into_values() {
-                if let Fate::Runs(request_id) = fate {
-                    self.runs.remove(&request_id);
-                    left.push(request_id);
+            let Some(link) = self.links.remove(&key) else { continue };
+            for status in link.deliveries.into_values() {
+                if let DeliveryStatus::Running(request_id) = status {
+                    self.running.remove(&request_id);
+                    abandoned.push(request_id);
                 }
             }
         }
-        left.sort_unstable();
-        left
+        abandoned.sort_unstable();
+        abandoned
     }
 
-    /// Links that are remembered.
+    /// The number of remembered links.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::net::tests_token as token;
-
-    const BOUNDS: Bounds = Bounds { links: 2, ended: 3, timeout: 1000 };
-
-    fn key(name: &str) -> Key {
-        Key { container: "c".into(), user: None, name: name.into() }
-    }
-
-    fn tag(n: u8) -> Tag {
-        Tag::new(&[n]).expect("short")
-    }
-
-    #[test]
-    fn a_link_that_comes_again_hears_what_became_of_its_deliveries() {
-        let mut recovery = Recovery::default();
-        let link = key("a");
-        assert_eq!(recovery.attach(BOUNDS, &link, token(1), 500, &[]), Found::default());
-        for n in 0..3 {
-            recovery.runs(&link, tag(n), RequestId(u64::from(n)));
+impl RememberedLink {
+    /// The known deliveries among these, in their order.
+    fn known_among(&self, unsettled: &[Tag]) -> Vec<(Tag, Option<State>)> {
+        let mut known = Vec::new();
+        for tag in unsettled {
+            match self.deliveries.get(tag) {
+                Some(DeliveryStatus::Settled(state)) => known.push((*tag, Some(state.clone()))),
+                Some(DeliveryStatus::Running(_)) => known.push((*tag, None)),
+                None => {}
+            }
         }
-        recovery.ended(BOUNDS, RequestId(0), &State::Accepted);
-        assert!(recovery.lost(token(1), 100).is_empty(), "its time has not come");
-        assert!(recovery.expire(599).is_empty());
-        let found = recovery.attach(BOUNDS, &link, token(2), 500, &[tag(0), tag(1), tag(9)]);
-        assert_eq!(found.known, [(tag(0), Some(State::Accepted)), (tag(1), None)]);
-        assert_eq!((found.unknown.len(), found.forgotten), (0, vec![RequestId(2)]));
-        assert_eq!(recovery.fate(&link, &tag(9)), None, "it never came whole: it may run");
-        // Lost again, and this time for good.
-        recovery.lost(token(2), 700);
-        assert_eq!(recovery.expire(1200), [RequestId(1)]);
-        assert_eq!((recovery.len(), recovery.runs.len()), (0, 0));
-        let found = recovery.attach(BOUNDS, &link, token(3), 500, &[tag(1)]);
-        assert!(found.unknown.contains(&tag(1)), "nobody knows any more whether it ran");
+        known
     }
 
-    #[test]
-    fn what_is_remembered_is_bounded() {
-        let mut recovery = Recovery::default();
-        let link = key("a");
-        recovery.attach(BOUNDS, &link, token(1), 9_999, &[]);
-        for n in 0..10 {
-            recovery.runs(&link, tag(n), RequestId(u64::from(n)));
-            recovery.ended(BOUNDS, RequestId(u64::from(n)), &State::Released);
-        }
-        assert_eq!(recovery.links[&link].fates.len(), 3);
-        assert_eq!(recovery.links[&link].timeout, 1000, "no longer than the node allows");
-        recovery.attach(BOUNDS, &key("b"), token(1), 1, &[]);
-        recovery.attach(BOUNDS, &key("c"), token(1), 1, &[]);
-        assert!(!recovery.knows(&key("c")) && !recovery.suspend(BOUNDS, &key("c"), token(1), 0));
+    /// Forgets all deliveries but these. Gives the requests that were running among the forgotten, in order.
+    fn retain_unsettled(&mut self, unsettled: &[Tag]) -> Vec<RequestId> {
+        let unsettled: HashSet<Tag> = unsettled.iter().copied().collect();
+        let mut abandoned = Vec::new();
+        self.deliveries.retain(|tag, status| {
+            let retained = unsettled.contains(tag);
+            if let (DeliveryStatus::Running(request_id), false) = (&status, retained) {
+                abandoned.push(*request_id);
+            }
+            retained
+        });
+        self.settled.retain(|tag| unsettled.contains(tag));
+        abandoned.sort_unstable();
+        abandoned
     }
 
-    #[test]
-    fn without_a_time_out_a_link_is_remembered_as_long_as_its_connection() {
-        let mut recovery = Recovery::default();
-        let link = key("a");
-        recovery.attach(BOUNDS, &link, token(1), 0, &[]);
-        assert!(!recovery.knows(&link));
-        assert!(recovery.suspend(BOUNDS, &link, token(1), 5));
-        recovery.runs(&link, tag(1), RequestId(7));
-        assert!(recovery.expire(Nanos::MAX).is_empty());
-        let found = recovery.attach(BOUNDS, &link, token(1), 0, &[tag(1)]);
-        assert_eq!(found.known, [(tag(1), None)]);
-        assert_eq!(recovery.lost(token(1), 9), [RequestId(7)]);
-        assert!(!recovery.knows(&link));
+    fn is_expired(&self, now: Nanos) -> bool {
+        !self.attached && self.expires_at.is_some_and(|at| at <= now)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -1,565 +1,338 @@
-//! The servers' side: connections, sessions and lanes. A lane is a sending link for one class; a long
-//! message fills its lane and no other.
+//! The servers' connections, and the requests and forwarders that wait at each server. `server_links` attaches links to
+//! servers, `sending` sends deliveries on them.
 
 use super::config::AmqpConfig;
-use super::items::{Items, Map, Stage, Turns};
+use super::deliveries::{AttemptStage, Deliveries, Map};
+use super::fair_queue::FairQueue;
+use super::forwarders::ForwarderId;
 use crate::front::{Ctx, Due};
 use crate::net::{Owner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
-use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Outgoing, Role, Source, Target, Terminus};
-
-/// A lane sends no more than this before the next one has its turn.
-const CHUNK: usize = 16 * 1024;
-/// With so much unwritten a connection is full.
-const AHEAD: usize = 64 * 1024;
+use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Role};
 
 /// A connection to a server.
-pub struct Link {
+pub struct ServerConnection {
+    /// The server.
     pub server: ServerId,
+    /// The protocol state.
     pub conn: Connection,
     /// What its links are for.
-    pub uses: Map<LinkId, Use>,
+    pub links: Map<LinkId, ServerLink>,
 }
 
 /// What a link to a server is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
-    /// Deliveries of a class go out on it.
-    Lane(usize),
-    /// A forwarder's deliveries come in on it.
-    Forwarder(u64),
+pub enum ServerLink {
+    /// Deliveries of the class with this index are sent on it.
+    Sending(usize),
+    /// A forwarder's deliveries are received on it.
+    Receiving(ForwarderId),
 }
 
-/// A sending link.
-struct Lane {
-    token: Token,
-    link: LinkId,
-    /// The delivery that has begun on it and not gone whole.
-    current: Option<RequestId>,
+/// A link on which deliveries of one class are sent to a server.
+pub(super) struct SendingLink {
+    pub token: Token,
+    pub link: LinkId,
+    /// The delivery that was sent on it partly.
+    pub current: Option<RequestId>,
 }
 
+/// The requests of one class that wait at a server, and the links for them.
 #[derive(Default)]
-struct Outlet {
-    turns: Turns,
-    lanes: Vec<Lane>,
+pub(super) struct ClassQueue {
+    pub waiting: FairQueue,
+    pub links: Vec<SendingLink>,
 }
 
 /// A server.
 #[derive(Default)]
-struct Server {
-    conns: Vec<Token>,
-    outlets: Vec<Outlet>,
+pub(super) struct Server {
+    pub connections: Vec<Token>,
+    /// By class; empty until the first request.
+    pub classes: Vec<ClassQueue>,
     /// Forwarders that wait for a session.
-    forwarders: Vec<(u64, Box<Attach>)>,
-    /// It answered SASL with AMQP: it has none.
-    no_sasl: bool,
+    pub waiting_forwarders: Vec<(ForwarderId, Box<Attach>)>,
+    /// It answered the SASL header with AMQP's: it has no SASL layer.
+    pub has_no_sasl: bool,
+    /// It is listed among the servers that may have something to do.
     dirty: bool,
-    /// Whose lane is served first changes from turn to turn.
-    turn: usize,
+    /// Rotates the class that is served first.
+    pub rotation: usize,
+}
+
+/// What became of an attempt at a server.
+pub enum AttemptResult {
+    /// A delivery's attempt has ended.
+    Ended(RequestId, Outcome),
+    /// A forwarder got no link: there is no connection, or no capacity.
+    ForwarderNotAttached(ForwarderId),
 }
 
-/// What became of things at the servers.
-pub enum Happened {
-    /// An attempt is over.
-    Over(RequestId, Outcome),
-    /// A forwarder never got its link: no connection, or no room.
-    NoForwarder(u64),
+/// What a lost connection leaves behind.
+#[derive(Default)]
+pub struct LostConnection {
+    /// Attempts that ended with it.
+    pub results: Vec<AttemptResult>,
+    /// Forwarders that received on it, in order.
+    pub forwarders: Vec<ForwarderId>,
 }
 
-/// The table.
+/// All servers and their connections.
 pub struct Servers {
     front: FrontId,
-    container: String,
-    classes: Vec<String>,
-    map: Map<ServerId, Server>,
-    links: Map<Token, Link>,
-    dirty: Vec<ServerId>,
-    /// A message's first octets, put together for its first frame.
-    scratch: Vec<u8>,
+    pub(super) container: String,
+    /// The names of the classes.
+    pub(super) classes: Vec<String>,
+    pub(super) by_id: Map<ServerId, Server>,
+    pub(super) by_token: Map<Token, ServerConnection>,
+    pub(super) dirty: Vec<ServerId>,
+    /// A message's first octets, put together for its first frame; a field so that its allocation is reused.
+    pub(super) scratch: Vec<u8>,
 }
 
 impl Servers {
+    /// No servers yet. `container` is this node's container id.
     pub fn new(front: FrontId, container: &str, classes: Vec<String>) -> Servers {
-        let container = container.to_string();
-        let (map, links, dirty, scratch) = (Map::default(), Map::default(), Vec::new(), Vec::new());
-        Servers { front, container, classes, map, links, dirty, scratch }
+        Servers {
+            front,
+            container: container.to_string(),
+            classes,
+            by_id: Map::default(),
+            by_token: Map::default(),
+            dirty: Vec::new(),
+            scratch: Vec::new(),
+        }
     }
 
-    /// The server whose connection this is.
-    pub fn of(&self, token: Token) -> Option<ServerId> {
-        self.links.get(&token).map(|link| link.server)
+    /// The server at the other end of a connection.
+    pub fn server_of(&self, token: Token) -> Option<ServerId> {
+        self.by_token.get(&token).map(|connection| connection.server)
     }
 
-    pub fn get(&mut self, token: Token) -> Option<&mut Link> {
-        self.links.get_mut(&token)
+    /// A connection.
+    pub fn get(&mut self, token: Token) -> Option<&mut ServerConnection> {
+        self.by_token.get_mut(&token)
     }
 
-    /// An attempt waits for a lane.
-    pub fn queue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
+    /// Queues a request's attempt until a link can send it.
+    pub fn enqueue(&mut self, server_id: ServerId, class: usize, client: Token, request_id: RequestId) {
         let classes = self.classes.len();
-        let at = self.map.entry(server).or_default();
-        if at.outlets.is_empty() {
-            at.outlets.resize_with(classes, Outlet::default);
+        let server = self.by_id.entry(server_id).or_default();
+        if server.classes.is_empty() {
+            server.classes.resize_with(classes, ClassQueue::default);
         }
-        at.outlets[class].turns.push(client, request_id);
-        self.touch(server);
+        server.classes[class].waiting.push(client, request_id);
+        self.mark_dirty(server_id);
     }
 
-    /// A forwarder wants a receiving link: its attach is sent as soon as there is a session.
-    pub fn forwarder(&mut self, server: ServerId, forwarder: u64, attach: Box<Attach>) {
-        self.map.entry(server).or_default().forwarders.push((forwarder, attach));
-        self.touch(server);
+    /// Removes a request's attempt from its queue.
+    pub fn dequeue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
+        if let Some(server) = self.by_id.get_mut(&server) {
+            server.classes[class].waiting.remove(client, request_id);
+        }
+    }
+
+    /// Queues a forwarder's attach until there is a session for it.
+    pub fn enqueue_forwarder(&mut self, server: ServerId, forwarder: ForwarderId, attach: Box<Attach>) {
+        self.by_id.entry(server).or_default().waiting_forwarders.push((forwarder, attach));
+        self.mark_dirty(server);
+    }
+
+    /// Marks a server: there may be something to send to it.
+    pub fn mark_dirty(&mut self, server_id: ServerId) {
+        if let Some(server) = self.by_id.get_mut(&server_id).filter(|server| !server.dirty) {
+            server.dirty = true;
+            self.dirty.push(server_id);
+        }
     }
 
-    /// There may be something to do for a server at the end of the turn.
-    pub fn touch(&mut self, server: ServerId) {
-        if let Some(at) = self.map.get_mut(&server).filter(|at| !at.dirty) {
-            at.dirty = true;
-            self.dirty.push(server);
+    /// Marks the server of a connection.
+    pub fn mark_connection_dirty(&mut self, token: Token) {
+        if let Some(server) = self.server_of(token) {
+            self.mark_dirty(server);
         }
     }
 
-    /// Whether there may be something to do.
+    /// Whether any server is marked.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// There may be something to write on a connection.
-    pub fn touch_link(&mut self, token: Token) {
-        if let Some(server) = self.of(token) {
-            self.touch(server);
+    /// Unmarks a server.
+    pub(super) fn clear_dirty(&mut self, server: ServerId) {
+        if let Some(server) = self.by_id.get_mut(&server) {
+            server.dirty = false;
         }
     }
 
     // ---- Connections -----------------------------------------------------------------------------
 
-    fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId) -> bool {
-        let Some(known) = ctx.registry.entry(server) else { return false };
-        let (addr, mut credentials) = config.place(known.name(), known.addr(), &super::access::nonce());
-        let Some(at) = self.map.get_mut(&server) else { return false };
-        if at.no_sasl && credentials == Some(Credentials::Anonymous) {
+    /// Opens a connection to a server. False where that is impossible.
+    pub(super) fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server_id: ServerId) -> bool {
+        let Some(endpoint) = ctx.registry.entry(server_id) else { return false };
+        let nonce = super::password_checks::nonce();
+        let access = config.server_access(endpoint.name(), endpoint.addr(), &nonce);
+        let Some(server) = self.by_id.get_mut(&server_id) else { return false };
+        let mut credentials = access.credentials;
+        if server.has_no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
         }
-        let Ok(token) = ctx.net.connect(addr, Owner::Front(self.front)) else { return false };
-        ctx.net.read_ahead(token, config.max_frame as usize + 1024);
-        let conn = Connection::dial(ctx.now, config.server(&self.container), credentials);
-        at.conns.push(token);
-        self.links.insert(token, Link { server, conn, uses: Map::default() });
+        let Ok(token) = ctx.net.connect(access.address, Owner::Front(self.front)) else { return false };
+        ctx.net.read_ahead(token, config.read_ahead_bytes());
+        let conn = Connection::dial(ctx.now, config.server_settings(&self.container), credentials);
+        server.connections.push(token);
+        let connection = ServerConnection { server: server_id, conn, links: Map::default() };
+        self.by_token.insert(token, connection);
         ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
-        self.write(ctx, token);
+        self.write_pending(ctx, token);
         true
     }
 
-    fn write(&mut self, ctx: &mut Ctx, token: Token) {
-        if let Some(link) = self.links.get_mut(&token) {
-            let out = link.conn.take_out(ctx.now);
+    /// Passes a connection's pending output to its socket.
+    pub(super) fn write_pending(&mut self, ctx: &mut Ctx, token: Token) {
+        if let Some(connection) = self.by_token.get_mut(&token) {
+            let out = connection.conn.take_out(ctx.now);
             if !out.is_empty() {
                 ctx.net.send(token, &out);
             }
         }
     }
 
-    /// A connection is over. What was on it never ran where its last byte was not written.
-    pub fn lose(&mut self, ctx: &mut Ctx, token: Token, items: &Items) -> (Vec<Happened>, Vec<u64>) {
-        let (mut happened, mut forwarders) = (Vec::new(), Vec::new());
+    /// A connection is lost. An attempt on it has not run where its last octet was not written.
+    pub fn connection_lost(
+        &mut self,
+        ctx: &mut Ctx,
+        token: Token,
+        deliveries: &Deliveries,
+    ) -> LostConnection {
+        let mut lost = LostConnection::default();
         let written = ctx.net.written(token);
         ctx.net.close(token);
-        let Some(mut link) = self.links.remove(&token) else { return (happened, forwarders) };
-        for (at, role, key) in link.conn.abandon() {
-            if let (Some(Use::Lane(_)), Role::Sender) = (link.uses.get(&at), role) {
-                let request_id = RequestId(key);
-                let stage = items.get(request_id).and_then(|i| i.task.as_ref()).map(|t| &t.stage);
-                let ran = matches!(stage, Some(Stage::Sent { end, .. }) if *end <= written);
-                let outcome = if ran { Outcome::Reset } else { Outcome::ConnectFailed };
-                happened.push(Happened::Over(request_id, outcome));
-            }
+        let Some(mut connection) = self.by_token.remove(&token) else { return lost };
+        lost.results = connection.end_attempts(written, deliveries);
+        lost.forwarders = connection.receiving_forwarders();
+        let server_id = connection.server;
+        let Some(server) = self.by_id.get_mut(&server_id) else { return lost };
+        server.remove_connection(token);
+        if connection.conn.peer_has_no_sasl() && !std::mem::replace(&mut server.has_no_sasl, true) {
+            // The next connection goes without SASL: the requests in the queues wait for it.
+            self.mark_dirty(server_id);
+            return lost;
         }
-        forwarders.extend(link.uses.values().filter_map(|u| {
-            if let Use::Forwarder(r) = u {
-                Some(*r)
-            } else {
-                None
-            }
-        }));
-        forwarders.sort_unstable();
-        let Some(server) = self.map.get_mut(&link.server) else { return (happened, forwarders) };
-        server.conns.retain(|conn| *conn != token);
-        for outlet in &mut server.outlets {
-            outlet.lanes.retain(|lane| lane.token != token);
+        if server.connections.is_empty() {
+            self.remove_server(server_id, &mut lost.results);
         }
-        if link.conn.peer_has_no_sasl() && !std::mem::replace(&mut server.no_sasl, true) {
-            // Once more without SASL: what waits there goes on waiting.
-            self.touch(link.server);
-            return (happened, forwarders);
+        lost
+    }
+
+    /// Removes a server without connections: everything that waits there could not connect.
+    fn remove_server(&mut self, server_id: ServerId, results: &mut Vec<AttemptResult>) {
+        let Some(mut server) = self.by_id.remove(&server_id) else { return };
+        for class in &mut server.classes {
+            results.extend(class.fail_waiting());
         }
-        if server.conns.is_empty() {
-            let Some(server) = self.map.remove(&link.server) else { return (happened, forwarders) };
-            let (no_sasl, waiting) = (server.no_sasl, server.forwarders);
-            for mut outlet in server.outlets {
-                let queued = outlet.turns.drain().into_iter();
-                happened.extend(queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)));
-            }
-            happened.extend(waiting.into_iter().map(|(forwarder, _)| Happened::NoForwarder(forwarder)));
-            if no_sasl {
-                self.map.insert(link.server, Server { no_sasl, ..Server::default() });
-            }
+        let waiting = server.waiting_forwarders.into_iter();
+        results.extend(waiting.map(|(forwarder, _)| AttemptResult::ForwarderNotAttached(forwarder)));
+        if server.has_no_sasl {
+            self.by_id.insert(server_id, Server { has_no_sasl: true, ..Server::default() });
         }
-        (happened, forwarders)
     }
 
-    /// Whether a connection should be open by now and is not.
-    pub fn is_late(&self, token: Token) -> bool {
-        self.links.get(&token).is_some_and(|link| !link.conn.is_open())
+    /// Whether a connection is not open yet.
+    pub fn is_opening(&self, token: Token) -> bool {
+        self.by_token.get(&token).is_some_and(|connection| !connection.conn.is_open())
     }
 
+    /// All connections, in order.
     pub fn tokens(&self) -> Vec<Token> {
-        let mut tokens: Vec<Token> = self.links.keys().copied().collect();
+        let mut tokens: Vec<Token> = self.by_token.keys().copied().collect();
         tokens.sort_unstable();
         tokens
     }
 
+    /// The number of connections.
     pub fn len(&self) -> usize {
-        self.links.len()
-    }
-
-    /// A connection that serves nothing and whose server gets nothing new.
-    pub fn is_done(&self, ctx: &Ctx, token: Token) -> bool {
-        let Some(link) = self.links.get(&token) else { return false };
-        let leaving = ctx.registry.entry(link.server).is_none_or(|server| !server.serving());
-        leaving
-            && link.conn.is_open()
-            && link
-                .uses
-                .iter()
-                .all(|(at, kind)| matches!(kind, Use::Lane(_)) && link.conn.unsettled(*at) == 0)
-    }
-
-    // ---- Lanes -------------------------------------------------------------------------------------
-
-    /// Attaches a link on the first session with room, or begins a session, or dials. None while that is
-    /// awaited; an error where there is no more to be had.
-    fn place(
-        &mut self,
-        ctx: &mut Ctx,
-        config: &AmqpConfig,
-        server: ServerId,
-        name: &str,
-        role: Role,
-        attach: &Attach,
-    ) -> Result<Option<(Token, LinkId)>, ()> {
-        let conns = self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone());
-        for token in &conns {
-            let Some(link) = self.links.get_mut(token) else { continue };
-            if !link.conn.is_open() {
-                return Ok(None);
-            }
-            for channel in link.conn.channels() {
-                if !link.conn.has_begun(channel) {
-                    return Ok(None);
-                }
-                if let Some(at) = link.conn.attach(channel, name, role, attach.clone()) {
-                    return Ok(Some((*token, at)));
-                }
-            }
-            if link.conn.begin().is_some() {
-                return Ok(None);
-            }
-        }
-        if conns.len() < config.server_connections && self.dial(ctx, config, server) {
-            return Ok(None);
-        }
-        Err(())
-    }
-
-    fn add_lane(
-        &mut self,
-        ctx: &mut Ctx,
-        config: &AmqpConfig,
-        server: ServerId,
-        class: usize,
-    ) -> Result<(), ()> {
-        let count = self.map.get(&server).map_or(0, |at| at.outlets[class].lanes.len());
-        let address = self.classes[class].clone();
-        let name = if count == 0 { address.clone() } else { format!("{address}#{count}") };
-        let target = Target { address: Some(address), ..Target::default() };
-        let attach = Attach {
-            snd_settle_mode: Some(0),
-            rcv_settle_mode: Some(0),
-            source: Some(Source::default()),
-            target: Some(Terminus::Target(target)),
-            ..Attach::default()
-        };
-        let Some((token, link)) = self.place(ctx, config, server, &name, Role::Sender, &attach)? else {
-            return Ok(());
-        };
-        if let Some(at) = self.links.get_mut(&token) {
-            at.uses.insert(link, Use::Lane(class));
-        }
-        if let Some(at) = self.map.get_mut(&server) {
-            at.outlets[class].lanes.push(Lane { token, link, current: None });
-        }
-        Ok(())
-    }
-
-    /// A lane's link is gone. What waits for it goes on waiting where there is another.
-    pub fn lane_gone(&mut self, token: Token, link: LinkId, class: usize) -> Vec<Happened> {
-        let Some(server) = self.of(token) else { return Vec::new() };
-        let Some(at) = self.map.get_mut(&server) else { return Vec::new() };
-        let outlet = &mut at.outlets[class];
-        outlet.lanes.retain(|lane| (lane.token, lane.link) != (token, link));
-        if !outlet.lanes.is_empty() {
-            self.touch(server);
-            return Vec::new();
-        }
-        let queued = outlet.turns.drain().into_iter();
-        queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)).collect()
+        self.by_token.len()
     }
 
-    /// A delivery was answered before it had gone whole: its lane is free again.
-    pub fn free_lane(&mut self, server: ServerId, class: usize, request_id: RequestId) {
-        if let Some(at) = self.map.get_mut(&server) {
-            for lane in at.outlets[class].lanes.iter_mut().filter(|lane| lane.current == Some(request_id)) {
-                lane.current = None;
-            }
-        }
-        self.touch(server);
+    /// Whether a connection is idle and its server is draining or gone.
+    pub fn is_drained(&self, ctx: &Ctx, token: Token) -> bool {
+        let Some(connection) = self.by_token.get(&token) else { return false };
+        let is_serving = ctx.registry.entry(connection.server).is_some_and(|server| server.serving());
+        !is_serving && connection.is_idle()
     }
+}
 
-    pub fn unqueue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
-        if let Some(at) = self.map.get_mut(&server) {
-            at.outlets[class].turns.remove(client, request_id);
+impl Server {
+    fn remove_connection(&mut self, token: Token) {
+        self.connections.retain(|connection| *connection != token);
+        for class in &mut self.classes {
+            class.links.retain(|link| link.token != token);
         }
     }
+}
 
-    // ---- What goes out -------------------------------------------------------------------------------
-
-    /// The end of a turn: everything that credit, windows and sockets take goes out.
-    pub fn flush(&mut self, ctx: &mut Ctx, config: &AmqpConfig, items: &mut Items) -> Vec<Happened> {
-        let mut happened = Vec::new();
-        for server in std::mem::take(&mut self.dirty) {
-            if let Some(at) = self.map.get_mut(&server) {
-                at.dirty = false;
-            }
-            let full = self.pump(ctx, config, server, items, &mut happened);
-            let conns = self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone());
-            let mut room = false;
-            for token in conns {
-                self.write(ctx, token);
-                room |= ctx.net.unwritten(token) < AHEAD;
-            }
-            // Where the socket took it all at once, no notice will say that there is room again.
-            if full && room {
-                self.touch(server);
-            }
-        }
-        happened
-    }
-
-    /// True where a connection took all that is written at one time, and there is more.
-    fn pump(
-        &mut self,
-        ctx: &mut Ctx,
-        config: &AmqpConfig,
-        server: ServerId,
-        items: &mut Items,
-        happened: &mut Vec<Happened>,
-    ) -> bool {
-        self.attach_forwarders(ctx, config, server, happened);
-        self.widen(ctx, config, server, happened);
-        let classes = self.classes.len();
-        let Some(at) = self.map.get_mut(&server).filter(|at| !at.outlets.is_empty()) else { return false };
-        at.turn = at.turn.wrapping_add(1);
-        let mut full = false;
-        // Every lane of every class sends one chunk a round, until none can.
-        loop {
-            let mut moved = false;
-            for offset in 0..classes {
-                let class = (at.turn + offset) % classes;
-                let Outlet { turns, lanes } = &mut at.outlets[class];
-                for lane in lanes {
-                    let Some(link) = self.links.get_mut(&lane.token) else { continue };
-                    let (scratch, conn) = (&mut self.scratch, &mut link.conn);
-                    match feed(ctx, config, scratch, server, turns, lane, conn, items) {
-                        Fed::Still => {}
-                        Fed::Full => full = true,
-                        Fed::Moved => moved = true,
-                        Fed::TooLarge(request_id) => {
-                            happened.push(Happened::Over(request_id, Outcome::Rejected));
-                            moved = true;
-                        }
-                    }
-                }
-            }
-            if !moved {
-                break;
-            }
-        }
-        let stuck = |o: &Outlet| !o.turns.is_empty() && o.lanes.iter().all(|lane| lane.current.is_some());
-        if at.outlets.iter().any(stuck) {
-            self.widen(ctx, config, server, happened);
-        }
-        full
+impl ClassQueue {
+    /// Empties the queue: its attempts could not connect.
+    pub fn fail_waiting(&mut self) -> Vec<AttemptResult> {
+        let waiting = self.waiting.drain().into_iter();
+        waiting.map(|request_id| AttemptResult::Ended(request_id, Outcome::ConnectFailed)).collect()
     }
 
-    /// Opens a lane for each class that has something waiting and no lane that could take it: the first,
-    /// or another where long messages hold all there are.
-    fn widen(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server: ServerId, happened: &mut Vec<Happened>) {
-        for class in 0..self.map.get(&server).map_or(0, |at| at.outlets.len()) {
-            let Some(outlet) = self.map.get(&server).map(|at| &at.outlets[class]) else { return };
-            let held = outlet.lanes.iter().all(|lane| lane.current.is_some());
-            if outlet.turns.is_empty() || !held || outlet.lanes.len() >= config.server_lanes {
-                continue;
-            }
-            let first = outlet.lanes.is_empty();
-            if self.add_lane(ctx, config, server, class).is_err() && first {
-                if let Some(at) = self.map.get_mut(&server) {
-                    let queued = at.outlets[class].turns.drain().into_iter();
-                    happened
-                        .extend(queued.map(|request_id| Happened::Over(request_id, Outcome::ConnectFailed)));
-                }
-            }
-        }
+    /// Whether each link is taken by a delivery that was sent partly.
+    pub fn all_links_busy(&self) -> bool {
+        self.links.iter().all(|link| link.current.is_some())
     }
+}
 
-    fn attach_forwarders(
-        &mut self,
-        ctx: &mut Ctx,
-        config: &AmqpConfig,
-        server: ServerId,
-        happened: &mut Vec<Happened>,
-    ) {
-        let waiting = self.map.get_mut(&server).map_or(Vec::new(), |at| std::mem::take(&mut at.forwarders));
-        for (forwarder, attach) in waiting {
-            let name = format!("{}/{forwarder}", self.container);
-            match self.place(ctx, config, server, &name, Role::Receiver, &attach) {
-                Ok(Some((token, link))) => {
-                    if let Some(at) = self.links.get_mut(&token) {
-                        at.uses.insert(link, Use::Forwarder(forwarder));
-                    }
-                }
-                Ok(None) => {
-                    if let Some(at) = self.map.get_mut(&server) {
-                        at.forwarders.push((forwarder, attach));
-                    }
-                }
-                Err(()) => happened.push(Happened::NoForwarder(forwarder)),
+impl ServerConnection {
+    /// Ends the attempts on this connection, of whose output `written` octets were written.
+    fn end_attempts(&mut self, written: u64, deliveries: &Deliveries) -> Vec<AttemptResult> {
+        let mut results = Vec::new();
+        for (link, role, key) in self.conn.abandon() {
+            if let (Some(ServerLink::Sending(_)), Role::Sender) = (self.links.get(&link), role) {
+                let request_id = RequestId(key);
+                let outcome = interrupted_outcome(deliveries, request_id, written);
+                results.push(AttemptResult::Ended(request_id, outcome));
             }
         }
+        results
     }
 
-    /// A forwarder that does not stand is given up: its link, if it was asked for, is detached. True where
-    /// nothing had gone out.
-    pub fn drop_forwarder(&mut self, server: ServerId, forwarder: u64) -> bool {
-        if self.forget_forwarder(server, forwarder) {
-            return true;
-        }
-        for token in self.map.get(&server).map_or(Vec::new(), |at| at.conns.clone()) {
-            let Some(link) = self.links.get_mut(&token) else { continue };
-            let asked =
-                link.uses.iter().find(|(_, kind)| **kind == Use::Forwarder(forwarder)).map(|(at, _)| *at);
-            if let Some(at) = asked {
-                link.uses.remove(&at);
-                link.conn.detach(at, true, None);
-                self.touch(server);
-            }
-        }
-        false
+    /// The forwarders that receive on this connection, in order.
+    fn receiving_forwarders(&self) -> Vec<ForwarderId> {
+        let mut forwarders: Vec<ForwarderId> =
+            self.links.values().filter_map(|link| link.forwarder()).collect();
+        forwarders.sort_unstable();
+        forwarders
     }
 
-    /// A forwarder that waits for a session waits no more. False where its attach has gone out.
-    fn forget_forwarder(&mut self, server: ServerId, forwarder: u64) -> bool {
-        let Some(at) = self.map.get_mut(&server) else { return false };
-        let before = at.forwarders.len();
-        at.forwarders.retain(|(waiting, _)| *waiting != forwarder);
-        at.forwarders.len() < before
+    /// Whether it is open, no forwarder uses it and no delivery on it is unsettled.
+    fn is_idle(&self) -> bool {
+        let is_idle = |(id, link): (&LinkId, &ServerLink)| {
+            matches!(link, ServerLink::Sending(_)) && self.conn.unsettled(*id) == 0
+        };
+        self.conn.is_open() && self.links.iter().all(is_idle)
     }
 }
 
-/// What feeding a lane came to.
-enum Fed {
-    /// It can do nothing now.
-    Still,
-    /// Its connection has all that is written at one time.
-    Full,
-    /// Something moved: it may go on.
-    Moved,
-    /// This delivery is larger than the server takes.
-    TooLarge(RequestId),
-}
-
-/// The delivery that is on a lane, or the next whose turn it is.
-fn next(turns: &mut Turns, lane: &Lane, conn: &mut Connection) -> Option<RequestId> {
-    if lane.current.is_some() {
-        return lane.current;
-    }
-    let request_id = if conn.can_send(lane.link) { turns.pop() } else { None };
-    if turns.is_empty() && request_id.is_none() {
-        conn.drained(lane.link);
+impl ServerLink {
+    /// The forwarder that receives on it.
+    pub fn forwarder(&self) -> Option<ForwarderId> {
+        match self {
+            ServerLink::Receiving(forwarder) => Some(*forwarder),
+            ServerLink::Sending(_) => None,
+        }
     }
-    request_id
 }
 
-/// Sends one chunk on a lane.
-#[allow(clippy::too_many_arguments)]
-fn feed(
-    ctx: &mut Ctx,
-    config: &AmqpConfig,
-    scratch: &mut Vec<u8>,
-    server: ServerId,
-    turns: &mut Turns,
-    lane: &mut Lane,
-    conn: &mut Connection,
-    items: &mut Items,
-) -> Fed {
-    let room = AHEAD.saturating_sub(ctx.net.unwritten(lane.token));
-    if conn.pending() >= room {
-        return if lane.current.is_some() || !turns.is_empty() { Fed::Full } else { Fed::Still };
-    }
-    let room = room.min(conn.pending() + CHUNK);
-    let Some(request_id) = next(turns, lane, conn) else { return Fed::Still };
-    let (token, link) = (lane.token, lane.link);
-    lane.current = None;
-    let Some(item) = items.get_mut(request_id) else { return Fed::Moved };
-    let Some(task) = item.task.as_mut().filter(|task| task.server == server) else { return Fed::Moved };
-    let delivery = Outgoing { key: request_id.0, tag: request_id.0.into(), settled: false };
-    let (sent, id, at) = match task.stage {
-        Stage::Sent { .. } => return Fed::Moved,
-        Stage::Queued => {
-            if conn.most_message(link).is_some_and(|most| item.bytes.len() as u64 > most) {
-                return Fed::TooLarge(request_id);
-            }
-            let ttl = task.until.saturating_sub(ctx.now) / 1_000_000;
-            scratch.clear();
-            item.head.encode(&item.bytes, (ttl as u32).max(1), scratch);
-            let (prefix, rest) = (scratch.len(), item.head.rest());
-            scratch.extend_from_slice(&item.bytes[rest..]);
-            let id = conn.next_delivery(link.channel);
-            let sent = conn.send(link, delivery, scratch, item.whole, room);
-            if !sent.begun {
-                turns.push(item.client, request_id);
-                return Fed::Still;
-            }
-            // A header has fewer octets than any frame: it has gone with the first.
-            (sent, id, rest + sent.taken.saturating_sub(prefix))
-        }
-        Stage::Sending { id, at, .. } => {
-            let octets = item.bytes.get(at - item.base..).unwrap_or_default();
-            let sent = conn.send(link, delivery, octets, item.whole, room);
-            (sent, id, at + sent.taken)
-        }
-    };
-    if sent.done {
-        let end = ctx.net.position(token) + conn.pending() as u64;
-        task.stage = Stage::Sent { token, link, id, end };
-        return Fed::Moved;
-    }
-    task.stage = Stage::Sending { token, link, id, at };
-    lane.current = Some(request_id);
-    items.let_go(request_id, config.keep);
-    if sent.taken > 0 {
-        Fed::Moved
-    } else {
-        Fed::Still
+/// The outcome of an attempt whose link or connection is lost after `written` octets of the connection's output: it may
+/// have run where its last octet was written.
+pub fn interrupted_outcome(deliveries: &Deliveries, request_id: RequestId, written: u64) -> Outcome {
+    let attempt = deliveries.get(request_id).and_then(|delivery| delivery.attempt.as_ref());
+    match attempt.map(|attempt| &attempt.stage) {
+        Some(AttemptStage::Sent { end, .. }) if *end <= written => Outcome::Reset,
+        _ => Outcome::ConnectFailed,
     }
 }
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -143,7 +143,7 @@
     assert!(bytes.ends_with(&body), "the body is unchanged");
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    let held = value(&bench.front_counters("amqp"), "held_most");
+    let held = value(&bench.front_counters("amqp"), "max_buffered_bytes");
     assert!(held < 350_000, "{held} octets were held");
 }
 
@@ -605,6 +605,6 @@
     for hand in writing {
         assert_eq!(hand.join().expect("a terminal's thread"), State::Accepted);
     }
-    let held = value(&bench.front_counters("amqp"), "held_most");
+    let held = value(&bench.front_counters("amqp"), "max_buffered_bytes");
     assert!(held < 450_000, "{held} octets were held");
 }
