--- a/src/front/amqp/authentication.rs
+++ b/src/front/amqp/authentication.rs
@@ -38,7 +38,7 @@
             }
             Asked::Plain { user, password } => {
                 if self.password_checks.start(token, users, user, &password) {
-                    ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+                    ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
                 } else {
                     self.finish_login(ctx, token, None);
                 }
@@ -63,7 +63,7 @@
             None => {
                 self.rejected_logins += 1;
                 client.reject_login_at = Some(ctx.now + FAILED_LOGIN_DELAY);
-                ctx.wheel.at(ctx.now + FAILED_LOGIN_DELAY, Due::Timer(self.id, token));
+                ctx.wheel.schedule(ctx.now + FAILED_LOGIN_DELAY, Due::Timer(self.id, token));
             }
         }
     }
@@ -86,7 +86,7 @@
             self.finish_login(ctx, checked.token, identity);
         }
         if let Some(token) = self.password_checks.next_token() {
-            ctx.wheel.at(ctx.now, Due::Timer(self.id, token));
+            ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
         }
     }
 }
--- a/src/front/amqp/client_connections.rs
+++ b/src/front/amqp/client_connections.rs
@@ -6,7 +6,7 @@
 use super::AmqpFront;
 use crate::front::tls::Tls;
 use crate::front::Ctx;
-use crate::net::{Kind, Notice, Token, SLOW};
+use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::RequestId;
 use sparbank_amqp::{condition, Connection, Event, Fault, LinkId, Role};
 
@@ -20,28 +20,28 @@
 
 impl AmqpFront {
     /// Something happened at a client's socket.
-    pub(super) fn on_client_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn on_client_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         let token = notice.token;
         match notice.kind {
-            Kind::Accepted => return self.accept_client(ctx, token),
-            Kind::Evicted | Kind::Overdue => {
+            SocketEventKind::Accepted => return self.accept_client(ctx, token),
+            SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
                 ctx.requests.counters.silent += 1;
                 ctx.net.close(token);
                 return self.on_client_gone(ctx, token);
             }
-            Kind::Broken(_) => return self.on_client_gone(ctx, token),
-            Kind::Drained => self.forward_all(ctx, token),
-            Kind::Readable => {}
+            SocketEventKind::Failed { .. } => return self.on_client_gone(ctx, token),
+            SocketEventKind::OutputFlushed => self.forward_all(ctx, token),
+            SocketEventKind::Readable => {}
         }
         self.read_client(ctx, token);
     }
 
     fn accept_client(&mut self, ctx: &mut Ctx, token: Token) {
-        if ctx.net.is_short() && !ctx.net.make_room() {
+        if ctx.net.is_short_of_descriptors() && !ctx.net.reclaim_descriptors() {
             ctx.requests.counters.over_budget += 1;
             return ctx.net.close(token);
         }
-        let is_tls = self.tls_listener.is_some() && ctx.net.came_to(token) == self.tls_listener;
+        let is_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
         let tls_config = self.config.tls_config.as_ref().filter(|_| is_tls);
         let tls = tls_config.and_then(|config| Tls::new(config).ok());
         if is_tls && tls.is_none() {
@@ -54,8 +54,8 @@
         let mechanisms = users.map(|users| users.mechanisms(allows_plain, allows_external));
         let settings = self.config.client_settings(&self.container);
         let conn = Connection::accept(ctx.now, settings, mechanisms);
-        ctx.net.read_ahead(token, self.config.read_ahead_bytes());
-        let address = ctx.net.peer(token).map(|peer| peer.ip());
+        ctx.net.set_read_limit(token, self.config.read_ahead_bytes());
+        let address = ctx.net.peer_addr(token).map(|peer| peer.ip());
         let max_per_address = self.config.max_connections_per_address;
         if !self.clients.insert(token, conn, tls, address, max_per_address) {
             ctx.requests.counters.over_budget += 1;
@@ -65,8 +65,8 @@
 
     /// Processes a client's input, unless the client does not read its answers or no memory is left for messages.
     pub(super) fn read_client(&mut self, ctx: &mut Ctx, token: Token) {
-        if ctx.net.unwritten(token) >= SLOW {
-            return ctx.net.rearm(token);
+        if ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
+            return ctx.net.update_interest(token);
         }
         // Unprocessed plaintext is bounded as unprocessed input of the socket is.
         let max_plaintext = self.config.read_ahead_bytes();
@@ -82,7 +82,7 @@
             bytes.drain(..processed.count);
             if client.tls.is_some() {
                 client.plaintext = bytes;
-            } else if let Some(input) = ctx.net.input(token) {
+            } else if let Some(input) = ctx.net.input_buffer(token) {
                 *input = bytes;
             }
         }
@@ -93,14 +93,14 @@
         }
         let has_room_again = was_full && client.plaintext.len() < max_plaintext;
         self.clients.mark_dirty(token);
-        if has_room_again && ctx.net.input(token).is_some_and(|input| !input.is_empty()) {
+        if has_room_again && ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
             // For input that is already here, no further notice comes.
             return self.read_client(ctx, token);
         }
-        if ctx.net.at_end(token) {
+        if ctx.net.is_read_closed(token) {
             return self.on_client_gone(ctx, token);
         }
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
     /// Takes a client's unprocessed input, decrypted where it uses TLS. While its plaintext is full, nothing is taken
@@ -112,7 +112,7 @@
         is_full: bool,
         bytes: &mut Vec<u8>,
     ) -> Result<(), Fault> {
-        let input = ctx.net.input(token).filter(|_| !is_full);
+        let input = ctx.net.input_buffer(token).filter(|_| !is_full);
         *bytes = input.map(std::mem::take).unwrap_or_default();
         if let Some(Client { tls: Some(tls), plaintext, .. }) = self.clients.get(token) {
             let wire = std::mem::replace(bytes, std::mem::take(plaintext));
@@ -181,7 +181,7 @@
     }
 
     fn on_client_opened(&mut self, ctx: &mut Ctx, token: Token) {
-        ctx.net.prove(token);
+        ctx.net.mark_handshake_complete(token);
         let anonymous = self.config.known_users.as_ref().and_then(|users| users.anonymous());
         if let (Some(client), Some(identity)) = (self.clients.get(token), anonymous) {
             if client.identity.name.is_none() {
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -7,7 +7,7 @@
 use super::users::Identity;
 use crate::front::tls::Tls;
 use crate::front::Ctx;
-use crate::net::{Token, SLOW};
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{Connection, LinkId, Tag};
 use std::collections::HashSet;
@@ -267,7 +267,7 @@
     /// that mark: where the socket took everything at once, no notice says so.
     pub fn clear_stall(&mut self, ctx: &Ctx, token: Token) -> bool {
         let Some(client) = self.by_token.get_mut(&token) else { return false };
-        let can_resume = client.stalled && ctx.net.unwritten(token) < SLOW;
+        let can_resume = client.stalled && ctx.net.pending_output_bytes(token) < OUTPUT_HIGH_WATERMARK_BYTES;
         client.stalled &= !can_resume;
         can_resume
     }
--- a/src/front/amqp/fair_queue/tests.rs
+++ b/src/front/amqp/fair_queue/tests.rs
@@ -1,7 +1,7 @@
 //! Fairness between clients.
 
 use super::FairQueue;
-use crate::net::tests_token as token;
+use crate::net::token_for_tests as token;
 use crate::vocabulary::RequestId;
 
 #[test]
--- a/src/front/amqp/forwarder.rs
+++ b/src/front/amqp/forwarder.rs
@@ -4,7 +4,7 @@
 use super::forwarders::Peers;
 use super::servers::Servers;
 use crate::front::Ctx;
-use crate::net::{Token, SLOW};
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, LinkId, Outgoing, Part, State, Tag};
 use std::collections::VecDeque;
@@ -163,7 +163,7 @@
     /// number of deliveries that were completed.
     pub fn forward(&mut self, ctx: &Ctx, peers: Peers) -> u64 {
         let Some(client) = peers.clients.get(self.client) else { return 0 };
-        let capacity = SLOW.saturating_sub(ctx.net.unwritten(self.client));
+        let capacity = OUTPUT_HIGH_WATERMARK_BYTES.saturating_sub(ctx.net.pending_output_bytes(self.client));
         let completed = self.send_waiting(client, capacity);
         let credit = client.conn.credit(self.link);
         if self.next_source().is_none() && client.conn.is_draining(self.link) {
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -31,7 +31,7 @@
 
 use super::{Ctx, Front, Opened, Optional};
 use crate::config::Facts;
-use crate::net::{Net, Notice, Owner, Token};
+use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
@@ -85,15 +85,16 @@
     fn open(
         id: FrontId,
         config: AmqpConfig,
-        net: &mut Net,
+        net: &mut SocketReactor,
         name: &str,
         facts: &Facts,
     ) -> Result<Opened, String> {
-        let at = net.listen(config.listen, Owner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
+        let at =
+            net.listen(config.listen, SocketOwner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
         let mut line = format!("listen={at}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
-            let bound = net.listen_at(tls.listen, Owner::Front(id));
+            let bound = net.listen_with_token(tls.listen, SocketOwner::Front(id));
             let (token, at) = bound.map_err(|e| format!("amqp tls listen: {e}"))?;
             line = format!("tls={at} {line}");
             tls_listener = Some(token);
@@ -141,7 +142,7 @@
 }
 
 impl Front for AmqpFront {
-    fn notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         match self.servers.server_of(notice.token) {
             Some(_) => self.on_server_notice(ctx, notice),
             None => self.on_client_notice(ctx, notice),
--- a/src/front/amqp/outcomes.rs
+++ b/src/front/amqp/outcomes.rs
@@ -115,7 +115,7 @@
                 Outcome::ConnectFailed
             }
             AttemptStage::Sent { token, link, delivery_id, end } => {
-                let is_written = ctx.net.written(token) >= end;
+                let is_written = ctx.net.bytes_written(token) >= end;
                 if let Some(connection) = self.servers.get(token) {
                     connection.conn.forget(link, delivery_id);
                 }
--- a/src/front/amqp/recovery/tests.rs
+++ b/src/front/amqp/recovery/tests.rs
@@ -1,7 +1,7 @@
 //! What is remembered of links that may be resumed: its bounds, expiry and settled deliveries.
 
 use super::{LinkKey, Recovery, RecoveryLimits, ResumedLink};
-use crate::net::tests_token as token;
+use crate::net::token_for_tests as token;
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{State, Tag};
 
--- a/src/front/amqp/sending.rs
+++ b/src/front/amqp/sending.rs
@@ -50,7 +50,7 @@
             let mut has_capacity = false;
             for token in self.connections_of(server) {
                 self.write_pending(ctx, token);
-                has_capacity |= ctx.net.unwritten(token) < MAX_UNWRITTEN_BYTES;
+                has_capacity |= ctx.net.pending_output_bytes(token) < MAX_UNWRITTEN_BYTES;
             }
             // Where the socket took everything at once, no notice says that it takes more.
             if is_full && has_capacity {
@@ -114,7 +114,7 @@
 impl Feed<'_, '_> {
     /// Sends one chunk on a link.
     fn send_chunk(&mut self, waiting: &mut FairQueue, link: &mut SendingLink, conn: &mut Connection) -> Turn {
-        let capacity = MAX_UNWRITTEN_BYTES.saturating_sub(self.ctx.net.unwritten(link.token));
+        let capacity = MAX_UNWRITTEN_BYTES.saturating_sub(self.ctx.net.pending_output_bytes(link.token));
         if conn.pending() >= capacity {
             let has_more = link.current.is_some() || !waiting.is_empty();
             return if has_more { Turn::ConnectionFull } else { Turn::Idle };
@@ -163,7 +163,7 @@
         let SendingLink { token, link: link_id, .. } = *link;
         let delivery_id = progress.delivery_id;
         if progress.sent.done {
-            let end = self.ctx.net.position(token) + conn.pending() as u64;
+            let end = self.ctx.net.output_position(token) + conn.pending() as u64;
             attempt.stage = AttemptStage::Sent { token, link: link_id, delivery_id, end };
             return Turn::Progress;
         }
--- a/src/front/amqp/server_connections.rs
+++ b/src/front/amqp/server_connections.rs
@@ -5,13 +5,13 @@
 use super::servers::{interrupted_outcome, ServerLink};
 use super::AmqpFront;
 use crate::front::Ctx;
-use crate::net::{Kind, Notice, Token};
+use crate::net::{SocketEvent, SocketEventKind, Token};
 use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{Error, Event, Fault, LinkId, Role, State};
 
 impl AmqpFront {
     /// Something happened at a server's socket.
-    pub(super) fn on_server_notice(&mut self, ctx: &mut Ctx, notice: Notice) {
+    pub(super) fn on_server_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
         let token = notice.token;
         let fault = self.process_server_input(ctx, token);
         let Some(connection) = self.servers.get(token) else { return };
@@ -22,18 +22,19 @@
             ));
             connection.conn.close(Some(Box::new(fault.into())));
         }
-        let is_lost =
-            connection.conn.is_closed() || ctx.net.at_end(token) || matches!(notice.kind, Kind::Broken(_));
+        let is_lost = connection.conn.is_closed()
+            || ctx.net.is_read_closed(token)
+            || matches!(notice.kind, SocketEventKind::Failed { .. });
         if is_lost {
             return self.on_server_connection_lost(ctx, token);
         }
         self.servers.mark_connection_dirty(token);
-        ctx.net.rearm(token);
+        ctx.net.update_interest(token);
     }
 
     /// Processes a server's input. Gives the fault that ends it, if there is one.
     fn process_server_input(&mut self, ctx: &mut Ctx, token: Token) -> Option<Fault> {
-        let mut bytes = ctx.net.input(token).map(std::mem::take).unwrap_or_default();
+        let mut bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut rest = &bytes[..];
         let mut fault = None;
         while let Some(connection) = self.servers.get(token) {
@@ -49,7 +50,7 @@
         let processed = bytes.len() - rest.len();
         if processed < bytes.len() {
             bytes.drain(..processed);
-            if let Some(input) = ctx.net.input(token) {
+            if let Some(input) = ctx.net.input_buffer(token) {
                 *input = bytes;
             }
         }
@@ -103,7 +104,7 @@
             }
             Event::Dropped { link, role: Role::Sender, key } => {
                 if let Some(ServerLink::Sending(_)) = self.server_link(token, link) {
-                    let written = ctx.net.written(token);
+                    let written = ctx.net.bytes_written(token);
                     let request_id = RequestId(key);
                     let outcome = interrupted_outcome(&self.deliveries, request_id, written);
                     self.on_attempt_ended(ctx, request_id, outcome);
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -6,7 +6,7 @@
 use super::fair_queue::FairQueue;
 use super::forwarders::ForwarderId;
 use crate::front::{Ctx, Due};
-use crate::net::{Owner, Token};
+use crate::net::{SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
 use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Role};
@@ -178,13 +178,13 @@
         if server.has_no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
         }
-        let Ok(token) = ctx.net.connect(access.address, Owner::Front(self.front)) else { return false };
-        ctx.net.read_ahead(token, config.read_ahead_bytes());
+        let Ok(token) = ctx.net.connect(access.address, SocketOwner::Front(self.front)) else { return false };
+        ctx.net.set_read_limit(token, config.read_ahead_bytes());
         let conn = Connection::dial(ctx.now, config.server_settings(&self.container), credentials);
         server.connections.push(token);
         let connection = ServerConnection { server: server_id, conn, links: Map::default() };
         self.by_token.insert(token, connection);
-        ctx.wheel.at(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
+        ctx.wheel.schedule(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
         self.write_pending(ctx, token);
         true
     }
@@ -207,7 +207,7 @@
         deliveries: &Deliveries,
     ) -> LostConnection {
         let mut lost = LostConnection::default();
-        let written = ctx.net.written(token);
+        let written = ctx.net.bytes_written(token);
         ctx.net.close(token);
         let Some(mut connection) = self.by_token.remove(&token) else { return lost };
         lost.results = connection.end_attempts(written, deliveries);
--- a/src/front/amqp/users/tests.rs
+++ b/src/front/amqp/users/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{add_user, Rights, Users};
 use crate::front::amqp::password_checks::PasswordChecks;
-use crate::net::tests_token as token;
+use crate::net::token_for_tests as token;
 use sparbank_amqp::Mechanism;
 use std::path::Path;
 
