--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -26,11 +26,11 @@
 fn settings() -> Settings {
     // As wide as a stand-in can be, so that only the node's own bounds count.
     Settings {
-        window: 8192,
-        max_frame: 70_000,
-        idle: 0,
-        links: 10_000,
-        unsettled: 100_000,
+        incoming_window: 8192,
+        max_frame_size: 70_000,
+        idle_timeout: 0,
+        max_links: 10_000,
+        max_unsettled: 100_000,
         ..Settings::default()
     }
 }
@@ -61,7 +61,7 @@
     }
 
     fn write(&mut self) {
-        self.conn.drain_out(0, &mut self.output);
+        self.conn.append_output(0, &mut self.output);
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(count) => drop(self.output.drain(..count)),
@@ -78,7 +78,7 @@
     fn events(&mut self, mut on: impl FnMut(&mut Connection, Event<'_>)) {
         let input = std::mem::take(&mut self.input);
         let mut left = &input[..];
-        while let Some(event) = self.conn.next(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) = self.conn.next_event(0, &mut left).expect("the node keeps to the standard") {
             on(&mut self.conn, event);
         }
         let left = left.to_vec();
@@ -130,15 +130,15 @@
                     break;
                 }
                 end.events(|conn, event| match event {
-                    Event::Asked(_) => conn.verdict(true),
-                    Event::Asks { link, attach, .. } => {
+                    Event::SaslRequest(_) => conn.finish_sasl(true),
+                    Event::AttachRequested { link, attach, .. } => {
                         conn.accept_link(link, Attach { target: attach.target, ..Attach::default() });
-                        conn.grant(link, 10_000);
+                        conn.set_credit(link, 10_000);
                     }
-                    Event::Transfer { link, part } if part.last => {
-                        conn.settle(link.channel, part.id, State::Accepted);
+                    Event::Transfer { link, transfer } if transfer.last => {
+                        conn.settle(link.channel, transfer.id, State::Accepted);
                         if conn.credit(link) < 5_000 {
-                            conn.grant(link, 10_000);
+                            conn.set_credit(link, 10_000);
                         }
                     }
                     _ => {}
@@ -275,7 +275,7 @@
                         let key = now();
                         let delivery = Outgoing { key, tag: key.into(), settled: false };
                         let sent = end.conn.send(link, delivery, payload, true, usize::MAX);
-                        assert!(sent.done, "a frame holds it");
+                        assert!(sent.complete, "a frame is_valid it");
                         *out += 1;
                         open += 1;
                     }
--- a/crates/amqp/benches/codec.rs
+++ b/crates/amqp/benches/codec.rs
@@ -69,12 +69,12 @@
     macro_rules! performative {
         ($name:literal, $body:expr, $theirs:ty) => {
             let mut bytes = Vec::new();
-            put_frame(&mut bytes, AMQP, 0, Some(&$body), &[]);
+            write_frame(&mut bytes, AMQP, 0, Some(&$body), &[]);
             let body = &bytes[8..];
             compare(
                 concat!($name, " decode"),
                 || {
-                    black_box(take_frame(&mut black_box(&bytes[..]), 4096).expect("sound"));
+                    black_box(read_frame(&mut black_box(&bytes[..]), 4096).expect("sound"));
                 },
                 || {
                     black_box(body_of::<$theirs>(black_box(body)));
@@ -86,7 +86,7 @@
                 concat!($name, " encode"),
                 || {
                     out.clear();
-                    put_frame(&mut out, AMQP, 0, Some(black_box(&$body)), &[]);
+                    write_frame(&mut out, AMQP, 0, Some(black_box(&$body)), &[]);
                     black_box(&out);
                 },
                 || {
--- /dev/null
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -0,0 +1,168 @@
+//! Dispositions: the states that either side gives to deliveries (2.6.12), and settlement.
+
+use super::{Connection, Event, LinkId, Stage};
+use crate::composite::write_composite;
+use crate::error::{condition, fault, Fault};
+use crate::frame::{write_frame_with, AMQP};
+use crate::link::Role;
+use crate::performative::Disposition;
+use crate::session::{Direction, Unsettled};
+use crate::state::State;
+
+/// Dispositions of consecutive deliveries with the same state, written as one (2.6.12 allows a range).
+pub(super) struct DispositionBatch {
+    channel: u16,
+    role: Role,
+    first: u32,
+    last: u32,
+    settled: bool,
+    state: Option<State>,
+}
+
+impl Connection {
+    /// Records an unsettled delivery with its session.
+    pub(super) fn track_unsettled(&mut self, link: LinkId, direction: Direction, id: u32, key: u64) {
+        let Some(session) = self.session_mut(link.channel) else { return };
+        if let Some(link) = session.link_mut(link.handle) {
+            link.unsettled += 1;
+        }
+        session.unsettled_mut(direction).insert(id, Unsettled { handle: link.handle, key, answered: false });
+    }
+
+    /// Removes a delivery that is settled.
+    pub(super) fn remove_unsettled(
+        &mut self,
+        channel: u16,
+        direction: Direction,
+        id: u32,
+    ) -> Option<Unsettled> {
+        let session = self.session_mut(channel)?;
+        let delivery = session.unsettled_mut(direction).remove(&id)?;
+        if let Some(link) = session.link_mut(delivery.handle) {
+            link.unsettled = link.unsettled.saturating_sub(1);
+        }
+        Some(delivery)
+    }
+
+    /// Gives an unsettled received delivery the user's own key, which [`Event::SettledBySender`] and
+    /// [`Event::DeliveryLost`] carry.
+    pub fn set_delivery_key(&mut self, channel: u16, id: u32, key: u64) {
+        let session = self.session_mut(channel);
+        if let Some(delivery) = session.and_then(|session| session.incoming.get_mut(&id)) {
+            delivery.key = key;
+        }
+    }
+
+    /// Gives a received delivery its final state. Where the receiver settles second, the sender settles it after that;
+    /// otherwise it is settled now.
+    pub fn settle(&mut self, channel: u16, id: u32, state: State) {
+        let Some(session) = self.session_mut(channel) else { return };
+        let delivery = session.incoming.get_mut(&id).filter(|delivery| !delivery.answered);
+        let Some(delivery) = delivery else { return };
+        delivery.answered = true;
+        let handle = delivery.handle;
+        let settles_second = session.link(handle).is_some_and(|link| link.receiver_settles_second);
+        if !settles_second {
+            self.remove_unsettled(channel, Direction::Incoming, id);
+        }
+        self.send_disposition(channel, Role::Receiver, id, !settles_second, Some(state));
+    }
+
+    /// The peer's disposition.
+    pub(super) fn on_disposition(&mut self, channel: u16, disposition: Disposition) -> Result<(), Fault> {
+        let missing = |field: &str| fault(condition::INVALID_FIELD, format!("disposition without {field}"));
+        let first = disposition.first.ok_or_else(|| missing("first"))?;
+        let last = disposition.last.unwrap_or(first);
+        let is_from_receiver = disposition.role.ok_or_else(|| missing("role"))?;
+        let settled = disposition.settled == Some(true);
+        let is_final = disposition.state.as_ref().is_some_and(State::is_terminal);
+        if !is_from_receiver {
+            if settled {
+                self.settled_by_sender(channel, first, last);
+            }
+        } else if settled || is_final {
+            self.settled_by_receiver(channel, first, last, settled, disposition.state);
+        }
+        Ok(())
+    }
+
+    /// The sender has settled received deliveries.
+    fn settled_by_sender(&mut self, channel: u16, first: u32, last: u32) {
+        let Some(session) = self.session(channel) else { return };
+        for id in session.unsettled_in_range(Direction::Incoming, first, last) {
+            let delivery = self.remove_unsettled(channel, Direction::Incoming, id);
+            if let Some(delivery) = delivery.filter(|delivery| !delivery.answered) {
+                let link = LinkId { channel, handle: delivery.handle };
+                self.events.push_back(Event::SettledBySender { link, key: delivery.key });
+            }
+        }
+    }
+
+    /// The receiver has given sent deliveries their final state.
+    fn settled_by_receiver(
+        &mut self,
+        channel: u16,
+        first: u32,
+        last: u32,
+        settled: bool,
+        state: Option<State>,
+    ) {
+        let Some(session) = self.session(channel) else { return };
+        for id in session.unsettled_in_range(Direction::Outgoing, first, last) {
+            let Some(delivery) = self.remove_unsettled(channel, Direction::Outgoing, id) else { continue };
+            let link_id = LinkId { channel, handle: delivery.handle };
+            if let Some(link) = self.link_mut(link_id).filter(|link| link.sending == Some(id)) {
+                // Answered before it was sent completely: the rest must not follow.
+                link.sending = None;
+                link.abort = Some(id);
+            }
+            if !settled {
+                self.send_disposition(channel, Role::Sender, id, true, state.clone());
+            }
+            self.events.push_back(Event::Settled {
+                link: link_id,
+                id,
+                key: delivery.key,
+                state: state.clone(),
+            });
+        }
+        self.send_aborts(channel);
+    }
+
+    /// Sends a disposition, or adds it to the batch.
+    pub(super) fn send_disposition(
+        &mut self,
+        channel: u16,
+        role: Role,
+        id: u32,
+        settled: bool,
+        state: Option<State>,
+    ) {
+        if let Some(batch) = &mut self.batch {
+            let is_next = batch.last.wrapping_add(1) == id && (batch.channel, batch.role) == (channel, role);
+            if is_next && batch.settled == settled && batch.state == state {
+                batch.last = id;
+                return;
+            }
+        }
+        self.flush_batch();
+        self.batch = Some(DispositionBatch { channel, role, first: id, last: id, settled, state });
+    }
+
+    /// Writes the batch.
+    pub(super) fn flush_batch(&mut self) {
+        let Some(batch) = self.batch.take() else { return };
+        if self.stage == Stage::Closed {
+            return;
+        }
+        let body = Disposition {
+            role: Some(batch.role == Role::Receiver),
+            first: Some(batch.first),
+            last: (batch.last != batch.first).then_some(batch.last),
+            settled: batch.settled.then_some(true),
+            state: batch.state,
+            batchable: None,
+        };
+        write_frame_with(&mut self.out, AMQP, batch.channel, |out| write_composite(&body, out), &[]);
+    }
+}
--- /dev/null
+++ b/crates/amqp/src/connection/input.rs
@@ -0,0 +1,139 @@
+//! Received bytes: headers and frames, and which session a frame is for (2.2 to 2.5).
+
+use super::{Connection, Event, LinkId, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, SASL_HEADER};
+use crate::error::{condition, fault, Fault};
+use crate::frame::{read_frame, Frame, AMQP, SASL};
+use crate::performative::Performative;
+use crate::session::Phase as SessionPhase;
+use crate::Nanos;
+
+impl Connection {
+    /// Processes input until something happens that the user has to know. None where more input is needed. After a fault
+    /// the user calls [`Connection::close`] with it and writes the remaining output.
+    pub fn next_event<'a>(&mut self, now: Nanos, input: &mut &'a [u8]) -> Result<Option<Event<'a>>, Fault> {
+        if !input.is_empty() {
+            self.last_received = now;
+        }
+        loop {
+            if let Some(event) = self.events.pop_front() {
+                return Ok(Some(event));
+            }
+            match self.stage {
+                Stage::Start | Stage::Header => {
+                    if !self.process_header(input)? {
+                        return Ok(None);
+                    }
+                }
+                Stage::Sasl => {
+                    let Some(frame) = next_frame(input, MIN_MAX_FRAME_SIZE, SASL)? else { return Ok(None) };
+                    if let Some(body) = frame.body {
+                        self.on_sasl(body)?;
+                    }
+                }
+                Stage::Opening | Stage::Open => {
+                    let max_size = self.settings.max_frame_size;
+                    let Some(frame) = next_frame(input, max_size, AMQP)? else { return Ok(None) };
+                    let Some(body) = frame.body else { continue };
+                    if let Some(event) = self.on_performative(frame.channel, body, frame.payload)? {
+                        return Ok(Some(event));
+                    }
+                }
+                Stage::Closed => {
+                    *input = &[];
+                    return Ok(None);
+                }
+            }
+        }
+    }
+
+    /// Processes a protocol header. False where it is incomplete.
+    fn process_header(&mut self, input: &mut &[u8]) -> Result<bool, Fault> {
+        let Some((header, rest)) = input.split_first_chunk::<8>() else {
+            // What can no longer become a header is answered at once (2.2).
+            let is_prefix_of = |header: &[u8; 8]| header.starts_with(input);
+            if is_prefix_of(SASL_HEADER) || is_prefix_of(AMQP_HEADER) || input.starts_with(b"AMQP") {
+                return Ok(false);
+            }
+            return Err(self.reject_header());
+        };
+        *input = rest;
+        self.on_header(header)?;
+        Ok(true)
+    }
+
+    fn on_performative<'a>(
+        &mut self,
+        channel: u16,
+        body: Performative,
+        payload: &'a [u8],
+    ) -> Result<Option<Event<'a>>, Fault> {
+        match (self.stage, body) {
+            (Stage::Opening, Performative::Open(open)) => self.on_open(*open).map(Some),
+            (_, Performative::Close(close)) => {
+                self.close(None);
+                Ok(Some(Event::Closed { error: close.error }))
+            }
+            (Stage::Opening, _) | (_, Performative::Open(_)) => {
+                Err(fault(condition::ILLEGAL_STATE, "open comes once and first"))
+            }
+            (_, Performative::Begin(begin)) => self.on_begin(channel, *begin).map(Some),
+            (_, body) => {
+                let Some(own_channel) = self.by_remote_channel.get(&channel).copied() else {
+                    return Err(fault(condition::ILLEGAL_STATE, "no such session"));
+                };
+                self.on_session_performative(own_channel, body, payload)
+            }
+        }
+    }
+
+    /// A frame on the session with this side's channel.
+    fn on_session_performative<'a>(
+        &mut self,
+        channel: u16,
+        body: Performative,
+        payload: &'a [u8],
+    ) -> Result<Option<Event<'a>>, Fault> {
+        if let Performative::End(end) = body {
+            return Ok(self.on_end(channel, end.error));
+        }
+        if self.session(channel).is_none_or(|session| session.phase == SessionPhase::Ending) {
+            return Ok(None);
+        }
+        let event = match body {
+            Performative::Transfer(transfer) => self.on_transfer(channel, transfer, payload),
+            Performative::Disposition(disposition) => {
+                self.on_disposition(channel, disposition).map(|()| None)
+            }
+            Performative::Flow(flow) => self.on_flow(channel, flow).map(Some),
+            Performative::Attach(attach) => self.on_attach(channel, attach),
+            Performative::Detach(detach) => self.on_detach(channel, detach).map(|()| None),
+            _ => Err(fault(condition::NOT_ALLOWED, "a SASL body in an AMQP frame")),
+        };
+        match event {
+            // An error of a session ends the session and not the connection (2.5.4).
+            Err(fault) if fault.condition.starts_with("amqp:session:") => {
+                self.end_session(channel, Some(Box::new(fault.into())));
+                Ok(None)
+            }
+            event => event,
+        }
+    }
+
+    /// The link at the peer's handle.
+    pub(super) fn link_at_remote_handle(&self, channel: u16, handle: u32) -> Result<LinkId, Fault> {
+        let session = self.session(channel);
+        let own_handle = session.and_then(|session| session.by_remote_handle.get(&handle).copied());
+        let handle =
+            own_handle.ok_or_else(|| fault(condition::UNATTACHED_HANDLE, "no link at this handle"))?;
+        Ok(LinkId { channel, handle })
+    }
+}
+
+/// The next frame, which has to be of this type. None where it is incomplete.
+fn next_frame<'a>(input: &mut &'a [u8], max_size: u32, frame_type: u8) -> Result<Option<Frame<'a>>, Fault> {
+    let frame = read_frame(input, max_size)?;
+    if frame.as_ref().is_some_and(|frame| frame.frame_type != frame_type) {
+        return Err(fault(condition::FRAMING_ERROR, "a frame of the wrong type"));
+    }
+    Ok(frame)
+}
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -1,156 +1,190 @@
-//! Attaching and detaching (2.6.3 to 2.6.6).
+//! Links: attach and detach (2.6.3 to 2.6.6).
 
-use super::*;
+use super::{Connection, Event, LinkId};
+use crate::error::{condition, fault, Error, Fault};
+use crate::link::{Link, Phase as LinkPhase, Role};
+use crate::performative::{Attach, Detach};
+use crate::session::Phase as SessionPhase;
+
+/// The peer's attach, checked.
+struct RemoteAttach {
+    handle: u32,
+    name: String,
+    /// This side's role.
+    role: Role,
+    attach: Box<Attach>,
+}
 
 impl Connection {
-    /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's
-    /// answer is [`Event::Attached`]. None where there are as many as the peers allow.
+    /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's answer is
+    /// [`Event::Attached`]. None where there are as many links as the peers allow.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
-        if self.links >= self.settings.links {
+        if self.link_count >= self.settings.max_links {
             return None;
         }
         let handle_max = self.handle_max(channel);
-        let session = self.session_mut(channel).filter(|s| s.phase != SessionPhase::Ending)?;
-        let mut link = Link::new(name.to_string(), role, LinkPhase::Sent);
-        link.second = attach.rcv_settle_mode == Some(1);
+        let session = self.session_mut(channel);
+        let session = session.filter(|session| session.phase != SessionPhase::Ending)?;
+        let mut link = Link::new(name.to_string(), role, LinkPhase::AttachSent);
+        link.receiver_settles_second = attach.rcv_settle_mode == Some(1);
         let handle = session.insert(link);
         if handle > handle_max {
             session.remove(handle);
             return None;
         }
-        self.links += 1;
+        self.link_count += 1;
         attach.name = Some(name.to_string());
         attach.handle = Some(handle);
         attach.role = Some(role == Role::Receiver);
         attach.initial_delivery_count = (role == Role::Sender).then_some(0);
-        attach.max_message_size.get_or_insert(self.settings.max_message);
-        self.put(channel, attach);
+        attach.max_message_size.get_or_insert(self.settings.max_message_size);
+        self.send_performative(channel, attach);
         Some(LinkId { channel, handle })
     }
 
-    pub(super) fn attached(
+    /// The peer's attach: it answers this side's, or requests a link.
+    pub(super) fn on_attach(
         &mut self,
         channel: u16,
         attach: Box<Attach>,
     ) -> Result<Option<Event<'static>>, Fault> {
-        let missing = |name: &str| fault(condition::INVALID_FIELD, format!("attach without its {name}"));
-        let handle = attach.handle.ok_or_else(|| missing("handle"))?;
-        let name = attach.name.clone().ok_or_else(|| missing("name"))?;
-        let role = match attach.role.ok_or_else(|| missing("role"))? {
-            true => Role::Sender,
-            false => Role::Receiver,
-        };
-        if role == Role::Receiver && attach.initial_delivery_count.is_none() {
-            return Err(missing("initial-delivery-count"));
-        }
-        let limit = self.settings.handle_max;
-        let (most, full) = (self.settings.links, self.links >= self.settings.links);
+        let remote = RemoteAttach::check(attach)?;
+        let handle_max = self.settings.handle_max;
         let Some(session) = self.session_mut(channel) else { return Ok(None) };
-        if handle > limit || session.by_remote.contains_key(&handle) {
+        if remote.handle > handle_max || session.by_remote_handle.contains_key(&remote.handle) {
             return Err(fault(condition::HANDLE_IN_USE, "this handle cannot be attached"));
         }
-        let ours = session
-            .links
-            .iter_mut()
-            .enumerate()
-            .find_map(|(at, l)| l.as_mut().filter(|l| l.name == name && l.role == role).map(|l| (at, l)));
-        if let Some((at, link)) = ours {
-            let (at, phase) = (at as u32, link.phase);
-            if link.remote_handle.is_none() && matches!(phase, LinkPhase::Sent | LinkPhase::Closing) {
-                link.attached(&attach);
-                session.by_remote.insert(handle, at);
-                if phase == LinkPhase::Closing {
-                    return Ok(None);
-                }
-                if let Some(link) = session.link_mut(at) {
-                    link.phase = LinkPhase::Attached;
-                }
-                let link = LinkId { channel, handle: at };
-                return Ok(Some(Event::Attached { link, attach }));
-            }
-            if phase != LinkPhase::Closing {
-                // The newer link wins (2.6.1).
-                let why = Error::new(condition::STOLEN, "the link was attached again");
-                let stolen = LinkId { channel, handle: at };
-                self.detach(stolen, false, Some(Box::new(why)));
-                self.queue.push_back(Event::Detached { link: stolen, closed: false, error: None });
-            }
-        }
-        let mut link = Link::new(name, role, LinkPhase::Asked);
-        link.attached(&attach);
-        let Some(session) = self.session_mut(channel) else { return Ok(None) };
-        let at = session.insert(link);
-        session.by_remote.insert(handle, at);
-        self.links += 1;
-        let link = LinkId { channel, handle: at };
-        if full {
-            let why = format!("no more than {most} links on a connection");
-            self.refuse_link(link, Error::new(condition::RESOURCE_LIMIT_EXCEEDED, &why));
+        let own_handle = session.find_link(&remote.name, remote.role);
+        let Some(link_id) = own_handle.map(|handle| LinkId { channel, handle }) else {
+            self.add_requested_link(channel, remote);
             return Ok(None);
+        };
+        let Some(link) = self.link(link_id) else { return Ok(None) };
+        let phase = link.phase;
+        let is_unanswered = matches!(phase, LinkPhase::AttachSent | LinkPhase::Closing);
+        if link.remote_handle.is_none() && is_unanswered {
+            return Ok(self.on_attach_answered(link_id, remote));
+        }
+        if phase != LinkPhase::Closing {
+            // The newer link wins (2.6.1).
+            let error = Error::new(condition::STOLEN, "the link was attached again");
+            self.detach(link_id, false, Some(Box::new(error)));
+            self.events.push_back(Event::Detached { link: link_id, closed: false, error: None });
         }
-        // Behind what a stolen link has left to say.
-        self.queue.push_back(Event::Asks { link, role, attach });
+        self.add_requested_link(channel, remote);
         Ok(None)
     }
 
-    /// Accepts a link that the peer asked for, with the fields that are the user's. Nothing comes before
-    /// [`Connection::grant`].
-    pub fn accept_link(&mut self, link: LinkId, mut attach: Attach) {
-        let most = self.settings.max_message;
-        let Some(at) = self.link_mut(link).filter(|l| l.phase == LinkPhase::Asked) else { return };
-        at.phase = LinkPhase::Attached;
-        attach.name = Some(at.name.clone());
-        attach.handle = Some(link.handle);
-        attach.role = Some(at.role == Role::Receiver);
-        attach.initial_delivery_count = (at.role == Role::Sender).then_some(0);
-        attach.rcv_settle_mode = Some(u8::from(at.second));
-        attach.max_message_size.get_or_insert(most);
-        self.put(link.channel, attach);
+    /// The peer has answered this side's attach.
+    fn on_attach_answered(&mut self, link_id: LinkId, remote: RemoteAttach) -> Option<Event<'static>> {
+        let session = self.session_mut(link_id.channel)?;
+        session.by_remote_handle.insert(remote.handle, link_id.handle);
+        let link = session.link_mut(link_id.handle)?;
+        link.on_attach(&remote.attach);
+        if link.phase == LinkPhase::Closing {
+            return None;
+        }
+        link.phase = LinkPhase::Attached;
+        Some(Event::Attached { link: link_id, attach: remote.attach })
     }
 
-    /// Refuses a link that the peer asked for: an attach without a terminus, and a detach that says why
-    /// (2.6.3).
-    pub fn refuse_link(&mut self, link: LinkId, error: Error) {
-        let Some(at) = self.link(link).filter(|l| l.phase == LinkPhase::Asked) else { return };
+    /// Adds a link that the peer requests.
+    fn add_requested_link(&mut self, channel: u16, remote: RemoteAttach) {
+        let max_links = self.settings.max_links;
+        let is_full = self.link_count >= max_links;
+        let mut link = Link::new(remote.name, remote.role, LinkPhase::AttachReceived);
+        link.on_attach(&remote.attach);
+        let Some(session) = self.session_mut(channel) else { return };
+        let handle = session.insert(link);
+        session.by_remote_handle.insert(remote.handle, handle);
+        self.link_count += 1;
+        let link = LinkId { channel, handle };
+        if is_full {
+            let description = format!("no more than {max_links} links on a connection");
+            self.refuse_link(link, Error::new(condition::RESOURCE_LIMIT_EXCEEDED, &description));
+            return;
+        }
+        // Queued behind the events of a stolen link.
+        self.events.push_back(Event::AttachRequested { link, role: remote.role, attach: remote.attach });
+    }
+
+    /// Accepts a link that the peer requested, with the fields that are the user's. A receiver gets no delivery before
+    /// [`Connection::set_credit`].
+    pub fn accept_link(&mut self, link_id: LinkId, mut attach: Attach) {
+        let max_message_size = self.settings.max_message_size;
+        let link = self.link_mut(link_id).filter(|link| link.phase == LinkPhase::AttachReceived);
+        let Some(link) = link else { return };
+        link.phase = LinkPhase::Attached;
+        attach.name = Some(link.name.clone());
+        attach.handle = Some(link_id.handle);
+        attach.role = Some(link.role == Role::Receiver);
+        attach.initial_delivery_count = (link.role == Role::Sender).then_some(0);
+        attach.rcv_settle_mode = Some(u8::from(link.receiver_settles_second));
+        attach.max_message_size.get_or_insert(max_message_size);
+        self.send_performative(link_id.channel, attach);
+    }
+
+    /// Refuses a link that the peer requested: an attach without a terminus, and a detach with the reason (2.6.3).
+    pub fn refuse_link(&mut self, link_id: LinkId, error: Error) {
+        let link = self.link(link_id).filter(|link| link.phase == LinkPhase::AttachReceived);
+        let Some(link) = link else { return };
         let attach = Attach {
-            name: Some(at.name.clone()),
-            handle: Some(link.handle),
-            role: Some(at.role == Role::Receiver),
-            initial_delivery_count: (at.role == Role::Sender).then_some(0),
+            name: Some(link.name.clone()),
+            handle: Some(link_id.handle),
+            role: Some(link.role == Role::Receiver),
+            initial_delivery_count: (link.role == Role::Sender).then_some(0),
             ..Attach::default()
         };
-        self.put(link.channel, attach);
-        self.detach(link, true, Some(Box::new(error)));
+        self.send_performative(link_id.channel, attach);
+        self.detach(link_id, true, Some(Box::new(error)));
     }
 
-    /// Detaches a link: for good, or to be resumed. What was not settled on it is reported as
-    /// [`Event::Dropped`].
-    pub fn detach(&mut self, link: LinkId, closed: bool, error: Option<Box<Error>>) {
-        let Some(at) = self.link_mut(link).filter(|l| l.phase != LinkPhase::Closing) else { return };
-        at.phase = LinkPhase::Closing;
-        let (count, role) = (std::mem::take(&mut at.unsettled), at.role);
-        (at.sending, at.partial, at.abort, at.credit) = (None, None, None, 0);
-        if let Some(session) = self.session_mut(link.channel) {
-            let gone = session.unsettled_of(link.handle, count);
-            self.queue.extend(gone.into_iter().map(|key| Event::Dropped { link, role, key }));
+    /// Detaches a link: it is closed, or may be resumed. Its unsettled deliveries are reported as
+    /// [`Event::DeliveryLost`].
+    pub fn detach(&mut self, link_id: LinkId, closed: bool, error: Option<Box<Error>>) {
+        let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::Closing);
+        let Some(link) = link else { return };
+        let role = link.role;
+        let unsettled = link.start_closing();
+        if let Some(session) = self.session_mut(link_id.channel) {
+            let keys = session.take_unsettled(link_id.handle, unsettled).into_iter();
+            self.events.extend(keys.map(|key| Event::DeliveryLost { link: link_id, role, key }));
         }
-        self.put(link.channel, Detach { handle: Some(link.handle), closed: closed.then_some(true), error });
+        let handle = Some(link_id.handle);
+        self.send_performative(link_id.channel, Detach { handle, closed: closed.then_some(true), error });
     }
 
-    pub(super) fn detached(&mut self, channel: u16, detach: Detach) -> Result<Option<Event<'static>>, Fault> {
+    /// The peer's detach.
+    pub(super) fn on_detach(&mut self, channel: u16, detach: Detach) -> Result<(), Fault> {
         let handle =
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
-        let link = self.by_remote_handle(channel, handle)?;
-        let closing = self.link(link).is_some_and(|l| l.phase == LinkPhase::Closing);
+        let link_id = self.link_at_remote_handle(channel, handle)?;
+        let is_closing = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::Closing);
         let closed = detach.closed == Some(true);
-        if !closing {
-            let answer = Detach { handle: Some(link.handle), closed: closed.then_some(true), error: None };
-            self.put(channel, answer);
+        if !is_closing {
+            let handle = Some(link_id.handle);
+            let answer = Detach { handle, closed: closed.then_some(true), error: None };
+            self.send_performative(channel, answer);
         }
-        self.drop_link(link);
-        if !closing {
-            self.queue.push_back(Event::Detached { link, closed, error: detach.error });
+        self.remove_link(link_id);
+        if !is_closing {
+            self.events.push_back(Event::Detached { link: link_id, closed, error: detach.error });
         }
-        Ok(None)
+        Ok(())
+    }
+}
+
+impl RemoteAttach {
+    /// Checks that the fields are present that the standard requires.
+    fn check(attach: Box<Attach>) -> Result<RemoteAttach, Fault> {
+        let missing = |field: &str| fault(condition::INVALID_FIELD, format!("attach without its {field}"));
+        let handle = attach.handle.ok_or_else(|| missing("handle"))?;
+        let name = attach.name.clone().ok_or_else(|| missing("name"))?;
+        let is_peer_receiver = attach.role.ok_or_else(|| missing("role"))?;
+        let role = if is_peer_receiver { Role::Sender } else { Role::Receiver };
+        if role == Role::Receiver && attach.initial_delivery_count.is_none() {
+            return Err(missing("initial-delivery-count"));
+        }
+        Ok(RemoteAttach { handle, name, role, attach })
     }
 }
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -1,61 +1,57 @@
-//! Deliveries that go out.
+//! Deliveries that are sent (2.6.14), and the sender's credit (2.6.7).
 
-use super::*;
+use super::{Connection, LinkId, Outgoing, Stage};
+use crate::codec::{format_code, put_u32, put_variable};
+use crate::frame::{write_frame_with, AMQP};
+use crate::link::{Phase as LinkPhase, Role};
+use crate::performative::Transfer;
+use crate::primitives::Tag;
+use crate::session::{Direction, Sent};
+
+/// The fields of a transfer to be sent.
+struct TransferFields {
+    handle: u32,
+    /// It is the first of its delivery.
+    is_first: bool,
+    delivery_id: u32,
+    tag: Tag,
+    settled: bool,
+    more: bool,
+}
 
 impl Connection {
-    /// Sends a part of a delivery on a link: as much as the session's window and `room` octets of output
-    /// allow. The first call begins the delivery, which takes a credit.
-    /// `last` says that nothing follows this payload.
+    /// Sends a piece of a delivery on a link: as much as the session's window and `capacity` octets of pending output
+    /// allow. The first call starts the delivery, which uses a credit. `last` says that nothing follows this payload.
     pub fn send(
         &mut self,
-        link: LinkId,
+        link_id: LinkId,
         delivery: Outgoing,
         mut payload: &[u8],
         last: bool,
-        room: usize,
+        capacity: usize,
     ) -> Sent {
-        let Outgoing { key, tag, settled } = delivery;
         let mut sent = Sent::default();
-        let most = self.peer_max_frame as usize;
         self.flush_batch();
-        while (last || !payload.is_empty()) && self.out.len() < room && self.stage == Stage::Open {
-            let Some(session) = self.session_mut(link.channel) else { break };
-            let next = session.next_delivery;
-            let window = session.remote_window;
-            let Some(at) = session.link_mut(link.handle).filter(|l| l.phase == LinkPhase::Attached) else {
-                break;
-            };
-            if window == 0 || at.abort.is_some() || (at.sending.is_none() && at.credit == 0) {
-                break;
-            }
-            let first = at.sending.is_none();
-            let id = at.sending.unwrap_or(next);
-            if first {
-                at.credit -= 1;
-                at.delivery_count = at.delivery_count.wrapping_add(1);
-                at.sending = Some(id);
-            }
-            session.remote_window -= 1;
-            session.next_outgoing = session.next_outgoing.wrapping_add(1);
-            if first {
-                session.next_delivery = next.wrapping_add(1);
-            }
+        let max_payload = (self.peer_max_frame_size as usize).saturating_sub(MAX_TRANSFER_OVERHEAD_BYTES);
+        while (last || !payload.is_empty()) && self.out.len() < capacity && self.stage == Stage::Open {
+            let size = max_payload.min(payload.len());
+            let more = !(last && size == payload.len());
+            let Some(transfer) = self.start_transfer(link_id, &delivery, more) else { break };
             let start = self.out.len();
-            let fits = most.saturating_sub(TRANSFER_ROOM).min(payload.len());
-            let more = !(last && fits == payload.len());
-            let write = |out: &mut Vec<u8>| write_transfer(out, link.handle, first, id, &tag, settled, more);
-            put_raw(&mut self.out, AMQP, link.channel, write, &payload[..fits]);
-            debug_assert!(self.out.len() - start <= most);
-            payload = &payload[fits..];
-            sent.taken += fits;
-            sent.begun = true;
-            if first && !settled {
-                self.hold(link, false, id, key);
+            let write = |out: &mut Vec<u8>| transfer.write(out);
+            write_frame_with(&mut self.out, AMQP, link_id.channel, write, &payload[..size]);
+            debug_assert!(self.out.len() - start <= self.peer_max_frame_size as usize);
+            payload = &payload[size..];
+            sent.octets += size;
+            sent.started = true;
+            if transfer.is_first && !delivery.settled {
+                let id = transfer.delivery_id;
+                self.track_unsettled(link_id, Direction::Outgoing, id, delivery.key);
             }
             if !more {
-                sent.done = true;
-                if let Some(at) = self.link_mut(link) {
-                    at.sending = None;
+                sent.complete = true;
+                if let Some(link) = self.link_mut(link_id) {
+                    link.sending = None;
                 }
                 break;
             }
@@ -63,111 +59,145 @@
         sent
     }
 
-    /// Whether a link could begin a delivery now.
+    /// Takes a transfer off the session's window and, where it is its delivery's first, a credit. None where the link
+    /// cannot send now.
+    fn start_transfer(&mut self, link_id: LinkId, delivery: &Outgoing, more: bool) -> Option<TransferFields> {
+        let session = self.session_mut(link_id.channel)?;
+        let next_delivery_id = session.next_delivery_id;
+        let is_window_closed = session.remote_window == 0;
+        let link = session.link_mut(link_id.handle).filter(|link| link.phase == LinkPhase::Attached)?;
+        let is_first = link.sending.is_none();
+        if is_window_closed || link.abort.is_some() || (is_first && link.credit == 0) {
+            return None;
+        }
+        let delivery_id = link.sending.unwrap_or(next_delivery_id);
+        if is_first {
+            link.credit -= 1;
+            link.delivery_count = link.delivery_count.wrapping_add(1);
+            link.sending = Some(delivery_id);
+        }
+        session.remote_window -= 1;
+        session.next_outgoing_id = session.next_outgoing_id.wrapping_add(1);
+        if is_first {
+            session.next_delivery_id = next_delivery_id.wrapping_add(1);
+        }
+        let Outgoing { tag, settled, .. } = *delivery;
+        Some(TransferFields { handle: link_id.handle, is_first, delivery_id, tag, settled, more })
+    }
+
+    /// Whether a link could start a delivery now.
     pub fn can_send(&self, link: LinkId) -> bool {
-        let room = self.room(link.channel) > 0;
-        room && self.link(link).is_some_and(|l| {
-            l.phase == LinkPhase::Attached && l.credit > 0 && l.sending.is_none() && l.abort.is_none()
-        })
+        let can_start = self.link(link).is_some_and(|link| {
+            let is_attached = link.phase == LinkPhase::Attached;
+            is_attached && link.credit > 0 && link.sending.is_none() && link.abort.is_none()
+        });
+        can_start && self.remote_window(link.channel) > 0
     }
 
-    /// Whether a delivery on this link has begun and not gone whole.
+    /// Whether a delivery on this link was sent partly.
     pub fn is_sending(&self, link: LinkId) -> bool {
-        self.link(link).is_some_and(|l| l.sending.is_some())
+        self.link(link).is_some_and(|link| link.sending.is_some())
     }
 
-    /// Calls off the delivery that has begun on a link and not gone whole. An aborted delivery is settled
-    /// (2.7.5): its end is not reported.
-    pub fn abort(&mut self, link: LinkId) {
-        let Some(id) = self.link_mut(link).and_then(|l| l.sending.take()) else { return };
-        self.release(link.channel, false, id);
-        if let Some(at) = self.link_mut(link) {
-            at.abort = Some(id);
+    /// Aborts the delivery that was sent partly on a link. An aborted delivery is settled (2.7.5): no event reports it.
+    pub fn abort(&mut self, link_id: LinkId) {
+        let Some(id) = self.link_mut(link_id).and_then(|link| link.sending.take()) else { return };
+        self.remove_unsettled(link_id.channel, Direction::Outgoing, id);
+        if let Some(link) = self.link_mut(link_id) {
+            link.abort = Some(id);
         }
-        self.send_aborts(link.channel);
+        self.send_aborts(link_id.channel);
     }
 
-    /// Settles a delivery that went out whole: its end is of no interest any more.
-    pub fn forget(&mut self, link: LinkId, id: u32) {
-        if self.release(link.channel, false, id).is_some() {
-            self.dispose(link.channel, Role::Sender, id, true, None);
+    /// Settles a delivery that was sent completely: no event reports its state any more.
+    pub fn settle_outgoing(&mut self, link: LinkId, id: u32) {
+        if self.remove_unsettled(link.channel, Direction::Outgoing, id).is_some() {
+            self.send_disposition(link.channel, Role::Sender, id, true, None);
         }
     }
 
-    /// The number of the delivery that goes by this key on a link, if it is not settled. It looks at all.
-    pub fn delivery(&self, link: LinkId, key: u64) -> Option<u32> {
-        let session = self.session(link.channel)?;
-        session.outgoing.iter().find(|(_, h)| h.handle == link.handle && h.key == key).map(|(id, _)| *id)
+    /// The number of the unsettled delivery with this key on a link. The cost is linear in the session's unsettled
+    /// deliveries.
+    pub fn outgoing_delivery_id(&self, link: LinkId, key: u64) -> Option<u32> {
+        let mut deliveries = self.session(link.channel)?.outgoing.iter();
+        let found = deliveries.find(|(_, delivery)| delivery.handle == link.handle && delivery.key == key);
+        found.map(|(id, _)| *id)
     }
 
     /// The number that the next delivery on a session will have.
-    pub fn next_delivery(&self, channel: u16) -> u32 {
-        self.session(channel).map_or(0, |s| s.next_delivery)
+    pub fn next_delivery_id(&self, channel: u16) -> u32 {
+        self.session(channel).map_or(0, |session| session.next_delivery_id)
     }
 
+    /// Sends the aborts that the session's window allows.
     pub(super) fn send_aborts(&mut self, channel: u16) {
         let Some(session) = self.session_mut(channel) else { return };
-        let mut frames = Vec::new();
-        let (links, window) = (&mut session.links, &mut session.remote_window);
-        for (handle, link) in links.iter_mut().enumerate() {
-            let Some(link) = link.as_mut().filter(|l| l.abort.is_some()) else { continue };
-            if *window == 0 {
+        let mut aborts = Vec::new();
+        for (handle, link) in session.links.iter_mut().enumerate() {
+            let Some(link) = link.as_mut().filter(|link| link.abort.is_some()) else { continue };
+            if session.remote_window == 0 {
                 break;
             }
-            *window -= 1;
-            session.next_outgoing = session.next_outgoing.wrapping_add(1);
-            frames.push((handle as u32, link.abort.take()));
+            session.remote_window -= 1;
+            session.next_outgoing_id = session.next_outgoing_id.wrapping_add(1);
+            aborts.push(Transfer {
+                handle: Some(handle as u32),
+                delivery_id: link.abort.take(),
+                aborted: Some(true),
+                ..Transfer::default()
+            });
         }
-        for (handle, id) in frames {
-            let (handle, aborted) = (Some(handle), Some(true));
-            self.put(channel, Transfer { handle, delivery_id: id, aborted, ..Transfer::default() });
+        for abort in aborts {
+            self.send_performative(channel, abort);
         }
     }
 
-    /// A sender that is asked to drain has nothing more to send: it gives its credit back (2.6.7).
-    pub fn drained(&mut self, link: LinkId) {
-        let Some(at) = self.link_mut(link).filter(|l| l.role == Role::Sender && l.drain) else { return };
-        at.delivery_count = at.delivery_count.wrapping_add(at.credit);
-        at.credit = 0;
-        self.tell_flow(link);
-        if let Some(at) = self.link_mut(link) {
-            at.drain = false;
+    /// Gives a sender's credit back where its receiver drains it and nothing is left to send (2.6.7).
+    pub fn return_credit(&mut self, link_id: LinkId) {
+        let link = self.link_mut(link_id).filter(|link| link.role == Role::Sender && link.drain);
+        let Some(link) = link else { return };
+        link.delivery_count = link.delivery_count.wrapping_add(link.credit);
+        link.credit = 0;
+        self.send_flow(link_id);
+        if let Some(link) = self.link_mut(link_id) {
+            link.drain = false;
         }
     }
 }
 
-/// A transfer's own octets and its frame's header never take more than this.
-const TRANSFER_ROOM: usize = 8 + 3 + 3 + 5 + 5 + 34 + 5 + 1 + 1;
+/// The most octets of a transfer's frame before its payload.
+const MAX_TRANSFER_OVERHEAD_BYTES: usize = 8 + 3 + 3 + 5 + 5 + 34 + 5 + 1 + 1;
+/// The descriptor of a transfer.
+const TRANSFER: u8 = 0x14;
 
-/// A transfer written field by field: most frames that go out are transfers.
-fn write_transfer(
-    out: &mut Vec<u8>,
-    handle: u32,
-    first: bool,
-    id: u32,
-    tag: &Tag,
-    settled: bool,
-    more: bool,
-) {
-    out.extend_from_slice(&[0x00, 0x53, 0x14, 0xc0, 0, 0]);
-    let start = out.len();
-    put_u32(out, handle);
-    let mut count = 1;
-    if first {
-        put_u32(out, id);
-        put_variable(out, 0xa0, tag.as_bytes());
-        out.push(0x43);
-        count = 4;
-    } else if settled || more {
-        out.extend_from_slice(&[0x40, 0x40, 0x40]);
-        count = 4;
-    }
-    if settled || more {
-        out.extend_from_slice(&[if settled { 0x41 } else { 0x42 }, if more { 0x41 } else { 0x42 }]);
-        count = 6;
+impl TransferFields {
+    /// Writes the transfer field by field: most frames that are sent are transfers.
+    fn write(&self, out: &mut Vec<u8>) {
+        use format_code::{BINARY_8, DESCRIBED, FALSE, LIST_8, NULL, SMALL_ULONG, TRUE, UINT_0};
+        let boolean = |value: bool| if value { TRUE } else { FALSE };
+        let has_flags = self.settled || self.more;
+        // The size and the count are set at the end.
+        out.extend_from_slice(&[DESCRIBED, SMALL_ULONG, TRANSFER, LIST_8, 0, 0]);
+        let start = out.len();
+        put_u32(out, self.handle);
+        let mut count = 1;
+        if self.is_first {
+            put_u32(out, self.delivery_id);
+            put_variable(out, BINARY_8, self.tag.as_bytes());
+            // The message format.
+            out.push(UINT_0);
+            count = 4;
+        } else if has_flags {
+            out.extend_from_slice(&[NULL, NULL, NULL]);
+            count = 4;
+        }
+        if has_flags {
+            out.extend_from_slice(&[boolean(self.settled), boolean(self.more)]);
+            count = 6;
+        }
+        let size = out.len() - start + 1;
+        debug_assert!(size < 256);
+        out[start - 2] = size as u8;
+        out[start - 1] = count;
     }
-    let size = out.len() - start + 1;
-    out[start - 2] = size as u8;
-    out[start - 1] = count;
-    debug_assert!(size < 256);
 }
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -1,74 +1,163 @@
-//! Beginning and ending sessions, and their flow (2.5).
+//! Sessions: begin, end and flow (2.5).
 
-use super::*;
+use super::{Connection, Event, LinkId};
+use crate::error::{condition, fault, Error, Fault};
+use crate::link::{Phase as LinkPhase, Role};
+use crate::performative::{Begin, End, Flow};
+use crate::session::{Phase as SessionPhase, Session};
 
 impl Connection {
     /// Begins a session. None where there are as many as the peers allow.
     pub fn begin(&mut self) -> Option<u16> {
-        let session = Session::new(self.settings.window, self.settings.first);
+        let session = Session::new(self.settings.incoming_window, self.settings.initial_id);
         let begin = session.begin(None, self.settings.handle_max);
-        let channel = self.put_session(session)?;
-        self.put(channel, begin);
+        let channel = self.add_session(session)?;
+        self.send_performative(channel, begin);
         Some(channel)
     }
 
-    /// Ends a session; its links go with it.
+    /// The peer's begin: it answers this side's, or begins a session.
+    pub(super) fn on_begin(&mut self, channel: u16, begin: Begin) -> Result<Event<'static>, Fault> {
+        if channel > self.settings.channel_max || self.by_remote_channel.contains_key(&channel) {
+            return Err(fault(condition::FRAMING_ERROR, "this channel cannot be begun"));
+        }
+        if let Some(own_channel) = begin.remote_channel {
+            return self.on_begin_answered(channel, own_channel, &begin);
+        }
+        let mut session = Session::new(self.settings.incoming_window, self.settings.initial_id);
+        session.on_begin(&begin)?;
+        session.remote_channel = Some(channel);
+        let answer = session.begin(Some(channel), self.settings.handle_max);
+        let own_channel = self
+            .add_session(session)
+            .ok_or_else(|| fault(condition::RESOURCE_LIMIT_EXCEEDED, "too many sessions"))?;
+        self.by_remote_channel.insert(channel, own_channel);
+        self.send_performative(own_channel, answer);
+        Ok(Event::Began { channel: own_channel })
+    }
+
+    fn on_begin_answered(
+        &mut self,
+        channel: u16,
+        own_channel: u16,
+        begin: &Begin,
+    ) -> Result<Event<'static>, Fault> {
+        let session = self.session_mut(own_channel).filter(|session| session.remote_channel.is_none());
+        let session = session.ok_or_else(|| fault(condition::ILLEGAL_STATE, "begin answers no session"))?;
+        let is_ending = session.phase == SessionPhase::Ending;
+        session.on_begin(begin)?;
+        if is_ending {
+            session.phase = SessionPhase::Ending;
+        }
+        session.remote_channel = Some(channel);
+        self.by_remote_channel.insert(channel, own_channel);
+        Ok(Event::Began { channel: own_channel })
+    }
+
+    /// Adds a session at the first free channel. None where there are as many as the peers allow.
+    fn add_session(&mut self, session: Session) -> Option<u16> {
+        let free = self.sessions.iter().position(Option::is_none).unwrap_or(self.sessions.len());
+        if free > self.channel_max() as usize {
+            return None;
+        }
+        if free == self.sessions.len() {
+            self.sessions.push(None);
+        }
+        self.sessions[free] = Some(session);
+        Some(free as u16)
+    }
+
+    /// Ends a session and detaches its links.
     pub fn end_session(&mut self, channel: u16, error: Option<Box<Error>>) {
-        if self.session(channel).is_none_or(|s| s.phase == SessionPhase::Ending) {
+        if self.session(channel).is_none_or(|session| session.phase == SessionPhase::Ending) {
             return;
         }
-        self.drop_links(channel, error.as_deref());
-        self.put(channel, End { error });
+        self.remove_links(channel, error.as_deref());
+        self.send_performative(channel, End { error });
         if let Some(session) = self.session_mut(channel) {
             session.phase = SessionPhase::Ending;
         }
-        self.queue.push_back(Event::Ended { channel });
+        self.events.push_back(Event::Ended { channel });
+    }
+
+    /// The peer's end.
+    pub(super) fn on_end(&mut self, channel: u16, error: Option<Box<Error>>) -> Option<Event<'static>> {
+        let is_ending = self.session(channel).is_some_and(|session| session.phase == SessionPhase::Ending);
+        if !is_ending {
+            self.remove_links(channel, error.as_deref());
+            self.send_performative(channel, End::default());
+        }
+        self.remove_session(channel);
+        (!is_ending).then_some(Event::Ended { channel })
     }
 
-    pub(super) fn flowed(&mut self, channel: u16, flow: Flow) -> Result<Event<'static>, Fault> {
-        let link = flow.handle.map(|handle| self.by_remote_handle(channel, handle)).transpose()?;
+    fn remove_session(&mut self, channel: u16) {
+        if let Some(session) = self.sessions.get_mut(channel as usize).and_then(Option::take) {
+            self.link_count -= session.links.iter().flatten().count();
+            if let Some(remote_channel) = session.remote_channel {
+                self.by_remote_channel.remove(&remote_channel);
+            }
+        }
+    }
+
+    /// Removes all links of a session and reports it.
+    fn remove_links(&mut self, channel: u16, error: Option<&Error>) {
+        let handles = self.session(channel).map_or(0, |session| session.links.len() as u32);
+        for handle in 0..handles {
+            let link = LinkId { channel, handle };
+            let Some(phase) = self.link(link).map(|link| link.phase) else { continue };
+            self.remove_link(link);
+            if phase != LinkPhase::Closing {
+                let error = error.cloned().map(Box::new);
+                self.events.push_back(Event::Detached { link, closed: false, error });
+            }
+        }
+    }
+
+    /// Removes a link. Its unsettled deliveries are reported as lost.
+    pub(super) fn remove_link(&mut self, link: LinkId) {
+        let Some(role) = self.link(link).map(|link| link.role) else { return };
+        let Some(session) = self.session_mut(link.channel) else { return };
+        let keys = session.remove(link.handle).into_iter();
+        self.link_count -= 1;
+        self.events.extend(keys.map(|key| Event::DeliveryLost { link, role, key }));
+    }
+
+    /// The peer's flow.
+    pub(super) fn on_flow(&mut self, channel: u16, flow: Flow) -> Result<Event<'static>, Fault> {
+        let link = flow.handle.map(|handle| self.link_at_remote_handle(channel, handle)).transpose()?;
         if let Some(session) = self.session_mut(channel) {
-            session.flowed(&flow)?;
+            session.on_flow(&flow)?;
         }
         self.send_aborts(channel);
         let echo = flow.echo == Some(true);
-        let Some(at) = link else {
-            if let Some(reply) = self.session(channel).filter(|_| echo).map(Session::flow) {
-                self.put(channel, reply);
+        let Some(link_id) = link else {
+            if let Some(answer) = self.session(channel).filter(|_| echo).map(Session::flow) {
+                self.send_performative(channel, answer);
             }
-            return Ok(Event::Room { channel });
+            return Ok(Event::SessionWindow { channel });
         };
-        if let Some(link) = self.link_mut(at) {
+        if let Some(link) = self.link_mut(link_id) {
             match link.role {
                 Role::Sender => {
-                    // Without a count the receiver has not seen this sender's attach: it starts at nought.
-                    let count = flow.delivery_count.or(Some(0));
-                    link.credited(count, flow.link_credit.unwrap_or(0), flow.drain == Some(true));
-                }
-                // The sender has used up or given back what a drain left it (2.6.7).
-                Role::Receiver => {
-                    if let Some(count) = flow.delivery_count {
-                        let used = count.wrapping_sub(link.delivery_count);
-                        if used <= link.credit {
-                            link.credit -= used;
-                            link.delivery_count = count;
-                        }
-                    }
-                    if link.credit == 0 {
-                        link.drain = false;
-                    }
+                    // Without a count the receiver has not seen this sender's attach: it counts from 0.
+                    let delivery_count = flow.delivery_count.unwrap_or(0);
+                    let credit = flow.link_credit.unwrap_or(0);
+                    link.on_credit(delivery_count, credit, flow.drain == Some(true));
                 }
+                Role::Receiver => link.on_credit_returned(flow.delivery_count),
             }
         }
         if echo {
-            self.tell_flow(at);
+            self.send_flow(link_id);
         }
-        Ok(Event::Credit { link: at })
+        Ok(Event::Credit { link: link_id })
     }
 
-    pub(super) fn tell_flow(&mut self, link: LinkId) {
-        if let Some(flow) = self.session(link.channel).map(|s| s.link_flow(link.handle)) {
-            self.put(link.channel, flow);
+    /// Sends a flow with a link's state.
+    pub(super) fn send_flow(&mut self, link: LinkId) {
+        if let Some(flow) = self.session(link.channel).map(|session| session.link_flow(link.handle)) {
+            self.send_performative(link.channel, flow);
         }
     }
 }
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -1,12 +1,13 @@
-//! Error conditions and what ends a connection, session or link.
+//! Error conditions, and the errors that end a connection, session or link.
 
-use crate::codec::DecodeError;
-use crate::performative::Composite;
+use crate::codec::{DecodeError, Reader, Result};
+use crate::composite::{Composite, Field, FieldReader, FieldWriter};
+use crate::primitives::Symbol;
 use crate::value::Value;
 use std::fmt;
 
-/// Standard error conditions (part 2, 2.8.15 to 2.8.18; part 4, 4.5.8).
-#[allow(missing_docs)]
+/// Standard error conditions (part 2 of the standard, 2.8.15 to 2.8.18; part 4, 4.5.8), by their names there.
+#[allow(missing_docs)] // Each constant is the standard's own symbol.
 pub mod condition {
     pub const INTERNAL_ERROR: &str = "amqp:internal-error";
     pub const NOT_FOUND: &str = "amqp:not-found";
@@ -33,23 +34,23 @@
     pub const STOLEN: &str = "amqp:link:stolen";
 }
 
-/// Why this side ends a connection: a standard condition and words for people.
+/// Why this side ends a connection.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
     /// One of [`condition`].
     pub condition: &'static str,
-    /// For people.
-    pub words: String,
+    /// A description for people.
+    pub description: String,
 }
 
 /// A fault with a standard condition.
-pub fn fault(condition: &'static str, words: impl Into<String>) -> Fault {
-    Fault { condition, words: words.into() }
+pub fn fault(condition: &'static str, description: impl Into<String>) -> Fault {
+    Fault { condition, description: description.into() }
 }
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.condition, self.words)
+        write!(f, "{}: {}", self.condition, self.description)
     }
 }
 
@@ -66,20 +67,14 @@
     }
 }
 
-impl From<Fault> for Error {
-    fn from(fault: Fault) -> Error {
-        Error { condition: fault.condition.to_string(), description: Some(fault.words), info: None }
-    }
-}
-
-/// An error as it stands on the wire (part 2, 2.8.14).
+/// An error on the wire (part 2 of the standard, 2.8.14).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Error {
     /// A symbol, standard or the sender's own.
     pub condition: String,
-    /// For people.
+    /// A description for people.
     pub description: Option<String>,
-    /// A map of further facts.
+    /// A map of further information.
     pub info: Option<Value>,
 }
 
@@ -90,19 +85,40 @@
     }
 }
 
+impl From<Fault> for Error {
+    fn from(fault: Fault) -> Error {
+        Error { condition: fault.condition.to_string(), description: Some(fault.description), info: None }
+    }
+}
+
+impl From<DecodeError> for Error {
+    fn from(error: DecodeError) -> Error {
+        Fault::from(error).into()
+    }
+}
+
 impl Composite for Error {
     const CODE: u64 = 0x1d;
     const NAME: &'static str = "amqp:error:list";
 
-    fn read_fields(body: &mut crate::performative::Fields<'_>) -> crate::codec::Result<Error> {
-        let crate::performative::Symbol(condition) =
-            body.next("condition")?.ok_or(DecodeError::Field("condition"))?;
-        Ok(Error { condition, description: body.next("description")?, info: body.next("info")? })
+    fn read_fields(fields: &mut FieldReader<'_>) -> Result<Error> {
+        let Symbol(condition) = fields.required("condition")?;
+        Ok(Error { condition, description: fields.next("description")?, info: fields.next("info")? })
     }
 
-    fn write_fields(&self, out: &mut crate::performative::Writer<'_>) {
-        out.put(&Some(crate::performative::Symbol(self.condition.clone())));
+    fn write_fields(&self, out: &mut FieldWriter<'_>) {
+        out.put(&Some(Symbol(self.condition.clone())));
         out.put(&self.description);
         out.put(&self.info);
     }
 }
+
+impl Field for Box<Error> {
+    fn read(reader: &mut Reader<'_>) -> Result<Box<Error>> {
+        Error::read(reader).map(Box::new)
+    }
+
+    fn write(&self, out: &mut Vec<u8>) {
+        (**self).write(out);
+    }
+}
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -1,10 +1,12 @@
 //! AMQP 1.0 (OASIS, 29 October 2012) without sockets and without a clock.
 //!
-//! A [`Connection`] is fed the bytes that came and the time; it gives [`Event`]s, bytes to write and a
-//! deadline. It opens sessions and links, keeps windows, credit and settlement, and speaks SASL. What a
-//! delivery means is its user's affair.
+//! A [`Connection`] is fed received bytes and the time; it gives [`Event`]s, bytes to write and a deadline. It opens
+//! sessions and links, tracks windows, credit and settlement, and speaks SASL. What a delivery means is its user's
+//! concern.
 //!
-//! Every bound on what a peer can make it hold is a field of [`Settings`].
+//! Every bound on the memory that a peer can make it use is a field of [`Settings`].
+//!
+//! Numbers such as 2.6.7 name sections of the standard: the first digit is the number of its part.
 //!
 //! ```
 //! use sparbank_amqp::{Connection, Event, Settings};
@@ -13,14 +15,14 @@
 //! let mut server = Connection::accept(0, Settings::default(), None);
 //! let mut opened = 0;
 //! for _ in 0..8 {
-//!     let bytes = client.take_out(0);
-//!     let mut left = &bytes[..];
-//!     while let Some(event) = server.next(0, &mut left)? {
+//!     let bytes = client.take_output(0);
+//!     let mut input = &bytes[..];
+//!     while let Some(event) = server.next_event(0, &mut input)? {
 //!         opened += i32::from(matches!(event, Event::Opened { .. }));
 //!     }
-//!     let bytes = server.take_out(0);
-//!     let mut left = &bytes[..];
-//!     while let Some(event) = client.next(0, &mut left)? {
+//!     let bytes = server.take_output(0);
+//!     let mut input = &bytes[..];
+//!     while let Some(event) = client.next_event(0, &mut input)? {
 //!         opened += i32::from(matches!(event, Event::Opened { .. }));
 //!     }
 //! }
@@ -30,28 +32,41 @@
 #![forbid(unsafe_code)]
 
 mod codec;
+mod composite;
 mod connection;
 mod error;
 mod frame;
 mod link;
 mod message;
 mod performative;
+mod primitives;
 mod sasl;
 mod scram;
 mod session;
+mod state;
+mod terminus;
 mod value;
 
 pub use codec::{decode, encode, DecodeError};
-pub use connection::{Connection, Event, LinkId, Outgoing, Part, PeerInfo, Settings};
+pub use composite::Composite;
+pub use connection::{
+    AbandonedDelivery, Connection, Event, IncomingTransfer, LinkId, Outgoing, PeerInfo, Settings,
+};
 pub use error::{condition, fault, Error, Fault};
-pub use frame::{put_frame, put_raw, take_frame, Frame, AMQP, SASL};
-pub use link::{Remote, Role};
+pub use frame::{read_frame, write_frame, write_frame_with, Frame, AMQP, SASL};
+pub use link::Role;
 pub use message::{Head, Message};
-pub use performative::*;
-pub use sasl::{Asked, Credentials, Mechanism};
+pub use performative::{
+    Attach, Begin, Close, Detach, Disposition, End, Flow, Open, Performative, SaslChallenge, SaslInit,
+    SaslMechanisms, SaslOutcome, SaslResponse, Transfer,
+};
+pub use primitives::{Symbol, Tag};
+pub use sasl::{Credentials, Mechanism, SaslRequest};
 pub use scram::{Pbkdf2, SaltedKeys};
 pub use session::Sent;
+pub use state::State;
+pub use terminus::{Source, Target, Terminus};
 pub use value::Value;
 
-/// A point in time or a span of it, in nanoseconds; the library never asks for the time.
+/// A point in time or a span of it, in nanoseconds; the library reads no clock.
 pub type Nanos = u64;
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -1,41 +1,37 @@
-//! Links (part 2, section 2.6): credit, and the delivery that is on its way.
+//! Links (part 2 of the standard, section 2.6): credit, and the delivery that is being transferred.
 
-use crate::performative::{Attach, Tag};
+use crate::performative::Attach;
+use crate::primitives::Tag;
 
 /// Which end of a link this side is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Deliveries go out.
+    /// It sends deliveries.
     Sender,
-    /// Deliveries come in.
+    /// It receives deliveries.
     Receiver,
 }
 
+/// How far a link is attached or detached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The peer has attached; the user has to answer.
-    Asked,
+    AttachReceived,
     /// This side has attached; the peer has not answered.
-    Sent,
-    /// Both have.
+    AttachSent,
+    /// Both sides have attached.
     Attached,
-    /// This side has detached; what still comes is ignored.
+    /// This side has detached; what is still received is ignored.
     Closing,
 }
 
-/// What the peer said when it attached.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Remote {
-    /// Its largest message in octets; none where it named no limit.
-    pub max_message: Option<u64>,
-}
-
-/// A delivery that comes in parts.
+/// A received delivery whose last transfer has not been received.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Partial {
+pub(crate) struct IncompleteDelivery {
     pub id: u32,
     pub tag: Tag,
     pub settled: bool,
+    /// Octets received so far.
     pub octets: u64,
 }
 
@@ -46,61 +42,83 @@
     pub role: Role,
     pub phase: Phase,
     pub remote_handle: Option<u32>,
-    pub remote: Remote,
+    /// The largest message that the peer accepts, in octets; none where it announced no limit.
+    pub remote_max_message_size: Option<u64>,
     pub delivery_count: u32,
     pub credit: u32,
     pub drain: bool,
-    /// The receiver settles second (2.6.12).
-    pub second: bool,
-    /// The sender settles all it sends.
-    pub presettled: bool,
-    /// What comes in, where the last part has not come.
-    pub partial: Option<Partial>,
-    /// What goes out, where the last part has not gone.
+    /// The receiver settles after the sender (2.6.12).
+    pub receiver_settles_second: bool,
+    /// The received delivery whose last transfer is awaited.
+    pub incomplete: Option<IncompleteDelivery>,
+    /// The number of the sent delivery whose last transfer was not sent.
     pub sending: Option<u32>,
-    /// A delivery to be aborted once the window allows a frame.
+    /// The number of a delivery to be aborted once the window allows a frame.
     pub abort: Option<u32>,
-    /// Deliveries on it that are not settled.
+    /// The number of unsettled deliveries.
     pub unsettled: u32,
 }
 
 impl Link {
+    /// A link that is not attached on both sides yet.
     pub fn new(name: String, role: Role, phase: Phase) -> Link {
         Link {
             name,
             role,
             phase,
             remote_handle: None,
-            remote: Remote::default(),
+            remote_max_message_size: None,
             delivery_count: 0,
             credit: 0,
             drain: false,
-            second: false,
-            presettled: false,
-            partial: None,
+            receiver_settles_second: false,
+            incomplete: None,
             sending: None,
             abort: None,
             unsettled: 0,
         }
     }
 
-    /// Takes over what the peer's attach says.
-    pub fn attached(&mut self, attach: &Attach) {
+    /// The peer's attach.
+    pub fn on_attach(&mut self, attach: &Attach) {
         self.remote_handle = attach.handle;
-        self.remote = Remote { max_message: attach.max_message_size.filter(|most| *most > 0) };
-        self.second = attach.rcv_settle_mode == Some(1);
+        self.remote_max_message_size = attach.max_message_size.filter(|size| *size > 0);
+        self.receiver_settles_second = attach.rcv_settle_mode == Some(1);
         if self.role == Role::Receiver {
             self.delivery_count = attach.initial_delivery_count.unwrap_or(0);
-            self.presettled = attach.snd_settle_mode == Some(1);
         }
     }
 
-    /// The receiver's view of the credit: what this sender may still send (2.6.7).
-    pub fn credited(&mut self, count: Option<u32>, credit: u32, drain: bool) {
-        let limit = count.unwrap_or(0).wrapping_add(credit);
+    /// The receiver's flow: what this sender may still send (2.6.7).
+    pub fn on_credit(&mut self, delivery_count: u32, credit: u32, drain: bool) {
+        let limit = delivery_count.wrapping_add(credit);
         let left = limit.wrapping_sub(self.delivery_count);
-        // A limit that lies behind what has gone out is no credit (serial numbers, RFC 1982).
+        // A limit below what was already sent is no credit (serial numbers, RFC 1982).
         self.credit = if left > u32::MAX / 2 { 0 } else { left };
         self.drain = drain;
     }
+
+    /// The sender's flow: it has used up or given back what a drain left of its credit (2.6.7).
+    pub fn on_credit_returned(&mut self, delivery_count: Option<u32>) {
+        if let Some(delivery_count) = delivery_count {
+            let used = delivery_count.wrapping_sub(self.delivery_count);
+            if used <= self.credit {
+                self.credit -= used;
+                self.delivery_count = delivery_count;
+            }
+        }
+        if self.credit == 0 {
+            self.drain = false;
+        }
+    }
+
+    /// This side detaches the link. Gives the number of its unsettled deliveries.
+    pub fn start_closing(&mut self) -> u32 {
+        self.phase = Phase::Closing;
+        self.sending = None;
+        self.incomplete = None;
+        self.abort = None;
+        self.credit = 0;
+        std::mem::take(&mut self.unsettled)
+    }
 }
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -1,21 +1,41 @@
-//! Messages (part 3, section 3.2): what a node reads of one while it passes the rest on as it came.
+//! Messages (part 3 of the standard, section 3.2): a forwarding node reads the sections before the body and forwards the
+//! rest as it is.
 
-use crate::codec::*;
+use crate::codec::{close_compound, format_code, open_compound, put_u32, text, DecodeError, Reader, Result};
 use crate::value::Value;
 use std::ops::Range;
 
-/// The longest header that is taken, in octets.
-const MOST_HEADER: usize = 64;
+/// The longest header that is accepted, in octets. Its five fields take some 30 at most: it fits into one frame of any
+/// size.
+const MAX_HEADER_BYTES: usize = 64;
 
-/// The sections before the body, as far as they have come: where they are, and what routing needs.
+/// The descriptors of the sections.
+mod section {
+    pub const HEADER: u64 = 0x70;
+    pub const DELIVERY_ANNOTATIONS: u64 = 0x71;
+    pub const MESSAGE_ANNOTATIONS: u64 = 0x72;
+    pub const PROPERTIES: u64 = 0x73;
+    pub const APPLICATION_PROPERTIES: u64 = 0x74;
+    pub const DATA: u64 = 0x75;
+    pub const SEQUENCE: u64 = 0x76;
+    pub const VALUE: u64 = 0x77;
+    pub const FOOTER: u64 = 0x78;
+}
+
+/// The places of fields in their lists.
+const TTL_FIELD: usize = 2;
+const TO_FIELD: usize = 2;
+const REPLY_TO_FIELD: usize = 4;
+
+/// The sections before the body: where they are, and the fields that forwarding needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
     /// The header's octets without its descriptor.
     header: Range<usize>,
-    /// Where what follows the header starts.
+    /// Where the section after the header starts.
     after_header: usize,
     /// The map of the application properties.
-    application: Range<usize>,
+    application_properties: Range<usize>,
     /// Where the body starts.
     body: usize,
     /// The header's time to live, in milliseconds.
@@ -27,68 +47,63 @@
 }
 
 impl Head {
-    /// Reads the sections before the body. None where the bytes end before the body starts: more is to be
-    /// waited for, unless the message has ended.
+    /// Reads the sections before the body. None where the bytes end before the body starts: more are needed, unless the
+    /// message is complete.
     pub fn read(bytes: &[u8]) -> Result<Option<Head>> {
         let mut head = Head::default();
-        let (mut reader, mut last) = (Reader::new(bytes), 0);
+        let mut reader = Reader::new(bytes);
+        let mut last_section = 0;
         loop {
-            if reader.left.is_empty() {
+            if reader.remaining.is_empty() {
                 return Ok(None);
             }
-            let start = bytes.len() - reader.left.len();
-            let code = match section(&mut reader) {
+            let start = bytes.len() - reader.remaining.len();
+            let section = match read_section_descriptor(&mut reader) {
                 Err(DecodeError::Short) => return Ok(None),
-                code => code?,
+                section => section?,
             };
-            if code <= last {
+            if section <= last_section {
                 return Err(DecodeError::Field("section"));
             }
-            last = code;
-            if code >= 0x75 {
+            last_section = section;
+            if section >= section::DATA {
                 head.body = start;
                 return Ok(Some(head));
             }
-            let start = bytes.len() - reader.left.len();
-            match reader.check() {
+            let start = bytes.len() - reader.remaining.len();
+            match reader.skip_value() {
                 Err(DecodeError::Short) => return Ok(None),
-                checked => checked?,
+                skipped => skipped?,
             }
-            let end = bytes.len() - reader.left.len();
-            head.section(code, start..end, bytes)?;
+            let end = bytes.len() - reader.remaining.len();
+            head.read_section(section, start..end, bytes)?;
         }
     }
 
-    fn section(&mut self, code: u64, at: Range<usize>, bytes: &[u8]) -> Result<()> {
-        match (code, bytes[at.start]) {
-            // Its five fields take some 30 octets at most: it goes on in one frame of any size.
-            (0x70, 0x45 | 0xc0 | 0xd0) if at.len() <= MOST_HEADER => {
-                if let Some(mut field) = field(&bytes[at.clone()], 2)? {
-                    self.ttl = match field.value()? {
-                        Value::Null => None,
-                        Value::Uint(ttl) => Some(ttl),
-                        _ => return Err(DecodeError::Field("ttl")),
-                    };
-                }
-                (self.header, self.after_header) = (at.clone(), at.end);
+    fn read_section(&mut self, section: u64, at: Range<usize>, bytes: &[u8]) -> Result<()> {
+        let octets = &bytes[at.clone()];
+        match (section, octets[0]) {
+            (section::HEADER, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32)
+                if octets.len() <= MAX_HEADER_BYTES =>
+            {
+                self.ttl = read_ttl(octets)?;
+                self.after_header = at.end;
+                self.header = at;
             }
-            (0x73, 0x45 | 0xc0 | 0xd0) => {
-                let text = |index, name| match field(&bytes[at.clone()], index)?.map(|mut f| f.value()) {
-                    None | Some(Ok(Value::Null)) => Ok(None),
-                    Some(Ok(Value::Text(text))) => Ok(Some(text)),
-                    // An address may be of another type (3.2.4), which names no node here.
-                    Some(Ok(_)) if name == "to" || name == "reply-to" => Ok(None),
-                    Some(_) => Err(DecodeError::Field(name)),
-                };
-                (self.to, self.reply_to) = (text(2, "to")?, text(4, "reply-to")?);
+            (section::PROPERTIES, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32) => {
+                self.to = read_address(octets, TO_FIELD)?;
+                self.reply_to = read_address(octets, REPLY_TO_FIELD)?;
             }
-            (0x74, 0xc1 | 0xd1) => {
-                for (key, _) in pairs(&bytes[at.clone()]) {
+            (section::APPLICATION_PROPERTIES, format_code::MAP_8 | format_code::MAP_32) => {
+                for (key, _) in map_pairs(octets) {
                     key.ok_or(DecodeError::Field("application-properties"))?;
                 }
-                self.application = at;
+                self.application_properties = at;
             }
-            (0x71 | 0x72, 0xc1 | 0xd1) => {}
+            (
+                section::DELIVERY_ANNOTATIONS | section::MESSAGE_ANNOTATIONS,
+                format_code::MAP_8 | format_code::MAP_32,
+            ) => {}
             _ => return Err(DecodeError::Field("section")),
         }
         Ok(())
@@ -96,8 +111,8 @@
 
     /// An application property; `bytes` is the message that this is the head of.
     pub fn value(&self, bytes: &[u8], name: &str) -> Option<Value> {
-        let map = bytes.get(self.application.clone()).filter(|map| !map.is_empty())?;
-        let (_, mut value) = pairs(map).find(|(key, _)| *key == Some(name))?;
+        let map = bytes.get(self.application_properties.clone()).filter(|map| !map.is_empty())?;
+        let (_, mut value) = map_pairs(map).find(|(key, _)| *key == Some(name))?;
         value.value().ok()
     }
 
@@ -105,133 +120,163 @@
     pub fn property(&self, bytes: &[u8], name: &str) -> Option<String> {
         match self.value(bytes, name)? {
             Value::Text(text) | Value::Symbol(text) => Some(text),
-            Value::Uint(n) => Some(n.to_string()),
-            Value::Ulong(n) => Some(n.to_string()),
-            Value::Int(n) => Some(n.to_string()),
-            Value::Long(n) => Some(n.to_string()),
+            Value::Uint(number) => Some(number.to_string()),
+            Value::Ulong(number) => Some(number.to_string()),
+            Value::Int(number) => Some(number.to_string()),
+            Value::Long(number) => Some(number.to_string()),
             _ => None,
         }
     }
 
-    /// The first octets of the message as it goes on: its header with this time to live, in milliseconds.
-    /// The message's bytes from [`Head::rest`] on follow it unchanged.
+    /// Writes the header of the forwarded message, with this time to live in milliseconds. The message's bytes from
+    /// [`Head::after_header`] on follow it unchanged.
     pub fn encode(&self, bytes: &[u8], ttl: u32, out: &mut Vec<u8>) {
-        out.extend_from_slice(&[0x00, 0x53, 0x70]);
-        let start = open_compound(out, 0xc0);
+        out.extend_from_slice(&[format_code::DESCRIBED, format_code::SMALL_ULONG, section::HEADER as u8]);
+        let start = open_compound(out, format_code::LIST_8);
+        let mut fields = bytes.get(self.header.clone()).and_then(|header| read_list(header).ok());
         let mut count = 0;
-        let mut keep = |index: usize, octets: &[u8]| {
-            if index == 2 {
-                put_u32(out, ttl);
-            } else {
-                out.extend_from_slice(octets);
-            }
-            count += 1;
-        };
-        let mut fields = bytes.get(self.header.clone()).and_then(|header| list(header).ok());
-        for index in 0.. {
+        loop {
             let octets = match &mut fields {
-                Some((reader, left)) if *left > 0 => {
-                    *left -= 1;
-                    let before = reader.left;
-                    if reader.check().is_err() {
-                        break;
+                Some((reader, remaining)) if *remaining > 0 => {
+                    *remaining -= 1;
+                    match skipped_octets(reader) {
+                        Some(octets) => octets,
+                        None => break,
                     }
-                    &before[..before.len() - reader.left.len()]
                 }
-                _ if index <= 2 => &[0x40],
+                _ if count <= TTL_FIELD => &[format_code::NULL],
                 _ => break,
             };
-            keep(index, octets);
+            if count == TTL_FIELD {
+                put_u32(out, ttl);
+            } else {
+                out.extend_from_slice(octets);
+            }
+            count += 1;
         }
         close_compound(out, start, count);
     }
 
-    /// Where in the message's bytes what follows the header starts.
-    pub fn rest(&self) -> usize {
+    /// Where in the message's bytes the section after the header starts.
+    pub fn after_header(&self) -> usize {
         self.after_header
     }
 }
 
-/// The fields of a list and their count.
-fn list(bytes: &[u8]) -> Result<(Reader<'_>, usize)> {
+/// The octets of the next value, which is skipped.
+fn skipped_octets<'a>(reader: &mut Reader<'a>) -> Option<&'a [u8]> {
+    let before = reader.remaining;
+    reader.skip_value().ok()?;
+    Some(&before[..before.len() - reader.remaining.len()])
+}
+
+/// The time to live of a header.
+fn read_ttl(header: &[u8]) -> Result<Option<u32>> {
+    let Some(mut field) = read_field(header, TTL_FIELD)? else { return Ok(None) };
+    match field.value()? {
+        Value::Null => Ok(None),
+        Value::Uint(ttl) => Ok(Some(ttl)),
+        _ => Err(DecodeError::Field("ttl")),
+    }
+}
+
+/// An address of the properties. One that is not text (3.2.4) names no node here.
+fn read_address(properties: &[u8], index: usize) -> Result<Option<String>> {
+    let name = if index == TO_FIELD { "to" } else { "reply-to" };
+    match read_field(properties, index)?.map(|mut field| field.value()) {
+        Some(Ok(Value::Text(address))) => Ok(Some(address)),
+        None | Some(Ok(_)) => Ok(None),
+        Some(Err(_)) => Err(DecodeError::Field(name)),
+    }
+}
+
+/// A reader of a list's fields, and their count.
+fn read_list(bytes: &[u8]) -> Result<(Reader<'_>, usize)> {
     let mut reader = Reader::new(bytes);
     match reader.byte()? {
-        0x45 => Ok((Reader::new(&[]), 0)),
-        code @ (0xc0 | 0xd0) => reader.compound(code),
+        format_code::LIST_0 => Ok((Reader::new(&[]), 0)),
+        code @ (format_code::LIST_8 | format_code::LIST_32) => reader.compound(code),
         _ => Err(DecodeError::Field("list")),
     }
 }
 
-/// A list's field, where there is one.
-fn field(bytes: &[u8], index: usize) -> Result<Option<Reader<'_>>> {
-    let (mut reader, count) = list(bytes)?;
+/// A reader at a list's field, where there is one.
+fn read_field(bytes: &[u8], index: usize) -> Result<Option<Reader<'_>>> {
+    let (mut reader, count) = read_list(bytes)?;
     if count <= index {
         return Ok(None);
     }
     for _ in 0..index {
-        reader.check()?;
+        reader.skip_value()?;
     }
     Ok(Some(reader))
 }
 
-/// The pairs of a map that has been checked: the key where it is text, and the value.
-fn pairs(bytes: &[u8]) -> impl Iterator<Item = (Option<&str>, Reader<'_>)> {
-    let mut whole = Reader::new(bytes);
-    let body = whole.byte().and_then(|code| whole.compound(code)).ok();
-    let (mut reader, mut left) = body.unwrap_or((Reader::new(&[]), 0));
+/// The pairs of a map that has been checked: the key where it is text, and a reader of the value.
+fn map_pairs(bytes: &[u8]) -> impl Iterator<Item = (Option<&str>, Reader<'_>)> {
+    let mut map = Reader::new(bytes);
+    let body = map.byte().and_then(|code| map.compound(code)).ok();
+    let (mut reader, mut remaining) = body.unwrap_or((Reader::new(&[]), 0));
     std::iter::from_fn(move || {
-        left = left.checked_sub(2)?;
-        let key = match reader.left.first()? {
-            code @ (0xa1 | 0xb1) => {
-                let code = *code;
+        remaining = remaining.checked_sub(2)?;
+        let key = match *reader.remaining.first()? {
+            code @ (format_code::STRING_8 | format_code::STRING_32) => {
                 reader.byte().ok()?;
                 text(reader.variable(code).ok()?).ok()
             }
             _ => {
-                reader.check().ok()?;
+                reader.skip_value().ok()?;
                 None
             }
         };
-        let value = Reader::new(reader.left);
-        reader.check().ok()?;
+        let value = Reader::new(reader.remaining);
+        reader.skip_value().ok()?;
         Some((key, value))
     })
 }
 
-/// The number of the section that starts here.
-fn section(reader: &mut Reader<'_>) -> Result<u64> {
-    if reader.byte()? != 0 {
+/// Reads the descriptor of the section that starts here.
+fn read_section_descriptor(reader: &mut Reader<'_>) -> Result<u64> {
+    if reader.byte()? != format_code::DESCRIBED {
         return Err(DecodeError::Field("section"));
     }
-    if let Some([0x53, code, ..]) = reader.left.get(..2) {
+    if let Some([format_code::SMALL_ULONG, code, ..]) = reader.remaining.get(..2) {
         let code = u64::from(*code);
-        reader.left = &reader.left[2..];
-        return if (0x70..=0x78).contains(&code) { Ok(code) } else { Err(DecodeError::Descriptor) };
+        reader.remaining = &reader.remaining[2..];
+        return check_section(code);
     }
-    let code = match reader.value()? {
-        Value::Ulong(code) => code,
-        Value::Symbol(name) => match &*name {
-            "amqp:header:list" => 0x70,
-            "amqp:delivery-annotations:map" => 0x71,
-            "amqp:message-annotations:map" => 0x72,
-            "amqp:properties:list" => 0x73,
-            "amqp:application-properties:map" => 0x74,
-            "amqp:data:binary" => 0x75,
-            "amqp:amqp-sequence:list" => 0x76,
-            "amqp:amqp-value:*" => 0x77,
-            "amqp:footer:map" => 0x78,
-            _ => return Err(DecodeError::Descriptor),
-        },
-        _ => return Err(DecodeError::Field("section")),
-    };
-    if (0x70..=0x78).contains(&code) {
+    match reader.value()? {
+        Value::Ulong(code) => check_section(code),
+        Value::Symbol(name) => section_named(&name).ok_or(DecodeError::Descriptor),
+        _ => Err(DecodeError::Field("section")),
+    }
+}
+
+fn check_section(code: u64) -> Result<u64> {
+    if (section::HEADER..=section::FOOTER).contains(&code) {
         Ok(code)
     } else {
         Err(DecodeError::Descriptor)
     }
 }
 
-/// A whole message, checked section by section.
+/// The section with this symbolic descriptor.
+fn section_named(name: &str) -> Option<u64> {
+    Some(match name {
+        "amqp:header:list" => section::HEADER,
+        "amqp:delivery-annotations:map" => section::DELIVERY_ANNOTATIONS,
+        "amqp:message-annotations:map" => section::MESSAGE_ANNOTATIONS,
+        "amqp:properties:list" => section::PROPERTIES,
+        "amqp:application-properties:map" => section::APPLICATION_PROPERTIES,
+        "amqp:data:binary" => section::DATA,
+        "amqp:amqp-sequence:list" => section::SEQUENCE,
+        "amqp:amqp-value:*" => section::VALUE,
+        "amqp:footer:map" => section::FOOTER,
+        _ => return None,
+    })
+}
+
+/// A complete message, checked section by section.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message<'a> {
     /// The sections before the body.
@@ -240,18 +285,18 @@
 }
 
 impl<'a> Message<'a> {
-    /// Checks that this is a message: every section sound, in its order, and a body among them.
+    /// Checks that this is a message: every section is valid, in its order, and there is a body.
     pub fn decode(bytes: &'a [u8]) -> Result<Message<'a>> {
         let head = Head::read(bytes)?.ok_or(DecodeError::Field("body"))?;
         check_body(&bytes[head.body..])?;
         Ok(Message { head, bytes })
     }
 
-    /// The message as it goes on: unchanged but for its time to live, in milliseconds.
+    /// The forwarded message: unchanged except for its time to live, in milliseconds.
     pub fn encode(&self, ttl: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.bytes.len() + 16);
         self.head.encode(self.bytes, ttl, &mut out);
-        out.extend_from_slice(&self.bytes[self.head.rest()..]);
+        out.extend_from_slice(&self.bytes[self.head.after_header()..]);
         out
     }
 
@@ -263,22 +308,29 @@
 
 /// Checks the body and the footer.
 fn check_body(bytes: &[u8]) -> Result<()> {
-    let (mut reader, mut last) = (Reader::new(bytes), 0);
-    while !reader.left.is_empty() {
-        let code = section(&mut reader)?;
-        let kind = reader.left.first().copied().unwrap_or(0);
-        let sound = match (code, last) {
-            (0x75, 0 | 0x75) => matches!(kind, 0xa0 | 0xb0),
-            (0x76, 0 | 0x76) => matches!(kind, 0x45 | 0xc0 | 0xd0),
-            (0x77, 0) => true,
-            (0x78, 0x75..=0x77) => matches!(kind, 0xc1 | 0xd1),
+    let mut reader = Reader::new(bytes);
+    let mut last_section = 0;
+    while !reader.remaining.is_empty() {
+        let section = read_section_descriptor(&mut reader)?;
+        let code = reader.remaining.first().copied().unwrap_or(0);
+        let is_valid = match (section, last_section) {
+            (section::DATA, 0 | section::DATA) => {
+                matches!(code, format_code::BINARY_8 | format_code::BINARY_32)
+            }
+            (section::SEQUENCE, 0 | section::SEQUENCE) => {
+                matches!(code, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32)
+            }
+            (section::VALUE, 0) => true,
+            (section::FOOTER, section::DATA..=section::VALUE) => {
+                matches!(code, format_code::MAP_8 | format_code::MAP_32)
+            }
             _ => false,
         };
-        if !sound {
+        if !is_valid {
             return Err(DecodeError::Field("section"));
         }
-        reader.check()?;
-        last = code;
+        reader.skip_value()?;
+        last_section = section;
     }
     Ok(())
 }
--- a/crates/amqp/src/sasl.rs
+++ b/crates/amqp/src/sasl.rs
@@ -1,25 +1,27 @@
-//! SASL (part 5, section 5.3): what each side does with the other's frames.
+//! SASL (part 5 of the standard, section 5.3): how each side answers the other's frames.
 
 use crate::error::{condition, fault, Fault};
-use crate::performative::*;
+use crate::performative::{Performative, SaslChallenge, SaslInit, SaslMechanisms, SaslOutcome, SaslResponse};
+use crate::primitives::Symbol;
 use crate::scram::{self, SaltedKeys};
 use crate::value::Value;
+use std::fmt;
 
 /// A mechanism that this library speaks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// No name (RFC 4505).
+    /// Anonymous access (RFC 4505).
     Anonymous,
     /// A name and a password as they are (RFC 4616).
     Plain,
     /// A proof of a password (RFC 7677).
     ScramSha256,
-    /// Who the transport says it is, such as a client certificate (RFC 4422, appendix A).
+    /// The identity that the transport has verified, such as a client certificate's (RFC 4422, appendix A).
     External,
 }
 
 impl Mechanism {
-    /// All of them, the one to prefer first.
+    /// All of them, the preferred one first.
     pub const ALL: [Mechanism; 4] =
         [Mechanism::External, Mechanism::ScramSha256, Mechanism::Plain, Mechanism::Anonymous];
 
@@ -35,78 +37,78 @@
 
     /// The mechanism of this name.
     pub fn named(name: &str) -> Option<Mechanism> {
-        Mechanism::ALL.into_iter().find(|m| m.name() == name)
+        Mechanism::ALL.into_iter().find(|mechanism| mechanism.name() == name)
     }
 }
 
-/// What a server has to decide while a client makes itself known.
+/// What a server has to decide while a client authenticates.
 #[derive(Clone, PartialEq, Eq)]
-pub enum Asked {
-    /// Nobody in particular wants in.
+pub enum SaslRequest {
+    /// Whether anonymous clients are let in.
     Anonymous,
-    /// A name and a password, to be checked.
+    /// Whether this is the user's password.
     Plain {
-        /// Who it says it is.
+        /// The user that the client claims to be.
         user: String,
         /// The password.
         password: Vec<u8>,
     },
-    /// Keys of this user are wanted: answer with [`crate::Connection::keys`].
-    Keys {
-        /// Who it says it is.
+    /// The keys of a user: answer with [`crate::Connection::provide_scram_keys`].
+    ScramKeys {
+        /// The user that the client claims to be.
         user: String,
     },
-    /// The proof of this user's password holds or does not.
-    Proven {
-        /// Who it says it is.
+    /// Whether this user is let in, whose proof was checked.
+    ScramProof {
+        /// The user that the client claims to be.
         user: String,
-        /// Whether it knows the password.
-        holds: bool,
+        /// Whether the client has proven that it knows the password.
+        is_valid: bool,
     },
-    /// Who the transport says it is.
+    /// Whether the identity that the transport has verified is let in.
     External,
 }
 
-impl std::fmt::Debug for Asked {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Debug for SaslRequest {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         // A password must not get into a log.
         match self {
-            Asked::Anonymous => write!(f, "Anonymous"),
-            Asked::Plain { user, .. } => write!(f, "Plain({user})"),
-            Asked::Keys { user } => write!(f, "Keys({user})"),
-            Asked::Proven { user, holds } => write!(f, "Proven({user}, {holds})"),
-            Asked::External => write!(f, "External"),
+            SaslRequest::Anonymous => write!(f, "Anonymous"),
+            SaslRequest::Plain { user, .. } => write!(f, "Plain({user})"),
+            SaslRequest::ScramKeys { user } => write!(f, "ScramKeys({user})"),
+            SaslRequest::ScramProof { user, is_valid } => write!(f, "ScramProof({user}, {is_valid})"),
+            SaslRequest::External => write!(f, "External"),
         }
     }
 }
 
-/// What a client makes itself known by.
+/// What a client authenticates with.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Credentials {
-    /// By nothing.
+    /// Nothing.
     Anonymous,
-    /// By a password as it is.
+    /// A password, sent as it is.
     Plain {
-        /// The name.
+        /// The user's name.
         user: String,
         /// The password.
         password: String,
     },
-    /// By a proof of a password.
+    /// A proof of a password.
     Scram {
-        /// The name.
+        /// The user's name.
         user: String,
         /// The password.
         password: String,
         /// Printable, without commas, and new for each connection.
         nonce: String,
     },
-    /// By the transport.
+    /// The identity that the transport has verified.
     External,
 }
 
-impl std::fmt::Debug for Credentials {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
+impl fmt::Debug for Credentials {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Credentials({})", self.mechanism().name())
     }
 }
@@ -122,124 +124,138 @@
     }
 }
 
-/// A longer name, password or message is refused.
-const MOST_RESPONSE: usize = 1024;
+/// The longest initial response, in octets: it bounds names, passwords and SCRAM messages.
+const MAX_RESPONSE_BYTES: usize = 1024;
 
 /// What follows from a frame.
 pub enum Step {
-    /// Send this.
-    Say(Performative),
-    /// The user has to decide.
-    Ask(Asked),
-    /// The exchange went well.
+    /// This body is to be sent.
+    Send(Performative),
+    /// The user of the library has to decide this.
+    Decide(SaslRequest),
+    /// The exchange has succeeded.
     Done,
 }
 
-fn refused(words: &str) -> Fault {
-    fault(condition::UNAUTHORIZED_ACCESS, words)
+fn unauthorized(description: &str) -> Fault {
+    fault(condition::UNAUTHORIZED_ACCESS, description)
 }
 
-enum Stage {
+enum ServerStage {
     /// `init` is awaited.
     Init,
-    /// The user is asked for keys.
+    /// The user's keys are awaited.
     Keys(Option<scram::ClientFirst>),
-    /// The proof is awaited.
+    /// The client's proof is awaited.
     Proof(String, scram::Server),
-    /// The user is asked for a verdict; this goes with a good one.
-    Verdict(Vec<u8>),
+    /// The decision is awaited. The data is sent with a positive outcome.
+    Decision(Vec<u8>),
     Over,
 }
 
-/// The server's side.
+/// The server's side of an exchange.
 pub struct Server {
     offered: Vec<Mechanism>,
-    stage: Stage,
+    stage: ServerStage,
 }
 
 impl Server {
+    /// A server that offers these mechanisms.
     pub fn new(offered: Vec<Mechanism>) -> Server {
-        Server { offered, stage: Stage::Init }
+        Server { offered, stage: ServerStage::Init }
     }
 
+    /// The frame body that offers the mechanisms.
     pub fn mechanisms(&self) -> Performative {
-        let names = self.offered.iter().map(|m| Value::symbol(m.name())).collect();
+        let names = self.offered.iter().map(|mechanism| Value::symbol(mechanism.name())).collect();
         SaslMechanisms { mechanisms: Some(Value::Array(names)) }.into()
     }
 
-    pub fn take(&mut self, body: Performative) -> Result<Step, Fault> {
-        match (std::mem::replace(&mut self.stage, Stage::Over), body) {
-            (Stage::Init, Performative::SaslInit(init)) => self.init(*init),
-            (Stage::Proof(user, server), Performative::SaslResponse(response)) => {
-                let verdict = server.finish(&response.response.unwrap_or_default());
-                let holds = verdict.is_some();
-                self.stage = Stage::Verdict(verdict.unwrap_or_default());
-                Ok(Step::Ask(Asked::Proven { user, holds }))
+    /// Handles a frame body of the client.
+    pub fn handle(&mut self, body: Performative) -> Result<Step, Fault> {
+        match (std::mem::replace(&mut self.stage, ServerStage::Over), body) {
+            (ServerStage::Init, Performative::SaslInit(init)) => self.handle_init(*init),
+            (ServerStage::Proof(user, server), Performative::SaslResponse(response)) => {
+                let server_final = server.finish(&response.response.unwrap_or_default());
+                let is_valid = server_final.is_some();
+                self.stage = ServerStage::Decision(server_final.unwrap_or_default());
+                Ok(Step::Decide(SaslRequest::ScramProof { user, is_valid }))
             }
-            _ => Err(refused("a SASL frame out of turn")),
+            _ => Err(unauthorized("a SASL frame out of turn")),
         }
     }
 
-    fn init(&mut self, init: SaslInit) -> Result<Step, Fault> {
+    fn handle_init(&mut self, init: SaslInit) -> Result<Step, Fault> {
         let name = init.mechanism.unwrap_or_default().0;
         let response = init.initial_response.unwrap_or_default();
-        let mechanism = Mechanism::named(&name).filter(|m| self.offered.contains(m));
-        if response.len() > MOST_RESPONSE {
-            return Err(refused("a SASL response of this length is not taken"));
+        if response.len() > MAX_RESPONSE_BYTES {
+            return Err(unauthorized("a SASL response of this length is not taken"));
         }
-        let asked = match mechanism {
-            Some(Mechanism::Anonymous) => Asked::Anonymous,
-            Some(Mechanism::External) => Asked::External,
-            Some(Mechanism::Plain) => {
-                let mut parts = response.split(|b| *b == 0);
-                let (_, user, password) = (parts.next(), parts.next(), parts.next());
-                let user = user.and_then(|u| std::str::from_utf8(u).ok());
-                match (user, password, parts.next()) {
-                    (Some(user), Some(password), None) => {
-                        Asked::Plain { user: user.to_string(), password: password.to_vec() }
-                    }
-                    _ => return Err(refused("a PLAIN response that cannot be read")),
-                }
-            }
+        let mechanism = Mechanism::named(&name).filter(|mechanism| self.offered.contains(mechanism));
+        let request = match mechanism {
+            Some(Mechanism::Anonymous) => SaslRequest::Anonymous,
+            Some(Mechanism::External) => SaslRequest::External,
+            Some(Mechanism::Plain) => plain_request(&response)?,
             Some(Mechanism::ScramSha256) => {
-                let first = scram::client_first(&response);
-                let first = first.ok_or_else(|| refused("a SCRAM message that cannot be read"))?;
-                let user = first.user.clone();
-                self.stage = Stage::Keys(Some(first));
-                return Ok(Step::Ask(Asked::Keys { user }));
+                let client_first = scram::client_first(&response)
+                    .ok_or_else(|| unauthorized("a SCRAM message that cannot be read"))?;
+                let user = client_first.user.clone();
+                self.stage = ServerStage::Keys(Some(client_first));
+                return Ok(Step::Decide(SaslRequest::ScramKeys { user }));
             }
-            None => return Err(refused("this SASL mechanism is not offered")),
+            None => return Err(unauthorized("this SASL mechanism is not offered")),
         };
-        self.stage = Stage::Verdict(Vec::new());
-        Ok(Step::Ask(asked))
+        self.stage = ServerStage::Decision(Vec::new());
+        Ok(Step::Decide(request))
     }
 
-    /// The user's keys, or none and a salt that stands in for them.
-    pub fn keys(&mut self, keys: Option<SaltedKeys>, fake: &[u8], nonce: &str) -> Option<Performative> {
-        let Stage::Keys(first) = &mut self.stage else { return None };
-        let first = first.take()?;
-        let user = first.user.clone();
-        let server = scram::Server::new(first, keys, fake, nonce);
+    /// The user's keys, or none and a salt that stands in for them. Gives the challenge to send.
+    pub fn provide_keys(
+        &mut self,
+        keys: Option<SaltedKeys>,
+        fake_salt: &[u8],
+        nonce: &str,
+    ) -> Option<Performative> {
+        let ServerStage::Keys(client_first) = &mut self.stage else { return None };
+        let client_first = client_first.take()?;
+        let user = client_first.user.clone();
+        let server = scram::Server::new(client_first, keys, fake_salt, nonce);
         let challenge = Some(server.challenge());
-        self.stage = Stage::Proof(user, server);
+        self.stage = ServerStage::Proof(user, server);
         Some(SaslChallenge { challenge }.into())
     }
 
-    /// The verdict: what to send.
-    pub fn verdict(&mut self, good: bool) -> Option<Performative> {
-        let Stage::Verdict(data) = std::mem::replace(&mut self.stage, Stage::Over) else { return None };
-        let additional_data = Some(data).filter(|data| good && !data.is_empty());
-        Some(SaslOutcome { code: Some(u8::from(!good)), additional_data }.into())
+    /// The decision. Gives the outcome to send.
+    pub fn finish(&mut self, is_authorized: bool) -> Option<Performative> {
+        let stage = std::mem::replace(&mut self.stage, ServerStage::Over);
+        let ServerStage::Decision(data) = stage else { return None };
+        let additional_data = Some(data).filter(|data| is_authorized && !data.is_empty());
+        Some(SaslOutcome { code: Some(u8::from(!is_authorized)), additional_data }.into())
     }
 }
 
-/// The client's side.
+/// Reads a PLAIN response (RFC 4616): authorization identity, user and password, separated by zero octets.
+fn plain_request(response: &[u8]) -> Result<SaslRequest, Fault> {
+    let mut fields = response.split(|octet| *octet == 0);
+    let _authorization_id = fields.next();
+    let user = fields.next().and_then(|user| std::str::from_utf8(user).ok());
+    let password = fields.next();
+    match (user, password, fields.next()) {
+        (Some(user), Some(password), None) => {
+            Ok(SaslRequest::Plain { user: user.to_string(), password: password.to_vec() })
+        }
+        _ => Err(unauthorized("a PLAIN response that cannot be read")),
+    }
+}
+
+/// The client's side of an exchange.
 pub struct Client {
     credentials: Credentials,
     scram: Option<scram::Client>,
 }
 
 impl Client {
+    /// A client with these credentials.
     pub fn new(credentials: Credentials) -> Client {
         let scram = match &credentials {
             Credentials::Scram { user, password, nonce } => Some(scram::Client::new(user, password, nonce)),
@@ -248,41 +264,44 @@
         Client { credentials, scram }
     }
 
-    pub fn take(&mut self, body: Performative) -> Result<Step, Fault> {
+    /// Handles a frame body of the server.
+    pub fn handle(&mut self, body: Performative) -> Result<Step, Fault> {
         match body {
-            Performative::SaslMechanisms(offered) => {
-                let offered = offered.mechanisms.unwrap_or(Value::Null);
-                let name = self.credentials.mechanism().name();
-                if !offered.symbols().contains(&name) {
-                    return Err(refused(&format!("the peer does not offer SASL {name}")));
-                }
-                let initial_response = match (&self.credentials, &self.scram) {
-                    (_, Some(scram)) => Some(scram.first()),
-                    (Credentials::Plain { user, password }, _) => {
-                        Some(format!("\0{user}\0{password}").into_bytes())
-                    }
-                    (Credentials::External, _) => Some(Vec::new()),
-                    _ => None,
-                };
-                let mechanism = Some(Symbol(name.to_string()));
-                Ok(Step::Say(SaslInit { mechanism, initial_response, hostname: None }.into()))
-            }
+            Performative::SaslMechanisms(offered) => self.choose_mechanism(offered),
             Performative::SaslChallenge(challenge) => {
-                let last = self.scram.as_mut().and_then(|s| s.last(&challenge.challenge.unwrap_or_default()));
-                let response = last.ok_or_else(|| refused("a SASL challenge that cannot be answered"))?;
-                Ok(Step::Say(SaslResponse { response: Some(response) }.into()))
+                let challenge = challenge.challenge.unwrap_or_default();
+                let client_final = self.scram.as_mut().and_then(|scram| scram.client_final(&challenge));
+                let response =
+                    client_final.ok_or_else(|| unauthorized("a SASL challenge that cannot be answered"))?;
+                Ok(Step::Send(SaslResponse { response: Some(response) }.into()))
             }
             Performative::SaslOutcome(outcome) => {
                 let data = outcome.additional_data.unwrap_or_default();
                 if outcome.code != Some(0) {
-                    return Err(refused("the peer refuses the credentials"));
+                    return Err(unauthorized("the peer refuses the credentials"));
                 }
-                if self.scram.as_ref().is_some_and(|scram| !scram.proven(&data)) {
-                    return Err(refused("the peer does not know the password itself"));
+                if self.scram.as_ref().is_some_and(|scram| !scram.verify_server(&data)) {
+                    return Err(unauthorized("the peer does not know the password itself"));
                 }
                 Ok(Step::Done)
             }
-            _ => Err(refused("a SASL frame out of turn")),
+            _ => Err(unauthorized("a SASL frame out of turn")),
+        }
+    }
+
+    fn choose_mechanism(&mut self, offered: SaslMechanisms) -> Result<Step, Fault> {
+        let offered = offered.mechanisms.unwrap_or(Value::Null);
+        let name = self.credentials.mechanism().name();
+        if !offered.symbols().contains(&name) {
+            return Err(unauthorized(&format!("the peer does not offer SASL {name}")));
         }
+        let initial_response = match (&self.credentials, &self.scram) {
+            (_, Some(scram)) => Some(scram.client_first()),
+            (Credentials::Plain { user, password }, _) => Some(format!("\0{user}\0{password}").into_bytes()),
+            (Credentials::External, _) => Some(Vec::new()),
+            _ => None,
+        };
+        let mechanism = Some(Symbol(name.to_string()));
+        Ok(Step::Send(SaslInit { mechanism, initial_response, hostname: None }.into()))
     }
 }
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -1,4 +1,4 @@
-//! SCRAM-SHA-256 (RFC 5802, RFC 7677) and PBKDF2 in slices, so that no password stalls a loop.
+//! SCRAM-SHA-256 (RFC 5802, RFC 7677), and PBKDF2 in slices so that no password delays an event loop.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -13,14 +13,14 @@
     Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::<Sha256>::new(&Default::default()))
 }
 
-fn hmac(key: &[u8], parts: &[&[u8]]) -> Key {
+fn hmac(key: &[u8], message: &[u8]) -> Key {
     let mut mac = mac(key);
-    parts.iter().for_each(|part| mac.update(part));
+    mac.update(message);
     mac.finalize().into_bytes().into()
 }
 
-fn xor(a: &mut Key, b: &Key) {
-    a.iter_mut().zip(b).for_each(|(a, b)| *a ^= b);
+fn xor_into(target: &mut Key, other: &Key) {
+    target.iter_mut().zip(other).for_each(|(octet, other)| *octet ^= other);
 }
 
 /// PBKDF2-HMAC-SHA-256 of one block (RFC 8018), done a slice at a time.
@@ -28,7 +28,8 @@
     mac: Hmac<Sha256>,
     last: Key,
     sum: Key,
-    left: u32,
+    /// Rounds still to be done.
+    remaining: u32,
 }
 
 impl Pbkdf2 {
@@ -39,28 +40,28 @@
         first.update(salt);
         first.update(&1u32.to_be_bytes());
         let last: Key = first.finalize().into_bytes().into();
-        Pbkdf2 { mac, last, sum: last, left: rounds.saturating_sub(1) }
+        Pbkdf2 { mac, last, sum: last, remaining: rounds.saturating_sub(1) }
     }
 
     /// Does at most this many rounds; gives the key once all are done.
     pub fn step(&mut self, rounds: u32) -> Option<[u8; 32]> {
-        for _ in 0..rounds.min(self.left) {
+        for _ in 0..rounds.min(self.remaining) {
             let mut mac = self.mac.clone();
             mac.update(&self.last);
             self.last = mac.finalize().into_bytes().into();
-            xor(&mut self.sum, &self.last);
+            xor_into(&mut self.sum, &self.last);
         }
-        self.left -= rounds.min(self.left);
-        (self.left == 0).then_some(self.sum)
+        self.remaining -= rounds.min(self.remaining);
+        (self.remaining == 0).then_some(self.sum)
     }
 }
 
-/// What a server keeps of a password: nothing that it can be told from, short of guessing.
+/// What a server stores of a password: it can be found from them by guessing only.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SaltedKeys {
     /// The salt.
     pub salt: Vec<u8>,
-    /// Rounds of PBKDF2; RFC 7677 asks for 4,096 at least.
+    /// Rounds of PBKDF2; RFC 7677 requires 4,096 at least.
     pub rounds: u32,
     /// H(HMAC(salted password, "Client Key")).
     pub stored_key: [u8; 32],
@@ -71,19 +72,22 @@
 impl SaltedKeys {
     /// The keys of a salted password.
     pub fn from_salted(salted: &[u8; 32], salt: Vec<u8>, rounds: u32) -> SaltedKeys {
-        let client_key = hmac(salted, &[b"Client Key"]);
+        let client_key = hmac(salted, b"Client Key");
         let stored_key = Sha256::digest(client_key).into();
-        SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted, &[b"Server Key"]) }
+        SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted, b"Server Key") }
     }
 
-    /// Whether a salted password is the one kept.
+    /// Whether these are the keys of a salted password.
     pub fn matches(&self, salted: &[u8; 32]) -> bool {
-        let stored: Key = Sha256::digest(hmac(salted, &[b"Client Key"])).into();
+        let stored: Key = Sha256::digest(hmac(salted, b"Client Key")).into();
         stored.ct_eq(&self.stored_key).into()
     }
 }
 
-/// The server's side of an exchange, once the client's first message has come.
+/// The rounds shown for a user that does not exist.
+const FAKE_ROUNDS: u32 = 4096;
+
+/// The server's side of an exchange, once the client's first message is received.
 #[derive(Debug)]
 pub struct Server {
     first_bare: String,
@@ -95,24 +99,26 @@
 
 /// The user and the rest of a client-first-message.
 pub struct ClientFirst {
-    /// Who it says it is.
+    /// The user that the client claims to be.
     pub user: String,
     bare: String,
     gs2: String,
     nonce: String,
 }
 
-/// Reads a client-first-message. Channel binding is not offered: a client that demands it is refused.
+/// Reads a client-first-message. Channel binding is not offered: a client that requires it is refused.
 pub fn client_first(bytes: &[u8]) -> Option<ClientFirst> {
     let text = std::str::from_utf8(bytes).ok()?;
-    let mut parts = text.splitn(3, ',');
-    let (flag, _authzid) = (parts.next()?, parts.next()?);
+    let mut fields = text.splitn(3, ',');
+    let flag = fields.next()?;
+    let _authorization_id = fields.next()?;
     if flag != "n" && flag != "y" {
         return None;
     }
-    let bare = parts.next()?;
+    let bare = fields.next()?;
     let gs2 = text[..text.len() - bare.len()].to_string();
-    let (mut user, mut nonce) = (None, None);
+    let mut user = None;
+    let mut nonce = None;
     for attribute in bare.split(',') {
         match attribute.split_once('=') {
             Some(("n", name)) => user = Some(name.replace("=2C", ",").replace("=3D", "=")),
@@ -125,11 +131,12 @@
 }
 
 impl Server {
-    /// Answers the client's first message. Where nobody has that name, `keys` is none and `fake` stands in
-    /// for a salt, so that names cannot be told from answers.
-    pub fn new(first: ClientFirst, keys: Option<SaltedKeys>, fake: &[u8], own_nonce: &str) -> Server {
+    /// Answers the client's first message. Where nobody has that name, `keys` is none and
+    /// `fake_salt` stands in, so that answers do not reveal which users exist.
+    pub fn new(first: ClientFirst, keys: Option<SaltedKeys>, fake_salt: &[u8], own_nonce: &str) -> Server {
         let nonce = format!("{}{own_nonce}", first.nonce);
-        let (salt, rounds) = keys.as_ref().map_or((fake, 4096), |k| (&k.salt[..], k.rounds));
+        let (salt, rounds) =
+            keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.rounds));
         let server_first = format!("r={nonce},s={},i={rounds}", STANDARD.encode(salt));
         Server { first_bare: first.bare, gs2: first.gs2, nonce, server_first, keys }
     }
@@ -139,7 +146,7 @@
         self.server_first.clone().into_bytes()
     }
 
-    /// Takes the client-final-message: the server-final-message where its proof holds.
+    /// Handles the client-final-message. Gives the server-final-message where its proof is valid.
     pub fn finish(&self, bytes: &[u8]) -> Option<Vec<u8>> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (without_proof, proof) = text.rsplit_once(",p=")?;
@@ -152,12 +159,12 @@
         let keys = self.keys.as_ref()?;
         let message = format!("{},{},{without_proof}", self.first_bare, self.server_first);
         let mut client_key: Key = STANDARD.decode(proof).ok()?.try_into().ok()?;
-        xor(&mut client_key, &hmac(&keys.stored_key, &[message.as_bytes()]));
+        xor_into(&mut client_key, &hmac(&keys.stored_key, message.as_bytes()));
         let stored: Key = Sha256::digest(client_key).into();
         if !bool::from(stored.ct_eq(&keys.stored_key)) {
             return None;
         }
-        let signature = hmac(&keys.server_key, &[message.as_bytes()]);
+        let signature = hmac(&keys.server_key, message.as_bytes());
         Some(format!("v={}", STANDARD.encode(signature)).into_bytes())
     }
 }
@@ -171,8 +178,8 @@
     signature: Option<Vec<u8>>,
 }
 
-/// A server may not make a client work longer than this.
-const MOST_ROUNDS: u32 = 100_000;
+/// Rounds beyond these are refused: a server could make a client work for long.
+const MAX_ROUNDS: u32 = 100_000;
 
 impl Client {
     /// Starts an exchange with a nonce of printable characters without commas.
@@ -183,31 +190,32 @@
     }
 
     /// The client-first-message.
-    pub fn first(&self) -> Vec<u8> {
+    pub fn client_first(&self) -> Vec<u8> {
         format!("n,,{}", self.bare).into_bytes()
     }
 
-    /// Answers the server's first message.
-    pub fn last(&mut self, challenge: &[u8]) -> Option<Vec<u8>> {
+    /// The client-final-message, which answers the server's first message.
+    pub fn client_final(&mut self, challenge: &[u8]) -> Option<Vec<u8>> {
         let text = std::str::from_utf8(challenge).ok()?;
         let field = |name: &str| text.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
-        let (nonce, salt) = (field("r")?, STANDARD.decode(field("s")?).ok()?);
+        let nonce = field("r")?;
+        let salt = STANDARD.decode(field("s")?).ok()?;
         let rounds: u32 = field("i")?.parse().ok()?;
-        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || rounds > MOST_ROUNDS {
+        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || rounds > MAX_ROUNDS {
             return None;
         }
         let salted = Pbkdf2::new(self.password.as_bytes(), &salt, rounds).step(rounds)?;
         let keys = SaltedKeys::from_salted(&salted, salt, rounds);
         let without_proof = format!("c=biws,r={nonce}");
         let message = format!("{},{text},{without_proof}", self.bare);
-        let mut proof = hmac(&salted, &[b"Client Key"]);
-        xor(&mut proof, &hmac(&keys.stored_key, &[message.as_bytes()]));
-        self.signature = Some(hmac(&keys.server_key, &[message.as_bytes()]).to_vec());
+        let mut proof = hmac(&salted, b"Client Key");
+        xor_into(&mut proof, &hmac(&keys.stored_key, message.as_bytes()));
+        self.signature = Some(hmac(&keys.server_key, message.as_bytes()).to_vec());
         Some(format!("{without_proof},p={}", STANDARD.encode(proof)).into_bytes())
     }
 
     /// Whether the server has proven that it knows the password too.
-    pub fn proven(&self, server_final: &[u8]) -> bool {
+    pub fn verify_server(&self, server_final: &[u8]) -> bool {
         let signature = std::str::from_utf8(server_final).ok().and_then(|t| t.strip_prefix("v="));
         let given = signature.and_then(|s| STANDARD.decode(s).ok());
         matches!((&self.signature, given), (Some(own), Some(given)) if bool::from(own.ct_eq(&given)))
@@ -215,47 +223,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// The example of RFC 7677, section 3.
-    #[test]
-    fn the_example_of_the_rfc_holds_for_both_sides() {
-        let mut client = Client::new("user", "pencil", "rOprNGfwEbeRWgbNEkqO");
-        assert_eq!(client.first(), b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
-        let first = client_first(&client.first()).expect("sound");
-        assert_eq!(first.user, "user");
-        let salt = STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").expect("sound");
-        let salted = Pbkdf2::new(b"pencil", &salt, 4096).step(4096).expect("done");
-        let keys = SaltedKeys::from_salted(&salted, salt, 4096);
-        assert!(keys.matches(&salted));
-        let server = Server::new(first, Some(keys), b"", "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0");
-        let challenge = server.challenge();
-        assert_eq!(
-            challenge,
-            b"r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"
-        );
-        let last = client.last(&challenge).expect("sound");
-        assert!(last.ends_with(b",p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ="));
-        let verdict = server.finish(&last).expect("the proof holds");
-        assert_eq!(verdict, b"v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=");
-        assert!(client.proven(&verdict));
-    }
-
-    #[test]
-    fn a_wrong_password_a_strange_nonce_and_an_unknown_user_are_refused() {
-        let salted = Pbkdf2::new(b"right", b"salt", 64).step(64).expect("done");
-        let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
-        for (password, known) in [("wrong", true), ("right", false), ("right", true)] {
-            let mut client = Client::new("a,b=c", password, "xyz");
-            let first = client_first(&client.first()).expect("sound");
-            assert_eq!(first.user, "a,b=c");
-            let server = Server::new(first, known.then(|| keys.clone()), b"fake", "123");
-            let last = client.last(&server.challenge()).expect("sound");
-            assert_eq!(server.finish(&last).is_some(), password == "right" && known);
-            assert!(server.finish(b"c=biws,r=other,p=AAAA").is_none());
-        }
-        assert!(client_first(b"p=tls-unique,,n=u,r=x").is_none());
-        assert!(client_first(b"n,,n=u").is_none());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/amqp/src/scram/tests.rs
@@ -0,0 +1,46 @@
+//! SCRAM-SHA-256 against the RFC's example, and what is refused.
+
+use super::{client_first, Client, Pbkdf2, SaltedKeys, Server};
+use base64::engine::general_purpose::STANDARD;
+use base64::Engine;
+
+/// The example of RFC 7677, section 3.
+#[test]
+fn both_sides_compute_the_example_of_rfc_7677() {
+    let mut client = Client::new("user", "pencil", "rOprNGfwEbeRWgbNEkqO");
+    assert_eq!(client.client_first(), b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
+    let first = client_first(&client.client_first()).expect("sound");
+    assert_eq!(first.user, "user");
+    let salt = STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").expect("sound");
+    let salted = Pbkdf2::new(b"pencil", &salt, 4096).step(4096).expect("done");
+    let keys = SaltedKeys::from_salted(&salted, salt, 4096);
+    assert!(keys.matches(&salted));
+    let server = Server::new(first, Some(keys), b"", "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0");
+    let challenge = server.challenge();
+    assert_eq!(
+        challenge,
+        b"r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"
+    );
+    let last = client.client_final(&challenge).expect("sound");
+    assert!(last.ends_with(b",p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ="));
+    let server_final = server.finish(&last).expect("the proof is valid");
+    assert_eq!(server_final, b"v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=");
+    assert!(client.verify_server(&server_final));
+}
+
+#[test]
+fn a_wrong_password_a_strange_nonce_and_an_unknown_user_are_refused() {
+    let salted = Pbkdf2::new(b"right", b"salt", 64).step(64).expect("done");
+    let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
+    for (password, known) in [("wrong", true), ("right", false), ("right", true)] {
+        let mut client = Client::new("a,b=c", password, "xyz");
+        let first = client_first(&client.client_first()).expect("sound");
+        assert_eq!(first.user, "a,b=c");
+        let server = Server::new(first, known.then(|| keys.clone()), b"fake", "123");
+        let last = client.client_final(&server.challenge()).expect("sound");
+        assert_eq!(server.finish(&last).is_some(), password == "right" && known);
+        assert!(server.finish(b"c=biws,r=other,p=AAAA").is_none());
+    }
+    assert!(client_first(b"p=tls-unique,,n=u,r=x").is_none());
+    assert!(client_first(b"n,,n=u").is_none());
+}
--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -68,7 +68,7 @@
         // As the body of a frame whose size is right.
         let size = (bytes.len() as u32 + 8).to_be_bytes();
         bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
-        let _ = take_frame(&mut &bytes[..], 4096);
+        let _ = read_frame(&mut &bytes[..], 4096);
     }
 
     /// A value that is only checked is held to the same as one that is kept, but for a map's keys.
@@ -106,13 +106,13 @@
 {
     let body = body.into();
     let mut ours = Vec::new();
-    put_frame(&mut ours, AMQP, 0, Some(&body), &[]);
+    write_frame(&mut ours, AMQP, 0, Some(&body), &[]);
     let read: T = serde_amqp::from_slice(&ours[8..]).expect("the library reads it");
     let written = serde_amqp::to_vec(&read).expect("the library writes it");
     let mut frame = ((written.len() + 8) as u32).to_be_bytes().to_vec();
     frame.extend([2, AMQP, 0, 0]);
     frame.extend(written);
-    let back = take_frame(&mut &frame[..], 4096).expect("sound").expect("whole");
+    let back = read_frame(&mut &frame[..], 4096).expect("sound").expect("whole");
     assert_eq!(back.body, Some(body));
 }
 
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -1,5 +1,5 @@
 //! Noise with structure, a target for each layer: whatever a peer says, in whatever state, the library
-//! answers, faults or waits; it never panics and never holds more than its settings say.
+//! answers, faults or waits; it never panics and never is_valid more than its settings say.
 //!
 //! 256 cases each in CI. Longer: `PROPTEST_CASES=1000000 cargo test --release -p sparbank-amqp --test fuzz`.
 
@@ -9,11 +9,11 @@
 const BOUNDS: fn() -> Settings = || Settings {
     channel_max: 2,
     handle_max: 4,
-    links: 5,
-    window: 8,
-    unsettled: 6,
-    max_message: 2000,
-    max_frame: 1024,
+    max_links: 5,
+    incoming_window: 8,
+    max_unsettled: 6,
+    max_message_size: 2000,
+    max_frame_size: 1024,
     ..Settings::default()
 };
 
@@ -143,15 +143,15 @@
     let mut turn = 0;
     for (channel, body, size) in frames {
         let mut bytes = Vec::new();
-        put_frame(&mut bytes, AMQP, channel % 4, Some(&body), &vec![7; size]);
+        write_frame(&mut bytes, AMQP, channel % 4, Some(&body), &vec![7; size]);
         let mut left = &bytes[..];
         loop {
-            let event = match conn.next(1, &mut left) {
+            let event = match conn.next_event(1, &mut left) {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
                 Err(why) => {
                     conn.close(Some(Box::new(why.into())));
-                    conn.take_out(1);
+                    conn.take_output(1);
                     assert!(conn.is_closed());
                     return;
                 }
@@ -159,21 +159,21 @@
             turn += 1;
             let answer = answers[turn % answers.len()];
             match (event, answer) {
-                (Event::Asks { link, .. }, Answer::Accept) => {
+                (Event::AttachRequested { link, .. }, Answer::Accept) => {
                     conn.accept_link(link, Attach::default());
-                    conn.grant(link, 3);
+                    conn.set_credit(link, 3);
                 }
-                (Event::Asks { link, .. }, Answer::Refuse) => {
+                (Event::AttachRequested { link, .. }, Answer::Refuse) => {
                     conn.refuse_link(link, Error::new(condition::NOT_FOUND, "no"));
                 }
-                (Event::Transfer { link, part }, Answer::Accept) => {
-                    conn.settle(link.channel, part.id, State::Accepted);
-                    conn.grant(link, 3);
+                (Event::Transfer { link, transfer }, Answer::Accept) => {
+                    conn.settle(link.channel, transfer.id, State::Accepted);
+                    conn.set_credit(link, 3);
                 }
                 (Event::Credit { link }, Answer::Accept) => {
                     let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
                     conn.send(link, delivery, &[1; 700], true, 10_000);
-                    conn.drained(link);
+                    conn.return_credit(link);
                 }
                 (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
                 (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
@@ -183,15 +183,15 @@
                 (Event::Began { channel }, Answer::Refuse) => conn.end_session(channel, None),
                 _ => {}
             }
-            assert!(conn.links().len() <= settings.links, "{} links", conn.links().len());
+            assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
             assert!(conn.channels().len() <= settings.channel_max as usize + 1);
             for link in conn.links() {
-                assert!(conn.unsettled(link) <= settings.unsettled + 1, "{}", conn.unsettled(link));
+                assert!(conn.unsettled(link) <= settings.max_unsettled + 1, "{}", conn.unsettled(link));
             }
         }
-        conn.take_out(1);
+        conn.take_output(1);
     }
-    assert!(conn.abandon().iter().all(|(_, _, key)| *key <= 1));
+    assert!(conn.abandon().iter().all(|delivery| delivery.key <= 1));
 }
 
 fn answers() -> impl Strategy<Value = Vec<Answer>> {
@@ -209,7 +209,7 @@
         if dialled { Connection::dial(0, BOUNDS(), None) } else { Connection::accept(0, BOUNDS(), None) };
     let mut bytes = b"AMQP\x00\x01\x00\x00".to_vec();
     let open = Open { container_id: Some("c".into()), max_frame_size: Some(512), ..Open::default() };
-    put_frame(&mut bytes, AMQP, 0, Some(&open.into()), &[]);
+    write_frame(&mut bytes, AMQP, 0, Some(&open.into()), &[]);
     let window = Some(100);
     let begin = Begin {
         next_outgoing_id: Some(u32::MAX - 1),
@@ -217,11 +217,11 @@
         outgoing_window: window,
         ..Begin::default()
     };
-    put_frame(&mut bytes, AMQP, 0, Some(&begin.into()), &[]);
+    write_frame(&mut bytes, AMQP, 0, Some(&begin.into()), &[]);
     let mut left = &bytes[..];
-    while conn.next(0, &mut left).expect("sound").is_some() {}
+    while conn.next_event(0, &mut left).expect("sound").is_some() {}
     assert!(conn.is_open() && conn.channels().len() == 1);
-    conn.take_out(0);
+    conn.take_output(0);
     conn
 }
 
@@ -240,7 +240,7 @@
     #[test]
     fn a_connection_takes_any_frames_from_its_start(frames in frames(), answers in answers()) {
         let mut conn = Connection::accept(0, BOUNDS(), None);
-        conn.next(0, &mut &b"AMQP\x00\x01\x00\x00"[..]).expect("its header");
+        conn.next_event(0, &mut &b"AMQP\x00\x01\x00\x00"[..]).expect("its header");
         play(conn, frames, &answers);
     }
 
@@ -251,7 +251,7 @@
     ) {
         let offered = Mechanism::ALL.to_vec();
         let mut conn = Connection::accept(0, BOUNDS(), Some(offered));
-        conn.next(0, &mut &b"AMQP\x03\x01\x00\x00"[..]).expect("its header");
+        conn.next_event(0, &mut &b"AMQP\x03\x01\x00\x00"[..]).expect("its header");
         for (which, bytes) in bodies {
             let name = Some(Symbol(Mechanism::ALL[which % 4].name().into()));
             let body: Performative = match which {
@@ -259,15 +259,15 @@
                 _ => SaslInit { mechanism: name, initial_response: Some(bytes), hostname: None }.into(),
             };
             let mut frame = Vec::new();
-            put_frame(&mut frame, SASL, 0, Some(&body), &[]);
+            write_frame(&mut frame, SASL, 0, Some(&body), &[]);
             let mut left = &frame[..];
             loop {
-                match conn.next(0, &mut left) {
-                    Ok(Some(Event::Asked(Asked::Keys { .. }))) => conn.keys(None, b"salt", "nonce"),
-                    Ok(Some(Event::Asked(asked))) => {
-                        let proven = matches!(asked, Asked::Proven { holds: true, .. });
+                match conn.next_event(0, &mut left) {
+                    Ok(Some(Event::SaslRequest(SaslRequest::ScramKeys { .. }))) => conn.provide_scram_keys(None, b"salt", "nonce"),
+                    Ok(Some(Event::SaslRequest(asked))) => {
+                        let proven = matches!(asked, SaslRequest::ScramProof { is_valid: true, .. });
                         prop_assert!(!proven, "nobody proves what nobody knows");
-                        conn.verdict(verdict);
+                        conn.finish_sasl(verdict);
                     }
                     Ok(Some(_)) => {}
                     Ok(None) => break,
@@ -280,11 +280,11 @@
     #[test]
     fn frames_and_values_take_any_octets(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         let mut left = &bytes[..];
-        while let Ok(Some(frame)) = take_frame(&mut left, 1024) {
+        while let Ok(Some(frame)) = read_frame(&mut left, 1024) {
             // What was read is written and read again as it was.
             let mut again = Vec::new();
-            put_frame(&mut again, frame.kind, frame.channel, frame.body.as_ref(), frame.payload);
-            let back = take_frame(&mut &again[..], u32::MAX).expect("sound").expect("whole");
+            write_frame(&mut again, frame.frame_type, frame.channel, frame.body.as_ref(), frame.payload);
+            let back = read_frame(&mut &again[..], u32::MAX).expect("sound").expect("whole");
             prop_assert_eq!(back.body, frame.body);
         }
         let mut left = &bytes[..];
@@ -316,6 +316,6 @@
         let on = whole.encode(7);
         let passed = Message::decode(&on).expect("sound");
         prop_assert_eq!(passed.head.ttl, Some(7));
-        prop_assert_eq!(&on[passed.head.rest()..], &bytes[whole.head.rest()..]);
+        prop_assert_eq!(&on[passed.head.after_header()..], &bytes[whole.head.after_header()..]);
     }
 }
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -19,23 +19,26 @@
 
 fn owned(event: Event<'_>) -> Event<'static> {
     match event {
-        Event::Transfer { link, part } => {
+        Event::Transfer { link, transfer } => {
             // The tests look at sizes alone.
-            let Part { id, tag, first, last, aborted, settled, resume, payload } = part;
+            let IncomingTransfer { id, tag, first, last, aborted, settled, resume, payload } = transfer;
             let payload: &'static [u8] = &[0; 65536][..payload.len()];
-            Event::Transfer { link, part: Part { id, tag, first, last, aborted, settled, resume, payload } }
+            Event::Transfer {
+                link,
+                transfer: IncomingTransfer { id, tag, first, last, aborted, settled, resume, payload },
+            }
         }
-        Event::Asked(asked) => Event::Asked(asked),
+        Event::SaslRequest(asked) => Event::SaslRequest(asked),
         Event::Opened {} => Event::Opened {},
         Event::Began { channel } => Event::Began { channel },
         Event::Ended { channel } => Event::Ended { channel },
-        Event::Asks { link, role, attach } => Event::Asks { link, role, attach },
+        Event::AttachRequested { link, role, attach } => Event::AttachRequested { link, role, attach },
         Event::Attached { link, attach } => Event::Attached { link, attach },
         Event::Credit { link } => Event::Credit { link },
-        Event::Room { channel } => Event::Room { channel },
+        Event::SessionWindow { channel } => Event::SessionWindow { channel },
         Event::Settled { link, id, key, state } => Event::Settled { link, id, key, state },
-        Event::Forgotten { link, key } => Event::Forgotten { link, key },
-        Event::Dropped { link, role, key } => Event::Dropped { link, role, key },
+        Event::SettledBySender { link, key } => Event::SettledBySender { link, key },
+        Event::DeliveryLost { link, role, key } => Event::DeliveryLost { link, role, key },
         Event::Detached { link, closed, error } => Event::Detached { link, closed, error },
         Event::Closed { error } => Event::Closed { error },
     }
@@ -49,12 +52,12 @@
 
     /// Carries at most this many octets from one end to the other.
     fn carry(&mut self, from: usize, most: usize) -> Result<(), Fault> {
-        let out = self.ends[from].take_out(0);
+        let out = self.ends[from].take_output(0);
         let wire = &mut self.wires[from];
         wire.extend(out);
         let end = most.min(wire.len());
         let mut left = &wire[..end];
-        while let Some(event) = self.ends[1 - from].next(0, &mut left)? {
+        while let Some(event) = self.ends[1 - from].next_event(0, &mut left)? {
             self.events[1 - from].push_back(owned(event));
         }
         let taken = end - left.len();
@@ -79,7 +82,7 @@
         let ours = pair.ends[0].attach(channel, "l", Role::Sender, attach).expect("room");
         pair.settle_down();
         let asks = pair.events[1].iter().find_map(|event| match event {
-            Event::Asks { link, role: Role::Receiver, attach } => Some((*link, attach.clone())),
+            Event::AttachRequested { link, role: Role::Receiver, attach } => Some((*link, attach.clone())),
             _ => None,
         });
         let (theirs, attach) = asks.expect("the link is asked for");
@@ -122,8 +125,8 @@
         window in 1u32..5,
         second in any::<bool>(),
     ) {
-        let client = Settings { first, max_frame: 512, ..Settings::default() };
-        let server = Settings { window, max_frame: 512, first: first.wrapping_add(9), ..Settings::default() };
+        let client = Settings { initial_id: first, max_frame_size: 512, ..Settings::default() };
+        let server = Settings { incoming_window: window, max_frame_size: 512, initial_id: first.wrapping_add(9), ..Settings::default() };
         let (mut pair, ours, theirs) = Pair::linked(client, server);
         let _ = second;
         let (mut next_key, mut sending) = (0u64, None::<u64>);
@@ -135,10 +138,10 @@
                           open: &mut BTreeMap<u64, ()>,
                           begun: &mut u32| {
             while let Some(event) = pair.events[1].pop_front() {
-                if let Event::Transfer { part, .. } = event {
-                    *begun += u32::from(part.first);
-                    if part.last && !part.aborted {
-                        whole.push_back(part.id);
+                if let Event::Transfer { transfer, .. } = event {
+                    *begun += u32::from(transfer.first);
+                    if transfer.last && !transfer.aborted {
+                        whole.push_back(transfer.id);
                     }
                 }
             }
@@ -152,19 +155,19 @@
             match step {
                 Step::Grant(credit) => {
                     let before = pair.ends[1].credit(theirs);
-                    pair.ends[1].grant(theirs, credit.max(before));
+                    pair.ends[1].set_credit(theirs, credit.max(before));
                     granted += pair.ends[1].credit(theirs) - before;
                 }
                 Step::Send(size, last) => {
                     let key = sending.unwrap_or(next_key);
                     let payload = vec![0; size];
                     let sent = pair.ends[0].send(ours, out(key, false), &payload, last, 1 << 16);
-                    if sent.begun && sending.is_none() {
+                    if sent.started && sending.is_none() {
                         next_key += 1;
                         sending = Some(key);
                         open.insert(key, ());
                     }
-                    if sent.done {
+                    if sent.complete {
                         sending = None;
                     }
                 }
@@ -180,7 +183,7 @@
                     }
                 }
                 Step::Carry(from, most) => pair.carry(from, most).expect("both keep to the standard"),
-                Step::Drain => pair.ends[0].drained(ours),
+                Step::Drain => pair.ends[0].return_credit(ours),
             }
             finish(&mut pair, &mut whole, &mut open, &mut begun);
             prop_assert!(begun <= granted, "{begun} deliveries on a credit of {granted}");
@@ -188,7 +191,7 @@
         // Whatever is on its way comes through, is settled, and nothing is left over.
         for _ in 0..64 {
             if let Some(key) = sending.filter(|_| pair.ends[0].is_sending(ours)) {
-                if pair.ends[0].send(ours, out(key, false), &[1], true, 1 << 16).done {
+                if pair.ends[0].send(ours, out(key, false), &[1], true, 1 << 16).complete {
                     sending = None;
                 }
             }
@@ -225,44 +228,44 @@
             bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
         }
         let mut left = &bytes[..];
-        while let Ok(Some(_)) = pair.ends[1].next(0, &mut left) {}
+        while let Ok(Some(_)) = pair.ends[1].next_event(0, &mut left) {}
     }
 
     /// One octet of a sound exchange changed: a fault or a change of meaning, never a panic.
     #[test]
     fn a_flipped_octet_is_never_a_panic(at in 0usize..2000, to in any::<u8>()) {
         let (mut pair, ours, theirs) = Pair::linked(Settings::default(), Settings::default());
-        pair.ends[1].grant(theirs, 10);
+        pair.ends[1].set_credit(theirs, 10);
         pair.settle_down();
         for key in 0..5u64 {
             pair.ends[0].send(ours, out(key, key == 3), &[7; 100], true, 1 << 16);
         }
         pair.ends[0].detach(ours, true, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
         pair.ends[0].close(None);
-        let mut bytes = pair.ends[0].take_out(0);
+        let mut bytes = pair.ends[0].take_output(0);
         let at = at % bytes.len();
         bytes[at] = to;
         let mut left = &bytes[..];
-        while let Ok(Some(_)) = pair.ends[1].next(0, &mut left) {}
+        while let Ok(Some(_)) = pair.ends[1].next_event(0, &mut left) {}
     }
 }
 
 #[rstest]
 fn dispositions_that_run_on_go_out_as_one() {
     let (mut pair, ours, theirs) = Pair::linked(Settings::default(), Settings::default());
-    pair.ends[1].grant(theirs, 100);
+    pair.ends[1].set_credit(theirs, 100);
     pair.settle_down();
     for key in 0..50u64 {
-        assert!(pair.ends[0].send(ours, out(key, false), b"x", true, 1 << 16).done);
+        assert!(pair.ends[0].send(ours, out(key, false), b"x", true, 1 << 16).complete);
     }
     pair.settle_down();
     for id in 0..50 {
         pair.ends[1].settle(theirs.channel, id, if id == 20 { State::Released } else { State::Accepted });
     }
-    let bytes = pair.ends[1].take_out(0);
+    let bytes = pair.ends[1].take_output(0);
     let mut left = &bytes[..];
     let mut ranges = Vec::new();
-    while let Some(frame) = take_frame(&mut left, 4096).expect("sound") {
+    while let Some(frame) = read_frame(&mut left, 4096).expect("sound") {
         if let Some(Performative::Disposition(d)) = frame.body {
             ranges.push((d.first.expect("first"), d.last));
         }
@@ -280,9 +283,9 @@
     pair.settle_down();
     let theirs = LinkId { channel: 0, handle: 0 };
     pair.ends[1].accept_link(theirs, Attach::default());
-    pair.ends[1].grant(theirs, 1);
+    pair.ends[1].set_credit(theirs, 1);
     pair.settle_down();
-    assert!(pair.ends[0].send(ours, out(9, false), b"x", true, 1 << 16).done);
+    assert!(pair.ends[0].send(ours, out(9, false), b"x", true, 1 << 16).complete);
     pair.settle_down();
     pair.ends[1].settle(channel, 0, State::Accepted);
     assert_eq!(pair.ends[1].unsettled(theirs), 1, "the sender has not settled yet");
@@ -296,27 +299,27 @@
 #[case::too_many_frames(condition::WINDOW_VIOLATION)]
 #[case::no_such_handle(condition::UNATTACHED_HANDLE)]
 fn what_breaks_a_session_ends_it_and_the_connection_goes_on(#[case] expected: &str) {
-    let server = Settings { window: 2, ..Settings::default() };
+    let server = Settings { incoming_window: 2, ..Settings::default() };
     let (mut pair, _, theirs) = Pair::linked(Settings::default(), server);
-    pair.ends[1].grant(theirs, 100);
+    pair.ends[1].set_credit(theirs, 100);
     pair.settle_down();
     let mut bytes = Vec::new();
     for id in 0..4 {
         let handle = Some(u32::from(expected != condition::WINDOW_VIOLATION) * 5);
         let (delivery_id, delivery_tag, more) = (Some(0), Tag::new(&[0]), Some(id < 3));
         let body = Transfer { handle, delivery_id, delivery_tag, more, ..Default::default() };
-        put_frame(&mut bytes, AMQP, 0, Some(&body.into()), b"x");
+        write_frame(&mut bytes, AMQP, 0, Some(&body.into()), b"x");
     }
     // The window is filled up again only when half of it is used: the peer's answers are not awaited.
     let mut left = &bytes[..];
     let mut ended = 0;
-    while let Some(event) = pair.ends[1].next(0, &mut left).expect("the connection goes on") {
+    while let Some(event) = pair.ends[1].next_event(0, &mut left).expect("the connection goes on") {
         ended += i32::from(matches!(event, Event::Ended { .. }));
     }
-    let out = pair.ends[1].take_out(0);
+    let out = pair.ends[1].take_output(0);
     let mut left = &out[..];
     let mut conditions = Vec::new();
-    while let Some(frame) = take_frame(&mut left, 4096).expect("sound") {
+    while let Some(frame) = read_frame(&mut left, 4096).expect("sound") {
         if let Some(Performative::End(end)) = frame.body {
             conditions.push(end.error.expect("why").condition);
         }
@@ -344,24 +347,26 @@
     let mut server = Connection::accept(0, Settings::default(), Some(offered));
     let mut failed = false;
     for _ in 0..8 {
-        let bytes = client.take_out(0);
+        let bytes = client.take_output(0);
         let mut left = &bytes[..];
-        while let Ok(Some(event)) = server.next(0, &mut left) {
+        while let Ok(Some(event)) = server.next_event(0, &mut left) {
             match event {
-                Event::Asked(Asked::Plain { user, password }) => {
+                Event::SaslRequest(SaslRequest::Plain { user, password }) => {
                     let salted = Pbkdf2::new(&password, b"salt", 64).step(64).expect("done");
-                    server.verdict(user == "anna" && keys.matches(&salted));
+                    server.finish_sasl(user == "anna" && keys.matches(&salted));
+                }
+                Event::SaslRequest(SaslRequest::ScramKeys { .. }) => {
+                    server.provide_scram_keys(Some(keys.clone()), b"fake", "xyz")
                 }
-                Event::Asked(Asked::Keys { .. }) => server.keys(Some(keys.clone()), b"fake", "xyz"),
-                Event::Asked(Asked::Proven { holds, .. }) => server.verdict(holds),
-                Event::Asked(_) => server.verdict(true),
+                Event::SaslRequest(SaslRequest::ScramProof { is_valid, .. }) => server.finish_sasl(is_valid),
+                Event::SaslRequest(_) => server.finish_sasl(true),
                 _ => {}
             }
         }
-        let bytes = server.take_out(0);
+        let bytes = server.take_output(0);
         let mut left = &bytes[..];
         loop {
-            match client.next(0, &mut left) {
+            match client.next_event(0, &mut left) {
                 Ok(Some(_)) => {}
                 Ok(None) => break,
                 Err(why) => {
--- a/src/front/amqp/authentication.rs
+++ b/src/front/amqp/authentication.rs
@@ -6,7 +6,7 @@
 use crate::front::{Ctx, Due};
 use crate::net::Token;
 use crate::vocabulary::Nanos;
-use sparbank_amqp::Asked;
+use sparbank_amqp::SaslRequest;
 use std::rc::Rc;
 
 /// A failed authentication is answered after this: it limits how fast passwords can be guessed.
@@ -14,36 +14,36 @@
 
 impl AmqpFront {
     /// A client authenticates. Without a users' file every anonymous client is let in.
-    pub(super) fn authenticate(&mut self, ctx: &mut Ctx, token: Token, request: Asked) {
+    pub(super) fn authenticate(&mut self, ctx: &mut Ctx, token: Token, request: SaslRequest) {
         let Some(users) = &self.config.known_users else {
             if let Some(client) = self.clients.get(token) {
-                client.conn.verdict(request == Asked::Anonymous);
+                client.conn.finish_sasl(request == SaslRequest::Anonymous);
             }
             return;
         };
         match request {
-            Asked::Anonymous => {
+            SaslRequest::Anonymous => {
                 let identity = users.anonymous();
                 self.finish_login(ctx, token, identity);
             }
-            Asked::Keys { user } => {
+            SaslRequest::ScramKeys { user } => {
                 let keys = users.keys(&user).cloned();
                 if let Some(client) = self.clients.get(token) {
-                    client.conn.keys(keys, &fake_salt(&user), &nonce());
+                    client.conn.provide_scram_keys(keys, &fake_salt(&user), &nonce());
                 }
             }
-            Asked::Proven { user, holds } => {
-                let identity = users.named(&user).filter(|_| holds);
+            SaslRequest::ScramProof { user, is_valid } => {
+                let identity = users.named(&user).filter(|_| is_valid);
                 self.finish_login(ctx, token, identity);
             }
-            Asked::Plain { user, password } => {
+            SaslRequest::Plain { user, password } => {
                 if self.password_checks.start(token, users, user, &password) {
                     ctx.wheel.schedule(ctx.now, Due::Timer(self.id, token));
                 } else {
                     self.finish_login(ctx, token, None);
                 }
             }
-            Asked::External => {
+            SaslRequest::External => {
                 let name = self.clients.get(token).and_then(|client| client.tls.as_ref()?.peer_name());
                 let identity = name.and_then(|name| users.named(&name));
                 self.finish_login(ctx, token, identity);
@@ -57,7 +57,7 @@
         match identity {
             Some(identity) => {
                 client.identity = identity;
-                client.conn.verdict(true);
+                client.conn.finish_sasl(true);
                 self.clients.mark_dirty(token);
             }
             None => {
@@ -73,7 +73,7 @@
         let Some(client) = self.clients.get(token) else { return };
         if client.reject_login_at.is_some_and(|at| at <= ctx.now) {
             client.reject_login_at = None;
-            client.conn.verdict(false);
+            client.conn.finish_sasl(false);
             self.clients.mark_dirty(token);
         }
     }
--- a/src/front/amqp/client_connections.rs
+++ b/src/front/amqp/client_connections.rs
@@ -8,7 +8,7 @@
 use crate::front::Ctx;
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::RequestId;
-use sparbank_amqp::{condition, Connection, Event, Fault, LinkId, Role};
+use sparbank_amqp::{condition, AbandonedDelivery, Connection, Event, Fault, LinkId, Role};
 
 /// The result of processing a client's input.
 struct ProcessedInput {
@@ -88,7 +88,10 @@
         }
         if let Some(fault) = processed.fault {
             ctx.requests.counters.malformed += 1;
-            crate::log::line(format_args!("amqp-client-error condition={} {}", fault.condition, fault.words));
+            crate::log::line(format_args!(
+                "amqp-client-error condition={} {}",
+                fault.condition, fault.description
+            ));
             client.conn.close(Some(Box::new(fault.into())));
         }
         let has_room_again = was_full && client.plaintext.len() < max_plaintext;
@@ -130,7 +133,7 @@
                 self.clients.pause(token);
                 break;
             }
-            match client.conn.next(ctx.now, &mut rest) {
+            match client.conn.next_event(ctx.now, &mut rest) {
                 Ok(Some(event)) => self.on_client_event(ctx, token, event),
                 Ok(None) => break,
                 Err(error) => {
@@ -144,12 +147,12 @@
 
     fn on_client_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
         match event {
-            Event::Asked(request) => self.authenticate(ctx, token, request),
+            Event::SaslRequest(request) => self.authenticate(ctx, token, request),
             Event::Opened {} => self.on_client_opened(ctx, token),
-            Event::Asks { link, role: Role::Receiver, attach } => {
+            Event::AttachRequested { link, role: Role::Receiver, attach } => {
                 self.attach_sending_link(ctx, token, link, &attach)
             }
-            Event::Asks { link, role: Role::Sender, attach } => {
+            Event::AttachRequested { link, role: Role::Sender, attach } => {
                 self.attach_receiving_link(ctx, token, link, attach)
             }
             Event::Credit { link } => {
@@ -157,20 +160,20 @@
                     self.forward(ctx, forwarder);
                 }
             }
-            Event::Room { channel } => {
+            Event::SessionWindow { channel } => {
                 for forwarder in self.forwarders.on_session(token, channel) {
                     self.forward(ctx, forwarder);
                 }
             }
-            Event::Transfer { link, part } => self.on_client_transfer(ctx, token, link, part),
+            Event::Transfer { link, transfer } => self.on_client_transfer(ctx, token, link, transfer),
             Event::Settled { link, key, state, .. } => {
                 let forwarder = self.forwarder_of_link(token, link);
                 if let Some(forwarder) = forwarder.and_then(|id| self.forwarders.get(id)) {
                     forwarder.settled_by_client(key, state, &mut self.servers);
                 }
             }
-            Event::Forgotten { key, .. } => self.abandon_request(ctx, RequestId(key)),
-            Event::Dropped { role: Role::Receiver, key, .. } => {
+            Event::SettledBySender { key, .. } => self.abandon_request(ctx, RequestId(key)),
+            Event::DeliveryLost { role: Role::Receiver, key, .. } => {
                 if let Some(client) = self.clients.get(token) {
                     client.detached_requests.push(RequestId(key));
                 }
@@ -237,7 +240,7 @@
 
     /// Suspends or abandons the unsettled requests of a client that is gone.
     fn release_unsettled(&mut self, ctx: &mut Ctx, client: &mut Client) {
-        for (link, role, key) in client.conn.abandon() {
+        for AbandonedDelivery { link, role, key } in client.conn.abandon() {
             if role != Role::Receiver {
                 continue;
             }
--- a/src/front/amqp/client_transfers.rs
+++ b/src/front/amqp/client_transfers.rs
@@ -9,7 +9,7 @@
 use crate::hash::fnv1a;
 use crate::net::Token;
 use crate::vocabulary::{Arrival, Nanos, RequestId};
-use sparbank_amqp::{condition, DecodeError, Error, Head, LinkId, Message, Part, State, Value};
+use sparbank_amqp::{condition, DecodeError, Error, Head, IncomingTransfer, LinkId, Message, State, Value};
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 /// The longest deadline of a request: an hour.
@@ -24,7 +24,7 @@
     link: LinkId,
     /// The class that the link's target names; none at the anonymous terminus.
     class: Option<usize>,
-    transfer: &'a Part<'b>,
+    transfer: &'a IncomingTransfer<'b>,
 }
 
 impl AmqpFront {
@@ -34,7 +34,7 @@
         ctx: &mut Ctx,
         token: Token,
         link: LinkId,
-        transfer: Part<'_>,
+        transfer: IncomingTransfer<'_>,
     ) {
         let Some(client) = self.clients.get(token) else { return };
         let Some(ClientLink::Sending(sending_link)) = client.links.get_mut(&link) else { return };
@@ -83,7 +83,7 @@
                 self.start_delivery(ctx, received, bytes)
             }
             IncompleteDelivery::Request(request_id) => {
-                let Part { payload, last, .. } = *received.transfer;
+                let IncomingTransfer { payload, last, .. } = *received.transfer;
                 let Some(delivery) = self.deliveries.append(request_id, payload, last) else {
                     return IncompleteDelivery::Ignored;
                 };
@@ -97,7 +97,7 @@
     }
 
     /// Answers a delivery that was received before on this link: it is not run again. False where it is new.
-    fn answer_resumed(&mut self, token: Token, link: LinkId, transfer: &Part<'_>) -> bool {
+    fn answer_resumed(&mut self, token: Token, link: LinkId, transfer: &IncomingTransfer<'_>) -> bool {
         let Some(client) = self.clients.get(token) else { return false };
         let Some(ClientLink::Sending(sending_link)) = client.links.get_mut(&link) else { return false };
         let state = match self.recovery.status(&sending_link.key, &transfer.tag) {
@@ -125,7 +125,7 @@
     /// A running request's answer goes to the link that its delivery was resumed on.
     fn reattach_request(&mut self, token: Token, link: LinkId, delivery_id: u32, request_id: RequestId) {
         let Some(client) = self.clients.get(token) else { return };
-        client.conn.name_delivery(link.channel, delivery_id, request_id.0);
+        client.conn.set_delivery_key(link.channel, delivery_id, request_id.0);
         if let Some(delivery) = self.deliveries.get_mut(request_id) {
             client.open_requests += usize::from(!delivery.attached);
             delivery.client = token;
@@ -223,7 +223,7 @@
         let ReceivedTransfer { token, link, transfer, .. } = received;
         let Some(client) = self.clients.get(token) else { return };
         client.open_requests += 1;
-        client.conn.name_delivery(link.channel, transfer.id, request_id.0);
+        client.conn.set_delivery_key(link.channel, transfer.id, request_id.0);
         if transfer.settled {
             return;
         }
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -247,7 +247,7 @@
         let target = shrink_credit(fair_share, buffered_bytes, config.max_buffered_bytes);
         let current = client.conn.credit(link);
         if target > current && current <= target / 2 {
-            client.conn.grant(link, target);
+            client.conn.set_credit(link, target);
             self.mark_dirty(token);
         }
     }
@@ -257,7 +257,7 @@
         let Some(client) = self.by_token.get_mut(&token) else { return };
         for (id, link) in &client.links {
             if matches!(link, ClientLink::Sending(_)) {
-                client.conn.grant(*id, 0);
+                client.conn.set_credit(*id, 0);
             }
         }
         self.mark_dirty(token);
@@ -306,7 +306,7 @@
 
     /// Passes its pending output to the socket, encrypted where it uses TLS.
     pub fn write_pending(&mut self, ctx: &mut Ctx, token: Token) {
-        let mut out = self.conn.take_out(ctx.now);
+        let mut out = self.conn.take_output(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
             tls.write(&out, &mut wire);
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -241,23 +241,23 @@
         Settings {
             container: container.to_string(),
             hostname: None,
-            max_frame: self.max_frame,
+            max_frame_size: self.max_frame,
             channel_max: self.channel_max,
             handle_max: self.handle_max,
-            links: self.max_links,
-            window: self.window,
-            unsettled: self.max_unsettled,
-            max_message: self.max_message,
-            idle: Nanos::from(self.client_idle_ms) * NANOS_PER_MS,
-            first: 0,
+            max_links: self.max_links,
+            incoming_window: self.window,
+            max_unsettled: self.max_unsettled,
+            max_message_size: self.max_message,
+            idle_timeout: Nanos::from(self.client_idle_ms) * NANOS_PER_MS,
+            initial_id: 0,
         }
     }
 
     /// The limits of connections to servers.
     pub fn server_settings(&self, container: &str) -> Settings {
         Settings {
-            idle: Nanos::from(self.server_idle_ms) * NANOS_PER_MS,
-            links: usize::MAX,
+            idle_timeout: Nanos::from(self.server_idle_ms) * NANOS_PER_MS,
+            max_links: usize::MAX,
             handle_max: SERVER_HANDLE_MAX,
             ..self.client_settings(container)
         }
--- a/src/front/amqp/forwarder.rs
+++ b/src/front/amqp/forwarder.rs
@@ -6,7 +6,7 @@
 use crate::front::Ctx;
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{RequestId, ServerId};
-use sparbank_amqp::{Attach, LinkId, Outgoing, Part, State, Tag};
+use sparbank_amqp::{Attach, IncomingTransfer, LinkId, Outgoing, State, Tag};
 use std::collections::VecDeque;
 
 /// Octets that wait for a slow client: above these its servers get no more credit.
@@ -133,13 +133,13 @@
         &mut self,
         token: Token,
         link: LinkId,
-        transfer: Part<'_>,
+        transfer: IncomingTransfer<'_>,
         peers: &mut Peers<'_>,
     ) -> bool {
         let Some(place) = self.place_of(token, link) else { return false };
         if transfer.first {
             if let Some(server) = peers.servers.get(token) {
-                server.conn.name_delivery(link.channel, transfer.id, u64::from(transfer.id));
+                server.conn.set_delivery_key(link.channel, transfer.id, u64::from(transfer.id));
             }
         }
         if transfer.aborted {
@@ -167,7 +167,7 @@
         let completed = self.send_waiting(client, capacity);
         let credit = client.conn.credit(self.link);
         if self.next_source().is_none() && client.conn.is_draining(self.link) {
-            client.conn.drained(self.link);
+            client.conn.return_credit(self.link);
         }
         peers.clients.mark_dirty(self.client);
         self.distribute_credit(credit, peers.servers);
@@ -195,8 +195,8 @@
         let Some(place) = self.place_of(token, link) else { return };
         let key = DeliveryKey { source: place, delivery_id }.encode();
         if let Some(client) = clients.get(self.client) {
-            if let Some(outgoing_id) = client.conn.delivery(self.link, key) {
-                client.conn.forget(self.link, outgoing_id);
+            if let Some(outgoing_id) = client.conn.outgoing_delivery_id(self.link, key) {
+                client.conn.settle_outgoing(self.link, outgoing_id);
             }
         }
         clients.mark_dirty(self.client);
@@ -245,17 +245,17 @@
             let key = DeliveryKey { source: place, delivery_id: transfer.delivery_id }.encode();
             let delivery = Outgoing { key, tag: transfer.tag, settled: transfer.settled };
             let sent = client.conn.send(self.link, delivery, &transfer.bytes, transfer.last, capacity);
-            if sent.begun && self.current.is_none() {
+            if sent.started && self.current.is_none() {
                 self.current = Some(place);
                 source.unsent_deliveries = source.unsent_deliveries.saturating_sub(1);
             }
-            source.waiting_bytes -= sent.taken;
-            if sent.taken < transfer.bytes.len() || (transfer.last && !sent.done) {
-                transfer.bytes.drain(..sent.taken);
+            source.waiting_bytes -= sent.octets;
+            if sent.octets < transfer.bytes.len() || (transfer.last && !sent.complete) {
+                transfer.bytes.drain(..sent.octets);
                 client.stalled = client.conn.pending() >= capacity;
                 break;
             }
-            if sent.done {
+            if sent.complete {
                 self.current = None;
                 completed += 1;
             }
@@ -280,7 +280,7 @@
             let is_half_used = target > current && current <= target / 2;
             let is_revoked = target == 0 && current > 0 && client_credit == 0;
             if is_half_used || is_revoked {
-                server.conn.grant(source.link, target);
+                server.conn.set_credit(source.link, target);
                 servers.mark_connection_dirty(source.token);
             }
         }
--- a/src/front/amqp/forwarders.rs
+++ b/src/front/amqp/forwarders.rs
@@ -8,7 +8,7 @@
 use crate::front::Ctx;
 use crate::net::Token;
 use crate::vocabulary::{RequestId, ServerId};
-use sparbank_amqp::{Attach, LinkId, Part};
+use sparbank_amqp::{Attach, IncomingTransfer, LinkId};
 use std::fmt;
 
 /// Identifies a forwarder.
@@ -130,7 +130,7 @@
         id: ForwarderId,
         token: Token,
         link: LinkId,
-        transfer: Part<'_>,
+        transfer: IncomingTransfer<'_>,
         mut peers: Peers,
     ) {
         let Some(forwarder) = self.by_id.get_mut(&id) else { return };
--- a/src/front/amqp/outcomes.rs
+++ b/src/front/amqp/outcomes.rs
@@ -117,7 +117,7 @@
             AttemptStage::Sent { token, link, delivery_id, end } => {
                 let is_written = ctx.net.bytes_written(token) >= end;
                 if let Some(connection) = self.servers.get(token) {
-                    connection.conn.forget(link, delivery_id);
+                    connection.conn.settle_outgoing(link, delivery_id);
                 }
                 self.servers.mark_dirty(attempt.server);
                 if is_written {
--- a/src/front/amqp/sending.rs
+++ b/src/front/amqp/sending.rs
@@ -132,12 +132,12 @@
             AttemptStage::Sent { .. } => return Turn::Progress,
             AttemptStage::Queued => {
                 let size = delivery.bytes.len() as u64;
-                if conn.most_message(link.link).is_some_and(|max_size| size > max_size) {
+                if conn.max_message_size(link.link).is_some_and(|max_size| size > max_size) {
                     return Turn::TooLarge(request_id);
                 }
                 let ttl_ms = attempt.deadline.saturating_sub(self.ctx.now) / NANOS_PER_MS;
                 let progress = chunk.begin(conn, delivery, (ttl_ms as u32).max(1), self.scratch);
-                if !progress.sent.begun {
+                if !progress.sent.started {
                     waiting.push(delivery.client, request_id);
                     return Turn::Idle;
                 }
@@ -162,7 +162,7 @@
         let Some(attempt) = attempt else { return Turn::Progress };
         let SendingLink { token, link: link_id, .. } = *link;
         let delivery_id = progress.delivery_id;
-        if progress.sent.done {
+        if progress.sent.complete {
             let end = self.ctx.net.output_position(token) + conn.pending() as u64;
             attempt.stage = AttemptStage::Sent { token, link: link_id, delivery_id, end };
             return Turn::Progress;
@@ -170,7 +170,7 @@
         attempt.stage = AttemptStage::Sending { token, link: link_id, delivery_id, sent: progress.position };
         link.current = Some(request_id);
         self.deliveries.discard_sent(request_id, self.max_retryable_bytes);
-        if progress.sent.taken > 0 {
+        if progress.sent.octets > 0 {
             Turn::Progress
         } else {
             Turn::Idle
@@ -206,12 +206,12 @@
         scratch.clear();
         delivery.head.encode(&delivery.bytes, ttl_ms, scratch);
         let header_len = scratch.len();
-        let rest = delivery.head.rest();
+        let rest = delivery.head.after_header();
         scratch.extend_from_slice(&delivery.bytes[rest..]);
-        let delivery_id = conn.next_delivery(self.link.channel);
+        let delivery_id = conn.next_delivery_id(self.link.channel);
         let sent = conn.send(self.link, self.outgoing, scratch, delivery.complete, self.capacity);
         // A header has fewer octets than any frame: it was sent with the first.
-        Progress { sent, delivery_id, position: rest + sent.taken.saturating_sub(header_len) }
+        Progress { sent, delivery_id, position: rest + sent.octets.saturating_sub(header_len) }
     }
 
     /// Sends the next chunk of a delivery of which `position` octets were sent.
@@ -224,7 +224,7 @@
     ) -> Progress {
         let octets = delivery.bytes.get(position - delivery.discarded..).unwrap_or_default();
         let sent = conn.send(self.link, self.outgoing, octets, delivery.complete, self.capacity);
-        Progress { sent, delivery_id, position: position + sent.taken }
+        Progress { sent, delivery_id, position: position + sent.octets }
     }
 }
 
@@ -235,7 +235,7 @@
     }
     let request_id = if conn.can_send(link.link) { waiting.pop() } else { None };
     if waiting.is_empty() && request_id.is_none() {
-        conn.drained(link.link);
+        conn.return_credit(link.link);
     }
     request_id
 }
--- a/src/front/amqp/server_connections.rs
+++ b/src/front/amqp/server_connections.rs
@@ -18,7 +18,7 @@
         if let Some(fault) = fault.filter(|_| !connection.conn.peer_has_no_sasl()) {
             crate::log::line(format_args!(
                 "server-protocol-error reason={} {}",
-                fault.condition, fault.words
+                fault.condition, fault.description
             ));
             connection.conn.close(Some(Box::new(fault.into())));
         }
@@ -38,7 +38,7 @@
         let mut rest = &bytes[..];
         let mut fault = None;
         while let Some(connection) = self.servers.get(token) {
-            match connection.conn.next(ctx.now, &mut rest) {
+            match connection.conn.next_event(ctx.now, &mut rest) {
                 Ok(Some(event)) => self.on_server_event(ctx, token, event),
                 Ok(None) => break,
                 Err(error) => {
@@ -61,7 +61,7 @@
     pub(super) fn on_server_connection_lost(&mut self, ctx: &mut Ctx, token: Token) {
         if let Some(connection) = self.servers.get(token) {
             // Pending output, such as the reason for a close, is still written.
-            let out = connection.conn.take_out(ctx.now);
+            let out = connection.conn.take_output(ctx.now);
             ctx.net.send(token, &out);
         }
         let lost = self.servers.connection_lost(ctx, token, &self.deliveries);
@@ -81,7 +81,7 @@
                     }
                 }
             }
-            Event::Asks { link, role, attach } => {
+            Event::AttachRequested { link, role, attach } => {
                 self.on_server_attach_request(ctx, token, link, role, &attach)
             }
             Event::Settled { link, key, state, .. } => {
@@ -89,20 +89,20 @@
                     self.on_settled_by_server(ctx, class, RequestId(key), state);
                 }
             }
-            Event::Transfer { link, part } => {
+            Event::Transfer { link, transfer } => {
                 if let Some(ServerLink::Receiving(forwarder)) = self.server_link(token, link) {
                     let peers = Peers { clients: &mut self.clients, servers: &mut self.servers };
-                    self.forwarders.on_transfer(ctx, forwarder, token, link, part, peers);
+                    self.forwarders.on_transfer(ctx, forwarder, token, link, transfer, peers);
                 }
             }
-            Event::Forgotten { link, key } => {
+            Event::SettledBySender { link, key } => {
                 let forwarder = self.server_link(token, link).and_then(|link| link.forwarder());
                 if let Some(forwarder) = forwarder.and_then(|id| self.forwarders.get(id)) {
                     // The key of a server's delivery is its delivery id.
                     forwarder.settled_by_server(token, link, key as u32, &mut self.clients);
                 }
             }
-            Event::Dropped { link, role: Role::Sender, key } => {
+            Event::DeliveryLost { link, role: Role::Sender, key } => {
                 if let Some(ServerLink::Sending(_)) = self.server_link(token, link) {
                     let written = ctx.net.bytes_written(token);
                     let request_id = RequestId(key);
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -9,7 +9,7 @@
 use crate::net::{SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
-use sparbank_amqp::{Attach, Connection, Credentials, LinkId, Role};
+use sparbank_amqp::{AbandonedDelivery, Attach, Connection, Credentials, LinkId, Role};
 
 /// A connection to a server.
 pub struct ServerConnection {
@@ -192,7 +192,7 @@
     /// Passes a connection's pending output to its socket.
     pub(super) fn write_pending(&mut self, ctx: &mut Ctx, token: Token) {
         if let Some(connection) = self.by_token.get_mut(&token) {
-            let out = connection.conn.take_out(ctx.now);
+            let out = connection.conn.take_output(ctx.now);
             if !out.is_empty() {
                 ctx.net.send(token, &out);
             }
@@ -290,7 +290,7 @@
     /// Ends the attempts on this connection, of whose output `written` octets were written.
     fn end_attempts(&mut self, written: u64, deliveries: &Deliveries) -> Vec<AttemptResult> {
         let mut results = Vec::new();
-        for (link, role, key) in self.conn.abandon() {
+        for AbandonedDelivery { link, role, key } in self.conn.abandon() {
             if let (Some(ServerLink::Sending(_)), Role::Sender) = (self.links.get(&link), role) {
                 let request_id = RequestId(key);
                 let outcome = interrupted_outcome(deliveries, request_id, written);
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -364,7 +364,7 @@
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` holds a descriptor as a silent client of the text front does.
+/// A connection without an `open` is_valid a descriptor as a silent client of the text front does.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use rstest::rstest;
-use sparbank_amqp::{condition, Asked, Connection, Credentials, Event, Settings, State, Transfer};
+use sparbank_amqp::{condition, Connection, Credentials, Event, SaslRequest, Settings, State, Transfer};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Stdio;
@@ -46,7 +46,7 @@
     let mut conn = Connection::dial(0, Settings::default(), Some(credentials));
     let mut input = Vec::new();
     loop {
-        stream.write_all(&conn.take_out(0)).expect("written");
+        stream.write_all(&conn.take_output(0)).expect("written");
         let mut chunk = [0; 4096];
         let count = stream.read(&mut chunk).unwrap_or(0);
         if count == 0 {
@@ -55,9 +55,11 @@
         input.extend(&chunk[..count]);
         let mut left = &input[..];
         loop {
-            match conn.next(0, &mut left) {
+            match conn.next_event(0, &mut left) {
                 Ok(Some(Event::Opened {})) => return true,
-                Ok(Some(Event::Asked(Asked::Anonymous))) => unreachable!("the server asks nothing"),
+                Ok(Some(Event::SaslRequest(SaslRequest::Anonymous))) => {
+                    unreachable!("the server asks nothing")
+                }
                 Ok(Some(_)) => {}
                 Ok(None) => break,
                 Err(why) => {
@@ -155,7 +157,7 @@
         hostname: None,
     };
     let mut bytes = b"AMQP\x03\x01\x00\x00".to_vec();
-    sparbank_amqp::put_frame(&mut bytes, sparbank_amqp::SASL, 0, Some(&init.into()), &[]);
+    sparbank_amqp::write_frame(&mut bytes, sparbank_amqp::SASL, 0, Some(&init.into()), &[]);
     for guesser in &mut guessers {
         guesser.stream.write_all(&bytes).expect("written");
     }
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -51,7 +51,7 @@
 
 fn frame(channel: u16, body: impl Into<Performative>) -> Vec<u8> {
     let mut out = Vec::new();
-    sparbank_amqp::put_frame(&mut out, 0, channel, Some(&body.into()), &[]);
+    sparbank_amqp::write_frame(&mut out, 0, channel, Some(&body.into()), &[]);
     out
 }
 
@@ -60,7 +60,7 @@
     let mut out = Vec::new();
     let fields = vec![Value::Uint(0), Value::Uint(0), Value::Binary(vec![7; 33])];
     let write = |out: &mut Vec<u8>| encode(&Value::composite(0x14, fields), out);
-    sparbank_amqp::put_raw(&mut out, 0, 0, write, &[]);
+    sparbank_amqp::write_frame_with(&mut out, 0, 0, write, &[]);
     out
 }
 
@@ -334,7 +334,7 @@
             hostname: None,
         };
         let mut bytes = b"AMQP\x03\x01\x00\x00".to_vec();
-        sparbank_amqp::put_frame(&mut bytes, sparbank_amqp::SASL, 77, Some(&init.into()), &[]);
+        sparbank_amqp::write_frame(&mut bytes, sparbank_amqp::SASL, 77, Some(&init.into()), &[]);
         std::io::Write::write_all(&mut peer.stream, &bytes).expect("written");
         if !taken {
             peer.drain_until_closed(std::time::Duration::from_secs(3));
@@ -350,7 +350,7 @@
             let mut bytes = size.to_vec();
             bytes.resize(u32::from_be_bytes(size) as usize, 0);
             peer.read_exact(&mut bytes[4..]);
-            last = sparbank_amqp::take_frame(&mut &bytes[..], 512).expect("sound").and_then(|f| f.body);
+            last = sparbank_amqp::read_frame(&mut &bytes[..], 512).expect("sound").and_then(|f| f.body);
         }
         assert!(matches!(last, Some(Performative::SaslOutcome(outcome)) if outcome.code == Some(0)));
     }
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -13,7 +13,7 @@
     Bench::with(vec![listener()], Some(on))
 }
 
-/// Attaches a link that may come again for so many seconds, with what its client holds to be unsettled.
+/// Attaches a link that may come again for so many seconds, with what its client is_valid to be unsettled.
 /// Gives the node's unsettled map.
 fn attach(client: &mut AmqpPeer, seconds: u32, unsettled: &[u8]) -> Vec<(Value, Value)> {
     let timeout = Some(seconds).filter(|seconds| *seconds > 0);
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -8,7 +8,7 @@
 
 const CLASS: &str = "live-readings";
 
-/// What a process holds resident, in MB.
+/// What a process is_valid resident, in MB.
 fn resident(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
     let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS");
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -104,7 +104,7 @@
     let mut amqp = Connection::dial(0, Settings::default(), Some(credentials));
     let mut input = Vec::new();
     loop {
-        stream.write_all(&amqp.take_out(0)).map_err(|e| e.to_string())?;
+        stream.write_all(&amqp.take_output(0)).map_err(|e| e.to_string())?;
         let mut chunk = [0; 4096];
         let count = stream.read(&mut chunk).map_err(|e| e.to_string())?;
         if count == 0 {
@@ -112,7 +112,7 @@
         }
         input.extend(&chunk[..count]);
         let mut left = &input[..];
-        while let Some(event) = amqp.next(0, &mut left).map_err(|e| e.condition.to_string())? {
+        while let Some(event) = amqp.next_event(0, &mut left).map_err(|e| e.condition.to_string())? {
             if matches!(event, Event::Opened {}) {
                 return Ok(stream);
             }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -150,7 +150,7 @@
 }
 
 fn amqp_server(server: &Server, mut stream: TcpStream) {
-    let mut conn = Connection::accept(0, Settings { idle: 0, ..Settings::default() }, None);
+    let mut conn = Connection::accept(0, Settings { idle_timeout: 0, ..Settings::default() }, None);
     // Deliveries that are not settled: the link, the number, the item and which of its attempts.
     let mut held: Vec<(LinkId, u32, u64, usize)> = Vec::new();
     let mut input = Vec::new();
@@ -163,25 +163,25 @@
         }
         let bytes = std::mem::take(&mut input);
         let mut left = &bytes[..];
-        while let Some(event) = conn.next(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) = conn.next_event(0, &mut left).expect("the node keeps to the standard") {
             match event {
-                Event::Asked(_) => conn.verdict(true),
-                Event::Asks { link, attach, .. } => {
+                Event::SaslRequest(_) => conn.finish_sasl(true),
+                Event::AttachRequested { link, attach, .. } => {
                     conn.accept_link(link, Attach { target: attach.target, ..Attach::default() });
-                    conn.grant(link, 100);
+                    conn.set_credit(link, 100);
                 }
-                Event::Transfer { link, part } if part.last && !part.aborted => {
-                    let head = sparbank_amqp::Head::read(part.payload).expect("sound").expect("whole");
+                Event::Transfer { link, transfer } if transfer.last && !transfer.aborted => {
+                    let head = sparbank_amqp::Head::read(transfer.payload).expect("sound").expect("whole");
                     let item =
-                        head.property(part.payload, "item").expect("an item").parse().expect("a number");
-                    conn.name_delivery(link.channel, part.id, item);
-                    held.push((link, part.id, item, server.begins(item)));
+                        head.property(transfer.payload, "item").expect("an item").parse().expect("a number");
+                    conn.set_delivery_key(link.channel, transfer.id, item);
+                    held.push((link, transfer.id, item, server.begins(item)));
                     if conn.credit(link) < 50 {
-                        conn.grant(link, 100);
+                        conn.set_credit(link, 100);
                     }
                 }
                 // The node waits no longer.
-                Event::Forgotten { key, .. } | Event::Dropped { key, .. } => {
+                Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
                     held.retain(|(.., item, attempt)| {
                         if *item == key {
                             server.ends(*item, *attempt, false);
@@ -199,10 +199,10 @@
                 server.ends(item, attempt, true);
             }
         }
-        let mut out = conn.take_out(0);
+        let mut out = conn.take_output(0);
         if beat.elapsed() > Duration::from_secs(1) {
             beat = Instant::now();
-            sparbank_amqp::put_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
+            sparbank_amqp::write_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
         }
         if stream.write_all(&out).is_err() {
             held.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
@@ -263,22 +263,25 @@
 fn amqp_client(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
     let mut stream = TcpStream::connect(addr).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a time-out");
-    let mut conn =
-        Connection::dial(0, Settings { idle: 0, ..Settings::default() }, Some(Credentials::Anonymous));
+    let mut conn = Connection::dial(
+        0,
+        Settings { idle_timeout: 0, ..Settings::default() },
+        Some(Credentials::Anonymous),
+    );
     let (mut input, mut links, mut open) = (Vec::new(), HashMap::new(), HashMap::new());
     let (mut seen, mut last, mut beat) = (Seen::default(), Instant::now(), Instant::now());
     while Instant::now() < until || !open.is_empty() {
         assert!(Instant::now() < until + Duration::from_secs(10), "{} items without an answer", open.len());
-        let mut out = conn.take_out(0);
+        let mut out = conn.take_output(0);
         if beat.elapsed() > Duration::from_secs(1) {
             beat = Instant::now();
-            sparbank_amqp::put_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
+            sparbank_amqp::write_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
         }
         stream.write_all(&out).expect("the node is there");
         more(&mut stream, &mut input).expect("the node stays");
         let bytes = std::mem::take(&mut input);
         let mut left = &bytes[..];
-        while let Some(event) = conn.next(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) = conn.next_event(0, &mut left).expect("the node keeps to the standard") {
             match event {
                 Event::Opened {} => drop(conn.begin()),
                 Event::Began { channel } => {
@@ -317,7 +320,7 @@
             sparbank_amqp::encode(&Value::described(0x74, Value::Map(named)), &mut payload);
             sparbank_amqp::encode(&Value::described(0x75, Value::Binary(vec![7; 100])), &mut payload);
             let delivery = Outgoing { key: item, tag: item.into(), settled: false };
-            assert!(conn.send(links[class], delivery, &payload, true, usize::MAX).done);
+            assert!(conn.send(links[class], delivery, &payload, true, usize::MAX).complete);
             open.insert(item, ());
             seen.items += 1;
         }
--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -158,7 +158,7 @@
     /// On another channel than the first.
     pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
-        amqp::put_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
+        amqp::write_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
         self.peer.stream.write_all(&out).expect("written");
     }
 
@@ -170,14 +170,14 @@
 
     pub fn put_kind(&mut self, kind: u8, body: Performative, payload: &[u8]) {
         let mut out = Vec::new();
-        amqp::put_frame(&mut out, kind, 0, Some(&body), payload);
+        amqp::write_frame(&mut out, kind, 0, Some(&body), payload);
         self.peer.stream.write_all(&out).expect("written");
     }
 
     pub fn frame(&mut self) -> Next {
         loop {
             let mut left = &self.bytes[..];
-            if let Some(frame) = amqp::take_frame(&mut left, u32::MAX).expect("a sound frame") {
+            if let Some(frame) = amqp::read_frame(&mut left, u32::MAX).expect("a sound frame") {
                 let (body, payload) = (frame.body, frame.payload.to_vec());
                 let taken = self.bytes.len() - left.len();
                 self.bytes.drain(..taken);
