--- a/src/front/amqp/client_connections.rs
+++ b/src/front/amqp/client_connections.rs
@@ -5,7 +5,7 @@
 use super::replies::shutdown_error;
 use super::AmqpFront;
 use crate::front::tls::Tls;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::RequestId;
 use sparbank_amqp::{condition, AbandonedDelivery, Connection, Event, Fault, LinkId, Role};
@@ -20,12 +20,12 @@
 
 impl AmqpFront {
     /// Something happened at a client's socket.
-    pub(super) fn on_client_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
-        let token = notice.token;
-        match notice.kind {
+    pub(super) fn on_client_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+        let token = event.token;
+        match event.kind {
             SocketEventKind::Accepted => return self.accept_client(ctx, token),
             SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
-                ctx.requests.counters.silent += 1;
+                ctx.requests.counters.idle_closed += 1;
                 ctx.net.close(token);
                 return self.on_client_gone(ctx, token);
             }
@@ -36,9 +36,9 @@
         self.read_client(ctx, token);
     }
 
-    fn accept_client(&mut self, ctx: &mut Ctx, token: Token) {
+    fn accept_client(&mut self, ctx: &mut FrontContext, token: Token) {
         if ctx.net.is_short_of_descriptors() && !ctx.net.reclaim_descriptors() {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             return ctx.net.close(token);
         }
         let is_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
@@ -58,13 +58,13 @@
         let address = ctx.net.peer_addr(token).map(|peer| peer.ip());
         let max_per_address = self.config.max_connections_per_address;
         if !self.clients.insert(token, conn, tls, address, max_per_address) {
-            ctx.requests.counters.over_budget += 1;
+            ctx.requests.counters.capacity_rejected += 1;
             ctx.net.close(token);
         }
     }
 
     /// Processes a client's input, unless the client does not read its answers or no memory is left for messages.
-    pub(super) fn read_client(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn read_client(&mut self, ctx: &mut FrontContext, token: Token) {
         if ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
             return ctx.net.update_interest(token);
         }
@@ -97,7 +97,7 @@
         let has_room_again = was_full && client.plaintext.len() < max_plaintext;
         self.clients.mark_dirty(token);
         if has_room_again && ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
-            // For input that is already here, no further notice comes.
+            // For input that is already here, no further event comes.
             return self.read_client(ctx, token);
         }
         if ctx.net.is_read_closed(token) {
@@ -110,7 +110,7 @@
     /// from the socket.
     fn take_client_input(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         is_full: bool,
         bytes: &mut Vec<u8>,
@@ -125,7 +125,7 @@
         Ok(())
     }
 
-    fn process_client_input(&mut self, ctx: &mut Ctx, token: Token, bytes: &[u8]) -> ProcessedInput {
+    fn process_client_input(&mut self, ctx: &mut FrontContext, token: Token, bytes: &[u8]) -> ProcessedInput {
         let mut rest = bytes;
         let mut fault = None;
         while let Some(client) = self.clients.get(token) {
@@ -134,7 +134,7 @@
                 break;
             }
             match client.conn.next_event(ctx.now, &mut rest) {
-                Ok(Some(event)) => self.on_client_event(ctx, token, event),
+                Ok(Some(event)) => self.on_client_protocol_event(ctx, token, event),
                 Ok(None) => break,
                 Err(error) => {
                     fault = Some(error);
@@ -145,7 +145,7 @@
         ProcessedInput { count: bytes.len() - rest.len(), fault }
     }
 
-    fn on_client_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
+    fn on_client_protocol_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
         match event {
             Event::SaslRequest(request) => self.authenticate(ctx, token, request),
             Event::Opened {} => self.on_client_opened(ctx, token),
@@ -183,7 +183,7 @@
         }
     }
 
-    fn on_client_opened(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_client_opened(&mut self, ctx: &mut FrontContext, token: Token) {
         ctx.net.mark_handshake_complete(token);
         let anonymous = self.config.known_users.as_ref().and_then(|users| users.anonymous());
         if let (Some(client), Some(identity)) = (self.clients.get(token), anonymous) {
@@ -201,7 +201,7 @@
     }
 
     /// A client's socket takes more output: its forwarders continue, in order.
-    pub(super) fn forward_all(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn forward_all(&mut self, ctx: &mut FrontContext, token: Token) {
         let Some(client) = self.clients.get(token) else { return };
         let mut forwarders = client.forwarders();
         forwarders.sort_unstable();
@@ -211,7 +211,7 @@
     }
 
     /// A client's connection is closed or lost. Requests on links that may be resumed go on; the others are abandoned.
-    pub(super) fn on_client_gone(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn on_client_gone(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(client) = self.clients.get(token) {
             if let Some(tls) = &mut client.tls {
                 tls.close();
@@ -239,7 +239,7 @@
     }
 
     /// Suspends or abandons the unsettled requests of a client that is gone.
-    fn release_unsettled(&mut self, ctx: &mut Ctx, client: &mut Client) {
+    fn release_unsettled(&mut self, ctx: &mut FrontContext, client: &mut Client) {
         for AbandonedDelivery { link, role, key } in client.conn.abandon() {
             if role != Role::Receiver {
                 continue;
@@ -259,7 +259,7 @@
 
     /// Checks the idle timeouts of the clients' connections. When the node shuts down, closes those without open
     /// requests.
-    pub(super) fn check_client_connections(&mut self, ctx: &mut Ctx) {
+    pub(super) fn check_client_connections(&mut self, ctx: &mut FrontContext) {
         let redirect = self.config.redirect.clone();
         for token in self.clients.tokens() {
             let Some(client) = self.clients.get(token) else { continue };
--- a/src/front/amqp/client_links.rs
+++ b/src/front/amqp/client_links.rs
@@ -6,7 +6,7 @@
 use super::recovery::{LinkKey, RecoveryLimits};
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use super::{password_checks, AmqpFront};
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::Token;
 use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{condition, Attach, Error, LinkId, Source, State, Tag, Target, Terminus, Value};
@@ -58,7 +58,13 @@
     }
 
     /// A client wants to send: to a class, or to the anonymous terminus, where `to` of each message names the class.
-    pub(super) fn attach_sending_link(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, attach: &Attach) {
+    pub(super) fn attach_sending_link(
+        &mut self,
+        ctx: &mut FrontContext,
+        token: Token,
+        link: LinkId,
+        attach: &Attach,
+    ) {
         let accepted = requested_target(attach).and_then(|target| {
             let address = target.address.as_deref();
             let not_found = "the target address names no class";
@@ -76,7 +82,7 @@
 
     fn accept_sending_link(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         attach: &Attach,
@@ -127,7 +133,7 @@
     /// A client wants to receive: what a class sends, or replies.
     pub(super) fn attach_receiving_link(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         attach: Box<Attach>,
@@ -153,7 +159,12 @@
     }
 
     /// Starts the request of a receiving link, whose properties are those of the attach.
-    fn start_receiving_request(&mut self, ctx: &mut Ctx, class: usize, attach: &Attach) -> RequestId {
+    fn start_receiving_request(
+        &mut self,
+        ctx: &mut FrontContext,
+        class: usize,
+        attach: &Attach,
+    ) -> RequestId {
         let properties = attach.properties.as_ref().unwrap_or(&Value::Null);
         let property = |name: &str| match properties.get(name) {
             Some(Value::Text(text) | Value::Symbol(text)) => Some(text.clone()),
@@ -164,7 +175,7 @@
         let limit = ctx.classes.get(class).map_or(0, |class| class.hard_limit);
         let is_reconnect = properties.get("again") == Some(&Value::Bool(true));
         let arrival = arrival(class, limit, property, is_reconnect);
-        ctx.requests.arrive(ctx.now, self.id, arrival)
+        ctx.requests.on_request(ctx.now, self.id, arrival)
     }
 
     /// A dynamic source: a node to which servers may send replies, as long as its link lasts.
@@ -184,7 +195,7 @@
     /// A client has detached a link. Its requests are abandoned, unless the link may be resumed.
     pub(super) fn on_client_link_detached(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         closed: bool,
@@ -207,7 +218,7 @@
     /// Suspends a detached sending link, or forgets it. `requests` are those that were unsettled on it.
     fn end_sending_link(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: SendingLink,
         may_resume: bool,
--- a/src/front/amqp/client_transfers.rs
+++ b/src/front/amqp/client_transfers.rs
@@ -5,7 +5,7 @@
 use super::recovery::DeliveryStatus;
 use super::replies::{invalid_state, rejected_state, unknown_state, RETRY_AFTER_MS};
 use super::AmqpFront;
-use crate::front::{Ctx, ANSWER_MARGIN};
+use crate::front::{FrontContext, ANSWER_MARGIN};
 use crate::hash::fnv1a;
 use crate::net::Token;
 use crate::vocabulary::{Arrival, Nanos, RequestId};
@@ -31,7 +31,7 @@
     /// A transfer was received from a client.
     pub(super) fn on_client_transfer(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         link: LinkId,
         transfer: IncomingTransfer<'_>,
@@ -61,7 +61,7 @@
     }
 
     /// The client has aborted a delivery.
-    fn drop_incomplete(&mut self, ctx: &mut Ctx, incomplete: IncompleteDelivery) {
+    fn drop_incomplete(&mut self, ctx: &mut FrontContext, incomplete: IncompleteDelivery) {
         match incomplete {
             IncompleteDelivery::ReadingHead(bytes) => self.deliveries.subtract_buffered(bytes.len()),
             IncompleteDelivery::Request(request_id) => self.abandon_request(ctx, request_id),
@@ -72,7 +72,7 @@
     /// Adds a transfer to its delivery. Gives the delivery's state after it.
     fn continue_delivery(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         received: ReceivedTransfer<'_, '_>,
         incomplete: IncompleteDelivery,
     ) -> IncompleteDelivery {
@@ -138,7 +138,7 @@
     /// The first transfers of a delivery: it becomes a request, is answered at once, or needs more octets.
     fn start_delivery(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         received: ReceivedTransfer<'_, '_>,
         mut bytes: Vec<u8>,
     ) -> IncompleteDelivery {
@@ -157,7 +157,7 @@
                 if matches!(state, State::Rejected(_)) {
                     ctx.requests.counters.malformed += 1;
                 } else {
-                    ctx.requests.counters.over_budget += 1;
+                    ctx.requests.counters.capacity_rejected += 1;
                 }
                 if let Some(client) = self.clients.get(received.token) {
                     client.conn.settle(received.link.channel, received.transfer.id, state);
@@ -170,7 +170,7 @@
     /// Makes a delivery a request, or gives the state that it is settled with at once.
     fn start_request(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         received: ReceivedTransfer<'_, '_>,
         head: Head,
         bytes: Vec<u8>,
@@ -188,7 +188,7 @@
         let is_reconnect = head.value(&bytes, "again") == Some(Value::Bool(true));
         let property = |name: &str| head.property(&bytes, name);
         let arrival = arrival(class, ttl.unwrap_or(limit), property, is_reconnect);
-        let request_id = ctx.requests.arrive(ctx.now, self.id, arrival);
+        let request_id = ctx.requests.on_request(ctx.now, self.id, arrival);
         self.record_request(received, request_id);
         let delivery = Delivery {
             client: received.token,
@@ -258,7 +258,7 @@
     Arrival {
         id: RequestId(0),
         class,
-        grace: deadline.saturating_sub(ANSWER_MARGIN),
+        time_left: deadline.saturating_sub(ANSWER_MARGIN),
         cost: None,
         key,
         group: property("group").map(|group| fnv1a(&group)),
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -3,8 +3,8 @@
 use super::error::FileError;
 use super::recovery::RecoveryLimits;
 use super::users::Users;
-use crate::config::json;
 use crate::front::tls::TlsFile;
+use crate::json;
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -29,9 +29,8 @@
 
 pub use users::{add_user, Rights};
 
-use super::{Ctx, Front, Opened, Optional};
-use crate::config::Facts;
-use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
+use super::{Front, FrontContext, FrontError, FrontSetup, OpenedFront, OptionalFront};
+use crate::net::{SocketEvent, SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 use clients::Clients;
@@ -48,12 +47,15 @@
 const NANOS_PER_MS: Nanos = 1_000_000;
 
 /// How this front is enabled.
-pub const OPTIONAL: Optional = Optional {
+pub const OPTIONAL_FRONT: OptionalFront = OptionalFront {
     name: "amqp",
-    read: |path| Ok(Box::new(AmqpConfig::read(path).map_err(|error| error.to_string())?)),
-    open: |id, file, net, name, facts| {
-        let config = file.downcast::<AmqpConfig>().map_err(|_| "not this front's file".to_string())?;
-        AmqpFront::open(id, *config, net, name, facts)
+    read: |path| {
+        let config = AmqpConfig::read(path).map_err(|error| FrontError::Config(error.into()))?;
+        Ok(Box::new(config))
+    },
+    open: |id, config, setup| {
+        let config = config.downcast::<AmqpConfig>().map_err(|_| FrontError::WrongConfigType)?;
+        AmqpFront::open(id, *config, setup)
     },
 };
 
@@ -81,29 +83,26 @@
 }
 
 impl AmqpFront {
-    /// Listens as the configuration says. Gives the front, and its log line with the addresses.
-    fn open(
-        id: FrontId,
-        config: AmqpConfig,
-        net: &mut SocketReactor,
-        name: &str,
-        facts: &Facts,
-    ) -> Result<Opened, String> {
-        let at =
-            net.listen(config.listen, SocketOwner::Front(id)).map_err(|e| format!("amqp listen: {e}"))?;
-        let mut line = format!("listen={at}");
+    /// Listens as the configuration says.
+    fn open(id: FrontId, config: AmqpConfig, setup: FrontSetup) -> Result<OpenedFront, FrontError> {
+        let FrontSetup { net, node_name, site } = setup;
+        let address = net
+            .listen(config.listen, SocketOwner::Front(id))
+            .map_err(|error| FrontError::Listen { socket: "amqp listen", error })?;
+        let mut line = format!("listen={address}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
-            let bound = net.listen_with_token(tls.listen, SocketOwner::Front(id));
-            let (token, at) = bound.map_err(|e| format!("amqp tls listen: {e}"))?;
-            line = format!("tls={at} {line}");
+            let (token, tls_address) = net
+                .listen_with_token(tls.listen, SocketOwner::Front(id))
+                .map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
+            line = format!("tls={tls_address} {line}");
             tls_listener = Some(token);
         }
-        let classes: Vec<String> = facts.classes.iter().map(|class| class.name.clone()).collect();
+        let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
         let front = AmqpFront {
             id,
-            container: name.to_string(),
-            servers: Servers::new(id, name, classes.clone()),
+            container: node_name.to_string(),
+            servers: Servers::new(id, node_name, classes.clone()),
             classes,
             config,
             clients: Clients::default(),
@@ -117,11 +116,11 @@
             fate_unknown: 0,
             shutting_down: false,
         };
-        Ok((Box::new(front), line))
+        Ok(OpenedFront { front: Box::new(front), listen_line: line })
     }
 
     /// Reads the clients that were paused while memory for messages was short.
-    fn read_paused_clients(&mut self, ctx: &mut Ctx) {
+    fn read_paused_clients(&mut self, ctx: &mut FrontContext) {
         if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 4 * 3 {
             for token in self.clients.take_paused() {
                 self.read_client(ctx, token);
@@ -130,7 +129,7 @@
     }
 
     /// Writes to the clients that are marked dirty.
-    fn flush_clients(&mut self, ctx: &mut Ctx) {
+    fn flush_clients(&mut self, ctx: &mut FrontContext) {
         for token in self.clients.take_dirty() {
             if !self.clients.flush(ctx, token) {
                 self.on_client_gone(ctx, token);
@@ -142,14 +141,20 @@
 }
 
 impl Front for AmqpFront {
-    fn notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
-        match self.servers.server_of(notice.token) {
-            Some(_) => self.on_server_notice(ctx, notice),
-            None => self.on_client_notice(ctx, notice),
+    fn on_socket_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+        match self.servers.server_of(event.token) {
+            Some(_) => self.on_server_event(ctx, event),
+            None => self.on_client_event(ctx, event),
         }
     }
 
-    fn start(&mut self, ctx: &mut Ctx, request_id: RequestId, server: ServerId, wait: Nanos) {
+    fn start_attempt(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        server: ServerId,
+        timeout: Nanos,
+    ) {
         if let Some(id) = self.forwarders.of_request(request_id) {
             if let Some(forwarder) = self.forwarders.get(id) {
                 forwarder.server = Some(server);
@@ -159,30 +164,30 @@
             return;
         }
         if let Some(delivery) = self.deliveries.get_mut(request_id) {
-            let deadline = ctx.now + wait;
+            let deadline = ctx.now + timeout;
             delivery.attempt = Some(Attempt { server, deadline, stage: AttemptStage::Queued });
             self.servers.enqueue(server, delivery.class, delivery.client, request_id);
         }
     }
 
-    fn give_up(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
         self.cancel_delivery_or_forwarder(ctx, request_id)
     }
 
-    fn refuse(&mut self, _ctx: &mut Ctx, request_id: RequestId, cool_down: Nanos) {
-        let retry_after_ms = (cool_down / NANOS_PER_MS) as u32;
+    fn reject(&mut self, _ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos) {
+        let retry_after_ms = (retry_after / NANOS_PER_MS) as u32;
         let description = "no region takes it now; come again";
         let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
         self.refuse_forwarder(request_id, error);
         self.answer(request_id, rejected_state(retry_after_ms));
     }
 
-    fn fail(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
+    fn fail(&mut self, _ctx: &mut FrontContext, request_id: RequestId) {
         self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
         self.answer(request_id, failed_state());
     }
 
-    fn migrate(&mut self, _ctx: &mut Ctx, request_id: RequestId) {
+    fn migrate(&mut self, _ctx: &mut FrontContext, request_id: RequestId) {
         let Some(id) = self.forwarders.of_request(request_id) else { return };
         if let Some(forwarder) = self.forwarders.remove(id, &mut self.servers) {
             let error = retry_error(condition::DETACH_FORCED, "moved: come again", 0);
@@ -190,7 +195,7 @@
         }
     }
 
-    fn drained(&mut self, ctx: &mut Ctx, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
         for request_id in self.deliveries.unsent_at(stopped) {
             self.cancel_delivery_or_forwarder(ctx, request_id);
             self.on_attempt_ended(ctx, request_id, Outcome::ConnectFailed);
@@ -204,18 +209,18 @@
         self.clients.is_empty()
     }
 
-    fn dial_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, token: Token) {
         if self.servers.is_opening(token) {
             self.on_server_connection_lost(ctx, token);
         }
     }
 
-    fn timer_due(&mut self, ctx: &mut Ctx, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
         self.check_passwords(ctx);
         self.reject_due_login(ctx, token);
     }
 
-    fn look(&mut self, ctx: &mut Ctx) {
+    fn on_tick(&mut self, ctx: &mut FrontContext) {
         self.check_client_connections(ctx);
         self.check_server_connections(ctx);
         for request_id in self.recovery.expire(ctx.now) {
@@ -226,7 +231,7 @@
         }
     }
 
-    fn flush(&mut self, ctx: &mut Ctx) {
+    fn flush(&mut self, ctx: &mut FrontContext) {
         // What one side writes may give capacity to the other: both are flushed until neither has more.
         while self.servers.is_dirty() || self.clients.is_dirty() {
             let results = self.servers.flush(ctx, &self.config, &mut self.deliveries);
@@ -236,7 +241,7 @@
         }
     }
 
-    fn leave(&mut self, ctx: &mut Ctx) {
+    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
         if !std::mem::replace(&mut self.shutting_down, true) {
             for token in self.clients.tokens() {
                 self.clients.revoke_credit(token);
@@ -245,13 +250,13 @@
         self.check_client_connections(ctx);
     }
 
-    fn stay(&mut self, _ctx: &mut Ctx) {
+    fn resume_serving(&mut self, _ctx: &mut FrontContext) {
         if std::mem::take(&mut self.shutting_down) {
             self.replenish_all_credit();
         }
     }
 
-    fn take_over(&mut self, new: Box<dyn Any>) -> Vec<&'static str> {
+    fn reload(&mut self, new: Box<dyn Any>) -> Vec<&'static str> {
         let Ok(new) = new.downcast::<AmqpConfig>() else { return Vec::new() };
         let mut unchangeable = Vec::new();
         if new.listen != self.config.listen {
--- a/src/front/amqp/outcomes.rs
+++ b/src/front/amqp/outcomes.rs
@@ -5,14 +5,14 @@
 use super::replies::failed_state;
 use super::servers::AttemptResult;
 use super::AmqpFront;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::Token;
 use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{LinkId, State};
 
 impl AmqpFront {
     /// Attempts have ended at the servers.
-    pub(super) fn on_attempt_results(&mut self, ctx: &mut Ctx, results: Vec<AttemptResult>) {
+    pub(super) fn on_attempt_results(&mut self, ctx: &mut FrontContext, results: Vec<AttemptResult>) {
         for result in results {
             match result {
                 AttemptResult::Ended(request_id, outcome) => self.on_attempt_ended(ctx, request_id, outcome),
@@ -24,14 +24,22 @@
     }
 
     /// The attempt of a delivery has ended.
-    pub(super) fn on_attempt_ended(&mut self, ctx: &mut Ctx, request_id: RequestId, outcome: Outcome) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+        outcome: Outcome,
+    ) {
         let Some(delivery) = self.deliveries.get_mut(request_id) else { return };
         delivery.attempt = None;
         let is_retryable = delivery.is_retryable();
-        if outcome != Outcome::Ok && !is_retryable && ctx.requests.spent(ctx.now, request_id, outcome) {
+        if outcome != Outcome::Ok
+            && !is_retryable
+            && ctx.requests.on_unrepeatable_attempt_ended(ctx.now, request_id, outcome)
+        {
             return self.answer(request_id, failed_state());
         }
-        if ctx.requests.task_ended(ctx.now, request_id, outcome) {
+        if ctx.requests.on_attempt_ended(ctx.now, request_id, outcome) {
             self.answer(request_id, State::Accepted);
         }
     }
@@ -67,9 +75,9 @@
     }
 
     /// The client has given a request up, or is gone.
-    pub(super) fn abandon_request(&mut self, ctx: &mut Ctx, request_id: RequestId) {
+    pub(super) fn abandon_request(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
         self.cancel_delivery_or_forwarder(ctx, request_id);
-        ctx.requests.left(ctx.now, request_id);
+        ctx.requests.on_client_disconnected(ctx.now, request_id);
         self.recovery.forget_request(request_id);
         if let Some(delivery) = self.deliveries.remove(request_id) {
             self.uncount_open_request(&delivery);
@@ -94,7 +102,11 @@
     }
 
     /// Cancels the attempt of a request. Gives its outcome: an attempt that was not sent has not run.
-    pub(super) fn cancel_delivery_or_forwarder(&mut self, ctx: &mut Ctx, request_id: RequestId) -> Outcome {
+    pub(super) fn cancel_delivery_or_forwarder(
+        &mut self,
+        ctx: &mut FrontContext,
+        request_id: RequestId,
+    ) -> Outcome {
         if let Some(forwarder) = self.forwarders.of_request(request_id) {
             let unsent = self.forwarders.cancel_attempt(forwarder, &mut self.servers);
             return if unsent { Outcome::ConnectFailed } else { Outcome::Timeout };
--- a/src/front/amqp/sending.rs
+++ b/src/front/amqp/sending.rs
@@ -4,7 +4,7 @@
 use super::deliveries::{AttemptStage, Deliveries, Delivery};
 use super::fair_queue::FairQueue;
 use super::servers::{AttemptResult, ClassQueue, SendingLink, Servers};
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
 
@@ -28,7 +28,7 @@
 
 /// What a link needs for its turn.
 struct Feed<'a, 'b> {
-    ctx: &'a mut Ctx<'b>,
+    ctx: &'a mut FrontContext<'b>,
     max_retryable_bytes: usize,
     scratch: &'a mut Vec<u8>,
     server: ServerId,
@@ -39,7 +39,7 @@
     /// Sends everything that credit, session windows and sockets allow to the servers that are marked dirty.
     pub fn flush(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         deliveries: &mut Deliveries,
     ) -> Vec<AttemptResult> {
@@ -52,7 +52,7 @@
                 self.write_pending(ctx, token);
                 has_capacity |= ctx.net.pending_output_bytes(token) < MAX_UNWRITTEN_BYTES;
             }
-            // Where the socket took everything at once, no notice says that it takes more.
+            // Where the socket took everything at once, no event says that it takes more.
             if is_full && has_capacity {
                 self.mark_dirty(server);
             }
@@ -63,7 +63,7 @@
     /// Sends a server what waits for it. True where a connection is full and there is more to send.
     fn send_waiting(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server_id: ServerId,
         deliveries: &mut Deliveries,
--- a/src/front/amqp/server_connections.rs
+++ b/src/front/amqp/server_connections.rs
@@ -4,15 +4,15 @@
 use super::forwarders::Peers;
 use super::servers::{interrupted_outcome, ServerLink};
 use super::AmqpFront;
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::{SocketEvent, SocketEventKind, Token};
 use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{Error, Event, Fault, LinkId, Role, State};
 
 impl AmqpFront {
     /// Something happened at a server's socket.
-    pub(super) fn on_server_notice(&mut self, ctx: &mut Ctx, notice: SocketEvent) {
-        let token = notice.token;
+    pub(super) fn on_server_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+        let token = event.token;
         let fault = self.process_server_input(ctx, token);
         let Some(connection) = self.servers.get(token) else { return };
         if let Some(fault) = fault.filter(|_| !connection.conn.peer_has_no_sasl()) {
@@ -24,7 +24,7 @@
         }
         let is_lost = connection.conn.is_closed()
             || ctx.net.is_read_closed(token)
-            || matches!(notice.kind, SocketEventKind::Failed { .. });
+            || matches!(event.kind, SocketEventKind::Failed { .. });
         if is_lost {
             return self.on_server_connection_lost(ctx, token);
         }
@@ -33,13 +33,13 @@
     }
 
     /// Processes a server's input. Gives the fault that ends it, if there is one.
-    fn process_server_input(&mut self, ctx: &mut Ctx, token: Token) -> Option<Fault> {
+    fn process_server_input(&mut self, ctx: &mut FrontContext, token: Token) -> Option<Fault> {
         let mut bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut rest = &bytes[..];
         let mut fault = None;
         while let Some(connection) = self.servers.get(token) {
             match connection.conn.next_event(ctx.now, &mut rest) {
-                Ok(Some(event)) => self.on_server_event(ctx, token, event),
+                Ok(Some(event)) => self.on_server_protocol_event(ctx, token, event),
                 Ok(None) => break,
                 Err(error) => {
                     fault = Some(error);
@@ -58,7 +58,7 @@
     }
 
     /// A server's connection is lost or closed.
-    pub(super) fn on_server_connection_lost(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn on_server_connection_lost(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(connection) = self.servers.get(token) {
             // Pending output, such as the reason for a close, is still written.
             let out = connection.conn.take_output(ctx.now);
@@ -71,7 +71,7 @@
         self.on_attempt_results(ctx, lost.results);
     }
 
-    fn on_server_event(&mut self, ctx: &mut Ctx, token: Token, event: Event<'_>) {
+    fn on_server_protocol_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
         match event {
             Event::Attached { link, attach } => {
                 if let Some(ServerLink::Receiving(forwarder)) = self.server_link(token, link) {
@@ -121,7 +121,13 @@
         self.servers.get(token)?.links.get(&link).copied()
     }
 
-    fn on_server_link_detached(&mut self, ctx: &mut Ctx, token: Token, link: LinkId, error: Option<Error>) {
+    fn on_server_link_detached(
+        &mut self,
+        ctx: &mut FrontContext,
+        token: Token,
+        link: LinkId,
+        error: Option<Error>,
+    ) {
         let removed = self.servers.get(token).and_then(|connection| connection.links.remove(&link));
         match removed {
             Some(ServerLink::Sending(class)) => {
@@ -138,7 +144,7 @@
     /// The server has settled a delivery.
     fn on_settled_by_server(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         class: usize,
         request_id: RequestId,
         state: Option<State>,
@@ -158,7 +164,7 @@
     }
 
     /// Checks the idle timeouts of the servers' connections, and closes those that are no longer needed.
-    pub(super) fn check_server_connections(&mut self, ctx: &mut Ctx) {
+    pub(super) fn check_server_connections(&mut self, ctx: &mut FrontContext) {
         for token in self.servers.tokens() {
             let Some(connection) = self.servers.get(token) else { continue };
             if connection.conn.tick(ctx.now).is_err() {
--- a/src/front/amqp/server_links.rs
+++ b/src/front/amqp/server_links.rs
@@ -4,7 +4,7 @@
 use super::config::AmqpConfig;
 use super::forwarders::ForwarderId;
 use super::servers::{AttemptResult, SendingLink, ServerLink, Servers};
-use crate::front::Ctx;
+use crate::front::FrontContext;
 use crate::net::Token;
 use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, LinkId, Role, Source, Target, Terminus};
@@ -23,7 +23,7 @@
     /// Attaches a link on the first session that takes it, or begins a session, or opens a connection.
     fn place_link(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server: ServerId,
         name: &str,
@@ -63,7 +63,7 @@
     /// first link, or another where long messages occupy all.
     pub(super) fn add_sending_links(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server_id: ServerId,
         results: &mut Vec<AttemptResult>,
@@ -87,7 +87,7 @@
     /// Attaches a sending link for a class. False where no connection or session can take it.
     fn add_sending_link(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server_id: ServerId,
         class: usize,
@@ -145,7 +145,7 @@
     /// Attaches the receiving links of the forwarders that wait at a server.
     pub(super) fn attach_waiting_forwarders(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         config: &AmqpConfig,
         server_id: ServerId,
         results: &mut Vec<AttemptResult>,
--- a/src/front/amqp/servers.rs
+++ b/src/front/amqp/servers.rs
@@ -5,7 +5,7 @@
 use super::deliveries::{AttemptStage, Deliveries, Map};
 use super::fair_queue::FairQueue;
 use super::forwarders::ForwarderId;
-use crate::front::{Ctx, Due};
+use crate::front::{FrontContext, TimerEvent};
 use crate::net::{SocketOwner, Token};
 use crate::requests::FrontId;
 use crate::vocabulary::{Outcome, RequestId, ServerId};
@@ -169,10 +169,10 @@
     // ---- Connections -----------------------------------------------------------------------------
 
     /// Opens a connection to a server. False where that is impossible.
-    pub(super) fn dial(&mut self, ctx: &mut Ctx, config: &AmqpConfig, server_id: ServerId) -> bool {
+    pub(super) fn dial(&mut self, ctx: &mut FrontContext, config: &AmqpConfig, server_id: ServerId) -> bool {
         let Some(endpoint) = ctx.registry.entry(server_id) else { return false };
         let nonce = super::password_checks::nonce();
-        let access = config.server_access(endpoint.name(), endpoint.addr(), &nonce);
+        let access = config.server_access(endpoint.name(), endpoint.address(), &nonce);
         let Some(server) = self.by_id.get_mut(&server_id) else { return false };
         let mut credentials = access.credentials;
         if server.has_no_sasl && credentials == Some(Credentials::Anonymous) {
@@ -184,13 +184,16 @@
         server.connections.push(token);
         let connection = ServerConnection { server: server_id, conn, links: Map::default() };
         self.by_token.insert(token, connection);
-        ctx.wheel.schedule(ctx.now + ctx.facts.limits.dial_timeout_ns, Due::Dial(self.front, token));
+        ctx.wheel.schedule(
+            ctx.now + ctx.site.limits.dial_timeout_ns,
+            TimerEvent::ConnectTimeout(self.front, token),
+        );
         self.write_pending(ctx, token);
         true
     }
 
     /// Passes a connection's pending output to its socket.
-    pub(super) fn write_pending(&mut self, ctx: &mut Ctx, token: Token) {
+    pub(super) fn write_pending(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(connection) = self.by_token.get_mut(&token) {
             let out = connection.conn.take_output(ctx.now);
             if !out.is_empty() {
@@ -202,7 +205,7 @@
     /// A connection is lost. An attempt on it has not run where its last octet was not written.
     pub fn connection_lost(
         &mut self,
-        ctx: &mut Ctx,
+        ctx: &mut FrontContext,
         token: Token,
         deliveries: &Deliveries,
     ) -> LostConnection {
@@ -257,9 +260,9 @@
     }
 
     /// Whether a connection is idle and its server is draining or gone.
-    pub fn is_drained(&self, ctx: &Ctx, token: Token) -> bool {
+    pub fn is_drained(&self, ctx: &FrontContext, token: Token) -> bool {
         let Some(connection) = self.by_token.get(&token) else { return false };
-        let is_serving = ctx.registry.entry(connection.server).is_some_and(|server| server.serving());
+        let is_serving = ctx.registry.entry(connection.server).is_some_and(|server| server.is_ready());
         !is_serving && connection.is_idle()
     }
 }
--- a/src/front/amqp/users.rs
+++ b/src/front/amqp/users.rs
@@ -80,8 +80,7 @@
     /// Reads the users' file.
     pub fn read(path: &Path) -> Result<Users, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
-        let file: UsersFile =
-            crate::config::json::parse(&text).map_err(|error| FileError::parse(path, error))?;
+        let file: UsersFile = crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?;
         let mut users = Users::default();
         for (user, entry) in file.users {
             let keys = entry.salted_keys(path, &user)?;
@@ -162,7 +161,7 @@
 /// Adds a user to a users' file or replaces it there. The file is created where it is absent, and replaced atomically.
 pub fn add_user(path: &Path, user: &str, password: &str, rights: Rights) -> Result<(), FileError> {
     let mut file: UsersFile = match std::fs::read_to_string(path) {
-        Ok(text) => crate::config::json::parse(&text).map_err(|error| FileError::parse(path, error))?,
+        Ok(text) => crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?,
         Err(error) if error.kind() == std::io::ErrorKind::NotFound => UsersFile::default(),
         Err(error) => return Err(FileError::io(path, error)),
     };
--- a/tests/upgrade.rs
+++ b/tests/handover.rs
@@ -61,8 +61,8 @@
     fn upgraded(&mut self) -> Process {
         let mut old = self.bench.start_successor();
         self.operator = operator(&mut self.bench);
-        self.bench.wait_for_log("taking-over");
-        old.wait_for_log("handing-over");
+        self.bench.wait_for_log("handover-from-predecessor");
+        old.wait_for_log("handover-to-successor");
         old
     }
 
@@ -72,7 +72,7 @@
         old.signal("-TERM");
         let counters = old.wait_for_log("counters");
         assert!(old.child.wait().expect("it ends").success());
-        self.bench.wait_for_log("taken-over");
+        self.bench.wait_for_log("handover-complete");
         counters
     }
 }
@@ -98,7 +98,10 @@
     // What reached the node before this is answered has been read.
     assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "PONG");
     let counters = node.replaced();
-    assert_eq!(["passed_on", "moved", "upgrades"].map(|name| counter_value(&counters, name)), [1, 0, 1]);
+    assert_eq!(
+        ["handed_over", "migrated", "handovers"].map(|name| counter_value(&counters, name)),
+        [1, 0, 1]
+    );
     client.send(" y\r\n");
     assert_eq!(task.read_line(), "M 2 y");
     task.send(" y\r\n");
@@ -113,7 +116,7 @@
     watch.send("0\r\n\r\n");
     node.bench.wait_for_log("list-lost");
     let counters = node.bench.counters();
-    let counts = ["taken_over", "taken", "moved", "list_calls"].map(|name| counters[name]);
+    let counts = ["inherited", "requests", "migrated", "discovery_polls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
     // Its id is that of an open connection here too.
     assert_eq!(node.bench.connect_client(&open_line(1)).read_line(), "ERR");
@@ -131,7 +134,7 @@
     task.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
     old.signal("-TERM");
-    assert_eq!(counter_value(&old.wait_for_log("counters"), "passed_on"), 1);
+    assert_eq!(counter_value(&old.wait_for_log("counters"), "handed_over"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
@@ -160,7 +163,7 @@
     assert_eq!(failed.wait().expect("it ends").code(), Some(2));
     echo(&mut client, &mut task, "M 1 x");
     let _second = established_client(&node.bench, 2);
-    assert_eq!(node.bench.counter("upgrades"), 0);
+    assert_eq!(node.bench.counter("handovers"), 0);
 }
 
 /// One that was told what the old process knows, serves, and dies before anything reached it.
@@ -177,11 +180,11 @@
     if serves {
         // It ends without having taken what is on its way: this client is lost with it.
         say(&successor, "\"Ready\"");
-        node.bench.wait_for_log("handing-over");
+        node.bench.wait_for_log("handover-to-successor");
         assert!(hear(&successor).starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
-    node.bench.wait_for_log("takeover-end successor");
+    node.bench.wait_for_log("handover-end successor");
     // Discovery is asked anew: the watch was given away.
     let _watch = node.bench.accept_watch();
     if serves {
@@ -249,9 +252,9 @@
     let mut node = node();
     let (mut client, mut task) = established_client(&node.bench, 1);
     node.bench.signal("-TERM");
-    node.bench.wait_for_log("leaving");
+    node.bench.wait_for_log("shutting-down");
     let mut old = node.upgraded();
-    assert_eq!(counter_value(&old.wait_for_log("counters"), "passed_on"), 1);
+    assert_eq!(counter_value(&old.wait_for_log("counters"), "handed_over"), 1);
     assert!(old.child.wait().expect("it ends").success());
     echo(&mut client, &mut task, "M 1 x");
 }
