--- a/crates/amqp/src/codec/format_code.rs
+++ b/crates/amqp/src/codec/format_code.rs
@@ -1,4 +1,4 @@
-//! The format codes of the primitive types (part 1 of the standard, section 1.6). A value starts with one. The high
+//! The format codes of the primitive types (standard, section 1.6). A value starts with one. The high
 //! nibble says how its size is encoded: 4 to 9 for fixed widths of 0, 1, 2, 4, 8 and 16 octets, A and B for a size of 1
 //! or 4 octets, C and D for a size and a count, E and F for an array. A suffix `_0`, `_8` or `_32` is the width of the
 //! size.
--- a/crates/amqp/src/codec/mod.rs
+++ b/crates/amqp/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! The encoding of values (part 1 of the standard, sections 1.2 to 1.6).
+//! The encoding of values (standard, sections 1.2 to 1.6).
 
 mod error;
 pub mod format_code;
--- a/crates/amqp/src/codec/writer.rs
+++ b/crates/amqp/src/codec/writer.rs
@@ -59,7 +59,7 @@
     close_compound(out, start, items.len());
 }
 
-/// The constructor that holds every value of this one's type, as an array's elements share it.
+/// The constructor for every value of this one's type, as an array's elements share it.
 fn constructor(value: &Value) -> Vec<u8> {
     vec![match value {
         Value::Null => format_code::NULL,
--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -1,4 +1,4 @@
-//! Composite types: lists of fields under a descriptor (part 1 of the standard, section 1.4), read straight from their
+//! Composite types: lists of fields under a descriptor (standard, section 1.4), read straight from their
 //! octets.
 
 use crate::codec::{close_compound, format_code, open_compound, put_u64, DecodeError, Reader, Result};
--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -75,7 +75,7 @@
         let last = disposition.last.unwrap_or(first);
         let is_from_receiver = disposition.role.ok_or_else(|| missing("role"))?;
         let settled = disposition.settled == Some(true);
-        let is_final = disposition.state.as_ref().is_some_and(State::is_terminal);
+        let is_final = disposition.state.as_ref().is_some_and(State::is_final);
         if !is_from_receiver {
             if settled {
                 self.settled_by_sender(channel, first, last);
--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -72,7 +72,7 @@
         /// Its channel.
         channel: u16,
     },
-    /// A session has ended, with all its links; [`Event::DeliveryLost`] and [`Event::Detached`] came before.
+    /// A session has ended, with all its links; [`Event::DeliveryLost`] and [`Event::Detached`] precede it.
     Ended {
         /// Its channel.
         channel: u16,
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -1,4 +1,4 @@
-//! Protocol headers (2.2), SASL (part 5 of the standard, 5.3) and open (2.7.1).
+//! Protocol headers (2.2), SASL (standard, section 5.3) and open (2.7.1).
 
 use super::settings::NANOS_PER_MS;
 use super::{
@@ -80,8 +80,8 @@
         Ok(())
     }
 
-    /// Answers [`SaslRequest::ScramKeys`](crate::SaslRequest::ScramKeys): the user's keys, or none and a salt that stands
-    /// in for theirs; and a nonce.
+    /// Answers [`SaslRequest::ScramKeys`](crate::SaslRequest::ScramKeys): the user's keys, or none and a salt to use instead;
+    /// and a nonce.
     pub fn provide_scram_keys(&mut self, keys: Option<SaltedKeys>, fake_salt: &[u8], nonce: &str) {
         if let Auth::Server(Some(server)) = &mut self.auth {
             if let Some(body) = server.provide_keys(keys, fake_salt, nonce) {
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! A connection (part 2 of the standard, section 2.4) with its sessions and links, from either end.
+//! A connection (standard, section 2.4) with its sessions and links, from either end.
 
 mod dispositions;
 mod event;
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -6,7 +6,7 @@
 use crate::value::Value;
 use std::fmt;
 
-/// Standard error conditions (part 2 of the standard, 2.8.15 to 2.8.18; part 4, 4.5.8), by their names there.
+/// Standard error conditions (standard, sections 2.8.15 to 2.8.18 and 4.5.8), by their names there.
 #[allow(missing_docs)] // Each constant is the standard's own symbol.
 pub mod condition {
     pub const INTERNAL_ERROR: &str = "amqp:internal-error";
@@ -67,7 +67,7 @@
     }
 }
 
-/// An error on the wire (part 2 of the standard, 2.8.14).
+/// An error on the wire (standard, section 2.8.14).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Error {
     /// A symbol, standard or the sender's own.
--- a/crates/amqp/src/frame.rs
+++ b/crates/amqp/src/frame.rs
@@ -1,4 +1,4 @@
-//! Frames (part 2 of the standard, section 2.3).
+//! Frames (standard, section 2.3).
 
 use crate::codec::{DecodeError, Reader, Result};
 use crate::performative::Performative;
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! Every bound on the memory that a peer can make it use is a field of [`Settings`].
 //!
-//! Numbers such as 2.6.7 name sections of the standard: the first digit is the number of its part.
+//! Numbers such as 2.6.7 name sections of the standard: the first digit counts the documents of the standard.
 //!
 //! ```
 //! use sparbank_amqp::{Connection, Event, Settings};
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -1,4 +1,4 @@
-//! Links (part 2 of the standard, section 2.6): credit, and the delivery that is being transferred.
+//! Links (standard, section 2.6): credit, and the delivery that is being transferred.
 
 use crate::performative::Attach;
 use crate::primitives::Tag;
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages (part 3 of the standard, section 3.2): a forwarding node reads the sections before the body and forwards the
+//! Messages (standard, section 3.2): a forwarding node reads the sections before the body and forwards the
 //! rest as it is.
 
 use crate::codec::{close_compound, format_code, open_compound, put_u32, text, DecodeError, Reader, Result};
--- a/crates/amqp/src/primitives.rs
+++ b/crates/amqp/src/primitives.rs
@@ -154,7 +154,7 @@
 /// The most octets of a delivery tag.
 const MAX_TAG_BYTES: usize = 32;
 
-/// A delivery tag: up to 32 octets (part 2 of the standard, 2.8.7), stored without an allocation.
+/// A delivery tag: up to 32 octets (standard, section 2.8.7), stored without an allocation.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Tag {
     len: u8,
--- a/crates/amqp/src/sasl.rs
+++ b/crates/amqp/src/sasl.rs
@@ -1,4 +1,4 @@
-//! SASL (part 5 of the standard, section 5.3): how each side answers the other's frames.
+//! SASL (standard, section 5.3): how each side answers the other's frames.
 
 use crate::error::{condition, fault, Fault};
 use crate::performative::{Performative, SaslChallenge, SaslInit, SaslMechanisms, SaslOutcome, SaslResponse};
@@ -209,7 +209,7 @@
         Ok(Step::Decide(request))
     }
 
-    /// The user's keys, or none and a salt that stands in for them. Gives the challenge to send.
+    /// The user's keys, or none and a salt to use instead. Gives the challenge to send.
     pub fn provide_keys(
         &mut self,
         keys: Option<SaltedKeys>,
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -9,7 +9,7 @@
 type Key = [u8; 32];
 
 fn mac(key: &[u8]) -> Hmac<Sha256> {
-    // HMAC takes a key of any length: the error of the type cannot come, and an empty key stands in.
+    // HMAC takes a key of any length: the error cannot occur, and an empty key is used for it.
     Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::<Sha256>::new(&Default::default()))
 }
 
@@ -132,7 +132,7 @@
 
 impl Server {
     /// Answers the client's first message. Where nobody has that name, `keys` is none and
-    /// `fake_salt` stands in, so that answers do not reveal which users exist.
+    /// `fake_salt` is used instead, so that answers do not reveal which users exist.
     pub fn new(first: ClientFirst, keys: Option<SaltedKeys>, fake_salt: &[u8], own_nonce: &str) -> Server {
         let nonce = format!("{}{own_nonce}", first.nonce);
         let (salt, rounds) =
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -1,4 +1,4 @@
-//! Sessions (part 2 of the standard, section 2.5): windows, handles and unsettled deliveries.
+//! Sessions (standard, section 2.5): windows, handles and unsettled deliveries.
 
 use crate::error::{condition, fault, Fault};
 use crate::link::{Link, Role};
@@ -233,7 +233,7 @@
         if (span as usize) < map.len() {
             return (0..=span).map(|n| first.wrapping_add(n)).filter(|id| map.contains_key(id)).collect();
         }
-        // A range may cover the whole number space: the deliveries that there are bound the work.
+        // A range may cover all numbers: the deliveries that there are bound the work.
         let mut ids: Vec<u32> = map.keys().copied().filter(|id| id.wrapping_sub(first) <= span).collect();
         ids.sort_unstable_by_key(|id| id.wrapping_sub(first));
         ids
--- a/crates/amqp/src/state.rs
+++ b/crates/amqp/src/state.rs
@@ -1,4 +1,4 @@
-//! Delivery states (part 3 of the standard, section 3.4).
+//! Delivery states (standard, section 3.4).
 
 use crate::codec::{close_compound, decode, encode, format_code, open_compound, Reader, Result};
 use crate::composite::{read_descriptor, read_list, Descriptor, Field};
@@ -12,7 +12,7 @@
 const RELEASED: u8 = 0x26;
 const MODIFIED: u8 = 0x27;
 
-/// The state of a delivery (part 3 of the standard, section 3.4).
+/// The state of a delivery (standard, section 3.4).
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
     /// Received up to this point; the delivery goes on.
@@ -28,7 +28,7 @@
     Rejected(Option<Box<Error>>),
     /// It was not processed, and nothing has changed.
     Released,
-    /// It was not processed as it stands.
+    /// It was not processed in this form.
     Modified {
         /// A delivery was tried and failed.
         failed: bool,
@@ -42,15 +42,15 @@
 }
 
 impl State {
-    /// The state as a value, as an unsettled map holds it (2.7.3).
+    /// The state as a value, as in an unsettled map (2.7.3).
     pub fn to_value(&self) -> Value {
         let mut bytes = Vec::new();
         self.write(&mut bytes);
         decode(&mut &bytes[..]).unwrap_or(Value::Null)
     }
 
-    /// Whether the delivery is over with it.
-    pub fn is_terminal(&self) -> bool {
+    /// Whether it is a terminal state (3.4): the delivery has ended with it.
+    pub fn is_final(&self) -> bool {
         !matches!(self, State::Received { .. } | State::Other(_))
     }
 }
--- a/crates/amqp/src/terminus.rs
+++ b/crates/amqp/src/terminus.rs
@@ -1,4 +1,4 @@
-//! Sources and targets of links (part 3 of the standard, section 3.5).
+//! Sources and targets of links (standard, section 3.5).
 
 use crate::codec::{encode, Reader, Result};
 use crate::composite::{
@@ -10,7 +10,7 @@
 /// The descriptor of a coordinator.
 const COORDINATOR: u64 = 0x30;
 
-/// What a link sends to: a node, or a transaction coordinator (part 3, 3.5.4; part 4, 4.5.1).
+/// What a link sends to: a node, or a transaction coordinator (3.5.4, 4.5.1).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Terminus {
     /// A node.
--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -211,7 +211,7 @@
     assert!(decode(&mut &bytes[..]).is_err());
 }
 
-/// All encodings of the same value (part 1, section 1.6) are read alike.
+/// All encodings of the same value (standard, section 1.6) are read alike.
 #[rstest]
 #[case(&[&b"\x41"[..], &b"\x56\x01"[..]], Value::Bool(true))]
 #[case(&[&b"\x42"[..], &b"\x56\x00"[..]], Value::Bool(false))]
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -1,5 +1,5 @@
 //! Noise with structure, a target for each layer: whatever a peer says, in whatever state, the library
-//! answers, faults or waits; it never panics and never is_valid more than its settings say.
+//! answers, faults or waits; it never panics and never uses more memory than its settings allow.
 //!
 //! 256 cases each in CI. Longer: `PROPTEST_CASES=1000000 cargo test --release -p sparbank-amqp --test fuzz`.
 
@@ -296,7 +296,7 @@
     }
 
     #[test]
-    fn messages_in_pieces_are_read_as_they_are_whole(
+    fn a_prefix_of_a_message_is_read_like_the_complete_message(
         ttl in any::<u32>(),
         key in "\\PC{0,30}",
         body in prop::collection::vec(any::<u8>(), 0..300),
--- a/src/front/amqp/authentication.rs
+++ b/src/front/amqp/authentication.rs
@@ -44,7 +44,8 @@
                 }
             }
             SaslRequest::External => {
-                let name = self.clients.get(token).and_then(|client| client.tls.as_ref()?.peer_name());
+                let name =
+                    self.clients.get(token).and_then(|client| client.tls.as_ref()?.peer_certificate_name());
                 let identity = name.and_then(|name| users.named(&name));
                 self.finish_login(ctx, token, identity);
             }
--- a/src/front/amqp/client_connections.rs
+++ b/src/front/amqp/client_connections.rs
@@ -4,7 +4,7 @@
 use super::forwarders::ForwarderId;
 use super::replies::shutdown_error;
 use super::AmqpFront;
-use crate::front::tls::Tls;
+use crate::front::tls::TlsConnection;
 use crate::front::FrontContext;
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::RequestId;
@@ -43,7 +43,7 @@
         }
         let is_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
         let tls_config = self.config.tls_config.as_ref().filter(|_| is_tls);
-        let tls = tls_config.and_then(|config| Tls::new(config).ok());
+        let tls = tls_config.and_then(|config| TlsConnection::new(config).ok());
         if is_tls && tls.is_none() {
             return ctx.net.close(token);
         }
@@ -119,7 +119,7 @@
         *bytes = input.map(std::mem::take).unwrap_or_default();
         if let Some(Client { tls: Some(tls), plaintext, .. }) = self.clients.get(token) {
             let wire = std::mem::replace(bytes, std::mem::take(plaintext));
-            tls.read(&wire, bytes)
+            tls.decrypt(&wire, bytes)
                 .map_err(|error| sparbank_amqp::fault(condition::FRAMING_ERROR, error.to_string()))?;
         }
         Ok(())
@@ -214,7 +214,7 @@
     pub(super) fn on_client_gone(&mut self, ctx: &mut FrontContext, token: Token) {
         if let Some(client) = self.clients.get(token) {
             if let Some(tls) = &mut client.tls {
-                tls.close();
+                tls.send_close_notify();
             }
             client.write_pending(ctx, token);
         }
--- a/src/front/amqp/client_transfers.rs
+++ b/src/front/amqp/client_transfers.rs
@@ -235,7 +235,7 @@
     }
 }
 
-/// Reads the sections before the body. None where more octets are needed. A complete message is checked as a whole.
+/// Reads the sections before the body. None where more octets are needed. A complete message is checked to its end.
 fn read_head(bytes: &[u8], is_complete: bool) -> Result<Option<Head>, DecodeError> {
     if is_complete {
         return Message::decode(bytes).map(|message| Some(message.head));
--- a/src/front/amqp/clients.rs
+++ b/src/front/amqp/clients.rs
@@ -5,7 +5,7 @@
 use super::forwarders::ForwarderId;
 use super::recovery::LinkKey;
 use super::users::Identity;
-use crate::front::tls::Tls;
+use crate::front::tls::TlsConnection;
 use crate::front::FrontContext;
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Nanos, RequestId};
@@ -26,7 +26,7 @@
     pub identity: Rc<Identity>,
     address: Option<IpAddr>,
     /// Its encryption, where it connected under TLS.
-    pub tls: Option<Tls>,
+    pub tls: Option<TlsConnection>,
     /// Decrypted input that was not processed yet.
     pub plaintext: Vec<u8>,
     /// It is listed among the connections that may have something to write.
@@ -93,7 +93,7 @@
         &mut self,
         token: Token,
         conn: Connection,
-        tls: Option<Tls>,
+        tls: Option<TlsConnection>,
         address: Option<IpAddr>,
         max_per_address: usize,
     ) -> bool {
@@ -309,7 +309,7 @@
         let mut out = self.conn.take_output(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
-            tls.write(&out, &mut wire);
+            tls.encrypt(&out, &mut wire);
             out = wire;
         }
         if !out.is_empty() {
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -3,7 +3,7 @@
 use super::error::FileError;
 use super::recovery::RecoveryLimits;
 use super::users::Users;
-use crate::front::tls::TlsFile;
+use crate::front::tls::TlsListenerConfig;
 use crate::json;
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
@@ -85,7 +85,7 @@
     /// PLAIN passwords may be sent over connections that are not encrypted.
     pub plain_unencrypted: bool,
     /// Where clients connect under TLS.
-    pub tls: Option<TlsFile>,
+    pub tls: Option<TlsListenerConfig>,
     /// Where clients are redirected when the node shuts down.
     pub redirect: Option<Redirect>,
     /// The contents of the file that [`AmqpConfig::users`] names.
@@ -147,7 +147,7 @@
     pub credentials: Option<Credentials>,
 }
 
-/// Where clients are redirected when the node shuts down (part 2 of the standard, 2.8.16).
+/// Where clients are redirected when the node shuts down (standard, section 2.8.16).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
--- a/src/front/amqp/error.rs
+++ b/src/front/amqp/error.rs
@@ -1,6 +1,6 @@
 //! Errors in the AMQP front's own files.
 
-use crate::front::tls::TlsError;
+use crate::front::tls::TlsConfigError;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -38,7 +38,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with them.
-        source: TlsError,
+        source: TlsConfigError,
     },
     /// The system has no random numbers for a salt.
     Randomness(getrandom::Error),
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -270,7 +270,7 @@
         unchangeable
     }
 
-    fn counters(&self) -> Option<String> {
+    fn counter_line(&self) -> Option<String> {
         Some(format!(
             "clients={} servers={} forwarders={} forwarded={} buffered_bytes={} max_buffered_bytes={} \
              aborted={} logins_refused={} remembered={} resumed={} fate_unknown={}",
--- a/src/front/amqp/recovery.rs
+++ b/src/front/amqp/recovery.rs
@@ -1,4 +1,4 @@
-//! Link recovery (part 2 of the standard, sections 2.6.5 and 2.6.13): the deliveries of links that may be resumed,
+//! Link recovery (standard, sections 2.6.5 and 2.6.13): the deliveries of links that may be resumed,
 //! remembered so that none is run twice. Knows which still run and the states of those that are settled. Sans I/O.
 //!
 //! A link is identified by its peer's container, its user and its name. A link whose target requests a timeout is
--- a/src/front/amqp/replies.rs
+++ b/src/front/amqp/replies.rs
@@ -34,7 +34,7 @@
     Error { info: Some(info), ..Error::new(condition, description) }
 }
 
-/// Why the node closes a connection when it shuts down (part 2 of the standard, 2.8.16).
+/// Why the node closes a connection when it shuts down (standard, section 2.8.16).
 pub fn shutdown_error(redirect: Option<&Redirect>) -> Error {
     let Some(redirect) = redirect else {
         return Error::new(condition::CONNECTION_FORCED, "the node leaves");
--- /dev/null
+++ b/src/policy/migration.rs
@@ -0,0 +1,58 @@
+//! Migration of connections away from servers whose messages are late.
+
+use super::request::{Phase, Request, Requests};
+use super::server::ServerSet;
+use crate::random::{mix64, Rng};
+use crate::resilience::{least_valuable, value, Connection, LatencyResponse};
+use crate::vocabulary::{Action, Nanos, RequestId, ServerId, Settings};
+
+/// What a migration changes, and what it depends on.
+pub(super) struct Migration<'a> {
+    pub now: Nanos,
+    pub settings: &'a Settings,
+    pub servers: &'a mut ServerSet,
+    pub requests: &'a mut Requests,
+    pub rng: &'a mut Rng,
+    pub actions: &'a mut Vec<Action>,
+}
+
+impl Migration<'_> {
+    pub fn on_latency_report(&mut self, server: ServerId, latency: Nanos) {
+        let Some(health) = self.servers.health_mut(server) else { return };
+        match health.on_latency_report(self.settings, self.now, latency) {
+            LatencyResponse::None => {}
+            LatencyResponse::CheckHealth => self.actions.push(Action::HealthCheck(server)),
+            LatencyResponse::Migrate(fraction) => self.migrate(server, fraction),
+        }
+    }
+
+    pub fn on_health_check(&mut self, server: ServerId, utilization: Option<f64>) {
+        let health = self.servers.health_mut(server);
+        if let Some(fraction) = health.and_then(|health| health.on_health_check(utilization)) {
+            self.migrate(server, fraction);
+        }
+    }
+
+    /// Migrates a fraction of the connections at a server.
+    fn migrate(&mut self, server: ServerId, fraction: f64) {
+        let roll = self.rng.next_u64();
+        let in_flight = self.servers.get(server).in_flight.ids();
+        let connections = in_flight.filter_map(|id| self.connection(id, self.requests.get(&id)?));
+        for id in least_valuable(connections.collect(), fraction, roll) {
+            if let Some(request) = self.requests.get_mut(&id) {
+                request.is_over = true;
+                self.actions.push(Action::Migrate(id));
+            }
+        }
+    }
+
+    /// The request's connection, if it is established and may be migrated.
+    fn connection(&self, id: RequestId, request: &Request) -> Option<Connection> {
+        if request.phase != Phase::Established || request.is_over {
+            return None;
+        }
+        let weight = self.settings.classes[request.class].priority_weight;
+        let value = value(weight, request.cost, self.settings.weight_by_work);
+        Some(Connection { id, value, rank: mix64(id.0 ^ self.now) })
+    }
+}
--- /dev/null
+++ b/src/resilience/connection_value/tests.rs
@@ -0,0 +1,26 @@
+use super::{least_valuable, value, Connection};
+use crate::vocabulary::RequestId;
+
+fn connection(id: u64, value: f64, rank: u64) -> Connection {
+    Connection { id: RequestId(id), value, rank }
+}
+
+#[test]
+fn the_least_valuable_go_first_and_the_rank_decides_between_equals() {
+    let connections =
+        vec![connection(1, 2.0, 0), connection(2, 1.0, 9), connection(3, 1.0, 3), connection(4, 3.0, 0)];
+    let migrated: Vec<_> = least_valuable(connections, 0.75, 0).collect();
+    assert_eq!(migrated, [RequestId(3), RequestId(2), RequestId(1)]);
+}
+
+#[test]
+fn the_roll_rounds_up_or_down() {
+    let three = || (0..3).map(|id| connection(id, 1.0, id)).collect::<Vec<_>>();
+    assert_eq!(least_valuable(three(), 0.5, 0).count(), 1);
+    assert_eq!(least_valuable(three(), 0.5, u64::MAX).count(), 2);
+}
+
+#[test]
+fn the_value_is_the_weight_for_the_load() {
+    assert_eq!((value(6.0, 3, false), value(6.0, 0, false), value(6.0, 3, true)), (2.0, 6.0, 6.0));
+}
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -46,7 +46,7 @@
 }
 
 #[rstest]
-fn a_delivery_goes_on_as_it_came_but_for_its_ttl_and_is_accepted() {
+fn a_delivery_is_forwarded_unchanged_except_for_its_ttl_and_accepted() {
     let bench = bench(1);
     let mut client = client(&bench, CLASS);
     let sent = message(1200, "7f3a", b"wind 12");
@@ -114,7 +114,7 @@
 #[rstest]
 #[case::by_detach(true)]
 #[case::by_losing_the_connection(false)]
-fn a_link_lost_after_a_whole_transfer_may_have_run(#[case] detach: bool) {
+fn an_attempt_whose_link_is_lost_after_the_last_transfer_may_have_run(#[case] detach: bool) {
     let bench = bench(1);
     let mut client = client(&bench, "station-notes");
     client.deliver(0, &message(60_000, "7f3a", b"note"));
@@ -234,7 +234,7 @@
 }
 
 #[rstest]
-fn a_cold_server_is_sent_little_of_what_comes_at_once() {
+fn slow_start_limits_the_burst_sent_to_a_server_that_is_warming_up() {
     let mut bench = bench(2);
     let mut watch = bench.accept_watch();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
@@ -276,7 +276,7 @@
     assert_eq!(answer(&mut client), State::Accepted);
     let error = until!(client, Close).0.error.expect("why");
     assert_eq!(error.condition, condition::CONNECTION_FORCED);
-    assert!(bench.child.wait().expect("it ends").success());
+    assert!(bench.process.child.wait().expect("it ends").success());
 }
 
 /// How attempts go, in turn, at whichever server they come to.
@@ -370,7 +370,7 @@
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` is_valid a descriptor as a silent client of the text front does.
+/// A connection without an `open` uses a descriptor as a silent client of the text front does.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -293,7 +293,7 @@
     encode(&Value::composite(0x70, Vec::new()), &mut bytes);
     bytes
 })]
-#[case::two_bodies_of_a_kind_that_stands_alone({
+#[case::two_amqp_value_bodies({
     let mut bytes = Vec::new();
     encode(&Value::described(0x77, Value::Null), &mut bytes);
     encode(&Value::described(0x77, Value::Null), &mut bytes);
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -268,7 +268,7 @@
 }
 
 #[rstest]
-fn a_drain_that_the_client_asks_for_gives_its_credit_back() {
+fn a_drain_by_the_client_returns_its_credit() {
     let bench = bench(1);
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 5);
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -3,7 +3,7 @@
 
 mod cluster;
 
-use cluster::{plays, program, run, ConnectionQuota, Figures, Rig};
+use cluster::{block_on, program_under_test, Cluster, ClusterConfig, ConnectionQuota, TestPlan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -21,14 +21,15 @@
 const FLOOR_PERCENT: usize = 45;
 
 /// Six clients in ten can be connected at a time.
-fn figures(nodes: usize, clear_ms: u64) -> Figures {
-    let figures = Figures::of(nodes);
-    let total = figures.clients * 6 / 10;
-    Figures { quota: Some(ConnectionQuota { total, lease_ms: LEASE_MS, clear_ms }), ..figures }
+fn config(nodes: usize, clear_ms: u64) -> ClusterConfig {
+    let config = ClusterConfig::for_nodes(nodes);
+    let total = config.clients * 6 / 10;
+    let quota = ConnectionQuota { total, lease_ms: LEASE_MS, clear_ms };
+    ClusterConfig { quota: Some(quota), ..config }
 }
 
-fn total(figures: &Figures) -> usize {
-    figures.quota.expect("a quota").total
+fn total(config: &ClusterConfig) -> usize {
+    config.quota.expect("a quota").total
 }
 
 /// The auditor's finding of one run.
@@ -46,49 +47,53 @@
 }
 
 /// Plays a script with each seed.
-fn play(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Rig)) -> Vec<Audit> {
-    let (seeds, nodes) = plays(&[1], 12);
+fn play(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) -> Vec<Audit> {
+    let TestPlan { seeds, nodes } = TestPlan::from_env_or(&[1], 12);
     let mut audits = Vec::new();
     for seed in seeds {
-        let figures = figures(nodes, clear_ms);
-        let total = total(&figures);
-        let (max_open, instants) = run(async {
-            let mut rig = Rig::start(seed, figures, program()).await;
-            script(&mut rig).await;
-            let counted = rig.servers.most_open();
-            rig.end().await;
-            counted
+        let config = config(nodes, clear_ms);
+        let total = total(&config);
+        let peak = block_on(async {
+            let mut cluster = Cluster::start(seed, config, program_under_test()).await;
+            script(&mut cluster).await;
+            let peak = cluster.servers.connection_peak();
+            cluster.finish().await;
+            peak
         });
-        println!("{story} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={instants}");
+        let max_open = peak.max_open;
+        println!(
+            "{story} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={}",
+            peak.counted
+        );
         audits.push(Audit { max_open, total });
     }
     audits
 }
 
 /// Plays a script with each seed; the total is never exceeded.
-fn play_within_total(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Rig)) {
+fn play_within_total(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) {
     let audits = play(story, clear_ms, script);
     assert!(!audits.iter().any(Audit::exceeds_total), "{story}: {audits:?}");
 }
 
 /// Waits until nine tenths of the quota are in use.
-async fn until_quota_is_used(rig: &mut Rig, what: &str) {
-    let wanted = total(&rig.world.figures) * 9 / 10;
-    rig.until(what, RECOVERY_SECONDS, |rig| rig.servers.open() >= wanted).await;
-    rig.seconds(2).await;
+async fn until_quota_is_used(cluster: &mut Cluster, what: &str) {
+    let wanted = total(&cluster.shared.config) * 9 / 10;
+    cluster.wait_until(what, RECOVERY_SECONDS, |cluster| cluster.servers.open_connections() >= wanted).await;
+    cluster.run_for_secs(2).await;
 }
 
 #[test]
 fn killed_and_restarted_holders_never_exceed_the_total() {
-    play_within_total("holders killed", SHORT_CLEAR_MS, async |rig| {
-        until_quota_is_used(rig, "the quota is in use").await;
-        let killed: Vec<usize> = (1..=rig.world.figures.nodes / 3).collect();
-        rig.kill(&killed);
-        until_quota_is_used(rig, "the others have the allotments of the killed nodes").await;
-        let known = rig.servers.list();
-        rig.restart(&killed, &known);
-        rig.seconds(6).await;
-        until_quota_is_used(rig, "all have allotments again").await;
+    play_within_total("holders killed", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
+        let killed: Vec<usize> = (1..=cluster.shared.config.nodes / 3).collect();
+        cluster.kill(&killed);
+        until_quota_is_used(cluster, "the others have the allotments of the killed nodes").await;
+        let known = cluster.servers.complete_list_json();
+        cluster.restart(&killed, &known);
+        cluster.run_for_secs(6).await;
+        until_quota_is_used(cluster, "all have allotments again").await;
     });
 }
 
@@ -96,20 +101,20 @@
 /// expired.
 #[test]
 fn restarted_grantor_without_lease_table_never_exceeds_the_total() {
-    play_within_total("the grantor killed", SHORT_CLEAR_MS, async |rig| {
-        until_quota_is_used(rig, "the quota is in use").await;
-        rig.kill(&[0]);
-        rig.millis(300).await;
-        let known = rig.servers.list();
-        rig.restart(&[0], &known);
-        rig.seconds(4).await;
-        until_quota_is_used(rig, "leases are granted again").await;
-        rig.kill(&[0]);
-        rig.seconds(4).await;
+    play_within_total("the grantor killed", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
+        cluster.kill(&[0]);
+        cluster.run_for_millis(300).await;
+        let known = cluster.servers.complete_list_json();
+        cluster.restart(&[0], &known);
+        cluster.run_for_secs(4).await;
+        until_quota_is_used(cluster, "leases are granted again").await;
+        cluster.kill(&[0]);
+        cluster.run_for_secs(4).await;
         // Nobody grants leases: each of the other nodes has its floor.
-        let nodes = rig.world.figures.nodes;
-        let floors = total(&rig.world.figures) * FLOOR_PERCENT / 100 / nodes * (nodes - 1);
-        let open = rig.servers.open();
+        let nodes = cluster.shared.config.nodes;
+        let floors = total(&cluster.shared.config) * FLOOR_PERCENT / 100 / nodes * (nodes - 1);
+        let open = cluster.servers.open_connections();
         assert!(open <= floors, "{open} are open on floors of {floors}");
         assert!(open * 2 >= floors, "service goes on: {open} of {floors}");
     });
@@ -119,35 +124,35 @@
 /// connections, while it restarts.
 #[test]
 fn grantor_restart_while_holders_are_stopped_never_exceeds_the_total() {
-    play_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |rig| {
-        until_quota_is_used(rig, "the quota is in use").await;
-        let nodes = rig.world.figures.nodes;
+    play_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
+        let nodes = cluster.shared.config.nodes;
         let stopped: Vec<usize> = (nodes / 3..nodes).collect();
         for node in &stopped {
-            rig.nodes.stop(*node);
+            cluster.nodes.pause(*node);
         }
-        rig.kill(&[0]);
-        let known = rig.servers.list();
-        rig.restart(&[0], &known);
-        rig.seconds(5).await;
+        cluster.kill(&[0]);
+        let known = cluster.servers.complete_list_json();
+        cluster.restart(&[0], &known);
+        cluster.run_for_secs(5).await;
         for node in &stopped {
-            rig.nodes.go_on(*node);
+            cluster.nodes.resume(*node);
         }
-        rig.seconds(2).await;
+        cluster.run_for_secs(2).await;
     });
 }
 
 /// Stopped nodes keep their sockets for longer than their leases: their connections count until `clear_ms` has passed.
 #[test]
 fn holders_stopped_past_their_lease_never_exceed_the_total() {
-    let stop_two_nodes = async |rig: &mut Rig| {
-        until_quota_is_used(rig, "the quota is in use").await;
-        rig.nodes.stop(1);
-        rig.nodes.stop(2);
-        rig.seconds(5).await;
-        rig.nodes.go_on(1);
-        rig.nodes.go_on(2);
-        rig.seconds(3).await;
+    let stop_two_nodes = async |cluster: &mut Cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
+        cluster.nodes.pause(1);
+        cluster.nodes.pause(2);
+        cluster.run_for_secs(5).await;
+        cluster.nodes.resume(1);
+        cluster.nodes.resume(2);
+        cluster.run_for_secs(3).await;
     };
     play_within_total("holders stopped", LONG_CLEAR_MS, stop_two_nodes);
     // The auditor detects it if the file says that such connections are gone at once, and they are not.
@@ -158,18 +163,18 @@
 /// A frame that cannot be decoded ends its connection to the grantor, and leases are granted as before.
 #[test]
 fn undecodable_frames_end_their_connection_to_the_grantor() {
-    play_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |rig| {
-        until_quota_is_used(rig, "the quota is in use").await;
+    play_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |cluster| {
+        until_quota_is_used(cluster, "the quota is in use").await;
         let other_version = [0, 0, 0, 2, 9, 0];
         let longer_than_any = [0xff; 8];
         let incomplete = [0, 0, 0, 9, 1];
         for bytes in [&other_version[..], &longer_than_any, &incomplete] {
-            let grantor = rig.nodes.member_address(0);
+            let grantor = cluster.nodes.member_address(0);
             let mut caller = tokio::net::TcpStream::connect(grantor).await.expect("it listens");
             caller.write_all(bytes).await.expect("it takes them");
             let end = tokio::time::timeout(CLOSE_TIMEOUT, caller.read(&mut [0; 8])).await;
             assert!(matches!(end, Ok(Ok(0) | Err(_))), "{bytes:?}: {end:?}");
         }
-        until_quota_is_used(rig, "leases are granted").await;
+        until_quota_is_used(cluster, "leases are granted").await;
     });
 }
