--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -1,5 +1,5 @@
-//! Stories of links that come again (part 2, 2.6.13): what was settled is not run again, what runs is
-//! waited for, and what nobody knows is told as such.
+//! Links that are resumed (standard, section 2.6.13): a settled delivery is not run again, a running one goes on, and
+//! one of unknown fate is answered so.
 
 mod support;
 
@@ -13,7 +13,7 @@
     Bench::with(vec![listener()], Some(on))
 }
 
-/// Attaches a link that may come again for so many seconds, with what its client holds to be unsettled.
+/// Attaches a link that may be resumed for so many seconds, with the client's unsettled map.
 /// Gives the node's unsettled map.
 fn attach(client: &mut AmqpPeer, seconds: u32, unsettled: &[u8]) -> Vec<(Value, Value)> {
     let timeout = Some(seconds).filter(|seconds| *seconds > 0);
@@ -94,7 +94,7 @@
 }
 
 #[rstest]
-fn what_ends_while_the_link_is_away_is_told_when_it_comes_again() {
+fn a_resumed_link_learns_the_state_of_a_delivery_settled_meanwhile() {
     let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut first = client(&bench);
     attach(&mut first, 10, &[]);
@@ -111,7 +111,7 @@
 }
 
 #[rstest]
-fn a_link_that_is_detached_and_not_closed_comes_again_on_its_session() {
+fn a_link_detached_without_close_is_resumed_on_its_session() {
     let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = client(&bench);
     attach(&mut client, 0, &[]);
@@ -130,7 +130,7 @@
 }
 
 #[rstest]
-fn what_nobody_knows_is_told_as_such_and_not_run() {
+fn a_resumed_delivery_of_unknown_fate_is_answered_so_and_not_run() {
     let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = client(&bench);
     // The node was restarted, or has forgotten: it knows nothing of this link.
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -126,7 +126,7 @@
 }
 
 #[rstest]
-fn a_large_message_goes_on_as_it_comes_and_is_never_held_whole() {
+fn a_large_message_is_streamed_and_never_buffered_completely() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
     let mut bench = Bench::with(vec![listener()], Some(on));
     let mut client = client(&bench);
@@ -143,8 +143,8 @@
     assert!(bytes.ends_with(&body), "the body is unchanged");
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
-    let held = counter_value(&bench.front_counters("amqp"), "held_most");
-    assert!(held < 350_000, "{held} octets were held");
+    let buffered = counter_value(&bench.front_counters("amqp"), "max_buffered_bytes");
+    assert!(buffered < 350_000, "{buffered} octets were buffered");
 }
 
 #[rstest]
@@ -296,7 +296,7 @@
 }
 
 #[rstest]
-fn a_long_message_holds_up_its_own_lane_and_no_other_client() {
+fn a_long_message_delays_its_own_link_and_no_other_client() {
     let bench = bench(1);
     let mut slow = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 30_000]);
@@ -573,7 +573,7 @@
 
 /// Three messages of 1 MiB at once, to a server that reads slowly: what is held stays within its bound.
 #[rstest]
-fn a_server_that_reads_slowly_holds_its_clients_up_and_not_the_nodes_memory() {
+fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
     let mut bench = Bench::with(vec![listener()], Some(on));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
@@ -614,6 +614,6 @@
     for hand in writing {
         assert_eq!(hand.join().expect("a terminal's thread"), State::Accepted);
     }
-    let held = counter_value(&bench.front_counters("amqp"), "held_most");
-    assert!(held < 450_000, "{held} octets were held");
+    let buffered = counter_value(&bench.front_counters("amqp"), "max_buffered_bytes");
+    assert!(buffered < 450_000, "{buffered} octets were buffered");
 }
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -8,7 +8,7 @@
 
 const CLASS: &str = "live-readings";
 
-/// What a process holds resident, in MB.
+/// The resident memory of a process, in MB.
 fn resident(pid: u32) -> f64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
     let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS");
@@ -36,9 +36,9 @@
             assert!(until!(client, Flow).0.link_credit > Some(0));
         }
     }
-    let held = resident(bench.process.child.id());
-    assert!(held < 32.0, "{held:.1} MB for 10,000 links");
-    println!("{held:.1} MB resident with 10,000 links");
+    let resident_mb = resident(bench.process.child.id());
+    assert!(resident_mb < 32.0, "{resident_mb:.1} MB for 10,000 links");
+    println!("{resident_mb:.1} MB resident with 10,000 links");
     // The last link of each connection carries a delivery.
     for client in &mut clients {
         client.send(99, 0, &message(60_000, "7f3a", b"reading"));
