--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -238,7 +238,7 @@
             overload_after: rules.overload_after_ns,
             quota_connections: family_info.tenant_quota_connections.iter().sum(),
             quota_setups_per_second: quota_setups_per_second(&document.tenants),
-            probes: limits.probes && reports_load,
+            health_checks: limits.probes && reports_load,
         }
     }
 }
