--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -11,7 +11,9 @@
 
 use hdrhistogram::Histogram;
 use rustix::event::epoll;
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsFd;
@@ -74,7 +76,7 @@
         }
     }
 
-    /// What came, event by event.
+    /// Handles the received events.
     fn events(&mut self, mut on: impl FnMut(&mut Connection, Event<'_>)) {
         let input = std::mem::take(&mut self.input);
         let mut left = &input[..];
@@ -179,7 +181,7 @@
             let mine = count / threads + usize::from(thread < count % threads);
             let (payload, left, ready) = (payload.to_vec(), left.clone(), ready.clone());
             let rate = rate.map(|rate| rate / threads as f64);
-            std::thread::spawn(move || crowd(addr, mine, &left, &payload, ahead, rate, &ready))
+            std::thread::spawn(move || run_clients(addr, mine, &left, &payload, ahead, rate, &ready))
         })
         .collect();
     let mut latency = Histogram::new(3).expect("a histogram");
@@ -191,7 +193,7 @@
     Run { seconds: started.elapsed().as_secs_f64(), cpu: cpu(pid) - before, latency }
 }
 
-fn crowd(
+fn run_clients(
     addr: SocketAddr,
     count: usize,
     left: &AtomicU64,
@@ -350,11 +352,11 @@
     let rate = 20_000.0;
     let through = clients(pid, addr, 64, items / 4, &small, 64, Some(rate)).latency;
     let without = clients(pid, direct, 64, items / 4, &small, 64, Some(rate)).latency;
-    for part in [0.5, 0.99, 0.999] {
-        let ms = |h: &Histogram<u64>| h.value_at_quantile(part) as f64 / 1e6;
+    for quantile in [0.5, 0.99, 0.999] {
+        let ms = |h: &Histogram<u64>| h.value_at_quantile(quantile) as f64 / 1e6;
         println!(
             "p{:<5} at {rate:.0} a second: {:.2} ms through the node, {:.2} ms at a region directly",
-            part * 100.0,
+            quantile * 100.0,
             ms(&through),
             ms(&without)
         );
--- a/crates/amqp/benches/codec.rs
+++ b/crates/amqp/benches/codec.rs
@@ -4,7 +4,9 @@
 use fe2o3_amqp_types::messaging as msg;
 use fe2o3_amqp_types::performatives as theirs;
 use serde_amqp::{from_slice, to_vec};
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    encode, read_frame, write_frame, Disposition, Message, Performative, State, Tag, Transfer, Value, AMQP,
+};
 use std::hint::black_box;
 use std::time::Instant;
 
--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -3,7 +3,11 @@
 use fe2o3_amqp_types::performatives as theirs;
 use proptest::prelude::*;
 use rstest::rstest;
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    decode, encode, read_frame, write_frame, Attach, Begin, Close, DecodeError, Detach, Disposition, End,
+    Error, Flow, Message, Open, Performative, Source, State, Symbol, Tag, Target, Terminus, Transfer, Value,
+    AMQP,
+};
 
 fn value() -> impl Strategy<Value = Value> {
     let leaf = prop_oneof![
@@ -71,7 +75,7 @@
         let _ = read_frame(&mut &bytes[..], 4096);
     }
 
-    /// A value that is only checked is held to the same as one that is kept, but for a map's keys.
+    /// A value that is only checked has to meet the same rules as one that is decoded, except for a map's keys.
     #[test]
     fn a_message_is_checked_as_it_would_be_decoded(value in value(), at in 0usize..400, to in any::<u8>()) {
         let mut bytes = Vec::new();
@@ -80,9 +84,9 @@
         bytes[at] = to;
         let mut left = &bytes[..];
         let decoded = decode(&mut left);
-        let whole = left.is_empty();
+        let is_complete = left.is_empty();
         let checked = Message::decode(&bytes);
-        if decoded.is_ok() && whole && bytes[..3] == [0x00, 0x53, 0x77] {
+        if decoded.is_ok() && is_complete && bytes[..3] == [0x00, 0x53, 0x77] {
             prop_assert!(checked.is_ok(), "{:?} {:?}", decoded, checked);
         }
         if checked.is_ok() && bytes[..3] == [0x00, 0x53, 0x77] {
@@ -112,7 +116,7 @@
     let mut frame = ((written.len() + 8) as u32).to_be_bytes().to_vec();
     frame.extend([2, AMQP, 0, 0]);
     frame.extend(written);
-    let back = read_frame(&mut &frame[..], 4096).expect("sound").expect("whole");
+    let back = read_frame(&mut &frame[..], 4096).expect("sound").expect("is_complete");
     assert_eq!(back.body, Some(body));
 }
 
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -4,7 +4,12 @@
 //! 256 cases each in CI. Longer: `PROPTEST_CASES=1000000 cargo test --release -p sparbank-amqp --test fuzz`.
 
 use proptest::prelude::*;
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach,
+    Disposition, Error, Event, Flow, Head, Mechanism, Message, Open, Outgoing, Performative, Role, SaslInit,
+    SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer, Value, AMQP,
+    SASL,
+};
 
 const BOUNDS: fn() -> Settings = || Settings {
     channel_max: 2,
@@ -129,7 +134,7 @@
     ]
 }
 
-/// What the user does when it is asked something.
+/// What the user does when it has to answer an event.
 #[derive(Clone, Copy, Debug)]
 enum Answer {
     Accept,
@@ -264,8 +269,8 @@
             loop {
                 match conn.next_event(0, &mut left) {
                     Ok(Some(Event::SaslRequest(SaslRequest::ScramKeys { .. }))) => conn.provide_scram_keys(None, b"salt", "nonce"),
-                    Ok(Some(Event::SaslRequest(asked))) => {
-                        let proven = matches!(asked, SaslRequest::ScramProof { is_valid: true, .. });
+                    Ok(Some(Event::SaslRequest(request))) => {
+                        let proven = matches!(request, SaslRequest::ScramProof { is_valid: true, .. });
                         prop_assert!(!proven, "nobody proves what nobody knows");
                         conn.finish_sasl(verdict);
                     }
@@ -306,16 +311,16 @@
         encode(&Value::composite(0x70, vec![Value::Null, Value::Null, Value::Uint(ttl)]), &mut bytes);
         encode(&Value::described(0x74, Value::Map(vec![(Value::text("key"), Value::text(&key))])), &mut bytes);
         encode(&Value::described(0x75, Value::Binary(body)), &mut bytes);
-        let whole = Message::decode(&bytes).expect("sound");
-        prop_assert_eq!(whole.head.ttl, Some(ttl));
-        prop_assert_eq!(whole.property("key"), Some(key.clone()));
+        let complete = Message::decode(&bytes).expect("sound");
+        prop_assert_eq!(complete.head.ttl, Some(ttl));
+        prop_assert_eq!(complete.property("key"), Some(key.clone()));
         let cut = cut.min(bytes.len());
         if let Some(head) = Head::read(&bytes[..cut]).expect("a prefix is never wrong") {
-            prop_assert_eq!(&head, &whole.head);
+            prop_assert_eq!(&head, &complete.head);
         }
-        let on = whole.encode(7);
+        let on = complete.encode(7);
         let passed = Message::decode(&on).expect("sound");
         prop_assert_eq!(passed.head.ttl, Some(7));
-        prop_assert_eq!(&on[passed.head.after_header()..], &bytes[whole.head.after_header()..]);
+        prop_assert_eq!(&on[passed.head.after_header()..], &bytes[complete.head.after_header()..]);
     }
 }
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -3,7 +3,11 @@
 
 use proptest::prelude::*;
 use rstest::rstest;
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    condition, read_frame, write_frame, Attach, Connection, Credentials, Error, Event, Fault,
+    IncomingTransfer, LinkId, Mechanism, Outgoing, Pbkdf2, Performative, Role, SaltedKeys, SaslRequest,
+    Settings, State, Tag, Target, Terminus, Transfer, AMQP,
+};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Two ends and the octets between them.
@@ -28,7 +32,7 @@
                 transfer: IncomingTransfer { id, tag, first, last, aborted, settled, resume, payload },
             }
         }
-        Event::SaslRequest(asked) => Event::SaslRequest(asked),
+        Event::SaslRequest(request) => Event::SaslRequest(request),
         Event::Opened {} => Event::Opened {},
         Event::Began { channel } => Event::Began { channel },
         Event::Ended { channel } => Event::Ended { channel },
@@ -81,11 +85,11 @@
         let attach = Attach { target, ..Default::default() };
         let ours = pair.ends[0].attach(channel, "l", Role::Sender, attach).expect("room");
         pair.settle_down();
-        let asks = pair.events[1].iter().find_map(|event| match event {
+        let requested = pair.events[1].iter().find_map(|event| match event {
             Event::AttachRequested { link, role: Role::Receiver, attach } => Some((*link, attach.clone())),
             _ => None,
         });
-        let (theirs, attach) = asks.expect("the link is asked for");
+        let (theirs, attach) = requested.expect("the link is requested");
         pair.ends[1].accept_link(theirs, Attach { target: attach.target, ..Default::default() });
         pair.settle_down();
         pair.events.iter_mut().for_each(VecDeque::clear);
@@ -131,17 +135,17 @@
         let _ = second;
         let (mut next_key, mut sending) = (0u64, None::<u64>);
         let mut open: BTreeMap<u64, ()> = BTreeMap::new();
-        let mut whole: VecDeque<u32> = VecDeque::new();
+        let mut complete: VecDeque<u32> = VecDeque::new();
         let (mut granted, mut begun) = (0u32, 0u32);
         let finish = |pair: &mut Pair,
-                          whole: &mut VecDeque<u32>,
+                          complete: &mut VecDeque<u32>,
                           open: &mut BTreeMap<u64, ()>,
                           begun: &mut u32| {
             while let Some(event) = pair.events[1].pop_front() {
                 if let Event::Transfer { transfer, .. } = event {
                     *begun += u32::from(transfer.first);
                     if transfer.last && !transfer.aborted {
-                        whole.push_back(transfer.id);
+                        complete.push_back(transfer.id);
                     }
                 }
             }
@@ -178,14 +182,14 @@
                     }
                 }
                 Step::Settle => {
-                    if let Some(id) = whole.pop_front() {
+                    if let Some(id) = complete.pop_front() {
                         pair.ends[1].settle(theirs.channel, id, State::Accepted);
                     }
                 }
                 Step::Carry(from, most) => pair.carry(from, most).expect("both keep to the standard"),
                 Step::Drain => pair.ends[0].return_credit(ours),
             }
-            finish(&mut pair, &mut whole, &mut open, &mut begun);
+            finish(&mut pair, &mut complete, &mut open, &mut begun);
             prop_assert!(begun <= granted, "{begun} deliveries on a credit of {granted}");
         }
         // Whatever is on its way comes through, is settled, and nothing is left over.
@@ -196,8 +200,8 @@
                 }
             }
             pair.settle_down();
-            finish(&mut pair, &mut whole, &mut open, &mut begun);
-            while let Some(id) = whole.pop_front() {
+            finish(&mut pair, &mut complete, &mut open, &mut begun);
+            while let Some(id) = complete.pop_front() {
                 pair.ends[1].settle(theirs.channel, id, State::Accepted);
             }
         }
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -195,8 +195,8 @@
     let mut client = client(&bench, CLASS);
     let (handle, delivery_id) = (Some(0), Some(0));
     let delivery_tag = Tag::new(b"t");
-    let part = Transfer { handle, delivery_id, delivery_tag, more: Some(true), ..Default::default() };
-    client.put(part);
+    let transfer = Transfer { handle, delivery_id, delivery_tag, more: Some(true), ..Default::default() };
+    client.put(transfer);
     client.put(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
     client.deliver(1, &message(60_000, "7f3a", b"gone"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
@@ -241,7 +241,7 @@
     let entry = instance(1, bench.servers[1].local_addr().expect("bound"), "ready")
         .replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, now.as_millis()));
     bench.send_endpoint(&mut watch, &entry);
-    // The watch ends after the list, so that its loss shows that the list was heard.
+    // The watch ends after the list, so that its loss shows that the list was applied.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("list-lost");
     let scripts = [Script::default(), Script::default()];
@@ -255,9 +255,9 @@
         client.deliver(id, &message(60_000, &format!("{id:x}"), b"reading"));
         assert_eq!(answer(&mut client), State::Accepted);
     }
-    // The module lets one go there in the time in which a cold server falls over, some two seconds.
-    let cold = 12 - scripts[1].lock().expect("no test thread failed").len();
-    assert!(cold <= 3, "{cold} of 12");
+    // The module lets one go there in the time in which a server that is warming up would be overloaded, some two seconds.
+    let sent = 12 - scripts[1].lock().expect("no test thread failed").len();
+    assert!(sent <= 3, "{sent} of 12");
 }
 
 #[rstest]
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -18,7 +18,7 @@
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 
 /// A server on the library's own acceptors: it accepts whatever is sent, and sends three readings on each
-/// link that asks.
+/// link that requests it.
 async fn server(listener: TcpListener, sasl: bool) {
     listener.set_nonblocking(true).expect("non-blocking");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
@@ -58,7 +58,7 @@
                 let outcome = sender.send(format!("reading {n}")).await.expect("an outcome");
                 assert!(matches!(outcome, Outcome::Accepted(_)));
             }
-            // The link stands until somebody ends it.
+            // The link is attached until one side detaches it.
             std::future::pending::<()>().await;
         }
     }
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -256,11 +256,11 @@
         let state = Some(State::Accepted);
         client.put(Disposition { role, first, last, settled, state, ..Default::default() });
     }
-    client.put(Flow { echo: Some(true), ..whole_flow() });
+    client.put(Flow { echo: Some(true), ..complete_flow() });
     until!(client, Flow);
 }
 
-fn whole_flow() -> Flow {
+fn complete_flow() -> Flow {
     Flow {
         next_incoming_id: Some(0),
         incoming_window: Some(100),
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -25,17 +25,17 @@
     Source { address: Some(address.into()), ..Default::default() }
 }
 
-/// Asks for what a class sends, without waiting for the answer.
-fn ask(client: &mut AmqpPeer, handle: u32) {
+/// Attaches a receiving link from a class, without waiting for the answer.
+fn attach_receiver(client: &mut AmqpPeer, handle: u32) {
     let (name, role) = (Some(format!("from-{handle}")), Some(true));
     let (source, target) = (Some(from(CLASS)), Some(Terminus::Target(Default::default())));
     client.put(Attach { name, handle: Some(handle), role, source, target, ..Default::default() });
 }
 
-/// A client whose link stands at a server, which sends at handle 7.
+/// A client with an established link from a server, which sends at handle 7.
 fn standing(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
     let mut client = client(bench);
-    ask(&mut client, 0);
+    attach_receiver(&mut client, 0);
     let (at, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 1000, 65536);
     assert_eq!(server.source(7).source.expect("passed on").address.as_deref(), Some(CLASS));
@@ -80,7 +80,7 @@
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 10);
     until!(server, Flow);
-    let part = |id: u32, more: bool, aborted: bool| Transfer {
+    let transfer = |id: u32, more: bool, aborted: bool| Transfer {
         handle: Some(7),
         delivery_id: Some(id),
         delivery_tag: Tag::new(&[id as u8]),
@@ -88,12 +88,12 @@
         aborted: Some(aborted),
         ..Default::default()
     };
-    server.put_kind(0, part(0, true, false).into(), &[1; 10_000]);
+    server.put_kind(0, transfer(0, true, false).into(), &[1; 10_000]);
     assert_eq!(until!(client, Transfer).0.more, Some(true));
-    server.put(part(0, false, true));
+    server.put(transfer(0, false, true));
     assert_eq!(until!(client, Transfer).0.aborted, Some(true));
-    server.put_kind(0, part(1, true, false).into(), &[2; 10_000]);
-    server.put_kind(0, part(1, false, false).into(), &[3; 10_000]);
+    server.put_kind(0, transfer(1, true, false).into(), &[2; 10_000]);
+    server.put_kind(0, transfer(1, false, false).into(), &[3; 10_000]);
     let mut size = 0;
     loop {
         let (transfer, payload) = until!(client, Transfer);
@@ -109,8 +109,8 @@
 fn a_server_that_refuses_is_passed_over_and_when_all_do_the_client_hears_when_to_come_again() {
     let bench = bench(2);
     let mut client = client(&bench);
-    ask(&mut client, 0);
-    // Both servers refuse: each is asked until the attempts are used up.
+    attach_receiver(&mut client, 0);
+    // Both servers refuse: each is attempted until no retry is left.
     for listener in &bench.servers {
         let listener = listener.try_clone().expect("a second handle");
         std::thread::spawn(move || {
@@ -146,14 +146,14 @@
 fn a_server_that_never_answers_the_attach_is_given_up_for_another() {
     let bench = bench(2);
     let mut client = client(&bench);
-    ask(&mut client, 0);
+    attach_receiver(&mut client, 0);
     let (at, peer) = accept_any(&bench.servers);
     let mut silent = AmqpPeer::server(peer, 100, 65536);
     until!(silent, Attach);
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.source(7);
     assert!(until!(client, Attach).0.source.is_some());
-    // The first one is told that nobody waits there any more.
+    // The first one is notified that no request waits there any more.
     until!(silent, Detach);
     let counters = bench.stop();
     assert_eq!([counter_value(&counters, "attempt_timeout"), counter_value(&counters, "served")], [1, 1]);
@@ -170,7 +170,7 @@
     assert!(killed.elapsed() < Duration::from_secs(1));
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
     // It comes again; this time the server says nothing more, not even a heartbeat.
-    ask(&mut client, 0);
+    attach_receiver(&mut client, 0);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.source(7);
     until!(client, Attach);
@@ -241,7 +241,7 @@
     let bench = bench(1);
     let (mut slow, _, mut server) = standing(&bench);
     let mut quick = client(&bench);
-    ask(&mut quick, 0);
+    attach_receiver(&mut quick, 0);
     server.source(8);
     until!(quick, Attach);
     quick.grant(0, 0, 1000);
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -18,13 +18,13 @@
 fn attach(client: &mut AmqpPeer, seconds: u32, unsettled: &[u8]) -> Vec<(Value, Value)> {
     let timeout = Some(seconds).filter(|seconds| *seconds > 0);
     let target = Target { address: Some(CLASS.into()), timeout, ..Default::default() };
-    let held = unsettled.iter().map(|tag| (Value::Binary(vec![*tag]), Value::Null)).collect();
+    let map = unsettled.iter().map(|tag| (Value::Binary(vec![*tag]), Value::Null)).collect();
     client.put(Attach {
         name: Some("feed".into()),
         handle: Some(0),
         role: Some(false),
         target: Some(Terminus::Target(target)),
-        unsettled: (!unsettled.is_empty()).then_some(Value::Map(held)),
+        unsettled: (!unsettled.is_empty()).then_some(Value::Map(map)),
         initial_delivery_count: Some(0),
         ..Default::default()
     });
@@ -164,7 +164,7 @@
     until!(other, Begin);
     attach(&mut other, 10, &[]);
     drop(first);
-    // Its time over, the request is left, and its server is told that nobody waits.
+    // After its timeout the request is abandoned, and its server is notified.
     until!(server, Disposition);
     assert_eq!([bench.counter("client_disconnected"), bench.counter("requests")], [1, 1]);
     let mut second = client(&bench);
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -27,10 +27,10 @@
     until!(client, Disposition).0.state.expect("a state")
 }
 
-/// Sends a delivery in parts of this size.
-fn deliver_in_parts(client: &mut AmqpPeer, id: u32, message: &[u8], part: usize) {
-    let count = message.len().div_ceil(part);
-    for (at, piece) in message.chunks(part).enumerate() {
+/// Sends a delivery in transfers of this size.
+fn deliver_in_transfers(client: &mut AmqpPeer, id: u32, message: &[u8], transfer_bytes: usize) {
+    let count = message.len().div_ceil(transfer_bytes);
+    for (at, piece) in message.chunks(transfer_bytes).enumerate() {
         let transfer = Transfer {
             handle: Some(0),
             delivery_id: Some(id),
@@ -42,8 +42,8 @@
     }
 }
 
-/// A whole message, put together from its transfers.
-fn whole(server: &mut AmqpPeer) -> (u32, Vec<u8>) {
+/// The next complete message, put together from its transfers.
+fn receive_message(server: &mut AmqpPeer) -> (u32, Vec<u8>) {
     let (mut id, mut bytes) = (None, Vec::new());
     loop {
         let (transfer, payload) = until!(server, Transfer);
@@ -65,7 +65,7 @@
     client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
-    let (id, bytes) = whole(&mut server);
+    let (id, bytes) = receive_message(&mut server);
     assert!(bytes.len() > size);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
@@ -78,7 +78,7 @@
     client.deliver(0, &message(5000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server_without_sasl(&bench.servers[0], 100);
     server.link(10, 100);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     assert_eq!(counter_value(&bench.stop(), "sent"), 1);
@@ -93,7 +93,7 @@
     let (attach, _) = until!(server, Attach);
     server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
     server.flow(10, 0, 100);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
 }
@@ -120,7 +120,7 @@
     client.deliver(1, &addressed(CLASS, None, 5000, b"x"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
 }
@@ -135,10 +135,10 @@
     // The client writes from a thread of its own: the node reads on only as the server does.
     let mut writer = client.try_clone();
     let copy = sent.clone();
-    let writing = std::thread::spawn(move || deliver_in_parts(&mut writer, 0, &copy, 12_000));
+    let writing = std::thread::spawn(move || deliver_in_transfers(&mut writer, 0, &copy, 12_000));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 10_000, 16_384);
     server.link(10, 10_000);
-    let (id, bytes) = whole(&mut server);
+    let (id, bytes) = receive_message(&mut server);
     writing.join().expect("all written");
     assert!(bytes.ends_with(&body), "the body is unchanged");
     server.settle(id, State::Accepted);
@@ -153,7 +153,7 @@
         let on = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
         let bench = Bench::with((0..2).map(|_| listener()).collect(), Some(&on));
         let mut client = client(&bench);
-        deliver_in_parts(&mut client, 0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
+        deliver_in_transfers(&mut client, 0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
         let (at, peer) = accept_any(&bench.servers);
         let mut server = AmqpPeer::server(peer, 40, 4096);
         server.link(10, 40);
@@ -164,7 +164,7 @@
         if tried == 2 {
             let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 1000, 65536);
             other.link(10, 1000);
-            let (id, _) = whole(&mut other);
+            let (id, _) = receive_message(&mut other);
             other.settle(id, State::Accepted);
             assert_eq!(answer(&mut client), State::Accepted);
         } else {
@@ -239,7 +239,7 @@
     let bench = bench(1);
     let mut client = client(&bench);
     let sent = message(60_000, "7f3a", &[9; 20_000]);
-    deliver_in_parts(&mut client, 0, &sent, 5000);
+    deliver_in_transfers(&mut client, 0, &sent, 5000);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1, 512);
     server.link(10, 1);
     let (mut frames, mut size, mut id) = (0u32, 0, None);
@@ -276,7 +276,7 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.link(1, 1000);
     for count in 1..=100u32 {
-        let (id, _) = whole(&mut server);
+        let (id, _) = receive_message(&mut server);
         server.settle(id, State::Accepted);
         server.put(Flow {
             next_incoming_id: Some(count),
@@ -318,7 +318,7 @@
     let (name, target) = (attach.name, attach.target);
     server.put(Attach { name, handle: Some(8), role: Some(true), target, ..Default::default() });
     server.grant(8, 0, 10);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut quick), State::Accepted);
 }
@@ -333,7 +333,7 @@
         client.deliver(0, &message(5000, "7f3a", b"reading"));
         let mut server = AmqpPeer::narrow_server(Peer::accept(&bench.servers[0]));
         server.link(10, 100);
-        let (id, _) = whole(&mut server);
+        let (id, _) = receive_message(&mut server);
         server.settle(id, State::Accepted);
         assert_eq!(answer(&mut client), State::Accepted);
         servers.push(server);
@@ -357,7 +357,7 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     for _ in 0..2 {
-        let (id, _) = whole(&mut server);
+        let (id, _) = receive_message(&mut server);
         server.settle(id, State::Accepted);
     }
     let (d, _) = until!(client, Disposition);
@@ -383,14 +383,14 @@
     client.deliver(0, &message(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     let (d, _) = until!(client, Disposition);
     assert_eq!((d.settled, d.state), (None, Some(State::Accepted)));
     let (role, first, settled) = (Some(false), Some(0), Some(true));
     client.put(Disposition { role, first, settled, ..Default::default() });
     client.deliver(1, &message(60_000, "7f3a", b"the session goes on"));
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(until!(client, Disposition).0.first, Some(1));
 }
@@ -406,7 +406,7 @@
     server.link(10, 100);
     let mut last = 0;
     for _ in 0..10 {
-        last = whole(&mut server).0;
+        last = receive_message(&mut server).0;
     }
     let (role, first, last, settled) = (Some(true), Some(0), Some(last), Some(true));
     server.put(Disposition { role, first, last, settled, state: Some(State::Accepted), batchable: None });
@@ -436,7 +436,7 @@
     server.put(Detach { handle: Some(7), closed: Some(true), error });
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.link(10, 100);
-    let (id, _) = whole(&mut other);
+    let (id, _) = receive_message(&mut other);
     other.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
@@ -462,7 +462,7 @@
     }
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
     other.link(10, 100);
-    let (id, _) = whole(&mut other);
+    let (id, _) = receive_message(&mut other);
     other.settle(id, State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     assert_eq!(bench.counter("sent"), 2);
@@ -566,12 +566,12 @@
     usual.deliver(0, &message(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
-    let (id, _) = whole(&mut server);
+    let (id, _) = receive_message(&mut server);
     server.settle(id, State::Accepted);
     assert_eq!(answer(&mut usual), State::Accepted);
 }
 
-/// Three messages of 1 MiB at once, to a server that reads slowly: what is held stays within its bound.
+/// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
 #[rstest]
 fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
@@ -583,14 +583,14 @@
         .map(|mut client| {
             let sent = sent.clone();
             std::thread::spawn(move || {
-                deliver_in_parts(&mut client, 0, &sent, 12_000);
+                deliver_in_transfers(&mut client, 0, &sent, 12_000);
                 answer(&mut client)
             })
         })
         .collect();
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
-    let (mut whole, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
-    while whole < 3 {
+    let (mut completed, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
+    while completed < 3 {
         match server.next() {
             (Performative::Attach(attach), _) => {
                 let (name, handle, target) = (attach.name, attach.handle, attach.target);
@@ -604,8 +604,8 @@
                 if transfer.more != Some(true) {
                     assert!(*size > 1024 * 1024, "{size}");
                     *size = 0;
-                    server.settle(whole, State::Accepted);
-                    whole += 1;
+                    server.settle(completed, State::Accepted);
+                    completed += 1;
                 }
             }
             _ => {}
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -163,8 +163,8 @@
     assert!(open(&keys, addr, "renewed.test", None, Credentials::Anonymous).is_ok());
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_err());
     // The old connection still beats, or is closed politely when it has been silent too long.
-    let mut heard = [0; 64];
-    assert!(old.read(&mut heard).expect("it is not broken") > 0);
+    let mut received = [0; 64];
+    assert!(old.read(&mut received).expect("it is not broken") > 0);
 }
 
 #[rstest]
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -40,7 +40,7 @@
 #[derive(Default)]
 struct Ledger {
     attempts: HashMap<u64, Vec<Attempt>>,
-    /// Attempts that came after their server was told to drain, and 250 ms.
+    /// Attempts that were received 250 ms or more after their server was notified to drain.
     late: u64,
 }
 
@@ -152,13 +152,13 @@
 fn amqp_server(server: &Server, mut stream: TcpStream) {
     let mut conn = Connection::accept(0, Settings { idle_timeout: 0, ..Settings::default() }, None);
     // Deliveries that are not settled: the link, the number, the item and which of its attempts.
-    let mut held: Vec<(LinkId, u32, u64, usize)> = Vec::new();
+    let mut in_flight: Vec<(LinkId, u32, u64, usize)> = Vec::new();
     let mut input = Vec::new();
     let mut beat = Instant::now();
     loop {
         let over = server.stop.load(Ordering::Relaxed) || server.is(DEAD);
         if over || more(&mut stream, &mut input).is_none() {
-            held.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
+            in_flight.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
             return;
         }
         let bytes = std::mem::take(&mut input);
@@ -175,14 +175,14 @@
                     let item =
                         head.property(transfer.payload, "item").expect("an item").parse().expect("a number");
                     conn.set_delivery_key(link.channel, transfer.id, item);
-                    held.push((link, transfer.id, item, server.begins(item)));
+                    in_flight.push((link, transfer.id, item, server.begins(item)));
                     if conn.credit(link) < 50 {
                         conn.set_credit(link, 100);
                     }
                 }
                 // The node waits no longer.
                 Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
-                    held.retain(|(.., item, attempt)| {
+                    in_flight.retain(|(.., item, attempt)| {
                         if *item == key {
                             server.ends(*item, *attempt, false);
                         }
@@ -194,7 +194,7 @@
         }
         input = left.to_vec();
         if !server.is(HUNG) {
-            for (link, id, item, attempt) in held.drain(..) {
+            for (link, id, item, attempt) in in_flight.drain(..) {
                 conn.settle(link.channel, id, State::Accepted);
                 server.ends(item, attempt, true);
             }
@@ -205,7 +205,7 @@
             sparbank_amqp::write_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
         }
         if stream.write_all(&out).is_err() {
-            held.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
+            in_flight.iter().for_each(|(.., item, attempt)| server.ends(*item, *attempt, false));
             return;
         }
     }
@@ -232,7 +232,7 @@
     }
 }
 
-/// Numbers an item so that its class can be told from it.
+/// Numbers an item so that its number gives its class.
 fn number(next: &AtomicU64) -> (u64, &'static str) {
     let number = next.fetch_add(1, Ordering::Relaxed);
     (number, CLASSES[usize::from(number.is_multiple_of(4))])
@@ -328,7 +328,7 @@
     seen
 }
 
-/// A number from a number (splitmix64), so that a run's troubles can be told by their seed.
+/// A number from a number (splitmix64), so that a run's faults are known by their seed.
 fn mixed(seed: u64) -> u64 {
     let x = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -383,7 +383,7 @@
             0 if server.is(UP) && troubled < 2 => server.mode.store(HUNG, Ordering::Relaxed),
             1 if server.is(UP) && troubled < 2 => server.kill(),
             2 if !draining
-                && servers.iter().filter(|r| r.drained.lock().expect("held").is_some()).count() < 2 =>
+                && servers.iter().filter(|r| r.drained.lock().expect("in_flight").is_some()).count() < 2 =>
             {
                 bench.update_lifecycle(&mut watch, at, "draining");
                 *server.drained.lock().expect("no thread failed") = Some(Instant::now());
--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -184,7 +184,7 @@
                 return body.map_or(Next::Heartbeat, |body| Next::Body(Box::new(body), payload));
             }
             let mut chunk = [0; 4096];
-            // A connection that ends, politely or not, ends the stand-in's part.
+            // A connection that ends, closed or lost, ends the stand-in.
             let count = self.peer.reader.read(&mut chunk).unwrap_or(0);
             if count == 0 {
                 return Next::Ended;
@@ -278,14 +278,14 @@
         *attach
     }
 
-    /// Sends a whole delivery on a link.
+    /// Sends a delivery in one transfer on a link.
     pub fn send(&mut self, handle: u32, id: u32, message: &[u8]) {
         let (handle, delivery_tag) = (Some(handle), amqp::Tag::new(&id.to_be_bytes()));
         let transfer = amqp::Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
         self.put_kind(amqp::AMQP, transfer.into(), message);
     }
 
-    /// Sends a whole delivery.
+    /// Sends a delivery in one transfer.
     pub fn deliver(&mut self, id: u32, message: &[u8]) {
         let (handle, delivery_id, delivery_tag) = (Some(0), Some(id), amqp::Tag::new(&[id as u8]));
         let transfer = amqp::Transfer { handle, delivery_id, delivery_tag, ..Default::default() };
