--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -11,7 +11,9 @@
 
 use hdrhistogram::Histogram;
 use rustix::event::epoll;
-use sparbank_amqp::*;
+use sparbank_amqp::{
+    Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus,
+};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsFd;
@@ -26,11 +28,11 @@
 fn settings() -> Settings {
     // As wide as a stand-in can be, so that only the node's own bounds count.
     Settings {
-        window: 8192,
-        max_frame: 70_000,
-        idle: 0,
-        links: 10_000,
-        unsettled: 100_000,
+        incoming_window: 8192,
+        max_frame_size: 70_000,
+        idle_timeout: 0,
+        max_links: 10_000,
+        max_unsettled: 100_000,
         ..Settings::default()
     }
 }
@@ -61,7 +63,7 @@
     }
 
     fn write(&mut self) {
-        self.conn.drain_out(0, &mut self.output);
+        self.conn.append_output(0, &mut self.output);
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(count) => drop(self.output.drain(..count)),
@@ -74,11 +76,11 @@
         }
     }
 
-    /// What came, event by event.
+    /// Handles the received events.
     fn events(&mut self, mut on: impl FnMut(&mut Connection, Event<'_>)) {
         let input = std::mem::take(&mut self.input);
         let mut left = &input[..];
-        while let Some(event) = self.conn.next(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) = self.conn.next_event(0, &mut left).expect("the node keeps to the standard") {
             on(&mut self.conn, event);
         }
         let left = left.to_vec();
@@ -130,15 +132,15 @@
                     break;
                 }
                 end.events(|conn, event| match event {
-                    Event::Asked(_) => conn.verdict(true),
-                    Event::Asks { link, attach, .. } => {
+                    Event::SaslRequest(_) => conn.finish_sasl(true),
+                    Event::AttachRequested { link, attach, .. } => {
                         conn.accept_link(link, Attach { target: attach.target, ..Attach::default() });
-                        conn.grant(link, 10_000);
+                        conn.set_credit(link, 10_000);
                     }
-                    Event::Transfer { link, part } if part.last => {
-                        conn.settle(link.channel, part.id, State::Accepted);
+                    Event::Transfer { link, transfer } if transfer.last => {
+                        conn.settle(link.channel, transfer.id, State::Accepted);
                         if conn.credit(link) < 5_000 {
-                            conn.grant(link, 10_000);
+                            conn.set_credit(link, 10_000);
                         }
                     }
                     _ => {}
@@ -179,7 +181,7 @@
             let mine = count / threads + usize::from(thread < count % threads);
             let (payload, left, ready) = (payload.to_vec(), left.clone(), ready.clone());
             let rate = rate.map(|rate| rate / threads as f64);
-            std::thread::spawn(move || crowd(addr, mine, &left, &payload, ahead, rate, &ready))
+            std::thread::spawn(move || run_clients(addr, mine, &left, &payload, ahead, rate, &ready))
         })
         .collect();
     let mut latency = Histogram::new(3).expect("a histogram");
@@ -191,7 +193,7 @@
     Run { seconds: started.elapsed().as_secs_f64(), cpu: cpu(pid) - before, latency }
 }
 
-fn crowd(
+fn run_clients(
     addr: SocketAddr,
     count: usize,
     left: &AtomicU64,
@@ -275,7 +277,7 @@
                         let key = now();
                         let delivery = Outgoing { key, tag: key.into(), settled: false };
                         let sent = end.conn.send(link, delivery, payload, true, usize::MAX);
-                        assert!(sent.done, "a frame holds it");
+                        assert!(sent.complete, "it fits into a frame");
                         *out += 1;
                         open += 1;
                     }
@@ -350,11 +352,11 @@
     let rate = 20_000.0;
     let through = clients(pid, addr, 64, items / 4, &small, 64, Some(rate)).latency;
     let without = clients(pid, direct, 64, items / 4, &small, 64, Some(rate)).latency;
-    for part in [0.5, 0.99, 0.999] {
-        let ms = |h: &Histogram<u64>| h.value_at_quantile(part) as f64 / 1e6;
+    for quantile in [0.5, 0.99, 0.999] {
+        let ms = |h: &Histogram<u64>| h.value_at_quantile(quantile) as f64 / 1e6;
         println!(
             "p{:<5} at {rate:.0} a second: {:.2} ms through the node, {:.2} ms at a region directly",
-            part * 100.0,
+            quantile * 100.0,
             ms(&through),
             ms(&without)
         );
