--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use sparbank_amqp::{
     condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach,
-    Disposition, Error, Event, Flow, Head, Mechanism, Message, Open, Outgoing, Performative, Role, SaslInit,
-    SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer, Value, AMQP,
-    SASL,
+    Disposition, End, Error, Event, Flow, Head, Mechanism, Message, Open, Outgoing, Performative, Role,
+    SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer,
+    Value, AMQP, SASL,
 };
 
 const BOUNDS: fn() -> Settings = || Settings {
--- a/src/front/amqp/config.rs
+++ b/src/front/amqp/config.rs
@@ -201,7 +201,7 @@
         let directory = path.parent().unwrap_or(Path::new(""));
         if let Some(tls) = &config.tls {
             let loaded = tls.load(directory, "tls");
-            let loaded = loaded.map_err(|source| FileError::Tls { path: path.to_path_buf(), source })?;
+            let loaded = loaded.map_err(|error| FileError::tls(path, error))?;
             config.tls_config = Some(loaded);
         }
         if let Some(users) = &config.users {
--- a/src/front/amqp/error.rs
+++ b/src/front/amqp/error.rs
@@ -38,7 +38,7 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with them.
-        source: TlsConfigError,
+        source: Box<TlsConfigError>,
     },
     /// The system has no random numbers for a salt.
     Randomness(getrandom::Error),
@@ -55,6 +55,11 @@
         FileError::Parse { path: path.to_path_buf(), problem: problem.to_string() }
     }
 
+    /// A file whose certificates or key cannot be used.
+    pub fn tls(path: &Path, source: TlsConfigError) -> FileError {
+        FileError::Tls { path: path.to_path_buf(), source: Box::new(source) }
+    }
+
     /// A field with a value out of its range.
     pub fn field(path: &Path, field: impl Into<String>, problem: impl Into<String>) -> FileError {
         FileError::Field { path: path.to_path_buf(), field: field.into(), problem: problem.into() }
@@ -79,7 +84,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             FileError::Io { source, .. } => Some(source),
-            FileError::Tls { source, .. } => Some(source),
+            FileError::Tls { source, .. } => Some(source.as_ref()),
             FileError::Randomness(source) => Some(source),
             FileError::Parse { .. } | FileError::Field { .. } => None,
         }
