--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -3,7 +3,7 @@
 use super::request::{Phase, Request, Requests};
 use super::server::ServerSet;
 use crate::random::{mix64, Rng};
-use crate::resilience::{least_valuable, value, Connection, LatencyResponse};
+use crate::resilience::{connection_value, least_valuable, Connection, LatencyResponse};
 use crate::vocabulary::{Action, Nanos, RequestId, ServerId, Settings};
 
 /// What a migration changes, and what it depends on.
@@ -52,7 +52,7 @@
             return None;
         }
         let weight = self.settings.classes[request.class].priority_weight;
-        let value = value(weight, request.cost, self.settings.weight_by_work);
+        let value = connection_value(weight, request.cost, self.settings.weight_by_work);
         Some(Connection { id, value, rank: mix64(id.0 ^ self.now) })
     }
 }
--- a/src/resilience/connection_value/tests.rs
+++ b/src/resilience/connection_value/tests.rs
@@ -1,4 +1,4 @@
-use super::{least_valuable, value, Connection};
+use super::{connection_value, least_valuable, Connection};
 use crate::vocabulary::RequestId;
 
 fn connection(id: u64, value: f64, rank: u64) -> Connection {
@@ -22,5 +22,8 @@
 
 #[test]
 fn the_value_is_the_weight_for_the_load() {
-    assert_eq!((value(6.0, 3, false), value(6.0, 0, false), value(6.0, 3, true)), (2.0, 6.0, 6.0));
+    assert_eq!(
+        (connection_value(6.0, 3, false), connection_value(6.0, 0, false), connection_value(6.0, 3, true)),
+        (2.0, 6.0, 6.0)
+    );
 }
--- a/src/resilience/rendezvous/tests.rs
+++ b/src/resilience/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-use super::{rank, LowestRanks};
+use super::{rendezvous_rank, LowestRanks};
 
 fn items(ranks: &[f64], limit: usize) -> Vec<usize> {
     let mut lowest = LowestRanks::new(limit);
@@ -17,6 +17,7 @@
 
 #[test]
 fn servers_are_drawn_in_proportion_to_their_weights() {
-    let heavy_first = (0..3_000).filter(|seed| rank(*seed, 7, 2.0) < rank(*seed, 8, 1.0)).count();
+    let heavy_first =
+        (0..3_000).filter(|seed| rendezvous_rank(*seed, 7, 2.0) < rendezvous_rank(*seed, 8, 1.0)).count();
     assert!((1_900..2_100).contains(&heavy_first), "{heavy_first} of 3000 at two thirds");
 }
--- a/src/resilience/server_health/tests.rs
+++ b/src/resilience/server_health/tests.rs
@@ -15,9 +15,10 @@
     }
 }
 
-fn report(health: &mut ServerHealth, now: u64, latency: u64, probes: bool) -> LatencyResponse {
+fn report(health: &mut ServerHealth, now: u64, latency: u64, health_checks: bool) -> LatencyResponse {
     let classes = vec![class(Some(900 * MS)), class(None), class(Some(100 * MS))];
-    let settings = Settings { classes, slow_start_duration: 10_000 * MS, probes, ..Settings::default() };
+    let settings =
+        Settings { classes, slow_start_duration: 10_000 * MS, health_checks, ..Settings::default() };
     health.on_latency_report(&settings, now, latency)
 }
 
--- a/tests/policy_rules/migration.rs
+++ b/tests/policy_rules/migration.rs
@@ -40,7 +40,7 @@
 /// second late report in a row migrates without one.
 #[test]
 fn a_late_server_is_health_checked_before_connections_migrate() {
-    let mut node = node_with_fifty_connections_at_each_of_two(Settings { probes: true, ..settings() });
+    let mut node = node_with_fifty_connections_at_each_of_two(Settings { health_checks: true, ..settings() });
     let late = ServerId(0);
     let report = |latency| Event::LatencyReport { server: late, latency };
     assert_eq!(node.handle(report(390 * MILLIS)), [Action::HealthCheck(late)]);
