--- /dev/null
+++ b/tests/configuration_errors.rs
@@ -0,0 +1,25 @@
+//! Configurations that the node rejects at its start.
+
+mod support;
+
+use rstest::rstest;
+use support::{config, node_command, temp_file};
+
+#[rstest]
+#[case::not_json("{", "EOF")]
+#[case::missing_field(r#"{"name":"n"}"#, "listen")]
+#[case::wrong_type(r#"{"name":1}"#, "field name")]
+#[case::unknown_effect(
+    &config(([127, 0, 0, 1], 1).into(), "", 64).replace("read_like", "odd"),
+    "field settings.Profiles[0].Effect"
+)]
+fn a_wrong_configuration_is_one_line_and_exit_2(#[case] text: &str, #[case] expected: &str) {
+    let path = temp_file("wrong.json", text);
+    let output = node_command(&["serve"], &path).output().expect("it runs");
+    let errors = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(2));
+    assert!(
+        errors.lines().count() == 1 && errors.contains("wrong.json") && errors.contains(expected),
+        "{errors}"
+    );
+}
--- a/tests/support/bench.rs
+++ b/tests/support/bench.rs
@@ -232,10 +232,15 @@
 pub fn established_client(bench: &Bench, number: u64) -> (Peer, Peer) {
     let mut client = bench.connect_client(&open_line(number));
     let (_, mut attempt) = accept_any(&bench.servers);
+    establish(&mut client, &mut attempt);
+    (client, attempt)
+}
+
+/// The server accepts the client of an attempt: both sides of the session are established.
+pub fn establish(client: &mut Peer, attempt: &mut Peer) {
     attempt.read_line();
     attempt.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
-    (client, attempt)
 }
 
 /// The value of a counter in a line of counters.
@@ -244,6 +249,11 @@
     found.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name} is not in {line}"))
 }
 
+/// The values of several counters in a line of counters.
+pub fn counter_values<const COUNT: usize>(line: &str, names: [&str; COUNT]) -> [u64; COUNT] {
+    names.map(|name| counter_value(line, name))
+}
+
 fn start_options(amqp: Option<&str>, args: &[&str], env: &[(&str, &str)]) -> StartOptions {
     let mut options = StartOptions::default();
     options.args.push("serve".to_string());
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -9,7 +9,7 @@
 mod peer;
 
 pub use amqp::*;
-pub use bench::{counter_value, established_client, Bench};
+pub use bench::{counter_value, counter_values, establish, established_client, Bench};
 pub use node_config::{config, instance, open_line, temp_file};
 pub use node_process::{node_command, NodeProcess};
 pub use peer::{accept_any, listener, refusing_port, try_accept, FullBacklogServer, Peer};
--- /dev/null
+++ b/tests/text_overload.rs
@@ -0,0 +1,89 @@
+//! The text front under overload: idle clients, endless lines, and a shortage of descriptors.
+
+mod support;
+
+use rstest::rstest;
+use rustix::process::{prlimit, Pid, Resource, Rlimit};
+use std::io::Write;
+use std::time::{Duration, Instant};
+use support::{
+    accept_any, counter_value, counter_values, establish, established_client, open_line, Bench, Peer,
+};
+
+/// The limit on descriptors above which a test does not go.
+const MAX_DESCRIPTORS: u64 = 1024;
+/// A client without a complete line is answered and closed within this.
+const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
+
+/// Changes how many descriptors the system gives the node.
+fn limit_descriptors(bench: &Bench, descriptors: u64) {
+    let limit = Rlimit { current: Some(descriptors), maximum: Some(MAX_DESCRIPTORS) };
+    let pid = Pid::from_child(&bench.process.child);
+    prlimit(Some(pid), Resource::Nofile, limit).expect("a limit");
+}
+
+/// Closed connections and idle clients are evicted for a request, the oldest first.
+#[rstest]
+fn idle_clients_are_evicted_for_a_request() {
+    let bench = Bench::start(1);
+    // The node may hold 256 sockets and reserves some for established connections.
+    let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
+    let _established = established_client(&bench, 0x9b1f);
+    idle[0].expect_closed();
+    let counters = bench.stop();
+    assert_eq!(counter_values(&counters, ["capacity_rejected", "served"]), [0, 1]);
+    assert!(counter_value(&counters, "idle_closed") > 100);
+}
+
+/// An answer and a close are due within 3 s of connecting, however slowly bytes arrive: a request that arrives in the
+/// instant of the close has its answer already.
+#[rstest]
+#[case::nothing("", "BUSY")]
+#[case::half_a_line("OPEN 1 2 c=live-re", "BUSY")]
+#[case::only_pings("PING\r\n", "PONG")]
+fn a_client_without_a_request_line_is_closed(#[case] sent: &str, #[case] answer: &str) {
+    let bench = Bench::start(1);
+    let mut client = Peer::connect(bench.addr);
+    client.send(sent);
+    let sent_at = Instant::now();
+    assert_eq!(client.read_line(), answer);
+    client.expect_closed();
+    assert!(sent_at.elapsed() < IDLE_CLOSE_TIMEOUT);
+    assert_eq!(counter_value(&bench.stop(), "idle_closed"), 1);
+}
+
+/// Megabytes without the end of a line: the reset that stops them does not overtake the answer.
+#[rstest]
+fn a_line_without_an_end_is_answered_while_it_is_sent() {
+    const CHUNKS: usize = 960;
+    let bench = Bench::start(1);
+    let mut client = Peer::connect(bench.addr);
+    let mut sender = client.stream.try_clone().expect("a second handle");
+    let sending = std::thread::spawn(move || {
+        let chunk = [b'x'; 64 * 1024];
+        // The node reads a bounded number of bytes, then resets the connection.
+        (0..CHUNKS).take_while(|_| sender.write_all(&chunk).is_ok()).count()
+    });
+    assert_eq!(client.read_line(), "ERR");
+    assert!(sending.join().expect("it ends") < CHUNKS);
+}
+
+#[rstest]
+fn idle_clients_are_evicted_where_the_system_gives_fewer_descriptors_than_configured() {
+    let bench = Bench::start(1);
+    limit_descriptors(&bench, 32);
+    let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
+    established_client(&bench, 0x9b1f);
+    assert!(counter_value(&bench.stop(), "idle_closed") > 30);
+}
+
+#[rstest]
+fn accepting_pauses_where_the_system_has_no_descriptors_and_resumes() {
+    let mut bench = Bench::start(1);
+    limit_descriptors(&bench, 4);
+    let mut client = bench.connect_client(&open_line(0x9b1f));
+    bench.wait_for_log("accept-rests");
+    limit_descriptors(&bench, 64);
+    let (_, mut attempt) = accept_any(&bench.servers);
+    establish(&mut client, &mut attempt);
+}
