--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -1,32 +1,41 @@
-//! Crossings of attempts and of floods, forced over loopback: one live attempt, one final answer, and never a second
-//! copy of what may have run.
+//! Races of attempts, and floods, forced over loopback: one attempt in flight, one final answer, and never a second
+//! copy of a request that may have run.
 
 mod support;
 
 use rstest::rstest;
 use std::io::Write;
-use support::*;
+use std::time::Duration;
+use support::{
+    accept_any, counter_value, counter_values, established_client, listener, open_line, Bench, Peer,
+};
 
-/// Which of the two classes: on the first may be repeated, the second not.
-fn line(class: &str) -> String {
+/// Requests of this class are idempotent.
+const IDEMPOTENT: &str = "live-readings";
+/// Requests of this class are not.
+const NON_IDEMPOTENT: &str = "station-notes";
+/// Sockets that the node may hold in the test of its limit.
+const FEW_SOCKETS: usize = 72;
+
+fn request_line(class: &str) -> String {
     open_line(1).replace("c=live-readings", &format!("c={class}"))
 }
 
 #[rstest]
-// Turned away, and then the connection breaks: it never ran.
+// The server rejects the request, and then the connection is reset: it never ran.
 #[case::busy_then_reset("BUSY\r\n", true, true)]
 // Half of an answer, and then the end: it may have run.
 #[case::up_broken_off("UP r", false, false)]
 #[case::nothing_and_a_reset("", true, false)]
 #[case::an_error("ERR\r\n", false, false)]
-fn what_may_have_run_is_repeated_only_where_that_is_harmless(
+fn an_attempt_that_may_have_run_is_retried_only_if_idempotent(
     #[case] answer: &str,
     #[case] by_reset: bool,
     #[case] never_ran: bool,
-    #[values("live-readings", "station-notes")] class: &str,
+    #[values(IDEMPOTENT, NON_IDEMPOTENT)] class: &str,
 ) {
     let mut bench = Bench::start(2);
-    let mut client = bench.connect_client(&line(class));
+    let mut client = bench.connect_client(&request_line(class));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     attempt.send(answer);
@@ -35,7 +44,7 @@
     } else {
         drop(attempt);
     }
-    if never_ran || class == "live-readings" {
+    if never_ran || class == IDEMPOTENT {
         let (_, mut second) = accept_any(&bench.servers);
         second.read_line();
         second.send("UP r2\r\n");
@@ -50,7 +59,7 @@
 #[rstest]
 fn up_in_pieces_is_one_answer() {
     let bench = Bench::start(1);
-    let mut client = bench.connect_client(&line("station-notes"));
+    let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     for piece in ["U", "P ", "r1", "\r", "\n"] {
@@ -59,72 +68,71 @@
     assert_eq!(client.read_line(), "UP r1");
     attempt.send("ERR\r\n");
     assert_eq!(client.read_line(), "ERR");
-    let counters = bench.stop();
-    assert_eq!(["requests", "served", "failed"].map(|name| counter_value(&counters, name)), [1, 1, 0]);
+    assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 1, 0]);
 }
 
-/// An answer that never ends its line is given up when the attempt's time is over, and answered within the deadline.
+/// An answer without the end of its line is given up at the attempt's time-out, and the client is answered within its
+/// deadline.
 #[rstest]
-fn an_answer_that_never_ends_is_given_up() {
+fn an_answer_without_an_end_times_out() {
     let bench = Bench::start(1);
-    let mut client = bench.connect_client(&line("station-notes"));
+    let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("UP r1 and so on");
     assert_eq!(client.read_to_end(), "ERR\r\n");
-    // What comes after that is nobody's.
+    // What the server sends after that reaches nobody; its connection may be closed already.
     let _ = attempt.stream.write_all(b"\r\n");
-    let counters = bench.stop();
-    assert_eq!(["requests", "served", "failed"].map(|name| counter_value(&counters, name)), [1, 0, 1]);
+    assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 0, 1]);
 }
 
-/// The answer and the attempt's time-out meet in one turn: the answer that is there counts, once.
+/// The answer and the attempt's time-out meet in one turn of the event loop: the answer counts, once.
 #[rstest]
-fn an_answer_in_the_turn_of_its_time_out_counts() {
+fn an_answer_in_the_turn_of_the_attempt_timeout_counts() {
     let bench = Bench::start(1);
-    let mut client = bench.connect_client(&line("live-readings"));
+    let mut client = bench.connect_client(&request_line(IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     bench.pause();
     attempt.send("UP r1\r\n");
-    // Past the attempt's time: a third of the deadline.
-    std::thread::sleep(std::time::Duration::from_millis(600));
+    // Past the attempt's time-out, which is a third of the deadline.
+    std::thread::sleep(Duration::from_millis(600));
     bench.resume();
     assert_eq!(client.read_line(), "UP r1");
     assert_eq!(counter_value(&bench.stop(), "served"), 1);
 }
 
-/// A hundred commands in one write: one answer that is no service, no attempt.
+/// A hundred commands in one write: one answer that rejects the client, no attempt.
 #[rstest]
-#[case::requests(|n| format!("{}\r\n", open_line(n)))]
-#[case::noise(|n| format!("GET /{n} HTTP/1.1\r\n"))]
-fn a_hundred_commands_in_one_write_are_one_bad_client(#[case] command: fn(u64) -> String) {
+#[case::requests(|number| format!("{}\r\n", open_line(number)))]
+#[case::noise(|number| format!("GET /{number} HTTP/1.1\r\n"))]
+fn a_hundred_commands_in_one_write_get_one_failed_answer(#[case] command: fn(u64) -> String) {
     let mut bench = Bench::start(1);
     let mut client = Peer::connect(bench.addr);
-    let all: String = (0..100).map(command).collect();
-    client.send(&all);
+    let commands: String = (0..100).map(command).collect();
+    client.send(&commands);
     assert_eq!(client.read_to_end(), "ERR\r\n");
     bench.assert_no_attempts();
 }
 
-fn few(text: &str) -> String {
+fn with_few_sockets(text: &str) -> String {
     assert!(text.contains(r#""sockets":256"#));
-    text.replace(r#""sockets":256"#, r#""sockets":72"#)
+    text.replace(r#""sockets":256"#, &format!(r#""sockets":{FEW_SOCKETS}"#))
 }
 
-/// Idle clients up to the limit, discovery away meanwhile: the watch gets its descriptor when discovery is back, a
-/// client that asks is served, and the node holds no more than it may.
+/// Idle clients up to the limit while discovery is away: the watch gets its descriptor when discovery is back, a
+/// client with a request is served, and the node never exceeds its limit.
 #[rstest]
-fn idle_clients_take_no_descriptor_from_the_watch() {
-    let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], few);
+fn idle_clients_do_not_take_the_watch_descriptor() {
+    let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], with_few_sockets);
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
     drop(watch);
     bench.wait_for_log("list-lost reason=Ended");
     let open_descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", bench.process.child.id())).expect("listed").count();
-    let held = open_descriptors();
-    assert!(held <= 72, "{held} descriptors");
+    let descriptors = open_descriptors();
+    assert!(descriptors <= FEW_SOCKETS, "{descriptors} descriptors");
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
