--- a/tests/support/node_config.rs
+++ b/tests/support/node_config.rs
@@ -10,24 +10,13 @@
     format!("OPEN {number:x} {number:x} c=live-readings,t=acme,d=1200,g=5c{number:x}")
 }
 
-/// The configuration of a node whose servers are at these addresses.
+/// The configuration of a node whose servers have these entries. On the platform requests of the class `station-notes`
+/// may be repeated too; here they show what must not be.
 pub fn config(discovery: SocketAddr, instances: &str, sockets: u32) -> String {
-    let class = |name: &str, effect: &str| {
-        format!(
-            r#"{{"Effect":"{effect}","HardLimitNs":1200000000,"Name":"{name}","ObjectiveNs":300000000,"Worth":2.0}}"#
-        )
-    };
-    format!(
-        r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"7","limits":{{"sockets":{sockets}}},
-        "known":{{"generation":1,"reset":true,"instances":[{instances}]}},
-        "settings":{{"Profiles":[{},{}],"Discovery":"ask","Zones":["a"],
-        "FamilyInfo":{{"MessageAimNs":[100000000,250000000]}},
-        "Limits":{{"MaxAttempts":3,"MayCancel":true,"RetryAfter":true,"MaxRetryAfterNs":600000000,"DialTimeoutNs":250000000}},
-        "Rules":{{"AskWithinNs":1600000000,"ColdFrom":0.12,"ColdNs":23000000000,"FallMultiple":3.0,"TipAfterNs":2000000000}}}}}}"#,
-        class("live-readings", "read_like"),
-        // On the platform requests of this class may be repeated too; here they show what must not be.
-        class("station-notes", "non_idempotent"),
-    )
+    include_str!("node_config.json.template")
+        .replace("@DISCOVERY@", &discovery.to_string())
+        .replace("@SOCKETS@", &sockets.to_string())
+        .replace("@INSTANCES@", instances)
 }
 
 /// A server's entry in the endpoint list.
