--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -4,7 +4,7 @@
 use super::document::EndpointListDocument;
 use super::registry::EndpointRegistry;
 use super::watch::{Received, WatchError, WatchState};
-use crate::net::{BufferedConnection, SocketOwner, SocketReactor, Token};
+use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, SocketReactor, Token};
 use crate::vocabulary::{Event, ListKind, Nanos};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -135,7 +135,7 @@
         if !watch.state.is_transferable() {
             return None;
         }
-        let (socket, connection) = net.export_connection(watch.token)?;
+        let ExportedConnection { fd: socket, connection } = net.export_connection(watch.token)?;
         let state = self.watch.take()?.state;
         Some(TransferredWatch { socket, state, connection })
     }
--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -73,10 +73,9 @@
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
             let bound = net.listen_with_token(tls.listen, SocketOwner::Front(id));
-            let (token, at) =
-                bound.map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
-            line = format!("tls={at} {line}");
-            tls_listener = Some(token);
+            let listener = bound.map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
+            line = format!("tls={} {line}", listener.addr);
+            tls_listener = Some(listener.token);
         }
         let classes: Vec<String> = site.classes.iter().map(|c| c.name.clone()).collect();
         let front = AmqpFront {
--- a/src/front/text/handover.rs
+++ b/src/front/text/handover.rs
@@ -5,7 +5,7 @@
 use super::session::{arrival, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState};
 use super::TextFront;
 use crate::front::{FrontContext, TransferredConnection, TEXT_FRONT};
-use crate::net::{BufferedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::requests::HandedOverConnection;
 use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
@@ -93,7 +93,7 @@
         token: Token,
     ) -> Option<TransferredConnection> {
         let role = self.connections.remove(&token)?;
-        let (client_fd, client) = ctx.net.export_connection(token)?;
+        let ExportedConnection { fd: client_fd, connection: client } = ctx.net.export_connection(token)?;
         match role {
             ConnectionRole::AwaitingRequest { pings } => {
                 let transferred = TransferredSession::AwaitingRequest(pings, client);
@@ -117,7 +117,8 @@
         let session = self.sessions.get(&token)?;
         let established = session.established()?;
         self.connections.remove(&established.server_connection);
-        let (server_fd, server) = ctx.net.export_connection(established.server_connection)?;
+        let ExportedConnection { fd: server_fd, connection: server } =
+            ctx.net.export_connection(established.server_connection)?;
         let endpoint = session.server.and_then(|server| ctx.registry.entry(server))?;
         let transferred = TransferredEstablished {
             request_line: session.open.line().to_string(),
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -27,11 +27,10 @@
 use crate::discovery::TransferredWatch;
 use crate::front::TransferredConnection;
 use crate::log;
-use crate::net::{SocketEvent, SocketOwner, SocketReactor, Token};
+use crate::net::{ListeningSocket, SocketEvent, SocketOwner, SocketReactor, Token};
 use link::{Peer, Turn};
 use message::Message;
 use predecessor::PredecessorLink;
-use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::Path;
 use successor::SuccessorLink;
@@ -156,14 +155,14 @@
         &mut self,
         net: &mut SocketReactor,
         snapshot: &StateSnapshot,
-        listening: Vec<(SocketAddr, OwnedFd)>,
+        listening: Vec<ListeningSocket>,
         watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
         let Some(successor) = &mut self.successor else { return Vec::new() };
         for piece in snapshot.to_pieces().unwrap_or_default() {
             successor.queue(piece);
         }
-        for (address, socket) in listening {
+        for ListeningSocket { addr: address, fd: socket } in listening {
             successor.queue(Message::Listener { address, socket });
         }
         if let Some(watch) = watch {
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -5,9 +5,9 @@
 use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::TransferredWatch;
 use crate::log;
+use crate::net::ListeningSocket;
 use std::fmt;
 use std::io;
-use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::path::Path;
 use std::time::Duration;
@@ -23,7 +23,7 @@
     /// The predecessor's state.
     pub snapshot: StateSnapshot,
     /// The listening sockets of its optional fronts, with their addresses.
-    pub listening: Vec<(SocketAddr, OwnedFd)>,
+    pub listening: Vec<ListeningSocket>,
     /// Its watch of the discovery service.
     pub watch: Option<TransferredWatch>,
 }
@@ -93,7 +93,9 @@
     loop {
         match receive(&channel)? {
             Message::StatePiece { piece } => assembler.add(&piece)?,
-            Message::Listener { address, socket } => listening.push((address, socket)),
+            Message::Listener { address, socket } => {
+                listening.push(ListeningSocket { addr: address, fd: socket });
+            }
             Message::Watch(transferred) => watch = Some(transferred),
             Message::StateComplete => break,
             Message::StateRequest { .. } | Message::Ready | Message::Connection { .. } => {
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,6 +1,7 @@
 //! Listeners, and the backpressure on them when descriptors run short.
 
 use super::event::{SocketEvent, SocketEventKind, SocketOwner};
+use super::listener::{BoundListener, ListeningSocket};
 use super::poller::Interest;
 use super::reactor::{stream_socket, SocketDeadline, SocketReactor};
 use super::slab::Token;
@@ -35,7 +36,7 @@
     /// # Errors
     /// Where the address cannot be bound.
     pub fn listen(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<SocketAddr> {
-        self.listen_with_token(addr, owner).map(|(_, bound)| bound)
+        self.listen_with_token(addr, owner).map(|listener| listener.addr)
     }
 
     /// The same, with the listener's token, for an owner of several listeners
@@ -43,22 +44,19 @@
     ///
     /// # Errors
     /// Where the address cannot be bound.
-    pub fn listen_with_token(
-        &mut self,
-        addr: SocketAddr,
-        owner: SocketOwner,
-    ) -> io::Result<(Token, SocketAddr)> {
+    pub fn listen_with_token(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<BoundListener> {
         let matches_addr = |at: &SocketAddr| *at == addr || (addr.port() == 0 && at.ip() == addr.ip());
-        if let Some(index) = self.inherited_listeners.iter().position(|(at, _)| matches_addr(at)) {
-            let (bound, fd) = self.inherited_listeners.remove(index);
-            return Ok((self.insert(fd, owner, SocketState::Listening)?, bound));
+        let inherited = self.inherited_listeners.iter().position(|listener| matches_addr(&listener.addr));
+        if let Some(index) = inherited {
+            let ListeningSocket { addr, fd } = self.inherited_listeners.remove(index);
+            return Ok(BoundListener { token: self.insert(fd, owner, SocketState::Listening)?, addr });
         }
         let fd = stream_socket(addr)?;
         sockopt::set_socket_reuseaddr(&fd, true)?;
         rustix::net::bind(&fd, &addr)?;
         rustix::net::listen(&fd, LISTEN_BACKLOG)?;
-        let bound = bound_addr(&fd)?;
-        Ok((self.insert(fd, owner, SocketState::Listening)?, bound))
+        let addr = bound_addr(&fd)?;
+        Ok(BoundListener { token: self.insert(fd, owner, SocketState::Listening)?, addr })
     }
 
     /// Listens for connections on reserved descriptors, `max_connections` at a time: no shortage takes these
@@ -73,12 +71,12 @@
         owner: SocketOwner,
         max_connections: usize,
     ) -> io::Result<SocketAddr> {
-        let (token, bound) = self.listen_with_token(addr, owner)?;
-        if let Some(socket) = self.sockets.get_mut(token) {
+        let listener = self.listen_with_token(addr, owner)?;
+        if let Some(socket) = self.sockets.get_mut(listener.token) {
             socket.uses_reserve = true;
         }
         self.reserve_descriptors(max_connections);
-        Ok(bound)
+        Ok(listener.addr)
     }
 
     /// Registers a socket that listens already, and that another process may share.
@@ -95,19 +93,19 @@
 
     /// Gives listening sockets of the process before this one. Whoever listens at one of these addresses from now
     /// on gets that socket.
-    pub fn inherit_listeners(&mut self, listeners: Vec<(SocketAddr, OwnedFd)>) {
+    pub fn inherit_listeners(&mut self, listeners: Vec<ListeningSocket>) {
         self.inherited_listeners = listeners;
     }
 
     /// Duplicates of the fronts' listening sockets except one front's, for another process to share.
-    pub fn listeners_except(&self, excluded: FrontId) -> Vec<(SocketAddr, OwnedFd)> {
+    pub fn listeners_except(&self, excluded: FrontId) -> Vec<ListeningSocket> {
         let mut listeners = Vec::new();
         for socket in self.sockets.values().filter(|socket| socket.state == SocketState::Listening) {
             if !matches!(socket.owner, SocketOwner::Front(front) if front != excluded) {
                 continue;
             }
             if let (Ok(addr), Ok(fd)) = (bound_addr(&socket.fd), socket.fd.try_clone()) {
-                listeners.push((addr, fd));
+                listeners.push(ListeningSocket { addr, fd });
             }
         }
         listeners
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -5,7 +5,6 @@
 use super::slab::Token;
 use super::socket::{Socket, SocketState};
 use crate::vocabulary::Nanos;
-use std::collections::VecDeque;
 
 /// Descriptors that no attempt takes: for the list's watch and the one after it, and for what is open beside the
 /// sockets counted here (the standard streams, epoll, the other ends of the signals' pipes).
@@ -14,52 +13,6 @@
 const SHORTAGE_DESCRIPTORS: usize = 16;
 const SHORTAGE_LIMIT_DIVISOR: usize = 16;
 
-/// Descriptors that are set aside, and the connections that use them.
-#[derive(Default)]
-pub(super) struct DescriptorReserve {
-    size: usize,
-    /// Connections on reserved descriptors, the longest idle first.
-    holders: VecDeque<Token>,
-}
-
-impl DescriptorReserve {
-    /// Whether no connection uses it.
-    pub(super) fn is_unused(&self) -> bool {
-        self.holders.is_empty()
-    }
-
-    /// A connection takes a reserved descriptor.
-    pub(super) fn add(&mut self, token: Token) {
-        self.holders.push_back(token);
-    }
-
-    /// A connection gives its descriptor back.
-    pub(super) fn remove(&mut self, token: Token) {
-        self.holders.retain(|holder| *holder != token);
-    }
-
-    /// A connection has received bytes: it is the last to be evicted.
-    pub(super) fn mark_active(&mut self, token: Token) {
-        self.remove(token);
-        self.add(token);
-    }
-
-    /// Where no descriptor is left, takes the longest idle connection out.
-    pub(super) fn pop_excess(&mut self) -> Option<Token> {
-        if self.holders.len() >= self.size {
-            self.holders.pop_front()
-        } else {
-            None
-        }
-    }
-
-    /// The descriptors that count as taken where this many are open: all that are set aside, and all in use beside
-    /// them.
-    fn committed(&self, open: usize) -> usize {
-        open - self.holders.len() + self.size
-    }
-}
-
 impl SocketReactor {
     /// Changes how many descriptors the process may hold.
     pub fn set_descriptor_limit(&mut self, limit: usize) {
@@ -68,7 +21,7 @@
 
     /// Sets this many descriptors aside for what is not counted here.
     pub fn reserve_descriptors(&mut self, descriptors: usize) {
-        self.reserve.size += descriptors;
+        self.reserve.enlarge(descriptors);
     }
 
     /// Whether descriptors run short: new clients are to be rejected.
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -1,6 +1,6 @@
 //! Events of sockets, for their owners.
 
-use super::Token;
+use super::slab::Token;
 use crate::front_id::FrontId;
 
 /// The module that receives a socket's events.
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -11,8 +11,8 @@
 //! | `socket` | one socket's state and buffers |
 //! | `reactor` | the wait for events, and queries about a socket |
 //! | `buffered_io` | reading, writing and closing |
-//! | `accept` | listeners and accept backpressure |
-//! | `descriptors` | the descriptor limit, the reserve and eviction |
+//! | `listener`, `accept` | listeners and accept backpressure |
+//! | `reserve`, `descriptors` | the descriptor reserve, the limit and eviction |
 //! | `transfer` | connections handed to another process |
 //! | `timer_wheel` | timers |
 
@@ -20,19 +20,22 @@
 mod buffered_io;
 mod descriptors;
 mod event;
+mod listener;
 mod poller;
 mod reactor;
+mod reserve;
 mod slab;
 mod socket;
 mod timer_wheel;
 mod transfer;
 
 pub use event::{SocketEvent, SocketEventKind, SocketOwner};
+pub use listener::ListeningSocket;
 pub use reactor::SocketReactor;
 pub use slab::Token;
 pub use socket::OUTPUT_HIGH_WATERMARK_BYTES;
 pub use timer_wheel::TimerWheel;
-pub use transfer::BufferedConnection;
+pub use transfer::{BufferedConnection, ExportedConnection};
 
 /// A token for tests of data structures that are keyed by tokens.
 #[cfg(test)]
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -1,6 +1,6 @@
 //! The epoll instance that watches every socket, level-triggered.
 
-use super::Token;
+use super::slab::Token;
 use crate::vocabulary::Nanos;
 use rustix::event::{epoll, Timespec};
 use rustix::io::Errno;
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -1,8 +1,9 @@
 //! The reactor: one wait for all sockets, and queries about each.
 
-use super::descriptors::DescriptorReserve;
 use super::event::{SocketEvent, SocketEventKind, SocketOwner};
+use super::listener::ListeningSocket;
 use super::poller::{Interest, Poller, Readiness};
+use super::reserve::DescriptorReserve;
 use super::slab::{Slab, Token};
 use super::socket::{Socket, SocketState};
 use crate::vocabulary::Nanos;
@@ -37,8 +38,8 @@
     pub(super) accept_paused_until: Option<Nanos>,
     /// Whether the fronts accept connections; where not, another process does.
     pub(super) fronts_accept: bool,
-    /// Listening sockets of the process before this one, each with its address.
-    pub(super) inherited_listeners: Vec<(SocketAddr, OwnedFd)>,
+    /// Listening sockets of the process before this one that nobody listens on yet.
+    pub(super) inherited_listeners: Vec<ListeningSocket>,
     pub(super) pending_events: Vec<SocketEvent>,
     /// Connections established since the last [`SocketReactor::flush_connected`].
     pub(super) connected: Vec<Token>,
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,7 +1,8 @@
 //! One socket: its descriptor, its state and its buffers.
 
+use super::event::SocketOwner;
 use super::poller::Interest;
-use super::{SocketOwner, Token};
+use super::slab::Token;
 use std::os::fd::OwnedFd;
 
 /// Input buffered ahead of the owner, unless the owner sets another limit
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -42,6 +42,15 @@
     }
 }
 
+/// A connection that has been taken out of the reactor.
+#[derive(Debug)]
+pub struct ExportedConnection {
+    /// The socket, which is no longer watched here.
+    pub fd: OwnedFd,
+    /// Its buffers and state.
+    pub connection: BufferedConnection,
+}
+
 impl SocketReactor {
     /// Whether a connection can go on in another process: it is established, and neither side has ended its
     /// sending.
@@ -53,7 +62,7 @@
 
     /// Takes a connection out, for another process to go on with. None where [`SocketReactor::can_transfer`] says
     /// no.
-    pub fn export_connection(&mut self, token: Token) -> Option<(OwnedFd, BufferedConnection)> {
+    pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
         if !self.can_transfer(token) {
             return None;
         }
@@ -67,7 +76,7 @@
             bytes_written: socket.bytes_written,
             handshake_deadline,
         };
-        Some((socket.fd, connection))
+        Some(ExportedConnection { fd: socket.fd, connection })
     }
 
     /// Goes on with a connection that another process exported.
