--- a/src/front/text/handover.rs
+++ b/src/front/text/handover.rs
@@ -1,8 +1,9 @@
 //! Connections that go on in the next process of the node.
 
 use super::request_line::{OpenRequest, RequestLine};
-use super::server_side::ServerConnectionEvent;
-use super::session::{arrival, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState};
+use super::session::{
+    arrival, ConnectionEvent, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState,
+};
 use super::TextFront;
 use crate::front::{FrontContext, TransferredConnection, TEXT_FRONT};
 use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
@@ -203,7 +204,7 @@
         };
         session.trace("took", ctx);
         self.sessions.insert(client, session);
-        self.on_server_event(ctx, client, server_connection, ServerConnectionEvent::Ready);
+        self.on_server_event(ctx, client, server_connection, ConnectionEvent::Ready);
         ctx.net.update_interest(server_connection);
         ctx.net.update_interest(client);
     }
--- a/src/front/text/mod.rs
+++ b/src/front/text/mod.rs
@@ -26,8 +26,7 @@
 use crate::vocabulary::{Event, Nanos, Outcome, RequestId, ServerId};
 use health_check::HealthChecks;
 use latency::LatencyTracker;
-use server_side::ServerConnectionEvent;
-use session::{ConnectionRole, Session, SessionState};
+use session::{ConnectionEvent, ConnectionRole, Session, SessionState};
 use std::collections::{HashMap, HashSet};
 
 /// A client whose established server leaves a line unanswered for this long is migrated. Clients send a line every
@@ -92,8 +91,8 @@
     }
 
     /// Input, capacity for output, or a failure at a connection.
-    fn on_connection_event(&mut self, ctx: &mut FrontContext, token: Token, event: ServerConnectionEvent) {
-        let failed = matches!(event, ServerConnectionEvent::Failed { .. });
+    fn on_connection_event(&mut self, ctx: &mut FrontContext, token: Token, event: ConnectionEvent) {
+        let failed = matches!(event, ConnectionEvent::Failed { .. });
         match self.connections.get(&token) {
             None => ctx.net.close(token),
             // A client that breaks its connection off waits for no answer, whatever it had sent.
@@ -128,10 +127,10 @@
                 }
             }
             SocketEventKind::Readable | SocketEventKind::OutputFlushed => {
-                self.on_connection_event(ctx, token, ServerConnectionEvent::Ready);
+                self.on_connection_event(ctx, token, ConnectionEvent::Ready);
             }
             SocketEventKind::Failed { all_written } => {
-                self.on_connection_event(ctx, token, ServerConnectionEvent::Failed { all_written });
+                self.on_connection_event(ctx, token, ConnectionEvent::Failed { all_written });
             }
         }
     }
--- a/src/front/text/server_side.rs
+++ b/src/front/text/server_side.rs
@@ -3,25 +3,13 @@
 use super::line_buffer::{take_line, LineRead};
 use super::load_report::log_malformed_trailing_report;
 use super::request_line::parse_load;
-use super::session::{arrival, ConnectionRole, SessionEnding, SessionState};
+use super::session::{arrival, ConnectionEvent, ConnectionRole, SessionEnding, SessionState};
 use super::TextFront;
 use crate::front::{FrontContext, TEXT_FRONT};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::vocabulary::{Event, Outcome, RequestId};
 use std::ops::ControlFlow;
 
-/// What happened at a connection to a server.
-#[derive(Clone, Copy)]
-pub(super) enum ServerConnectionEvent {
-    /// There is input, the server's end, or capacity for more output.
-    Ready,
-    /// The connection could not be established or was reset.
-    Failed {
-        /// All of our output had been written.
-        all_written: bool,
-    },
-}
-
 impl TextFront {
     /// Something happened at a connection to a server.
     pub(super) fn on_server_event(
@@ -29,7 +17,7 @@
         ctx: &mut FrontContext,
         client: Token,
         server_connection: Token,
-        event: ServerConnectionEvent,
+        event: ConnectionEvent,
     ) {
         if self.handle_server_lines(ctx, client, server_connection).is_break() {
             return;
@@ -39,16 +27,16 @@
         }
         let established = self.sessions.get(&client).is_some_and(|session| session.is_established());
         match event {
-            ServerConnectionEvent::Ready if ctx.net.is_read_closed(server_connection) => {
+            ConnectionEvent::Ready if ctx.net.is_read_closed(server_connection) => {
                 self.on_server_end(ctx, client, server_connection, established);
             }
-            ServerConnectionEvent::Ready if established => self.on_client_input(ctx, client, false),
-            ServerConnectionEvent::Ready => {}
+            ConnectionEvent::Ready if established => self.on_client_input(ctx, client, false),
+            ConnectionEvent::Ready => {}
             // Before its last byte was written the request cannot have run; after that it may have.
-            ServerConnectionEvent::Failed { all_written: false } if !established => {
+            ConnectionEvent::Failed { all_written: false } if !established => {
                 self.on_attempt_end(ctx, client, Outcome::ConnectFailed, true);
             }
-            ServerConnectionEvent::Failed { .. } => self.on_attempt_end(ctx, client, Outcome::Reset, true),
+            ConnectionEvent::Failed { .. } => self.on_attempt_end(ctx, client, Outcome::Reset, true),
         }
     }
 
--- a/src/front/text/session.rs
+++ b/src/front/text/session.rs
@@ -18,6 +18,18 @@
     HealthCheck,
 }
 
+/// What happened at a connection.
+#[derive(Clone, Copy)]
+pub(super) enum ConnectionEvent {
+    /// There is input, the peer's end, or capacity for more output.
+    Ready,
+    /// The connection could not be established or was reset.
+    Failed {
+        /// All of our output had been written.
+        all_written: bool,
+    },
+}
+
 /// A client with a request.
 pub(super) struct Session {
     /// The client's request line.
