--- a/crates/amqp/src/value.rs
+++ b/crates/amqp/src/value.rs
@@ -1,6 +1,6 @@
-//! The types of part 1 of the standard.
+//! The types of AMQP (standard, section 1.6).
 
-/// A value of any AMQP type (part 1, section 1.6).
+/// A value of any AMQP type (standard, section 1.6).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// Nothing.
@@ -27,11 +27,11 @@
     Float(f32),
     /// IEEE 754 binary64.
     Double(f64),
-    /// IEEE 754 decimal32, kept as it came.
+    /// IEEE 754 decimal32, as on the wire.
     Decimal32([u8; 4]),
-    /// IEEE 754 decimal64, kept as it came.
+    /// IEEE 754 decimal64, as on the wire.
     Decimal64([u8; 8]),
-    /// IEEE 754 decimal128, kept as it came.
+    /// IEEE 754 decimal128, as on the wire.
     Decimal128([u8; 16]),
     /// A Unicode character.
     Char(char),
@@ -61,7 +61,7 @@
         Value::Described(Box::new(Value::Ulong(code)), Box::new(value))
     }
 
-    /// A composite: a list under a numeric descriptor (part 1, section 1.4).
+    /// A composite: a list under a numeric descriptor (standard, section 1.4).
     pub fn composite(code: u64, fields: Vec<Value>) -> Value {
         Value::described(code, Value::List(fields))
     }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Symbols in a field that the standard marks `multiple`: none, one, or an array (part 1, 1.4).
+    /// Symbols in a field that the standard marks `multiple`: none, one, or an array (standard, section 1.4).
     pub fn symbols(&self) -> Vec<&str> {
         match self {
             Value::Array(items) => items.iter().filter_map(Value::as_str).collect(),
@@ -92,7 +92,7 @@
         }
     }
 
-    /// What a map holds under this symbol or text.
+    /// The value of a map at this symbol or text.
     pub fn get(&self, name: &str) -> Option<&Value> {
         let Value::Map(pairs) = self else { return None };
         pairs.iter().find(|(key, _)| key.as_str() == Some(name)).map(|(_, value)| value)
--- a/src/front/text/handover.rs
+++ b/src/front/text/handover.rs
@@ -99,7 +99,7 @@
             ConnectionRole::AwaitingRequest { pings } => {
                 let transferred = TransferredSession::AwaitingRequest(pings, client);
                 Some(TransferredConnection {
-                    text: serde_json::to_string(&transferred).ok()?,
+                    state: serde_json::to_string(&transferred).ok()?,
                     fds: vec![client_fd],
                 })
             }
@@ -134,7 +134,7 @@
         self.remove_session(ctx, token);
         let transferred = TransferredSession::Established(transferred);
         Some(TransferredConnection {
-            text: serde_json::to_string(&transferred).ok()?,
+            state: serde_json::to_string(&transferred).ok()?,
             fds: vec![client_fd, server_fd],
         })
     }
@@ -145,7 +145,7 @@
         ctx: &mut FrontContext,
         transferred: TransferredConnection,
     ) -> Result<(), UnreadableConnection> {
-        let session = serde_json::from_str(&transferred.text).map_err(|_| UnreadableConnection)?;
+        let session = serde_json::from_str(&transferred.state).map_err(|_| UnreadableConnection)?;
         let mut fds = transferred.fds.into_iter();
         match session {
             TransferredSession::AwaitingRequest(pings, client) => {
--- a/src/front/tls.rs
+++ b/src/front/tls.rs
@@ -4,5 +4,5 @@
 mod config;
 mod connection;
 
-pub use config::TlsListenerConfig;
+pub use config::{TlsConfigError, TlsListenerConfig};
 pub use connection::TlsConnection;
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -89,7 +89,7 @@
         self.outlier.on_success();
     }
 
-    /// An attempt failed; see [`OutlierState::on_failure`].
+    /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error.
     pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
         self.outlier.on_failure(now, roll, answered);
     }
@@ -106,7 +106,7 @@
         let Some(objective) = objectives.min() else { return LatencyResponse::None };
         let demand = self.latency.on_report(now, latency, objective, settings.slow_start_duration);
         let Some(demand) = demand else { return LatencyResponse::None };
-        if demand.is_confirmed || !settings.probes {
+        if demand.is_confirmed || !settings.health_checks {
             return LatencyResponse::Migrate(demand.fraction);
         }
         let is_checking = self.pending_migration != 0.0;
