--- a/src/front/amqp/mod.rs
+++ b/src/front/amqp/mod.rs
@@ -92,11 +92,11 @@
         let mut line = format!("listen={address}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
-            let (token, tls_address) = net
+            let listener = net
                 .listen_with_token(tls.listen, SocketOwner::Front(id))
                 .map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
-            line = format!("tls={tls_address} {line}");
-            tls_listener = Some(token);
+            line = format!("tls={} {line}", listener.addr);
+            tls_listener = Some(listener.token);
         }
         let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
         let front = AmqpFront {
