--- a/src/front/text/latency.rs
+++ b/src/front/text/latency.rs
@@ -60,3 +60,6 @@
         reports
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/front/text/line_buffer.rs
+++ b/src/front/text/line_buffer.rs
@@ -21,3 +21,6 @@
         _ => LineRead::TooLong,
     }
 }
+
+#[cfg(test)]
+mod tests;
