--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -234,27 +234,29 @@
                 }
                 return self.finish_compound(&body);
             }
-            format_code::ARRAY_8 | format_code::ARRAY_32 => {
-                let (mut body, count) = self.compound(code)?;
-                let mut kind = body.byte()?;
-                let mut descriptors = 0;
-                while kind == 0 {
-                    descriptors += 1;
-                    if descriptors > depth {
-                        return Err(DecodeError::TooMuch);
-                    }
-                    body.skip_at(depth)?;
-                    kind = body.byte()?;
-                }
-                for _ in 0..count {
-                    body.skip_with_code(kind, depth)?;
-                }
-                return self.finish_compound(&body);
-            }
+            format_code::ARRAY_8 | format_code::ARRAY_32 => return self.skip_array(code, depth),
             _ => return Err(DecodeError::Code(code)),
         };
         self.octets(width).map(|_| ())
     }
+
+    fn skip_array(&mut self, code: u8, depth: u32) -> Result<()> {
+        let (mut body, count) = self.compound(code)?;
+        let mut element_code = body.byte()?;
+        let mut descriptors = 0;
+        while element_code == format_code::DESCRIBED {
+            descriptors += 1;
+            if descriptors > depth {
+                return Err(DecodeError::TooMuch);
+            }
+            body.skip_at(depth)?;
+            element_code = body.byte()?;
+        }
+        for _ in 0..count {
+            body.skip_with_code(element_code, depth)?;
+        }
+        self.finish_compound(&body)
+    }
 }
 
 /// In maps with fewer pairs than this, no key may repeat.
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -142,6 +142,44 @@
     Nothing,
 }
 
+/// Answers an event as a user might.
+fn respond(conn: &mut Connection, event: Event<'_>, answer: Answer) {
+    match (event, answer) {
+        (Event::AttachRequested { link, .. }, Answer::Accept) => {
+            conn.accept_link(link, Attach::default());
+            conn.set_credit(link, 3);
+        }
+        (Event::AttachRequested { link, .. }, Answer::Refuse) => {
+            conn.refuse_link(link, Error::new(condition::NOT_FOUND, "no"));
+        }
+        (Event::Transfer { link, transfer }, Answer::Accept) => {
+            conn.settle(link.channel, transfer.id, State::Accepted);
+            conn.set_credit(link, 3);
+        }
+        (Event::Credit { link }, Answer::Accept) => {
+            let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
+            conn.send(link, delivery, &[1; 700], true, 10_000);
+            conn.return_credit(link);
+        }
+        (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
+        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
+        (Event::Began { channel }, Answer::Accept) => {
+            conn.attach(channel, "ours", Role::Sender, Attach::default());
+        }
+        (Event::Began { channel }, Answer::Refuse) => conn.end_session(channel, None),
+        _ => {}
+    }
+}
+
+/// A peer cannot exceed the settings, whatever it sends.
+fn check_bounds(conn: &Connection, settings: &Settings) {
+    assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
+    assert!(conn.channels().len() <= settings.channel_max as usize + 1);
+    for link in conn.links() {
+        assert!(conn.unsettled(link) <= settings.max_unsettled + 1, "{}", conn.unsettled(link));
+    }
+}
+
 /// Plays frames against one end; checks its bounds after each.
 fn play(mut conn: Connection, frames: Vec<(u16, Performative, usize)>, answers: &[Answer]) {
     let settings = BOUNDS();
@@ -163,36 +201,8 @@
             };
             turn += 1;
             let answer = answers[turn % answers.len()];
-            match (event, answer) {
-                (Event::AttachRequested { link, .. }, Answer::Accept) => {
-                    conn.accept_link(link, Attach::default());
-                    conn.set_credit(link, 3);
-                }
-                (Event::AttachRequested { link, .. }, Answer::Refuse) => {
-                    conn.refuse_link(link, Error::new(condition::NOT_FOUND, "no"));
-                }
-                (Event::Transfer { link, transfer }, Answer::Accept) => {
-                    conn.settle(link.channel, transfer.id, State::Accepted);
-                    conn.set_credit(link, 3);
-                }
-                (Event::Credit { link }, Answer::Accept) => {
-                    let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
-                    conn.send(link, delivery, &[1; 700], true, 10_000);
-                    conn.return_credit(link);
-                }
-                (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
-                (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
-                (Event::Began { channel }, Answer::Accept) => {
-                    conn.attach(channel, "ours", Role::Sender, Attach::default());
-                }
-                (Event::Began { channel }, Answer::Refuse) => conn.end_session(channel, None),
-                _ => {}
-            }
-            assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
-            assert!(conn.channels().len() <= settings.channel_max as usize + 1);
-            for link in conn.links() {
-                assert!(conn.unsettled(link) <= settings.max_unsettled + 1, "{}", conn.unsettled(link));
-            }
+            respond(&mut conn, event, answer);
+            check_bounds(&conn, &settings);
         }
         conn.take_output(1);
     }
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -223,6 +223,16 @@
 }
 
 impl Seen {
+    /// Counts the answer of a delivery.
+    fn count(&mut self, state: Option<State>) {
+        match state {
+            Some(State::Accepted) => self.served += 1,
+            Some(State::Modified { failed: false, .. }) => self.refused += 1,
+            Some(State::Modified { failed: true, .. }) => self.failed += 1,
+            _ => self.wrong += 1,
+        }
+    }
+
     fn add(&mut self, other: Seen) {
         self.items += other.items;
         self.served += other.served;
@@ -260,6 +270,33 @@
     seen
 }
 
+/// A message with an item's key and number.
+fn item_message(item: u64) -> Vec<u8> {
+    let mut message = Vec::new();
+    let header = vec![Value::Null, Value::Null, Value::Uint(1200)];
+    sparbank_amqp::encode(&Value::composite(0x70, header), &mut message);
+    let named = vec![
+        (Value::text("key"), Value::text(&format!("{item:x}"))),
+        (Value::text("item"), Value::Ulong(item)),
+    ];
+    sparbank_amqp::encode(&Value::described(0x74, Value::Map(named)), &mut message);
+    sparbank_amqp::encode(&Value::described(0x75, Value::Binary(vec![7; 100])), &mut message);
+    message
+}
+
+/// Attaches a sending link for each class.
+fn attach_classes(conn: &mut Connection, channel: u16) -> HashMap<&'static str, LinkId> {
+    let mut links = HashMap::new();
+    for class in CLASSES {
+        let target = Target { address: Some(class.into()), ..Target::default() };
+        let target = Some(Terminus::Target(target));
+        let attach = Attach { target, ..Attach::default() };
+        let link = conn.attach(channel, class, Role::Sender, attach).expect("room");
+        links.insert(class, link);
+    }
+    links
+}
+
 fn amqp_client(addr: SocketAddr, next: &AtomicU64, until: Instant) -> Seen {
     let mut stream = TcpStream::connect(addr).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a time-out");
@@ -285,22 +322,11 @@
             match event {
                 Event::Opened {} => drop(conn.begin()),
                 Event::Began { channel } => {
-                    for class in CLASSES {
-                        let target = Target { address: Some(class.into()), ..Target::default() };
-                        let target = Some(Terminus::Target(target));
-                        let attach = Attach { target, ..Attach::default() };
-                        let link = conn.attach(channel, class, Role::Sender, attach).expect("room");
-                        links.insert(class, link);
-                    }
+                    links = attach_classes(&mut conn, channel);
                 }
                 Event::Settled { key, state, .. } => {
                     seen.wrong += u64::from(open.remove(&key).is_none());
-                    match state {
-                        Some(State::Accepted) => seen.served += 1,
-                        Some(State::Modified { failed: false, .. }) => seen.refused += 1,
-                        Some(State::Modified { failed: true, .. }) => seen.failed += 1,
-                        _ => seen.wrong += 1,
-                    }
+                    seen.count(state);
                 }
                 _ => {}
             }
@@ -310,15 +336,7 @@
         if ready && links.values().all(|link| conn.can_send(*link)) && !links.is_empty() {
             last = Instant::now();
             let (item, class) = number(next);
-            let mut payload = Vec::new();
-            let header = vec![Value::Null, Value::Null, Value::Uint(1200)];
-            sparbank_amqp::encode(&Value::composite(0x70, header), &mut payload);
-            let named = vec![
-                (Value::text("key"), Value::text(&format!("{item:x}"))),
-                (Value::text("item"), Value::Ulong(item)),
-            ];
-            sparbank_amqp::encode(&Value::described(0x74, Value::Map(named)), &mut payload);
-            sparbank_amqp::encode(&Value::described(0x75, Value::Binary(vec![7; 100])), &mut payload);
+            let payload = item_message(item);
             let delivery = Outgoing { key: item, tag: item.into(), settled: false };
             assert!(conn.send(links[class], delivery, &payload, true, usize::MAX).complete);
             open.insert(item, ());
