--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -8,6 +8,7 @@
 /// All requests of this node that are not over, in the order of their ids.
 pub(super) type Requests = BTreeMap<RequestId, Request>;
 
+/// What a request waits for or has.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Phase {
     /// Waits for its backoff timer.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -58,21 +58,13 @@
         candidates
     }
 
-    /// The servers that may take the request. Rule 2: after a possible run only those that discard a repeat.
+    /// The servers that may take the request. Unconfirmed ones with an attempt in flight only if all are.
     fn eligible_servers(&self, request: &Request) -> Vec<ServerId> {
-        let class = &self.settings.classes[request.class];
-        let first_run = request.attempts.first_possible_run();
-        let first =
-            first_run.map(|run| self.servers.find(run.server).map(|server| server.attributes.location()));
-        let is_safe = |server: &Server| match first {
-            None => true,
-            Some(first) => {
-                first.is_some_and(|first| deduplicates(class, first, server.attributes.location()))
-            }
-        };
         let may_take = |id: &&ServerId| {
             let server = self.servers.get(**id);
-            server.health.is_available(self.now) && is_safe(server) && !request.attempts.has_tried(**id)
+            server.health.is_available(self.now)
+                && self.is_repeat_safe(request, server)
+                && !request.attempts.has_tried(**id)
         };
         let mut eligible: Vec<ServerId> = self.servers.serving().iter().filter(may_take).copied().collect();
         keep_preferred(&mut eligible, |id| {
@@ -82,6 +74,14 @@
         eligible
     }
 
+    /// Rule 2: after a possible run only servers that discard a repeat may take the request.
+    fn is_repeat_safe(&self, request: &Request, server: &Server) -> bool {
+        let Some(run) = request.attempts.first_possible_run() else { return true };
+        let Some(first) = self.servers.find(run.server) else { return false };
+        let class = &self.settings.classes[request.class];
+        deduplicates(class, first.attributes.location(), server.attributes.location())
+    }
+
     fn capacity_factor(&self, server: &Server) -> f64 {
         self.slow_start.capacity_factor(self.now, server.attributes.started_at)
     }
--- a/tests/policy_rules/state_snapshot.rs
+++ b/tests/policy_rules/state_snapshot.rs
@@ -36,7 +36,7 @@
 
 /// What version 00677b7 wrote: four servers of the first list, one of them restarted later, and one whose
 /// number skips one.
-const SNAPSHOT_00677B7: &str = include_str!("../fixtures/server-state-00677b7.json");
+const SNAPSHOT_00677B7: &str = include_str!("../fixtures/00677b7/server-state.json");
 
 #[test]
 fn a_snapshot_of_version_00677b7_is_read_and_written_back_identically() {
