--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -46,8 +46,10 @@
     pub site: SiteSettings,
 }
 
-/// The document in the file that `NODE_CONFIG` names.
+/// The document in the file that `NODE_CONFIG` names. `expecting` keeps the text of decoding errors as earlier versions
+/// print it.
 #[derive(Deserialize)]
+#[serde(expecting = "struct File")]
 struct ConfigDocument<'a> {
     name: String,
     listen: SocketAddr,
@@ -65,6 +67,7 @@
 }
 
 #[derive(Deserialize)]
+#[serde(expecting = "struct Limits")]
 struct LimitsDocument {
     #[serde(rename = "sockets")]
     max_descriptors: usize,
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,7 +1,8 @@
 //! The settings document as the platform writes it, decoded into the balancer's [`Settings`].
 //!
 //! Field names on the wire are the platform's. Where they differ from the terms of the field, the Rust name is the
-//! term and the wire's name stands in a `rename`.
+//! term and a `rename` gives the name on the wire. `expecting` keeps the text of decoding errors as earlier versions
+//! print it.
 
 use crate::json::{self, JsonError};
 use crate::vocabulary::{DedupScope, Discovery, Effect, Nanos, RequestClass, Settings};
@@ -13,6 +14,7 @@
 /// The settings object. Fields that the balancer does not use are skipped.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct InSettings")]
 pub struct SettingsDocument {
     #[serde(default = "one_instance")]
     instances: u32,
@@ -36,6 +38,7 @@
 /// The fields that a load report of a server carries.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
+#[serde(expecting = "struct InFeedback")]
 struct FeedbackDocument {
     fields: Vec<String>,
 }
@@ -43,6 +46,7 @@
 /// A request class.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct InProfile")]
 struct ClassDocument {
     objective_ns: Nanos,
     hard_limit_ns: Nanos,
@@ -75,6 +79,7 @@
 /// What a node may do.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct InLimits")]
 struct LimitsDocument {
     max_attempts: u32,
     #[serde(default)]
@@ -92,6 +97,7 @@
 /// How the site's servers and discovery behave.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct InRules")]
 struct RulesDocument {
     #[serde(default = "unlimited", rename = "AskWithinNs")]
     poll_within_ns: Nanos,
@@ -108,6 +114,7 @@
 /// What applies to one family of sites alone.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
+#[serde(expecting = "struct InFamily")]
 struct FamilyDocument {
     /// By the index of the class.
     #[serde(rename = "MessageAimNs")]
@@ -119,6 +126,7 @@
 /// A tenant's share of the fleet.
 #[derive(Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
+#[serde(expecting = "struct InParty")]
 struct TenantDocument {
     /// New connections a second, rounded to an integer.
     quota_per_s: f64,
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,4 +1,5 @@
-//! Those of the platform's settings that fronts and exports need and the balancer does not.
+//! Those of the platform's settings that fronts and exports need and the balancer does not. `expecting` keeps the text
+//! of decoding errors as earlier versions print it.
 
 use crate::vocabulary::Nanos;
 use serde::Deserialize;
@@ -9,6 +10,7 @@
 /// Names of classes and zones, and limits that apply on real sockets.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct Facts")]
 pub struct SiteSettings {
     /// The request classes. Their order is that of the balancer's `Settings::classes`.
     #[serde(rename = "Profiles")]
@@ -34,6 +36,7 @@
 /// Limits of connections.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
+#[serde(expecting = "struct DialLimits")]
 pub struct ConnectionLimits {
     /// A connection to a server that is not established after this has failed.
     #[serde(default = "default_dial_timeout")]
@@ -43,6 +46,7 @@
 /// What applies to one family of sites alone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
+#[serde(expecting = "struct Notes")]
 pub struct FamilyInfo {
     /// The balancer wants reports of the latency of messages on open connections.
     #[serde(rename = "TellsDelay")]
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -27,6 +27,12 @@
 #[case("\"7f\"", "\"7g\"", "field seed: invalid digit found in string")]
 #[case("\"sockets\":20", "\"sockets\":\"20\"", "field limits.sockets: invalid type")]
 #[case("\"name\"", "\"nome\"", "field .: missing field `name`")]
+#[case("{\"sockets\":20}", "20", "field limits: invalid type: integer `20`, expected struct Limits at")]
+#[case(
+    "\"Rules\":{}",
+    "\"Rules\":1",
+    "field settings.Rules: invalid type: integer `1`, expected struct InRules at"
+)]
 fn an_error_names_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let error = Config::parse(&file(from, to)).expect_err("it is invalid").to_string();
     assert!(error.starts_with(expected), "{error}");
