--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -3,9 +3,12 @@
 #![allow(dead_code)]
 
 mod amqp;
+mod handover;
 
 #[allow(unused_imports)]
 pub use amqp::*;
+#[allow(unused_imports)]
+pub use handover::{listen_for_handover, HandoverFolder, HandoverNode, HandoverPeer};
 
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
