--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -118,7 +118,7 @@
         true
     }
 
-    /// Whether the load balancer in front of the nodes is to send clients here: what `PING` asks. SIGTERM alone
+    /// Whether the load balancer in front of the nodes is to send clients here: the answer to `PING`. SIGTERM alone
     /// does not change it, since clients still arrive until the platform has noticed.
     pub fn accepts_clients(&self) -> bool {
         match self {
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,4 +1,4 @@
-//! Stories over loopback for the second address: operators' calls, drain and resume.
+//! The admin API over loopback: calls, drain and resume.
 
 mod support;
 
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::process::Output;
 use std::time::Duration;
-use support::*;
+use support::{config, counter_value, established_client, listener, node_command, temp_file, Bench, Peer};
 
-/// A node with an operators' address, and that address.
+/// A node with an admin API, and its address.
 fn node(servers: usize) -> (Bench, SocketAddr) {
     let servers = (0..servers).map(|_| listener()).collect();
     let mut bench = Bench::with_args(servers, None, &[], |text| {
@@ -19,8 +19,8 @@
     (bench, at.expect("an address in the log"))
 }
 
-/// The rest of an answer: its status and all of its text, up to the end of the connection.
-fn answer(caller: &mut Peer) -> (u16, String) {
+/// Reads a response up to the end of the connection: its status and its text.
+fn read_response(caller: &mut Peer) -> (u16, String) {
     let line = caller.read_line();
     let status = line.split(' ').nth(1).and_then(|word| word.parse().ok());
     let mut text = String::new();
@@ -28,14 +28,14 @@
     // The head ends with an empty line; what follows is one line and the end.
     text.push_str(&caller.read_line());
     caller.expect_closed();
-    (status.unwrap_or_else(|| panic!("no answer: {line:?}")), text)
+    (status.unwrap_or_else(|| panic!("no response: {line:?}")), text)
 }
 
 fn call(at: SocketAddr, head: &str) -> (u16, String) {
-    answer(Peer::connect(at).send(&format!("{head} HTTP/1.1\r\nHost: node\r\n\r\n")))
+    read_response(Peer::connect(at).send(&format!("{head} HTTP/1.1\r\nHost: node\r\n\r\n")))
 }
 
-fn says(bench: &Bench) -> String {
+fn ping(bench: &Bench) -> String {
     Peer::connect(bench.addr).send("PING\r\n").read_line()
 }
 
@@ -44,52 +44,52 @@
 #[case("GET /-/nothing", 404, "known: GET /-/ready, POST /-/drain, POST /-/resume")]
 #[case("GET /-/drain", 405, "this takes POST")]
 #[case("POST /-/resume", 200, "serving")]
-fn each_call_has_one_answer_however_it_comes(#[case] head: &str, #[case] status: u16, #[case] text: &str) {
+fn a_call_has_one_response_however_it_is_split(#[case] head: &str, #[case] status: u16, #[case] text: &str) {
     let (bench, at) = node(1);
     assert_eq!(call(at, head), (status, text.to_string()));
     let mut slow = Peer::connect(at);
     for byte in format!("{head} HTTP/1.1\r\nHost: node\r\nContent-Length: 0\r\n\r\n").chars() {
         slow.send(&byte.to_string());
     }
-    assert_eq!(answer(&mut slow), (status, text.to_string()));
+    assert_eq!(read_response(&mut slow), (status, text.to_string()));
     let counters = bench.stop();
     let counts = ["admin_accepted", "admin_rejected"].map(|name| counter_value(&counters, name));
     assert_eq!(counts, if status == 200 { [2, 0] } else { [0, 2] });
 }
 
-/// Callers that say nothing, or half a call, and stay; and a crowd of clients that takes every descriptor.
+/// Callers that send nothing or half a call and stay connected, and clients that use up all descriptors.
 #[rstest]
-fn who_stays_silent_holds_up_no_call() {
+fn silent_callers_and_many_clients_delay_no_call() {
     let (mut bench, at) = node(1);
-    let _crowd: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
-    let mut stay: Vec<Peer> = Vec::new();
+    let _clients: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
+    let mut silent: Vec<Peer> = Vec::new();
     for number in 0..50 {
         let mut caller = Peer::connect(at);
         caller.send(if number % 2 == 0 { "" } else { "GET /-/re" });
-        stay.push(caller);
+        silent.push(caller);
         assert_eq!(call(at, "GET /-/ready").0, 200, "after {number}");
     }
-    // The longest idle made room; the last ones are told that no call came.
-    stay[0].expect_closed();
-    let last = stay.last_mut().expect("fifty");
-    assert_eq!(answer(last), (408, "no whole call came".to_string()));
+    // The one idle longest was evicted; the last ones time out.
+    silent[0].expect_closed();
+    let last = silent.last_mut().expect("fifty");
+    assert_eq!(read_response(last), (408, "no whole call came".to_string()));
     let counters = bench.counters();
     assert_eq!((counters["admin_accepted"], counters["admin_incomplete"] >= 42), (50, true));
 }
 
-/// The first client stands; what is still placed during the drain stands, then is moved like the others.
+/// Clients established before and during the drain are migrated.
 #[rstest]
-fn a_drain_sends_away_all_that_stands_and_a_second_call_changes_nothing() {
+fn a_drain_migrates_all_clients_and_a_second_call_changes_nothing() {
     let (mut bench, at) = node(1);
     let (mut first, _task) = established_client(&bench, 1);
-    assert_eq!(says(&bench), "PONG");
+    assert_eq!(ping(&bench), "PONG");
     assert_eq!(call(at, "POST /-/drain"), (200, "draining standing=1".to_string()));
-    assert_eq!(says(&bench), "BUSY");
+    assert_eq!(ping(&bench), "BUSY");
     let (mut second, _other) = established_client(&bench, 2);
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!([first.read_line(), second.read_line()], ["MOVE", "MOVE"]);
     first.expect_closed();
-    // It goes on: who comes late is served and moved.
+    // The drain goes on: a late client is served and migrated.
     let (mut late, _other) = established_client(&bench, 3);
     assert_eq!(late.read_line(), "MOVE");
     assert_eq!(call(at, "GET /-/ready").0, 200, "this process could serve");
@@ -99,13 +99,13 @@
 }
 
 #[rstest]
-fn resume_keeps_what_stands_and_takes_clients_at_once() {
+fn resume_keeps_established_clients_and_accepts_new_ones() {
     let (mut bench, at) = node(1);
     let (mut client, mut task) = established_client(&bench, 1);
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!(call(at, "POST /-/resume"), (200, "serving".to_string()));
-    assert_eq!(says(&bench), "PONG");
-    // One that stands alone would have been moved by then: the drain's time is over.
+    assert_eq!(ping(&bench), "PONG");
+    // A single client would have been migrated by then: the drain's time is over.
     std::thread::sleep(Duration::from_millis(3_700));
     client.send("M 1 x\r\n");
     assert_eq!(task.read_line(), "M 1 x");
@@ -113,7 +113,7 @@
 }
 
 #[rstest]
-fn a_process_that_leaves_says_so() {
+fn calls_during_shutdown_get_its_status() {
     let (mut bench, at) = node(1);
     let (mut client, _task) = established_client(&bench, 1);
     bench.signal("-TERM");
@@ -121,28 +121,28 @@
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
-    assert_eq!(says(&bench), "BUSY");
+    assert_eq!(ping(&bench), "BUSY");
     assert_eq!(client.read_line(), "MOVE");
     assert!(bench.process.child.wait().expect("it ends").success());
 }
 
-/// What a node says that does not start with this operators' address.
-fn refused(operator: &str) -> Output {
+/// The output of a node that does not start with this address of the admin API.
+fn start_with_address(address: &str) -> Output {
     let text = config(listener().local_addr().expect("an address"), "", 256)
-        .replace(r#""listen":"#, &format!(r#""operator":"{operator}","listen":"#));
+        .replace(r#""listen":"#, &format!(r#""operator":"{address}","listen":"#));
     node_command(&["serve"], &temp_file("node.json", &text)).output().expect("it ends")
 }
 
 #[rstest]
-fn an_address_that_is_none_or_is_taken_is_named() {
-    let said = |output: &Output| String::from_utf8_lossy(&output.stderr).into_owned();
-    let wrong = refused("elsewhere");
-    assert_eq!(wrong.status.code(), Some(2), "{}", said(&wrong));
-    assert!(said(&wrong).contains("node.json: field operator: "), "{}", said(&wrong));
+fn an_invalid_or_used_address_is_named_in_the_error() {
+    let error = |output: &Output| String::from_utf8_lossy(&output.stderr).into_owned();
+    let invalid = start_with_address("elsewhere");
+    assert_eq!(invalid.status.code(), Some(2), "{}", error(&invalid));
+    assert!(error(&invalid).contains("node.json: field operator: "), "{}", error(&invalid));
     let other = listener();
-    let taken = refused(&other.local_addr().expect("an address").to_string());
-    assert_eq!(taken.status.code(), Some(1));
-    assert!(said(&taken).contains("error operator: 127.0.0.1:"), "{}", said(&taken));
+    let used = start_with_address(&other.local_addr().expect("an address").to_string());
+    assert_eq!(used.status.code(), Some(1));
+    assert!(error(&used).contains("error operator: 127.0.0.1:"), "{}", error(&used));
 }
 
 #[rstest]
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -1,124 +1,124 @@
-//! Crossings of a shutdown, forced over loopback: each request that was taken gets one final answer, and the node
-//! ends by itself, in time. Where an instant matters the node is stopped while things happen.
+//! Races of a shutdown, forced over loopback: each accepted request gets one final answer, and the node exits by itself
+//! in time. Where the order matters the node is paused while things happen.
 
 mod support;
 
 use rstest::rstest;
 use std::time::{Duration, Instant};
-use support::*;
+use support::{accept_any, counter_value, established_client, open_line, Bench, Peer};
 
-/// SIGKILL comes 0.7 s after the longest deadline, 1.2 s here.
-const KILLED_AFTER: Duration = Duration::from_millis(1_900);
+/// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s here.
+const SIGKILL_AFTER: Duration = Duration::from_millis(1_900);
 
-/// The node ends by itself before it would be killed; gives its last counters.
-fn ends(mut bench: Bench, told: Instant) -> String {
+/// The node exits by itself before SIGKILL. Its last counters are the result.
+fn expect_exit(mut bench: Bench, sigterm_at: Instant) -> String {
     let counters = bench.wait_for_log("counters");
     assert!(bench.process.child.wait().expect("it ends").success(), "exit 0");
-    assert!(told.elapsed() < KILLED_AFTER, "{:?} after SIGTERM", told.elapsed());
+    assert!(sigterm_at.elapsed() < SIGKILL_AFTER, "{:?} after SIGTERM", sigterm_at.elapsed());
     counters
 }
 
-fn answers(client: &mut Peer) -> Vec<String> {
+fn read_lines(client: &mut Peer) -> Vec<String> {
     client.read_to_end().lines().map(str::to_string).collect()
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Crossing {
+enum Arrival {
     /// Its first line is half read.
     HalfALine,
-    /// Its whole line is in the kernel's buffer, unread.
+    /// Its complete line is in the kernel's buffer, unread.
     Unread,
     /// Its connection is in the accept queue.
     Queued,
 }
 
-/// A request that crosses SIGTERM is served, and moved before the end.
+/// A request that arrives around SIGTERM is served, and migrated before the exit.
 #[rstest]
-fn a_request_that_crosses_sigterm_gets_its_answer(
-    #[values(Crossing::HalfALine, Crossing::Unread, Crossing::Queued)] crossing: Crossing,
+fn a_request_arriving_at_sigterm_is_served_and_migrated(
+    #[values(Arrival::HalfALine, Arrival::Unread, Arrival::Queued)] arrival: Arrival,
 ) {
     let bench = Bench::start(1);
     let line = format!("{}\r\n", open_line(1));
     let mut early = Peer::connect(bench.addr);
-    if let Crossing::HalfALine = crossing {
+    if let Arrival::HalfALine = arrival {
         early.send(&line[..9]);
-        // It has been read: a later one's question is answered.
+        // It has been read: a later request is answered.
         assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     }
     bench.pause();
-    let mut client = match crossing {
-        Crossing::HalfALine => early,
-        Crossing::Unread => {
+    let mut client = match arrival {
+        Arrival::HalfALine => early,
+        Arrival::Unread => {
             early.send(&line);
             early
         }
-        Crossing::Queued => Peer::connect(bench.addr),
+        Arrival::Queued => Peer::connect(bench.addr),
     };
     bench.signal("-TERM");
-    let told = Instant::now();
+    let sigterm_at = Instant::now();
     bench.resume();
-    match crossing {
-        Crossing::HalfALine => drop(client.send(&line[9..])),
-        Crossing::Unread => {}
-        Crossing::Queued => drop(client.send(&line)),
+    match arrival {
+        Arrival::HalfALine => drop(client.send(&line[9..])),
+        Arrival::Unread => {}
+        Arrival::Queued => drop(client.send(&line)),
     }
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("UP r1\r\n");
-    assert_eq!(answers(&mut client), ["UP r1", "MOVE"]);
+    assert_eq!(read_lines(&mut client), ["UP r1", "MOVE"]);
     drop((client, attempt));
-    let counters = ends(bench, told);
+    let counters = expect_exit(bench, sigterm_at);
     assert_eq!(["requests", "served", "migrated"].map(|name| counter_value(&counters, name)), [1, 1, 1]);
 }
 
 #[derive(Clone, Copy, Debug)]
 enum Server {
-    /// `UP` comes just after SIGTERM.
+    /// `UP` arrives just after SIGTERM.
     Answers,
-    /// Nothing ever comes.
+    /// It never answers.
     Hangs,
-    /// It turns every attempt away: a retry sleeps.
-    TurnsAway,
+    /// It rejects every attempt: a retry waits for its backoff.
+    Rejects,
 }
 
 #[rstest]
-fn an_attempt_that_is_out_at_sigterm_ends_in_one_answer(
-    #[values(Server::Answers, Server::Hangs, Server::TurnsAway)] server: Server,
-    #[values(1, 2)] terms: u32,
+fn an_attempt_in_flight_at_sigterm_ends_in_one_answer(
+    #[values(Server::Answers, Server::Hangs, Server::Rejects)] server: Server,
+    #[values(1, 2)] sigterms: u32,
 ) {
     let bench = Bench::start(2);
     let mut client = bench.connect_client(&open_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
-    if let Server::TurnsAway = server {
+    if let Server::Rejects = server {
         attempt.send("BUSY\r\n");
     }
-    (0..terms).for_each(|_| bench.signal("-TERM"));
-    let told = Instant::now();
+    (0..sigterms).for_each(|_| bench.signal("-TERM"));
+    let sigterm_at = Instant::now();
     if let Server::Answers = server {
         attempt.send("UP r1\r\n");
     }
     let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
-    if let Server::TurnsAway = server {
+    if let Server::Rejects = server {
         std::thread::spawn(move || loop {
             let (_, mut attempt) = accept_any(&servers);
             attempt.read_line();
             attempt.send("BUSY\r\n");
         });
     }
-    let heard = answers(&mut client);
+    let lines = read_lines(&mut client);
     match server {
-        Server::Answers => assert_eq!(heard, ["UP r1", "MOVE"]),
-        _ => assert!(heard.len() == 1 && (heard[0].starts_with("BUSY") || heard[0] == "ERR"), "{heard:?}"),
+        Server::Answers => assert_eq!(lines, ["UP r1", "MOVE"]),
+        _ => assert!(lines.len() == 1 && (lines[0].starts_with("BUSY") || lines[0] == "ERR"), "{lines:?}"),
     }
     drop((client, attempt));
-    let counters = ends(bench, told);
+    let counters = expect_exit(bench, sigterm_at);
     let sum: u64 = ["served", "rejected", "failed"].iter().map(|name| counter_value(&counters, name)).sum();
     assert_eq!((counter_value(&counters, "requests"), sum), (1, 1));
 }
 
-/// The configuration is read again just before the end, or would be just after: neither keeps the node, nor what
-/// stands from being moved.
+/// The configuration is reloaded just before SIGTERM, or would be just after: the node exits and its clients are
+/// migrated all the same.
 #[rstest]
 fn sighup_beside_sigterm_changes_nothing(#[values(true, false)] before: bool) {
     let mut bench = Bench::start(1);
@@ -131,32 +131,31 @@
     if !before {
         bench.signal("-HUP");
     }
-    let told = Instant::now();
+    let sigterm_at = Instant::now();
     bench.resume();
     bench.wait_for_log("shutting-down");
-    assert_eq!(answers(&mut client), ["MOVE"]);
+    assert_eq!(read_lines(&mut client), ["MOVE"]);
     drop((client, attempt));
-    ends(bench, told);
+    expect_exit(bench, sigterm_at);
 }
 
-/// Connections that rest are ended before the process is, with an answer to whatever arrives then; what is read from
-/// then on is not sent on.
+/// Idle connections are answered and closed before the process exits; what they send from then on is not forwarded.
 #[rstest]
-fn resting_connections_are_ended_before_the_process_is() {
+fn idle_connections_are_closed_before_the_process_exits() {
     let bench = Bench::start(1);
-    let mut resting: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
+    let mut idle: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
     assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     bench.signal("-TERM");
-    let told = Instant::now();
-    for (number, client) in resting.iter_mut().enumerate() {
+    let sigterm_at = Instant::now();
+    for (number, client) in idle.iter_mut().enumerate() {
         assert_eq!(client.read_line(), "BUSY");
         client.send(&open_line(number as u64)).send("\r\n");
     }
-    resting.iter_mut().for_each(Peer::expect_closed);
-    drop(resting);
+    idle.iter_mut().for_each(Peer::expect_closed);
+    drop(idle);
     let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
-    let counters = ends(bench, told);
+    let counters = expect_exit(bench, sigterm_at);
     servers[0].set_nonblocking(true).expect("non-blocking");
-    assert!(servers[0].accept().is_err(), "it was sent on");
+    assert!(servers[0].accept().is_err(), "it was forwarded");
     assert_eq!(counter_value(&counters, "idle_closed"), 20);
 }
