--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -1,7 +1,7 @@
 //! The AMQP front under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
 //! on loopback round the built program; the cost is the node's own CPU time, which the system counts.
 //!
-//! Prints CPU seconds per 100,000 one-shot deliveries of 256 octets at 1, 64 and 1,000 connections, per
+//! Prints CPU seconds per 100,000 deliveries of 256 octets at 1, 64 and 1,000 connections, per
 //! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
 //! latency that the same clients see at the servers directly, in the same run.
 
@@ -163,6 +163,7 @@
 
 /// So many clients send so many deliveries in all, each with at most `ahead` unanswered; paced to
 /// `rate` a second in all where it is given.
+// The load generator is as the figures of earlier versions were measured with it.
 #[allow(clippy::too_many_arguments)]
 fn clients(
     pid: u32,
@@ -188,11 +189,13 @@
     ready.wait();
     let (started, before) = (Instant::now(), cpu(pid));
     for hand in hands {
-        latency.add(hand.join().expect("a terminal's thread")).expect("alike");
+        latency.add(hand.join().expect("a client's thread")).expect("alike");
     }
     Run { seconds: started.elapsed().as_secs_f64(), cpu: cpu(pid) - before, latency }
 }
 
+// The load generator is as the figures of earlier versions were measured with it.
+#[allow(clippy::too_many_lines)]
 fn run_clients(
     addr: SocketAddr,
     count: usize,
@@ -355,7 +358,7 @@
     for quantile in [0.5, 0.99, 0.999] {
         let ms = |h: &Histogram<u64>| h.value_at_quantile(quantile) as f64 / 1e6;
         println!(
-            "p{:<5} at {rate:.0} a second: {:.2} ms through the node, {:.2} ms at a region directly",
+            "p{:<5} at {rate:.0} a second: {:.2} ms through the node, {:.2} ms at a server directly",
             quantile * 100.0,
             ms(&through),
             ms(&without)
--- a/crates/amqp/benches/codec.rs
+++ b/crates/amqp/benches/codec.rs
@@ -49,6 +49,11 @@
 }
 
 fn main() {
+    compare_performatives();
+    compare_messages();
+}
+
+fn compare_performatives() {
     let transfer: Performative = Transfer {
         handle: Some(1),
         delivery_id: Some(300),
@@ -99,7 +104,9 @@
     }
     performative!("transfer", transfer, theirs::Transfer);
     performative!("disposition", disposition, theirs::Disposition);
+}
 
+fn compare_messages() {
     let section = |code, value| Value::described(code, value);
     let mut bytes = Vec::new();
     encode(&section(0x70, Value::List(vec![Value::Bool(true), Value::Null, Value::Uint(1200)])), &mut bytes);
--- a/crates/amqp/src/performative.rs
+++ b/crates/amqp/src/performative.rs
@@ -1,4 +1,4 @@
-//! Performatives (standard, section 2.7) and SASL frame bodies (part 5, 5.3.3).
+//! Performatives (standard, section 2.7) and SASL frame bodies (5.3.3).
 
 use crate::codec::{DecodeError, Reader, Result};
 use crate::composite::{
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -68,11 +68,14 @@
     )
 }
 
-fn body() -> impl Strategy<Value = Performative> {
-    let open = (text(), number()).prop_map(|(container_id, max_frame_size)| {
+fn open_body() -> impl Strategy<Value = Performative> {
+    (text(), number()).prop_map(|(container_id, max_frame_size)| {
         Open { container_id, max_frame_size, ..Open::default() }.into()
-    });
-    let begin = (number(), number(), number(), number()).prop_map(|(channel, next, incoming, handle_max)| {
+    })
+}
+
+fn begin_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), number(), number()).prop_map(|(channel, next, incoming, handle_max)| {
         Begin {
             remote_channel: channel.map(|channel| channel as u16),
             next_outgoing_id: next,
@@ -82,8 +85,11 @@
             ..Begin::default()
         }
         .into()
-    });
-    let flow = (number(), number(), number(), number(), number(), flag(), flag()).prop_map(
+    })
+}
+
+fn flow_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), number(), number(), number(), flag(), flag()).prop_map(
         |(next_incoming_id, incoming_window, handle, delivery_count, link_credit, drain, echo)| {
             Flow {
                 next_incoming_id,
@@ -99,8 +105,11 @@
             }
             .into()
         },
-    );
-    let transfer = (number(), number(), tag(), flag(), flag(), flag(), flag()).prop_map(
+    )
+}
+
+fn transfer_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), tag(), flag(), flag(), flag(), flag()).prop_map(
         |(handle, delivery_id, delivery_tag, settled, more, resume, aborted)| {
             Transfer {
                 handle,
@@ -114,21 +123,28 @@
             }
             .into()
         },
-    );
-    let disposition =
-        (flag(), number(), number(), flag(), state()).prop_map(|(role, first, last, settled, state)| {
-            Disposition { role, first, last, settled, state, batchable: None }.into()
-        });
-    let detach =
-        (number(), flag()).prop_map(|(handle, closed)| Detach { handle, closed, error: None }.into());
+    )
+}
+
+fn disposition_body() -> impl Strategy<Value = Performative> {
+    (flag(), number(), number(), flag(), state()).prop_map(|(role, first, last, settled, state)| {
+        Disposition { role, first, last, settled, state, batchable: None }.into()
+    })
+}
+
+fn detach_body() -> impl Strategy<Value = Performative> {
+    (number(), flag()).prop_map(|(handle, closed)| Detach { handle, closed, error: None }.into())
+}
+
+fn body() -> impl Strategy<Value = Performative> {
     prop_oneof![
-        1 => open,
-        2 => begin,
+        1 => open_body(),
+        2 => begin_body(),
         4 => attach(),
-        4 => flow,
-        6 => transfer,
-        4 => disposition,
-        3 => detach,
+        4 => flow_body(),
+        6 => transfer_body(),
+        4 => disposition_body(),
+        3 => detach_body(),
         1 => Just(End::default().into()),
         1 => Just(Close::default().into()),
     ]
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -54,9 +54,10 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, payload) = until!(server, Transfer);
-    let (came, went) = (Message::decode(&sent).expect("sound"), Message::decode(&payload).expect("sound"));
+    let (received, went) =
+        (Message::decode(&sent).expect("sound"), Message::decode(&payload).expect("sound"));
     assert!(went.head.ttl.expect("a ttl") < 1200);
-    assert_eq!(went.encode(1), came.encode(1), "all else is unchanged");
+    assert_eq!(went.encode(1), received.encode(1), "all else is unchanged");
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(answer(&mut client), State::Accepted);
     let counters = bench.stop();
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -25,7 +25,7 @@
     loop {
         let (stream, _) = listener.accept().await.expect("the node");
         tokio::spawn(async move {
-            let builder = ConnectionAcceptor::builder().container_id("region");
+            let builder = ConnectionAcceptor::builder().container_id("server");
             let connection = if sasl {
                 builder.sasl_acceptor(SaslAnonymousMechanism {}).build().accept(stream).await
             } else {
@@ -84,7 +84,7 @@
     runtime.spawn(server(copy, sasl));
     runtime.block_on(within(async {
         let url = format!("amqp://{addr}");
-        let mut connection = Connection::open("terminal", url.as_str()).await.expect("open");
+        let mut connection = Connection::open("client", url.as_str()).await.expect("open");
         let mut session = Session::begin(&mut connection).await.expect("begun");
         let mut sender = Sender::attach(&mut session, "sending", CLASS).await.expect("attached");
         for n in 0..5 {
@@ -140,7 +140,7 @@
         let (username, password) = ("anna".to_string(), password.to_string());
         let profile = SaslProfile::Plain { username, password };
         let opened =
-            Connection::builder().container_id("terminal").sasl_profile(profile).open(url.as_str()).await;
+            Connection::builder().container_id("client").sasl_profile(profile).open(url.as_str()).await;
         assert_eq!(opened.is_ok(), good);
         if let Ok(mut connection) = opened {
             connection.close().await.expect("closed");
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -282,7 +282,7 @@
     until!(server, Transfer);
     let (role, first, settled) = (Some(false), Some(0), Some(true));
     client.put(Disposition { role, first, settled, ..Default::default() });
-    assert_eq!(until!(server, Disposition).0.settled, Some(true), "the region hears that nobody waits");
+    assert_eq!(until!(server, Disposition).0.settled, Some(true), "the server learns that no request waits");
     assert_eq!(bench.counter("client_disconnected"), 1);
 }
 
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -55,7 +55,7 @@
     }
     for id in 0..3u32 {
         let (transfer, payload) = until!(client, Transfer);
-        assert_eq!(transfer.delivery_tag, Tag::new(&id.to_be_bytes()), "the region's own tag");
+        assert_eq!(transfer.delivery_tag, Tag::new(&id.to_be_bytes()), "the server's own tag");
         assert!(payload.ends_with(format!("reading {id}").as_bytes()));
         let state = if id == 1 { State::Released } else { State::Accepted };
         client.settle(transfer.delivery_id.expect("an id"), state);
@@ -268,7 +268,7 @@
 }
 
 #[rstest]
-fn a_drain_by_the_client_returns_its_credit() {
+fn a_drain_by_the_client_gives_its_credit_back() {
     let bench = bench(1);
     let (mut client, _, mut server) = standing(&bench);
     client.grant(0, 0, 5);
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -612,7 +612,7 @@
         }
     }
     for hand in writing {
-        assert_eq!(hand.join().expect("a terminal's thread"), State::Accepted);
+        assert_eq!(hand.join().expect("a client's thread"), State::Accepted);
     }
     let buffered = counter_value(&bench.front_counters("amqp"), "max_buffered_bytes");
     assert!(buffered < 450_000, "{buffered} octets were buffered");
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -149,10 +149,41 @@
     server.ends(item, attempt, answered);
 }
 
+/// A delivery that is not settled: the link, the number, the item and which of its attempts.
+type InFlight = (LinkId, u32, u64, usize);
+
+fn on_server_event(server: &Server, conn: &mut Connection, in_flight: &mut Vec<InFlight>, event: Event<'_>) {
+    match event {
+        Event::SaslRequest(_) => conn.finish_sasl(true),
+        Event::AttachRequested { link, attach, .. } => {
+            conn.accept_link(link, Attach { target: attach.target, ..Attach::default() });
+            conn.set_credit(link, 100);
+        }
+        Event::Transfer { link, transfer } if transfer.last && !transfer.aborted => {
+            let head = sparbank_amqp::Head::read(transfer.payload).expect("sound").expect("whole");
+            let item = head.property(transfer.payload, "item").expect("an item").parse().expect("a number");
+            conn.set_delivery_key(link.channel, transfer.id, item);
+            in_flight.push((link, transfer.id, item, server.begins(item)));
+            if conn.credit(link) < 50 {
+                conn.set_credit(link, 100);
+            }
+        }
+        // The node waits no longer.
+        Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
+            in_flight.retain(|(.., item, attempt)| {
+                if *item == key {
+                    server.ends(*item, *attempt, false);
+                }
+                *item != key
+            })
+        }
+        _ => {}
+    }
+}
+
 fn amqp_server(server: &Server, mut stream: TcpStream) {
     let mut conn = Connection::accept(0, Settings { idle_timeout: 0, ..Settings::default() }, None);
-    // Deliveries that are not settled: the link, the number, the item and which of its attempts.
-    let mut in_flight: Vec<(LinkId, u32, u64, usize)> = Vec::new();
+    let mut in_flight: Vec<InFlight> = Vec::new();
     let mut input = Vec::new();
     let mut beat = Instant::now();
     loop {
@@ -164,33 +195,7 @@
         let bytes = std::mem::take(&mut input);
         let mut left = &bytes[..];
         while let Some(event) = conn.next_event(0, &mut left).expect("the node keeps to the standard") {
-            match event {
-                Event::SaslRequest(_) => conn.finish_sasl(true),
-                Event::AttachRequested { link, attach, .. } => {
-                    conn.accept_link(link, Attach { target: attach.target, ..Attach::default() });
-                    conn.set_credit(link, 100);
-                }
-                Event::Transfer { link, transfer } if transfer.last && !transfer.aborted => {
-                    let head = sparbank_amqp::Head::read(transfer.payload).expect("sound").expect("whole");
-                    let item =
-                        head.property(transfer.payload, "item").expect("an item").parse().expect("a number");
-                    conn.set_delivery_key(link.channel, transfer.id, item);
-                    in_flight.push((link, transfer.id, item, server.begins(item)));
-                    if conn.credit(link) < 50 {
-                        conn.set_credit(link, 100);
-                    }
-                }
-                // The node waits no longer.
-                Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
-                    in_flight.retain(|(.., item, attempt)| {
-                        if *item == key {
-                            server.ends(*item, *attempt, false);
-                        }
-                        *item != key
-                    })
-                }
-                _ => {}
-            }
+            on_server_event(server, &mut conn, &mut in_flight, event);
         }
         input = left.to_vec();
         if !server.is(HUNG) {
@@ -422,7 +427,7 @@
         .into_iter()
         .map(|front| {
             let mut all = Seen::default();
-            front.into_iter().for_each(|hand| all.add(hand.join().expect("a terminal's thread")));
+            front.into_iter().for_each(|hand| all.add(hand.join().expect("a client's thread")));
             all
         })
         .collect();
@@ -436,7 +441,7 @@
         let must_not = item.is_multiple_of(4);
         twice += usize::from(must_not && attempts.iter().filter(|a| a.ran).count() > 1);
     }
-    println!("{seconds} s, {} regions; one trouble each 0.2 s", SERVERS);
+    println!("{seconds} s, {} servers; one fault each 0.2 s", SERVERS);
     println!("front     items    served   refused  failed   none or two answers");
     for (name, seen) in ["text", "amqp"].iter().zip(&seen) {
         let Seen { items, served, refused, failed, wrong } = seen;
@@ -451,7 +456,7 @@
     assert_eq!(
         [taken, served, refused, failed, left],
         [sum(|s| s.items), sum(|s| s.served), sum(|s| s.refused), sum(|s| s.failed), 0],
-        "the books are the sum of what the terminals saw"
+        "the counters are the sum of what the clients saw"
     );
     assert_eq!((overlaps, twice, ledger.late), (0, 0, 0));
     // How many are served is the module's affair: under this load it may pace all set-ups (docs/ROADMAP.md).
