--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -6,7 +6,6 @@
 //! latency that the same clients see at the servers directly, in the same run.
 
 #[path = "../tests/support/mod.rs"]
-#[allow(unused_imports)]
 mod support;
 
 use hdrhistogram::Histogram;
