--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -68,11 +68,14 @@
     )
 }
 
-fn body() -> impl Strategy<Value = Performative> {
-    let open = (text(), number()).prop_map(|(container_id, max_frame_size)| {
+fn open_body() -> impl Strategy<Value = Performative> {
+    (text(), number()).prop_map(|(container_id, max_frame_size)| {
         Open { container_id, max_frame_size, ..Open::default() }.into()
-    });
-    let begin = (number(), number(), number(), number()).prop_map(|(channel, next, incoming, handle_max)| {
+    })
+}
+
+fn begin_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), number(), number()).prop_map(|(channel, next, incoming, handle_max)| {
         Begin {
             remote_channel: channel.map(|channel| channel as u16),
             next_outgoing_id: next,
@@ -82,8 +85,11 @@
             ..Begin::default()
         }
         .into()
-    });
-    let flow = (number(), number(), number(), number(), number(), flag(), flag()).prop_map(
+    })
+}
+
+fn flow_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), number(), number(), number(), flag(), flag()).prop_map(
         |(next_incoming_id, incoming_window, handle, delivery_count, link_credit, drain, echo)| {
             Flow {
                 next_incoming_id,
@@ -99,8 +105,11 @@
             }
             .into()
         },
-    );
-    let transfer = (number(), number(), tag(), flag(), flag(), flag(), flag()).prop_map(
+    )
+}
+
+fn transfer_body() -> impl Strategy<Value = Performative> {
+    (number(), number(), tag(), flag(), flag(), flag(), flag()).prop_map(
         |(handle, delivery_id, delivery_tag, settled, more, resume, aborted)| {
             Transfer {
                 handle,
@@ -114,21 +123,28 @@
             }
             .into()
         },
-    );
-    let disposition =
-        (flag(), number(), number(), flag(), state()).prop_map(|(role, first, last, settled, state)| {
-            Disposition { role, first, last, settled, state, batchable: None }.into()
-        });
-    let detach =
-        (number(), flag()).prop_map(|(handle, closed)| Detach { handle, closed, error: None }.into());
+    )
+}
+
+fn disposition_body() -> impl Strategy<Value = Performative> {
+    (flag(), number(), number(), flag(), state()).prop_map(|(role, first, last, settled, state)| {
+        Disposition { role, first, last, settled, state, batchable: None }.into()
+    })
+}
+
+fn detach_body() -> impl Strategy<Value = Performative> {
+    (number(), flag()).prop_map(|(handle, closed)| Detach { handle, closed, error: None }.into())
+}
+
+fn body() -> impl Strategy<Value = Performative> {
     prop_oneof![
-        1 => open,
-        2 => begin,
+        1 => open_body(),
+        2 => begin_body(),
         4 => attach(),
-        4 => flow,
-        6 => transfer,
-        4 => disposition,
-        3 => detach,
+        4 => flow_body(),
+        6 => transfer_body(),
+        4 => disposition_body(),
+        3 => detach_body(),
         1 => Just(End::default().into()),
         1 => Just(Close::default().into()),
     ]
@@ -142,6 +158,44 @@
     Nothing,
 }
 
+/// Answers an event as a user might.
+fn respond(conn: &mut Connection, event: Event<'_>, answer: Answer) {
+    match (event, answer) {
+        (Event::AttachRequested { link, .. }, Answer::Accept) => {
+            conn.accept_link(link, Attach::default());
+            conn.set_credit(link, 3);
+        }
+        (Event::AttachRequested { link, .. }, Answer::Refuse) => {
+            conn.refuse_link(link, Error::new(condition::NOT_FOUND, "no"));
+        }
+        (Event::Transfer { link, transfer }, Answer::Accept) => {
+            conn.settle(link.channel, transfer.id, State::Accepted);
+            conn.set_credit(link, 3);
+        }
+        (Event::Credit { link }, Answer::Accept) => {
+            let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
+            conn.send(link, delivery, &[1; 700], true, 10_000);
+            conn.return_credit(link);
+        }
+        (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
+        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
+        (Event::Began { channel }, Answer::Accept) => {
+            conn.attach(channel, "ours", Role::Sender, Attach::default());
+        }
+        (Event::Began { channel }, Answer::Refuse) => conn.end_session(channel, None),
+        _ => {}
+    }
+}
+
+/// A peer cannot exceed the settings, whatever it sends.
+fn check_bounds(conn: &Connection, settings: &Settings) {
+    assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
+    assert!(conn.channels().len() <= settings.channel_max as usize + 1);
+    for link in conn.links() {
+        assert!(conn.unsettled(link) <= settings.max_unsettled + 1, "{}", conn.unsettled(link));
+    }
+}
+
 /// Plays frames against one end; checks its bounds after each.
 fn play(mut conn: Connection, frames: Vec<(u16, Performative, usize)>, answers: &[Answer]) {
     let settings = BOUNDS();
@@ -163,36 +217,8 @@
             };
             turn += 1;
             let answer = answers[turn % answers.len()];
-            match (event, answer) {
-                (Event::AttachRequested { link, .. }, Answer::Accept) => {
-                    conn.accept_link(link, Attach::default());
-                    conn.set_credit(link, 3);
-                }
-                (Event::AttachRequested { link, .. }, Answer::Refuse) => {
-                    conn.refuse_link(link, Error::new(condition::NOT_FOUND, "no"));
-                }
-                (Event::Transfer { link, transfer }, Answer::Accept) => {
-                    conn.settle(link.channel, transfer.id, State::Accepted);
-                    conn.set_credit(link, 3);
-                }
-                (Event::Credit { link }, Answer::Accept) => {
-                    let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
-                    conn.send(link, delivery, &[1; 700], true, 10_000);
-                    conn.return_credit(link);
-                }
-                (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
-                (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
-                (Event::Began { channel }, Answer::Accept) => {
-                    conn.attach(channel, "ours", Role::Sender, Attach::default());
-                }
-                (Event::Began { channel }, Answer::Refuse) => conn.end_session(channel, None),
-                _ => {}
-            }
-            assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
-            assert!(conn.channels().len() <= settings.channel_max as usize + 1);
-            for link in conn.links() {
-                assert!(conn.unsettled(link) <= settings.max_unsettled + 1, "{}", conn.unsettled(link));
-            }
+            respond(&mut conn, event, answer);
+            check_bounds(&conn, &settings);
         }
         conn.take_output(1);
     }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -4,12 +4,14 @@
 
 mod amqp;
 mod bench;
+mod handover;
 mod node_config;
 mod node_process;
 mod peer;
 
 pub use amqp::*;
 pub use bench::{counter_value, counter_values, establish, established_client, Bench};
+pub use handover::{listen_for_handover, HandoverFolder, HandoverNode, HandoverPeer};
 pub use node_config::{config, instance, open_line, temp_file};
 pub use node_process::{node_command, NodeProcess};
 pub use peer::{accept_any, listener, refusing_port, try_accept, FullBacklogServer, Peer};
