--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -3,7 +3,7 @@
 use super::request::Request;
 use super::server::{Server, ServerSet};
 use crate::random::{mix64, unit_interval};
-use crate::resilience::{deduplicates, rank, FillTarget, LowestRanks, Ranked, SlowStart};
+use crate::resilience::{deduplicates, rendezvous_rank, FillTarget, LowestRanks, Ranked, SlowStart};
 use crate::vocabulary::{Nanos, ServerId, Settings};
 
 /// Servers compared for one attempt.
@@ -114,7 +114,7 @@
 }
 
 fn candidate_rank(request: &Request, server: &Server) -> f64 {
-    rank(request.candidate_seed, server.attributes.tag, server.attributes.nominal)
+    rendezvous_rank(request.candidate_seed, server.attributes.tag, server.attributes.nominal)
 }
 
 /// Removes the other items if any is preferred.
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -16,11 +16,11 @@
 mod slow_start;
 
 pub use backoff::request_backoff_limit;
-pub use connection_value::{least_valuable, value, Connection};
+pub use connection_value::{connection_value, least_valuable, Connection};
 pub use endpoint_subscription::{EndpointSubscription, ScheduledPoll};
 pub use fleet_limits::FleetLimits;
 pub use in_flight::InFlight;
-pub use rendezvous::{rank, LowestRanks, Ranked};
+pub use rendezvous::{rendezvous_rank, LowestRanks, Ranked};
 pub use retry_admission::{Admission, RetryAdmission, ThrottleChange};
 pub use retry_safety::{deduplicates, AttemptHistory, PossibleRun};
 pub use server_health::{LatencyResponse, ServerHealth};
--- a/tests/support/amqp.rs
+++ b/tests/support/amqp.rs
@@ -158,7 +158,7 @@
     /// On another channel than the first.
     pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
-        amqp::put_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
+        amqp::write_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
         self.peer.stream.write_all(&out).expect("written");
     }
 
@@ -170,21 +170,21 @@
 
     pub fn put_kind(&mut self, kind: u8, body: Performative, payload: &[u8]) {
         let mut out = Vec::new();
-        amqp::put_frame(&mut out, kind, 0, Some(&body), payload);
+        amqp::write_frame(&mut out, kind, 0, Some(&body), payload);
         self.peer.stream.write_all(&out).expect("written");
     }
 
     pub fn frame(&mut self) -> Next {
         loop {
             let mut left = &self.bytes[..];
-            if let Some(frame) = amqp::take_frame(&mut left, u32::MAX).expect("a sound frame") {
+            if let Some(frame) = amqp::read_frame(&mut left, u32::MAX).expect("a sound frame") {
                 let (body, payload) = (frame.body, frame.payload.to_vec());
                 let taken = self.bytes.len() - left.len();
                 self.bytes.drain(..taken);
                 return body.map_or(Next::Heartbeat, |body| Next::Body(Box::new(body), payload));
             }
             let mut chunk = [0; 4096];
-            // A connection that ends, politely or not, ends the stand-in's part.
+            // A connection that ends, closed or lost, ends the stand-in.
             let count = self.peer.reader.read(&mut chunk).unwrap_or(0);
             if count == 0 {
                 return Next::Ended;
@@ -278,14 +278,14 @@
         *attach
     }
 
-    /// Sends a whole delivery on a link.
+    /// Sends a delivery in one transfer on a link.
     pub fn send(&mut self, handle: u32, id: u32, message: &[u8]) {
         let (handle, delivery_tag) = (Some(handle), amqp::Tag::new(&id.to_be_bytes()));
         let transfer = amqp::Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
         self.put_kind(amqp::AMQP, transfer.into(), message);
     }
 
-    /// Sends a whole delivery.
+    /// Sends a delivery in one transfer.
     pub fn deliver(&mut self, id: u32, message: &[u8]) {
         let (handle, delivery_id, delivery_tag) = (Some(0), Some(id), amqp::Tag::new(&[id as u8]));
         let transfer = amqp::Transfer { handle, delivery_id, delivery_tag, ..Default::default() };
