--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -58,21 +58,13 @@
         candidates
     }
 
-    /// The servers that may take the request. Rule 2: after a possible run only those that discard a repeat.
+    /// The servers that may take the request. Unconfirmed ones with an attempt in flight only if all are.
     fn eligible_servers(&self, request: &Request) -> Vec<ServerId> {
-        let class = &self.settings.classes[request.class];
-        let first_run = request.attempts.first_possible_run();
-        let first =
-            first_run.map(|run| self.servers.find(run.server).map(|server| server.attributes.location()));
-        let is_safe = |server: &Server| match first {
-            None => true,
-            Some(first) => {
-                first.is_some_and(|first| deduplicates(class, first, server.attributes.location()))
-            }
-        };
         let may_take = |id: &&ServerId| {
             let server = self.servers.get(**id);
-            server.health.is_available(self.now) && is_safe(server) && !request.attempts.has_tried(**id)
+            server.health.is_available(self.now)
+                && self.is_repeat_safe(request, server)
+                && !request.attempts.has_tried(**id)
         };
         let mut eligible: Vec<ServerId> = self.servers.serving().iter().filter(may_take).copied().collect();
         keep_preferred(&mut eligible, |id| {
@@ -82,6 +74,14 @@
         eligible
     }
 
+    /// Rule 2: after a possible run only servers that discard a repeat may take the request.
+    fn is_repeat_safe(&self, request: &Request, server: &Server) -> bool {
+        let Some(run) = request.attempts.first_possible_run() else { return true };
+        let Some(first) = self.servers.find(run.server) else { return false };
+        let class = &self.settings.classes[request.class];
+        deduplicates(class, first.attributes.location(), server.attributes.location())
+    }
+
     fn capacity_factor(&self, server: &Server) -> f64 {
         self.slow_start.capacity_factor(self.now, server.attributes.started_at)
     }
@@ -92,11 +92,11 @@
         let server = self.servers.get(id);
         let capacity_factor = self.capacity_factor(server);
         // While warming up it is up to twice as likely, by the seed: groups gather at few such servers too.
-        let bias = 2.0 * unit_interval(mix64(request.candidate_seed ^ server.attributes.tag));
+        let bias = 2.0 * unit_interval(mix64(request.candidate_seed ^ server.attributes.name_hash));
         let weight = if capacity_factor < 1.0 { bias * server.attributes.nominal } else { total_nominal };
         let ramp = server.health.ramp(capacity_factor, server.attributes.nominal);
         let admissible = self.slow_start.admissible_fraction(self.now, &ramp, &self.fill);
-        let roll = mix64(mix64(request.slow_start_roll ^ server.attributes.tag) ^ self.salt);
+        let roll = mix64(mix64(request.slow_start_roll ^ server.attributes.name_hash) ^ self.salt);
         unit_interval(roll) >= admissible * weight
     }
 
@@ -114,7 +114,7 @@
 }
 
 fn candidate_rank(request: &Request, server: &Server) -> f64 {
-    rendezvous_rank(request.candidate_seed, server.attributes.tag, server.attributes.nominal)
+    rendezvous_rank(request.candidate_seed, server.attributes.name_hash, server.attributes.nominal)
 }
 
 /// Removes the other items if any is preferred.
