--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -1,4 +1,4 @@
-//! The AMQP front under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
+//! The AMQP frontend under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
 //! on loopback round the built program; the cost is the node's own CPU time, which the system counts.
 //!
 //! Prints CPU seconds per 100,000 deliveries of 256 octets at 1, 64 and 1,000 connections, per
@@ -311,7 +311,7 @@
 }
 
 fn node(servers: Vec<TcpListener>) -> Bench {
-    let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
+    let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_buffered":16000000}"#;
     Bench::with_args(servers, Some(on), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
     })
@@ -328,7 +328,7 @@
         std::thread::spawn(move || server(copy, stop));
     }
     let bench = node(servers);
-    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("the front is on"));
+    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("the frontend is on"));
     let small = message(60_000, "7f3a", &[7; 200]);
     println!("{} octets a message, {SERVERS} servers", small.len());
     clients(pid, addr, 4, items / 10, &small, 64, None);
--- a/crates/quota/tests/schedules/world.rs
+++ b/crates/quota/tests/schedules/world.rs
@@ -263,7 +263,7 @@
         }
     }
 
-    /// What a node does at each turn of its event loop: it sends its lease request when it is due, and ends the
+    /// What a node does at each iteration of its event loop: it sends its lease request when it is due, and ends the
     /// connections above its allotment.
     fn run_nodes(&mut self) {
         let mut requests = Vec::new();
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/checker.rs
@@ -93,14 +93,14 @@
 struct NodeRecord {
     incarnation: u64,
     /// By server: when this process was told to send it nothing new.
-    told: HashMap<usize, Instant>,
+    notified: HashMap<usize, Instant>,
     /// Stops of the process that the rules do not allow for, with their ends.
     stalls: Vec<(Instant, Duration)>,
     killed_at: Option<Instant>,
 }
 
-/// The judge of one run.
-pub struct Judge {
+/// The checker of one run.
+pub struct Checker {
     start: Instant,
     nodes: Vec<NodeRecord>,
     requests: HashMap<String, Request>,
@@ -113,11 +113,11 @@
     pub served: u64,
 }
 
-impl Judge {
-    /// A judge of so many nodes.
-    pub fn new(nodes: usize) -> Judge {
+impl Checker {
+    /// A checker of so many nodes.
+    pub fn new(nodes: usize) -> Checker {
         let now = Instant::now();
-        Judge {
+        Checker {
             start: now,
             nodes: (0..nodes).map(|_| NodeRecord::default()).collect(),
             requests: HashMap::new(),
@@ -160,7 +160,7 @@
     pub fn on_start(&mut self, node: usize) {
         let node = &mut self.nodes[node];
         node.incarnation += 1;
-        node.told.clear();
+        node.notified.clear();
         node.stalls.clear();
         node.killed_at = None;
     }
@@ -192,15 +192,15 @@
     }
 
     /// Discovery has told a process of a node about a server, or counts as having told it.
-    pub fn on_told(&mut self, node: usize, incarnation: u64, server: usize, is_ready: bool) {
+    pub fn on_notified(&mut self, node: usize, incarnation: u64, server: usize, is_ready: bool) {
         let node = &mut self.nodes[node];
         if node.incarnation != incarnation {
             return;
         }
         if is_ready {
-            node.told.remove(&server);
+            node.notified.remove(&server);
         } else {
-            node.told.entry(server).or_insert_with(Instant::now);
+            node.notified.entry(server).or_insert_with(Instant::now);
         }
     }
 
@@ -264,13 +264,13 @@
                 format!("{id} at server {server} {:?} after its client left", gone_at.elapsed()),
             ));
         }
-        found.extend(request.check_repeat(id, server, lateness));
+        found.extend(request.check_retry(id, server, lateness));
         request.attempts.push(Attempt { server, began_at: now, ended_at: None, is_rejected: false });
         let (node, incarnation) = (request.node, request.incarnation);
-        if let Some(told_at) = self.nodes[node].told.get(&server).copied() {
-            let limit = DRAIN_GRACE + lateness + self.stalled_since(node, told_at);
-            if self.nodes[node].incarnation == incarnation && told_at.elapsed() > limit {
-                let elapsed = told_at.elapsed();
+        if let Some(notified_at) = self.nodes[node].notified.get(&server).copied() {
+            let limit = DRAIN_GRACE + lateness + self.stalled_since(node, notified_at);
+            if self.nodes[node].incarnation == incarnation && notified_at.elapsed() > limit {
+                let elapsed = notified_at.elapsed();
                 found.push((
                     "drain",
                     format!("node {node} sent {id} to server {server} {elapsed:?} after it was told"),
@@ -308,7 +308,7 @@
 
 impl Request {
     /// The rules that one more attempt breaks now.
-    fn check_repeat(&self, id: &str, server: usize, lateness: Duration) -> Option<(&'static str, String)> {
+    fn check_retry(&self, id: &str, server: usize, lateness: Duration) -> Option<(&'static str, String)> {
         let first_run = self.attempts.iter().find(|attempt| !attempt.is_rejected)?;
         let since = first_run.began_at.elapsed();
         let still_out = self.attempts.iter().find(|attempt| {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,6 +1,6 @@
 //! Simulated clients: ordinary ones, and such as leave early, flood, rest or stop in the middle of a line.
 
-use crate::judge::{Answer, Class, Judge, DEADLINE};
+use crate::checker::{Answer, Checker, Class, DEADLINE};
 use crate::node::Nodes;
 use crate::server::{reset_on_drop, Servers, SessionEnd};
 use rand::{Rng, SeedableRng};
@@ -49,8 +49,8 @@
 
 /// One client, which sends request after request.
 pub struct Client {
-    /// The judge.
-    pub judge: Rc<RefCell<Judge>>,
+    /// The checker.
+    pub checker: Rc<RefCell<Checker>>,
     /// The nodes that it is spread over.
     pub nodes: Nodes,
     /// The servers, which know how sessions were ended.
@@ -66,7 +66,7 @@
 impl Client {
     /// A client with this number.
     pub fn new(
-        judge: &Rc<RefCell<Judge>>,
+        checker: &Rc<RefCell<Checker>>,
         nodes: &Nodes,
         servers: &Servers,
         behaviour: &Rc<Behaviour>,
@@ -74,7 +74,7 @@
         seed: u64,
     ) -> Client {
         Client {
-            judge: judge.clone(),
+            checker: checker.clone(),
             nodes: nodes.clone(),
             servers: servers.clone(),
             behaviour: behaviour.clone(),
@@ -89,7 +89,7 @@
         while !self.behaviour.stopped.get() {
             sleep(Duration::from_millis(self.rng.random_range(5..120))).await;
             let Some(node) = self.nodes.draw_accepting(&mut self.rng) else { continue };
-            let incarnation = self.judge.borrow().incarnation(node);
+            let incarnation = self.checker.borrow().incarnation(node);
             let Ok(stream) = TcpStream::connect(self.nodes.address(node)).await else { continue };
             let _ = stream.set_nodelay(true);
             let is_drawn = self.rng.random_bool(0.5);
@@ -119,10 +119,11 @@
             .is_ok_and(|read| read.is_ok_and(|count| count > 0))
         {}
         let waited = connected_at.elapsed();
-        let mut judge = self.judge.borrow_mut();
-        let allowed = BAD_CLIENT_TIMEOUT + self.nodes.stalled(node) + judge.lateness();
-        if waited > allowed && !judge.is_excused(node, incarnation) {
-            judge.report("bad-client", format!("node {node} left {:?} open for {waited:?}", text.get(..20)));
+        let mut checker = self.checker.borrow_mut();
+        let allowed = BAD_CLIENT_TIMEOUT + self.nodes.stalled(node) + checker.lateness();
+        if waited > allowed && !checker.is_excused(node, incarnation) {
+            checker
+                .report("bad-client", format!("node {node} left {:?} open for {waited:?}", text.get(..20)));
         }
     }
 
@@ -142,7 +143,7 @@
             return;
         }
         let sent_at = Instant::now();
-        self.judge.borrow_mut().on_request(&id, node, incarnation, class, &line);
+        self.checker.borrow_mut().on_request(&id, node, incarnation, class, &line);
         let mut read = BufReader::new(read);
         let leaves = if self.behaviour.leave.get() { OFTEN } else { SELDOM };
         if self.rng.random_bool(leaves) {
@@ -150,7 +151,7 @@
         }
         let mut text = String::new();
         let answer = match timeout(ANSWER_TIMEOUT, read.read_line(&mut text)).await {
-            Err(_) => return self.judge.borrow_mut().on_no_answer(&id, "no answer in 4.5 s"),
+            Err(_) => return self.checker.borrow_mut().on_no_answer(&id, "no answer in 4.5 s"),
             Ok(Ok(count)) if count > 0 && text.ends_with('\n') => match text.split([' ', '\r']).next() {
                 Some("UP") => Answer::Up,
                 Some("BUSY") => Answer::Busy,
@@ -158,17 +159,17 @@
             },
             Ok(ended) => {
                 let what = format!("the connection ended: {ended:?} {text:?} after {:?}", sent_at.elapsed());
-                return self.judge.borrow_mut().on_no_answer(&id, &what);
+                return self.checker.borrow_mut().on_no_answer(&id, &what);
             }
         };
-        self.judge.borrow_mut().on_answer(&id, answer, sent_at.elapsed());
+        self.checker.borrow_mut().on_answer(&id, answer, sent_at.elapsed());
         if answer == Answer::Up {
             self.hold_session(node, incarnation, &id, read, write).await;
         } else if timeout(ANSWER_TIMEOUT, read.read_line(&mut text))
             .await
             .is_ok_and(|more| more.is_ok_and(|count| count > 0))
         {
-            self.judge.borrow_mut().report("second-answer", format!("{id} got {text:?}"));
+            self.checker.borrow_mut().report("second-answer", format!("{id} got {text:?}"));
         }
     }
 
@@ -190,7 +191,7 @@
         if self.rng.random_bool(0.5) {
             reset_on_drop(write.as_ref());
         }
-        self.judge.borrow_mut().on_client_gone(id);
+        self.checker.borrow_mut().on_client_gone(id);
         drop((read, write));
     }
 
@@ -224,18 +225,19 @@
             }
             self.check_progress(node, incarnation, id, &lines);
         }
-        self.judge.borrow_mut().on_client_gone(id);
+        self.checker.borrow_mut().on_client_gone(id);
     }
 
     /// A session whose server has ended it is over for its client within a second.
     fn check_progress(&self, node: usize, incarnation: u64, id: &str, lines: &Lines) {
-        let mut judge = self.judge.borrow_mut();
-        if judge.is_excused(node, incarnation) {
+        let mut checker = self.checker.borrow_mut();
+        if checker.is_excused(node, incarnation) {
             return;
         }
-        let allowed = self.nodes.stalled(node) + judge.lateness();
+        let allowed = self.nodes.stalled(node) + checker.lateness();
         if lines.last_at.elapsed() > SILENT_TIMEOUT + allowed {
-            judge.report("silent", format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()));
+            checker
+                .report("silent", format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()));
         }
         let ended_at = self.servers.ended_at(id);
         let limit = END_TIMEOUT + LINE_TIMEOUT + STALL + allowed;
@@ -243,25 +245,25 @@
             ended_at.filter(|at| at.elapsed() > limit && lines.last_at.elapsed() > LINE_TIMEOUT)
         {
             let elapsed = ended_at.elapsed();
-            judge.report("held", format!("{id} at node {node}: its server ended {elapsed:?} ago"));
+            checker.report("held", format!("{id} at node {node}: its server ended {elapsed:?} ago"));
         }
     }
 
     /// A session ends with its server's end, or with `MOVE`.
     fn check_end(&self, node: usize, incarnation: u64, id: &str, lines: &Lines, how: &str) {
-        let mut judge = self.judge.borrow_mut();
-        if judge.is_excused(node, incarnation) || lines.last == "MOVE" {
+        let mut checker = self.checker.borrow_mut();
+        if checker.is_excused(node, incarnation) || lines.last == "MOVE" {
             return;
         }
         let Some(ended) = self.servers.ended_session(id) else {
             let last = &lines.last;
-            return judge
+            return checker
                 .report("cut-off", format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"));
         };
         let is_short = ended.end != SessionEnd::Reset && (lines.burst < ended.lines || lines.last != "BYE");
         if is_short {
             let (got, sent) = (lines.burst, ended.lines);
-            judge.report(
+            checker.report(
                 "cut-off",
                 format!("{id} at node {node} got {got} of {sent} lines, last {:?}", lines.last),
             );
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Simulated discovery. Each node has two addresses of its own here, so that what was told to whom is known.
 
-use crate::judge::Judge;
+use crate::checker::Checker;
 use crate::server::{reset_on_drop, Servers};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -15,7 +15,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 /// A change counts as told so long after discovery had it and could be reached.
-const TOLD_WITHIN: Duration = Duration::from_secs(6);
+const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// What discovery does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
 /// Discovery, for all nodes.
 #[derive(Clone)]
 pub struct Discovery {
-    judge: Rc<RefCell<Judge>>,
+    checker: Rc<RefCell<Checker>>,
     servers: Servers,
     state: Rc<State>,
     /// By node, the address in use and the other one.
@@ -56,7 +56,7 @@
 
 impl Discovery {
     /// Starts discovery for so many nodes.
-    pub async fn start(judge: &Rc<RefCell<Judge>>, servers: &Servers, nodes: usize) -> Discovery {
+    pub async fn start(checker: &Rc<RefCell<Checker>>, servers: &Servers, nodes: usize) -> Discovery {
         let state = State {
             mode: Cell::new(Mode::Serves),
             generation: Cell::new(1),
@@ -67,7 +67,7 @@
             reachable_since: Cell::new(Instant::now()),
         };
         let discovery = Discovery {
-            judge: judge.clone(),
+            checker: checker.clone(),
             servers: servers.clone(),
             state: Rc::new(state),
             addresses: Rc::default(),
@@ -127,28 +127,28 @@
         self.state.generation.set(generation);
         self.state.ready.borrow_mut()[server] = (is_ready, generation);
         if !is_ready {
-            spawn_local(self.clone().count_as_told(server, generation));
+            spawn_local(self.clone().count_as_notified(server, generation));
         }
     }
 
     /// A drain counts as told to all nodes once discovery could be reached for long enough, whether it arrived or not.
-    async fn count_as_told(self, server: usize, generation: u64) {
+    async fn count_as_notified(self, server: usize, generation: u64) {
         let changed_at = Instant::now();
         loop {
             let is_reachable = matches!(self.state.mode.get(), Mode::Serves | Mode::Pieces);
-            let told_at = changed_at.max(self.state.reachable_since.get()) + TOLD_WITHIN;
-            if is_reachable && Instant::now() >= told_at {
+            let notified_at = changed_at.max(self.state.reachable_since.get()) + NOTIFIED_WITHIN;
+            if is_reachable && Instant::now() >= notified_at {
                 break;
             }
-            sleep_until((Instant::now() + CHECK_INTERVAL).max(told_at)).await;
+            sleep_until((Instant::now() + CHECK_INTERVAL).max(notified_at)).await;
         }
         if self.state.ready.borrow()[server] != (false, generation) {
             return;
         }
-        let mut judge = self.judge.borrow_mut();
+        let mut checker = self.checker.borrow_mut();
         for node in 0..self.addresses.borrow().len() {
-            let incarnation = judge.incarnation(node);
-            judge.on_told(node, incarnation, server, false);
+            let incarnation = checker.incarnation(node);
+            checker.on_notified(node, incarnation, server, false);
         }
     }
 
@@ -177,7 +177,7 @@
 
     async fn serve(self, node: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let incarnation = self.judge.borrow().incarnation(node);
+        let incarnation = self.checker.borrow().incarnation(node);
         let mut stream = BufReader::new(stream);
         let Some(from) = read_request(&mut stream).await else { return };
         let mut stream = stream.into_inner();
@@ -218,11 +218,11 @@
             if self.write_chunk(&mut stream, &line).await.is_err() {
                 return;
             }
-            let mut judge = self.judge.borrow_mut();
+            let mut checker = self.checker.borrow_mut();
             for (server, (is_ready, changed)) in ready.iter().enumerate().filter(|(_, entry)| entry.1 > sent)
             {
                 if *changed <= generation {
-                    judge.on_told(node, incarnation, server, *is_ready);
+                    checker.on_notified(node, incarnation, server, *is_ready);
                 }
             }
             sent = generation;
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,20 +1,20 @@
-//! A soak test of the node: real processes on loopback, overlapping faults, and a judge that sees the wire alone.
+//! A soak test of the node: real processes on loopback, overlapping faults, and a checker that sees the wire alone.
 //!
 //! One run ([`run`]) has a few nodes of the program under test, simulated discovery, servers and clients in one thread, and a
 //! [`Schedule`] of faults that follows from its seed: each round plays an ordered pair of faults with a gap near one of the
-//! node's constants, and a third one somewhere beside them. The [`Judge`](judge::Judge) records what clients, servers and
+//! node's constants, and a third one somewhere beside them. The [`Checker`](checker::Checker) records what clients, servers and
 //! discovery see and reports each broken rule; it shares no code with the node. A failing schedule can be cut down
 //! ([`minimize`]).
 
+pub mod checker;
 pub mod client;
 pub mod discovery;
-pub mod judge;
 pub mod node;
 pub mod schedule;
 pub mod server;
 pub mod world;
 
-pub use judge::Violation;
+pub use checker::Violation;
 pub use schedule::Schedule;
 
 use std::path::PathBuf;
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,7 +1,7 @@
 //! The processes under test: started, signalled and judged by their exits.
 
+use crate::checker::{Checker, DEADLINE, DEDUP_WINDOW};
 use crate::discovery::Discovery;
-use crate::judge::{Judge, DEADLINE, DEDUP_WINDOW};
 use crate::Options;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
@@ -52,7 +52,7 @@
 #[derive(Clone)]
 pub struct Nodes {
     options: Rc<Options>,
-    judge: Rc<RefCell<Judge>>,
+    checker: Rc<RefCell<Checker>>,
     discovery: Discovery,
     nodes: Rc<Vec<Node>>,
     seed: u64,
@@ -60,7 +60,7 @@
 
 impl Nodes {
     /// The nodes of a run, none of them started.
-    pub fn new(options: &Options, judge: &Rc<RefCell<Judge>>, discovery: &Discovery, seed: u64) -> Nodes {
+    pub fn new(options: &Options, checker: &Rc<RefCell<Checker>>, discovery: &Discovery, seed: u64) -> Nodes {
         static RUNS: AtomicU32 = AtomicU32::new(0);
         let run = RUNS.fetch_add(1, Ordering::Relaxed);
         let node = |number| Node {
@@ -75,7 +75,7 @@
         let nodes = (0..options.nodes).map(node).collect();
         Nodes {
             options: Rc::new(options.clone()),
-            judge: judge.clone(),
+            checker: checker.clone(),
             discovery: discovery.clone(),
             nodes: Rc::new(nodes),
             seed,
@@ -118,7 +118,7 @@
         let node = &self.nodes[number];
         node.starts.set(node.starts.get() + 1);
         node.stalled.set(Duration::ZERO);
-        self.judge.borrow_mut().on_start(number);
+        self.checker.borrow_mut().on_start(number);
         self.write_config(number);
         let log = File::create(self.file(number, &format!("{}.log", node.starts.get()))).expect("a log");
         // As the deploy file has it: a SIGHUP before the program has its handlers must not end it.
@@ -134,7 +134,7 @@
         node.started_at.set(started_at);
         while !answers_ping(node.address).await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.judge.borrow_mut().report("ready", format!("node {number} is not ready"));
+                return self.checker.borrow_mut().report("ready", format!("node {number} is not ready"));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -185,10 +185,10 @@
         node.is_accepting.set(false);
         let mut is_late = false;
         while !self.has_exited(number) {
-            let stalled = self.judge.borrow().stalled_since(number, sent_at);
-            let limit = DEADLINE + KILL_DELAY + stalled + self.judge.borrow().lateness();
+            let stalled = self.checker.borrow().stalled_since(number, sent_at);
+            let limit = DEADLINE + KILL_DELAY + stalled + self.checker.borrow().lateness();
             if sent_at.elapsed() > limit && !std::mem::replace(&mut is_late, true) {
-                self.judge.borrow_mut().report("exit", format!("node {number} runs on after SIGTERM"));
+                self.checker.borrow_mut().report("exit", format!("node {number} runs on after SIGTERM"));
                 self.signal(number, Signal::KILL);
             }
             sleep(POLL_INTERVAL).await;
@@ -203,7 +203,7 @@
         if node.is_restarting.replace(true) {
             return;
         }
-        self.judge.borrow_mut().on_kill(number);
+        self.checker.borrow_mut().on_kill(number);
         self.signal(number, Signal::KILL);
         node.is_accepting.set(false);
         if let Some(mut child) = node.child.borrow_mut().take() {
@@ -221,7 +221,7 @@
         };
         *child = None;
         if !status.success() {
-            self.judge.borrow_mut().report("crash", format!("node {number} ended with {status}"));
+            self.checker.borrow_mut().report("crash", format!("node {number} ended with {status}"));
         }
         true
     }
@@ -230,7 +230,7 @@
     pub fn check_running(&self) {
         for number in 0..self.len() {
             if !self.nodes[number].is_restarting.get() && self.has_exited(number) {
-                self.judge.borrow_mut().report("crash", format!("node {number} is gone"));
+                self.checker.borrow_mut().report("crash", format!("node {number} is gone"));
                 self.nodes[number].is_restarting.set(true);
                 self.nodes[number].is_accepting.set(false);
             }
@@ -242,7 +242,7 @@
         if !is_allowed_for {
             let node = &self.nodes[number];
             node.stalled.set(node.stalled.get() + span);
-            self.judge.borrow_mut().on_stall(number, span);
+            self.checker.borrow_mut().on_stall(number, span);
         }
         self.signal(number, Signal::STOP);
         sleep(span).await;
@@ -287,7 +287,7 @@
                 let broken =
                     log.lines().filter(|line| BROKEN_RULE_MARKS.iter().any(|mark| line.contains(mark)));
                 for line in broken {
-                    self.judge
+                    self.checker
                         .borrow_mut()
                         .report("own-report", format!("node {number} start {start}: {line}"));
                 }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -12,9 +12,9 @@
     /// SIGKILL to a node, and a new process at once.
     Kill,
     /// A node is stopped for 0.15 s.
-    HoldUp,
+    ShortStall,
     /// A node is stopped for a second.
-    Stall,
+    LongStall,
     /// Discovery moves, and the nodes are told by SIGHUP.
     MoveDiscovery,
     /// SIGHUP without a change.
@@ -65,8 +65,8 @@
 pub const FAULTS: [Fault; 26] = [
     Fault::Terminate,
     Fault::Kill,
-    Fault::HoldUp,
-    Fault::Stall,
+    Fault::ShortStall,
+    Fault::LongStall,
     Fault::MoveDiscovery,
     Fault::Reload,
     Fault::DescriptorShortage,
@@ -99,8 +99,8 @@
 const FIRST_ROUND_MS: u64 = 1_500;
 /// From one round to the next.
 const ROUND_MS: u64 = 3_500;
-/// Gaps between the two faults of a pair: none, one turn of the event loop, just under and over the node's constants
-/// (a tick, a hold-up, the dial time-out, the end of arrivals after SIGTERM, a deadline).
+/// Gaps between the two faults of a pair: none, one iteration of the event loop, just under and over the node's constants
+/// (a tick, a stall, the dial time-out, the end of arrivals after SIGTERM, a deadline).
 const GAPS_MS: [u64; 12] = [0, 1, 5, 30, 140, 160, 195, 245, 260, 410, 950, 1_050];
 /// The third fault of a round begins within this.
 const THIRD_FAULT_MS: u64 = 1_200;
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,6 +1,6 @@
 //! Simulated servers: they answer request lines as their mode says, and echo the lines of established sessions.
 
-use crate::judge::Judge;
+use crate::checker::Checker;
 use rustix::net::sockopt::set_socket_linger;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
 /// All servers of a run.
 #[derive(Clone)]
 pub struct Servers {
-    judge: Rc<RefCell<Judge>>,
+    checker: Rc<RefCell<Checker>>,
     servers: Rc<Vec<Server>>,
     /// Sessions that their servers have ended, by request.
     ended: Rc<RefCell<HashMap<String, EndedSession>>>,
@@ -82,7 +82,7 @@
 
 impl Servers {
     /// Starts so many servers.
-    pub async fn start(judge: &Rc<RefCell<Judge>>, count: usize) -> Servers {
+    pub async fn start(checker: &Rc<RefCell<Checker>>, count: usize) -> Servers {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..count {
@@ -95,7 +95,7 @@
             });
             listeners.push(listener);
         }
-        let servers = Servers { judge: judge.clone(), servers: Rc::new(servers), ended: Rc::default() };
+        let servers = Servers { checker: checker.clone(), servers: Rc::new(servers), ended: Rc::default() };
         for (number, listener) in listeners.into_iter().enumerate() {
             servers.accept(number, listener);
         }
@@ -168,9 +168,9 @@
             return;
         }
         let id = line.split(' ').nth(1).unwrap_or("").to_string();
-        self.judge.borrow_mut().on_attempt(&id, number, &line);
+        self.checker.borrow_mut().on_attempt(&id, number, &line);
         self.answer(number, &id, read, write).await;
-        self.judge.borrow_mut().on_attempt_ended(&id, number);
+        self.checker.borrow_mut().on_attempt_ended(&id, number);
     }
 
     async fn answer(
@@ -185,7 +185,7 @@
             Mode::Late => self.establish(number, id, read, write, LATE_ANSWER_TIME).await,
             Mode::Hangs => drain(&mut read).await,
             Mode::Rejects => {
-                self.judge.borrow_mut().on_attempt_rejected(id, number);
+                self.checker.borrow_mut().on_attempt_rejected(id, number);
                 let _ = write.write_all(b"BUSY\r\n").await;
             }
             Mode::Resets => reset(read, write),
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/world.rs
@@ -1,8 +1,8 @@
 //! One run: all peers and nodes, and the faults of a schedule at their times.
 
+use crate::checker::Checker;
 use crate::client::{Behaviour, Client};
 use crate::discovery::{self, Discovery};
-use crate::judge::Judge;
 use crate::node::Nodes;
 use crate::schedule::{Fault, PlannedFault, Schedule};
 use crate::server::{Mode, Servers, SessionEnd};
@@ -19,9 +19,9 @@
 /// Clients for each node.
 const CLIENTS_PER_NODE: usize = 8;
 const TICK_INTERVAL: Duration = Duration::from_millis(5);
-/// A process that is held up this long still keeps the rules.
-const HOLD_UP: Duration = Duration::from_millis(150);
-const STALL: Duration = Duration::from_millis(1_000);
+/// A process that is stalled this long still keeps the rules.
+const SHORT_STALL: Duration = Duration::from_millis(150);
+const LONG_STALL: Duration = Duration::from_millis(1_000);
 /// How long a fault lasts, unless it is over at once.
 const FAULT_MS: std::ops::Range<u64> = 150..1_600;
 /// A shortage of descriptors lasts for a moment: within the time that an answer may be late.
@@ -32,7 +32,7 @@
 const QUIET: Duration = Duration::from_millis(2_500);
 
 struct World {
-    judge: Rc<RefCell<Judge>>,
+    checker: Rc<RefCell<Checker>>,
     servers: Servers,
     discovery: Discovery,
     nodes: Nodes,
@@ -44,43 +44,43 @@
 
 /// Plays a schedule.
 pub async fn play(options: &Options, schedule: &Schedule) -> Report {
-    let judge = Rc::new(RefCell::new(Judge::new(options.nodes)));
-    let ticking = judge.clone();
+    let checker = Rc::new(RefCell::new(Checker::new(options.nodes)));
+    let ticking = checker.clone();
     spawn_local(async move {
         loop {
             sleep(TICK_INTERVAL).await;
             ticking.borrow_mut().tick(TICK_INTERVAL);
         }
     });
-    let servers = Servers::start(&judge, SERVERS).await;
-    let discovery = Discovery::start(&judge, &servers, options.nodes).await;
-    let nodes = Nodes::new(options, &judge, &discovery, schedule.seed);
+    let servers = Servers::start(&checker, SERVERS).await;
+    let discovery = Discovery::start(&checker, &servers, options.nodes).await;
+    let nodes = Nodes::new(options, &checker, &discovery, schedule.seed);
     for node in 0..options.nodes {
         nodes.start(node).await;
     }
     let behaviour = Rc::new(Behaviour::default());
     for number in 0..(options.nodes * CLIENTS_PER_NODE) as u64 {
-        let client = Client::new(&judge, &nodes, &servers, &behaviour, number + 1, schedule.seed);
+        let client = Client::new(&checker, &nodes, &servers, &behaviour, number + 1, schedule.seed);
         spawn_local(client.run());
     }
     let rng = RefCell::new(Pcg64Mcg::seed_from_u64(schedule.seed));
-    let world = Rc::new(World { judge, servers, discovery, nodes, behaviour, rng, lasting: Cell::new(0) });
+    let world = Rc::new(World { checker, servers, discovery, nodes, behaviour, rng, lasting: Cell::new(0) });
     world.clone().play_faults(schedule).await;
     sleep(QUIET).await;
     world.behaviour.stopped.set(true);
     sleep(QUIET).await;
     world.nodes.check_running();
     world.nodes.finish();
-    let judge = world.judge.borrow();
-    if judge.violations().is_empty() {
+    let checker = world.checker.borrow();
+    if checker.violations().is_empty() {
         world.nodes.remove_files();
     }
     Report {
         seed: schedule.seed,
         schedule: schedule.clone(),
-        violations: judge.violations().to_vec(),
-        requests: judge.sent,
-        served: judge.served,
+        violations: checker.violations().to_vec(),
+        requests: checker.sent,
+        served: checker.served,
     }
 }
 
@@ -102,8 +102,8 @@
         match fault {
             Fault::Terminate => self.nodes.terminate_and_restart(node).await,
             Fault::Kill => self.nodes.kill_and_restart(node).await,
-            Fault::HoldUp => self.nodes.stop_for(node, HOLD_UP, true).await,
-            Fault::Stall => self.nodes.stop_for(node, STALL, false).await,
+            Fault::ShortStall => self.nodes.stop_for(node, SHORT_STALL, true).await,
+            Fault::LongStall => self.nodes.stop_for(node, LONG_STALL, false).await,
             Fault::MoveDiscovery => {
                 self.discovery.move_addresses();
                 self.nodes.reload();
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -9,9 +9,9 @@
 pub use request::AdminCall;
 pub use response::Response;
 
-use crate::front::TimerEvent;
+use crate::frontend::TimerEvent;
+use crate::model::Nanos;
 use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
-use crate::vocabulary::Nanos;
 use request::ParsedHead;
 use std::collections::HashSet;
 use std::io;
--- a/src/bin/sparbank-simulator.rs
+++ b/src/bin/sparbank-simulator-adapter.rs
@@ -2,7 +2,7 @@
 //! output. Ends with exit code 1 and one line on standard error where a batch cannot be read, handled or answered.
 #![forbid(unsafe_code)]
 
-use sparbank::simulator::{BatchError, Host};
+use sparbank::simulator_adapter::{BatchError, Host};
 use std::fmt;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
@@ -11,7 +11,7 @@
     match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("sparbank-simulator: {error}");
+            eprintln!("sparbank-simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: arguments in, exit code and printed line out.
 
-use crate::front::amqp::{add_user, Rights};
-use crate::front::OPTIONAL_FRONTS;
+use crate::frontend::amqp::{add_user, Rights};
+use crate::frontend::OPTIONAL_FRONTENDS;
 use crate::log;
 use crate::node::{Configuration, Options, PreparedNode};
 use crate::quota;
@@ -85,7 +85,7 @@
 }
 
 fn check_config(options: &Options) -> Result<(), Failure> {
-    let configuration = Configuration::read(&options.front_files).map_err(Failure::invalid)?;
+    let configuration = Configuration::read(&options.frontend_files).map_err(Failure::invalid)?;
     println!("{}: the configuration is right", configuration.node.name);
     Ok(())
 }
@@ -96,7 +96,7 @@
     Ok(())
 }
 
-/// Writes a user into the AMQP front's users' file; its password is the first line of standard input.
+/// Writes a user into the AMQP frontend's users' file; its password is the first line of standard input.
 fn add_amqp_user(users_file: &Path, name: &str, rights: Rights) -> Result<(), Failure> {
     let mut line = String::new();
     let read = std::io::stdin().read_line(&mut line);
@@ -135,10 +135,10 @@
             }
             Long("subscriber") => arguments.rights.subscriber = Some(parser.value()?.string()?),
             Long(name) => {
-                let Some(front) = optional_front(name) else { return Err(argument.unexpected()) };
+                let Some(frontend) = optional_frontend(name) else { return Err(argument.unexpected()) };
                 let file = PathBuf::from(parser.value()?);
-                arguments.options.front_files.retain(|(other, _)| *other != front);
-                arguments.options.front_files.push((front, file));
+                arguments.options.frontend_files.retain(|(other, _)| *other != frontend);
+                arguments.options.frontend_files.push((frontend, file));
             }
             Value(value) if arguments.sub_command.as_deref() == Some("amqp-user") => {
                 arguments.values.push(value.string()?);
@@ -177,7 +177,7 @@
     }
 }
 
-/// The optional front that `--NAME` turns on, by its index into [`OPTIONAL_FRONTS`].
-fn optional_front(name: &str) -> Option<usize> {
-    OPTIONAL_FRONTS.iter().position(|front| front.name == name)
+/// The optional frontend that `--NAME` turns on, by its index into [`OPTIONAL_FRONTENDS`].
+fn optional_frontend(name: &str) -> Option<usize> {
+    OPTIONAL_FRONTENDS.iter().position(|frontend| frontend.name == name)
 }
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,7 +1,7 @@
 //! Why a configuration was refused. Each error is one line that names the file or variable, and the field.
 
 use crate::json::JsonError;
-use crate::vocabulary::SettingsError;
+use crate::model::SettingsError;
 use std::error::Error;
 use std::fmt;
 use std::io;
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,7 +1,7 @@
 //! The configuration of a node: the file that `NODE_CONFIG` names, and the variables beside it.
 //!
 //! The file is JSON. Its `settings` object is the platform's document for the site; it is decoded twice, into what the
-//! balancer decides by ([`Settings`]) and into what the fronts and exports need besides ([`SiteSettings`]).
+//! balancer decides by ([`Settings`]) and into what the frontends and exports need besides ([`SiteSettings`]).
 
 mod error;
 pub mod settings;
@@ -16,7 +16,7 @@
 use crate::discovery::EndpointListDocument;
 use crate::json;
 use crate::log;
-use crate::vocabulary::{Discovery, Settings};
+use crate::model::{Discovery, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -42,7 +42,7 @@
     pub known_endpoints: EndpointListDocument,
     /// What the balancer decides by.
     pub settings: Settings,
-    /// What fronts and exports need besides.
+    /// What frontends and exports need besides.
     pub site: SiteSettings,
 }
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,7 +5,7 @@
 //! print it.
 
 use crate::json::{self, JsonError};
-use crate::vocabulary::{DedupScope, Discovery, Effect, Nanos, RequestClass, Settings};
+use crate::model::{DedupScope, Discovery, Effect, Nanos, RequestClass, Settings};
 use serde::Deserialize;
 
 #[cfg(test)]
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,7 +1,7 @@
-//! Those of the platform's settings that fronts and exports need and the balancer does not. `expecting` keeps the text
+//! Those of the platform's settings that frontends and exports need and the balancer does not. `expecting` keeps the text
 //! of decoding errors as earlier versions print it.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::Deserialize;
 
 /// Time to connect to a server where the settings do not set one.
@@ -25,7 +25,7 @@
     pub family_info: FamilyInfo,
 }
 
-/// A request class as far as fronts know it.
+/// A request class as far as frontends know it.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassName {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,6 +1,6 @@
 //! Counters of the node's requests, attempts and calls, written as one log line on SIGUSR1 and at exit.
 
-use crate::vocabulary::Outcome;
+use crate::model::Outcome;
 use std::fmt;
 
 /// Counts since the start of the process. Each field is a `name=value` pair of the log line.
@@ -18,7 +18,7 @@
     pub served: u64,
     /// Requests with the final answer "rejected".
     pub rejected: u64,
-    /// Rejected requests that had no attempt: the wait for a turn was too long, or no server could be selected.
+    /// Rejected requests that had no attempt: the wait for a iteration was too long, or no server could be selected.
     pub rejected_unsent: u64,
     /// Requests with the final answer "failed".
     pub failed: u64,
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -4,8 +4,8 @@
 use super::document::EndpointListDocument;
 use super::registry::EndpointRegistry;
 use super::watch::{Received, WatchError, WatchState};
+use crate::model::{Event, ListKind, Nanos};
 use crate::net::{BufferedConnection, ConnectError, ExportedConnection, SocketOwner, SocketReactor, Token};
-use crate::vocabulary::{Event, ListKind, Nanos};
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -2,7 +2,7 @@
 
 use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument};
 use super::wall_clock::WallClock;
-use crate::vocabulary::{Endpoint, Event, ListKind, Nanos, ServerId, Status};
+use crate::model::{Endpoint, Event, ListKind, Nanos, ServerId, Status};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// Both clocks, later than any start of a server here.
-const NOW: crate::vocabulary::Nanos = u64::MAX / 4;
+const NOW: crate::model::Nanos = u64::MAX / 4;
 
 fn list(generation: u64, is_complete: bool, endpoints: &[(&str, &str, u64)]) -> EndpointListDocument {
     let endpoint = |(name, lifecycle, started): &(&str, &str, u64)| {
--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -6,7 +6,7 @@
 //! twice) the latest counts, where into none (the clock went forward past it) the moment of the step, and where it lies
 //! ahead, now: a server is rather taken for younger than for older, since a young one gets less.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 
 /// A difference of less than this is no step: two clocks are never read at the same instant.
 const MIN_STEP: i128 = 50_000_000;
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -4,7 +4,7 @@
 use super::document::EndpointListDocument;
 use super::framing::{FramingError, ObjectFramer};
 use crate::json;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
--- a/src/flow_export/ipfix.rs
+++ b/src/flow_export/ipfix.rs
@@ -1,7 +1,7 @@
 //! The IPFIX encoding (RFC 7011): messages, the one template, and its data records.
 
+use crate::model::Nanos;
 use crate::requests::{FlowRecord, FlowResult};
-use crate::vocabulary::Nanos;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 const VERSION: u16 = 10;
@@ -45,7 +45,7 @@
     field(11, 2),                // destinationTransportPort
     field(278, 4),               // connectionCountNew: attempts sent
     field(96, VARIABLE_LENGTH),  // applicationName: the class
-    field(94, VARIABLE_LENGTH),  // applicationDescription: the front
+    field(94, VARIABLE_LENGTH),  // applicationDescription: the frontend
     field(372, VARIABLE_LENGTH), // applicationCategoryName: how it ended
 ];
 
@@ -123,7 +123,7 @@
     out.extend(ip.octets());
     out.extend(port.to_be_bytes());
     out.extend(flow.attempts.to_be_bytes());
-    for text in [class, flow.front.name, result_name(flow.result)] {
+    for text in [class, flow.frontend.name, result_name(flow.result)] {
         encode_string(text, &mut out);
     }
     out
--- a/src/flow_export/ipfix/tests.rs
+++ b/src/flow_export/ipfix/tests.rs
@@ -1,8 +1,8 @@
 //! The encoding, against bytes computed with the functions of version 00677b7 for the same flows.
 
 use super::*;
-use crate::requests::FrontId;
-use crate::vocabulary::RequestId;
+use crate::model::RequestId;
+use crate::requests::FrontendId;
 use rstest::rstest;
 
 const DOMAIN: u32 = 0x9b1f_7f3a;
@@ -14,7 +14,7 @@
 fn flow(result: FlowResult) -> FlowRecord {
     FlowRecord {
         request_id: RequestId(0x01_0203_0405),
-        front: FrontId { index: 0, name: "text" },
+        frontend: FrontendId { index: 0, name: "text" },
         class: 0,
         server: None,
         started_at: 1_764_654_446_123_456_789,
@@ -27,7 +27,7 @@
 fn unsent_flow() -> FlowRecord {
     FlowRecord {
         request_id: RequestId(1),
-        front: FrontId { index: 1, name: "amqp" },
+        frontend: FrontendId { index: 1, name: "amqp" },
         started_at: 1,
         ended_at: 2_000_000,
         attempts: 0,
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -7,8 +7,8 @@
 
 use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
+use crate::model::Nanos;
 use crate::requests::FlowRecord;
-use crate::vocabulary::Nanos;
 use ipfix::{MessageHeader, SetKind};
 use std::io;
 use std::net::{IpAddr, SocketAddr, UdpSocket};
--- a/src/front/amqp/authentication.rs
+++ b/src/frontend/amqp/authentication.rs
@@ -2,19 +2,19 @@
 
 use super::password_checks::{fake_salt, nonce};
 use super::users::Identity;
-use super::AmqpFront;
-use crate::front::{FrontContext, TimerEvent};
+use super::AmqpFrontend;
+use crate::frontend::{FrontendContext, TimerEvent};
+use crate::model::Nanos;
 use crate::net::Token;
-use crate::vocabulary::Nanos;
 use sparbank_amqp::SaslRequest;
 use std::rc::Rc;
 
 /// A failed authentication is answered after this: it limits how fast passwords can be guessed.
 const FAILED_LOGIN_DELAY: Nanos = 1_000_000_000;
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// A client authenticates. Without a users' file every anonymous client is let in.
-    pub(super) fn authenticate(&mut self, ctx: &mut FrontContext, token: Token, request: SaslRequest) {
+    pub(super) fn authenticate(&mut self, ctx: &mut FrontendContext, token: Token, request: SaslRequest) {
         let Some(users) = &self.config.known_users else {
             if let Some(client) = self.clients.get(token) {
                 client.conn.finish_sasl(request == SaslRequest::Anonymous);
@@ -38,7 +38,7 @@
             }
             SaslRequest::Plain { user, password } => {
                 if self.password_checks.start(token, users, user, &password) {
-                    ctx.wheel.schedule(ctx.now, TimerEvent::FrontTimer(self.id, token));
+                    ctx.wheel.schedule(ctx.now, TimerEvent::FrontendTimer(self.id, token));
                 } else {
                     self.finish_login(ctx, token, None);
                 }
@@ -53,7 +53,7 @@
     }
 
     /// Lets in a client with an identity. Without one it is rejected after a delay.
-    fn finish_login(&mut self, ctx: &mut FrontContext, token: Token, identity: Option<Rc<Identity>>) {
+    fn finish_login(&mut self, ctx: &mut FrontendContext, token: Token, identity: Option<Rc<Identity>>) {
         let Some(client) = self.clients.get(token) else { return };
         match identity {
             Some(identity) => {
@@ -64,13 +64,13 @@
             None => {
                 self.rejected_logins += 1;
                 client.reject_login_at = Some(ctx.now + FAILED_LOGIN_DELAY);
-                ctx.wheel.schedule(ctx.now + FAILED_LOGIN_DELAY, TimerEvent::FrontTimer(self.id, token));
+                ctx.wheel.schedule(ctx.now + FAILED_LOGIN_DELAY, TimerEvent::FrontendTimer(self.id, token));
             }
         }
     }
 
     /// Rejects a client's login where its delay has passed.
-    pub(super) fn reject_due_login(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn reject_due_login(&mut self, ctx: &mut FrontendContext, token: Token) {
         let Some(client) = self.clients.get(token) else { return };
         if client.reject_login_at.is_some_and(|at| at <= ctx.now) {
             client.reject_login_at = None;
@@ -80,14 +80,14 @@
     }
 
     /// Does one slice of one password check, whichever client waits: no slice delays the event loop noticeably.
-    pub(super) fn check_passwords(&mut self, ctx: &mut FrontContext) {
+    pub(super) fn check_passwords(&mut self, ctx: &mut FrontendContext) {
         if let Some(checked) = self.password_checks.step() {
             let users = self.config.known_users.as_ref();
             let identity = users.and_then(|users| users.named(&checked.user)).filter(|_| checked.is_valid);
             self.finish_login(ctx, checked.token, identity);
         }
         if let Some(token) = self.password_checks.next_token() {
-            ctx.wheel.schedule(ctx.now, TimerEvent::FrontTimer(self.id, token));
+            ctx.wheel.schedule(ctx.now, TimerEvent::FrontendTimer(self.id, token));
         }
     }
 }
--- a/src/front/amqp/client_connections.rs
+++ b/src/frontend/amqp/client_connections.rs
@@ -3,11 +3,11 @@
 use super::clients::{Client, ClientLink, IncompleteDelivery};
 use super::forwarders::ForwarderId;
 use super::replies::shutdown_error;
-use super::AmqpFront;
-use crate::front::tls::TlsConnection;
-use crate::front::FrontContext;
+use super::AmqpFrontend;
+use crate::frontend::tls::TlsConnection;
+use crate::frontend::FrontendContext;
+use crate::model::RequestId;
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::vocabulary::RequestId;
 use sparbank_amqp::{condition, AbandonedDelivery, Connection, Event, Fault, LinkId, Role};
 
 /// The result of processing a client's input.
@@ -18,9 +18,9 @@
     fault: Option<Fault>,
 }
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// Something happened at a client's socket.
-    pub(super) fn on_client_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+    pub(super) fn on_client_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         let token = event.token;
         match event.kind {
             SocketEventKind::Accepted => return self.accept_client(ctx, token),
@@ -36,7 +36,7 @@
         self.read_client(ctx, token);
     }
 
-    fn accept_client(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn accept_client(&mut self, ctx: &mut FrontendContext, token: Token) {
         if ctx.net.is_short_of_descriptors() && !ctx.net.reclaim_descriptors() {
             ctx.requests.counters.capacity_rejected += 1;
             return ctx.net.close(token);
@@ -64,7 +64,7 @@
     }
 
     /// Processes a client's input, unless the client does not read its answers or no memory is left for messages.
-    pub(super) fn read_client(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn read_client(&mut self, ctx: &mut FrontendContext, token: Token) {
         if ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
             return ctx.net.update_interest(token);
         }
@@ -110,7 +110,7 @@
     /// from the socket.
     fn take_client_input(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         is_full: bool,
         bytes: &mut Vec<u8>,
@@ -125,7 +125,12 @@
         Ok(())
     }
 
-    fn process_client_input(&mut self, ctx: &mut FrontContext, token: Token, bytes: &[u8]) -> ProcessedInput {
+    fn process_client_input(
+        &mut self,
+        ctx: &mut FrontendContext,
+        token: Token,
+        bytes: &[u8],
+    ) -> ProcessedInput {
         let mut rest = bytes;
         let mut fault = None;
         while let Some(client) = self.clients.get(token) {
@@ -145,7 +150,7 @@
         ProcessedInput { count: bytes.len() - rest.len(), fault }
     }
 
-    fn on_client_protocol_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
+    fn on_client_protocol_event(&mut self, ctx: &mut FrontendContext, token: Token, event: Event<'_>) {
         match event {
             Event::SaslRequest(request) => self.authenticate(ctx, token, request),
             Event::Opened {} => self.on_client_opened(ctx, token),
@@ -183,7 +188,7 @@
         }
     }
 
-    fn on_client_opened(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_client_opened(&mut self, ctx: &mut FrontendContext, token: Token) {
         ctx.net.mark_handshake_complete(token);
         let anonymous = self.config.known_users.as_ref().and_then(|users| users.anonymous());
         if let (Some(client), Some(identity)) = (self.clients.get(token), anonymous) {
@@ -201,7 +206,7 @@
     }
 
     /// A client's socket takes more output: its forwarders continue, in order.
-    pub(super) fn forward_all(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn forward_all(&mut self, ctx: &mut FrontendContext, token: Token) {
         let Some(client) = self.clients.get(token) else { return };
         let mut forwarders = client.forwarders();
         forwarders.sort_unstable();
@@ -211,7 +216,7 @@
     }
 
     /// A client's connection is closed or lost. Requests on links that may be resumed go on; the others are abandoned.
-    pub(super) fn on_client_gone(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn on_client_gone(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(client) = self.clients.get(token) {
             if let Some(tls) = &mut client.tls {
                 tls.send_close_notify();
@@ -239,7 +244,7 @@
     }
 
     /// Suspends or abandons the unsettled requests of a client that is gone.
-    fn release_unsettled(&mut self, ctx: &mut FrontContext, client: &mut Client) {
+    fn release_unsettled(&mut self, ctx: &mut FrontendContext, client: &mut Client) {
         for AbandonedDelivery { link, role, key } in client.conn.abandon() {
             if role != Role::Receiver {
                 continue;
@@ -259,7 +264,7 @@
 
     /// Checks the idle timeouts of the clients' connections. When the node shuts down, closes those without open
     /// requests.
-    pub(super) fn check_client_connections(&mut self, ctx: &mut FrontContext) {
+    pub(super) fn check_client_connections(&mut self, ctx: &mut FrontendContext) {
         let redirect = self.config.redirect.clone();
         for token in self.clients.tokens() {
             let Some(client) = self.clients.get(token) else { continue };
--- a/src/front/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -5,10 +5,10 @@
 use super::clients::{ClientLink, IncompleteDelivery, SendingLink};
 use super::recovery::{LinkKey, RecoveryLimits};
 use super::replies::{retry_error, RETRY_AFTER_MS};
-use super::{password_checks, AmqpFront};
-use crate::front::FrontContext;
+use super::{password_checks, AmqpFrontend};
+use crate::frontend::FrontendContext;
+use crate::model::{Nanos, RequestId};
 use crate::net::Token;
-use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{condition, Attach, Error, LinkId, Source, State, Tag, Target, Terminus, Value};
 use std::rc::Rc;
 
@@ -27,7 +27,7 @@
     }
 }
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// The index of the class that an address names.
     pub(super) fn class_at(&self, address: &str) -> Option<usize> {
         self.classes.iter().position(|class| class == address.trim_start_matches('/'))
@@ -60,7 +60,7 @@
     /// A client wants to send: to a class, or to the anonymous terminus, where `to` of each message names the class.
     pub(super) fn attach_sending_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         attach: &Attach,
@@ -82,7 +82,7 @@
 
     fn accept_sending_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         attach: &Attach,
@@ -133,7 +133,7 @@
     /// A client wants to receive: what a class sends, or replies.
     pub(super) fn attach_receiving_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         attach: Box<Attach>,
@@ -161,7 +161,7 @@
     /// Starts the request of a receiving link, whose properties are those of the attach.
     fn start_receiving_request(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         class: usize,
         attach: &Attach,
     ) -> RequestId {
@@ -195,7 +195,7 @@
     /// A client has detached a link. Its requests are abandoned, unless the link may be resumed.
     pub(super) fn on_client_link_detached(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         closed: bool,
@@ -218,7 +218,7 @@
     /// Suspends a detached sending link, or forgets it. `requests` are those that were unsettled on it.
     fn end_sending_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: SendingLink,
         may_resume: bool,
--- a/src/front/amqp/client_transfers.rs
+++ b/src/frontend/amqp/client_transfers.rs
@@ -4,11 +4,11 @@
 use super::deliveries::Delivery;
 use super::recovery::DeliveryStatus;
 use super::replies::{invalid_state, rejected_state, unknown_state, RETRY_AFTER_MS};
-use super::AmqpFront;
-use crate::front::{FrontContext, ANSWER_MARGIN};
+use super::AmqpFrontend;
+use crate::frontend::{FrontendContext, ANSWER_MARGIN};
 use crate::hash::fnv1a;
+use crate::model::{Arrival, Nanos, RequestId};
 use crate::net::Token;
-use crate::vocabulary::{Arrival, Nanos, RequestId};
 use sparbank_amqp::{condition, DecodeError, Error, Head, IncomingTransfer, LinkId, Message, State, Value};
 
 const NANOS_PER_MS: Nanos = 1_000_000;
@@ -27,11 +27,11 @@
     transfer: &'a IncomingTransfer<'b>,
 }
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// A transfer was received from a client.
     pub(super) fn on_client_transfer(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         transfer: IncomingTransfer<'_>,
@@ -61,7 +61,7 @@
     }
 
     /// The client has aborted a delivery.
-    fn drop_incomplete(&mut self, ctx: &mut FrontContext, incomplete: IncompleteDelivery) {
+    fn drop_incomplete(&mut self, ctx: &mut FrontendContext, incomplete: IncompleteDelivery) {
         match incomplete {
             IncompleteDelivery::ReadingHead(bytes) => self.deliveries.subtract_buffered(bytes.len()),
             IncompleteDelivery::Request(request_id) => self.abandon_request(ctx, request_id),
@@ -72,7 +72,7 @@
     /// Adds a transfer to its delivery. Gives the delivery's state after it.
     fn continue_delivery(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         received: ReceivedTransfer<'_, '_>,
         incomplete: IncompleteDelivery,
     ) -> IncompleteDelivery {
@@ -138,7 +138,7 @@
     /// The first transfers of a delivery: it becomes a request, is answered at once, or needs more octets.
     fn start_delivery(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         received: ReceivedTransfer<'_, '_>,
         mut bytes: Vec<u8>,
     ) -> IncompleteDelivery {
@@ -170,7 +170,7 @@
     /// Makes a delivery a request, or gives the state that it is settled with at once.
     fn start_request(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         received: ReceivedTransfer<'_, '_>,
         head: Head,
         bytes: Vec<u8>,
--- a/src/front/amqp/clients.rs
+++ b/src/frontend/amqp/clients.rs
@@ -5,10 +5,10 @@
 use super::forwarders::ForwarderId;
 use super::recovery::LinkKey;
 use super::users::Identity;
-use crate::front::tls::TlsConnection;
-use crate::front::FrontContext;
+use crate::frontend::tls::TlsConnection;
+use crate::frontend::FrontendContext;
+use crate::model::{Nanos, RequestId};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{Connection, LinkId, Tag};
 use std::collections::HashSet;
 use std::net::IpAddr;
@@ -265,7 +265,7 @@
 
     /// Whether forwarders had more for a client than was written at one time, and its socket takes more now. Clears
     /// that mark: where the socket took everything at once, no event says so.
-    pub fn clear_stall(&mut self, ctx: &FrontContext, token: Token) -> bool {
+    pub fn clear_stall(&mut self, ctx: &FrontendContext, token: Token) -> bool {
         let Some(client) = self.by_token.get_mut(&token) else { return false };
         let can_resume = client.stalled && ctx.net.pending_output_bytes(token) < OUTPUT_HIGH_WATERMARK_BYTES;
         client.stalled &= !can_resume;
@@ -273,7 +273,7 @@
     }
 
     /// Writes a client's pending output. False where its connection is closed with it.
-    pub fn flush(&mut self, ctx: &mut FrontContext, token: Token) -> bool {
+    pub fn flush(&mut self, ctx: &mut FrontendContext, token: Token) -> bool {
         let Some(client) = self.by_token.get_mut(&token) else { return true };
         client.write_pending(ctx, token);
         !client.conn.is_closed()
@@ -305,7 +305,7 @@
     }
 
     /// Passes its pending output to the socket, encrypted where it uses TLS.
-    pub fn write_pending(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub fn write_pending(&mut self, ctx: &mut FrontendContext, token: Token) {
         let mut out = self.conn.take_output(ctx.now);
         if let Some(tls) = &mut self.tls {
             let mut wire = Vec::new();
--- a/src/front/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -1,11 +1,11 @@
-//! The AMQP front's configuration file, such as `deploy/amqp.json`. `docs/AMQP.md` lists its fields.
+//! The AMQP frontend's configuration file, such as `deploy/amqp.json`. `docs/AMQP.md` lists its fields.
 
 use super::error::FileError;
 use super::recovery::RecoveryLimits;
 use super::users::Users;
-use crate::front::tls::TlsListenerConfig;
+use crate::frontend::tls::TlsListenerConfig;
 use crate::json;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
 use std::collections::HashMap;
--- a/src/front/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -1,7 +1,7 @@
 //! Deliveries from clients that are not settled yet: the bytes received of each, and the progress of its attempt.
 
+use crate::model::{Nanos, RequestId, ServerId};
 use crate::net::Token;
-use crate::vocabulary::{Nanos, RequestId, ServerId};
 use sparbank_amqp::{Head, LinkId, Tag};
 use std::collections::HashMap;
 
--- a/src/front/amqp/error.rs
+++ b/src/frontend/amqp/error.rs
@@ -1,12 +1,12 @@
-//! Errors in the AMQP front's own files.
+//! Errors in the AMQP frontend's own files.
 
-use crate::front::tls::TlsConfigError;
+use crate::frontend::tls::TlsConfigError;
 use std::error::Error;
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a file of the AMQP front cannot be used. Printed in one line that names the file and, where there is one, the
+/// Why a file of the AMQP frontend cannot be used. Printed in one line that names the file and, where there is one, the
 /// field.
 #[derive(Debug)]
 pub enum FileError {
--- a/src/front/amqp/fair_queue.rs
+++ b/src/frontend/amqp/fair_queue.rs
@@ -1,8 +1,8 @@
 //! A queue of requests that is fair between clients.
 
 use super::deliveries::Map;
+use crate::model::RequestId;
 use crate::net::Token;
-use crate::vocabulary::RequestId;
 use std::collections::VecDeque;
 
 /// Requests that wait for a server's links of one class. Clients take turns (round robin), so that many deliveries
--- a/src/front/amqp/fair_queue/tests.rs
+++ b/src/frontend/amqp/fair_queue/tests.rs
@@ -1,8 +1,8 @@
 //! Fairness between clients.
 
 use super::FairQueue;
+use crate::model::RequestId;
 use crate::net::token_for_tests as token;
-use crate::vocabulary::RequestId;
 
 #[test]
 fn many_deliveries_of_one_client_do_not_delay_one_of_another() {
--- a/src/front/amqp/forwarder.rs
+++ b/src/frontend/amqp/forwarder.rs
@@ -3,9 +3,9 @@
 use super::clients::{Client, Clients};
 use super::forwarders::Peers;
 use super::servers::Servers;
-use crate::front::FrontContext;
+use crate::frontend::FrontendContext;
+use crate::model::{RequestId, ServerId};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, IncomingTransfer, LinkId, Outgoing, State, Tag};
 use std::collections::VecDeque;
 
@@ -161,7 +161,7 @@
 
     /// Sends the client as much as its credit and its socket take, and passes its credit on to the servers. Gives the
     /// number of deliveries that were completed.
-    pub fn forward(&mut self, ctx: &FrontContext, peers: Peers) -> u64 {
+    pub fn forward(&mut self, ctx: &FrontendContext, peers: Peers) -> u64 {
         let Some(client) = peers.clients.get(self.client) else { return 0 };
         let capacity = OUTPUT_HIGH_WATERMARK_BYTES.saturating_sub(ctx.net.pending_output_bytes(self.client));
         let completed = self.send_waiting(client, capacity);
--- a/src/front/amqp/forwarders.rs
+++ b/src/frontend/amqp/forwarders.rs
@@ -5,9 +5,9 @@
 use super::deliveries::Map;
 use super::forwarder::Forwarder;
 use super::servers::Servers;
-use crate::front::FrontContext;
+use crate::frontend::FrontendContext;
+use crate::model::{RequestId, ServerId};
 use crate::net::Token;
-use crate::vocabulary::{RequestId, ServerId};
 use sparbank_amqp::{Attach, IncomingTransfer, LinkId};
 use std::fmt;
 
@@ -126,7 +126,7 @@
     /// A transfer was received from a server: it is sent to the client, or waits.
     pub fn on_transfer(
         &mut self,
-        ctx: &FrontContext,
+        ctx: &FrontendContext,
         id: ForwarderId,
         token: Token,
         link: LinkId,
@@ -140,7 +140,7 @@
     }
 
     /// Sends the client as much as its credit and its socket take, and passes its credit on to the servers.
-    pub fn forward(&mut self, ctx: &FrontContext, id: ForwarderId, peers: Peers) {
+    pub fn forward(&mut self, ctx: &FrontendContext, id: ForwarderId, peers: Peers) {
         if let Some(forwarder) = self.by_id.get_mut(&id) {
             self.forwarded += forwarder.forward(ctx, peers);
         }
--- a/src/front/amqp/forwarding.rs
+++ b/src/frontend/amqp/forwarding.rs
@@ -4,15 +4,15 @@
 use super::forwarder::Forwarder;
 use super::forwarders::{ForwarderId, Peers};
 use super::replies::retry_error;
-use super::AmqpFront;
-use crate::front::FrontContext;
+use super::AmqpFrontend;
+use crate::frontend::FrontendContext;
+use crate::model::{Outcome, RequestId};
 use crate::net::Token;
-use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{condition, Attach, Error, LinkId, Role, Terminus};
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// Sends a forwarder's client what its credit takes.
-    pub(super) fn forward(&mut self, ctx: &mut FrontContext, forwarder: ForwarderId) {
+    pub(super) fn forward(&mut self, ctx: &mut FrontendContext, forwarder: ForwarderId) {
         let peers = Peers { clients: &mut self.clients, servers: &mut self.servers };
         self.forwarders.forward(ctx, forwarder, peers);
     }
@@ -20,7 +20,7 @@
     /// A server has attached its link to a forwarder: the request is established, and the client has its answer.
     pub(super) fn on_source_attached(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         id: ForwarderId,
         token: Token,
         link: LinkId,
@@ -53,7 +53,7 @@
     /// A server attaches a link by itself: it may send to a node for replies, and to nothing else.
     pub(super) fn on_server_attach_request(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         role: Role,
@@ -84,7 +84,7 @@
     }
 
     /// A server's connection is lost with the link that a forwarder received on.
-    pub(super) fn on_source_connection_lost(&mut self, ctx: &mut FrontContext, id: ForwarderId) {
+    pub(super) fn on_source_connection_lost(&mut self, ctx: &mut FrontendContext, id: ForwarderId) {
         let Some(forwarder) = self.forwarders.get(id) else { return };
         // A node for replies remains: other servers may send to it.
         let Some(request_id) = forwarder.request_id else { return };
@@ -98,7 +98,7 @@
     /// A server has detached the link that a forwarder received on.
     pub(super) fn on_source_detached(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         id: ForwarderId,
         token: Token,
         link: LinkId,
@@ -118,7 +118,7 @@
     /// Ends an established forwarder, whose client's link is detached with this error.
     fn end_forwarder(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         id: ForwarderId,
         request_id: RequestId,
         outcome: Outcome,
@@ -133,7 +133,7 @@
     /// The attempt of a forwarder has ended before it was established: it may be retried.
     pub(super) fn on_forwarder_attempt_failed(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         id: ForwarderId,
         outcome: Outcome,
     ) {
@@ -159,7 +159,7 @@
     }
 
     /// The client of a forwarder has detached its link or is gone.
-    pub(super) fn on_forwarder_client_gone(&mut self, ctx: &mut FrontContext, id: ForwarderId) {
+    pub(super) fn on_forwarder_client_gone(&mut self, ctx: &mut FrontendContext, id: ForwarderId) {
         if let Some(forwarder) = self.forwarders.remove(id, &mut self.servers) {
             if let Some(request_id) = forwarder.request_id {
                 ctx.requests.on_client_disconnected(ctx.now, request_id);
--- a/src/front/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -1,8 +1,8 @@
-//! The AMQP 1.0 front. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
+//! The AMQP 1.0 frontend. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
 //! is a request that is established once its server sends. The protocol itself is `sparbank-amqp`'s.
 //!
 //! `clients`, `servers`, `deliveries`, `forwarders` and `recovery` each own one piece of the state. The methods of
-//! [`AmqpFront`] that pass events between them are in a file per concern: `client_connections`, `authentication`,
+//! [`AmqpFrontend`] that pass events between them are in a file per concern: `client_connections`, `authentication`,
 //! `client_links`, `client_transfers`, `server_connections`, `forwarding` and `outcomes`.
 
 mod authentication;
@@ -29,10 +29,10 @@
 
 pub use users::{add_user, Rights};
 
-use super::{Front, FrontContext, FrontError, FrontSetup, OpenedFront, OptionalFront};
+use super::{Frontend, FrontendContext, FrontendError, FrontendSetup, OpenedFrontend, OptionalFrontend};
+use crate::model::{Nanos, Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketOwner, Token};
-use crate::requests::FrontId;
-use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
+use crate::requests::FrontendId;
 use clients::Clients;
 use config::AmqpConfig;
 use deliveries::{Attempt, AttemptStage, Deliveries};
@@ -46,22 +46,22 @@
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
-/// How this front is enabled.
-pub const OPTIONAL_FRONT: OptionalFront = OptionalFront {
+/// How this frontend is enabled.
+pub const OPTIONAL_FRONTEND: OptionalFrontend = OptionalFrontend {
     name: "amqp",
     read: |path| {
-        let config = AmqpConfig::read(path).map_err(|error| FrontError::Config(error.into()))?;
+        let config = AmqpConfig::read(path).map_err(|error| FrontendError::Config(error.into()))?;
         Ok(Box::new(config))
     },
     open: |id, config, setup| {
-        let config = config.downcast::<AmqpConfig>().map_err(|_| FrontError::WrongConfigType)?;
-        AmqpFront::open(id, *config, setup)
+        let config = config.downcast::<AmqpConfig>().map_err(|_| FrontendError::WrongConfigType)?;
+        AmqpFrontend::open(id, *config, setup)
     },
 };
 
-/// The AMQP front.
-pub struct AmqpFront {
-    id: FrontId,
+/// The AMQP frontend.
+pub struct AmqpFrontend {
+    id: FrontendId,
     config: AmqpConfig,
     /// The node's container id.
     container: String,
@@ -82,24 +82,28 @@
     shutting_down: bool,
 }
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// Listens as the configuration says.
-    fn open(id: FrontId, config: AmqpConfig, setup: FrontSetup) -> Result<OpenedFront, FrontError> {
-        let FrontSetup { net, node_name, site } = setup;
+    fn open(
+        id: FrontendId,
+        config: AmqpConfig,
+        setup: FrontendSetup,
+    ) -> Result<OpenedFrontend, FrontendError> {
+        let FrontendSetup { net, node_name, site } = setup;
         let address = net
-            .listen(config.listen, SocketOwner::Front(id))
-            .map_err(|error| FrontError::Listen { socket: "amqp listen", error })?;
+            .listen(config.listen, SocketOwner::Frontend(id))
+            .map_err(|error| FrontendError::Listen { socket: "amqp listen", error })?;
         let mut line = format!("listen={address}");
         let mut tls_listener = None;
         if let Some(tls) = &config.tls {
             let listener = net
-                .listen_with_token(tls.listen, SocketOwner::Front(id))
-                .map_err(|error| FrontError::Listen { socket: "amqp tls listen", error })?;
+                .listen_with_token(tls.listen, SocketOwner::Frontend(id))
+                .map_err(|error| FrontendError::Listen { socket: "amqp tls listen", error })?;
             line = format!("tls={} {line}", listener.addr);
             tls_listener = Some(listener.token);
         }
         let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
-        let front = AmqpFront {
+        let frontend = AmqpFrontend {
             id,
             container: node_name.to_string(),
             servers: Servers::new(id, node_name, classes.clone()),
@@ -116,11 +120,11 @@
             fate_unknown: 0,
             shutting_down: false,
         };
-        Ok(OpenedFront { front: Box::new(front), listen_line: line })
+        Ok(OpenedFrontend { frontend: Box::new(frontend), listen_line: line })
     }
 
     /// Reads the clients that were paused while memory for messages was short.
-    fn read_paused_clients(&mut self, ctx: &mut FrontContext) {
+    fn read_paused_clients(&mut self, ctx: &mut FrontendContext) {
         if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 4 * 3 {
             for token in self.clients.take_paused() {
                 self.read_client(ctx, token);
@@ -129,7 +133,7 @@
     }
 
     /// Writes to the clients that are marked dirty.
-    fn flush_clients(&mut self, ctx: &mut FrontContext) {
+    fn flush_clients(&mut self, ctx: &mut FrontendContext) {
         for token in self.clients.take_dirty() {
             if !self.clients.flush(ctx, token) {
                 self.on_client_gone(ctx, token);
@@ -140,8 +144,8 @@
     }
 }
 
-impl Front for AmqpFront {
-    fn on_socket_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+impl Frontend for AmqpFrontend {
+    fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         match self.servers.server_of(event.token) {
             Some(_) => self.on_server_event(ctx, event),
             None => self.on_client_event(ctx, event),
@@ -150,7 +154,7 @@
 
     fn start_attempt(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         request_id: RequestId,
         server: ServerId,
         timeout: Nanos,
@@ -170,11 +174,11 @@
         }
     }
 
-    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
         self.cancel_delivery_or_forwarder(ctx, request_id)
     }
 
-    fn reject(&mut self, _ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos) {
+    fn reject(&mut self, _ctx: &mut FrontendContext, request_id: RequestId, retry_after: Nanos) {
         let retry_after_ms = (retry_after / NANOS_PER_MS) as u32;
         let description = "no region takes it now; come again";
         let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
@@ -182,12 +186,12 @@
         self.answer(request_id, rejected_state(retry_after_ms));
     }
 
-    fn fail(&mut self, _ctx: &mut FrontContext, request_id: RequestId) {
+    fn fail(&mut self, _ctx: &mut FrontendContext, request_id: RequestId) {
         self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
         self.answer(request_id, failed_state());
     }
 
-    fn migrate(&mut self, _ctx: &mut FrontContext, request_id: RequestId) {
+    fn migrate(&mut self, _ctx: &mut FrontendContext, request_id: RequestId) {
         let Some(id) = self.forwarders.of_request(request_id) else { return };
         if let Some(forwarder) = self.forwarders.remove(id, &mut self.servers) {
             let error = retry_error(condition::DETACH_FORCED, "moved: come again", 0);
@@ -195,7 +199,7 @@
         }
     }
 
-    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
         for request_id in self.deliveries.unsent_at(stopped) {
             self.cancel_delivery_or_forwarder(ctx, request_id);
             self.on_attempt_ended(ctx, request_id, Outcome::ConnectFailed);
@@ -209,18 +213,18 @@
         self.clients.is_empty()
     }
 
-    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontendContext, token: Token) {
         if self.servers.is_opening(token) {
             self.on_server_connection_lost(ctx, token);
         }
     }
 
-    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontendContext, token: Token) {
         self.check_passwords(ctx);
         self.reject_due_login(ctx, token);
     }
 
-    fn on_tick(&mut self, ctx: &mut FrontContext) {
+    fn on_tick(&mut self, ctx: &mut FrontendContext) {
         self.check_client_connections(ctx);
         self.check_server_connections(ctx);
         for request_id in self.recovery.expire(ctx.now) {
@@ -231,7 +235,7 @@
         }
     }
 
-    fn flush(&mut self, ctx: &mut FrontContext) {
+    fn flush(&mut self, ctx: &mut FrontendContext) {
         // What one side writes may give capacity to the other: both are flushed until neither has more.
         while self.servers.is_dirty() || self.clients.is_dirty() {
             let results = self.servers.flush(ctx, &self.config, &mut self.deliveries);
@@ -241,7 +245,7 @@
         }
     }
 
-    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
+    fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
         if !std::mem::replace(&mut self.shutting_down, true) {
             for token in self.clients.tokens() {
                 self.clients.revoke_credit(token);
@@ -250,7 +254,7 @@
         self.check_client_connections(ctx);
     }
 
-    fn resume_serving(&mut self, _ctx: &mut FrontContext) {
+    fn resume_serving(&mut self, _ctx: &mut FrontendContext) {
         if std::mem::take(&mut self.shutting_down) {
             self.replenish_all_credit();
         }
--- a/src/front/amqp/outcomes.rs
+++ b/src/frontend/amqp/outcomes.rs
@@ -4,15 +4,15 @@
 use super::recovery::LinkKey;
 use super::replies::failed_state;
 use super::servers::AttemptResult;
-use super::AmqpFront;
-use crate::front::FrontContext;
+use super::AmqpFrontend;
+use crate::frontend::FrontendContext;
+use crate::model::{Outcome, RequestId};
 use crate::net::Token;
-use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{LinkId, State};
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// Attempts have ended at the servers.
-    pub(super) fn on_attempt_results(&mut self, ctx: &mut FrontContext, results: Vec<AttemptResult>) {
+    pub(super) fn on_attempt_results(&mut self, ctx: &mut FrontendContext, results: Vec<AttemptResult>) {
         for result in results {
             match result {
                 AttemptResult::Ended(request_id, outcome) => self.on_attempt_ended(ctx, request_id, outcome),
@@ -26,7 +26,7 @@
     /// The attempt of a delivery has ended.
     pub(super) fn on_attempt_ended(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         request_id: RequestId,
         outcome: Outcome,
     ) {
@@ -75,7 +75,7 @@
     }
 
     /// The client has given a request up, or is gone.
-    pub(super) fn abandon_request(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
+    pub(super) fn abandon_request(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
         self.cancel_delivery_or_forwarder(ctx, request_id);
         ctx.requests.on_client_disconnected(ctx.now, request_id);
         self.recovery.forget_request(request_id);
@@ -104,7 +104,7 @@
     /// Cancels the attempt of a request. Gives its outcome: an attempt that was not sent has not run.
     pub(super) fn cancel_delivery_or_forwarder(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         request_id: RequestId,
     ) -> Outcome {
         if let Some(forwarder) = self.forwarders.of_request(request_id) {
--- a/src/front/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -6,8 +6,8 @@
 //! as long as its connection lasts.
 
 use super::deliveries::Map;
+use crate::model::{Nanos, RequestId};
 use crate::net::Token;
-use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{State, Tag};
 use std::collections::{HashSet, VecDeque};
 
--- a/src/front/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -1,8 +1,8 @@
 //! What is remembered of links that may be resumed: its bounds, expiry and settled deliveries.
 
 use super::{LinkKey, Recovery, RecoveryLimits, ResumedLink};
+use crate::model::{Nanos, RequestId};
 use crate::net::token_for_tests as token;
-use crate::vocabulary::{Nanos, RequestId};
 use sparbank_amqp::{State, Tag};
 
 const LIMITS: RecoveryLimits = RecoveryLimits { max_links: 2, max_settled_per_link: 3, max_timeout: 1000 };
--- a/src/front/amqp/sending.rs
+++ b/src/frontend/amqp/sending.rs
@@ -4,8 +4,8 @@
 use super::deliveries::{AttemptStage, Deliveries, Delivery};
 use super::fair_queue::FairQueue;
 use super::servers::{AttemptResult, ClassQueue, SendingLink, Servers};
-use crate::front::FrontContext;
-use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
+use crate::frontend::FrontendContext;
+use crate::model::{Nanos, Outcome, RequestId, ServerId};
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
 
 /// Octets that a link sends before the next link has its turn.
@@ -30,7 +30,7 @@
 
 /// What a link needs for its turn.
 struct Feed<'a, 'b> {
-    ctx: &'a mut FrontContext<'b>,
+    ctx: &'a mut FrontendContext<'b>,
     max_retryable_bytes: usize,
     scratch: &'a mut Vec<u8>,
     server: ServerId,
@@ -41,7 +41,7 @@
     /// Sends everything that credit, session windows and sockets allow to the servers that are marked dirty.
     pub fn flush(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         deliveries: &mut Deliveries,
     ) -> Vec<AttemptResult> {
@@ -65,7 +65,7 @@
     /// Sends a server what waits for it. True where a connection is full and there is more to send.
     fn send_waiting(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server_id: ServerId,
         deliveries: &mut Deliveries,
--- a/src/front/amqp/server_connections.rs
+++ b/src/frontend/amqp/server_connections.rs
@@ -3,15 +3,15 @@
 use super::deliveries::{Attempt, AttemptStage};
 use super::forwarders::Peers;
 use super::servers::{interrupted_outcome, ServerLink};
-use super::AmqpFront;
-use crate::front::FrontContext;
+use super::AmqpFrontend;
+use crate::frontend::FrontendContext;
+use crate::model::{Outcome, RequestId};
 use crate::net::{SocketEvent, SocketEventKind, Token};
-use crate::vocabulary::{Outcome, RequestId};
 use sparbank_amqp::{Error, Event, Fault, LinkId, Role, State};
 
-impl AmqpFront {
+impl AmqpFrontend {
     /// Something happened at a server's socket.
-    pub(super) fn on_server_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+    pub(super) fn on_server_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         let token = event.token;
         let fault = self.process_server_input(ctx, token);
         let Some(connection) = self.servers.get(token) else { return };
@@ -33,7 +33,7 @@
     }
 
     /// Processes a server's input. Gives the fault that ends it, if there is one.
-    fn process_server_input(&mut self, ctx: &mut FrontContext, token: Token) -> Option<Fault> {
+    fn process_server_input(&mut self, ctx: &mut FrontendContext, token: Token) -> Option<Fault> {
         let mut bytes = ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut rest = &bytes[..];
         let mut fault = None;
@@ -58,7 +58,7 @@
     }
 
     /// A server's connection is lost or closed.
-    pub(super) fn on_server_connection_lost(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn on_server_connection_lost(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(connection) = self.servers.get(token) {
             // Pending output, such as the reason for a close, is still written.
             let out = connection.conn.take_output(ctx.now);
@@ -71,7 +71,7 @@
         self.on_attempt_results(ctx, lost.results);
     }
 
-    fn on_server_protocol_event(&mut self, ctx: &mut FrontContext, token: Token, event: Event<'_>) {
+    fn on_server_protocol_event(&mut self, ctx: &mut FrontendContext, token: Token, event: Event<'_>) {
         match event {
             Event::Attached { link, attach } => {
                 if let Some(ServerLink::Receiving(forwarder)) = self.server_link(token, link) {
@@ -123,7 +123,7 @@
 
     fn on_server_link_detached(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         link: LinkId,
         error: Option<Error>,
@@ -144,7 +144,7 @@
     /// The server has settled a delivery.
     fn on_settled_by_server(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         class: usize,
         request_id: RequestId,
         state: Option<State>,
@@ -164,7 +164,7 @@
     }
 
     /// Checks the idle timeouts of the servers' connections, and closes those that are no longer needed.
-    pub(super) fn check_server_connections(&mut self, ctx: &mut FrontContext) {
+    pub(super) fn check_server_connections(&mut self, ctx: &mut FrontendContext) {
         for token in self.servers.tokens() {
             let Some(connection) = self.servers.get(token) else { continue };
             if connection.conn.tick(ctx.now).is_err() {
--- a/src/front/amqp/server_links.rs
+++ b/src/frontend/amqp/server_links.rs
@@ -4,9 +4,9 @@
 use super::config::AmqpConfig;
 use super::forwarders::ForwarderId;
 use super::servers::{AttemptResult, SendingLink, ServerLink, Servers};
-use crate::front::FrontContext;
+use crate::frontend::FrontendContext;
+use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
-use crate::vocabulary::{Outcome, RequestId, ServerId};
 use sparbank_amqp::{Attach, LinkId, Role, Source, Target, Terminus};
 
 /// Where a link could be attached.
@@ -23,7 +23,7 @@
     /// Attaches a link on the first session that takes it, or begins a session, or opens a connection.
     fn place_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server: ServerId,
         name: &str,
@@ -66,7 +66,7 @@
     /// first link, or another where long messages occupy all.
     pub(super) fn add_sending_links(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server_id: ServerId,
         results: &mut Vec<AttemptResult>,
@@ -92,7 +92,7 @@
     /// The outcome of the attempts that wait, where no connection or session can take it.
     fn add_sending_link(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server_id: ServerId,
         class: usize,
@@ -150,7 +150,7 @@
     /// Attaches the receiving links of the forwarders that wait at a server.
     pub(super) fn attach_waiting_forwarders(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server_id: ServerId,
         results: &mut Vec<AttemptResult>,
--- a/src/front/amqp/servers.rs
+++ b/src/frontend/amqp/servers.rs
@@ -5,10 +5,10 @@
 use super::deliveries::{AttemptStage, Deliveries, Map};
 use super::fair_queue::FairQueue;
 use super::forwarders::ForwarderId;
-use crate::front::{FrontContext, TimerEvent};
+use crate::frontend::{FrontendContext, TimerEvent};
+use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::{ConnectError, SocketOwner, Token};
-use crate::requests::FrontId;
-use crate::vocabulary::{Outcome, RequestId, ServerId};
+use crate::requests::FrontendId;
 use sparbank_amqp::{AbandonedDelivery, Attach, Connection, Credentials, LinkId, Role};
 
 /// A connection to a server.
@@ -80,7 +80,7 @@
 
 /// All servers and their connections.
 pub struct Servers {
-    front: FrontId,
+    frontend: FrontendId,
     pub(super) container: String,
     /// The names of the classes.
     pub(super) classes: Vec<String>,
@@ -93,9 +93,9 @@
 
 impl Servers {
     /// No servers yet. `container` is this node's container id.
-    pub fn new(front: FrontId, container: &str, classes: Vec<String>) -> Servers {
+    pub fn new(frontend: FrontendId, container: &str, classes: Vec<String>) -> Servers {
         Servers {
-            front,
+            frontend,
             container: container.to_string(),
             classes,
             by_id: Map::default(),
@@ -174,7 +174,7 @@
     /// The outcome of the attempts that needed it, where that is impossible.
     pub(super) fn dial(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         config: &AmqpConfig,
         server_id: ServerId,
     ) -> Result<(), Outcome> {
@@ -186,7 +186,7 @@
         if server.has_no_sasl && credentials == Some(Credentials::Anonymous) {
             credentials = None;
         }
-        let connecting = ctx.net.connect(access.address, SocketOwner::Front(self.front));
+        let connecting = ctx.net.connect(access.address, SocketOwner::Frontend(self.frontend));
         let token = connecting.map_err(ConnectError::outcome)?;
         ctx.net.set_read_limit(token, config.read_ahead_bytes());
         let conn = Connection::dial(ctx.now, config.server_settings(&self.container), credentials);
@@ -195,14 +195,14 @@
         self.by_token.insert(token, connection);
         ctx.wheel.schedule(
             ctx.now + ctx.site.limits.dial_timeout_ns,
-            TimerEvent::ConnectTimeout(self.front, token),
+            TimerEvent::ConnectTimeout(self.frontend, token),
         );
         self.write_pending(ctx, token);
         Ok(())
     }
 
     /// Passes a connection's pending output to its socket.
-    pub(super) fn write_pending(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn write_pending(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(connection) = self.by_token.get_mut(&token) {
             let out = connection.conn.take_output(ctx.now);
             if !out.is_empty() {
@@ -214,7 +214,7 @@
     /// A connection is lost. An attempt on it has not run where its last octet was not written.
     pub fn connection_lost(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         deliveries: &Deliveries,
     ) -> LostConnection {
@@ -272,7 +272,7 @@
     }
 
     /// Whether a connection is idle and its server is draining or gone.
-    pub fn is_drained(&self, ctx: &FrontContext, token: Token) -> bool {
+    pub fn is_drained(&self, ctx: &FrontendContext, token: Token) -> bool {
         let Some(connection) = self.by_token.get(&token) else { return false };
         let is_serving = ctx.registry.entry(connection.server).is_some_and(|server| server.is_ready());
         !is_serving && connection.is_idle()
--- a/src/front/amqp/users/tests.rs
+++ b/src/frontend/amqp/users/tests.rs
@@ -1,7 +1,7 @@
 //! The users' file: as version 00677b7 wrote it, and as this version writes it.
 
 use super::{add_user, Rights, Users};
-use crate::front::amqp::password_checks::PasswordChecks;
+use crate::frontend::amqp::password_checks::PasswordChecks;
 use crate::net::token_for_tests as token;
 use sparbank_amqp::Mechanism;
 use std::path::Path;
--- a/src/front/text/client_side.rs
+++ b/src/frontend/text/client_side.rs
@@ -3,22 +3,22 @@
 use super::line_buffer::{take_line, LineRead};
 use super::request_line::{OpenRequest, RequestLine};
 use super::session::{arrival, AttemptState, ConnectionRole, Session, SessionEnding, SessionState};
-use super::TextFront;
-use crate::front::{FrontContext, TimerEvent, ANSWER_MARGIN, TEXT_FRONT};
+use super::TextFrontend;
+use crate::frontend::{FrontendContext, TimerEvent, ANSWER_MARGIN, TEXT_FRONTEND};
+use crate::model::{Nanos, Outcome, ServerId};
 use crate::net::{ConnectError, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::rules::{check_close, may_start, CloseFacts, SendRefusal, StartFacts, StartRefusal, Violation};
-use crate::vocabulary::{Nanos, Outcome, ServerId};
+use crate::rules::{check_close, may_start, CloseInputs, SendRefusal, StartInputs, StartRefusal, Violation};
 
 /// A client may send this many `PING`s on one connection.
 const MAX_PINGS: u32 = 8;
 /// A server whose client has ended its sending has this long to end its own side.
 const HALF_CLOSED_TIMEOUT: Nanos = 2_000_000_000;
 
-impl TextFront {
+impl TextFrontend {
     // ---- Before a request ----------------------------------------------------------------------
 
     /// Lines of a client that has sent no request yet.
-    pub(super) fn on_request_input(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn on_request_input(&mut self, ctx: &mut FrontendContext, token: Token) {
         while let Some(input) = ctx.net.input_buffer(token) {
             let line = match take_line(input) {
                 LineRead::Incomplete => {
@@ -60,7 +60,7 @@
     }
 
     /// Answers a line that no server could use, here and at once.
-    fn reject_malformed(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn reject_malformed(&mut self, ctx: &mut FrontendContext, token: Token) {
         ctx.requests.counters.malformed += 1;
         self.answer_and_close(ctx, token, b"ERR\r\n");
     }
@@ -68,7 +68,7 @@
     /// Closes a connection on which no request has come. What arrives in that instant is answered, one way or the
     /// other: a complete line that is there is handled, and for one that is still to come the answer is there
     /// already.
-    pub(super) fn close_without_request(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn close_without_request(&mut self, ctx: &mut FrontendContext, token: Token) {
         ctx.net.read_available(token);
         self.on_request_input(ctx, token);
         if let Some(ConnectionRole::AwaitingRequest { pings }) = self.connections.get(&token) {
@@ -84,7 +84,7 @@
 
     // ---- A request -----------------------------------------------------------------------------
 
-    fn open_request(&mut self, ctx: &mut FrontContext, token: Token, open: OpenRequest) {
+    fn open_request(&mut self, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
         ctx.net.mark_handshake_complete(token);
         if let Err(refusal) = self.check_start(ctx, token, &open) {
             return self.refuse_start(ctx, token, &open, refusal);
@@ -102,26 +102,26 @@
 
     fn check_start(
         &self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         open: &OpenRequest,
     ) -> Result<(), StartRefusal> {
-        let facts = StartFacts {
+        let inputs = StartInputs {
             is_closing: ctx.shutting_down,
             is_restored: open.resumed_at.is_some(),
             has_more_input: ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()),
             is_duplicate_id: self.open_ids.contains(&open.id),
             has_descriptor: true,
         };
-        may_start(&facts)?;
+        may_start(&inputs)?;
         // Descriptors are reclaimed for a request that is taken on otherwise.
         let has_descriptor = ctx.net.reclaim_descriptors();
-        may_start(&StartFacts { has_descriptor, ..facts })
+        may_start(&StartInputs { has_descriptor, ..inputs })
     }
 
     fn refuse_start(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         open: &OpenRequest,
         refusal: StartRefusal,
@@ -137,8 +137,8 @@
         }
     }
 
-    fn place_request(&mut self, ctx: &mut FrontContext, token: Token, open: OpenRequest) {
-        let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONT, arrival(&open));
+    fn place_request(&mut self, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
+        let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONTEND, arrival(&open));
         self.clients.insert(request_id, token);
         let session = Session { request_id: Some(request_id), ..Session::new(open) };
         session.trace("arrived", ctx);
@@ -147,33 +147,33 @@
     }
 
     /// Reconnects a client that was connected before the run to the server that it had: it is no placement.
-    fn restore_session(&mut self, ctx: &mut FrontContext, token: Token, server_name: &str) {
+    fn restore_session(&mut self, ctx: &mut FrontendContext, token: Token, server_name: &str) {
         let Some(server) = ctx.registry.id_of(server_name) else { return self.reject_malformed(ctx, token) };
         let timeout = self.sessions.get(&token).map_or(0, |session| session.open.time_left);
         let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
-        ctx.wheel.schedule(answer_by, TimerEvent::FrontTimer(TEXT_FRONT, token));
+        ctx.wheel.schedule(answer_by, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
         if self.connect_to_server(ctx, token, server, timeout).is_err() {
             self.answer_and_close(ctx, token, b"ERR\r\n");
         }
     }
 
-    /// Connects to a server. The client's line is sent once the connection is established ([`TextFront::send_request`]).
+    /// Connects to a server. The client's line is sent once the connection is established ([`TextFrontend::send_request`]).
     ///
     /// # Errors
     /// The attempt's outcome, where no connection could be started.
     pub(super) fn connect_to_server(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         server: ServerId,
         timeout: Nanos,
     ) -> Result<(), Outcome> {
         let Some(session) = self.sessions.get_mut(&client) else { return Ok(()) };
         let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
-        let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Front(TEXT_FRONT));
+        let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
         let server_connection = connecting.map_err(ConnectError::outcome)?;
         let connect_by = ctx.now + ctx.site.limits.dial_timeout_ns;
-        ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONT, server_connection));
+        ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
         let ends_at = ctx.now + timeout;
         session.state =
             SessionState::Attempting(AttemptState { server_connection, ends_at, line_sent: false });
@@ -183,7 +183,7 @@
     }
 
     /// Sends a request line on a connection that has just been established, if it may still be sent.
-    pub(super) fn send_request(&mut self, ctx: &mut FrontContext, client: Token) {
+    pub(super) fn send_request(&mut self, ctx: &mut FrontendContext, client: Token) {
         if let Err(refusal) = self.check_send(ctx, client) {
             return self.on_send_refused(ctx, client, refusal);
         }
@@ -194,7 +194,7 @@
         ctx.net.send(attempt.server_connection, session.open.line_for_server(time_left).as_bytes());
     }
 
-    fn check_send(&self, ctx: &mut FrontContext, client: Token) -> Result<(), SendRefusal> {
+    fn check_send(&self, ctx: &mut FrontendContext, client: Token) -> Result<(), SendRefusal> {
         let Some(session) = self.sessions.get(&client) else { return Err(SendRefusal::NotCurrent) };
         ctx.net.read_available(client);
         let client_gone = has_disconnected(ctx, client);
@@ -207,7 +207,7 @@
         }
     }
 
-    fn on_send_refused(&mut self, ctx: &mut FrontContext, client: Token, refusal: SendRefusal) {
+    fn on_send_refused(&mut self, ctx: &mut FrontendContext, client: Token, refusal: SendRefusal) {
         let request_id = self.sessions.get(&client).and_then(|session| session.request_id);
         let request = request_id.map_or(0, |request_id| request_id.0);
         crate::log::trace(format_args!("trace not-sent request={request} reason={refusal}"));
@@ -222,7 +222,7 @@
     // ---- Input of a client with a request ------------------------------------------------------
 
     /// Input of a client with a request, its end, or the failure of its connection.
-    pub(super) fn on_client_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
+    pub(super) fn on_client_input(&mut self, ctx: &mut FrontendContext, token: Token, failed: bool) {
         let Some(session) = self.sessions.get(&token) else { return };
         if session.is_established() {
             self.forward_client_input(ctx, token, failed);
@@ -245,7 +245,7 @@
         }
     }
 
-    fn forward_client_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
+    fn forward_client_input(&mut self, ctx: &mut FrontendContext, token: Token, failed: bool) {
         let Some(session) = self.sessions.get_mut(&token) else { return };
         let SessionState::Established(established) = &mut session.state else { return };
         let server_connection = established.server_connection;
@@ -262,14 +262,15 @@
         let all_forwarded = ctx.net.input_buffer(token).is_none_or(|left| left.is_empty());
         if ctx.net.is_read_closed(token) && all_forwarded {
             ctx.net.shutdown_write(server_connection);
-            ctx.wheel.schedule(ctx.now + HALF_CLOSED_TIMEOUT, TimerEvent::FrontTimer(TEXT_FRONT, token));
+            ctx.wheel
+                .schedule(ctx.now + HALF_CLOSED_TIMEOUT, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
         }
     }
 
     // ---- Ending --------------------------------------------------------------------------------
 
     /// Sends the final answer of a client that has none, and closes its connection.
-    pub(super) fn answer_and_close(&mut self, ctx: &mut FrontContext, token: Token, answer: &[u8]) {
+    pub(super) fn answer_and_close(&mut self, ctx: &mut FrontendContext, token: Token, answer: &[u8]) {
         self.record_answer(ctx, token);
         self.trace_answer(token, answer);
         ctx.net.send(token, answer);
@@ -289,7 +290,7 @@
     }
 
     /// A client gets its final answer, or is told to come again once its session is established.
-    fn record_answer(&mut self, ctx: &mut FrontContext, client: Token) {
+    fn record_answer(&mut self, ctx: &mut FrontendContext, client: Token) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         if session.is_established() {
             session.end_announced = true;
@@ -305,7 +306,7 @@
     /// Ends an established session: both connections end, the same way.
     pub(super) fn end_session(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         outcome: Outcome,
         by_reset: bool,
@@ -331,7 +332,7 @@
     }
 
     /// Removes all that is known of a client, and ends its attempt.
-    pub(super) fn remove_session(&mut self, ctx: &mut FrontContext, client: Token) {
+    pub(super) fn remove_session(&mut self, ctx: &mut FrontendContext, client: Token) {
         self.connections.remove(&client);
         let Some(session) = self.sessions.remove(&client) else { return };
         session.trace("over", ctx);
@@ -345,25 +346,25 @@
 }
 
 /// Whether a client waits no longer for its answer: it has ended or reset its connection, or sent what is no request.
-pub(super) fn has_disconnected(ctx: &mut FrontContext, client: Token) -> bool {
+pub(super) fn has_disconnected(ctx: &mut FrontendContext, client: Token) -> bool {
     let has_input = ctx.net.input_buffer(client).is_none_or(|input| !input.is_empty());
     has_input || ctx.net.is_read_closed(client) || ctx.net.is_failed(client)
 }
 
 /// Whether the other side of a connection has ended or reset it.
-fn has_ended(ctx: &FrontContext, token: Token) -> bool {
+fn has_ended(ctx: &FrontendContext, token: Token) -> bool {
     ctx.net.is_read_closed(token) || ctx.net.is_failed(token)
 }
 
 /// Checks that a session that is over was answered, and announced where it was established.
-fn check_session_close(ctx: &mut FrontContext, session: &Session) {
-    let facts = CloseFacts {
+fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
+    let inputs = CloseInputs {
         has_request: true,
         is_answered: session.is_answered,
         is_established: session.is_established(),
         is_announced: session.end_announced,
     };
-    if let Err(violation) = check_close(&facts) {
+    if let Err(violation) = check_close(&inputs) {
         let request = session.request_id.map_or(0, |request_id| request_id.0);
         let id = &session.open.id;
         ctx.requests.violations.record(violation, format_args!("request={request} id={id}"));
@@ -371,6 +372,6 @@
 }
 
 /// Whether a server takes new requests, by the endpoint list.
-pub(super) fn is_ready(ctx: &FrontContext, server: ServerId) -> bool {
+pub(super) fn is_ready(ctx: &FrontendContext, server: ServerId) -> bool {
     ctx.registry.entry(server).is_some_and(|endpoint| endpoint.is_ready())
 }
--- a/src/front/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -4,11 +4,11 @@
 use super::session::{
     arrival, ConnectionEvent, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState,
 };
-use super::TextFront;
-use crate::front::{FrontContext, TransferredConnection, TEXT_FRONT};
+use super::TextFrontend;
+use crate::frontend::{FrontendContext, TransferredConnection, TEXT_FRONTEND};
+use crate::model::Nanos;
 use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::requests::HandedOverConnection;
-use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::os::fd::OwnedFd;
@@ -62,9 +62,13 @@
 
 impl std::error::Error for UnreadableConnection {}
 
-impl TextFront {
+impl TextFrontend {
     /// The clients' connections that can go on in another process as they are, at most so many.
-    pub(super) fn transferable_connections(&self, ctx: &FrontContext, max_connections: usize) -> Vec<Token> {
+    pub(super) fn transferable_connections(
+        &self,
+        ctx: &FrontendContext,
+        max_connections: usize,
+    ) -> Vec<Token> {
         let mut tokens: Vec<Token> =
             self.connections.keys().filter(|token| self.can_transfer(ctx, **token)).copied().collect();
         tokens.sort_unstable();
@@ -72,7 +76,7 @@
         tokens
     }
 
-    fn can_transfer(&self, ctx: &FrontContext, client: Token) -> bool {
+    fn can_transfer(&self, ctx: &FrontendContext, client: Token) -> bool {
         let is_ready = |token: Token| {
             ctx.net.can_transfer(token) && ctx.net.pending_output_bytes(token) < MAX_TRANSFERRED_OUTPUT_BYTES
         };
@@ -90,7 +94,7 @@
     /// Takes a client's connection out of this process.
     pub(super) fn export_client(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
     ) -> Option<TransferredConnection> {
         let role = self.connections.remove(&token)?;
@@ -110,7 +114,7 @@
 
     fn export_session(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         token: Token,
         client_fd: OwnedFd,
         client: BufferedConnection,
@@ -146,7 +150,7 @@
     /// Goes on with a client's connection of the process before this one.
     pub(super) fn import_client(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         transferred: TransferredConnection,
     ) -> Result<(), UnreadableConnection> {
         let session = serde_json::from_str(&transferred.state).map_err(|_| UnreadableConnection)?;
@@ -169,7 +173,7 @@
 
     fn continue_session(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         server_connection: Token,
         transferred: &TransferredEstablished,
@@ -183,7 +187,7 @@
             return;
         };
         let connection = HandedOverConnection {
-            front: TEXT_FRONT,
+            frontend: TEXT_FRONTEND,
             arrival: arrival(&open),
             server,
             started_at: transferred.started_at,
@@ -216,7 +220,7 @@
     }
 }
 
-fn parse_open(ctx: &FrontContext, line: &str) -> Option<OpenRequest> {
+fn parse_open(ctx: &FrontendContext, line: &str) -> Option<OpenRequest> {
     match RequestLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
         Some(RequestLine::Open(open)) => Some(open),
         Some(RequestLine::Ping) | None => None,
@@ -224,13 +228,13 @@
 }
 
 fn import_connection(
-    ctx: &mut FrontContext,
+    ctx: &mut FrontendContext,
     fd: Option<OwnedFd>,
     connection: BufferedConnection,
 ) -> Result<Token, UnreadableConnection> {
     let fd = fd.ok_or(UnreadableConnection)?;
     ctx.net
-        .import_connection(fd, connection, SocketOwner::Front(TEXT_FRONT))
+        .import_connection(fd, connection, SocketOwner::Frontend(TEXT_FRONTEND))
         .map_err(|_| UnreadableConnection)
 }
 
--- a/src/front/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -10,10 +10,10 @@
 use super::line_buffer::{take_line, LineRead};
 use super::load_report::{LoadReport, UTILIZATION};
 use super::session::ConnectionRole;
-use super::TextFront;
-use crate::front::{FrontContext, TimerEvent, TEXT_FRONT};
+use super::TextFrontend;
+use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
+use crate::model::{Event, Nanos, ServerId};
 use crate::net::{SocketOwner, Token};
-use crate::vocabulary::{Event, Nanos, ServerId};
 use std::collections::HashMap;
 
 /// What a health check is sent as.
@@ -100,9 +100,9 @@
     }
 }
 
-impl TextFront {
+impl TextFrontend {
     /// Sends a health check, on the server's connection for them or on a new one.
-    pub(super) fn start_health_check(&mut self, ctx: &mut FrontContext, server: ServerId) {
+    pub(super) fn start_health_check(&mut self, ctx: &mut FrontendContext, server: ServerId) {
         let token = match self.health_checks.begin(ctx.now, server) {
             CheckStep::AlreadyInFlight => return,
             CheckStep::Reuse(token) => token,
@@ -115,19 +115,19 @@
         };
         ctx.requests.counters.health_checks += 1;
         ctx.net.send(token, HEALTH_CHECK_LINE);
-        ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, TimerEvent::FrontTimer(TEXT_FRONT, token));
+        ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
     }
 
-    fn connect_for_health_checks(&mut self, ctx: &mut FrontContext, server: ServerId) -> Option<Token> {
+    fn connect_for_health_checks(&mut self, ctx: &mut FrontendContext, server: ServerId) -> Option<Token> {
         let addr = ctx.registry.entry(server)?.address();
-        let token = ctx.net.connect(addr, SocketOwner::Front(TEXT_FRONT)).ok()?;
+        let token = ctx.net.connect(addr, SocketOwner::Frontend(TEXT_FRONTEND)).ok()?;
         self.health_checks.add_connection(ctx.now, server, token);
         self.connections.insert(token, ConnectionRole::HealthCheck);
         Some(token)
     }
 
     /// Lines on a health-check connection: each answers the check in flight on it, if any.
-    pub(super) fn on_health_check_input(&mut self, ctx: &mut FrontContext, token: Token, failed: bool) {
+    pub(super) fn on_health_check_input(&mut self, ctx: &mut FrontendContext, token: Token, failed: bool) {
         while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
                 LineRead::Incomplete => break,
@@ -145,7 +145,7 @@
     }
 
     /// Closes a health-check connection. The check in flight on it, if any, has no result.
-    pub(super) fn end_health_check(&mut self, ctx: &mut FrontContext, token: Token) {
+    pub(super) fn end_health_check(&mut self, ctx: &mut FrontendContext, token: Token) {
         self.connections.remove(&token);
         ctx.net.close(token);
         if let Some(EndedConnection { server, was_in_flight: true }) =
@@ -156,7 +156,7 @@
     }
 }
 
-fn report_health_check_answer(ctx: &mut FrontContext, server: ServerId, line: &[u8]) {
+fn report_health_check_answer(ctx: &mut FrontendContext, server: ServerId, line: &[u8]) {
     let utilization = match LoadReport::parse_health_check_answer(&String::from_utf8_lossy(line)) {
         Ok(report) => report.and_then(|report| report.get(UTILIZATION)),
         Err(error) => {
--- a/src/front/text/health_check/tests.rs
+++ b/src/frontend/text/health_check/tests.rs
@@ -1,6 +1,6 @@
 use super::{CheckStep, EndedConnection, HealthChecks};
+use crate::model::ServerId;
 use crate::net::Token;
-use crate::vocabulary::ServerId;
 
 #[test]
 fn one_check_in_flight_a_server_and_its_connection_is_reused() {
--- a/src/front/text/latency.rs
+++ b/src/frontend/text/latency.rs
@@ -1,6 +1,6 @@
 //! Message latency by server, measured from a client's line to the server's next line.
 
-use crate::vocabulary::{Nanos, ServerId};
+use crate::model::{Nanos, ServerId};
 use std::collections::HashMap;
 
 /// How often latencies are reported.
--- a/src/front/text/latency/tests.rs
+++ b/src/frontend/text/latency/tests.rs
@@ -1,5 +1,5 @@
 use super::{LatencyTracker, REPORT_INTERVAL};
-use crate::vocabulary::{Nanos, ServerId};
+use crate::model::{Nanos, ServerId};
 
 const OBJECTIVE: Nanos = 300;
 
--- a/src/front/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -21,9 +21,9 @@
 mod server_side;
 mod session;
 
-use super::{Front, FrontContext, TransferredConnection};
+use super::{Frontend, FrontendContext, TransferredConnection};
+use crate::model::{Event, Nanos, Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketEventKind, Token};
-use crate::vocabulary::{Event, Nanos, Outcome, RequestId, ServerId};
 use client_side::{has_disconnected, is_ready};
 use health_check::HealthChecks;
 use latency::LatencyTracker;
@@ -35,9 +35,9 @@
 /// 2 s, and the rule allows 7 s from the last answer.
 const SILENT_SERVER_TIMEOUT: Nanos = 4_500_000_000;
 
-/// The text protocol's front.
+/// The text protocol's frontend.
 #[derive(Default)]
-pub struct TextFront {
+pub struct TextFrontend {
     connections: HashMap<Token, ConnectionRole>,
     /// Sessions by their client's connection.
     sessions: HashMap<Token, Session>,
@@ -48,14 +48,14 @@
     health_checks: HealthChecks,
 }
 
-impl TextFront {
-    /// A front without connections.
-    pub fn new() -> TextFront {
-        TextFront::default()
+impl TextFrontend {
+    /// A frontend without connections.
+    pub fn new() -> TextFrontend {
+        TextFrontend::default()
     }
 
     /// Migrates the clients whose servers have stopped answering.
-    fn migrate_from_silent_servers(&mut self, ctx: &mut FrontContext) {
+    fn migrate_from_silent_servers(&mut self, ctx: &mut FrontendContext) {
         let now = ctx.now;
         let is_silent = |session: &Session| {
             let since = session.established().and_then(|established| established.unanswered_since);
@@ -75,7 +75,7 @@
     }
 
     /// Reports latencies, where the settings say that the balancer uses them.
-    fn report_latencies(&mut self, ctx: &mut FrontContext) {
+    fn report_latencies(&mut self, ctx: &mut FrontendContext) {
         if !ctx.site.family_info.reports_message_latency || !self.latencies.begin_report(ctx.now) {
             return;
         }
@@ -87,13 +87,13 @@
     }
 
     /// Removes a connection that has no session and closes it.
-    fn close_connection(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn close_connection(&mut self, ctx: &mut FrontendContext, token: Token) {
         self.connections.remove(&token);
         ctx.net.close(token);
     }
 
     /// Input, capacity for output, or a failure at a connection.
-    fn on_connection_event(&mut self, ctx: &mut FrontContext, token: Token, event: ConnectionEvent) {
+    fn on_connection_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
         let failed = matches!(event, ConnectionEvent::Failed { .. });
         match self.connections.get(&token) {
             None => ctx.net.close(token),
@@ -111,7 +111,7 @@
     }
 }
 
-impl Front for TextFront {
+impl Frontend for TextFrontend {
     fn is_idle(&self) -> bool {
         let is_client = |role: &ConnectionRole| {
             matches!(role, ConnectionRole::AwaitingRequest { .. } | ConnectionRole::Client)
@@ -119,7 +119,7 @@
         !self.connections.values().any(is_client)
     }
 
-    fn on_socket_event(&mut self, ctx: &mut FrontContext, event: SocketEvent) {
+    fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         let token = event.token;
         match event.kind {
             SocketEventKind::Accepted => {
@@ -146,14 +146,14 @@
 
     fn start_attempt(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         request_id: RequestId,
         server: ServerId,
         timeout: Nanos,
     ) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // No attempt is started for a client that has disconnected by now, nor at a server that has begun to drain
-        // in this very turn, after it was selected.
+        // in this very iteration, after it was selected.
         ctx.net.read_available(client);
         if has_disconnected(ctx, client) {
             return self.on_client_input(ctx, client, ctx.net.is_failed(client));
@@ -170,7 +170,7 @@
         }
     }
 
-    fn cancel_attempt(&mut self, ctx: &mut FrontContext, request_id: RequestId) -> Outcome {
+    fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
         let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
         let attempt = self.sessions.get(&client).and_then(|session| session.attempt());
         let may_have_run = attempt.is_none_or(|attempt| is_line_written(ctx, attempt));
@@ -182,13 +182,13 @@
         }
     }
 
-    fn on_connected(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_connected(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(client) = self.client_of(token) {
             self.send_request(ctx, client);
         }
     }
 
-    fn read_answer(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
+    fn read_answer(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         let connection = self.sessions.get(&client).and_then(|session| session.server_connection());
         let Some(connection) = connection else { return };
@@ -196,7 +196,7 @@
         self.on_server_event(ctx, client, connection, ConnectionEvent::Ready);
     }
 
-    fn reject(&mut self, ctx: &mut FrontContext, request_id: RequestId, retry_after: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Nanos) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             let answer = match retry_after / 1_000_000 {
                 0 => "BUSY\r\n".to_string(),
@@ -206,17 +206,17 @@
         }
     }
 
-    fn fail(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
+    fn fail(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer_and_close(ctx, client, b"ERR\r\n");
         }
     }
 
-    fn check_health(&mut self, ctx: &mut FrontContext, server: ServerId) {
+    fn check_health(&mut self, ctx: &mut FrontendContext, server: ServerId) {
         self.start_health_check(ctx, server);
     }
 
-    fn migrate(&mut self, ctx: &mut FrontContext, request_id: RequestId) {
+    fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
         if let Some(client) = self.clients.get(&request_id).copied() {
             self.answer_and_close(ctx, client, b"MOVE\r\n");
         }
@@ -224,20 +224,20 @@
 
     fn hand_over_connections(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         max_connections: usize,
     ) -> Vec<TransferredConnection> {
         let tokens = self.transferable_connections(ctx, max_connections);
         tokens.into_iter().filter_map(|token| self.export_client(ctx, token)).collect()
     }
 
-    fn receive_connection(&mut self, ctx: &mut FrontContext, connection: TransferredConnection) {
+    fn receive_connection(&mut self, ctx: &mut FrontendContext, connection: TransferredConnection) {
         if let Err(error) = self.import_client(ctx, connection) {
             crate::log::line(format_args!("handover-lost {error}"));
         }
     }
 
-    fn on_connect_timeout(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_connect_timeout(&mut self, ctx: &mut FrontendContext, token: Token) {
         if !ctx.net.is_connecting(token) {
             return;
         }
@@ -248,7 +248,7 @@
 
     /// Three timers: of a health check, of a session that is being restored, and of a connection whose client has
     /// ended its sending.
-    fn on_timer(&mut self, ctx: &mut FrontContext, token: Token) {
+    fn on_timer(&mut self, ctx: &mut FrontendContext, token: Token) {
         if self.health_checks.has_timed_out(token, ctx.now) {
             return self.end_health_check(ctx, token);
         }
@@ -261,7 +261,7 @@
     }
 
     /// Attempts of which no byte has gone out are cancelled.
-    fn on_servers_draining(&mut self, ctx: &mut FrontContext, stopped: &[ServerId]) {
+    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
         let is_unsent = |session: &Session| match session.state {
             SessionState::Attempting(attempt) => !ctx.net.has_written(attempt.server_connection),
             SessionState::AwaitingAttempt | SessionState::Established(_) => false,
@@ -279,7 +279,7 @@
     }
 
     /// Connections without a request end with the process.
-    fn on_drain_step(&mut self, ctx: &mut FrontContext) {
+    fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
         if !ctx.shutting_down {
             return;
         }
@@ -292,7 +292,7 @@
         }
     }
 
-    fn on_tick(&mut self, ctx: &mut FrontContext) {
+    fn on_tick(&mut self, ctx: &mut FrontendContext) {
         self.migrate_from_silent_servers(ctx);
         self.report_latencies(ctx);
     }
--- a/src/front/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -2,7 +2,7 @@
 
 use crate::config::SiteSettings;
 use crate::hash::fnv1a;
-use crate::vocabulary::{Nanos, RequestClass};
+use crate::model::{Nanos, RequestClass};
 use std::ops::Range;
 
 /// The longest id or key, in bytes.
--- a/src/front/text/server_side.rs
+++ b/src/frontend/text/server_side.rs
@@ -4,17 +4,17 @@
 use super::load_report::log_malformed_trailing_report;
 use super::request_line::parse_load;
 use super::session::{arrival, AttemptState, ConnectionEvent, ConnectionRole, SessionEnding, SessionState};
-use super::TextFront;
-use crate::front::{FrontContext, TEXT_FRONT};
+use super::TextFrontend;
+use crate::frontend::{FrontendContext, TEXT_FRONTEND};
+use crate::model::{Event, Outcome, RequestId};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::vocabulary::{Event, Outcome, RequestId};
 use std::ops::ControlFlow;
 
-impl TextFront {
+impl TextFrontend {
     /// Something happened at a connection to a server.
     pub(super) fn on_server_event(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         server_connection: Token,
         event: ConnectionEvent,
@@ -44,7 +44,7 @@
 
     /// A client may have read what it was sent: its server's lines, and the server's end behind them, go on where they
     /// had stopped for it.
-    pub(super) fn resume_server_lines(&mut self, ctx: &mut FrontContext, client: Token) {
+    pub(super) fn resume_server_lines(&mut self, ctx: &mut FrontendContext, client: Token) {
         let established = self.sessions.get(&client).and_then(|session| session.established());
         let Some(server_connection) = established.map(|established| established.server_connection) else {
             return;
@@ -64,7 +64,7 @@
     /// attempt has ended over a line.
     fn handle_server_lines(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         server_connection: Token,
     ) -> ControlFlow<()> {
@@ -94,7 +94,7 @@
     /// The server has ended its sending.
     fn on_server_end(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         server_connection: Token,
         established: bool,
@@ -116,7 +116,7 @@
     }
 
     /// The first line of a server answers the request line.
-    fn on_first_answer(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
+    fn on_first_answer(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let word = line.split(|byte| byte.is_ascii_whitespace()).next().unwrap_or(b"");
         let outcome = match word {
             b"UP" => return self.on_server_accepts(ctx, client, line),
@@ -137,14 +137,14 @@
         self.on_attempt_end(ctx, client, outcome, false);
     }
 
-    fn on_server_accepts(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
+    fn on_server_accepts(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         match session.request_id {
             Some(request_id) => ctx.requests.on_established(ctx.now, request_id),
             None => {
                 let Some(server) = session.server else { return };
                 let request_id =
-                    ctx.requests.restore_established(ctx.now, TEXT_FRONT, arrival(&session.open), server);
+                    ctx.requests.restore_established(ctx.now, TEXT_FRONTEND, arrival(&session.open), server);
                 session.request_id = Some(request_id);
                 self.clients.insert(request_id, client);
             }
@@ -157,7 +157,7 @@
     }
 
     /// Forwards a line of an established session and records what it says.
-    fn forward_server_line(&mut self, ctx: &mut FrontContext, client: Token, line: &[u8]) {
+    fn forward_server_line(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let SessionState::Established(established) = &mut session.state else { return };
         let text = line.trim_ascii_end();
@@ -193,7 +193,7 @@
     /// The attempt has ended, before or after the session was established.
     pub(super) fn on_attempt_end(
         &mut self,
-        ctx: &mut FrontContext,
+        ctx: &mut FrontendContext,
         client: Token,
         outcome: Outcome,
         by_reset: bool,
@@ -228,7 +228,7 @@
     }
 
     /// Ends a client's attempt; the request waits for another one.
-    pub(super) fn drop_attempt(&mut self, ctx: &mut FrontContext, client: Token) {
+    pub(super) fn drop_attempt(&mut self, ctx: &mut FrontendContext, client: Token) {
         if let Some(session) = self.sessions.get_mut(&client) {
             let state = std::mem::replace(&mut session.state, SessionState::AwaitingAttempt);
             self.close_server_connection(ctx, &state);
@@ -237,7 +237,7 @@
 
     /// Closes the connection to the server, if there is one. What is left of a request line must not be written
     /// any more: complete, it would be an attempt.
-    pub(super) fn close_server_connection(&mut self, ctx: &mut FrontContext, state: &SessionState) {
+    pub(super) fn close_server_connection(&mut self, ctx: &mut FrontendContext, state: &SessionState) {
         match state {
             SessionState::AwaitingAttempt => {}
             SessionState::Attempting(AttemptState { server_connection, .. }) => {
@@ -265,11 +265,11 @@
 }
 
 /// Whether the last byte of an attempt's line has been written: from then on it may have run.
-pub(super) fn is_line_written(ctx: &FrontContext, attempt: &AttemptState) -> bool {
+pub(super) fn is_line_written(ctx: &FrontendContext, attempt: &AttemptState) -> bool {
     attempt.line_sent && ctx.net.pending_output_bytes(attempt.server_connection) == 0
 }
 
-fn report_load(ctx: &mut FrontContext, id: RequestId, cost: crate::vocabulary::Nanos) {
+fn report_load(ctx: &mut FrontendContext, id: RequestId, cost: crate::model::Nanos) {
     crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
     ctx.requests.push_event(Event::LoadReport { id, cost });
 }
--- a/src/front/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -1,12 +1,12 @@
 //! A client's session: its request, and how far it has got.
 
 use super::request_line::OpenRequest;
-use crate::front::{FrontContext, ANSWER_MARGIN};
+use crate::frontend::{FrontendContext, ANSWER_MARGIN};
+use crate::model::{Arrival, Nanos, RequestId, ServerId};
 use crate::net::Token;
-use crate::vocabulary::{Arrival, Nanos, RequestId, ServerId};
 use serde::{Deserialize, Serialize};
 
-/// What a connection of this front is for.
+/// What a connection of this frontend is for.
 pub(super) enum ConnectionRole {
     /// A client that has sent no request yet, but this many `PING`s.
     AwaitingRequest { pings: u32 },
@@ -147,7 +147,7 @@
     }
 
     /// Writes the session's state to the trace, if that is on.
-    pub(super) fn trace(&self, what: &str, ctx: &FrontContext) {
+    pub(super) fn trace(&self, what: &str, ctx: &FrontendContext) {
         if !crate::log::is_trace_enabled() {
             return;
         }
--- a/src/front/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -1,13 +1,13 @@
-//! The text front step by step on real sockets, with a clock that the test sets: what happens between two steps of one
-//! turn of the event loop, as where the process is held up there.
+//! The text frontend step by step on real sockets, with a clock that the test sets: what happens between two steps of one
+//! iteration of the event loop, as where the process is stalled there.
 
-use super::TextFront;
+use super::TextFrontend;
 use crate::config::Config;
 use crate::discovery::EndpointRegistry;
-use crate::front::{Front, FrontContext, TimerEvent, TEXT_FRONT};
+use crate::frontend::{Frontend, FrontendContext, TimerEvent, TEXT_FRONTEND};
+use crate::model::{Nanos, Outcome, RequestId};
 use crate::net::{SocketOwner, SocketReactor, TimerWheel};
 use crate::requests::{Command, RequestTable};
-use crate::vocabulary::{Nanos, Outcome, RequestId};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
@@ -24,15 +24,15 @@
 /// The window in which servers discard repeats, and the class's deadline.
 const DEDUP_WINDOW: Nanos = 800 * MILLISECOND;
 
-/// A text front between one client and two servers.
-struct FrontBench {
+/// A text frontend between one client and two servers.
+struct FrontendBench {
     now: Nanos,
     net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
     wheel: TimerWheel<TimerEvent>,
     config: Config,
-    front: TextFront,
+    frontend: TextFrontend,
     listen: SocketAddr,
     servers: Vec<TcpListener>,
 }
@@ -58,24 +58,24 @@
     )
 }
 
-impl FrontBench {
-    fn new() -> FrontBench {
+impl FrontendBench {
+    fn new() -> FrontendBench {
         let servers: Vec<TcpListener> =
             (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
         let config = Config::parse(&config_text(&servers)).expect("it is valid");
         let mut net = SocketReactor::new(config.max_descriptors).expect("epoll");
-        let listen = net.listen(config.listen, SocketOwner::Front(TEXT_FRONT)).expect("a port");
+        let listen = net.listen(config.listen, SocketOwner::Frontend(TEXT_FRONTEND)).expect("a port");
         let mut requests = RequestTable::new(config.seed, config.settings.clone()).expect("valid settings");
         let mut registry = EndpointRegistry::new(config.site.zones.clone(), START, START);
         requests.push_event(registry.restore(&config.known_endpoints));
-        let mut bench = FrontBench {
+        let mut bench = FrontendBench {
             now: START,
             net,
             requests,
             registry,
             wheel: TimerWheel::new(START),
             config,
-            front: TextFront::new(),
+            frontend: TextFrontend::new(),
             listen,
             servers,
         };
@@ -83,9 +83,9 @@
         bench
     }
 
-    /// Calls the front.
-    fn with_front<R>(&mut self, call: impl FnOnce(&mut TextFront, &mut FrontContext) -> R) -> R {
-        let mut ctx = FrontContext {
+    /// Calls the frontend.
+    fn with_frontend<R>(&mut self, call: impl FnOnce(&mut TextFrontend, &mut FrontendContext) -> R) -> R {
+        let mut ctx = FrontendContext {
             now: self.now,
             net: &mut self.net,
             requests: &mut self.requests,
@@ -96,19 +96,19 @@
             accepts_clients: true,
             shutting_down: false,
         };
-        call(&mut self.front, &mut ctx)
+        call(&mut self.frontend, &mut ctx)
     }
 
-    /// Handles what the sockets have, as the first step of a turn.
+    /// Handles what the sockets have, as the first step of a iteration.
     fn poll(&mut self) {
         for event in self.net.poll(self.now, WAIT).expect("a turn") {
-            if matches!(event.owner, SocketOwner::Front(_)) {
-                self.with_front(|front, ctx| front.on_socket_event(ctx, event));
+            if matches!(event.owner, SocketOwner::Frontend(_)) {
+                self.with_frontend(|frontend, ctx| frontend.on_socket_event(ctx, event));
             }
         }
     }
 
-    /// Has the balancer decide, as the second step of a turn. Timers that it sets elapse at once.
+    /// Has the balancer decide, as the second step of a iteration. Timers that it sets elapse at once.
     fn decide(&mut self) -> Vec<RequestId> {
         let mut started = Vec::new();
         while self.requests.has_pending_events() {
@@ -116,16 +116,18 @@
                 match command {
                     Command::StartAttempt { request_id, server, timeout, .. } => {
                         started.push(request_id);
-                        self.with_front(|front, ctx| front.start_attempt(ctx, request_id, server, timeout));
+                        self.with_frontend(|frontend, ctx| {
+                            frontend.start_attempt(ctx, request_id, server, timeout)
+                        });
                     }
                     Command::SetTimer { token, .. } => {
-                        self.requests.push_event(crate::vocabulary::Event::Timer(token));
+                        self.requests.push_event(crate::model::Event::Timer(token));
                     }
                     Command::Reject { request_id, .. } => {
-                        self.with_front(|front, ctx| front.reject(ctx, request_id, 0));
+                        self.with_frontend(|frontend, ctx| frontend.reject(ctx, request_id, 0));
                     }
                     Command::Fail { request_id, .. } => {
-                        self.with_front(|front, ctx| front.fail(ctx, request_id));
+                        self.with_frontend(|frontend, ctx| frontend.fail(ctx, request_id));
                     }
                     _ => {}
                 }
@@ -134,10 +136,10 @@
         started
     }
 
-    /// Writes to the connections that were established, as the last step of a turn.
+    /// Writes to the connections that were established, as the last step of a iteration.
     fn flush_connected(&mut self) {
         for connected in self.net.take_connected() {
-            self.with_front(|front, ctx| front.on_connected(ctx, connected.token));
+            self.with_frontend(|frontend, ctx| frontend.on_connected(ctx, connected.token));
             self.net.flush(connected.token);
         }
     }
@@ -177,10 +179,10 @@
     }
 }
 
-/// The node is held up after it has read its sockets, and the client goes meanwhile: its request is not sent.
+/// The node is stalled after it has read its sockets, and the client goes meanwhile: its request is not sent.
 #[test]
-fn a_client_that_goes_while_the_node_is_held_up_gets_no_attempt() {
-    let mut bench = FrontBench::new();
+fn a_client_that_disconnects_while_the_node_is_stalled_gets_no_attempt() {
+    let mut bench = FrontendBench::new();
     let (client, _) = bench.attempt_about_to_be_sent();
     drop(client);
     std::thread::sleep(KERNEL_DELIVERY_TIME);
@@ -188,10 +190,10 @@
     assert_eq!(bench.received_by_a_server().1, "");
 }
 
-/// The node is held up before it writes a repeat: with the window of its key nearly over, it is not sent.
+/// The node is stalled before it writes a repeat: with the window of its key nearly over, it is not sent.
 #[test]
-fn a_repeat_is_not_sent_once_the_node_was_held_up_to_the_end_of_its_window() {
-    let mut bench = FrontBench::new();
+fn a_retry_is_not_sent_once_the_node_was_stalled_to_the_end_of_its_window() {
+    let mut bench = FrontendBench::new();
     let (_client, _) = bench.attempt_about_to_be_sent();
     bench.flush_connected();
     let (first, line) = bench.received_by_a_server();
@@ -211,7 +213,7 @@
 /// The server's answer has arrived and is not read when the attempt's time is up: it counts.
 #[test]
 fn an_answer_that_waits_in_the_kernel_counts_before_the_time_out() {
-    let mut bench = FrontBench::new();
+    let mut bench = FrontendBench::new();
     let (mut client, request_id) = bench.attempt_about_to_be_sent();
     bench.flush_connected();
     let (mut attempt, _) = bench.received_by_a_server();
@@ -224,12 +226,12 @@
     assert_eq!(&answer, b"UP r1\r\n");
 }
 
-impl FrontBench {
+impl FrontendBench {
     /// The attempt's time is up, as the node sees it.
     fn time_out(&mut self, request_id: RequestId) {
-        self.with_front(|front, ctx| front.read_answer(ctx, request_id));
-        if self.requests.front_of_attempt(request_id, 1).is_some() {
-            let outcome = self.with_front(|front, ctx| front.cancel_attempt(ctx, request_id));
+        self.with_frontend(|frontend, ctx| frontend.read_answer(ctx, request_id));
+        if self.requests.frontend_of_attempt(request_id, 1).is_some() {
+            let outcome = self.with_frontend(|frontend, ctx| frontend.cancel_attempt(ctx, request_id));
             assert_eq!(outcome, Outcome::Timeout);
             self.requests.on_attempt_ended(self.now, request_id, outcome);
         }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -2,7 +2,7 @@
 
 use super::channel::{self, ChannelError};
 use super::message::{Message, MessageError};
-use super::{HandoverEvent, CONNECTIONS_PER_TURN};
+use super::{HandoverEvent, CONNECTIONS_PER_ITERATION};
 use crate::net::{SocketReactor, Token};
 use std::fmt;
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// The messages of one turn of the event loop.
+/// The messages of one iteration of the event loop.
 pub(super) struct Turn {
     /// What the event loop has to do for them.
     pub(super) events: Vec<HandoverEvent>,
@@ -66,14 +66,14 @@
 }
 
 /// Reads the messages that have arrived and maps each to an event. The socket stays readable while there are more than
-/// one turn's.
-pub(super) fn read_turn(
+/// one iteration's.
+pub(super) fn read_iteration(
     net: &SocketReactor,
     token: Token,
     mut handle: impl FnMut(Message) -> Result<HandoverEvent, LinkError>,
 ) -> Turn {
     let mut turn = Turn { events: Vec::new(), end: None };
-    for _ in 0..CONNECTIONS_PER_TURN {
+    for _ in 0..CONNECTIONS_PER_ITERATION {
         let Some(socket) = net.raw_descriptor(token) else { break };
         let framed = match channel::receive(socket) {
             Ok(framed) => framed,
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -4,7 +4,7 @@
 //! successor      predecessor
 //! StateRequest     -->                the successor has read its configuration and could serve
 //!                  <-- StatePiece ... the endpoint list and the balancer's state, in pieces
-//!                  <-- Listener *     listening sockets of the optional fronts
+//!                  <-- Listener *     listening sockets of the optional frontends
 //!                  <-- Watch ?        the watch of the discovery service
 //!                  <-- StateComplete
 //! Ready            -->                the successor serves; the predecessor accepts nothing more
@@ -17,7 +17,7 @@
 
 use super::channel::{FramedMessage, MAX_DESCRIPTORS_PER_MESSAGE};
 use crate::discovery::{TransferredWatch, WatchState};
-use crate::front::TransferredConnection;
+use crate::frontend::TransferredConnection;
 use crate::net::BufferedConnection;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -41,7 +41,7 @@
         /// The next characters of the text.
         piece: String,
     },
-    /// A listening socket of an optional front.
+    /// A listening socket of an optional frontend.
     Listener {
         /// The address that it is bound to.
         address: SocketAddr,
@@ -56,8 +56,8 @@
     Ready,
     /// A client's connection.
     Connection {
-        /// Name of the front that owns it.
-        front: String,
+        /// Name of the frontend that owns it.
+        frontend: String,
         /// The connection.
         connection: TransferredConnection,
         /// Descriptors that the sender still has open.
@@ -87,7 +87,7 @@
     Ready,
     #[serde(rename = "Terminal")]
     Connection {
-        front: String,
+        frontend: String,
         #[serde(rename = "luggage")]
         connection: String,
         #[serde(rename = "descriptors")]
@@ -152,9 +152,9 @@
             }
             Message::StateComplete => (WireMessage::StateComplete, Vec::new()),
             Message::Ready => (WireMessage::Ready, Vec::new()),
-            Message::Connection { front, connection, open_descriptors } => {
+            Message::Connection { frontend, connection, open_descriptors } => {
                 let TransferredConnection { state, fds } = connection;
-                (WireMessage::Connection { front, connection: state, open_descriptors }, fds)
+                (WireMessage::Connection { frontend, connection: state, open_descriptors }, fds)
             }
         }
     }
@@ -183,12 +183,12 @@
                 no_descriptor(fds)?;
                 Ok(Message::Ready)
             }
-            WireMessage::Connection { front, connection, open_descriptors } => {
+            WireMessage::Connection { frontend, connection, open_descriptors } => {
                 if !(1..=MAX_DESCRIPTORS_PER_MESSAGE).contains(&fds.len()) {
                     return Err(MessageError::WrongDescriptors);
                 }
                 let connection = TransferredConnection { state: connection, fds };
-                Ok(Message::Connection { front, connection, open_descriptors })
+                Ok(Message::Connection { frontend, connection, open_descriptors })
             }
         }
     }
--- a/src/handover/message/tests.rs
+++ b/src/handover/message/tests.rs
@@ -1,7 +1,7 @@
 //! What cannot be a message is an error.
 
 use super::{Message, MessageError};
-use crate::front::TransferredConnection;
+use crate::frontend::TransferredConnection;
 use crate::handover::channel::FramedMessage;
 use proptest::prelude::*;
 
@@ -16,7 +16,7 @@
 #[test]
 fn a_connection_without_its_descriptors_is_an_error() {
     let connection = TransferredConnection { state: String::new(), fds: Vec::new() };
-    let message = Message::Connection { front: "text".to_string(), connection, open_descriptors: 0 };
+    let message = Message::Connection { frontend: "text".to_string(), connection, open_descriptors: 0 };
     let framed = message.encode().expect("it is encoded");
     assert_eq!(Message::decode(framed).err(), Some(MessageError::WrongDescriptors));
 }
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -25,7 +25,7 @@
 pub use state_request::{request_state, PredecessorState};
 
 use crate::discovery::TransferredWatch;
-use crate::front::TransferredConnection;
+use crate::frontend::TransferredConnection;
 use crate::log;
 use crate::net::{ListeningSocket, SocketEvent, SocketOwner, SocketReactor, Token};
 use link::{Peer, Turn};
@@ -37,13 +37,13 @@
 
 /// Descriptors to reserve for the start of a successor.
 pub const SUCCESSOR_DESCRIPTORS: usize = 20;
-/// The most connections that are transferred in one turn of the event loop.
-pub const CONNECTIONS_PER_TURN: usize = 32;
+/// The most connections that are transferred in one iteration of the event loop.
+pub const CONNECTIONS_PER_ITERATION: usize = 32;
 
 /// A connection in transfer between two processes.
-pub struct FrontConnection {
-    /// Name of the front that owns it.
-    pub front: String,
+pub struct FrontendConnection {
+    /// Name of the frontend that owns it.
+    pub frontend: String,
     /// The connection.
     pub connection: TransferredConnection,
 }
@@ -57,12 +57,12 @@
     /// The successor is gone.
     SuccessorLost {
         /// Connections that were released for it and not sent: continue them here.
-        unsent: Vec<FrontConnection>,
+        unsent: Vec<FrontendConnection>,
     },
     /// A connection of the predecessor has arrived.
     ConnectionReceived {
         /// The connection.
-        received: FrontConnection,
+        received: FrontendConnection,
         /// Descriptors that the predecessor still has open.
         predecessor_descriptors: usize,
     },
@@ -149,7 +149,7 @@
         Some(HandoverEvent::SuccessorLost { unsent })
     }
 
-    /// Sends the successor this process's state, the listening sockets of the optional fronts, and the watch of the
+    /// Sends the successor this process's state, the listening sockets of the optional frontends, and the watch of the
     /// discovery service.
     pub fn send_state(
         &mut self,
@@ -172,17 +172,21 @@
         self.flush(net).into_iter().collect()
     }
 
-    /// Transfers connections of a front to the successor.
+    /// Transfers connections of a frontend to the successor.
     pub fn transfer(
         &mut self,
         net: &mut SocketReactor,
-        front: &str,
+        frontend: &str,
         connections: Vec<TransferredConnection>,
     ) -> Vec<HandoverEvent> {
         let Some(successor) = &mut self.successor else { return Vec::new() };
         let open_descriptors = net.descriptors_in_use();
         for connection in connections {
-            successor.queue(Message::Connection { front: front.to_string(), connection, open_descriptors });
+            successor.queue(Message::Connection {
+                frontend: frontend.to_string(),
+                connection,
+                open_descriptors,
+            });
         }
         self.flush(net).into_iter().collect()
     }
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,9 +1,9 @@
 //! The link to the predecessor: the role of a process that has requested a state and serves now.
 
 use super::channel;
-use super::link::{read_turn, LinkError, Turn};
+use super::link::{read_iteration, LinkError, Turn};
 use super::message::Message;
-use super::{FrontConnection, HandoverEvent};
+use super::{FrontendConnection, HandoverEvent};
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::os::fd::OwnedFd;
 
@@ -30,7 +30,7 @@
 
     /// Receives connections.
     pub(super) fn receive(&self, net: &SocketReactor) -> Turn {
-        read_turn(net, self.token, on_message)
+        read_iteration(net, self.token, on_message)
     }
 
     /// Ends the link.
@@ -41,9 +41,9 @@
 
 fn on_message(message: Message) -> Result<HandoverEvent, LinkError> {
     match message {
-        Message::Connection { front, connection, open_descriptors } => {
+        Message::Connection { frontend, connection, open_descriptors } => {
             Ok(HandoverEvent::ConnectionReceived {
-                received: FrontConnection { front, connection },
+                received: FrontendConnection { frontend, connection },
                 predecessor_descriptors: open_descriptors,
             })
         }
--- a/src/handover/snapshot.rs
+++ b/src/handover/snapshot.rs
@@ -2,7 +2,7 @@
 
 use super::message::{Message, MessageError};
 use crate::discovery::EndpointListDocument;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// The longest piece of the state.
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -22,7 +22,7 @@
     pub channel: OwnedFd,
     /// The predecessor's state.
     pub snapshot: StateSnapshot,
-    /// The listening sockets of its optional fronts, with their addresses.
+    /// The listening sockets of its optional frontends, with their addresses.
     pub listening: Vec<ListeningSocket>,
     /// Its watch of the discovery service.
     pub watch: Option<TransferredWatch>,
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,9 +1,9 @@
 //! The link to the successor: the role of a process that serves and may be replaced.
 
 use super::channel::{self, ChannelError, FramedMessage};
-use super::link::{read_turn, LinkError, Turn};
+use super::link::{read_iteration, LinkError, Turn};
 use super::message::{Message, PROTOCOL_VERSION};
-use super::{FrontConnection, HandoverEvent};
+use super::{FrontendConnection, HandoverEvent};
 use crate::log;
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::collections::VecDeque;
@@ -22,7 +22,7 @@
 pub(super) struct SuccessorLink {
     token: Token,
     stage: Stage,
-    /// Messages that the socket has not taken yet: at most one state and one turn's connections.
+    /// Messages that the socket has not taken yet: at most one state and one iteration's connections.
     outbox: VecDeque<FramedMessage>,
 }
 
@@ -45,7 +45,7 @@
     /// Receives the successor's requests.
     pub(super) fn receive(&mut self, net: &SocketReactor) -> Turn {
         let stage = &mut self.stage;
-        read_turn(net, self.token, |message| on_message(stage, message))
+        read_iteration(net, self.token, |message| on_message(stage, message))
     }
 
     /// Queues a message; [`SuccessorLink::flush`] sends it.
@@ -74,7 +74,7 @@
     }
 
     /// Ends the link and yields the connections that were not sent.
-    pub(super) fn close(self, net: &mut SocketReactor) -> Vec<FrontConnection> {
+    pub(super) fn close(self, net: &mut SocketReactor) -> Vec<FrontendConnection> {
         net.close(self.token);
         self.outbox.into_iter().filter_map(unsent_connection).collect()
     }
@@ -91,9 +91,11 @@
     }
 }
 
-fn unsent_connection(framed: FramedMessage) -> Option<FrontConnection> {
+fn unsent_connection(framed: FramedMessage) -> Option<FrontendConnection> {
     match Message::decode(framed) {
-        Ok(Message::Connection { front, connection, .. }) => Some(FrontConnection { front, connection }),
+        Ok(Message::Connection { frontend, connection, .. }) => {
+            Some(FrontendConnection { frontend, connection })
+        }
         _ => None,
     }
 }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -5,15 +5,15 @@
 use super::message::{Message, PROTOCOL_VERSION};
 use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::EndpointRegistry;
+use crate::model::{DedupScope, Discovery, Effect, RequestClass, Settings};
 use crate::policy::Balancer;
-use crate::vocabulary::{DedupScope, Discovery, Effect, RequestClass, Settings};
 use rstest::rstest;
 use std::fs::File;
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
 
 /// Both clocks, later than any start of a server here.
-const NOW: crate::vocabulary::Nanos = u64::MAX / 4;
+const NOW: crate::model::Nanos = u64::MAX / 4;
 
 const SECOND: u64 = 1_000_000_000;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! backs off and is placed on the other server:
 //!
 //! ```
-//! use sparbank::vocabulary::{
+//! use sparbank::model::{
 //!     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
 //!     RequestId, ServerId, Settings, SettingsError, Status,
 //! };
@@ -87,13 +87,14 @@
 mod counters;
 mod discovery;
 mod flow_export;
-mod front;
-mod front_id;
+mod frontend;
+mod frontend_id;
 mod handover;
 mod hash;
 mod json;
 mod lifecycle;
 mod log;
+pub mod model;
 mod net;
 mod node;
 pub mod policy;
@@ -102,7 +103,6 @@
 mod requests;
 pub mod resilience;
 mod rules;
-pub mod simulator;
-pub mod vocabulary;
+pub mod simulator_adapter;
 
 pub use policy::Balancer;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -20,7 +20,7 @@
 
 pub use schedule::{MigrationStep, MIGRATION_STEP_INTERVAL};
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use phases::{Draining, HandedOver, Serving, ShuttingDown, WithoutSuccessor};
 use std::fmt;
 
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -2,7 +2,7 @@
 //! that shuts down cannot resume, and one that serves has nothing to resume from.
 
 use super::schedule::MigrationSchedule;
-use crate::vocabulary::{Nanos, MAX_HOLD_UP};
+use crate::model::{Nanos, MAX_STALL};
 
 /// An operator's drain is complete this long after the call.
 const DRAIN_DURATION: Nanos = 4_000_000_000;
@@ -12,8 +12,8 @@
 /// the deadlines are 1.2 s.
 const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
 /// The process ends this long before SIGKILL, whether or not its clients have read their last line. It counts from when
-/// it handles SIGTERM: it may have been held up before that, and takes a moment to end.
-const EXIT_BEFORE_KILL: Nanos = MAX_HOLD_UP + 50_000_000;
+/// it handles SIGTERM: it may have been stalled before that, and takes a moment to end.
+const EXIT_BEFORE_KILL: Nanos = MAX_STALL + 50_000_000;
 /// A process whose successor serves waits for SIGTERM no longer than this.
 const MAX_WAIT_FOR_SIGTERM: Nanos = 10_000_000_000;
 
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -1,6 +1,6 @@
 //! When established clients are migrated: evenly in steps, between a start and an end.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 
 /// Time between two migration steps.
 pub const MIGRATION_STEP_INTERVAL: Nanos = 25_000_000;
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,7 +1,7 @@
 //! The times of drain, shutdown and handover, and their crossings.
 
 use super::{Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rstest::rstest;
 
 const MILLISECOND: Nanos = 1_000_000;
--- a/src/log.rs
+++ b/src/log.rs
@@ -37,10 +37,10 @@
 /// reason to stop serving.
 pub fn line(text: Arguments<'_>) {
     let dropped = DROPPED_UNREPORTED.load(Ordering::Relaxed);
-    if dropped > 0 && write_whole(&format!("sparbank log-dropped lines={dropped}\n")) {
+    if dropped > 0 && write_complete(&format!("sparbank log-dropped lines={dropped}\n")) {
         DROPPED_UNREPORTED.store(0, Ordering::Relaxed);
     }
-    if !write_whole(&format!("sparbank {text}\n")) {
+    if !write_complete(&format!("sparbank {text}\n")) {
         DROPPED_UNREPORTED.fetch_add(1, Ordering::Relaxed);
         DROPPED.fetch_add(1, Ordering::Relaxed);
     }
@@ -53,7 +53,7 @@
 
 /// Writes text in pieces that do not block. False where standard error takes nothing now; of a long text a part may have
 /// been written then.
-fn write_whole(text: &str) -> bool {
+fn write_complete(text: &str) -> bool {
     text.as_bytes().chunks(MAX_WRITE_BYTES).all(|piece| {
         let is_taken = is_writable();
         if is_taken {
--- a/src/vocabulary/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! The vocabulary that all of the program shares: settings, endpoints, and the events and actions of the balancer.
+//! The model that all of the program shares: settings, endpoints, and the events and actions of the balancer.
 //!
 //! All times are nanoseconds on the node's own monotonic clock. Nothing here decides anything.
 
@@ -17,6 +17,6 @@
 /// A point in time or a duration, in nanoseconds.
 pub type Nanos = u64;
 
-/// A process may be held up for this long between the reading of its clock and a write. A time limit within which a
+/// A process may be stalled for this long between the reading of its clock and a write. A time limit within which a
 /// write has to take place is kept with that much to spare.
-pub const MAX_HOLD_UP: Nanos = 150_000_000;
+pub const MAX_STALL: Nanos = 150_000_000;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -7,8 +7,8 @@
 use super::slab::Token;
 use super::socket::{Socket, SocketState};
 use super::system;
-use crate::front_id::FrontId;
-use crate::vocabulary::Nanos;
+use crate::frontend_id::FrontendId;
+use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::sockopt;
 use std::io;
@@ -17,12 +17,12 @@
 
 /// Connections that the system queues for a listener.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Connections accepted from one listener in one turn: fewer than the descriptors that stay free, so that
-/// one turn's arrivals never take the last ones.
-const ACCEPTS_PER_TURN: usize = 16;
+/// Connections accepted from one listener in one iteration: fewer than the descriptors that stay free, so that
+/// one iteration's arrivals never take the last ones.
+const ACCEPTS_PER_ITERATION: usize = 16;
 /// The same for a listener with reserved descriptors: fewer than its reserve, so that each connection is read
 /// before it can be evicted.
-const RESERVED_ACCEPTS_PER_TURN: usize = 4;
+const RESERVED_ACCEPTS_PER_ITERATION: usize = 4;
 /// How long accepting pauses when the system has no descriptors left.
 const ACCEPT_PAUSE: Nanos = 50_000_000;
 /// An accepted peer has this long to complete its handshake. 3 s are promised, and the event loop runs at least
@@ -99,11 +99,11 @@
         self.inherited_listeners = listeners;
     }
 
-    /// Duplicates of the fronts' listening sockets except one front's, for another process to share.
-    pub fn listeners_except(&self, excluded: FrontId) -> Vec<ListeningSocket> {
+    /// Duplicates of the frontends' listening sockets except one frontend's, for another process to share.
+    pub fn listeners_except(&self, excluded: FrontendId) -> Vec<ListeningSocket> {
         let mut listeners = Vec::new();
         for socket in self.sockets.values().filter(|socket| socket.state == SocketState::Listening) {
-            if !matches!(socket.owner, SocketOwner::Front(front) if front != excluded) {
+            if !matches!(socket.owner, SocketOwner::Frontend(frontend) if frontend != excluded) {
                 continue;
             }
             if let (Ok(addr), Ok(fd)) = (bound_addr(&socket.fd), socket.fd.try_clone()) {
@@ -115,9 +115,9 @@
 
     // ---- Accepting -----------------------------------------------------------------------------
 
-    /// Sets whether the fronts accept connections.
+    /// Sets whether the frontends accept connections.
     pub fn set_accepting(&mut self, accepting: bool) {
-        self.fronts_accept = accepting;
+        self.frontends_accept = accepting;
         let paused = self.accept_paused_until.is_some();
         self.watch_listeners(if paused { Interest::empty() } else { Interest::IN });
     }
@@ -129,21 +129,21 @@
         }
     }
 
-    /// Accepts all connections that wait at the fronts' listeners, so that a process that ends leaves none of them
+    /// Accepts all connections that wait at the frontends' listeners, so that a process that ends leaves none of them
     /// unanswered. Yields whether there were any; they are among the next events.
     pub fn accept_waiting(&mut self) -> bool {
-        if !self.fronts_accept {
+        if !self.frontends_accept {
             return false;
         }
-        let is_front_listener = |socket: &Socket| {
-            socket.state == SocketState::Listening && matches!(socket.owner, SocketOwner::Front(_))
+        let is_frontend_listener = |socket: &Socket| {
+            socket.state == SocketState::Listening && matches!(socket.owner, SocketOwner::Frontend(_))
         };
         let sockets = self.sockets.iter_mut();
         let listeners: Vec<Token> =
-            sockets.filter(|(_, socket)| is_front_listener(socket)).map(|(token, _)| token).collect();
+            sockets.filter(|(_, socket)| is_frontend_listener(socket)).map(|(token, _)| token).collect();
         let events_before = self.pending_events.len();
         for listener in listeners {
-            for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_TURN {
+            for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_ITERATION {
                 let accepted_before = self.pending_events.len();
                 self.accept_ready(listener);
                 if self.pending_events.len() == accepted_before {
@@ -154,10 +154,10 @@
         self.pending_events.len() > events_before
     }
 
-    /// Accepts the connections that wait at a listener, up to the limit of a turn.
+    /// Accepts the connections that wait at a listener, up to the limit of a iteration.
     pub(super) fn accept_ready(&mut self, listener: Token) {
         let Some(uses_reserve) = self.sockets.get(listener).map(|socket| socket.uses_reserve) else { return };
-        let max_accepts = if uses_reserve { RESERVED_ACCEPTS_PER_TURN } else { ACCEPTS_PER_TURN };
+        let max_accepts = if uses_reserve { RESERVED_ACCEPTS_PER_ITERATION } else { ACCEPTS_PER_ITERATION };
         let mut failures = 0;
         for _ in 0..max_accepts {
             let Some(socket) = self.sockets.get(listener) else { return };
@@ -244,7 +244,7 @@
         let listeners: Vec<(Token, SocketOwner)> =
             self.sockets.iter_mut().filter(listening).map(|(token, socket)| (token, socket.owner)).collect();
         for (token, owner) in listeners {
-            let suspended = !self.fronts_accept && matches!(owner, SocketOwner::Front(_));
+            let suspended = !self.frontends_accept && matches!(owner, SocketOwner::Frontend(_));
             self.change_interest(token, if suspended { Interest::empty() } else { interest });
         }
     }
--- a/src/net/buffered_io.rs
+++ b/src/net/buffered_io.rs
@@ -6,7 +6,7 @@
 use super::socket::{Socket, SocketState, WriteState};
 use super::system::{read, write};
 use super::transfer_pause::is_transfer_shortage;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::{sockopt, Shutdown};
 use std::time::Duration;
@@ -108,7 +108,7 @@
     }
 
     /// The connections that were established since the last call, in that order. Their owners decide what is written
-    /// first, once all else of the turn is known; [`SocketReactor::flush`] then writes it.
+    /// first, once all else of the iteration is known; [`SocketReactor::flush`] then writes it.
     pub fn take_connected(&mut self) -> Vec<ConnectedSocket> {
         let sockets = &self.sockets;
         let connected = std::mem::take(&mut self.connected).into_iter();
--- a/src/net/connect_error.rs
+++ b/src/net/connect_error.rs
@@ -1,6 +1,6 @@
 //! Why a connection could not be started, and whose fault that is.
 
-use crate::vocabulary::Outcome;
+use crate::model::Outcome;
 use rustix::io::Errno;
 use std::fmt;
 
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -5,7 +5,7 @@
 use super::slab::Token;
 use super::socket::{Socket, SocketState};
 use super::system;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 
 /// Descriptors that no attempt takes: for the list's watch and the one after it, and for what is open beside the
 /// sockets counted here (the standard streams, epoll, the other ends of the signals' pipes).
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -1,13 +1,13 @@
 //! Events of sockets, for their owners.
 
 use super::slab::Token;
-use crate::front_id::FrontId;
+use crate::frontend_id::FrontendId;
 
 /// The module that receives a socket's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketOwner {
-    /// A front.
-    Front(FrontId),
+    /// A frontend.
+    Frontend(FrontendId),
     /// The endpoint registry's watch.
     Discovery,
     /// The pipe that signal handlers write to.
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -2,7 +2,7 @@
 
 use super::slab::Token;
 use super::system;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rustix::event::{epoll, Timespec};
 use rustix::io::Errno;
 use std::io;
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -9,7 +9,7 @@
 use super::socket::{Socket, SocketState};
 use super::system;
 use super::watch_retry::{is_watch_shortage, WatchState};
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::sockopt;
 use std::collections::VecDeque;
@@ -52,8 +52,8 @@
     pub(super) awaiting_handshake: VecDeque<SocketDeadline>,
     /// Accepting is paused until then, because the system had no descriptors left.
     pub(super) accept_paused_until: Option<Nanos>,
-    /// Whether the fronts accept connections; where not, another process does.
-    pub(super) fronts_accept: bool,
+    /// Whether the frontends accept connections; where not, another process does.
+    pub(super) frontends_accept: bool,
     /// Listening sockets of the process before this one that nobody listens on yet.
     pub(super) inherited_listeners: Vec<ListeningSocket>,
     pub(super) pending_events: Vec<SocketEvent>,
@@ -84,7 +84,7 @@
             lingering: VecDeque::new(),
             awaiting_handshake: VecDeque::new(),
             accept_paused_until: None,
-            fronts_accept: true,
+            frontends_accept: true,
             inherited_listeners: Vec::new(),
             pending_events: Vec::new(),
             refused_watches: Vec::new(),
--- a/src/net/system/tests.rs
+++ b/src/net/system/tests.rs
@@ -115,7 +115,7 @@
 fn an_interrupted_read_loses_no_answer_before_a_reset() {
     let (mut net, addr) = reactor_with_listener();
     let (mut client, token) = accepted_client(&mut net, addr);
-    // The first read of the turn meets the reset, the second takes what came before it.
+    // The first read of the iteration meets the reset, the second takes what came before it.
     client.write_all(b"BUSY\r\n").expect("written");
     rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO)).expect("linger");
     drop(client);
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -3,7 +3,7 @@
 //! Timers cannot be cancelled: whoever scheduled one ignores it when it no longer matters. So scheduling takes
 //! constant time, and a timer costs no memory beside its own entry.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 
 /// The wheel's resolution: a timer expires up to this much late, and never early.
 const TICK: Nanos = 5_000_000;
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -4,7 +4,7 @@
 use super::reactor::{SocketDeadline, SocketReactor};
 use super::slab::Token;
 use super::socket::{SocketState, WriteState};
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
 use std::io;
 use std::os::fd::OwnedFd;
--- a/src/net/transfer/tests.rs
+++ b/src/net/transfer/tests.rs
@@ -1,5 +1,5 @@
 use super::BufferedConnection;
-use crate::front_id::FrontId;
+use crate::frontend_id::FrontendId;
 use crate::net::{ListeningSocket, SocketOwner, SocketReactor};
 use rstest::rstest;
 use std::net::{TcpListener, TcpStream};
@@ -46,7 +46,8 @@
         let imported = net.import_connection(connection, BufferedConnection::default(), SocketOwner::Admin);
         net.read_available(imported.expect("it is watched"));
         net.inherit_listeners(vec![ListeningSocket { addr, fd: OwnedFd::from(listener) }]);
-        net.listen(addr, SocketOwner::Front(FrontId { index: 0, name: "text" })).expect("it is inherited");
+        net.listen(addr, SocketOwner::Frontend(FrontendId { index: 0, name: "text" }))
+            .expect("it is inherited");
         assert!(!net.accept_waiting(), "nobody waits");
         drop(client);
         done.send(()).expect("the test waits");
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -3,7 +3,7 @@
 
 use super::reactor::{SocketDeadline, SocketReactor};
 use super::slab::Token;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rustix::io::Errno;
 
 /// How long a connection rests.
--- a/src/net/watch_retry.rs
+++ b/src/net/watch_retry.rs
@@ -1,10 +1,10 @@
-//! Changes of the epoll set that the system refuses for want of memory. They are remembered, and tried again each turn
+//! Changes of the epoll set that the system refuses for want of memory. They are remembered, and tried again each iteration
 //! until they succeed: a socket that epoll does not know of would never be read again.
 
 use super::poller::Interest;
 use super::reactor::SocketReactor;
 use super::slab::Token;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use rustix::io::Errno;
 
 /// A turn sleeps no longer than this while a change waits.
@@ -27,7 +27,7 @@
 }
 
 impl SocketReactor {
-    /// Watches a socket for this from now on, or from the turn on in which the system takes the change.
+    /// Watches a socket for this from now on, or from the iteration on in which the system takes the change.
     pub(super) fn change_interest(&mut self, token: Token, interest: Interest) {
         let Some(socket) = self.sockets.get_mut(token) else { return };
         socket.interest = interest;
--- a/src/node/admin_calls.rs
+++ b/src/node/admin_calls.rs
@@ -4,8 +4,8 @@
 use crate::admin::{AdminCall, Response};
 use crate::lifecycle::ShuttingDownError;
 use crate::log;
+use crate::model::Nanos;
 use crate::net::SocketEvent;
-use crate::vocabulary::Nanos;
 
 impl Node {
     /// Handles an event at a socket of the admin API, and answers a call that it completes.
@@ -47,7 +47,7 @@
                 if was_draining {
                     self.state.requests.counters.resumes += 1;
                     log::line(format_args!("resumed standing={}", self.state.requests.established().len()));
-                    self.for_each_front(|front, ctx| front.resume_serving(ctx));
+                    self.for_each_frontend(|frontend, ctx| frontend.resume_serving(ctx));
                 }
                 Response::new(200, "serving")
             }
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -1,6 +1,6 @@
 //! The node's clock.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
 /// Unix time at the start of the process, and monotonic from there on.
--- a/src/node/commands.rs
+++ b/src/node/commands.rs
@@ -1,13 +1,13 @@
 //! Runs the balancer on what has happened, and executes the commands that come back.
 
 use super::Node;
-use crate::front::{TimerEvent, TEXT_FRONT};
+use crate::frontend::{TimerEvent, TEXT_FRONTEND};
 use crate::log;
-use crate::requests::{Command, FrontId};
-use crate::vocabulary::{Event, Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Event, Nanos, Outcome, RequestId, ServerId};
+use crate::requests::{Command, FrontendId};
 
 impl Node {
-    /// Lets the balancer decide on all pending events and executes its commands; then the fronts flush what they have
+    /// Lets the balancer decide on all pending events and executes its commands; then the frontends flush what they have
     /// gathered. Repeats until neither yields another event.
     pub(super) fn run_balancer(&mut self) {
         loop {
@@ -19,7 +19,7 @@
             if self.state.requests.has_pending_events() {
                 continue;
             }
-            self.for_each_front(|front, ctx| front.flush(ctx));
+            self.for_each_frontend(|frontend, ctx| frontend.flush(ctx));
             if !self.state.requests.has_pending_events() {
                 return;
             }
@@ -29,25 +29,25 @@
     /// Executes a command of the request table.
     pub(super) fn execute(&mut self, now: Nanos, command: Command) {
         match command {
-            Command::StartAttempt { front, request_id, server, timeout } => {
-                self.start_attempt(now, front, request_id, server, timeout);
+            Command::StartAttempt { frontend, request_id, server, timeout } => {
+                self.start_attempt(now, frontend, request_id, server, timeout);
             }
-            Command::CancelAttempt { front, request_id } => {
-                self.cancel_attempt(front, request_id);
+            Command::CancelAttempt { frontend, request_id } => {
+                self.cancel_attempt(frontend, request_id);
             }
-            Command::Reject { front, request_id, retry_after } => {
+            Command::Reject { frontend, request_id, retry_after } => {
                 let ms = retry_after / 1_000_000;
                 log::trace(format_args!("trace refused request={} ms={ms}", request_id.0));
-                self.with_front(front, |front, ctx| front.reject(ctx, request_id, retry_after));
+                self.with_frontend(frontend, |frontend, ctx| frontend.reject(ctx, request_id, retry_after));
             }
-            Command::Fail { front, request_id } => {
-                self.with_front(front, |front, ctx| front.fail(ctx, request_id));
+            Command::Fail { frontend, request_id } => {
+                self.with_frontend(frontend, |frontend, ctx| frontend.fail(ctx, request_id));
             }
-            Command::Migrate { front, request_id } => {
-                self.with_front(front, |front, ctx| front.migrate(ctx, request_id));
+            Command::Migrate { frontend, request_id } => {
+                self.with_frontend(frontend, |frontend, ctx| frontend.migrate(ctx, request_id));
             }
             Command::HealthCheck { server } => {
-                self.with_front(TEXT_FRONT, |front, ctx| front.check_health(ctx, server));
+                self.with_frontend(TEXT_FRONTEND, |frontend, ctx| frontend.check_health(ctx, server));
             }
             Command::SetTimer { after: 0, token } => self.state.requests.push_event(Event::Timer(token)),
             Command::SetTimer { after, token } => {
@@ -62,7 +62,7 @@
     fn start_attempt(
         &mut self,
         now: Nanos,
-        front: FrontId,
+        frontend: FrontendId,
         request_id: RequestId,
         server: ServerId,
         timeout: Nanos,
@@ -74,22 +74,24 @@
             server.0
         ));
         self.state.wheel.schedule(now + timeout, TimerEvent::AttemptTimeout(request_id, attempt));
-        self.with_front(front, |front, ctx| front.start_attempt(ctx, request_id, server, timeout));
+        self.with_frontend(frontend, |frontend, ctx| {
+            frontend.start_attempt(ctx, request_id, server, timeout)
+        });
     }
 
-    /// Has the front cancel the attempt of a request. Returns the attempt's outcome.
-    fn cancel_attempt(&mut self, front: FrontId, request_id: RequestId) -> Outcome {
-        let outcome = self.with_front(front, |front, ctx| front.cancel_attempt(ctx, request_id));
+    /// Has the frontend cancel the attempt of a request. Returns the attempt's outcome.
+    fn cancel_attempt(&mut self, frontend: FrontendId, request_id: RequestId) -> Outcome {
+        let outcome = self.with_frontend(frontend, |frontend, ctx| frontend.cancel_attempt(ctx, request_id));
         outcome.unwrap_or(Outcome::Cancelled)
     }
 
     /// An attempt's time is up; it may have ended before.
     pub(super) fn on_attempt_timeout(&mut self, request_id: RequestId, attempt: u32) {
-        let Some(front) = self.state.requests.front_of_attempt(request_id, attempt) else { return };
-        self.with_front(front, |front, ctx| front.read_answer(ctx, request_id));
+        let Some(frontend) = self.state.requests.frontend_of_attempt(request_id, attempt) else { return };
+        self.with_frontend(frontend, |frontend, ctx| frontend.read_answer(ctx, request_id));
         // An answer that had arrived has ended the attempt.
-        if let Some(front) = self.state.requests.front_of_attempt(request_id, attempt) {
-            let outcome = self.cancel_attempt(front, request_id);
+        if let Some(frontend) = self.state.requests.frontend_of_attempt(request_id, attempt) {
+            let outcome = self.cancel_attempt(frontend, request_id);
             self.state.requests.on_attempt_ended(self.state.clock.now(), request_id, outcome);
         }
     }
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,8 +1,8 @@
-//! All that a node is configured by: its own configuration and the optional fronts' files. Read alike at the start,
+//! All that a node is configured by: its own configuration and the optional frontends' files. Read alike at the start,
 //! by `check-config` and on SIGHUP.
 
 use crate::config::{Config, ConfigError};
-use crate::front::{FrontError, FrontFiles, ParsedFrontFiles, OPTIONAL_FRONTS};
+use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFiles, OPTIONAL_FRONTENDS};
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -11,26 +11,29 @@
 pub struct Configuration {
     /// The node's own.
     pub node: Config,
-    /// The optional fronts' files, parsed.
-    pub fronts: ParsedFrontFiles,
+    /// The optional frontends' files, parsed.
+    pub frontends: ParsedFrontendFiles,
 }
 
 impl Configuration {
-    /// Reads the environment's configuration and the optional fronts' files.
-    pub fn read(front_files: &FrontFiles) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: Config::from_env()?, fronts: read_front_files(front_files)? })
+    /// Reads the environment's configuration and the optional frontends' files.
+    pub fn read(frontend_files: &FrontendFiles) -> Result<Configuration, ConfigurationError> {
+        Ok(Configuration { node: Config::from_env()?, frontends: read_frontend_files(frontend_files)? })
     }
 
     /// Reads all again for a running node: all of it is valid, or none of it is applied.
-    pub fn reread(running: &Config, front_files: &FrontFiles) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: running.reread()?, fronts: read_front_files(front_files)? })
+    pub fn reread(
+        running: &Config,
+        frontend_files: &FrontendFiles,
+    ) -> Result<Configuration, ConfigurationError> {
+        Ok(Configuration { node: running.reread()?, frontends: read_frontend_files(frontend_files)? })
     }
 }
 
-fn read_front_files(front_files: &FrontFiles) -> Result<ParsedFrontFiles, ConfigurationError> {
-    let mut parsed = ParsedFrontFiles::new();
-    for (which, path) in front_files {
-        let file = (OPTIONAL_FRONTS[*which].read)(path)?;
+fn read_frontend_files(frontend_files: &FrontendFiles) -> Result<ParsedFrontendFiles, ConfigurationError> {
+    let mut parsed = ParsedFrontendFiles::new();
+    for (which, path) in frontend_files {
+        let file = (OPTIONAL_FRONTENDS[*which].read)(path)?;
         parsed.push((*which, file));
     }
     Ok(parsed)
@@ -41,8 +44,8 @@
 pub enum ConfigurationError {
     /// The node's own configuration.
     Node(ConfigError),
-    /// An optional front's file.
-    Front(FrontError),
+    /// An optional frontend's file.
+    Frontend(FrontendError),
 }
 
 impl ConfigurationError {
@@ -50,7 +53,7 @@
     pub fn io_error(&self) -> Option<&io::Error> {
         match self {
             ConfigurationError::Node(ConfigError::Unreadable { source, .. }) => Some(source),
-            ConfigurationError::Node(_) | ConfigurationError::Front(_) => None,
+            ConfigurationError::Node(_) | ConfigurationError::Frontend(_) => None,
         }
     }
 }
@@ -59,7 +62,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigurationError::Node(error) => error.fmt(f),
-            ConfigurationError::Front(error) => error.fmt(f),
+            ConfigurationError::Frontend(error) => error.fmt(f),
         }
     }
 }
@@ -68,7 +71,7 @@
     fn source(&self) -> Option<&(dyn Error + 'static)> {
         match self {
             ConfigurationError::Node(error) => Some(error),
-            ConfigurationError::Front(error) => Some(error),
+            ConfigurationError::Frontend(error) => Some(error),
         }
     }
 }
@@ -79,8 +82,8 @@
     }
 }
 
-impl From<FrontError> for ConfigurationError {
-    fn from(error: FrontError) -> ConfigurationError {
-        ConfigurationError::Front(error)
+impl From<FrontendError> for ConfigurationError {
+    fn from(error: FrontendError) -> ConfigurationError {
+        ConfigurationError::Frontend(error)
     }
 }
--- a/src/node/draining.rs
+++ b/src/node/draining.rs
@@ -1,9 +1,9 @@
 //! The steps by which established connections are migrated away: in a drain, a handover or a shutdown.
 
 use super::Node;
-use crate::front::TimerEvent;
+use crate::frontend::TimerEvent;
 use crate::lifecycle;
-use crate::vocabulary::{Nanos, Outcome, RequestId};
+use crate::model::{Nanos, Outcome, RequestId};
 
 impl Node {
     /// From now on there are drain steps, until clients are accepted again.
@@ -21,9 +21,9 @@
         for event in self.state.net.take_pending_events() {
             self.on_socket_event(event);
         }
-        self.for_each_front(|front, ctx| {
+        self.for_each_frontend(|frontend, ctx| {
             ctx.shutting_down = true;
-            front.on_drain_step(ctx);
+            frontend.on_drain_step(ctx);
         });
         let now = self.state.now();
         for command in self.state.requests.fail_unanswered(now, Nanos::MAX) {
@@ -37,8 +37,8 @@
 
     fn migrate_established(&mut self, now: Nanos, request_id: RequestId) {
         let closed = self.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
-        if let Some(front) = closed {
-            self.with_front(front, |front, ctx| front.migrate(ctx, request_id));
+        if let Some(frontend) = closed {
+            self.with_frontend(frontend, |frontend, ctx| frontend.migrate(ctx, request_id));
         }
     }
 
@@ -51,7 +51,7 @@
             return;
         };
         if step.started {
-            self.for_each_front(|front, ctx| front.on_drain_step(ctx));
+            self.for_each_frontend(|frontend, ctx| frontend.on_drain_step(ctx));
         }
         if let Some(abandon_before) = step.abandon_before {
             for command in self.state.requests.fail_unanswered(now, abandon_before) {
--- a/src/node/endpoint_events.rs
+++ b/src/node/endpoint_events.rs
@@ -3,8 +3,8 @@
 use super::clock::Clock;
 use super::Node;
 use crate::log;
+use crate::model::{Event, ListKind, Nanos};
 use crate::net::{SocketEvent, SocketEventKind};
-use crate::vocabulary::{Event, ListKind, Nanos};
 
 impl Node {
     /// Starts the watch on the endpoint list.
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the fronts.
+    /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the frontends.
     pub(super) fn on_endpoint_event(&mut self, event: Event) {
         if let Event::EndpointList(kind, endpoints) = &event {
             log::trace(format_args!("trace list kind={kind:?} entries={}", endpoints.len()));
@@ -63,6 +63,6 @@
         }
         self.state.requests.push_event(event);
         let not_ready = self.state.registry.not_ready();
-        self.for_each_front(|front, ctx| front.on_servers_draining(ctx, &not_ready));
+        self.for_each_frontend(|frontend, ctx| frontend.on_servers_draining(ctx, &not_ready));
     }
 }
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -1,10 +1,10 @@
 //! Why a node could not be prepared, or had to stop. Each error is printed as one line.
 
 use super::configuration::ConfigurationError;
-use crate::front::FrontError;
+use crate::frontend::FrontendError;
 use crate::handover::PassedListenerError;
+use crate::model::SettingsError;
 use crate::quota::QuotaFileError;
-use crate::vocabulary::SettingsError;
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -13,7 +13,7 @@
 /// Why nothing was started: something that was configured is wrong.
 #[derive(Debug)]
 pub enum PrepareError {
-    /// The configuration, or an optional front's file.
+    /// The configuration, or an optional frontend's file.
     Configuration(ConfigurationError),
     /// The file of the fleet-wide quotas.
     Quota(QuotaFileError),
@@ -77,8 +77,8 @@
     },
     /// The clients' address.
     Listen(io::Error),
-    /// An optional front.
-    Front(FrontError),
+    /// An optional frontend.
+    Frontend(FrontendError),
     /// The export of flow records.
     FlowExport(io::Error),
     /// The lease protocol's address.
@@ -98,7 +98,7 @@
             ServeError::Settings(error) => error.fmt(f),
             ServeError::AdminListen { address, source } => write!(f, "operator: {address}: {source}"),
             ServeError::Listen(error) => write!(f, "listen: {error}"),
-            ServeError::Front(error) => error.fmt(f),
+            ServeError::Frontend(error) => error.fmt(f),
             ServeError::FlowExport(error) => write!(f, "ipfix: {error}"),
             ServeError::LeaseTransport { member, source } => {
                 write!(f, "--fleet: members[{member}].address: {source}")
@@ -118,7 +118,7 @@
                 Some(source)
             }
             ServeError::Settings(error) => Some(error),
-            ServeError::Front(error) => Some(error),
+            ServeError::Frontend(error) => Some(error),
         }
     }
 }
@@ -129,8 +129,8 @@
     }
 }
 
-impl From<FrontError> for ServeError {
-    fn from(error: FrontError) -> ServeError {
-        ServeError::Front(error)
+impl From<FrontendError> for ServeError {
+    fn from(error: FrontendError) -> ServeError {
+        ServeError::Frontend(error)
     }
 }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -1,11 +1,11 @@
 //! The event loop: handles what is ready, lets the balancer decide once, and executes its commands.
 
 use super::{Node, ServeError};
-use crate::front::TimerEvent;
+use crate::frontend::TimerEvent;
 use crate::log;
+use crate::model::{Event, Nanos};
 use crate::net::{ConnectedSocket, SocketEvent, SocketOwner};
 use crate::rules::Violation;
-use crate::vocabulary::{Event, Nanos};
 
 /// How often silent peers are looked for and flows exported.
 const TICK_INTERVAL: Nanos = 200_000_000;
@@ -43,8 +43,8 @@
 
     pub(super) fn on_socket_event(&mut self, event: SocketEvent) {
         match event.owner {
-            SocketOwner::Front(id) => {
-                self.with_front(id, |front, ctx| front.on_socket_event(ctx, event));
+            SocketOwner::Frontend(id) => {
+                self.with_frontend(id, |frontend, ctx| frontend.on_socket_event(ctx, event));
             }
             SocketOwner::Discovery => self.on_discovery_socket(event),
             SocketOwner::Admin => self.on_admin_socket(event),
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Writes to the connections that were established in this turn. Before that the list's watch is read once more: the
-    /// process may have been held up since it polled, and a drain that was told meanwhile counts.
+    /// Writes to the connections that were established in this iteration. Before that the list's watch is read once more: the
+    /// process may have been stalled since it polled, and a drain that was told meanwhile counts.
     fn send_on_connected(&mut self) {
         let connected = self.state.net.take_connected();
         if connected.is_empty() {
@@ -63,8 +63,8 @@
         }
         self.read_pending_endpoint_events();
         for ConnectedSocket { token, owner } in connected {
-            if let SocketOwner::Front(id) = owner {
-                self.with_front(id, |front, ctx| front.on_connected(ctx, token));
+            if let SocketOwner::Frontend(id) = owner {
+                self.with_frontend(id, |frontend, ctx| frontend.on_connected(ctx, token));
             }
             self.state.net.flush(token);
         }
@@ -76,10 +76,10 @@
             TimerEvent::Policy(token) => self.state.requests.push_event(Event::Timer(token)),
             TimerEvent::AttemptTimeout(request_id, attempt) => self.on_attempt_timeout(request_id, attempt),
             TimerEvent::ConnectTimeout(id, token) => {
-                self.with_front(id, |front, ctx| front.on_connect_timeout(ctx, token));
+                self.with_frontend(id, |frontend, ctx| frontend.on_connect_timeout(ctx, token));
             }
-            TimerEvent::FrontTimer(id, token) => {
-                self.with_front(id, |front, ctx| front.on_timer(ctx, token));
+            TimerEvent::FrontendTimer(id, token) => {
+                self.with_frontend(id, |frontend, ctx| frontend.on_timer(ctx, token));
             }
             TimerEvent::Tick => self.on_tick(),
             TimerEvent::DrainStep => self.drain_step(),
@@ -100,14 +100,14 @@
         if self.discovery.awaits_socket() {
             self.subscribe(now);
         }
-        self.for_each_front(|front, ctx| front.on_tick(ctx));
+        self.for_each_frontend(|frontend, ctx| frontend.on_tick(ctx));
         self.export_flows(now);
         self.state.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
     }
 
     /// Nothing is open when the process ends.
     fn check_exit(&mut self) {
-        if !self.state.requests.is_idle() || !self.fronts.are_idle() {
+        if !self.state.requests.is_idle() || !self.frontends.are_idle() {
             let established = self.state.requests.established().len();
             let detail = format_args!("standing={established}");
             self.state.requests.violations.record(Violation::OpenAtExit, detail);
@@ -120,8 +120,9 @@
         }
         // The exit resets connections that are still closing, and a reset may destroy the MOVE that a client has not
         // read yet.
-        let is_idle =
-            self.state.requests.is_idle() && self.fronts.are_idle() && self.state.net.all_closes_complete();
+        let is_idle = self.state.requests.is_idle()
+            && self.frontends.are_idle()
+            && self.state.net.all_closes_complete();
         self.state.lifecycle.should_exit(self.state.now(), is_idle)
     }
 }
--- a/src/node/handover_steps.rs
+++ b/src/node/handover_steps.rs
@@ -1,11 +1,11 @@
 //! Handover between two processes of this node (hot restart): the steps of the successor and of the predecessor.
 
 use super::Node;
-use crate::front::{TransferredConnection, TEXT_FRONT};
-use crate::handover::{self, FrontConnection, Handover, HandoverEvent, StateSnapshot};
+use crate::frontend::{TransferredConnection, TEXT_FRONTEND};
+use crate::handover::{self, FrontendConnection, Handover, HandoverEvent, StateSnapshot};
 use crate::log;
+use crate::model::{Event, ListKind};
 use crate::net::SocketEvent;
-use crate::vocabulary::{Event, ListKind};
 
 impl Node {
     /// Restores what the predecessor knew. The balancer has had the predecessor's endpoint list before.
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Sends the successor this node's state, its fronts' listening sockets and the discovery watch.
+    /// Sends the successor this node's state, its frontends' listening sockets and the discovery watch.
     fn send_state(&mut self) {
         let snapshot = StateSnapshot {
             is_drained: !self.state.lifecycle.accepts_clients(),
@@ -65,7 +65,7 @@
             open_descriptors: self.state.net.descriptors_in_use(),
             clock: Some(self.state.now()),
         };
-        let listeners = self.state.net.listeners_except(TEXT_FRONT);
+        let listeners = self.state.net.listeners_except(TEXT_FRONTEND);
         let watch = self.discovery.release_watch(&mut self.state.net);
         let Some(handover) = &mut self.handover else { return };
         let events = handover.send_state(&mut self.state.net, &snapshot, listeners, watch);
@@ -84,7 +84,7 @@
     }
 
     /// The successor is gone: this process serves on.
-    fn on_successor_lost(&mut self, unsent: Vec<FrontConnection>) {
+    fn on_successor_lost(&mut self, unsent: Vec<FrontendConnection>) {
         for connection in unsent {
             self.receive_connection(connection);
         }
@@ -96,9 +96,9 @@
         }
     }
 
-    fn receive_connection(&mut self, FrontConnection { front, connection }: FrontConnection) {
-        if let Some(id) = self.fronts.id_by_name(&front) {
-            self.with_front(id, |front, ctx| front.receive_connection(ctx, connection));
+    fn receive_connection(&mut self, FrontendConnection { frontend, connection }: FrontendConnection) {
+        if let Some(id) = self.frontends.id_by_name(&frontend) {
+            self.with_frontend(id, |frontend, ctx| frontend.receive_connection(ctx, connection));
         }
     }
 
@@ -110,15 +110,16 @@
                 return;
             }
             let Some(handover) = &mut self.handover else { return };
-            let events = handover.transfer(&mut self.state.net, TEXT_FRONT.name, connections);
+            let events = handover.transfer(&mut self.state.net, TEXT_FRONTEND.name, connections);
             self.on_handover_events(events);
             self.run_balancer();
         }
     }
 
     fn take_transferable_connections(&mut self) -> Vec<TransferredConnection> {
-        let limit = handover::CONNECTIONS_PER_TURN;
-        let connections = self.with_front(TEXT_FRONT, |front, ctx| front.hand_over_connections(ctx, limit));
+        let limit = handover::CONNECTIONS_PER_ITERATION;
+        let connections =
+            self.with_frontend(TEXT_FRONTEND, |frontend, ctx| frontend.hand_over_connections(ctx, limit));
         connections.unwrap_or_default()
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The node: the process that serves clients on real sockets.
 //!
-//! One thread runs [`event_loop`]. Sockets, timers and signals become events for the request table and the fronts;
-//! the request table lets the balancer decide and returns commands, which [`commands`] has the fronts execute.
+//! One thread runs [`event_loop`]. Sockets, timers and signals become events for the request table and the frontends;
+//! the request table lets the balancer decide and returns commands, which [`commands`] has the frontends execute.
 //! [`startup`] opens everything in a fixed order; the other modules each have the node's steps of one concern.
 
 mod admin_calls;
@@ -32,17 +32,17 @@
 use crate::config::Config;
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::front::{Front, FrontContext, FrontFiles, Fronts, TimerEvent};
+use crate::frontend::{Frontend, FrontendContext, FrontendFiles, Frontends, TimerEvent};
 use crate::handover::Handover;
 use crate::lifecycle::Lifecycle;
+use crate::model::Nanos;
 use crate::net::{SocketReactor, TimerWheel};
 use crate::quota::transport::LeaseTransport;
-use crate::requests::{FrontId, RequestTable};
-use crate::vocabulary::Nanos;
+use crate::requests::{FrontendId, RequestTable};
 use clock::Clock;
 use signals::SignalSockets;
 
-/// What fronts work on, through a [`FrontContext`].
+/// What frontends work on, through a [`FrontendContext`].
 struct NodeState {
     clock: Clock,
     net: SocketReactor,
@@ -58,10 +58,10 @@
         self.clock.now()
     }
 
-    /// The context of one call of a front.
-    fn front_context(&mut self) -> FrontContext<'_> {
+    /// The context of one call of a frontend.
+    fn frontend_context(&mut self) -> FrontendContext<'_> {
         let now = self.clock.now();
-        FrontContext {
+        FrontendContext {
             now,
             net: &mut self.net,
             requests: &mut self.requests,
@@ -83,9 +83,9 @@
 /// A node that serves.
 struct Node {
     state: NodeState,
-    fronts: Fronts,
-    /// The optional fronts' files, to be read again with the configuration.
-    front_files: FrontFiles,
+    frontends: Frontends,
+    /// The optional frontends' files, to be read again with the configuration.
+    frontend_files: FrontendFiles,
     discovery: DiscoveryClient,
     admin: Option<AdminServer>,
     handover: Option<Handover>,
@@ -98,20 +98,20 @@
 }
 
 impl Node {
-    /// Calls the front with this id. None where there is no such front.
-    fn with_front<R>(
+    /// Calls the frontend with this id. None where there is no such frontend.
+    fn with_frontend<R>(
         &mut self,
-        id: FrontId,
-        call: impl FnOnce(&mut dyn Front, &mut FrontContext) -> R,
+        id: FrontendId,
+        call: impl FnOnce(&mut dyn Frontend, &mut FrontendContext) -> R,
     ) -> Option<R> {
-        let front = self.fronts.get(id)?;
-        Some(call(front, &mut self.state.front_context()))
+        let frontend = self.frontends.get(id)?;
+        Some(call(frontend, &mut self.state.frontend_context()))
     }
 
-    /// Calls every front, in the order of their ids.
-    fn for_each_front(&mut self, mut call: impl FnMut(&mut dyn Front, &mut FrontContext)) {
-        for front in self.fronts.all() {
-            call(front.as_mut(), &mut self.state.front_context());
+    /// Calls every frontend, in the order of their ids.
+    fn for_each_frontend(&mut self, mut call: impl FnMut(&mut dyn Frontend, &mut FrontendContext)) {
+        for frontend in self.frontends.all() {
+            call(frontend.as_mut(), &mut self.state.frontend_context());
         }
     }
 }
--- a/src/node/quotas.rs
+++ b/src/node/quotas.rs
@@ -1,7 +1,7 @@
 //! This node's membership of a fleet with quotas: the exchange of leases, and migrations of connections over quota.
 
 use super::Node;
-use crate::front::TimerEvent;
+use crate::frontend::TimerEvent;
 use crate::log;
 use crate::net::SocketEvent;
 use crate::quota::transport;
