--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -8,14 +8,14 @@
     /// Reads the configuration again. An invalid one changes nothing; of a valid one, what a running node can change is
     /// applied, and the log names the rest. Established connections and known servers stay.
     pub(super) fn reload(&mut self) {
-        let new = match Configuration::reread(&self.state.config, &self.front_files) {
+        let new = match Configuration::reread(&self.state.config, &self.frontend_files) {
             Ok(configuration) => configuration,
             Err(error) => return log::line(format_args!("reload-refused {error}")),
         };
         let discovery_moved = new.node.discovery != self.state.config.discovery;
         let mut needs_restart = self.state.config.apply_reload(new.node);
-        for (which, file) in new.fronts {
-            needs_restart.extend(self.fronts.reload(which, file));
+        for (which, file) in new.frontends {
+            needs_restart.extend(self.frontends.reload(which, file));
         }
         // A predecessor that still runs reports its open descriptors again with its next connection.
         self.state.net.set_descriptor_limit(self.state.config.max_descriptors);
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -3,8 +3,8 @@
 use super::Node;
 use crate::admin::AdminServer;
 use crate::log;
+use crate::model::Nanos;
 use crate::requests::AttemptStep;
-use crate::vocabulary::Nanos;
 
 const NANOS_PER_MS: Nanos = 1_000_000;
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Prints the node's counters, those of the lease protocol and those of the fronts.
+    /// Prints the node's counters, those of the lease protocol and those of the frontends.
     pub(super) fn print_counters(&mut self) {
         let violations = self.state.requests.violations.count();
         let counters = &mut self.state.requests.counters;
@@ -42,7 +42,7 @@
         }
         log::line(format_args!("{counters}"));
         self.print_quotas();
-        for line in self.fronts.counter_lines() {
+        for line in self.frontends.counter_lines() {
             log::line(format_args!("{line}"));
         }
     }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -9,16 +9,18 @@
 use crate::config::Config;
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::front::{FrontFiles, FrontSetup, Fronts, ParsedFrontFiles, TimerEvent, TEXT_FRONT};
+use crate::frontend::{
+    FrontendFiles, FrontendSetup, Frontends, ParsedFrontendFiles, TimerEvent, TEXT_FRONTEND,
+};
 use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
 use crate::hash::fnv1a;
 use crate::lifecycle::Lifecycle;
 use crate::log;
+use crate::model::Nanos;
 use crate::net::{SocketOwner, SocketReactor, TimerWheel};
 use crate::quota::transport::LeaseTransport;
 use crate::quota::{self, QuotaAdmission, QuotaMembership};
 use crate::requests::RequestTable;
-use crate::vocabulary::Nanos;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -29,7 +31,7 @@
     /// The signals' handlers, or why there are none.
     signals: io::Result<SignalPipes>,
     configuration: Configuration,
-    front_files: FrontFiles,
+    frontend_files: FrontendFiles,
     flow_collector: Option<SocketAddr>,
     quota_membership: Option<QuotaMembership>,
     /// The clients' listening socket, where the platform passes it.
@@ -41,7 +43,7 @@
     pub fn prepare(options: Options) -> Result<PreparedNode, PrepareError> {
         let signals = retry_while_short(SignalPipes::install, is_shortage);
         let configuration = retry_while_short(
-            || Configuration::read(&options.front_files),
+            || Configuration::read(&options.frontend_files),
             |error| error.io_error().is_some_and(is_shortage),
         )?;
         let quota_membership = match &options.quota_file {
@@ -55,7 +57,7 @@
         Ok(PreparedNode {
             signals,
             configuration,
-            front_files: options.front_files,
+            frontend_files: options.frontend_files,
             flow_collector: options.flow_collector,
             quota_membership,
             passed_listener,
@@ -70,7 +72,7 @@
 
     /// Opens everything, and lets the balancer decide on the endpoints that are known from the start.
     fn start(self) -> Result<Node, ServeError> {
-        let Configuration { node: config, fronts: front_configs } = self.configuration;
+        let Configuration { node: config, frontends: frontend_configs } = self.configuration;
         let reactor = || SocketReactor::new(config.max_descriptors);
         let mut net = retry_while_short(reactor, is_shortage).map_err(ServeError::Poll)?;
         let signals = self.signals.and_then(|pipes| SignalSockets::register(&mut net, pipes));
@@ -84,9 +86,9 @@
         if handover_path.is_some() {
             startup.net.reserve_descriptors(handover::SUCCESSOR_DESCRIPTORS);
         }
-        let mut fronts = Fronts::new();
+        let mut frontends = Frontends::new();
         startup.listen_for_clients(self.passed_listener)?;
-        startup.open_optional_fronts(&mut fronts, front_configs)?;
+        startup.open_optional_frontends(&mut frontends, frontend_configs)?;
         if let Some(admin) = &admin {
             log::line(format_args!("operator listen={}", admin.listen));
         }
@@ -102,8 +104,8 @@
         let lifecycle = Lifecycle::default();
         let mut node = Node {
             state: NodeState { clock, net, requests, registry, wheel, config, lifecycle },
-            fronts,
-            front_files: self.front_files,
+            frontends,
+            frontend_files: self.frontend_files,
             discovery,
             admin: admin.map(|admin| admin.server),
             handover,
@@ -197,9 +199,9 @@
         Predecessor { snapshot: Some(snapshot), channel: Some(channel) }
     }
 
-    /// Opens the platform's own front to clients.
+    /// Opens the platform's own frontend to clients.
     fn listen_for_clients(&mut self, passed_listener: Option<OwnedFd>) -> Result<(), ServeError> {
-        let owner = SocketOwner::Front(TEXT_FRONT);
+        let owner = SocketOwner::Frontend(TEXT_FRONTEND);
         let listening = match passed_listener {
             Some(socket) => self.net.register_listener(socket, owner),
             None => retry_while_short(|| self.net.listen(self.config.listen, owner), is_shortage),
@@ -209,15 +211,15 @@
         Ok(())
     }
 
-    fn open_optional_fronts(
+    fn open_optional_frontends(
         &mut self,
-        fronts: &mut Fronts,
-        front_configs: ParsedFrontFiles,
+        frontends: &mut Frontends,
+        frontend_configs: ParsedFrontendFiles,
     ) -> Result<(), ServeError> {
-        for (which, front_config) in front_configs {
+        for (which, frontend_config) in frontend_configs {
             let setup =
-                FrontSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
-            let line = fronts.open(which, front_config, setup)?;
+                FrontendSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
+            let line = frontends.open(which, frontend_config, setup)?;
             log::line(format_args!("{line}"));
         }
         Ok(())
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -1,8 +1,8 @@
 //! Unit tests of the lines that a failed start prints.
 
 use super::{PrepareError, ServeError};
-use crate::front::FrontError;
-use crate::vocabulary::SettingsError;
+use crate::frontend::FrontendError;
+use crate::model::SettingsError;
 use std::io::{Error, ErrorKind};
 
 fn refused() -> Error {
@@ -26,7 +26,7 @@
     ServeError::Settings(SettingsError { field: "classes", problem: "there must be a request class" }),
     "setting classes: there must be a request class"
 )]
-#[case(ServeError::Front(FrontError::WrongConfigType), "not this front's file")]
+#[case(ServeError::Frontend(FrontendError::WrongConfigType), "not this frontend's file")]
 fn a_failed_start_names_what_failed(#[case] error: ServeError, #[case] line: &str) {
     assert_eq!(error.to_string(), line);
 }
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -7,12 +7,12 @@
 use super::request::{Phase, Request, Requests};
 use super::selection::Selection;
 use super::server::{Server, ServerSet};
+use crate::model::{Action, Arrival, Endpoint, Event, ListKind, Nanos, Outcome};
+use crate::model::{RequestId, ServerId, Settings, SettingsError};
 use crate::random::{mix64, uniform_up_to, Rng};
 use crate::resilience::{request_backoff_limit, EndpointSubscription, FillTarget, FleetLimits, SlowStart};
 use crate::resilience::{Admission, RetryAdmission};
-use crate::rules::{self, RepeatFacts, RepeatRefusal};
-use crate::vocabulary::{Action, Arrival, Endpoint, Event, ListKind, Nanos, Outcome};
-use crate::vocabulary::{RequestId, ServerId, Settings, SettingsError};
+use crate::rules::{self, RetryInputs, RetryRefusal};
 
 /// One node's decisions: a state machine without clock, I/O or shared state.
 pub struct Balancer {
@@ -31,7 +31,7 @@
     /// The actions of the event that is handled now.
     actions: Vec<Action>,
     /// Why requests got their final answer in the event that was handled last.
-    pub(crate) refusals: Vec<(RequestId, RepeatRefusal)>,
+    pub(crate) refusals: Vec<(RequestId, RetryRefusal)>,
 }
 
 impl Balancer {
@@ -239,16 +239,16 @@
         self.actions.push(Action::StartAttempt { id, server, timeout, send_by });
     }
 
-    fn may_attempt(&self, request: &Request) -> Result<(), RepeatRefusal> {
+    fn may_attempt(&self, request: &Request) -> Result<(), RetryRefusal> {
         let (now, deadline, attempts) = (self.now, request.deadline, &request.attempts);
-        let misses_turn =
+        let misses_deadline =
             request.queued && self.admission.misses_deadline(now, self.setup_interval(), deadline);
         let class = &self.settings.classes[request.class];
-        rules::may_repeat(&RepeatFacts { now, deadline, attempts, class, misses_turn }, &self.settings)
+        rules::may_retry(&RetryInputs { now, deadline, attempts, class, misses_deadline }, &self.settings)
     }
 
     /// Gives the one final answer: a rejection where a retry by the client is safe, a failure otherwise.
-    fn give_up(&mut self, id: RequestId, refusal: RepeatRefusal) {
+    fn give_up(&mut self, id: RequestId, refusal: RetryRefusal) {
         self.refusals.push((id, refusal));
         let queue_delay = self.admission.queue_delay(self.setup_interval());
         let Some(request) = self.requests.remove(&id) else { return };
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -2,9 +2,9 @@
 
 use super::request::{Phase, Request, Requests};
 use super::server::ServerSet;
+use crate::model::{Action, Nanos, RequestId, ServerId, Settings};
 use crate::random::{mix64, Rng};
 use crate::resilience::{connection_value, least_valuable, Connection, LatencyResponse};
-use crate::vocabulary::{Action, Nanos, RequestId, ServerId, Settings};
 
 /// What a migration changes, and what it depends on.
 pub(super) struct Migration<'a> {
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,8 +1,8 @@
 //! The state of one request.
 
+use crate::model::{Arrival, Nanos, RequestId};
 use crate::random::mix64;
 use crate::resilience::AttemptHistory;
-use crate::vocabulary::{Arrival, Nanos, RequestId};
 use std::collections::BTreeMap;
 
 /// All requests of this node that are not over, in the order of their ids.
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -2,9 +2,9 @@
 
 use super::request::Request;
 use super::server::{Server, ServerSet};
+use crate::model::{Nanos, ServerId, Settings};
 use crate::random::{mix64, unit_interval};
 use crate::resilience::{deduplicates, rendezvous_rank, FillTarget, LowestRanks, Ranked, SlowStart};
-use crate::vocabulary::{Nanos, ServerId, Settings};
 
 /// Servers compared for one attempt.
 const MAX_CANDIDATES: usize = 3;
@@ -63,7 +63,7 @@
         let may_take = |id: &&ServerId| {
             let server = self.servers.get(**id);
             server.health.is_available(self.now)
-                && self.is_repeat_safe(request, server)
+                && self.is_retry_safe(request, server)
                 && !request.attempts.has_tried(**id)
         };
         let mut eligible: Vec<ServerId> = self.servers.serving().iter().filter(may_take).copied().collect();
@@ -75,7 +75,7 @@
     }
 
     /// Rule 2: after a possible run only servers that discard a repeat may take the request.
-    fn is_repeat_safe(&self, request: &Request, server: &Server) -> bool {
+    fn is_retry_safe(&self, request: &Request, server: &Server) -> bool {
         let Some(run) = request.attempts.first_possible_run() else { return true };
         let Some(first) = self.servers.find(run.server) else { return false };
         let class = &self.settings.classes[request.class];
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,7 +1,7 @@
 //! The state of each server, and the set of all servers.
 
+use crate::model::{Endpoint, ListKind, Nanos, RequestId, ServerAttributes, ServerId, Status};
 use crate::resilience::{InFlight, ServerHealth};
-use crate::vocabulary::{Endpoint, ListKind, Nanos, RequestId, ServerAttributes, ServerId, Status};
 use serde::{Deserialize, Serialize};
 
 /// One server. Its serialized form is handed over to other versions of this program: its names stay.
--- a/src/quota/admission.rs
+++ b/src/quota/admission.rs
@@ -1,7 +1,7 @@
 //! Admission of this node's requests against its allotments of the fleet-wide quotas.
 
 use super::QuotaMembership;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use sparbank_quota::{
     AdmissionController, AttemptKind, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, QuotaPlan, QuotaScope,
     QuotaStatus, Rejection,
--- a/src/quota/transport/grantor_service.rs
+++ b/src/quota/transport/grantor_service.rs
@@ -1,7 +1,7 @@
 //! The grantor at this node: it collects lease requests and answers them together, once per exchange interval.
 
+use crate::model::Nanos;
 use crate::net::Token;
-use crate::vocabulary::Nanos;
 use sparbank_quota::{Grantor, HolderId, LeaseGrant, LeaseRequest, LeaseTable, LogEntry, QuotaPlan};
 use std::collections::BTreeMap;
 
--- a/src/quota/transport/mod.rs
+++ b/src/quota/transport/mod.rs
@@ -8,9 +8,9 @@
 mod frame;
 mod grantor_service;
 
+use crate::model::Nanos;
 use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token};
 use crate::quota::{QuotaAdmission, QuotaMembership};
-use crate::vocabulary::Nanos;
 use frame::{FrameLimits, Message, UndecodableFrame};
 use grantor_service::{GrantorService, Requester};
 use std::collections::HashMap;
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,15 +1,15 @@
 //! Commands of the request table to the node.
 
-use crate::front_id::FrontId;
-use crate::vocabulary::{Nanos, RequestId, ServerId};
+use crate::frontend_id::FrontendId;
+use crate::model::{Nanos, RequestId, ServerId};
 
 /// A command that the node carries out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start the only attempt of a request.
     StartAttempt {
-        /// The request's front.
-        front: FrontId,
+        /// The request's frontend.
+        frontend: FrontendId,
         /// The request.
         request_id: RequestId,
         /// The server to send it to.
@@ -19,15 +19,15 @@
     },
     /// Cancel the attempt of a request.
     CancelAttempt {
-        /// The request's front.
-        front: FrontId,
+        /// The request's frontend.
+        frontend: FrontendId,
         /// The request.
         request_id: RequestId,
     },
     /// Send the final answer "rejected".
     Reject {
-        /// The request's front.
-        front: FrontId,
+        /// The request's frontend.
+        frontend: FrontendId,
         /// The request.
         request_id: RequestId,
         /// The advice when to retry, in nanoseconds from now; zero for none.
@@ -35,25 +35,25 @@
     },
     /// Send the final answer "failed".
     Fail {
-        /// The request's front.
-        front: FrontId,
+        /// The request's frontend.
+        frontend: FrontendId,
         /// The request.
         request_id: RequestId,
     },
     /// Tell the client of an established connection to reconnect.
     Migrate {
-        /// The request's front.
-        front: FrontId,
+        /// The request's frontend.
+        frontend: FrontendId,
         /// The request.
         request_id: RequestId,
     },
-    /// Request a server's load report; an [`Event::HealthCheckResult`](crate::vocabulary::Event::HealthCheckResult)
+    /// Request a server's load report; an [`Event::HealthCheckResult`](crate::model::Event::HealthCheckResult)
     /// answers it.
     HealthCheck {
         /// The server.
         server: ServerId,
     },
-    /// Push an [`Event::Timer`](crate::vocabulary::Event::Timer) with this token.
+    /// Push an [`Event::Timer`](crate::model::Event::Timer) with this token.
     SetTimer {
         /// In nanoseconds from now.
         after: Nanos,
--- a/src/requests/decide.rs
+++ b/src/requests/decide.rs
@@ -4,9 +4,9 @@
 use super::open_requests::{Attempt, RequestState};
 use super::records::FlowResult;
 use super::table::{QuotaRejection, RequestTable};
-use crate::front_id::FrontId;
+use crate::frontend_id::FrontendId;
 use crate::log;
-use crate::vocabulary::{Action, Event, Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Action, Event, Nanos, Outcome, RequestId, ServerId};
 
 /// An attempt as the balancer wants it.
 struct AttemptPlan {
@@ -38,11 +38,11 @@
         let mut commands = Vec::new();
         for rejection in std::mem::take(&mut self.quota_rejections) {
             let QuotaRejection { request_id, retry_after } = rejection;
-            if let Some(front) = self.close_unanswered(now, request_id, FlowResult::Rejected) {
+            if let Some(frontend) = self.close_unanswered(now, request_id, FlowResult::Rejected) {
                 self.counters.rejected += 1;
                 self.counters.rejected_unsent += 1;
                 self.counters.quota_rejected += 1;
-                commands.push(Command::Reject { front, request_id, retry_after });
+                commands.push(Command::Reject { frontend, request_id, retry_after });
             }
         }
         commands
@@ -54,20 +54,20 @@
                 self.start_attempt(now, id, AttemptPlan { server, timeout, send_by })
             }
             Action::CancelAttempt { id, .. } => {
-                let front = self.open.get(id)?.front;
+                let frontend = self.open.get(id)?.frontend;
                 self.on_attempt_ended(now, id, Outcome::Cancelled);
-                Some(Command::CancelAttempt { front, request_id: id })
+                Some(Command::CancelAttempt { frontend, request_id: id })
             }
             Action::Reject { id, retry_after } => self.reject(now, id, retry_after),
             Action::Fail(id) => {
-                let front = self.close_unanswered(now, id, FlowResult::Failed)?;
+                let frontend = self.close_unanswered(now, id, FlowResult::Failed)?;
                 self.counters.failed += 1;
-                Some(Command::Fail { front, request_id: id })
+                Some(Command::Fail { frontend, request_id: id })
             }
             Action::Migrate(id) => {
-                let front = self.open.get(id)?.front;
+                let frontend = self.open.get(id)?.frontend;
                 self.close_for_migration(now, id, Outcome::Cancelled);
-                Some(Command::Migrate { front, request_id: id })
+                Some(Command::Migrate { frontend, request_id: id })
             }
             Action::SetTimer { after, token } => Some(Command::SetTimer { after, token }),
             Action::HealthCheck(server) => Some(Command::HealthCheck { server }),
@@ -97,25 +97,25 @@
         request.state = RequestState::InFlight(attempt);
         self.counters.sent += 1;
         let timeout = timeout.min(request.deadline.saturating_sub(now));
-        Some(Command::StartAttempt { front: request.front, request_id: id, server, timeout })
+        Some(Command::StartAttempt { frontend: request.frontend, request_id: id, server, timeout })
     }
 
     fn reject(&mut self, now: Nanos, id: RequestId, retry_after: Nanos) -> Option<Command> {
         let is_unsent = self.open.get(id).is_some_and(|request| request.attempts == 0);
-        let front = self.close_unanswered(now, id, FlowResult::Rejected)?;
+        let frontend = self.close_unanswered(now, id, FlowResult::Rejected)?;
         self.counters.rejected += 1;
         self.counters.rejected_unsent += u64::from(is_unsent);
-        Some(Command::Reject { front, request_id: id, retry_after })
+        Some(Command::Reject { frontend, request_id: id, retry_after })
     }
 
     /// Closes a request that has no attempt in flight and no answer yet.
-    fn close_unanswered(&mut self, now: Nanos, id: RequestId, result: FlowResult) -> Option<FrontId> {
+    fn close_unanswered(&mut self, now: Nanos, id: RequestId, result: FlowResult) -> Option<FrontendId> {
         let request = self.open.get(id)?;
         if request.state != RequestState::NoAttempt {
             return None;
         }
-        let front = request.front;
+        let frontend = request.frontend;
         self.close(now, id, None, result);
-        Some(front)
+        Some(frontend)
     }
 }
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,7 +1,7 @@
 //! The requests that may still be answered or ended, by their ids.
 
-use crate::front_id::FrontId;
-use crate::vocabulary::{Arrival, Nanos, RequestId, ServerId};
+use crate::frontend_id::FrontendId;
+use crate::model::{Arrival, Nanos, RequestId, ServerId};
 use std::collections::HashMap;
 
 /// An attempt that has no outcome yet.
@@ -31,8 +31,8 @@
 /// A request that may still be answered or ended.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The front through which it arrived.
-    pub front: FrontId,
+    /// The frontend through which it arrived.
+    pub frontend: FrontendId,
     /// Its class, an index into the settings' classes.
     pub class: usize,
     /// When it arrived.
@@ -74,14 +74,14 @@
     pub fn insert(
         &mut self,
         now: Nanos,
-        front: FrontId,
+        frontend: FrontendId,
         arrival: &mut Arrival,
         state: RequestState,
     ) -> RequestId {
         self.last_id += 1;
         arrival.id = RequestId(self.last_id);
         let request = Request {
-            front,
+            frontend,
             class: arrival.class,
             started_at: now,
             deadline: now.saturating_add(arrival.time_left),
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -1,7 +1,7 @@
 //! Records of ended flows and of attempts, gathered for an export or a trace.
 
-use crate::front_id::FrontId;
-use crate::vocabulary::{Nanos, Outcome, RequestId, ServerId};
+use crate::frontend_id::FrontendId;
+use crate::model::{Nanos, Outcome, RequestId, ServerId};
 
 /// Records gathered between two turns of the event loop; none while it is disabled.
 pub struct RecordBuffer<T> {
@@ -37,8 +37,8 @@
 pub struct FlowRecord {
     /// The request.
     pub request_id: RequestId,
-    /// The front through which it arrived.
-    pub front: FrontId,
+    /// The frontend through which it arrived.
+    pub frontend: FrontendId,
     /// Its class, an index into the settings' classes.
     pub class: usize,
     /// The server of its last attempt, unless the request ended between two attempts.
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -4,17 +4,17 @@
 use super::open_requests::{Attempt, OpenRequests, Request, RequestState};
 use super::records::{AttemptRecord, AttemptStep, FlowRecord, FlowResult, RecordBuffer};
 use crate::counters::Counters;
-use crate::front_id::FrontId;
+use crate::frontend_id::FrontendId;
+use crate::model::{Arrival, Event, Nanos, Outcome, RequestId, ServerId, Settings, SettingsError};
 use crate::policy::Balancer;
 use crate::quota::QuotaAdmission;
-use crate::rules::{self, SendFacts, SendRefusal, ViolationLog};
-use crate::vocabulary::{Arrival, Event, Nanos, Outcome, RequestId, ServerId, Settings, SettingsError};
+use crate::rules::{self, SendInputs, SendRefusal, ViolationLog};
 
 /// An established connection that the process before this one handed over.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandedOverConnection {
-    /// The front through which its request arrived.
-    pub front: FrontId,
+    /// The frontend through which its request arrived.
+    pub frontend: FrontendId,
     /// The request that opened it.
     pub arrival: Arrival,
     /// Its server.
@@ -90,12 +90,12 @@
         self.balancer.restore_state(snapshot)
     }
 
-    // ---- Reports of the fronts -----------------------------------------------------------------
+    // ---- Reports of the frontends -----------------------------------------------------------------
 
     /// A request arrived. Returns the id assigned to it.
-    pub fn on_request(&mut self, now: Nanos, front: FrontId, mut arrival: Arrival) -> RequestId {
+    pub fn on_request(&mut self, now: Nanos, frontend: FrontendId, mut arrival: Arrival) -> RequestId {
         self.counters.requests += 1;
-        let request_id = self.open.insert(now, front, &mut arrival, RequestState::NoAttempt);
+        let request_id = self.open.insert(now, frontend, &mut arrival, RequestState::NoAttempt);
         if let Some(quotas) = &mut self.quotas {
             if let Err(retry_after) = quotas.admit_request(now, arrival.class) {
                 self.quota_rejections.push(QuotaRejection { request_id, retry_after });
@@ -111,19 +111,19 @@
     pub fn restore_established(
         &mut self,
         now: Nanos,
-        front: FrontId,
+        frontend: FrontendId,
         arrival: Arrival,
         server: ServerId,
     ) -> RequestId {
         self.counters.resumed += 1;
-        self.insert_established(now, front, arrival, server)
+        self.insert_established(now, frontend, arrival, server)
     }
 
     /// Continues an established connection of the process before this one.
     pub fn receive_handed_over(&mut self, now: Nanos, connection: HandedOverConnection) -> RequestId {
-        let HandedOverConnection { front, arrival, server, started_at, load } = connection;
+        let HandedOverConnection { frontend, arrival, server, started_at, load } = connection;
         self.counters.inherited += 1;
-        let id = self.insert_established(now, front, arrival, server);
+        let id = self.insert_established(now, frontend, arrival, server);
         if let Some(request) = self.open.get_mut(id) {
             request.started_at = started_at;
         }
@@ -136,11 +136,11 @@
     fn insert_established(
         &mut self,
         now: Nanos,
-        front: FrontId,
+        frontend: FrontendId,
         mut arrival: Arrival,
         server: ServerId,
     ) -> RequestId {
-        let id = self.open.insert(now, front, &mut arrival, RequestState::Established(server));
+        let id = self.open.insert(now, frontend, &mut arrival, RequestState::Established(server));
         if let Some(quotas) = &mut self.quotas {
             quotas.adopt_connection(arrival.class);
             self.mark_quota_used(id);
@@ -160,11 +160,11 @@
         Some(request.started_at)
     }
 
-    /// Whether the attempt in flight may be written to its server now. A front asks right before the first byte, with
+    /// Whether the attempt in flight may be written to its server now. A frontend asks right before the first byte, with
     /// what its sockets say at that moment.
     ///
     /// # Errors
-    /// Why not; the front then reports the attempt as [`Outcome::NotSent`].
+    /// Why not; the frontend then reports the attempt as [`Outcome::NotSent`].
     pub fn may_send(
         &self,
         now: Nanos,
@@ -175,7 +175,7 @@
         let attempt = self.open.get(id).and_then(Request::attempt_in_flight);
         let send_by = attempt.map_or(0, |attempt| attempt.send_by);
         let is_current_attempt = attempt.is_some();
-        rules::may_send(&SendFacts { now, client_gone, server_ready, is_current_attempt, send_by })
+        rules::may_send(&SendInputs { now, client_gone, server_ready, is_current_attempt, send_by })
     }
 
     /// The attempt in flight was accepted: its connection is established and the client has its answer.
@@ -227,7 +227,7 @@
         done
     }
 
-    /// The attempt in flight has ended and cannot be repeated, since its front no longer has the bytes to send.
+    /// The attempt in flight has ended and cannot be repeated, since its frontend no longer has the bytes to send.
     /// Returns whether a final answer, failed, is still due to the client.
     pub fn on_unrepeatable_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
         let Some(request) = self.open.get(id) else { return false };
@@ -240,7 +240,7 @@
         true
     }
 
-    /// The client disconnected. The front has already cancelled the attempt, if one was in flight.
+    /// The client disconnected. The frontend has already cancelled the attempt, if one was in flight.
     pub fn on_client_disconnected(&mut self, now: Nanos, id: RequestId) {
         let Some(request) = self.open.get(id) else { return };
         match request.state {
@@ -271,17 +271,17 @@
     // ---- What the node ends by itself --------------------------------------------------------------
 
     /// Closes an established connection that the node migrates, during a drain or because its server is silent.
-    /// Returns the front that has to notify the client; `None` if it is not established.
-    pub fn close_for_migration(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontId> {
+    /// Returns the frontend that has to notify the client; `None` if it is not established.
+    pub fn close_for_migration(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontendId> {
         let request = self.open.get(id)?;
         let RequestState::Established(server) = request.state else { return None };
-        let front = request.front;
+        let frontend = request.frontend;
         let elapsed = now.saturating_sub(request.started_at);
         self.counters.migrated += 1;
         self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
         self.close(now, id, Some(server), FlowResult::Migrated);
         self.push_last_attempt_ended(id, server, outcome);
-        Some(front)
+        Some(frontend)
     }
 
     /// Closes the established connections that exceed the quotas, the newest first.
@@ -299,9 +299,9 @@
             if !is_excess {
                 continue;
             }
-            if let Some(front) = self.close_for_migration(now, request_id, Outcome::Cancelled) {
+            if let Some(frontend) = self.close_for_migration(now, request_id, Outcome::Cancelled) {
                 self.counters.quota_migrated += 1;
-                commands.push(Command::Migrate { front, request_id });
+                commands.push(Command::Migrate { frontend, request_id });
             }
         }
         commands
@@ -313,17 +313,17 @@
         let mut commands = Vec::new();
         for request_id in self.open.ids_oldest_first(is_due) {
             let Some(request) = self.open.get(request_id) else { continue };
-            let front = request.front;
+            let frontend = request.frontend;
             let state = request.state;
             self.pending_events.push(Event::ClientDisconnected(request_id));
             if let RequestState::InFlight(attempt) = state {
-                commands.push(Command::CancelAttempt { front, request_id });
+                commands.push(Command::CancelAttempt { frontend, request_id });
                 self.counters.count_attempt(Outcome::Cancelled);
                 self.push_last_attempt_ended(request_id, attempt.server, Outcome::Cancelled);
             }
             self.counters.failed += 1;
             self.close(now, request_id, None, FlowResult::Failed);
-            commands.push(Command::Fail { front, request_id });
+            commands.push(Command::Fail { frontend, request_id });
         }
         commands
     }
@@ -335,11 +335,11 @@
         !self.pending_events.is_empty() || !self.quota_rejections.is_empty()
     }
 
-    /// The front of a request whose attempt with this number is still in flight, for the attempt's time-out.
-    pub fn front_of_attempt(&self, id: RequestId, number: u32) -> Option<FrontId> {
+    /// The frontend of a request whose attempt with this number is still in flight, for the attempt's time-out.
+    pub fn frontend_of_attempt(&self, id: RequestId, number: u32) -> Option<FrontendId> {
         let request = self.open.get(id)?;
         match request.state {
-            RequestState::InFlight(attempt) if attempt.number == number => Some(request.front),
+            RequestState::InFlight(attempt) if attempt.number == number => Some(request.frontend),
             _ => None,
         }
     }
@@ -376,7 +376,7 @@
         self.release_quota(&request);
         self.ended_flows.push(FlowRecord {
             request_id: id,
-            front: request.front,
+            frontend: request.frontend,
             class: request.class,
             server,
             started_at: request.started_at,
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -1,14 +1,14 @@
 //! The states of a request, with the balancer on two servers.
 
 use super::*;
-use crate::vocabulary::{
+use crate::model::{
     Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
     RequestId, ServerId, Settings, Status,
 };
 
 const MILLISECOND: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MILLISECOND;
-const FRONT: FrontId = FrontId { index: 0, name: "text" };
+const FRONTEND: FrontendId = FrontendId { index: 0, name: "text" };
 const SERVER: ServerId = ServerId(0);
 
 fn settings() -> Settings {
@@ -75,9 +75,11 @@
 
 /// The server of the attempt that a new request's first decision starts.
 fn start_request(requests: &mut RequestTable, now: Nanos) -> (RequestId, ServerId) {
-    let id = requests.on_request(now, FRONT, arrival());
+    let id = requests.on_request(now, FRONTEND, arrival());
     match requests.decide(now)[..] {
-        [Command::StartAttempt { request_id, server, front: FRONT, .. }] if request_id == id => (id, server),
+        [Command::StartAttempt { request_id, server, frontend: FRONTEND, .. }] if request_id == id => {
+            (id, server)
+        }
         ref other => panic!("one attempt is started, not {other:?}"),
     }
 }
@@ -160,14 +162,14 @@
 }
 
 #[test]
-fn time_out_of_an_earlier_attempt_finds_no_front() {
+fn time_out_of_an_earlier_attempt_finds_no_frontend() {
     let mut requests = two_server_requests();
     let (id, _) = start_request(&mut requests, SECOND);
     let first = requests.attempt_number(id);
-    assert_eq!((first, requests.front_of_attempt(id, first)), (1, Some(FRONT)));
-    assert_eq!(requests.front_of_attempt(id, first + 1), None);
+    assert_eq!((first, requests.frontend_of_attempt(id, first)), (1, Some(FRONTEND)));
+    assert_eq!(requests.frontend_of_attempt(id, first + 1), None);
     requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed);
-    assert_eq!(requests.front_of_attempt(id, first), None);
+    assert_eq!(requests.frontend_of_attempt(id, first), None);
 }
 
 #[test]
@@ -188,17 +190,17 @@
     let (established, _) = start_request(&mut requests, SECOND);
     requests.on_established(SECOND, established);
     let (in_flight, _) = start_request(&mut requests, SECOND);
-    let waiting = requests.on_request(SECOND, FRONT, arrival());
-    let late = requests.on_request(2 * SECOND, FRONT, arrival());
+    let waiting = requests.on_request(SECOND, FRONTEND, arrival());
+    let late = requests.on_request(2 * SECOND, FRONTEND, arrival());
     let commands = requests.fail_unanswered(3 * SECOND, 2 * SECOND);
     let expected = [
-        Command::CancelAttempt { front: FRONT, request_id: in_flight },
-        Command::Fail { front: FRONT, request_id: in_flight },
-        Command::Fail { front: FRONT, request_id: waiting },
+        Command::CancelAttempt { frontend: FRONTEND, request_id: in_flight },
+        Command::Fail { frontend: FRONTEND, request_id: in_flight },
+        Command::Fail { frontend: FRONTEND, request_id: waiting },
     ];
     assert_eq!(commands, expected);
     assert_eq!(requests.established(), [established]);
-    assert_eq!(requests.front_of_attempt(late, 0), None);
+    assert_eq!(requests.frontend_of_attempt(late, 0), None);
     assert!(!requests.is_idle(), "the late request is still open");
     assert_eq!(results(&mut requests), [FlowResult::Failed, FlowResult::Failed]);
 }
@@ -209,7 +211,7 @@
     let (id, _) = start_request(&mut requests, SECOND);
     assert_eq!(requests.close_for_migration(SECOND, id, Outcome::Cancelled), None);
     requests.on_established(SECOND, id);
-    assert_eq!(requests.close_for_migration(2 * SECOND, id, Outcome::Cancelled), Some(FRONT));
+    assert_eq!(requests.close_for_migration(2 * SECOND, id, Outcome::Cancelled), Some(FRONTEND));
     assert!(requests.is_idle());
     assert_eq!(requests.counters.migrated, 1);
     assert_eq!(results(&mut requests), [FlowResult::Migrated]);
@@ -226,8 +228,13 @@
     assert_eq!(results(&mut predecessor), []);
 
     let mut successor = two_server_requests();
-    let connection =
-        HandedOverConnection { front: FRONT, arrival: arrival(), server: SERVER, started_at, load: Some(7) };
+    let connection = HandedOverConnection {
+        frontend: FRONTEND,
+        arrival: arrival(),
+        server: SERVER,
+        started_at,
+        load: Some(7),
+    };
     let id = successor.receive_handed_over(5 * SECOND, connection);
     successor.on_attempt_ended(6 * SECOND, id, Outcome::Ok);
     let flows = successor.ended_flows.take();
@@ -239,7 +246,7 @@
 #[test]
 fn disabled_record_buffer_gathers_nothing() {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
-    let id = requests.restore_established(SECOND, FRONT, arrival(), SERVER);
+    let id = requests.restore_established(SECOND, FRONTEND, arrival(), SERVER);
     requests.on_attempt_ended(2 * SECOND, id, Outcome::Ok);
     assert_eq!(requests.ended_flows.take(), []);
     assert_eq!(requests.attempt_trace.take(), []);
--- a/src/resilience/backoff.rs
+++ b/src/resilience/backoff.rs
@@ -1,6 +1,6 @@
 //! Exponential backoff with Full Jitter: the caller draws the delay uniformly from zero to this module's limit.
 
-use crate::vocabulary::{Nanos, RequestClass};
+use crate::model::{Nanos, RequestClass};
 
 /// Larger exponents add nothing: every cap in use lies far below 2^32 times its base.
 const MAX_EXPONENT: u32 = 32;
--- a/src/resilience/backoff/tests.rs
+++ b/src/resilience/backoff/tests.rs
@@ -1,5 +1,5 @@
 use super::{full_jitter_limit, request_backoff_limit};
-use crate::vocabulary::{DedupScope, Effect, RequestClass};
+use crate::model::{DedupScope, Effect, RequestClass};
 
 #[test]
 fn the_limit_doubles_up_to_the_cap() {
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -1,7 +1,7 @@
 //! Which connections to migrate from a server: those of the least value for their load.
 
+use crate::model::{Nanos, RequestId};
 use crate::random::unit_interval;
-use crate::vocabulary::{Nanos, RequestId};
 
 /// A connection that may be migrated.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/resilience/connection_value/tests.rs
+++ b/src/resilience/connection_value/tests.rs
@@ -1,5 +1,5 @@
 use super::{connection_value, least_valuable, Connection};
-use crate::vocabulary::RequestId;
+use crate::model::RequestId;
 
 fn connection(id: u64, value: f64, rank: u64) -> Connection {
     Connection { id: RequestId(id), value, rank }
--- a/src/resilience/endpoint_subscription.rs
+++ b/src/resilience/endpoint_subscription.rs
@@ -1,7 +1,7 @@
 //! The subscription to the endpoint list: whether it is established, and when discovery is polled again.
 
 use super::poll_backoff::max_poll_delay;
-use crate::vocabulary::{ListKind, Nanos, Settings};
+use crate::model::{ListKind, Nanos, Settings};
 
 /// Poll timers have tokens above all request ids.
 const FIRST_POLL_TOKEN: u64 = 1 << 62;
--- a/src/resilience/endpoint_subscription/tests.rs
+++ b/src/resilience/endpoint_subscription/tests.rs
@@ -1,5 +1,5 @@
 use super::EndpointSubscription;
-use crate::vocabulary::{Discovery, ListKind, Settings};
+use crate::model::{Discovery, ListKind, Settings};
 
 #[test]
 fn only_the_last_poll_scheduled_is_due_and_only_without_a_subscription() {
--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -3,7 +3,7 @@
 //! What is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a share of
 //! the fleet's limits that it derives from the settings.
 
-use crate::vocabulary::{Nanos, Settings};
+use crate::model::{Nanos, Settings};
 
 const NANOS_PER_SECOND: f64 = 1e9;
 /// The fleet may make this multiple of the connection set-ups that the tenants' quotas allow: what all nodes share,
--- a/src/resilience/in_flight.rs
+++ b/src/resilience/in_flight.rs
@@ -1,6 +1,6 @@
 //! The attempts and connections that a node has in flight at one server, and the groups that they are of.
 
-use crate::vocabulary::RequestId;
+use crate::model::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The requests in flight at one server.
--- a/src/resilience/in_flight/tests.rs
+++ b/src/resilience/in_flight/tests.rs
@@ -1,5 +1,5 @@
 use super::InFlight;
-use crate::vocabulary::RequestId;
+use crate::model::RequestId;
 
 #[test]
 fn a_group_lasts_as_long_as_any_of_its_requests() {
--- a/src/resilience/latency_overload.rs
+++ b/src/resilience/latency_overload.rs
@@ -4,7 +4,7 @@
 //! and is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
 //! is to be migrated.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// A report is valid this long unless another comes: they come once per [`REPORT_INTERVAL`].
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -7,8 +7,8 @@
 //! `EJECTION_CAP` it costs two attempts, and more only where all eligible servers have an attempt in flight.
 
 use super::backoff::full_jitter_limit;
+use crate::model::Nanos;
 use crate::random::uniform_up_to;
-use crate::vocabulary::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// The limit of an ejection starts here and doubles: about the time of one failure that is noticed.
--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -1,13 +1,13 @@
 //! When a node polls discovery again after a poll that failed: the limit of its Full Jitter delay.
 
 use super::backoff::full_jitter_limit;
-use crate::vocabulary::{Discovery, Nanos, Settings};
+use crate::model::{Discovery, Nanos, Settings};
 
 /// A node counts as notified of a change 6 s after discovery had it and could be reached, whatever the settings
 /// allow after a failed poll. A poll that times out after 2 s, this delay and the next poll's answer fit into that.
 const MAX_POLL_DELAY: Nanos = 2_500_000_000;
 /// The same for the first poll after a watch that was open: that it fell silent was found out after 4.2 s, at the next
-/// tick (0.2 s), perhaps by a process that was held up (0.15 s), and the poll has to be answered too.
+/// tick (0.2 s), perhaps by a process that was stalled (0.15 s), and the poll has to be answered too.
 const MAX_FIRST_POLL_DELAY: Nanos = 1_250_000_000;
 /// Polls of the machine's own agent cost nothing: the delay only bounds the rate at which a dead agent is polled.
 const AGENT_BASE_DELAY: Nanos = 10_000_000;
--- a/src/resilience/poll_backoff/tests.rs
+++ b/src/resilience/poll_backoff/tests.rs
@@ -1,5 +1,5 @@
 use super::{max_poll_delay, MAX_POLL_DELAY};
-use crate::vocabulary::{Discovery, Nanos, Settings};
+use crate::model::{Discovery, Nanos, Settings};
 
 const SECOND: Nanos = 1_000_000_000;
 
@@ -19,7 +19,7 @@
     assert_eq!(max_poll_delay(&settings, failed_polls), limit);
 }
 
-/// A watch is found silent 4.2 s after its last byte, at the next tick (0.2 s) of a process that may be held up (0.15 s);
+/// A watch is found silent 4.2 s after its last byte, at the next tick (0.2 s) of a process that may be stalled (0.15 s);
 /// the first poll after that has to be answered within 6 s, however seldom the settings have a node poll.
 #[rstest::rstest]
 fn the_first_poll_after_a_silent_watch_is_in_time(#[values(1, 16, 60, 600)] poll_within_seconds: u64) {
--- a/src/resilience/recent_resets.rs
+++ b/src/resilience/recent_resets.rs
@@ -1,6 +1,6 @@
 //! How many established connections a server has reset lately. The count decays exponentially.
 
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
 
 /// Time constant of the decay, in nanoseconds.
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -5,7 +5,7 @@
 //! the window is below [`THROTTLE_BELOW`] the node is throttled: retries also keep a pacing interval, and a request
 //! that would have to queue past its deadline is rejected at once.
 
-use crate::vocabulary::{Action, Nanos, Outcome};
+use crate::model::{Action, Nanos, Outcome};
 use std::fmt;
 
 /// A fast set-up multiplies the window by this: two in a row double it.
--- a/src/resilience/retry_safety.rs
+++ b/src/resilience/retry_safety.rs
@@ -1,6 +1,6 @@
 //! Retry safety: the attempts of a request so far, and which repeats cannot run an effect twice.
 
-use crate::vocabulary::{DedupScope, Effect, Location, Nanos, Outcome, RequestClass, ServerId};
+use crate::model::{DedupScope, Effect, Location, Nanos, Outcome, RequestClass, ServerId};
 
 /// An attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -71,7 +71,7 @@
 
     /// Whether one more attempt can do no harm, at a server that [`deduplicates`] allows. `dial_timeout` is the
     /// longest time until the attempt's connection is established and the request sent.
-    pub fn may_repeat(&self, class: &RequestClass, now: Nanos, dial_timeout: Nanos) -> bool {
+    pub fn may_retry(&self, class: &RequestClass, now: Nanos, dial_timeout: Nanos) -> bool {
         match (class.effect, self.first_possible_run) {
             (Effect::ReadLike, _) | (_, None) => true,
             // The request is sent once its connection is established, which still has to be inside the window.
@@ -99,7 +99,7 @@
 }
 
 /// Whether a server at `location` discards a repeat of what may have run at `first`. True for requests without an
-/// idempotency key, which [`AttemptHistory::may_repeat`] decides.
+/// idempotency key, which [`AttemptHistory::may_retry`] decides.
 pub fn deduplicates(class: &RequestClass, first: Location, location: Location) -> bool {
     match (class.effect, class.dedup_scope) {
         (Effect::IdempotencyKey, DedupScope::Zone) => first.zone == location.zone,
--- a/src/resilience/retry_safety/tests.rs
+++ b/src/resilience/retry_safety/tests.rs
@@ -1,5 +1,5 @@
 use super::{deduplicates, AttemptHistory, PossibleRun};
-use crate::vocabulary::{DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
+use crate::model::{DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
 
 const DIAL_TIMEOUT: u64 = 10;
 
@@ -28,14 +28,14 @@
 #[case(Effect::NonIdempotent, Outcome::Timeout, 100, false)]
 #[case(Effect::IdempotencyKey, Outcome::Timeout, 139, true)]
 #[case(Effect::IdempotencyKey, Outcome::Timeout, 140, false)]
-fn a_repeat_is_safe_while_its_effect_is_discarded(
+fn a_retry_is_safe_while_its_effect_is_discarded(
     #[case] effect: Effect,
     #[case] outcome: Outcome,
     #[case] now: u64,
     #[case] is_safe: bool,
 ) {
     let class = class(effect, DedupScope::All);
-    assert_eq!(history(outcome).may_repeat(&class, now, DIAL_TIMEOUT), is_safe);
+    assert_eq!(history(outcome).may_retry(&class, now, DIAL_TIMEOUT), is_safe);
 }
 
 #[rstest::rstest]
@@ -60,7 +60,7 @@
 #[case(DedupScope::Cell, 0, 0, true)]
 #[case(DedupScope::Cell, 0, 1, false)]
 #[case(DedupScope::Cell, 1, 0, false)]
-fn repeats_keep_to_the_scope(
+fn retries_keep_to_the_scope(
     #[case] dedup_scope: DedupScope,
     #[case] zone: u32,
     #[case] cell: u32,
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -6,7 +6,7 @@
 use super::outlier::OutlierState;
 use super::recent_resets::RecentResets;
 use super::slow_start::ServerRamp;
-use crate::vocabulary::{Nanos, Settings};
+use crate::model::{Nanos, Settings};
 use serde::{Deserialize, Serialize};
 
 /// The health of one server.
--- a/src/resilience/server_health/tests.rs
+++ b/src/resilience/server_health/tests.rs
@@ -1,5 +1,5 @@
 use super::{LatencyResponse, ServerHealth};
-use crate::vocabulary::{DedupScope, Effect, RequestClass, Settings};
+use crate::model::{DedupScope, Effect, RequestClass, Settings};
 
 const MILLIS: u64 = 1_000_000;
 
--- a/src/resilience/slow_start.rs
+++ b/src/resilience/slow_start.rs
@@ -3,7 +3,7 @@
 //! Each node admits its own share of what fills the server, so that all nodes together fill it no faster than it can
 //! take. A server that is warming up is filled over its warm-up, one that was overloaded over [`RECOVERY_TIME`].
 
-use crate::vocabulary::{Nanos, Settings};
+use crate::model::{Nanos, Settings};
 
 /// A server that was overloaded is filled again over this time, in nanoseconds. Latency reports come once per second,
 /// so what is sent there between two reports overshoots by a thirtieth.
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -4,7 +4,7 @@
 
 /// What is known of a client's connection that this node ends.
 #[derive(Clone, Copy, Debug)]
-pub struct CloseFacts {
+pub struct CloseInputs {
     /// Its request has been read.
     pub has_request: bool,
     /// The request's final answer has been written.
@@ -19,11 +19,11 @@
 ///
 /// # Errors
 /// The rule that it breaks.
-pub fn check_close(facts: &CloseFacts) -> Result<(), Violation> {
-    if facts.has_request && !facts.is_answered {
+pub fn check_close(inputs: &CloseInputs) -> Result<(), Violation> {
+    if inputs.has_request && !inputs.is_answered {
         return Err(Violation::ClosedUnanswered);
     }
-    if facts.is_established && !facts.is_announced {
+    if inputs.is_established && !inputs.is_announced {
         return Err(Violation::CutOff);
     }
     Ok(())
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -6,15 +6,15 @@
 //! must never happen at all is counted by a [`ViolationLog`], and each [`Violation`] is logged with its ids.
 
 mod close;
-mod repeat;
+mod retry;
 mod send;
 mod start;
 #[cfg(test)]
 mod tests;
 mod violation;
 
-pub use close::{check_close, CloseFacts};
-pub use repeat::{may_repeat, RepeatFacts, RepeatRefusal};
-pub use send::{may_send, send_by, SendFacts, SendRefusal};
-pub use start::{may_start, StartFacts, StartRefusal};
+pub use close::{check_close, CloseInputs};
+pub use retry::{may_retry, RetryInputs, RetryRefusal};
+pub use send::{may_send, send_by, SendInputs, SendRefusal};
+pub use start::{may_start, StartInputs, StartRefusal};
 pub use violation::{Violation, ViolationLog};
--- a/src/rules/repeat.rs
+++ b/src/rules/retry.rs
@@ -1,12 +1,12 @@
 //! Whether a request may have one more attempt.
 
+use crate::model::{Nanos, RequestClass, Settings};
 use crate::resilience::AttemptHistory;
-use crate::vocabulary::{Nanos, RequestClass, Settings};
 use std::fmt;
 
 /// What is known of a request that waits for its next attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct RepeatFacts<'a> {
+pub struct RetryInputs<'a> {
     /// The time.
     pub now: Nanos,
     /// When the request's client stops waiting.
@@ -16,29 +16,29 @@
     /// The request's class.
     pub class: &'a RequestClass,
     /// The request waits for admission, and its turn would come after its deadline.
-    pub misses_turn: bool,
+    pub misses_deadline: bool,
 }
 
 /// Why a request gets no further attempt: it has its final answer now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RepeatRefusal {
+pub enum RetryRefusal {
     /// The client's time is over.
     DeadlinePassed,
     /// Its turn among the retries would come too late.
-    TurnTooLate,
+    QueueTooSlow,
     /// All attempts are used up.
     AttemptsUsed,
     /// An earlier attempt may have run, and a repeat might run again.
     MayHaveRun,
 }
 
-impl fmt::Display for RepeatRefusal {
+impl fmt::Display for RetryRefusal {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            RepeatRefusal::DeadlinePassed => "deadline-passed",
-            RepeatRefusal::TurnTooLate => "turn-too-late",
-            RepeatRefusal::AttemptsUsed => "attempts-used",
-            RepeatRefusal::MayHaveRun => "may-have-run",
+            RetryRefusal::DeadlinePassed => "deadline-passed",
+            RetryRefusal::QueueTooSlow => "turn-too-late",
+            RetryRefusal::AttemptsUsed => "attempts-used",
+            RetryRefusal::MayHaveRun => "may-have-run",
         })
     }
 }
@@ -47,18 +47,18 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_repeat(facts: &RepeatFacts, settings: &Settings) -> Result<(), RepeatRefusal> {
-    if facts.now >= facts.deadline {
-        return Err(RepeatRefusal::DeadlinePassed);
+pub fn may_retry(inputs: &RetryInputs, settings: &Settings) -> Result<(), RetryRefusal> {
+    if inputs.now >= inputs.deadline {
+        return Err(RetryRefusal::DeadlinePassed);
     }
-    if facts.misses_turn {
-        return Err(RepeatRefusal::TurnTooLate);
+    if inputs.misses_deadline {
+        return Err(RetryRefusal::QueueTooSlow);
     }
-    if facts.attempts.count() >= settings.max_attempts {
-        return Err(RepeatRefusal::AttemptsUsed);
+    if inputs.attempts.count() >= settings.max_attempts {
+        return Err(RetryRefusal::AttemptsUsed);
     }
-    if !facts.attempts.may_repeat(facts.class, facts.now, settings.dial_timeout) {
-        return Err(RepeatRefusal::MayHaveRun);
+    if !inputs.attempts.may_retry(inputs.class, inputs.now, settings.dial_timeout) {
+        return Err(RetryRefusal::MayHaveRun);
     }
     Ok(())
 }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,11 +1,11 @@
 //! Whether a request may be written to a server now.
 
-use crate::vocabulary::{Nanos, MAX_HOLD_UP};
+use crate::model::{Nanos, MAX_STALL};
 use std::fmt;
 
 /// What is known at the moment at which the first byte of a request would be written to a server.
 #[derive(Clone, Copy, Debug)]
-pub struct SendFacts {
+pub struct SendInputs {
     /// The time, read after all that is stated here.
     pub now: Nanos,
     /// The client has ended or reset its connection, or cancelled its request.
@@ -46,27 +46,27 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_send(facts: &SendFacts) -> Result<(), SendRefusal> {
-    if facts.client_gone {
+pub fn may_send(inputs: &SendInputs) -> Result<(), SendRefusal> {
+    if inputs.client_gone {
         return Err(SendRefusal::ClientGone);
     }
-    if !facts.is_current_attempt {
+    if !inputs.is_current_attempt {
         return Err(SendRefusal::NotCurrent);
     }
-    if !facts.server_ready {
+    if !inputs.server_ready {
         return Err(SendRefusal::ServerNotReady);
     }
-    if facts.now >= facts.send_by {
+    if inputs.now >= inputs.send_by {
         return Err(SendRefusal::TooLate);
     }
     Ok(())
 }
 
 /// The latest time at which an attempt may be written: before its request's deadline, and where it may repeat a run
-/// that servers discard until `dedup_window_end`, so long before that end that a hold-up does not carry the write past it.
+/// that servers discard until `dedup_window_end`, so long before that end that a stall does not carry the write past it.
 pub fn send_by(deadline: Nanos, dedup_window_end: Option<Nanos>) -> Nanos {
     match dedup_window_end {
-        Some(end) => deadline.min(end.saturating_sub(MAX_HOLD_UP)),
+        Some(end) => deadline.min(end.saturating_sub(MAX_STALL)),
         None => deadline,
     }
 }
--- a/src/rules/start.rs
+++ b/src/rules/start.rs
@@ -4,7 +4,7 @@
 
 /// What is known when a client's request line is complete.
 #[derive(Clone, Copy, Debug)]
-pub struct StartFacts {
+pub struct StartInputs {
     /// The process is about to end: what is forwarded now would not be answered from there.
     pub is_closing: bool,
     /// It is the connection of a client that was connected before the run, which is no placement.
@@ -45,17 +45,17 @@
 ///
 /// # Errors
 /// The first reason against it.
-pub fn may_start(facts: &StartFacts) -> Result<(), StartRefusal> {
-    if facts.has_more_input {
+pub fn may_start(inputs: &StartInputs) -> Result<(), StartRefusal> {
+    if inputs.has_more_input {
         return Err(StartRefusal::MoreInput);
     }
-    if facts.is_duplicate_id {
+    if inputs.is_duplicate_id {
         return Err(StartRefusal::DuplicateId);
     }
-    if facts.is_closing && !facts.is_restored {
+    if inputs.is_closing && !inputs.is_restored {
         return Err(StartRefusal::Closing);
     }
-    if !facts.has_descriptor {
+    if !inputs.has_descriptor {
         return Err(StartRefusal::NoDescriptor);
     }
     Ok(())
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -1,27 +1,27 @@
 //! Each question has one reason for "no" at a time, and the first one counts.
 
 use super::*;
+use crate::model::{DedupScope, Effect, Nanos, Outcome, RequestClass, ServerId, Settings};
 use crate::resilience::AttemptHistory;
-use crate::vocabulary::{DedupScope, Effect, Nanos, Outcome, RequestClass, ServerId, Settings};
 use rstest::rstest;
 
 const MILLISECOND: Nanos = 1_000_000;
 
-fn send_facts() -> SendFacts {
-    SendFacts { now: 10, client_gone: false, server_ready: true, is_current_attempt: true, send_by: 11 }
+fn send_inputs() -> SendInputs {
+    SendInputs { now: 10, client_gone: false, server_ready: true, is_current_attempt: true, send_by: 11 }
 }
 
 #[rstest]
-#[case(send_facts(), Ok(()))]
-#[case(SendFacts { client_gone: true, server_ready: false, ..send_facts() }, Err(SendRefusal::ClientGone))]
-#[case(SendFacts { is_current_attempt: false, ..send_facts() }, Err(SendRefusal::NotCurrent))]
-#[case(SendFacts { server_ready: false, ..send_facts() }, Err(SendRefusal::ServerNotReady))]
-#[case(SendFacts { now: 11, ..send_facts() }, Err(SendRefusal::TooLate))]
+#[case(send_inputs(), Ok(()))]
+#[case(SendInputs { client_gone: true, server_ready: false, ..send_inputs() }, Err(SendRefusal::ClientGone))]
+#[case(SendInputs { is_current_attempt: false, ..send_inputs() }, Err(SendRefusal::NotCurrent))]
+#[case(SendInputs { server_ready: false, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
+#[case(SendInputs { now: 11, ..send_inputs() }, Err(SendRefusal::TooLate))]
 fn a_request_is_sent_for_a_client_that_waits_to_a_server_that_is_ready_in_time(
-    #[case] facts: SendFacts,
+    #[case] inputs: SendInputs,
     #[case] expected: Result<(), SendRefusal>,
 ) {
-    assert_eq!(may_send(&facts), expected);
+    assert_eq!(may_send(&inputs), expected);
 }
 
 #[rstest]
@@ -29,13 +29,13 @@
 #[case(Some(900), 750)]
 #[case(Some(5_000), 1_200)]
 #[case(Some(100), 0)]
-fn a_hold_up_does_not_carry_a_repeat_past_its_window(#[case] window_end_ms: Option<u64>, #[case] by_ms: u64) {
+fn a_stall_does_not_carry_a_retry_past_its_window(#[case] window_end_ms: Option<u64>, #[case] by_ms: u64) {
     let window_end = window_end_ms.map(|ms| ms * MILLISECOND);
     assert_eq!(send_by(1_200 * MILLISECOND, window_end), by_ms * MILLISECOND);
 }
 
-fn start_facts() -> StartFacts {
-    StartFacts {
+fn start_inputs() -> StartInputs {
+    StartInputs {
         is_closing: false,
         is_restored: false,
         has_more_input: false,
@@ -45,17 +45,17 @@
 }
 
 #[rstest]
-#[case(start_facts(), Ok(()))]
-#[case(StartFacts { has_more_input: true, is_duplicate_id: true, ..start_facts() }, Err(StartRefusal::MoreInput))]
-#[case(StartFacts { is_duplicate_id: true, ..start_facts() }, Err(StartRefusal::DuplicateId))]
-#[case(StartFacts { is_closing: true, ..start_facts() }, Err(StartRefusal::Closing))]
-#[case(StartFacts { is_closing: true, is_restored: true, ..start_facts() }, Ok(()))]
-#[case(StartFacts { has_descriptor: false, ..start_facts() }, Err(StartRefusal::NoDescriptor))]
+#[case(start_inputs(), Ok(()))]
+#[case(StartInputs { has_more_input: true, is_duplicate_id: true, ..start_inputs() }, Err(StartRefusal::MoreInput))]
+#[case(StartInputs { is_duplicate_id: true, ..start_inputs() }, Err(StartRefusal::DuplicateId))]
+#[case(StartInputs { is_closing: true, ..start_inputs() }, Err(StartRefusal::Closing))]
+#[case(StartInputs { is_closing: true, is_restored: true, ..start_inputs() }, Ok(()))]
+#[case(StartInputs { has_descriptor: false, ..start_inputs() }, Err(StartRefusal::NoDescriptor))]
 fn a_request_is_taken_on_where_it_can_be_answered(
-    #[case] facts: StartFacts,
+    #[case] inputs: StartInputs,
     #[case] expected: Result<(), StartRefusal>,
 ) {
-    assert_eq!(may_start(&facts), expected);
+    assert_eq!(may_start(&inputs), expected);
 }
 
 #[rstest]
@@ -71,21 +71,21 @@
     #[case] is_announced: bool,
     #[case] expected: Result<(), Violation>,
 ) {
-    let facts = CloseFacts { has_request, is_answered, is_established, is_announced };
-    assert_eq!(check_close(&facts), expected);
+    let inputs = CloseInputs { has_request, is_answered, is_established, is_announced };
+    assert_eq!(check_close(&inputs), expected);
 }
 
 #[rstest]
 #[case::at_once(0, 0, false, Ok(()))]
-#[case::deadline(1_200, 0, false, Err(RepeatRefusal::DeadlinePassed))]
-#[case::turn(0, 0, true, Err(RepeatRefusal::TurnTooLate))]
-#[case::used(0, 3, false, Err(RepeatRefusal::AttemptsUsed))]
-#[case::may_have_run(0, 1, false, Err(RepeatRefusal::MayHaveRun))]
+#[case::deadline(1_200, 0, false, Err(RetryRefusal::DeadlinePassed))]
+#[case::turn(0, 0, true, Err(RetryRefusal::QueueTooSlow))]
+#[case::used(0, 3, false, Err(RetryRefusal::AttemptsUsed))]
+#[case::may_have_run(0, 1, false, Err(RetryRefusal::MayHaveRun))]
 fn a_request_is_repeated_in_time_and_where_nothing_may_run_twice(
     #[case] now_ms: u64,
     #[case] attempts_so_far: u32,
-    #[case] misses_turn: bool,
-    #[case] expected: Result<(), RepeatRefusal>,
+    #[case] misses_deadline: bool,
+    #[case] expected: Result<(), RetryRefusal>,
 ) {
     let mut attempts = AttemptHistory::default();
     for number in 0..attempts_so_far {
@@ -101,15 +101,15 @@
         priority_weight: 1.0,
         message_latency_objective: None,
     };
-    let facts = RepeatFacts {
+    let inputs = RetryInputs {
         now: now_ms * MILLISECOND,
         deadline: 1_200 * MILLISECOND,
         attempts: &attempts,
         class: &class,
-        misses_turn,
+        misses_deadline,
     };
     let settings = Settings { max_attempts: 3, ..Settings::default() };
-    assert_eq!(may_repeat(&facts, &settings), expected);
+    assert_eq!(may_retry(&inputs, &settings), expected);
 }
 
 #[test]
--- a/src/simulator/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -1,7 +1,7 @@
 //! Errors of the simulator's wire.
 
 use crate::json::JsonError;
-use crate::vocabulary::SettingsError;
+use crate::model::SettingsError;
 use std::fmt;
 
 /// Why an event cannot be handled. `Display` names the field, as far as it is known.
--- a/src/simulator/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -5,7 +5,7 @@
 use super::instance::{decode, Instance, ListsBySlot};
 use super::outgoing::{ActionDocument, InstanceActions, ReplyDocument};
 use super::panics::capture_panic_messages;
-use crate::vocabulary::Nanos;
+use crate::model::Nanos;
 use std::collections::BTreeMap;
 
 /// Hosts the simulated nodes of one run: takes batches and gives replies.
--- a/src/simulator/incoming.rs
+++ b/src/simulator_adapter/incoming.rs
@@ -3,7 +3,7 @@
 //! A field whose name begins with an underscore is checked and not used.
 
 use crate::config::settings::SettingsDocument;
-use crate::vocabulary::{Arrival, ListKind, Outcome, RequestId, Status};
+use crate::model::{Arrival, ListKind, Outcome, RequestId, Status};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
--- a/src/simulator/mod.rs
+++ b/src/simulator_adapter/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Host::handle_batch`] decodes a batch (`incoming`), lets each `instance` translate its events for its own
 //! [`Balancer`](crate::Balancer), and encodes the actions (`outgoing`). Nothing is decided here. The simulator fixes
-//! the names on the wire; the documents map them to those of [`vocabulary`](crate::vocabulary).
+//! the names on the wire; the documents map them to those of [`model`](crate::model).
 
 mod error;
 mod host;
--- a/src/simulator/panics.rs
+++ b/src/simulator_adapter/panics.rs
@@ -1,6 +1,6 @@
 //! Catches a panic of the balancer, so that it is reported on the wire and the other instances go on.
 
-use crate::vocabulary::Action;
+use crate::model::Action;
 use std::cell::RefCell;
 use std::fmt;
 use std::panic::{self, AssertUnwindSafe};
--- a/src/simulator/panics/tests.rs
+++ b/src/simulator_adapter/panics/tests.rs
@@ -8,6 +8,9 @@
     let empty: Vec<u32> = Vec::new();
     let panic = catch_panic(|_| assert_eq!(empty[1], 0)).expect_err("it panics");
     let message = panic.to_string();
-    assert!(message.contains("src/simulator") && message.contains("index out of bounds"), "{message}");
+    assert!(
+        message.contains("src/simulator_adapter") && message.contains("index out of bounds"),
+        "{message}"
+    );
     assert_eq!(catch_panic(|actions| actions.push(Action::Subscribe)), Ok(vec![Action::Subscribe]));
 }
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,4 +1,4 @@
-//! Stories over loopback for the AMQP front, against stand-in clients and servers.
+//! Stories over loopback for the AMQP frontend, against stand-in clients and servers.
 
 mod support;
 
@@ -22,7 +22,7 @@
 
 /// A client with a link to this class.
 fn client(bench: &Bench, class: &str) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("the front is on"), None);
+    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
     assert!(client.attach(class).expect("the class is known") > 0);
     client
 }
@@ -175,7 +175,7 @@
 #[rstest]
 fn an_address_that_names_no_class_is_detached() {
     let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("the front is on"), None);
+    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
     let detach = client.attach("nothing").expect_err("no class");
     assert_eq!(detach.error.expect("why").condition, condition::NOT_FOUND);
 }
@@ -218,7 +218,7 @@
 #[rstest]
 fn heartbeats_keep_the_clients_idle_time_out() {
     let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("the front is on"), Some(400));
+    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), Some(400));
     assert!(matches!(client.frame(), Next::Heartbeat), "an empty frame");
 }
 
@@ -318,16 +318,16 @@
     }
 }
 
-/// They count at their own times, whichever front is at work.
+/// They count at their own times, whichever frontend is at work.
 const DISCOVERY_COUNTERS: [&str; 3] = ["discovery_polls", "discovery_failures", "stale_lists"];
 
 #[rstest]
-fn the_two_fronts_account_alike_side_by_side() {
+fn the_two_frontends_account_alike_side_by_side() {
     use Act::*;
     let plan: [&[Act]; 5] =
         [&[Serve], &[Full, Serve], &[Fail, Serve], &[Full, Full, Full], &[Fail, Full, Serve]];
     let script = Script::default();
-    // Each server speaks text at discovery's address and AMQP at the one that the front's file names.
+    // Each server speaks text at discovery's address and AMQP at the one that the frontend's file names.
     let (servers, amqp): (Vec<_>, Vec<_>) = (0..4).map(|_| (listener(), listener())).unzip();
     let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
     let places: Vec<String> = amqp.iter().enumerate().map(place).collect();
@@ -364,21 +364,21 @@
         }
         let after = bench.counters();
         let grown = |(name, count): (&String, &u64)| (name.clone(), count - before[name]);
-        let of_a_front = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
-        counted.push(after.iter().map(grown).filter(of_a_front).collect::<Vec<_>>());
+        let of_a_frontend = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
+        counted.push(after.iter().map(grown).filter(of_a_frontend).collect::<Vec<_>>());
     }
     assert_eq!(counted[0], counted[1]);
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` uses a descriptor as a silent client of the text front does.
+/// A connection without an `open` uses a descriptor as a silent client of the text frontend does.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
 #[case::only_a_header("AMQP\u{0}\u{1}\u{0}\u{0}")]
 fn a_client_that_does_not_open_is_closed(#[case] said: &str) {
     let bench = bench(1);
-    let mut client = Peer::connect(bench.amqp.expect("the front is on"));
+    let mut client = Peer::connect(bench.amqp.expect("the frontend is on"));
     client.send(said);
     if said.len() == 8 {
         client.read_exact(&mut [0; 8]);
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -83,7 +83,7 @@
     assert!(scram(addr, "anna", "wind and rain"));
     assert!(!scram(addr, "anna", "wind"));
     assert!(!scram(addr, "nobody", "wind and rain"));
-    assert_eq!(counter_value(&bench.front_counters("amqp"), "logins_refused"), 2);
+    assert_eq!(counter_value(&bench.frontend_counters("amqp"), "logins_refused"), 2);
 }
 
 #[rstest]
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -18,7 +18,7 @@
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("the front is on"), None)
+    AmqpPeer::client(bench.amqp.expect("the frontend is on"), None)
 }
 
 fn from(address: &str) -> Source {
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -72,7 +72,7 @@
     // The client never read that, as far as it knows, and its connection is lost.
     drop(first);
     // The node must have seen that end: a link that comes before it is taken over, and not resumed.
-    let gone = (0..300).any(|_| counter_value(&bench.front_counters("amqp"), "clients") == 0);
+    let gone = (0..300).any(|_| counter_value(&bench.frontend_counters("amqp"), "clients") == 0);
     assert!(gone, "the node sees the first connection's end");
     let mut second = client(&bench);
     let known = attach(&mut second, 10, &[1, 2, 3]);
@@ -89,7 +89,7 @@
         [bench.counter("sent"), bench.counter("served"), bench.counter("client_disconnected")],
         [2, 2, 0]
     );
-    let line = bench.front_counters("amqp");
+    let line = bench.frontend_counters("amqp");
     assert_eq!([counter_value(&line, "resumed"), counter_value(&line, "fate_unknown")], [1, 0]);
 }
 
@@ -169,7 +169,7 @@
     assert_eq!([bench.counter("client_disconnected"), bench.counter("requests")], [1, 1]);
     let mut second = client(&bench);
     assert!(attach(&mut second, 10, &[1]).is_empty());
-    assert_eq!(counter_value(&bench.front_counters("amqp"), "remembered"), 1);
+    assert_eq!(counter_value(&bench.frontend_counters("amqp"), "remembered"), 1);
 }
 
 #[rstest]
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -86,9 +86,9 @@
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 0, 1]);
 }
 
-/// The answer and the attempt's time-out meet in one turn of the event loop: the answer counts, once.
+/// The answer and the attempt's time-out meet in one iteration of the event loop: the answer counts, once.
 #[rstest]
-fn an_answer_in_the_turn_of_the_attempt_timeout_counts() {
+fn an_answer_in_the_iteration_of_the_attempt_timeout_counts() {
     let bench = Bench::start(1);
     let mut client = bench.connect_client(&request_line(IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Settings, events and a node for the tests of the policy.
 #![allow(dead_code)]
 
-use sparbank::vocabulary::{
+use sparbank::model::{
     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
     RequestId, ServerId, Settings, Status,
 };
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -108,10 +108,10 @@
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// A change on the old watch and the signal that moves discovery's address are handled in one turn of the loop, and the
+/// A change on the old watch and the signal that moves discovery's address are handled in one iteration of the event loop, and the
 /// new address is silent: the change counts.
 #[rstest]
-fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_turn() {
+fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
     let mut bench = Bench::start(2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -120,7 +120,7 @@
     link: HandoverPeer,
     /// The discovery service's end of the transferred watch.
     watch: Peer,
-    /// Where the transferred listening socket of the AMQP front is bound.
+    /// Where the transferred listening socket of the AMQP frontend is bound.
     amqp: SocketAddr,
 }
 
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -93,8 +93,8 @@
     let data = receive_set(&collector);
     assert_eq!((data.id, data.sequence), (TEMPLATE_ID, 0));
     let values = parse_record(&fields, data.body);
-    let class_front_and_result = [&values[&96][..], &values[&94][..], &values[&372][..]];
-    assert_eq!(class_front_and_result, [&b"live-readings"[..], b"text", b"served"]);
+    let class_frontend_and_result = [&values[&96][..], &values[&94][..], &values[&372][..]];
+    assert_eq!(class_frontend_and_result, [&b"live-readings"[..], b"text", b"served"]);
     let port = bench.servers[0].local_addr().expect("bound").port();
     assert_eq!((number(&values[&11]), number(&values[&12])), (u64::from(port), 0x7f00_0001));
     let (end_reason, attempts) = (number(&values[&136]), number(&values[&278]));
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -1,6 +1,6 @@
-//! Both fronts at once, with servers killed, hung and drained at random: every item gets exactly one final
+//! Both frontends at once, with servers killed, hung and drained at random: every item gets exactly one final
 //! answer, none is tried at two servers at the same time, none that must not run twice does, and the node's
-//! books are the sum of what both fronts' clients saw.
+//! books are the sum of what both frontends' clients saw.
 //!
 //! Five seconds in CI. Longer: `MIXED_SECONDS=60 cargo test --release --test mixed -- --nocapture`.
 
@@ -216,7 +216,7 @@
     }
 }
 
-/// What clients of one front saw.
+/// What clients of one frontend saw.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Seen {
     items: u64,
@@ -359,7 +359,7 @@
 }
 
 #[rstest]
-fn both_fronts_account_alike_while_servers_are_killed_hung_and_drained() {
+fn both_frontends_account_alike_while_servers_are_killed_hung_and_drained() {
     let seconds = std::env::var("MIXED_SECONDS").ok().and_then(|s| s.parse().ok()).unwrap_or(5);
     let (texts, amqps): (Vec<_>, Vec<_>) = (0..SERVERS).map(|_| (listener(), listener())).unzip();
     let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
@@ -385,10 +385,10 @@
     let mut watch = bench.accept_watch();
     let until = Instant::now() + Duration::from_secs(seconds);
     let next = Arc::new(AtomicU64::new(1));
-    let spawn = |front: fn(SocketAddr, &AtomicU64, Instant) -> Seen, addr: SocketAddr| -> Vec<_> {
+    let spawn = |frontend: fn(SocketAddr, &AtomicU64, Instant) -> Seen, addr: SocketAddr| -> Vec<_> {
         let start = |_| {
             let next = next.clone();
-            std::thread::spawn(move || front(addr, &next, until))
+            std::thread::spawn(move || frontend(addr, &next, until))
         };
         (0..CLIENTS).map(start).collect()
     };
@@ -425,9 +425,9 @@
     }
     let seen: Vec<Seen> = hands
         .into_iter()
-        .map(|front| {
+        .map(|frontend| {
             let mut all = Seen::default();
-            front.into_iter().for_each(|hand| all.add(hand.join().expect("a client's thread")));
+            frontend.into_iter().for_each(|hand| all.add(hand.join().expect("a client's thread")));
             all
         })
         .collect();
--- a/tests/policy_rules/deduplication.rs
+++ b/tests/policy_rules/deduplication.rs
@@ -1,7 +1,7 @@
 //! Rule 2: no effect runs twice.
 
 use crate::common::{attempted_server, requested_timer, serving_endpoints, settings, Node, MILLIS};
-use sparbank::vocabulary::{Action, Event, Outcome, RequestId, Settings};
+use sparbank::model::{Action, Event, Outcome, RequestId, Settings};
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_rejected() {
@@ -29,7 +29,7 @@
 /// A request is sent once its connection is established: a repeat whose connection may be established only after the
 /// window must not start inside it.
 #[test]
-fn a_repeat_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
+fn a_retry_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
     let slow = Settings { dial_timeout: 250 * MILLIS, ..settings() };
     let mut latest = 0;
     for seed in 0..400 {
--- a/tests/policy_rules/endpoint_list.rs
+++ b/tests/policy_rules/endpoint_list.rs
@@ -3,7 +3,7 @@
 use crate::common::{
     attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, MILLIS, SECOND,
 };
-use sparbank::vocabulary::{Action, Discovery, Event, ListKind, Settings, Status};
+use sparbank::model::{Action, Discovery, Event, ListKind, Settings, Status};
 
 #[test]
 fn nothing_is_sent_to_a_draining_server_or_one_absent_from_a_full_list() {
--- a/tests/policy_rules/final_answer.rs
+++ b/tests/policy_rules/final_answer.rs
@@ -1,7 +1,7 @@
 //! Rule 1: one final answer in time, and nothing after it.
 
 use crate::common::{attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, SECOND};
-use sparbank::vocabulary::{Action, Event, Outcome, RequestId, Status};
+use sparbank::model::{Action, Event, Outcome, RequestId, Status};
 
 fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
--- a/tests/policy_rules/groups.rs
+++ b/tests/policy_rules/groups.rs
@@ -1,7 +1,7 @@
 //! Requests of a group gather at few servers.
 
 use crate::common::{arrival, attempted_server, large_fleet_settings, same_zone_endpoints, settings, Node};
-use sparbank::vocabulary::{Arrival, Event, ServerId};
+use sparbank::model::{Arrival, Event, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Found on a day of the large fleet: a server pays for each group of which it serves any request, no node has
--- a/tests/policy_rules/invalid_input.rs
+++ b/tests/policy_rules/invalid_input.rs
@@ -1,9 +1,7 @@
 //! Invalid settings, lists, clocks and ids.
 
 use crate::common::{arrival, attempted_server, endpoint, serving_endpoints, settings, Node};
-use sparbank::vocabulary::{
-    Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, Status,
-};
+use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, Status};
 
 #[test]
 fn invalid_settings_are_rejected_by_name() {
--- a/tests/policy_rules/large_fleet.rs
+++ b/tests/policy_rules/large_fleet.rs
@@ -4,7 +4,7 @@
     arrival, attempted_server, large_fleet_settings, same_zone_endpoints, serving_endpoints, Node, MILLIS,
     SECOND,
 };
-use sparbank::vocabulary::{Action, Arrival, Endpoint, Event, Nanos, Outcome, ServerId};
+use sparbank::model::{Action, Arrival, Endpoint, Event, Nanos, Outcome, ServerId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
--- a/tests/policy_rules/large_fleet_slow_start.rs
+++ b/tests/policy_rules/large_fleet_slow_start.rs
@@ -3,7 +3,7 @@
 use crate::common::{
     arrival, attempted_server, large_fleet_settings, same_zone_endpoints, Node, MILLIS, SECOND,
 };
-use sparbank::vocabulary::{Arrival, Endpoint, Event, ListKind, ServerId, Settings};
+use sparbank::model::{Arrival, Endpoint, Event, ListKind, ServerId, Settings};
 use std::collections::BTreeMap;
 
 /// Found on a day of the large fleet: five of nine servers had just started and together got one connection per
--- a/tests/policy_rules/migration.rs
+++ b/tests/policy_rules/migration.rs
@@ -1,7 +1,7 @@
 //! Servers whose messages are late: connections migrate, and the server is refilled slowly.
 
 use crate::common::{attempted_server, serving_endpoints, settings, Node, MILLIS, SECOND};
-use sparbank::vocabulary::{Action, Event, RequestId, ServerId, Settings};
+use sparbank::model::{Action, Event, RequestId, ServerId, Settings};
 
 /// A node with 100 established connections at two servers.
 fn node_with_fifty_connections_at_each_of_two(settings: Settings) -> Node {
--- a/tests/policy_rules/outliers.rs
+++ b/tests/policy_rules/outliers.rs
@@ -1,7 +1,7 @@
 //! Ejection of servers that fail, and of old entries of a cached list.
 
 use crate::common::{attempted_server, serving_endpoints, settings, Node, MILLIS, SECOND};
-use sparbank::vocabulary::{Event, ListKind, Outcome, RequestId, ServerId};
+use sparbank::model::{Event, ListKind, Outcome, RequestId, ServerId};
 
 #[test]
 fn a_server_that_failed_is_ejected_and_tried_again_later() {
--- a/tests/policy_rules/placement.rs
+++ b/tests/policy_rules/placement.rs
@@ -4,7 +4,7 @@
     arrival, attempted_server, endpoint, requested_timer, same_zone_endpoints, serving_endpoints, settings,
     Node, MILLIS, SECOND,
 };
-use sparbank::vocabulary::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Status};
+use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Status};
 use std::collections::BTreeMap;
 
 #[test]
--- a/tests/policy_rules/retry_admission.rs
+++ b/tests/policy_rules/retry_admission.rs
@@ -3,7 +3,7 @@
 use crate::common::{
     arrival, attempted_server, requested_timer, serving_endpoints, settings, Node, MILLIS, SECOND,
 };
-use sparbank::vocabulary::{Action, Arrival, Discovery, Event, ListKind, Outcome, RequestId, Settings};
+use sparbank::model::{Action, Arrival, Discovery, Event, ListKind, Outcome, RequestId, Settings};
 
 #[rstest::rstest]
 #[case(Arrival { reconnect: true, ..arrival(1, 0) })]
--- a/tests/policy_rules/slow_start.rs
+++ b/tests/policy_rules/slow_start.rs
@@ -1,7 +1,7 @@
 //! Rule 4: all nodes together do not overload a server that is warming up.
 
 use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, MILLIS, SECOND};
-use sparbank::vocabulary::{Event, ListKind, Nanos, ServerId, Status};
+use sparbank::model::{Event, ListKind, Nanos, ServerId, Status};
 use std::collections::BTreeMap;
 
 /// Twenty nodes with `connections` each at warm servers meet `starting` servers, a second old, while clients
--- a/tests/policy_rules/state_snapshot.rs
+++ b/tests/policy_rules/state_snapshot.rs
@@ -1,7 +1,7 @@
 //! The state that a handover transfers.
 
 use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, SECOND};
-use sparbank::vocabulary::{Endpoint, Event, ListKind, Outcome, ServerId, Status};
+use sparbank::model::{Endpoint, Event, ListKind, Outcome, ServerId, Status};
 
 /// Three servers that could not be reached stay ejected in the next process, which numbers them anew.
 #[test]
--- a/tests/properties/main.rs
+++ b/tests/properties/main.rs
@@ -9,7 +9,7 @@
 use proptest::prelude::{any, prop_assert_eq};
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 use simulation::{Simulation, Step, SERVERS};
-use sparbank::vocabulary::{Action, ListKind};
+use sparbank::model::{Action, ListKind};
 
 fn run(seed: u64, steps: &[(u8, u64, u16)]) -> Vec<Action> {
     let mut simulation = Simulation::new(seed);
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -1,7 +1,7 @@
 //! The surroundings of one node: clients, servers and timers. They check each action of the balancer.
 
 use crate::common::{arrival, endpoint, serving_endpoints, settings, MILLIS, SECOND};
-use sparbank::vocabulary::{
+use sparbank::model::{
     Action, Arrival, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestId, ServerId, Settings, Status,
 };
 use sparbank::Balancer;
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -9,8 +9,8 @@
 
 /// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s here.
 const SIGKILL_AFTER: Duration = Duration::from_millis(1_900);
-/// A process that is held up this long keeps its deadlines.
-const MAX_HOLD_UP: Duration = Duration::from_millis(150);
+/// A process that is stalled this long keeps its deadlines.
+const MAX_STALL: Duration = Duration::from_millis(150);
 /// Clients arrive for so long after SIGTERM.
 const LAST_ARRIVAL: Duration = Duration::from_millis(400);
 /// An operator's drain is over after this.
@@ -145,16 +145,16 @@
     expect_exit(bench, sigterm_at);
 }
 
-/// The process is held up for 0.15 s as SIGTERM arrives, and a client that has its answer leaves its connection open: the
+/// The process is stalled for 0.15 s as SIGTERM arrives, and a client that has its answer leaves its connection open: the
 /// process ends before SIGKILL all the same.
 #[test]
-fn a_node_that_is_held_up_at_sigterm_exits_before_sigkill() {
+fn a_node_that_is_stalled_at_sigterm_exits_before_sigkill() {
     let bench = Bench::start(1);
     let _hung = bench.servers[0].try_clone().expect("a second handle");
     bench.pause();
     bench.signal("-TERM");
     let sigterm_at = Instant::now();
-    std::thread::sleep(MAX_HOLD_UP);
+    std::thread::sleep(MAX_STALL);
     bench.resume();
     std::thread::sleep(LAST_ARRIVAL.saturating_sub(sigterm_at.elapsed()));
     let mut client = bench.connect_client(&open_line(1));
--- a/tests/simulator.rs
+++ b/tests/simulator_adapter.rs
@@ -6,7 +6,7 @@
 
 /// Runs the program on these lines, to its end.
 fn run(lines: &[String]) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator"))
+    let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/support/bench.rs
+++ b/tests/support/bench.rs
@@ -16,7 +16,7 @@
     start_options: StartOptions,
     pub addr: SocketAddr,
     pub amqp: Option<SocketAddr>,
-    /// The AMQP front's log line about its listeners.
+    /// The AMQP frontend's log line about its listeners.
     pub amqp_line: String,
     pub discovery: TcpListener,
     pub servers: Vec<TcpListener>,
@@ -34,7 +34,7 @@
         Bench::with((0..servers).map(|_| listener()).collect(), None)
     }
 
-    /// Starts a node; the AMQP front is on where its settings are given.
+    /// Starts a node; the AMQP frontend is on where its settings are given.
     pub fn with(servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
         Bench::with_args(servers, amqp, &[], str::to_string)
     }
@@ -196,8 +196,8 @@
         counter_value(&self.counters_line(), name)
     }
 
-    /// The line of a front's own counters.
-    pub fn front_counters(&mut self, front: &str) -> String {
+    /// The line of a frontend's own counters.
+    pub fn frontend_counters(&mut self, frontend: &str) -> String {
         // The line of an earlier signal may be in the log: the one behind these counters is the last.
         self.counters_line();
         self.wait_for_log(&format!("{front}-counters"))
--- a/tests/support/handover.rs
+++ b/tests/support/handover.rs
@@ -49,7 +49,7 @@
         HandoverNode::start_in(&HandoverFolder::new(), None)
     }
 
-    /// Starts a node in a folder; the AMQP front is on where its settings are given.
+    /// Starts a node in a folder; the AMQP frontend is on where its settings are given.
     pub fn start_in(folder: &HandoverFolder, amqp: Option<&str>) -> HandoverNode {
         HandoverNode::start_with_env(folder, amqp, &[])
     }
--- a/tests/support/node_process.rs
+++ b/tests/support/node_process.rs
@@ -63,7 +63,7 @@
         assert!(Command::new("kill").args([signal, &pid]).status().expect("kill runs").success());
     }
 
-    /// Stops the process where it is: what happens until [`NodeProcess::resume`] reaches it in one turn of its event
+    /// Stops the process where it is: what happens until [`NodeProcess::resume`] reaches it in one iteration of its event
     /// loop.
     pub fn pause(&self) {
         self.signal("-STOP");
--- a/tests/text_overload.rs
+++ b/tests/text_overload.rs
@@ -1,4 +1,4 @@
-//! The text front under overload: idle clients, endless lines, and a shortage of descriptors.
+//! The text frontend under overload: idle clients, endless lines, and a shortage of descriptors.
 
 mod support;
 
@@ -96,7 +96,7 @@
 /// While the process gets no descriptor, no connection to a server can be opened. That says nothing of the server: the
 /// request waits, uses up none of its attempts, and is served once there are descriptors.
 #[test]
-fn a_shortage_of_descriptors_is_not_held_against_the_server() {
+fn a_shortage_of_descriptors_is_no_failure_of_the_server() {
     let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], |text| {
         text.replace(r#""HardLimitNs":1200000000"#, r#""HardLimitNs":9000000000"#)
     });
@@ -113,7 +113,7 @@
 
 /// The watch cannot be opened again while the process gets no descriptor: discovery has not failed, so nothing backs off.
 #[test]
-fn a_shortage_of_descriptors_is_not_held_against_discovery() {
+fn a_shortage_of_descriptors_is_no_failure_of_discovery() {
     let mut bench = Bench::start(1);
     let watch = bench.accept_watch();
     assert_eq!(bench.counter("discovery_failures"), 0);
