--- /dev/null
+++ b/crates/time/src/serde_nanos.rs
@@ -0,0 +1,42 @@
+//! Serialization of a [`Duration`] as a number of nanoseconds, for `#[serde(with = "sparbank_time::serde_nanos")]`.
+
+use crate::DurationExt;
+use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use std::time::Duration;
+
+/// Serializes the span as whole nanoseconds.
+///
+/// # Errors
+/// Those of the serializer.
+pub fn serialize<S: Serializer>(duration: &Duration, serializer: S) -> Result<S::Ok, S::Error> {
+    duration.as_nanos_u64().serialize(serializer)
+}
+
+/// Reads whole nanoseconds.
+///
+/// # Errors
+/// Those of the deserializer, such as for a negative number.
+pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
+    u64::deserialize(deserializer).map(Duration::from_nanos)
+}
+
+/// The same for an optional span: `#[serde(with = "sparbank_time::serde_nanos::option")]`.
+pub mod option {
+    use super::{Deserialize, Deserializer, Duration, DurationExt, Serialize, Serializer};
+
+    /// Serializes the span as whole nanoseconds, or as none.
+    ///
+    /// # Errors
+    /// Those of the serializer.
+    pub fn serialize<S: Serializer>(duration: &Option<Duration>, serializer: S) -> Result<S::Ok, S::Error> {
+        duration.map(DurationExt::as_nanos_u64).serialize(serializer)
+    }
+
+    /// Reads whole nanoseconds, or none.
+    ///
+    /// # Errors
+    /// Those of the deserializer.
+    pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Duration>, D::Error> {
+        Ok(Option::<u64>::deserialize(deserializer)?.map(Duration::from_nanos))
+    }
+}
--- /dev/null
+++ b/crates/time/src/wall.rs
@@ -0,0 +1,22 @@
+//! Instants of a wall clock.
+
+use serde::{Deserialize, Serialize};
+
+/// An instant of a wall clock, in nanoseconds since the Unix epoch. Serialized as that number.
+///
+/// Wall clocks step, so there is no arithmetic: deadlines and intervals use [`MonotonicTime`](crate::MonotonicTime).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
+#[serde(transparent)]
+pub struct WallTime(u64);
+
+impl WallTime {
+    /// The instant this many nanoseconds after the Unix epoch.
+    pub const fn from_unix_nanos(nanos: u64) -> WallTime {
+        WallTime(nanos)
+    }
+
+    /// Nanoseconds since the Unix epoch.
+    pub const fn as_unix_nanos(self) -> u64 {
+        self.0
+    }
+}
