--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -13,6 +13,7 @@
 use sparbank_amqp::{
     Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus,
 };
+use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsFd;
@@ -23,13 +24,15 @@
 
 const CLASS: &str = "live-readings";
 const SERVERS: usize = 4;
+/// The time of each call of the protocol library: no timeout is on, so that it is not looked at.
+const START: MonotonicTime = MonotonicTime::ZERO;
 
 fn settings() -> Settings {
     // As wide as a stand-in can be, so that only the node's own bounds count.
     Settings {
         incoming_window: 8192,
         max_frame_size: 70_000,
-        idle_timeout: 0,
+        idle_timeout: Duration::ZERO,
         max_links: 10_000,
         max_unsettled: 100_000,
         ..Settings::default()
@@ -62,7 +65,7 @@
     }
 
     fn write(&mut self) {
-        self.conn.append_output(0, &mut self.output);
+        self.conn.append_output(START, &mut self.output);
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(count) => drop(self.output.drain(..count)),
@@ -79,7 +82,9 @@
     fn events(&mut self, mut on: impl FnMut(&mut Connection, Event<'_>)) {
         let input = std::mem::take(&mut self.input);
         let mut left = &input[..];
-        while let Some(event) = self.conn.next_event(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) =
+            self.conn.next_event(START, &mut left).expect("the node keeps to the standard")
+        {
             on(&mut self.conn, event);
         }
         let left = left.to_vec();
@@ -118,7 +123,7 @@
         for at in poll.wait(50) {
             if at == 0 {
                 while let Ok((stream, _)) = listener.accept() {
-                    ends.push(End::new(stream, Connection::accept(0, settings(), None)));
+                    ends.push(End::new(stream, Connection::accept(START, settings(), None)));
                     poll.add(&ends[ends.len() - 1].stream, ends.len());
                 }
                 continue;
@@ -215,7 +220,7 @@
     let mut clients: Vec<Client> = (0..count)
         .map(|at| {
             let stream = TcpStream::connect(addr).expect("it listens");
-            let conn = Connection::dial(0, settings(), Some(Credentials::Anonymous));
+            let conn = Connection::dial(START, settings(), Some(Credentials::Anonymous));
             let end = End::new(stream, conn);
             poll.add(&end.stream, at);
             Client { end, link: None, out: 0 }
@@ -311,7 +316,7 @@
 }
 
 fn node(servers: Vec<TcpListener>) -> Bench {
-    let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_buffered":16000000}"#;
+    let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
     Bench::with_args(servers, Some(on), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
     })
@@ -376,7 +381,7 @@
     let mut ends = Vec::new();
     for _ in 0..1000 {
         let stream = TcpStream::connect(addr).expect("it listens");
-        let mut end = End::new(stream, Connection::dial(0, settings(), Some(Credentials::Anonymous)));
+        let mut end = End::new(stream, Connection::dial(START, settings(), Some(Credentials::Anonymous)));
         let (mut attached, until) = (0, Instant::now() + Duration::from_secs(10));
         let mut chunk = [0; 8192];
         while attached < 4 {
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -1,6 +1,5 @@
 //! Protocol headers (2.2), SASL (standard, section 5.3) and open (2.7.1).
 
-use super::settings::NANOS_PER_MS;
 use super::{
     Auth, Connection, Event, PeerInfo, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, MIN_PEER_IDLE_TIMEOUT,
     SASL_HEADER,
@@ -10,7 +9,7 @@
 use crate::performative::{Open, Performative, SaslOutcome};
 use crate::sasl::{self, Mechanism, Step};
 use crate::scram::SaltedKeys;
-use crate::Nanos;
+use std::time::Duration;
 
 /// The outcome code of a failed authentication (5.3.3.6).
 const SASL_CODE_AUTH: u8 = 1;
@@ -100,7 +99,7 @@
     }
 
     pub(super) fn send_open(&mut self) {
-        let idle_timeout_ms = self.settings.idle_timeout / NANOS_PER_MS;
+        let idle_timeout_ms = self.settings.idle_timeout.as_millis();
         let open = Open {
             container_id: Some(self.settings.container.clone()),
             hostname: self.settings.hostname.clone(),
@@ -125,7 +124,7 @@
         self.peer_channel_max = open.channel_max.unwrap_or(u16::MAX);
         let idle_timeout_ms = open.idle_time_out.filter(|timeout| *timeout > 0);
         self.peer_idle_timeout =
-            idle_timeout_ms.map(|ms| (Nanos::from(ms) * NANOS_PER_MS).max(MIN_PEER_IDLE_TIMEOUT));
+            idle_timeout_ms.map(|ms| Duration::from_millis(u64::from(ms)).max(MIN_PEER_IDLE_TIMEOUT));
         self.peer = PeerInfo {
             container,
             hostname: open.hostname,
--- a/crates/amqp/src/connection/input.rs
+++ b/crates/amqp/src/connection/input.rs
@@ -5,12 +5,16 @@
 use crate::frame::{read_frame, Frame, AMQP, SASL};
 use crate::performative::Performative;
 use crate::session::Phase as SessionPhase;
-use crate::Nanos;
+use sparbank_time::MonotonicTime;
 
 impl Connection {
     /// Processes input until something happens that the user has to know. None where more input is needed. After a fault
     /// the user calls [`Connection::close`] with it and writes the remaining output.
-    pub fn next_event<'a>(&mut self, now: Nanos, input: &mut &'a [u8]) -> Result<Option<Event<'a>>, Fault> {
+    pub fn next_event<'a>(
+        &mut self,
+        now: MonotonicTime,
+        input: &mut &'a [u8],
+    ) -> Result<Option<Event<'a>>, Fault> {
         if !input.is_empty() {
             self.last_received = now;
         }
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -19,10 +19,10 @@
 use crate::performative::{Close, Performative};
 use crate::sasl::{self, Credentials, Mechanism};
 use crate::session::{Map, Phase as SessionPhase, Session};
-use crate::Nanos;
 use dispositions::DispositionBatch;
-use settings::NANOS_PER_MS;
+use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
+use std::time::Duration;
 
 const SASL_HEADER: &[u8; 8] = b"AMQP\x03\x01\x00\x00";
 const AMQP_HEADER: &[u8; 8] = b"AMQP\x00\x01\x00\x00";
@@ -30,7 +30,7 @@
 const MIN_MAX_FRAME_SIZE: u32 = 512;
 /// The shortest idle timeout of a peer that is honoured: a user that calls [`Connection::tick`] every 0.2 s can do no
 /// better.
-const MIN_PEER_IDLE_TIMEOUT: Nanos = 400 * NANOS_PER_MS;
+const MIN_PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Stage {
@@ -62,9 +62,9 @@
     peer: PeerInfo,
     peer_max_frame_size: u32,
     peer_channel_max: u16,
-    peer_idle_timeout: Option<Nanos>,
-    last_received: Nanos,
-    last_sent: Nanos,
+    peer_idle_timeout: Option<Duration>,
+    last_received: MonotonicTime,
+    last_sent: MonotonicTime,
     /// By this side's channel.
     sessions: Vec<Option<Session>>,
     /// This side's channel, by the peer's.
@@ -80,7 +80,7 @@
 
 impl Connection {
     /// The end that dials. Without credentials it starts with AMQP itself, not with SASL.
-    pub fn dial(now: Nanos, settings: Settings, credentials: Option<Credentials>) -> Connection {
+    pub fn dial(now: MonotonicTime, settings: Settings, credentials: Option<Credentials>) -> Connection {
         let uses_sasl = credentials.is_some();
         let auth = Auth::Client(credentials.map(sasl::Client::new));
         let mut connection = Connection::new(now, settings, auth);
@@ -96,11 +96,11 @@
 
     /// The end that is dialled. With mechanisms a peer has to authenticate by one of them; without, it may use SASL
     /// ANONYMOUS or no SASL.
-    pub fn accept(now: Nanos, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
+    pub fn accept(now: MonotonicTime, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
         Connection::new(now, settings, Auth::Server(offered.map(sasl::Server::new)))
     }
 
-    fn new(now: Nanos, settings: Settings, auth: Auth) -> Connection {
+    fn new(now: MonotonicTime, settings: Settings, auth: Auth) -> Connection {
         Connection {
             settings,
             auth,
@@ -198,12 +198,13 @@
     }
 
     /// When [`Connection::tick`] has something to do next.
-    pub fn deadline(&self) -> Option<Nanos> {
+    pub fn deadline(&self) -> Option<MonotonicTime> {
         if self.stage == Stage::Closed {
             return None;
         }
         let idle_timeout = self.settings.idle_timeout;
-        let peer_timeout = (idle_timeout > 0).then(|| self.last_received + idle_timeout + 1);
+        let peer_timeout =
+            (!idle_timeout.is_zero()).then(|| self.last_received + idle_timeout + Duration::from_nanos(1));
         let own_timeout = self.peer_idle_timeout.filter(|_| self.is_open());
         let heartbeat = own_timeout.map(|timeout| self.last_sent + timeout / 2);
         peer_timeout.into_iter().chain(heartbeat).min()
@@ -227,12 +228,12 @@
 
     /// Sends a heartbeat where the peer's idle timeout requires one. An error where the peer has exceeded this side's
     /// (2.4.5).
-    pub fn tick(&mut self, now: Nanos) -> Result<(), Fault> {
+    pub fn tick(&mut self, now: MonotonicTime) -> Result<(), Fault> {
         let idle_timeout = self.settings.idle_timeout;
-        if idle_timeout > 0 && now.saturating_sub(self.last_received) > idle_timeout {
+        if !idle_timeout.is_zero() && now.saturating_duration_since(self.last_received) > idle_timeout {
             return Err(fault(condition::RESOURCE_LIMIT_EXCEEDED, "idle time-out"));
         }
-        let is_due = |timeout: Nanos| now.saturating_sub(self.last_sent) >= timeout / 2;
+        let is_due = |timeout: Duration| now.saturating_duration_since(self.last_sent) >= timeout / 2;
         if self.is_open() && self.peer_idle_timeout.is_some_and(is_due) && self.out.is_empty() {
             write_frame(&mut self.out, AMQP, 0, None, &[]);
         }
@@ -240,7 +241,7 @@
     }
 
     /// Takes the octets to be written now.
-    pub fn take_output(&mut self, now: Nanos) -> Vec<u8> {
+    pub fn take_output(&mut self, now: MonotonicTime) -> Vec<u8> {
         self.flush_batch();
         if !self.out.is_empty() {
             self.last_sent = now;
@@ -249,7 +250,7 @@
     }
 
     /// Appends the octets to be written now to a buffer, and keeps this side's allocation.
-    pub fn append_output(&mut self, now: Nanos, buffer: &mut Vec<u8>) {
+    pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
         self.flush_batch();
         if !self.out.is_empty() {
             self.last_sent = now;
--- a/crates/amqp/src/connection/settings.rs
+++ b/crates/amqp/src/connection/settings.rs
@@ -1,8 +1,6 @@
 //! The settings of a connection.
 
-use crate::Nanos;
-
-pub(super) const NANOS_PER_MS: Nanos = 1_000_000;
+use std::time::Duration;
 
 /// What this side is, and every bound on the memory that the peer can make it use.
 #[derive(Clone, Debug)]
@@ -25,8 +23,8 @@
     pub max_unsettled: u32,
     /// The largest message accepted, in octets.
     pub max_message_size: u64,
-    /// The idle timeout of the peer, in nanoseconds; 0 for none.
-    pub idle_timeout: Nanos,
+    /// The idle timeout of the peer; zero for none.
+    pub idle_timeout: Duration,
     /// The number of the first transfer and delivery on a session. Peers must accept any (RFC 1982); tests start near
     /// the wrap.
     pub initial_id: u32,
@@ -44,7 +42,7 @@
             incoming_window: 256,
             max_unsettled: 1024,
             max_message_size: 1024 * 1024,
-            idle_timeout: 10_000 * NANOS_PER_MS,
+            idle_timeout: Duration::from_secs(10),
             initial_id: 0,
         }
     }
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -10,19 +10,20 @@
 //!
 //! ```
 //! use sparbank_amqp::{Connection, Event, Settings};
+//! use sparbank_time::MonotonicTime;
 //!
-//! let mut client = Connection::dial(0, Settings::default(), None);
-//! let mut server = Connection::accept(0, Settings::default(), None);
+//! let mut client = Connection::dial(MonotonicTime::ZERO, Settings::default(), None);
+//! let mut server = Connection::accept(MonotonicTime::ZERO, Settings::default(), None);
 //! let mut opened = 0;
 //! for _ in 0..8 {
-//!     let bytes = client.take_output(0);
+//!     let bytes = client.take_output(MonotonicTime::ZERO);
 //!     let mut input = &bytes[..];
-//!     while let Some(event) = server.next_event(0, &mut input)? {
+//!     while let Some(event) = server.next_event(MonotonicTime::ZERO, &mut input)? {
 //!         opened += i32::from(matches!(event, Event::Opened { .. }));
 //!     }
-//!     let bytes = server.take_output(0);
+//!     let bytes = server.take_output(MonotonicTime::ZERO);
 //!     let mut input = &bytes[..];
-//!     while let Some(event) = client.next_event(0, &mut input)? {
+//!     while let Some(event) = client.next_event(MonotonicTime::ZERO, &mut input)? {
 //!         opened += i32::from(matches!(event, Event::Opened { .. }));
 //!     }
 //! }
@@ -67,6 +68,3 @@
 pub use state::State;
 pub use terminus::{Source, Target, Terminus};
 pub use value::Value;
-
-/// A point in time or a span of it, in nanoseconds; the library reads no clock.
-pub type Nanos = u64;
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -10,6 +10,10 @@
     SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer,
     Value, AMQP, SASL,
 };
+use sparbank_time::MonotonicTime;
+
+/// Later than the start of a connection.
+const LATER: MonotonicTime = MonotonicTime::from_nanos(1);
 
 const BOUNDS: fn() -> Settings = || Settings {
     channel_max: 2,
@@ -205,12 +209,12 @@
         write_frame(&mut bytes, AMQP, channel % 4, Some(&body), &vec![7; size]);
         let mut left = &bytes[..];
         loop {
-            let event = match conn.next_event(1, &mut left) {
+            let event = match conn.next_event(LATER, &mut left) {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
                 Err(why) => {
                     conn.close(Some(Box::new(why.into())));
-                    conn.take_output(1);
+                    conn.take_output(LATER);
                     assert!(conn.is_closed());
                     return;
                 }
@@ -220,7 +224,7 @@
             respond(&mut conn, event, answer);
             check_bounds(&conn, &settings);
         }
-        conn.take_output(1);
+        conn.take_output(LATER);
     }
     assert!(conn.abandon().iter().all(|delivery| delivery.key <= 1));
 }
@@ -236,8 +240,11 @@
 
 /// One end that is open, with one session.
 fn open(dialled: bool) -> Connection {
-    let mut conn =
-        if dialled { Connection::dial(0, BOUNDS(), None) } else { Connection::accept(0, BOUNDS(), None) };
+    let mut conn = if dialled {
+        Connection::dial(MonotonicTime::ZERO, BOUNDS(), None)
+    } else {
+        Connection::accept(MonotonicTime::ZERO, BOUNDS(), None)
+    };
     let mut bytes = b"AMQP\x00\x01\x00\x00".to_vec();
     let open = Open { container_id: Some("c".into()), max_frame_size: Some(512), ..Open::default() };
     write_frame(&mut bytes, AMQP, 0, Some(&open.into()), &[]);
@@ -250,9 +257,9 @@
     };
     write_frame(&mut bytes, AMQP, 0, Some(&begin.into()), &[]);
     let mut left = &bytes[..];
-    while conn.next_event(0, &mut left).expect("sound").is_some() {}
+    while conn.next_event(MonotonicTime::ZERO, &mut left).expect("sound").is_some() {}
     assert!(conn.is_open() && conn.channels().len() == 1);
-    conn.take_output(0);
+    conn.take_output(MonotonicTime::ZERO);
     conn
 }
 
@@ -270,8 +277,8 @@
 
     #[test]
     fn a_connection_takes_any_frames_from_its_start(frames in frames(), answers in answers()) {
-        let mut conn = Connection::accept(0, BOUNDS(), None);
-        conn.next_event(0, &mut &b"AMQP\x00\x01\x00\x00"[..]).expect("its header");
+        let mut conn = Connection::accept(MonotonicTime::ZERO, BOUNDS(), None);
+        conn.next_event(MonotonicTime::ZERO, &mut &b"AMQP\x00\x01\x00\x00"[..]).expect("its header");
         play(conn, frames, &answers);
     }
 
@@ -281,8 +288,8 @@
         verdict in any::<bool>(),
     ) {
         let offered = Mechanism::ALL.to_vec();
-        let mut conn = Connection::accept(0, BOUNDS(), Some(offered));
-        conn.next_event(0, &mut &b"AMQP\x03\x01\x00\x00"[..]).expect("its header");
+        let mut conn = Connection::accept(MonotonicTime::ZERO, BOUNDS(), Some(offered));
+        conn.next_event(MonotonicTime::ZERO, &mut &b"AMQP\x03\x01\x00\x00"[..]).expect("its header");
         for (which, bytes) in bodies {
             let name = Some(Symbol(Mechanism::ALL[which % 4].name().into()));
             let body: Performative = match which {
@@ -293,7 +300,7 @@
             write_frame(&mut frame, SASL, 0, Some(&body), &[]);
             let mut left = &frame[..];
             loop {
-                match conn.next_event(0, &mut left) {
+                match conn.next_event(MonotonicTime::ZERO, &mut left) {
                     Ok(Some(Event::SaslRequest(SaslRequest::ScramKeys { .. }))) => conn.provide_scram_keys(None, b"salt", "nonce"),
                     Ok(Some(Event::SaslRequest(request))) => {
                         let proven = matches!(request, SaslRequest::ScramProof { is_valid: true, .. });
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -8,6 +8,7 @@
     IncomingTransfer, LinkId, Mechanism, Outgoing, Pbkdf2, Performative, Role, SaltedKeys, SaslRequest,
     Settings, State, Tag, Target, Terminus, Transfer, AMQP,
 };
+use sparbank_time::MonotonicTime;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Two ends and the octets between them.
@@ -50,18 +51,21 @@
 
 impl Pair {
     fn new(client: Settings, server: Settings) -> Pair {
-        let ends = [Connection::dial(0, client, None), Connection::accept(0, server, None)];
+        let ends = [
+            Connection::dial(MonotonicTime::ZERO, client, None),
+            Connection::accept(MonotonicTime::ZERO, server, None),
+        ];
         Pair { ends, wires: Default::default(), events: Default::default() }
     }
 
     /// Carries at most this many octets from one end to the other.
     fn carry(&mut self, from: usize, most: usize) -> Result<(), Fault> {
-        let out = self.ends[from].take_output(0);
+        let out = self.ends[from].take_output(MonotonicTime::ZERO);
         let wire = &mut self.wires[from];
         wire.extend(out);
         let end = most.min(wire.len());
         let mut left = &wire[..end];
-        while let Some(event) = self.ends[1 - from].next_event(0, &mut left)? {
+        while let Some(event) = self.ends[1 - from].next_event(MonotonicTime::ZERO, &mut left)? {
             self.events[1 - from].push_back(owned(event));
         }
         let taken = end - left.len();
@@ -232,7 +236,7 @@
             bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
         }
         let mut left = &bytes[..];
-        while let Ok(Some(_)) = pair.ends[1].next_event(0, &mut left) {}
+        while let Ok(Some(_)) = pair.ends[1].next_event(MonotonicTime::ZERO, &mut left) {}
     }
 
     /// One octet of a sound exchange changed: a fault or a change of meaning, never a panic.
@@ -246,11 +250,11 @@
         }
         pair.ends[0].detach(ours, true, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
         pair.ends[0].close(None);
-        let mut bytes = pair.ends[0].take_output(0);
+        let mut bytes = pair.ends[0].take_output(MonotonicTime::ZERO);
         let at = at % bytes.len();
         bytes[at] = to;
         let mut left = &bytes[..];
-        while let Ok(Some(_)) = pair.ends[1].next_event(0, &mut left) {}
+        while let Ok(Some(_)) = pair.ends[1].next_event(MonotonicTime::ZERO, &mut left) {}
     }
 }
 
@@ -266,7 +270,7 @@
     for id in 0..50 {
         pair.ends[1].settle(theirs.channel, id, if id == 20 { State::Released } else { State::Accepted });
     }
-    let bytes = pair.ends[1].take_output(0);
+    let bytes = pair.ends[1].take_output(MonotonicTime::ZERO);
     let mut left = &bytes[..];
     let mut ranges = Vec::new();
     while let Some(frame) = read_frame(&mut left, 4096).expect("sound") {
@@ -317,10 +321,12 @@
     // The window is filled up again only when half of it is used: the peer's answers are not awaited.
     let mut left = &bytes[..];
     let mut ended = 0;
-    while let Some(event) = pair.ends[1].next_event(0, &mut left).expect("the connection goes on") {
+    while let Some(event) =
+        pair.ends[1].next_event(MonotonicTime::ZERO, &mut left).expect("the connection goes on")
+    {
         ended += i32::from(matches!(event, Event::Ended { .. }));
     }
-    let out = pair.ends[1].take_output(0);
+    let out = pair.ends[1].take_output(MonotonicTime::ZERO);
     let mut left = &out[..];
     let mut conditions = Vec::new();
     while let Some(frame) = read_frame(&mut left, 4096).expect("sound") {
@@ -347,13 +353,13 @@
     let salted = Pbkdf2::new(b"wind", b"salt", 64).step(64).expect("done");
     let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
     let offered = vec![Mechanism::ScramSha256, Mechanism::Plain, Mechanism::External];
-    let mut client = Connection::dial(0, Settings::default(), Some(credentials));
-    let mut server = Connection::accept(0, Settings::default(), Some(offered));
+    let mut client = Connection::dial(MonotonicTime::ZERO, Settings::default(), Some(credentials));
+    let mut server = Connection::accept(MonotonicTime::ZERO, Settings::default(), Some(offered));
     let mut failed = false;
     for _ in 0..8 {
-        let bytes = client.take_output(0);
+        let bytes = client.take_output(MonotonicTime::ZERO);
         let mut left = &bytes[..];
-        while let Ok(Some(event)) = server.next_event(0, &mut left) {
+        while let Ok(Some(event)) = server.next_event(MonotonicTime::ZERO, &mut left) {
             match event {
                 Event::SaslRequest(SaslRequest::Plain { user, password }) => {
                     let salted = Pbkdf2::new(&password, b"salt", 64).step(64).expect("done");
@@ -367,10 +373,10 @@
                 _ => {}
             }
         }
-        let bytes = server.take_output(0);
+        let bytes = server.take_output(MonotonicTime::ZERO);
         let mut left = &bytes[..];
         loop {
-            match client.next_event(0, &mut left) {
+            match client.next_event(MonotonicTime::ZERO, &mut left) {
                 Ok(Some(_)) => {}
                 Ok(None) => break,
                 Err(why) => {
--- a/crates/quota/benches/division.rs
+++ b/crates/quota/benches/division.rs
@@ -4,16 +4,17 @@
     AdmissionController, AttemptKind, Grantor, HolderId, LeaseHolder, LeaseRequest, LeaseTable, LogEntry,
     Member, Quota, QuotaPlan, QuotaScope, Resource,
 };
+use sparbank_time::MonotonicTime;
 use std::hint::black_box;
+use std::time::Duration;
 use std::time::Instant;
 
 const QUOTAS: usize = 100;
 const SUBSCRIBERS: usize = 1000;
 const ADMISSIONS: u64 = 2_000_000;
 /// Virtual time between two admissions.
-const ADMISSION_INTERVAL_NANOS: u64 = 100_000;
+const ADMISSION_INTERVAL: Duration = Duration::from_micros(100);
 const DIVISION_ROUNDS: u64 = 5;
-const NANOS_PER_MS: u64 = 1_000_000;
 
 /// Four quotas apply to everybody; each of the others to one subscriber.
 fn plan(members: u16) -> QuotaPlan {
@@ -43,17 +44,19 @@
     let plan = plan(300);
     let subscribers: Vec<String> = (0..SUBSCRIBERS).map(|i| format!("s{i}")).collect();
     let controller = AdmissionController::new(&plan, &subscribers, &["a".into(), "b".into(), "c".into()]);
-    let mut holder = LeaseHolder::new(HolderId { member: 0, incarnation: 1 }, plan.clone(), 0);
+    let mut holder =
+        LeaseHolder::new(HolderId { member: 0, incarnation: 1 }, plan.clone(), MonotonicTime::ZERO);
     let scopes: Vec<QuotaScope> = subscribers.iter().map(|s| controller.scope(s, "b")).collect();
     let mut rejected = 0;
     let started = Instant::now();
+    let mut now = MonotonicTime::ZERO;
     for i in 0..ADMISSIONS {
         let scope = scopes[i as usize * 7919 % SUBSCRIBERS];
-        let now = i * ADMISSION_INTERVAL_NANOS;
         match controller.admit(&mut holder, now, scope, AttemptKind::First) {
             Ok(()) => controller.release(&mut holder, scope),
-            Err(rejection) => rejected += u64::from(black_box(rejection).retry_after > 0),
+            Err(rejection) => rejected += u64::from(black_box(rejection).retry_after > Duration::ZERO),
         }
+        now += ADMISSION_INTERVAL;
     }
     let nanos_per_request = started.elapsed().as_nanos() as f64 / ADMISSIONS as f64;
     println!(
@@ -65,7 +68,7 @@
 fn measure_division(members: u16) {
     let plan = plan(members);
     let layout = plan.layout_hash();
-    let mut grantor = Grantor::new(LeaseTable::new(plan), 0);
+    let mut grantor = Grantor::new(LeaseTable::new(plan), MonotonicTime::ZERO);
     let request = |member: u16, sequence: u64| LeaseRequest {
         holder: HolderId { member, incarnation: 1 },
         sequence,
@@ -79,7 +82,7 @@
         let requests = (0..members).map(|member| request(member, sequence)).collect();
         let entry = LogEntry { requests, ..LogEntry::default() };
         let started = Instant::now();
-        black_box(grantor.apply(sequence * NANOS_PER_MS, &entry));
+        black_box(grantor.apply(MonotonicTime::ZERO + Duration::from_millis(sequence), &entry));
         times_ms.push(started.elapsed().as_secs_f64() * 1e3);
     }
     times_ms.sort_by(f64::total_cmp);
--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -3,7 +3,7 @@
 
 use crate::lease_holder::{LeaseHolder, Rejection};
 use crate::plan::{QuotaPlan, Resource};
-use crate::Nanos;
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 
 /// The kinds of attempts, which count against different quotas.
@@ -73,7 +73,7 @@
     pub fn admit(
         &self,
         holder: &mut LeaseHolder,
-        now: Nanos,
+        now: MonotonicTime,
         scope: QuotaScope,
         attempt: AttemptKind,
     ) -> Result<(), Rejection> {
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -2,7 +2,7 @@
 
 use crate::lease_table::LeaseTable;
 use crate::protocol::{HolderId, LeaseExpiry, LeaseGrant, LogEntry};
-use crate::Nanos;
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
 
 /// A lease table, and the time on the grantor's own clock at which it applied the newest request of each holder. The
@@ -20,20 +20,20 @@
 /// The newest request of a holder, as one grantor's clock saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AppliedRequest {
-    applied_at: Nanos,
+    applied_at: MonotonicTime,
     /// Whether the rates have been reclaimed since.
     rates_reclaimed: bool,
 }
 
 impl AppliedRequest {
-    fn new(applied_at: Nanos) -> AppliedRequest {
+    fn new(applied_at: MonotonicTime) -> AppliedRequest {
         AppliedRequest { applied_at, rates_reclaimed: false }
     }
 }
 
 impl Grantor {
     /// A grantor that starts now with this lease table: empty, or copied from another grantor.
-    pub fn new(lease_table: LeaseTable, now: Nanos) -> Grantor {
+    pub fn new(lease_table: LeaseTable, now: MonotonicTime) -> Grantor {
         let applied = lease_table.holders().map(|holder| (holder, AppliedRequest::new(now))).collect();
         Grantor { lease_table, applied }
     }
@@ -44,7 +44,7 @@
     }
 
     /// Applies a log entry and gives the grants for its requests.
-    pub fn apply(&mut self, now: Nanos, entry: &LogEntry) -> Vec<LeaseGrant> {
+    pub fn apply(&mut self, now: MonotonicTime, entry: &LogEntry) -> Vec<LeaseGrant> {
         let sequence_before = |holder| (holder, self.lease_table.sequence(holder));
         let before: Vec<_> = entry.requests.iter().map(|request| sequence_before(request.holder)).collect();
         let grants = self.lease_table.apply(entry);
@@ -63,12 +63,12 @@
     }
 
     /// The leases that have expired by now and whose allotments are to be reclaimed.
-    pub fn expired_leases(&self, now: Nanos) -> Vec<LeaseExpiry> {
+    pub fn expired_leases(&self, now: MonotonicTime) -> Vec<LeaseExpiry> {
         let plan = self.lease_table.plan();
         let rates_after = plan.lease_expired_after();
         let levels_after = plan.connections_cleared_after();
         let expiry = |(&holder, applied): (&HolderId, &AppliedRequest)| {
-            let age = now.saturating_sub(applied.applied_at);
+            let age = now.saturating_duration_since(applied.applied_at);
             let includes_levels = age >= levels_after;
             let rates_expired = age >= rates_after && !applied.rates_reclaimed;
             let sequence = self.lease_table.sequence(holder)?;
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -3,12 +3,13 @@
 use crate::plan::QuotaPlan;
 use crate::protocol::{HolderId, LeaseGrant, LeaseRequest};
 use crate::quota_usage::{QuotaStatus, QuotaUsage};
-use crate::Nanos;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// How often a holder renews its lease in the time of one.
-const LEASE_RENEWALS_PER_TERM: u64 = 3;
+const LEASE_RENEWALS_PER_TERM: u32 = 3;
 /// How often it does while attempts are rejected or the node shuts down.
-const URGENT_LEASE_RENEWALS_PER_TERM: u64 = 12;
+const URGENT_LEASE_RENEWALS_PER_TERM: u32 = 12;
 
 /// An attempt that exceeds a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +17,7 @@
     /// The index in the plan of the quota that is exhausted.
     pub quota: usize,
     /// How long the attempt should wait before it is retried.
-    pub retry_after: Nanos,
+    pub retry_after: Duration,
 }
 
 /// The allotments of one node. It fails safe: without grants it comes down to its floors.
@@ -29,9 +30,9 @@
     usage: Vec<QuotaUsage>,
     /// The number of the newest request; zero before the first.
     sequence: u64,
-    requested_at: Nanos,
+    requested_at: MonotonicTime,
     awaits_grant: bool,
-    lease_expires_at: Nanos,
+    lease_expires_at: MonotonicTime,
     has_lease: bool,
     is_shutting_down: bool,
     fenced: bool,
@@ -39,7 +40,7 @@
 
 impl LeaseHolder {
     /// A holder with the floors of its member and without a lease.
-    pub fn new(id: HolderId, plan: QuotaPlan, now: Nanos) -> LeaseHolder {
+    pub fn new(id: HolderId, plan: QuotaPlan, now: MonotonicTime) -> LeaseHolder {
         let usage = (0..plan.quotas.len()).map(|quota| QuotaUsage::new(&plan, quota, now)).collect();
         LeaseHolder {
             id,
@@ -61,7 +62,7 @@
     /// # Errors
     ///
     /// The first quota that is exhausted; then nothing is acquired.
-    pub fn acquire(&mut self, now: Nanos, quotas: &[usize]) -> Result<(), Rejection> {
+    pub fn acquire(&mut self, now: MonotonicTime, quotas: &[usize]) -> Result<(), Rejection> {
         self.expire_lease(now);
         for quota in quotas {
             self.usage[*quota].refill(now);
@@ -75,7 +76,7 @@
         Ok(())
     }
 
-    fn reject(&mut self, now: Nanos, quota: usize) -> Rejection {
+    fn reject(&mut self, now: MonotonicTime, quota: usize) -> Rejection {
         let lease_duration = self.plan.lease_duration();
         let level_wait = lease_duration / LEASE_RENEWALS_PER_TERM;
         let retry_after = self.usage[quota].reject(now, level_wait, lease_duration);
@@ -98,19 +99,19 @@
     }
 
     /// How many connections of a level exceed what this node may use, and have to end.
-    pub fn excess(&mut self, now: Nanos, quota: usize) -> u64 {
+    pub fn excess(&mut self, now: MonotonicTime, quota: usize) -> u64 {
         self.advance(now);
         self.usage[quota].excess()
     }
 
     /// The units of a quota that this node may use now, floor and allotment.
-    pub fn allowed_units(&mut self, now: Nanos, quota: usize) -> u64 {
+    pub fn allowed_units(&mut self, now: MonotonicTime, quota: usize) -> u64 {
         self.advance(now);
         self.usage[quota].allowed_units()
     }
 
     /// When the next lease request is due: sooner while attempts are rejected or the node shuts down.
-    pub fn next_request_at(&self) -> Nanos {
+    pub fn next_request_at(&self) -> MonotonicTime {
         if self.sequence == 0 {
             return self.requested_at;
         }
@@ -120,9 +121,10 @@
     }
 
     /// The next lease request, to be sent at once: from now on this node uses no more than the request retains.
-    pub fn create_request(&mut self, now: Nanos) -> LeaseRequest {
+    pub fn create_request(&mut self, now: MonotonicTime) -> LeaseRequest {
         self.advance(now);
-        let since_last_request = now.saturating_sub(self.requested_at).max(1);
+        let since_last_request =
+            now.saturating_duration_since(self.requested_at).max(Duration::from_nanos(1));
         let gives_back = self.is_shutting_down || self.fenced;
         for usage in &mut self.usage {
             usage.update_wanted(since_last_request, gives_back);
@@ -144,9 +146,9 @@
 
     /// Accepts a grant; false if it is ignored, since it is for an older request, arrived before, or arrives after the
     /// end of its lease.
-    pub fn on_grant(&mut self, now: Nanos, grant: &LeaseGrant) -> bool {
+    pub fn on_grant(&mut self, now: MonotonicTime, grant: &LeaseGrant) -> bool {
         self.advance(now);
-        let expires_at = self.requested_at.saturating_add(self.plan.lease_duration());
+        let expires_at = self.requested_at + self.plan.lease_duration();
         let answers_newest = grant.holder == self.id && grant.sequence == self.sequence;
         let is_complete = grant.allotments.len() == self.usage.len();
         if !self.awaits_grant || !answers_newest || expires_at <= now || !is_complete {
@@ -170,8 +172,8 @@
     }
 
     /// How long the lease is still valid; zero while the node lives on its floors.
-    pub fn lease_remaining(&self, now: Nanos) -> Nanos {
-        self.lease_expires_at.saturating_sub(now)
+    pub fn lease_remaining(&self, now: MonotonicTime) -> Duration {
+        self.lease_expires_at.saturating_duration_since(now)
     }
 
     /// The state of a quota, for log lines.
@@ -180,12 +182,12 @@
     }
 
     /// Expires the lease if it has ended, and brings all buckets up to now.
-    fn advance(&mut self, now: Nanos) {
+    fn advance(&mut self, now: MonotonicTime) {
         self.expire_lease(now);
         self.refill_all(now);
     }
 
-    fn expire_lease(&mut self, now: Nanos) {
+    fn expire_lease(&mut self, now: MonotonicTime) {
         if !self.has_lease || now < self.lease_expires_at {
             return;
         }
@@ -197,7 +199,7 @@
         }
     }
 
-    fn refill_all(&mut self, now: Nanos) {
+    fn refill_all(&mut self, now: MonotonicTime) {
         for usage in &mut self.usage {
             usage.refill(now);
         }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -28,6 +28,3 @@
 pub use plan::{Member, PlanError, PlanProblem, Quota, QuotaPlan, Resource};
 pub use protocol::{HolderId, LeaseExpiry, LeaseGrant, LeaseRequest, LogEntry};
 pub use quota_usage::QuotaStatus;
-
-/// A time or a duration in nanoseconds, on the clock of the caller: times of two nodes are never compared.
-pub type Nanos = u64;
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -2,13 +2,13 @@
 
 mod validation;
 
-use crate::Nanos;
 use serde::Deserialize;
+use sparbank_time::DurationExt;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 pub use validation::{PlanError, PlanProblem};
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 const PARTS_PER_MILLION: u64 = 1_000_000;
 /// Rates are granted in thousandths of an event per second.
 const RATE_UNITS_PER_EVENT: u64 = 1000;
@@ -112,23 +112,24 @@
 
 impl QuotaPlan {
     /// The duration of a lease, which its holder counts from when it sent the request.
-    pub fn lease_duration(&self) -> Nanos {
-        self.lease_ms * NANOS_PER_MS
+    pub fn lease_duration(&self) -> Duration {
+        Duration::from_millis(self.lease_ms)
     }
 
     /// The time after which, on the clock of a grantor and since it applied a request, the lease of that request
     /// has expired on its holder's clock too.
-    pub fn lease_expired_after(&self) -> Nanos {
+    pub fn lease_expired_after(&self) -> Duration {
         self.with_drift(self.lease_duration())
     }
 
     /// The time after which, counted likewise, the connections above the holder's floor are gone too.
-    pub fn connections_cleared_after(&self) -> Nanos {
-        self.with_drift(self.lease_duration() + self.clear_ms * NANOS_PER_MS)
+    pub fn connections_cleared_after(&self) -> Duration {
+        self.with_drift(self.lease_duration() + Duration::from_millis(self.clear_ms))
     }
 
-    fn with_drift(&self, duration: Nanos) -> Nanos {
-        duration + duration / PARTS_PER_MILLION * self.drift_ppm + 1
+    fn with_drift(&self, duration: Duration) -> Duration {
+        let nanos = duration.as_nanos_u64();
+        Duration::from_nanos(nanos + nanos / PARTS_PER_MILLION * self.drift_ppm + 1)
     }
 
     /// A hash of what two nodes need to have in common for their allotments to mean the same: members, lease and
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -1,7 +1,8 @@
 //! The use of one quota at one node: its floor and allotment, what is in use, and the token bucket of a rate.
 
 use crate::plan::QuotaPlan;
-use crate::Nanos;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// The tokens of one event: a rate of one unit (a thousandth of an event per second) yields one token per nanosecond.
 const TOKENS_PER_EVENT: u64 = 1_000_000_000_000;
@@ -13,7 +14,7 @@
 /// An allotment that exceeds its target by at most a sixteenth of itself is retained.
 const TARGET_TOLERANCE_DIVISOR: u64 = 16;
 /// The largest Retry-After.
-const MAX_RETRY_AFTER: Nanos = 60_000_000_000;
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The state of one quota at one node, for log lines. Units are connections, or thousandths of an event per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,15 +52,15 @@
     wanted: u64,
     /// The bucket of a rate, in tokens, as of `refilled_at`.
     tokens: u64,
-    refilled_at: Nanos,
+    refilled_at: MonotonicTime,
     /// The latest time that a rejected attempt was given to retry at.
-    last_retry_at: Nanos,
+    last_retry_at: MonotonicTime,
 }
 
 impl QuotaUsage {
     /// Nothing in use and no allotment. The bucket starts empty, since a previous process of the member may have
     /// spent the tokens of this second.
-    pub(crate) fn new(plan: &QuotaPlan, quota: usize, now: Nanos) -> QuotaUsage {
+    pub(crate) fn new(plan: &QuotaPlan, quota: usize, now: MonotonicTime) -> QuotaUsage {
         let settings = &plan.quotas[quota];
         QuotaUsage {
             is_level: settings.resource.is_level(),
@@ -76,7 +77,7 @@
             wanted: 0,
             tokens: 0,
             refilled_at: now,
-            last_retry_at: 0,
+            last_retry_at: MonotonicTime::ZERO,
         }
     }
 
@@ -126,21 +127,26 @@
 
     /// Counts a rejection and gives the Retry-After of the rejected attempt: when there is capacity for it, as far as
     /// this node knows, if all that were rejected before it retry too.
-    pub(crate) fn reject(&mut self, now: Nanos, level_wait: Nanos, lease_duration: Nanos) -> Nanos {
+    pub(crate) fn reject(
+        &mut self,
+        now: MonotonicTime,
+        level_wait: Duration,
+        lease_duration: Duration,
+    ) -> Duration {
         self.rejected += 1;
         if self.is_level {
             return level_wait;
         }
         // One after the other, from the time at which the bucket has an event again.
         let rate = self.allowed_units();
-        let interval = TOKENS_PER_EVENT.checked_div(rate).unwrap_or(MAX_RETRY_AFTER);
+        let interval = TOKENS_PER_EVENT.checked_div(rate).map_or(MAX_RETRY_AFTER, Duration::from_nanos);
         let missing_tokens = TOKENS_PER_EVENT - self.tokens;
-        let refilled_in = missing_tokens.checked_div(rate).unwrap_or(lease_duration);
-        let earliest = now.saturating_add(refilled_in);
-        let after_last = self.last_retry_at.saturating_add(interval);
-        let latest = now.saturating_add(MAX_RETRY_AFTER);
+        let refilled_in = missing_tokens.checked_div(rate).map_or(lease_duration, Duration::from_nanos);
+        let earliest = now + refilled_in;
+        let after_last = self.last_retry_at + interval;
+        let latest = now + MAX_RETRY_AFTER;
         self.last_retry_at = earliest.max(after_last).min(latest);
-        self.last_retry_at - now
+        self.last_retry_at.saturating_duration_since(now)
     }
 
     pub(crate) fn has_new_rejections(&self) -> bool {
@@ -148,11 +154,12 @@
     }
 
     /// Brings the bucket of a rate up to now.
-    pub(crate) fn refill(&mut self, now: Nanos) {
+    pub(crate) fn refill(&mut self, now: MonotonicTime) {
         if self.is_level || now <= self.refilled_at {
             return;
         }
-        let added = u128::from(now - self.refilled_at) * u128::from(self.allowed_units());
+        let added =
+            now.saturating_duration_since(self.refilled_at).as_nanos() * u128::from(self.allowed_units());
         let tokens = added.saturating_add(u128::from(self.tokens));
         self.tokens = tokens.min(u128::from(self.bucket_capacity())) as u64;
         self.refilled_at = now;
@@ -183,13 +190,13 @@
     }
 
     /// Sets what the next lease request wants beside the floor, from what was used and rejected since the last one.
-    pub(crate) fn update_wanted(&mut self, since_last_request: Nanos, is_shutting_down: bool) {
+    pub(crate) fn update_wanted(&mut self, since_last_request: Duration, is_shutting_down: bool) {
         let rejected = self.rejected - self.rejected_at_last_request;
         let demand = if self.is_level {
             self.used + rejected
         } else {
             let events = u128::from(self.used - self.used_at_last_request + rejected);
-            let rate = events * u128::from(TOKENS_PER_EVENT) / u128::from(since_last_request);
+            let rate = events * u128::from(TOKENS_PER_EVENT) / since_last_request.as_nanos();
             rate.min(u128::from(u64::MAX / 4)) as u64
         };
         self.used_at_last_request = self.used;
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -9,13 +9,14 @@
 
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, Quota, QuotaPlan,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Quota, QuotaPlan,
     Resource,
 };
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 use support::plan::{members, quota};
 use support::seeds::seeds_from_env;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 const NODES: usize = 12;
 /// Connections of all nodes together.
 const TOTAL: u64 = 600;
@@ -90,6 +91,10 @@
     message: T,
 }
 
+fn at_millisecond(now_ms: u64) -> MonotonicTime {
+    MonotonicTime::ZERO + Duration::from_millis(now_ms)
+}
+
 /// Takes the messages that have arrived, in the order in which they were sent.
 fn take_arrived<T>(in_flight: &mut Vec<InFlight<T>>, now_ms: u64) -> Vec<T> {
     let all = std::mem::take(in_flight);
@@ -118,7 +123,7 @@
         let plan = plan();
         let holder = |member: usize| {
             let id = HolderId { member: member as u16, incarnation: 1 };
-            LeaseHolder::new(id, plan.clone(), 0)
+            LeaseHolder::new(id, plan.clone(), MonotonicTime::ZERO)
         };
         Fleet {
             rng: StdRng::seed_from_u64(seed),
@@ -126,7 +131,7 @@
             first_node_weight,
             event,
             holders: (0..NODES).map(holder).collect(),
-            grantor: Grantor::new(LeaseTable::new(plan.clone()), 0),
+            grantor: Grantor::new(LeaseTable::new(plan.clone()), MonotonicTime::ZERO),
             connections: vec![Vec::new(); NODES],
             requests: Vec::new(),
             grants: Vec::new(),
@@ -150,7 +155,7 @@
             self.run_grantor(now_ms);
         }
         for grant in take_arrived(&mut self.grants, now_ms) {
-            self.holders[usize::from(grant.holder.member)].on_grant(now_ms * NANOS_PER_MS, &grant);
+            self.holders[usize::from(grant.holder.member)].on_grant(at_millisecond(now_ms), &grant);
         }
     }
 
@@ -163,7 +168,7 @@
                 self.connect(member, now_ms);
             }
         }
-        let now = now_ms * NANOS_PER_MS;
+        let now = at_millisecond(now_ms);
         let holder = &mut self.holders[member];
         if self.division == Division::Leases && holder.next_request_at() <= now {
             let message = holder.create_request(now);
@@ -192,7 +197,7 @@
 
     fn connect(&mut self, member: usize, now_ms: u64) {
         let is_admitted = match self.division {
-            Division::Leases => self.holders[member].acquire(now_ms * NANOS_PER_MS, &[CONNECTIONS]).is_ok(),
+            Division::Leases => self.holders[member].acquire(at_millisecond(now_ms), &[CONNECTIONS]).is_ok(),
             Division::Static => self.connections[member].len() < TOTAL as usize / NODES,
             Division::SharedPool => self.established() < TOTAL,
         };
@@ -203,7 +208,7 @@
     }
 
     fn run_grantor(&mut self, now_ms: u64) {
-        let now = now_ms * NANOS_PER_MS;
+        let now = at_millisecond(now_ms);
         let expiries = self.grantor.expired_leases(now);
         let requests = take_arrived(&mut self.requests, now_ms);
         for message in self.grantor.apply(now, &LogEntry { expiries, requests }) {
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -7,15 +7,15 @@
 }
 
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, QuotaPlan,
-    Resource,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, QuotaPlan, Resource,
 };
+use sparbank_time::MonotonicTime;
 use stateright::{Checker, Model, Property};
+use std::time::Duration;
 use support::plan::{members, quota};
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 /// A lease of 300 ms has expired after two ticks, on the clock of the grantor too, which adds a nanosecond.
-const TICK: Nanos = 151 * NANOS_PER_MS;
+const TICK: Duration = Duration::from_millis(151);
 /// The only quota of the plan, a level.
 const CONNECTIONS: usize = 0;
 
@@ -34,7 +34,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct ModelState {
-    now: Nanos,
+    now: MonotonicTime,
     holders: Vec<LeaseHolder>,
     requests: Vec<LeaseRequest>,
     grants: Vec<LeaseGrant>,
@@ -88,7 +88,7 @@
 struct LeaseModel {
     plan: QuotaPlan,
     fault: Fault,
-    max_ticks: u64,
+    max_ticks: u32,
     /// How many requests each holder may send.
     max_requests: [usize; 2],
     max_log_entries: usize,
@@ -137,7 +137,7 @@
     }
 
     fn commit_expiries(&self, state: &mut ModelState, replica: usize) -> Option<()> {
-        let ahead = if self.fault == Fault::EarlyReclaim { TICK } else { 0 };
+        let ahead = if self.fault == Fault::EarlyReclaim { TICK } else { Duration::ZERO };
         let leader = &mut state.replicas[replica];
         let expiries = leader.grantor.expired_leases(state.now + ahead);
         if expiries.is_empty() {
@@ -202,11 +202,12 @@
     fn init_states(&self) -> Vec<ModelState> {
         let holder = |(index, member): (usize, &u16)| {
             let id = HolderId { member: *member, incarnation: index as u64 + 1 };
-            LeaseHolder::new(id, self.plan.clone(), 0)
+            LeaseHolder::new(id, self.plan.clone(), MonotonicTime::ZERO)
         };
-        let replica = || Replica { grantor: Grantor::new(LeaseTable::new(self.plan.clone()), 0), applied: 0 };
+        let grantor = Grantor::new(LeaseTable::new(self.plan.clone()), MonotonicTime::ZERO);
+        let replica = || Replica { grantor: grantor.clone(), applied: 0 };
         vec![ModelState {
-            now: 0,
+            now: MonotonicTime::ZERO,
             holders: self.members.iter().enumerate().map(holder).collect(),
             requests: Vec::new(),
             grants: Vec::new(),
@@ -217,7 +218,7 @@
     }
 
     fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
-        if state.now < self.max_ticks * TICK {
+        if state.now < MonotonicTime::ZERO + self.max_ticks * TICK {
             actions.push(Action::Tick);
         }
         for holder in 0..state.holders.len() {
--- a/crates/quota/tests/schedules/fleet.rs
+++ b/crates/quota/tests/schedules/fleet.rs
@@ -1,9 +1,11 @@
 //! The fleet that is played: its plan and its nodes.
 
 use crate::support::plan::{members, quota};
-use sparbank_quota::{LeaseHolder, Nanos, Quota, QuotaPlan, Resource};
+use sparbank_quota::{LeaseHolder, Quota, QuotaPlan, Resource};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-pub const NANOS_PER_MS: Nanos = 1_000_000;
+pub const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 pub const NANOS_PER_SECOND: f64 = 1e9;
 pub const MEMBERS: u16 = 6;
 pub const GRANTORS: usize = 3;
@@ -37,26 +39,27 @@
 pub struct Node {
     pub holder: LeaseHolder,
     pub incarnation: u64,
-    pub clock_offset: Nanos,
+    pub clock_offset: Duration,
     /// How much faster than true time its clock runs, in millionths.
     pub clock_drift_ppm: i64,
     /// The true time at which it was stopped.
-    pub stopped_at: Option<Nanos>,
+    pub stopped_at: Option<MonotonicTime>,
     /// What its clock read when it last ran.
-    pub last_reading: Nanos,
+    pub last_reading: MonotonicTime,
     pub established: u64,
     pub last_sequence: u64,
 }
 
 impl Node {
     /// What its clock reads at a true time.
-    pub fn clock(&self, true_time: Nanos) -> Nanos {
-        let drift = true_time as i64 / 1_000_000 * self.clock_drift_ppm;
-        self.clock_offset + (true_time as i64 + drift) as u64
+    pub fn clock(&self, true_time: MonotonicTime) -> MonotonicTime {
+        let nanos = true_time.as_nanos() as i64;
+        let drift = nanos / 1_000_000 * self.clock_drift_ppm;
+        MonotonicTime::from_nanos((nanos + drift) as u64) + self.clock_offset
     }
 
     /// What its clock read when it last ran, whatever the time is.
-    pub fn stale_clock(&self, _true_time: Nanos) -> Nanos {
+    pub fn stale_clock(&self, _true_time: MonotonicTime) -> MonotonicTime {
         self.last_reading
     }
 
--- a/crates/quota/tests/schedules/main.rs
+++ b/crates/quota/tests/schedules/main.rs
@@ -14,7 +14,6 @@
 }
 
 use auditor::Breach;
-use fleet::NANOS_PER_SECOND;
 use std::fmt;
 use support::seeds::seeds_from_env;
 use world::{Fault, World};
@@ -56,7 +55,7 @@
         let world = play(seed, Fault::None, steps).unwrap_or_else(|found| panic!("{found}"));
         checks += world.auditor().checks();
         setups += world.auditor().setups();
-        seconds += world.now() as f64 / NANOS_PER_SECOND;
+        seconds += world.now().as_nanos() as f64 / fleet::NANOS_PER_SECOND;
     }
     println!("{checks} checks, 0 breaches; {:.1} set-ups a second of 100", setups as f64 / seconds);
     assert!(setups as f64 > seconds * 10.0, "nothing was granted");
--- a/crates/quota/tests/schedules/world.rs
+++ b/crates/quota/tests/schedules/world.rs
@@ -1,14 +1,18 @@
 //! The world in virtual time: what happens to the nodes, the messages and the grantors, drawn from one seed.
 
 use crate::auditor::{Auditor, Breach};
-use crate::fleet::{plan, Node, CONNECTIONS, GRANTORS, MEMBERS, NANOS_PER_MS, QUOTAS, RETRIES, SETUPS};
+use crate::fleet::{plan, Node, CONNECTIONS, GRANTORS, MEMBERS, QUOTAS, RETRIES, SETUPS};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
-    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, Nanos, QuotaPlan,
+    Grantor, HolderId, LeaseGrant, LeaseHolder, LeaseRequest, LeaseTable, LogEntry, QuotaPlan,
 };
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
-const MAX_MESSAGE_DELAY: Nanos = 5000 * NANOS_PER_MS;
-const USUAL_MESSAGE_DELAY: Nanos = 20 * NANOS_PER_MS;
+/// How much time one step takes at most.
+const MAX_STEP: Duration = Duration::from_millis(2);
+const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(5);
+const USUAL_MESSAGE_DELAY: Duration = Duration::from_millis(20);
 
 const FIRST_ATTEMPT: [usize; 2] = [CONNECTIONS, SETUPS];
 const RETRY: [usize; 2] = [SETUPS, RETRIES];
@@ -34,7 +38,7 @@
 }
 
 struct InFlightMessage {
-    arrives_at: Nanos,
+    arrives_at: MonotonicTime,
     message: Message,
 }
 
@@ -48,7 +52,7 @@
     rng: StdRng,
     fault: Fault,
     plan: QuotaPlan,
-    now: Nanos,
+    now: MonotonicTime,
     /// By member.
     nodes: Vec<Option<Node>>,
     incarnations: u64,
@@ -63,11 +67,12 @@
 impl World {
     pub fn new(seed: u64, fault: Fault) -> World {
         let plan = plan();
-        let replica = || Replica { grantor: Grantor::new(LeaseTable::new(plan.clone()), 0), applied: 0 };
+        let grantor = Grantor::new(LeaseTable::new(plan.clone()), MonotonicTime::ZERO);
+        let replica = || Replica { grantor: grantor.clone(), applied: 0 };
         World {
             rng: StdRng::seed_from_u64(seed),
             fault,
-            now: 0,
+            now: MonotonicTime::ZERO,
             nodes: (0..MEMBERS).map(|_| None).collect(),
             incarnations: 0,
             log: Vec::new(),
@@ -80,7 +85,7 @@
         }
     }
 
-    pub fn now(&self) -> Nanos {
+    pub fn now(&self) -> MonotonicTime {
         self.now
     }
 
@@ -88,6 +93,11 @@
         &self.auditor
     }
 
+    /// A duration below the maximum.
+    fn random_duration(&mut self, maximum: Duration) -> Duration {
+        Duration::from_nanos(self.rng.random_range(0..maximum.as_nanos_u64()))
+    }
+
     /// Sends a message, sometimes twice; each copy may be lost or delayed.
     fn send(&mut self, message: Message) {
         let is_duplicated = self.rng.random_bool(0.05);
@@ -95,8 +105,8 @@
         for _ in 0..copies {
             let delay = match self.rng.random_range(0..20) {
                 0 => continue,
-                1 => self.rng.random_range(0..MAX_MESSAGE_DELAY),
-                _ => self.rng.random_range(0..USUAL_MESSAGE_DELAY),
+                1 => self.random_duration(MAX_MESSAGE_DELAY),
+                _ => self.random_duration(USUAL_MESSAGE_DELAY),
             };
             let arrives_at = self.now + delay;
             self.in_flight.push(InFlightMessage { arrives_at, message: message.clone() });
@@ -105,7 +115,8 @@
 
     /// One step: some time passes, and something happens.
     pub fn step(&mut self) -> Result<(), Breach> {
-        self.now += self.rng.random_range(0..2 * NANOS_PER_MS);
+        let elapsed = self.random_duration(MAX_STEP);
+        self.now += elapsed;
         let member = self.rng.random_range(0..usize::from(MEMBERS));
         match self.rng.random_range(0..10_000) {
             0..=7 => self.nodes[member] = None,
@@ -131,16 +142,16 @@
 
     fn start_node(&mut self, member: usize) {
         self.incarnations += 1;
-        let clock_offset = self.rng.random_range(0..1 << 40);
+        let clock_offset = Duration::from_nanos(self.rng.random_range(0..1 << 40));
         let clock_drift_ppm = self.rng.random_range(-9_000..9_000);
         let id = HolderId { member: member as u16, incarnation: self.incarnations };
         let mut node = Node {
-            holder: LeaseHolder::new(id, self.plan.clone(), 0),
+            holder: LeaseHolder::new(id, self.plan.clone(), MonotonicTime::ZERO),
             incarnation: self.incarnations,
             clock_offset,
             clock_drift_ppm,
             stopped_at: None,
-            last_reading: 0,
+            last_reading: MonotonicTime::ZERO,
             established: 0,
             last_sequence: 0,
         };
@@ -189,7 +200,7 @@
     /// An attempt at a node, admitted by the given reading of its clock.
     fn attempt_by(
         &mut self,
-        clock: fn(&Node, Nanos) -> Nanos,
+        clock: fn(&Node, MonotonicTime) -> MonotonicTime,
         member: usize,
         quotas: &[usize],
     ) -> Result<(), Breach> {
@@ -221,7 +232,8 @@
     /// The leader commits an entry: the pending requests, and the leases that have expired by its clock.
     fn commit_log_entry(&mut self) {
         self.catch_up(self.leader);
-        let ahead = if self.fault == Fault::EarlyReclaim { 400 * NANOS_PER_MS } else { 0 };
+        let ahead =
+            if self.fault == Fault::EarlyReclaim { Duration::from_millis(400) } else { Duration::ZERO };
         let expiries = self.replicas[self.leader].grantor.expired_leases(self.now + ahead);
         let requests = std::mem::take(&mut self.pending_requests);
         self.log.push(LogEntry { expiries, requests });
@@ -270,7 +282,7 @@
         for node in self.nodes.iter_mut().flatten() {
             if let Some(stopped_at) = node.stopped_at {
                 // Servers end the connections of a stopped node.
-                if self.now >= stopped_at + self.plan.clear_ms * NANOS_PER_MS {
+                if self.now >= stopped_at + Duration::from_millis(self.plan.clear_ms) {
                     for _ in 0..std::mem::take(&mut node.established) {
                         node.holder.release(&[CONNECTIONS]);
                     }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -35,7 +35,7 @@
 const SHELL_TIME: Duration = Duration::from_millis(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Log lines that say that a node broke a rule.
-const BROKEN_RULE_MARKS: [&str; 2] = ["invariant-violated", "panicked"];
+const BROKEN_RULE_MARKS: [&str; 2] = ["invariant violated", "panicked"];
 
 struct Node {
     address: SocketAddr,
--- a/crates/time/src/serde_nanos.rs
+++ b/crates/time/src/serde_nanos.rs
@@ -29,7 +29,7 @@
     /// # Errors
     /// Those of the serializer.
     pub fn serialize<S: Serializer>(duration: &Option<Duration>, serializer: S) -> Result<S::Ok, S::Error> {
-        duration.map(DurationExt::as_nanos_u64).serialize(serializer)
+        duration.map(|duration| duration.as_nanos_u64()).serialize(serializer)
     }
 
     /// Reads whole nanoseconds, or none.
--- a/crates/time/src/tests.rs
+++ b/crates/time/src/tests.rs
@@ -8,8 +8,13 @@
 #[rstest]
 #[case(5_000_000, 2_000_000, 3)]
 #[case(2_000_000, 5_000_000, 0)]
-fn a_duration_since_a_later_instant_is_zero(#[case] later: u64, #[case] earlier: u64, #[case] expected_ms: u64) {
-    let since = MonotonicTime::from_nanos(later).saturating_duration_since(MonotonicTime::from_nanos(earlier));
+fn a_duration_since_a_later_instant_is_zero(
+    #[case] later: u64,
+    #[case] earlier: u64,
+    #[case] expected_ms: u64,
+) {
+    let since =
+        MonotonicTime::from_nanos(later).saturating_duration_since(MonotonicTime::from_nanos(earlier));
     assert_eq!(since, Duration::from_millis(expected_ms));
 }
 
@@ -53,6 +58,7 @@
     assert_eq!(text, r#"{"at":7,"wall":8,"span":300,"limit":1000000}"#);
     assert_eq!(serde_json::from_str::<Stored>(&text).expect("it can be read"), stored);
     let bytes = postcard::to_stdvec(&stored).expect("it can be serialized");
-    let numbers = postcard::to_stdvec(&(7u64, 8u64, 300u64, Some(1_000_000u64))).expect("it can be serialized");
+    let numbers =
+        postcard::to_stdvec(&(7u64, 8u64, 300u64, Some(1_000_000u64))).expect("it can be serialized");
     assert_eq!(bytes, numbers);
 }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -10,18 +10,19 @@
 pub use response::Response;
 
 use crate::frontend::TimerEvent;
-use crate::model::Nanos;
 use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, TimerWheel, Token};
 use request::ParsedHead;
+use sparbank_time::MonotonicTime;
 use std::collections::HashSet;
 use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Callers at a time; each has a reserved descriptor.
 const MAX_CALLERS: usize = 8;
 /// A call that is not complete after this is answered as such. Operators expect the answer to a complete one within
 /// 1 s.
-const CALL_TIMEOUT: Nanos = 2_500_000_000;
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The server of the admin API.
 pub struct AdminServer {
@@ -53,7 +54,7 @@
     /// [`AdminServer::respond`].
     pub fn on_socket_event(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         wheel: &mut TimerWheel<TimerEvent>,
         event: SocketEvent,
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -2,7 +2,7 @@
 
 use crate::frontend::amqp::{add_user, Rights};
 use crate::frontend::OPTIONAL_FRONTENDS;
-use crate::log;
+use crate::log::{self, Verbosity};
 use crate::node::{Configuration, Options, PreparedNode};
 use crate::quota;
 use lexopt::prelude::{Long, Short, Value, ValueExt};
@@ -31,6 +31,18 @@
     Help,
 }
 
+/// What the arguments of the program say.
+struct Invocation {
+    command: Command,
+    verbosity: Verbosity,
+}
+
+impl From<Command> for Invocation {
+    fn from(command: Command) -> Invocation {
+        Invocation { command, verbosity: Verbosity::default() }
+    }
+}
+
 /// What is printed where a command failed, and the program's exit code.
 struct Failure {
     message: String,
@@ -49,14 +61,16 @@
 
 /// Runs the program: 0 when all went well, 1 when serving failed, 2 for a wrong call or configuration.
 pub fn run() -> ExitCode {
-    let result = match parse_arguments(lexopt::Parser::from_env()) {
-        Ok(command) => execute(command),
+    let invocation = parse_arguments(lexopt::Parser::from_env());
+    log::init(invocation.as_ref().map(|invocation| invocation.verbosity).unwrap_or_default());
+    let result = match invocation {
+        Ok(Invocation { command, .. }) => execute(command),
         Err(error) => Err(Failure::invalid(format!("{error}; {USAGE}"))),
     };
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(failure) => {
-            log::line(format_args!("error {}", failure.message));
+            tracing::error!("{}", failure.message);
             ExitCode::from(failure.exit_code)
         }
     }
@@ -116,17 +130,16 @@
     /// What follows `amqp-user`.
     values: Vec<String>,
     rights: Rights,
-    /// Trace lines are written from now on.
-    trace: bool,
+    verbosity: Verbosity,
 }
 
-fn parse_arguments(mut parser: lexopt::Parser) -> Result<Command, lexopt::Error> {
+fn parse_arguments(mut parser: lexopt::Parser) -> Result<Invocation, lexopt::Error> {
     let mut arguments = Arguments::default();
     while let Some(argument) = parser.next()? {
         match argument {
-            Short('h') | Long("help") => return Ok(Command::Help),
-            Short('V') | Long("version") => return Ok(Command::Version),
-            Long("trace") => log::enable_trace(),
+            Short('h') | Long("help") => return Ok(Command::Help.into()),
+            Short('V') | Long("version") => return Ok(Command::Version.into()),
+            Long("trace") => arguments.verbosity = Verbosity::Trace,
             Long("ipfix") => arguments.options.flow_collector = Some(parser.value()?.parse()?),
             Long("fleet") => arguments.options.quota_file = Some(PathBuf::from(parser.value()?)),
             Long("class") => {
@@ -149,10 +162,8 @@
             _ => return Err(argument.unexpected()),
         }
     }
-    if arguments.trace {
-        log::enable_trace();
-    }
-    arguments.into_command()
+    let verbosity = arguments.verbosity;
+    Ok(Invocation { command: arguments.into_command()?, verbosity })
 }
 
 impl Arguments {
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -15,7 +15,6 @@
 
 use crate::discovery::EndpointListDocument;
 use crate::json;
-use crate::log;
 use crate::model::{Discovery, Settings};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -133,7 +132,7 @@
     pub fn parse(text: &str) -> Result<Config, ContentError> {
         let document: ConfigDocument = json::parse(text)?;
         let settings_text = document.settings.get();
-        log::trace(format_args!("trace settings {settings_text}"));
+        tracing::trace!(settings = %settings_text, "settings document");
         let (settings, site) = parse_settings(settings_text)?;
         settings.validate()?;
         let seed = match document.seed.as_str() {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -5,8 +5,9 @@
 //! print it.
 
 use crate::json::{self, JsonError};
-use crate::model::{DedupScope, Discovery, Effect, Nanos, RequestClass, Settings};
+use crate::model::{DedupScope, Discovery, Effect, RequestClass, Settings};
 use serde::Deserialize;
+use std::time::Duration;
 
 #[cfg(test)]
 mod tests;
@@ -48,13 +49,13 @@
 #[serde(rename_all = "PascalCase")]
 #[serde(expecting = "struct InProfile")]
 struct ClassDocument {
-    objective_ns: Nanos,
-    hard_limit_ns: Nanos,
+    objective_ns: u64,
+    hard_limit_ns: u64,
     effect: EffectName,
     #[serde(default)]
     dedup_scope: ScopeName,
     #[serde(default)]
-    window_ns: Nanos,
+    window_ns: u64,
     #[serde(default = "one", rename = "Worth")]
     priority_weight: f64,
 }
@@ -87,9 +88,9 @@
     #[serde(default)]
     retry_after: bool,
     #[serde(default)]
-    max_retry_after_ns: Nanos,
+    max_retry_after_ns: u64,
     #[serde(default)]
-    dial_timeout_ns: Nanos,
+    dial_timeout_ns: u64,
     #[serde(default)]
     probes: bool,
 }
@@ -100,15 +101,15 @@
 #[serde(expecting = "struct InRules")]
 struct RulesDocument {
     #[serde(default = "unlimited", rename = "AskWithinNs")]
-    poll_within_ns: Nanos,
+    poll_within_ns: u64,
     #[serde(default = "one", rename = "ColdFrom")]
     slow_start_floor: f64,
     #[serde(default, rename = "ColdNs")]
-    slow_start_ns: Nanos,
+    slow_start_ns: u64,
     #[serde(default = "one", rename = "FallMultiple")]
     overload_multiple: f64,
     #[serde(default, rename = "TipAfterNs")]
-    overload_after_ns: Nanos,
+    overload_after_ns: u64,
 }
 
 /// What applies to one family of sites alone.
@@ -118,7 +119,7 @@
 struct FamilyDocument {
     /// By the index of the class.
     #[serde(rename = "MessageAimNs")]
-    message_latency_objective_ns: Vec<Nanos>,
+    message_latency_objective_ns: Vec<u64>,
     /// By tenant.
     tenant_quota_connections: Vec<f64>,
 }
@@ -143,8 +144,8 @@
 }
 
 /// Half of the largest number: sums with the clock do not overflow.
-fn unlimited() -> Nanos {
-    Nanos::MAX / 2
+fn unlimited() -> u64 {
+    u64::MAX / 2
 }
 
 /// Decodes the text of a settings document, as a node finds it in its configuration file.
@@ -194,13 +195,13 @@
 }
 
 impl ClassDocument {
-    fn into_class(self, message_latency_objective: Option<Nanos>) -> RequestClass {
+    fn into_class(self, message_latency_objective: Option<Duration>) -> RequestClass {
         RequestClass {
-            objective: self.objective_ns,
-            hard_limit: self.hard_limit_ns,
+            objective: Duration::from_nanos(self.objective_ns),
+            hard_limit: Duration::from_nanos(self.hard_limit_ns),
             effect: self.effect.into(),
             dedup_scope: self.dedup_scope.into(),
-            dedup_window: self.window_ns,
+            dedup_window: Duration::from_nanos(self.window_ns),
             priority_weight: self.priority_weight,
             message_latency_objective,
         }
@@ -209,11 +210,11 @@
 
 impl LimitsDocument {
     /// The longest Retry-After that clients honour; zero where they honour none.
-    fn honoured_retry_after(&self) -> Nanos {
+    fn honoured_retry_after(&self) -> Duration {
         if self.retry_after {
-            self.max_retry_after_ns
+            Duration::from_nanos(self.max_retry_after_ns)
         } else {
-            0
+            Duration::ZERO
         }
     }
 }
@@ -223,7 +224,9 @@
         let SettingsDocument { limits, rules, family_info, .. } = document;
         let latency_objectives = family_info.message_latency_objective_ns;
         let classes = document.profiles.into_iter().enumerate();
-        let classes = classes.map(|(index, class)| class.into_class(latency_objectives.get(index).copied()));
+        let classes = classes.map(|(index, class)| {
+            class.into_class(latency_objectives.get(index).copied().map(Duration::from_nanos))
+        });
         let reports_load = document.feedback.fields.iter().any(|field| field == "x0");
         let discovery = match document.discovery.as_str() {
             "ask" => Discovery::Polled,
@@ -238,12 +241,12 @@
             max_attempts: limits.max_attempts,
             may_cancel: limits.may_cancel,
             max_retry_after: limits.honoured_retry_after(),
-            poll_within: rules.poll_within_ns,
-            dial_timeout: limits.dial_timeout_ns,
+            poll_within: Duration::from_nanos(rules.poll_within_ns),
+            dial_timeout: Duration::from_nanos(limits.dial_timeout_ns),
             slow_start_floor: rules.slow_start_floor,
-            slow_start_duration: rules.slow_start_ns,
+            slow_start_duration: Duration::from_nanos(rules.slow_start_ns),
             overload_multiple: rules.overload_multiple,
-            overload_after: rules.overload_after_ns,
+            overload_after: Duration::from_nanos(rules.overload_after_ns),
             quota_connections: family_info.tenant_quota_connections.iter().sum(),
             quota_setups_per_second: quota_setups_per_second(&document.tenants),
             health_checks: limits.probes && reports_load,
--- a/src/config/site.rs
+++ b/src/config/site.rs
@@ -1,11 +1,11 @@
 //! Those of the platform's settings that frontends and exports need and the balancer does not. `expecting` keeps the text
 //! of decoding errors as earlier versions print it.
 
-use crate::model::Nanos;
 use serde::Deserialize;
+use std::time::Duration;
 
 /// Time to connect to a server where the settings do not set one.
-const DEFAULT_DIAL_TIMEOUT: Nanos = 250_000_000;
+const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Names of classes and zones, and limits that apply on real sockets.
 #[derive(Clone, Debug, Deserialize)]
@@ -39,8 +39,8 @@
 #[serde(expecting = "struct DialLimits")]
 pub struct ConnectionLimits {
     /// A connection to a server that is not established after this has failed.
-    #[serde(default = "default_dial_timeout")]
-    pub dial_timeout_ns: Nanos,
+    #[serde(default = "default_dial_timeout", with = "sparbank_time::serde_nanos")]
+    pub dial_timeout_ns: Duration,
 }
 
 /// What applies to one family of sites alone.
@@ -53,7 +53,7 @@
     pub reports_message_latency: bool,
 }
 
-fn default_dial_timeout() -> Nanos {
+fn default_dial_timeout() -> Duration {
     DEFAULT_DIAL_TIMEOUT
 }
 
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -17,7 +17,7 @@
     let config = Config::parse(&file("", "")).expect("it is valid");
     assert_eq!((config.seed, config.max_descriptors), (0x7f, 20));
     assert_eq!(config.admin_listen, Some("127.0.0.1:2".parse().expect("an address")));
-    assert_eq!(config.settings.dial_timeout, 250_000_000);
+    assert_eq!(config.settings.dial_timeout, std::time::Duration::from_millis(250));
     assert_eq!(config.settings.discovery, Discovery::LocalAgent);
 }
 
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -18,7 +18,7 @@
     pub served: u64,
     /// Requests with the final answer "rejected".
     pub rejected: u64,
-    /// Rejected requests that had no attempt: the wait for a iteration was too long, or no server could be selected.
+    /// Rejected requests that had no attempt: the wait for admission was too long, or no server could be selected.
     pub rejected_unsent: u64,
     /// Requests with the final answer "failed".
     pub failed: u64,
--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -13,7 +13,7 @@
 
 /// Why a response cannot be decoded any further.
 ///
-/// `Display` writes the reason that `docs/ON-CALL.md` lists for the log line `list-lost`.
+/// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
     /// The response is complete.
@@ -33,12 +33,12 @@
 impl fmt::Display for ResponseError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ResponseError::Ended => write!(f, "Ended"),
-            ResponseError::HeadTooLong => write!(f, "TooLong"),
-            ResponseError::NotHttp => write!(f, "NotHttp"),
-            ResponseError::Status(code) => write!(f, "Status({code})"),
-            ResponseError::NotChunked => write!(f, "NotChunked"),
-            ResponseError::InvalidChunk => write!(f, "BadChunk"),
+            ResponseError::Ended => write!(f, "ended"),
+            ResponseError::HeadTooLong => write!(f, "response head too long"),
+            ResponseError::NotHttp => write!(f, "response is not HTTP"),
+            ResponseError::Status(code) => write!(f, "HTTP status {code}"),
+            ResponseError::NotChunked => write!(f, "response is not chunked"),
+            ResponseError::InvalidChunk => write!(f, "malformed chunk"),
         }
     }
 }
--- a/src/discovery/chunked/tests.rs
+++ b/src/discovery/chunked/tests.rs
@@ -50,14 +50,14 @@
     assert_eq!(decode(&size_line(MAX_CHUNK_SIZE_LINE_BYTES + 1), 1).1, Err(ResponseError::InvalidChunk));
 }
 
-/// The words that `docs/ON-CALL.md` lists.
+/// The texts that `docs/ON-CALL.md` lists.
 #[rstest::rstest]
-#[case(ResponseError::Ended, "Ended")]
-#[case(ResponseError::HeadTooLong, "TooLong")]
-#[case(ResponseError::NotHttp, "NotHttp")]
-#[case(ResponseError::Status(503), "Status(503)")]
-#[case(ResponseError::NotChunked, "NotChunked")]
-#[case(ResponseError::InvalidChunk, "BadChunk")]
-fn an_error_is_printed_as_the_log_line_names_it(#[case] error: ResponseError, #[case] text: &str) {
+#[case(ResponseError::Ended, "ended")]
+#[case(ResponseError::HeadTooLong, "response head too long")]
+#[case(ResponseError::NotHttp, "response is not HTTP")]
+#[case(ResponseError::Status(503), "HTTP status 503")]
+#[case(ResponseError::NotChunked, "response is not chunked")]
+#[case(ResponseError::InvalidChunk, "malformed chunk")]
+fn an_error_is_printed_as_the_log_event_names_it(#[case] error: ResponseError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -4,8 +4,9 @@
 use super::document::EndpointListDocument;
 use super::registry::EndpointRegistry;
 use super::watch::{Received, WatchError, WatchState};
-use crate::model::{Event, ListKind, Nanos};
+use crate::model::{Event, ListKind};
 use crate::net::{BufferedConnection, ConnectError, ExportedConnection, SocketOwner, SocketReactor, Token};
+use sparbank_time::MonotonicTime;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
@@ -54,7 +55,7 @@
     /// event where the service refuses the connection.
     pub fn subscribe(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         registry: &EndpointRegistry,
     ) -> Option<Event> {
@@ -69,7 +70,7 @@
             Err(error @ (ConnectError::Shortage(_) | ConnectError::Unroutable(_))) => {
                 self.awaits_socket = true;
                 if !waited {
-                    crate::log::line(format_args!("list-waits reason={error}"));
+                    tracing::warn!(%error, "endpoint watch cannot be opened, retrying");
                 }
                 return None;
             }
@@ -80,7 +81,7 @@
             format!("GET /registry/instances?watch=1&from={generation} HTTP/1.1\r\nHost: {host}\r\n\r\n");
         net.send(token, request.as_bytes());
         self.watch_requests += 1;
-        crate::log::trace(format_args!("trace call from={generation}"));
+        tracing::trace!(since_version = generation, "endpoint poll sent");
         self.watch = Some(Watch { token, state: WatchState::new(now) });
         None
     }
@@ -89,7 +90,7 @@
     /// is requested; the registry keeps its endpoints until that list has arrived.
     pub fn change_address(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         address: SocketAddr,
@@ -104,7 +105,7 @@
     /// that the connection failed. A socket other than the current watch's is closed.
     pub fn on_socket_event(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         token: Token,
@@ -131,7 +132,7 @@
     /// wrote there counts as known to this node.
     pub fn read_pending(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
     ) -> Vec<Event> {
@@ -141,7 +142,7 @@
     }
 
     /// Closes a watch that has fallen silent. The result is then the failure event.
-    pub fn close_silent_watch(&mut self, now: Nanos, net: &mut SocketReactor) -> Option<Event> {
+    pub fn close_silent_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
         is_silent.then(|| self.lose_watch(net, WatchError::Silent))
     }
@@ -183,7 +184,7 @@
     }
 
     fn lose_watch(&mut self, net: &mut SocketReactor, error: WatchError) -> Event {
-        crate::log::line(format_args!("list-lost reason={error}"));
+        tracing::warn!(%error, "endpoint watch lost");
         self.close_watch(net);
         watch_failed()
     }
--- a/src/discovery/framing.rs
+++ b/src/discovery/framing.rs
@@ -11,7 +11,7 @@
 
 /// Why the body cannot be cut into objects.
 ///
-/// `Display` writes the reason that `docs/ON-CALL.md` lists for the log line `list-lost`.
+/// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FramingError {
     /// An object was broken off: a line end inside a string, or an empty line inside an object.
@@ -23,8 +23,8 @@
 impl fmt::Display for FramingError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FramingError::Truncated => write!(f, "NotJson"),
-            FramingError::TooLong => write!(f, "TooLong"),
+            FramingError::Truncated => write!(f, "malformed JSON"),
+            FramingError::TooLong => write!(f, "object too long"),
         }
     }
 }
--- a/src/discovery/framing/tests.rs
+++ b/src/discovery/framing/tests.rs
@@ -41,9 +41,9 @@
     assert_eq!(frames(&(body + "x"), 4096).1, Err(FramingError::TooLong));
 }
 
-/// The words that `docs/ON-CALL.md` lists.
+/// The texts that `docs/ON-CALL.md` lists.
 #[test]
-fn an_error_is_printed_as_the_log_line_names_it() {
-    assert_eq!(FramingError::Truncated.to_string(), "NotJson");
-    assert_eq!(FramingError::TooLong.to_string(), "TooLong");
+fn an_error_is_printed_as_the_log_event_names_it() {
+    assert_eq!(FramingError::Truncated.to_string(), "malformed JSON");
+    assert_eq!(FramingError::TooLong.to_string(), "object too long");
 }
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -2,18 +2,20 @@
 
 use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument};
 use super::wall_clock::WallClock;
-use crate::model::{Endpoint, Event, ListKind, Nanos, ServerId, Status};
+use crate::model::{Endpoint, Event, ListKind, ServerId, Status};
+use sparbank_time::{DurationExt, MonotonicTime, WallTime};
 use std::collections::HashMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
-/// Nanoseconds in a millisecond.
-const NANOS_PER_MILLI: u64 = 1_000_000;
+/// The earliest start that can be told from "long ago".
+const EARLIEST_START: MonotonicTime = MonotonicTime::from_nanos(1);
 
 /// What is known of an endpoint.
 pub struct RegistryEntry {
     document: EndpointDocument,
     /// When its process started, on the node's clock; zero is long ago.
-    started_at: Nanos,
+    started_at: MonotonicTime,
 }
 
 impl RegistryEntry {
@@ -39,7 +41,7 @@
     /// By which discovery says when servers started.
     wall_clock: WallClock,
     /// The node's clock at the last look at the wall clock.
-    now: Nanos,
+    now: MonotonicTime,
     generation: u64,
     /// By [`ServerId`]; an endpoint that is gone keeps its place.
     entries: Vec<RegistryEntry>,
@@ -53,7 +55,7 @@
 
 impl EndpointRegistry {
     /// An empty registry for a node that knows these zones, with the node's clock and the wall clock as they are now.
-    pub fn new(zones: Vec<String>, now: Nanos, wall: Nanos) -> EndpointRegistry {
+    pub fn new(zones: Vec<String>, now: MonotonicTime, wall: WallTime) -> EndpointRegistry {
         EndpointRegistry {
             zones,
             wall_clock: WallClock::new(now, wall),
@@ -67,13 +69,13 @@
     }
 
     /// Notices a step of the wall clock. Call it before each list, and now and then.
-    pub fn observe_clocks(&mut self, now: Nanos, wall: Nanos) {
+    pub fn observe_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
         self.wall_clock.observe(now, wall);
     }
 
     /// The node's clock was set to another process's, which it goes on with.
-    pub fn reset_clocks(&mut self, now: Nanos, wall: Nanos) {
+    pub fn reset_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
         self.wall_clock = WallClock::new(now, wall);
     }
@@ -128,10 +130,11 @@
         let is_stale = goes_back || is_older_than_previous;
         if is_stale {
             self.stale_lists += 1;
-            crate::log::line(format_args!(
-                "list-back version={} current={}",
-                list.generation, self.generation
-            ));
+            tracing::warn!(
+                version = list.generation,
+                current_version = self.generation,
+                "endpoint list is older than the current one"
+            );
         }
         self.generation = self.generation.max(list.generation);
         trace_endpoints(list);
@@ -170,18 +173,20 @@
 
     /// When a server's process started, on the node's clock. What was found out once stays, however the wall clock
     /// steps; zero stays long ago.
-    fn started_at(&self, server: ServerId, started_at_ms: u64) -> Nanos {
+    fn started_at(&self, server: ServerId, started_at_ms: u64) -> MonotonicTime {
         let known = self.entry(server).filter(|entry| entry.document.started_at_ms == started_at_ms);
         match known {
-            _ if started_at_ms == 0 => 0,
+            _ if started_at_ms == 0 => MonotonicTime::ZERO,
             Some(entry) => entry.started_at,
             None => {
-                self.wall_clock.to_node_time(started_at_ms.saturating_mul(NANOS_PER_MILLI), self.now).max(1)
+                let since_epoch = Duration::from_millis(started_at_ms);
+                let started_at = WallTime::from_unix_nanos(since_epoch.as_nanos_u64());
+                self.wall_clock.to_node_time(started_at, self.now).max(EARLIEST_START)
             }
         }
     }
 
-    fn endpoint(&self, server: ServerId, document: &EndpointDocument, started_at: Nanos) -> Endpoint {
+    fn endpoint(&self, server: ServerId, document: &EndpointDocument, started_at: MonotonicTime) -> Endpoint {
         let zone = self.zones.iter().position(|zone| *zone == document.zone).unwrap_or(self.zones.len());
         Endpoint {
             server,
@@ -201,10 +206,14 @@
 
 fn trace_endpoints(list: &EndpointListDocument) {
     for document in &list.endpoints {
-        crate::log::trace(format_args!(
-            "trace entry server={} zone={} lifecycle={:?} weight={} started_ms={}",
-            document.name, document.zone, document.lifecycle, document.weight, document.started_at_ms
-        ));
+        tracing::trace!(
+            server = %document.name,
+            zone = %document.zone,
+            lifecycle = ?document.lifecycle,
+            weight = %document.weight,
+            started_ms = document.started_at_ms,
+            "endpoint"
+        );
     }
 }
 
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -2,8 +2,10 @@
 
 use super::*;
 
-/// Both clocks, later than any start of a server here.
-const NOW: crate::model::Nanos = u64::MAX / 4;
+/// The node's clock, later than any start of a server here.
+const NOW: MonotonicTime = MonotonicTime::from_nanos(u64::MAX / 4);
+/// The wall clock, which shows the same.
+const WALL_NOW: WallTime = WallTime::from_unix_nanos(u64::MAX / 4);
 
 fn list(generation: u64, is_complete: bool, endpoints: &[(&str, &str, u64)]) -> EndpointListDocument {
     let endpoint = |(name, lifecycle, started): &(&str, &str, u64)| {
@@ -24,7 +26,7 @@
 /// it stops.
 #[test]
 fn a_stale_list_revives_nothing_and_removes_nothing() {
-    let mut registry = EndpointRegistry::new(Vec::new(), NOW, NOW);
+    let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(&list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9)]), true);
     registry.apply(&list(6, false, &[("a", "draining", 0)]), false);
     registry.apply(&list(7, false, &[("b", "gone", 0), ("c", "ready", 10)]), false);
@@ -46,7 +48,7 @@
 /// revives nothing.
 #[test]
 fn another_source_sets_the_generation_anew_and_revives_nothing() {
-    let mut registry = EndpointRegistry::new(Vec::new(), NOW, NOW);
+    let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(&list(5, true, &[("a", "ready", 0), ("b", "draining", 0)]), true);
     registry.expect_other_source();
     assert_eq!(registry.generation(), 0);
@@ -63,7 +65,7 @@
 fn a_list_of_version_00677b7_is_read_and_written_in_the_same_form() {
     const SNAPSHOT: &str = include_str!("../fixtures/list-00677b7.json");
     let document: EndpointListDocument = serde_json::from_str(SNAPSHOT).expect("a list");
-    let mut registry = EndpointRegistry::new(Vec::new(), NOW, NOW);
+    let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     let Event::EndpointList(kind, endpoints) = registry.restore(&document) else { panic!("a list") };
     assert_eq!((kind, endpoints.len()), (ListKind::Saved, 3));
     assert_eq!(serde_json::to_string(&registry.snapshot()).expect("JSON"), SNAPSHOT.trim_end());
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -4,23 +4,24 @@
 use super::document::EndpointListDocument;
 use super::framing::{FramingError, ObjectFramer};
 use crate::json;
-use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 use std::fmt;
+use std::time::Duration;
 
 /// A watch request without a byte of response for this long has failed.
-const RESPONSE_TIMEOUT: Nanos = 2_000_000_000;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A watch brings a line every 2 s and is lost without a byte for this long. A change counts as known to the node
 /// 6 s after the service wrote it, so the timeout and the next watch request have to fit into that.
-const IDLE_TIMEOUT: Nanos = 4_200_000_000;
+const IDLE_TIMEOUT: Duration = Duration::from_millis(4_200);
 /// A watch is lost without a complete object or empty line for this long, even if bytes arrive.
-const OBJECT_TIMEOUT: Nanos = 5_200_000_000;
+const OBJECT_TIMEOUT: Duration = Duration::from_millis(5_200);
 /// A watch with more undecoded bytes than this is not handed over to another process.
 const MAX_TRANSFERRED_BYTES: usize = 8 * 1024;
 
 /// Why a watch was given up.
 ///
-/// `Display` writes the reason that `docs/ON-CALL.md` lists for the log line `list-lost`.
+/// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchError {
     /// The response cannot be decoded any further, or the connection ended.
@@ -38,8 +39,8 @@
         match self {
             WatchError::Response(error) => error.fmt(f),
             WatchError::Framing(error) => error.fmt(f),
-            WatchError::InvalidDocument => write!(f, "NotJson"),
-            WatchError::Silent => write!(f, "Silent"),
+            WatchError::InvalidDocument => write!(f, "malformed JSON"),
+            WatchError::Silent => write!(f, "silent"),
         }
     }
 }
@@ -95,10 +96,10 @@
 pub struct WatchState {
     /// When the last complete object or empty line arrived, at first when the watch was requested.
     #[serde(rename = "heard")]
-    last_frame_at: Nanos,
+    last_frame_at: MonotonicTime,
     /// When the last byte arrived, at first when the watch was requested.
     #[serde(rename = "moved", default)]
-    last_byte_at: Nanos,
+    last_byte_at: MonotonicTime,
     /// Complete objects and empty lines so far.
     #[serde(rename = "lines")]
     frame_count: u32,
@@ -118,12 +119,12 @@
 
 impl WatchState {
     /// A watch that is requested now.
-    pub fn new(now: Nanos) -> WatchState {
+    pub fn new(now: MonotonicTime) -> WatchState {
         WatchState { last_frame_at: now, last_byte_at: now, frame_count: 0, decoder: WatchDecoder::default() }
     }
 
     /// Decodes bytes that have arrived. The lists before an error count.
-    pub fn receive(&mut self, now: Nanos, bytes: &[u8]) -> Received {
+    pub fn receive(&mut self, now: MonotonicTime, bytes: &[u8]) -> Received {
         if !bytes.is_empty() {
             self.last_byte_at = now;
         }
@@ -146,11 +147,11 @@
     }
 
     /// Whether the watch has fallen silent, or brings bytes that never complete an object.
-    pub fn is_silent(&self, now: Nanos) -> bool {
+    pub fn is_silent(&self, now: MonotonicTime) -> bool {
         let is_unanswered = self.frame_count == 0 && self.last_byte_at == self.last_frame_at;
         let idle_timeout = if is_unanswered { RESPONSE_TIMEOUT } else { IDLE_TIMEOUT };
-        let is_idle = now.saturating_sub(self.last_byte_at) > idle_timeout;
-        let is_stuck = now.saturating_sub(self.last_frame_at) > OBJECT_TIMEOUT;
+        let is_idle = now.saturating_duration_since(self.last_byte_at) > idle_timeout;
+        let is_stuck = now.saturating_duration_since(self.last_frame_at) > OBJECT_TIMEOUT;
         is_idle || is_stuck
     }
 
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -1,10 +1,18 @@
 //! Unit tests of a watch's state.
 
 use super::*;
+use std::time::Duration;
 
 const HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-const SECOND: Nanos = 1_000_000_000;
-const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Duration = Duration::from_secs(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
+const NANOSECOND: Duration = Duration::from_nanos(1);
+const LATER: MonotonicTime = MonotonicTime::from_nanos(1);
+
+/// The instant this long after the origin of the clock.
+fn at(since_origin: Duration) -> MonotonicTime {
+    MonotonicTime::ZERO + since_origin
+}
 
 /// Decodes a response that arrives in pieces of so many bytes: its frames, and how decoding ended.
 fn decode(text: &str, piece_bytes: usize) -> (Vec<String>, Result<(), WatchError>) {
@@ -46,10 +54,10 @@
 /// Lists before an error count, those after it do not, and the first error is the outcome.
 #[test]
 fn lists_before_an_error_count() {
-    let mut watch = WatchState::new(0);
+    let mut watch = WatchState::new(MonotonicTime::ZERO);
     let list = |generation: u64| format!("{{\"generation\":{generation},\"instances\":[]}}\n");
     let body = format!("{}{{\"generation\":\"x\"}}\n{}", list(1), list(2));
-    let received = watch.receive(1, format!("{HEAD}{}0\r\n", chunk(&body)).as_bytes());
+    let received = watch.receive(LATER, format!("{HEAD}{}0\r\n", chunk(&body)).as_bytes());
     assert_eq!(received.lists.iter().map(|list| list.generation).collect::<Vec<_>>(), [1]);
     assert_eq!(received.outcome, Err(WatchError::InvalidDocument));
 }
@@ -57,29 +65,29 @@
 /// Only an empty line that begins the response says that nothing has changed since the requested generation.
 #[test]
 fn a_response_that_begins_with_an_empty_line_starts_unchanged() {
-    let mut watch = WatchState::new(0);
-    assert!(!watch.receive(1, HEAD.as_bytes()).starts_unchanged);
-    assert!(watch.receive(1, chunk("\n").as_bytes()).starts_unchanged);
-    let later = watch.receive(1, chunk("\n").as_bytes());
+    let mut watch = WatchState::new(MonotonicTime::ZERO);
+    assert!(!watch.receive(LATER, HEAD.as_bytes()).starts_unchanged);
+    assert!(watch.receive(LATER, chunk("\n").as_bytes()).starts_unchanged);
+    let later = watch.receive(LATER, chunk("\n").as_bytes());
     assert_eq!((later.starts_unchanged, later.outcome), (false, Ok(())));
 }
 
 /// A watch is silent without a response, without a byte, or without a complete object for too long.
 #[test]
 fn a_watch_is_silent_after_each_of_its_three_time_limits() {
-    let mut watch = WatchState::new(SECOND);
-    assert!(!watch.is_silent(SECOND + RESPONSE_TIMEOUT));
-    assert!(watch.is_silent(SECOND + RESPONSE_TIMEOUT + 1));
+    let mut watch = WatchState::new(at(SECOND));
+    assert!(!watch.is_silent(at(SECOND + RESPONSE_TIMEOUT)));
+    assert!(watch.is_silent(at(SECOND + RESPONSE_TIMEOUT) + NANOSECOND));
 
-    let head_at = 2 * SECOND;
+    let head_at = at(2 * SECOND);
     assert_eq!(watch.receive(head_at, HEAD.as_bytes()).outcome, Ok(()));
     assert!(!watch.is_silent(head_at + IDLE_TIMEOUT));
-    assert!(watch.is_silent(head_at + IDLE_TIMEOUT + 1));
+    assert!(watch.is_silent(head_at + IDLE_TIMEOUT + NANOSECOND));
 
-    let object_timeout_at = SECOND + OBJECT_TIMEOUT;
+    let object_timeout_at = at(SECOND + OBJECT_TIMEOUT);
     watch.receive(object_timeout_at, b"1");
     assert!(!watch.is_silent(object_timeout_at));
-    assert!(watch.is_silent(object_timeout_at + 1), "bytes without an object");
+    assert!(watch.is_silent(object_timeout_at + NANOSECOND), "bytes without an object");
 
     watch.receive(object_timeout_at, b"\r\n\n\r\n");
     assert!(!watch.is_silent(object_timeout_at + IDLE_TIMEOUT));
@@ -88,21 +96,21 @@
 
 #[test]
 fn a_watch_in_the_middle_of_a_long_list_is_not_transferable() {
-    let mut watch = WatchState::new(0);
-    watch.receive(1, format!("{HEAD}ffff\r\n").as_bytes());
-    watch.receive(1, &[b' '; MAX_TRANSFERRED_BYTES]);
+    let mut watch = WatchState::new(MonotonicTime::ZERO);
+    watch.receive(LATER, format!("{HEAD}ffff\r\n").as_bytes());
+    watch.receive(LATER, &[b' '; MAX_TRANSFERRED_BYTES]);
     assert!(watch.is_transferable());
-    watch.receive(1, b" ");
+    watch.receive(LATER, b" ");
     assert!(!watch.is_transferable());
 }
 
-/// The words that `docs/ON-CALL.md` lists.
+/// The texts that `docs/ON-CALL.md` lists.
 #[rstest::rstest]
-#[case(WatchError::Response(ResponseError::Status(503)), "Status(503)")]
-#[case(WatchError::Framing(FramingError::Truncated), "NotJson")]
-#[case(WatchError::InvalidDocument, "NotJson")]
-#[case(WatchError::Silent, "Silent")]
-fn an_error_is_printed_as_the_log_line_names_it(#[case] error: WatchError, #[case] text: &str) {
+#[case(WatchError::Response(ResponseError::Status(503)), "HTTP status 503")]
+#[case(WatchError::Framing(FramingError::Truncated), "malformed JSON")]
+#[case(WatchError::InvalidDocument, "malformed JSON")]
+#[case(WatchError::Silent, "silent")]
+fn an_error_is_printed_as_the_log_event_names_it(#[case] error: WatchError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
 
@@ -125,13 +133,13 @@
     let text = STATES_00677B7.lines().next().expect("a state");
     let mut watch: WatchState = serde_json::from_str(text).expect("a watch");
     assert_eq!(
-        (watch.last_frame_at, watch.last_byte_at, watch.frame_count),
+        (watch.last_frame_at.as_nanos(), watch.last_byte_at.as_nanos(), watch.frame_count),
         (1_000_000_007, 2_500_000_011, 1)
     );
     let rest = r#""b","hostPort":"10.0.0.1:80","lifecycle":"ready"}]}"#;
-    let received = watch.receive(3 * SECOND, rest.as_bytes());
+    let received = watch.receive(at(3 * SECOND), rest.as_bytes());
     assert_eq!((received.outcome, received.lists.len()), (Ok(()), 0));
-    let received = watch.receive(3 * SECOND, b"\n");
+    let received = watch.receive(at(3 * SECOND), b"\n");
     assert_eq!(received.outcome, Ok(()));
     let list = &received.lists[0];
     assert_eq!((list.generation, list.is_complete), (8, false));
--- a/src/flow_export/ipfix.rs
+++ b/src/flow_export/ipfix.rs
@@ -1,8 +1,9 @@
 //! The IPFIX encoding (RFC 7011): messages, the one template, and its data records.
 
-use crate::model::Nanos;
 use crate::requests::{FlowRecord, FlowResult};
+use sparbank_time::{DurationExt, MonotonicTime};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::time::Duration;
 
 const VERSION: u16 = 10;
 /// The id of sets that carry templates.
@@ -22,9 +23,6 @@
 /// How many bytes of records fit into one message.
 pub const MAX_RECORDS_BYTES: usize = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
 
-const NANOS_PER_MILLISECOND: Nanos = 1_000_000;
-const NANOS_PER_SECOND: Nanos = 1_000_000_000;
-
 /// A field of the template: an information element of IANA's registry and its length in bytes.
 struct Field {
     element: u16,
@@ -68,8 +66,8 @@
 
 /// The header fields of a message that differ from one message to the next.
 pub struct MessageHeader {
-    /// The time of the export, in Unix nanoseconds.
-    pub export_time: Nanos,
+    /// The time of the export.
+    pub export_time: MonotonicTime,
     /// The number of data records sent before this message.
     pub sequence: u32,
     /// The observation domain, which tells nodes apart.
@@ -87,7 +85,7 @@
     let mut out = Vec::with_capacity(usize::from(message_bytes));
     out.extend(VERSION.to_be_bytes());
     out.extend(message_bytes.to_be_bytes());
-    out.extend(((header.export_time / NANOS_PER_SECOND) as u32).to_be_bytes());
+    out.extend((since_epoch(header.export_time).as_secs() as u32).to_be_bytes());
     out.extend(header.sequence.to_be_bytes());
     out.extend(header.domain.to_be_bytes());
     out.extend(set_id.to_be_bytes());
@@ -117,8 +115,8 @@
     let port = server.map_or(0, |address| address.port());
     let mut out = Vec::new();
     out.extend(flow.request_id.0.to_be_bytes());
-    out.extend((flow.started_at / NANOS_PER_MILLISECOND).to_be_bytes());
-    out.extend((flow.ended_at / NANOS_PER_MILLISECOND).to_be_bytes());
+    out.extend(since_epoch(flow.started_at).as_millis_u64().to_be_bytes());
+    out.extend(since_epoch(flow.ended_at).as_millis_u64().to_be_bytes());
     out.push(end_reason(flow.result) as u8);
     out.extend(ip.octets());
     out.extend(port.to_be_bytes());
@@ -129,6 +127,11 @@
     out
 }
 
+/// The time since the Unix epoch, which is the origin of the node's clock.
+fn since_epoch(time: MonotonicTime) -> Duration {
+    time.saturating_duration_since(MonotonicTime::ZERO)
+}
+
 fn encode_string(text: &str, out: &mut Vec<u8>) {
     let bytes = &text.as_bytes()[..text.len().min(MAX_STRING_BYTES)];
     out.push(bytes.len() as u8);
--- a/src/flow_export/ipfix/tests.rs
+++ b/src/flow_export/ipfix/tests.rs
@@ -17,8 +17,8 @@
         frontend: FrontendId { index: 0, name: "text" },
         class: 0,
         server: None,
-        started_at: 1_764_654_446_123_456_789,
-        ended_at: 1_764_654_447_000_999_999,
+        started_at: MonotonicTime::from_nanos(1_764_654_446_123_456_789),
+        ended_at: MonotonicTime::from_nanos(1_764_654_447_000_999_999),
         attempts: 3,
         result,
     }
@@ -28,8 +28,8 @@
     FlowRecord {
         request_id: RequestId(1),
         frontend: FrontendId { index: 1, name: "amqp" },
-        started_at: 1,
-        ended_at: 2_000_000,
+        started_at: MonotonicTime::from_nanos(1),
+        ended_at: MonotonicTime::from_nanos(2_000_000),
         attempts: 0,
         ..flow(FlowResult::Rejected)
     }
@@ -37,7 +37,8 @@
 
 #[test]
 fn the_template_message_is_unchanged() {
-    let header = MessageHeader { export_time: 1_764_654_446_123_456_789, sequence: 7, domain: DOMAIN };
+    let export_time = MonotonicTime::from_nanos(1_764_654_446_123_456_789);
+    let header = MessageHeader { export_time, sequence: 7, domain: DOMAIN };
     let message = encode_message(&header, SetKind::Template, &encode_template());
     let expected = concat!(
         "000a0040692e7d6e000000079b1f7f3a000200300100000a00940008009800080099000800880001000c0004000b0002",
@@ -82,7 +83,8 @@
 
 #[test]
 fn a_data_message_is_unchanged() {
-    let header = MessageHeader { export_time: 2_000_000_000, sequence: u32::MAX, domain: 1 };
+    let export_time = MonotonicTime::from_nanos(2_000_000_000);
+    let header = MessageHeader { export_time, sequence: u32::MAX, domain: 1 };
     let message = encode_message(&header, SetKind::Data, &encode_record(&unsent_flow(), None, ""));
     let expected = concat!(
         "000a004500000002ffffffff000000010100003500000000000000010000000000000000000000000000000205000000",
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -7,14 +7,15 @@
 
 use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
-use crate::model::Nanos;
 use crate::requests::FlowRecord;
 use ipfix::{MessageHeader, SetKind};
+use sparbank_time::MonotonicTime;
 use std::io;
 use std::net::{IpAddr, SocketAddr, UdpSocket};
+use std::time::Duration;
 
 /// Over UDP the template has to be repeated, for collectors that start later or missed it.
-const TEMPLATE_REFRESH_INTERVAL: Nanos = 60_000_000_000;
+const TEMPLATE_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
 /// The exporter.
 pub struct FlowExport {
@@ -23,7 +24,7 @@
     /// The number of data records sent so far.
     sequence: u32,
     /// When the template was last sent.
-    template_sent_at: Option<Nanos>,
+    template_sent_at: Option<MonotonicTime>,
 }
 
 impl FlowExport {
@@ -39,10 +40,10 @@
         Ok(FlowExport { socket, domain, sequence: 0, template_sent_at: None })
     }
 
-    /// Sends flows that have ended, preceded by the template when that is due. `now` is the Unix time in nanoseconds.
+    /// Sends flows that have ended, preceded by the template when that is due.
     pub fn send(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         flows: &[FlowRecord],
         registry: &EndpointRegistry,
         site: &SiteSettings,
@@ -69,8 +70,9 @@
         self.send_message(now, SetKind::Data, &records, count);
     }
 
-    fn send_template_if_due(&mut self, now: Nanos) {
-        let is_due = |sent_at: Nanos| now.saturating_sub(sent_at) >= TEMPLATE_REFRESH_INTERVAL;
+    fn send_template_if_due(&mut self, now: MonotonicTime) {
+        let is_due =
+            |sent_at: MonotonicTime| now.saturating_duration_since(sent_at) >= TEMPLATE_REFRESH_INTERVAL;
         if self.template_sent_at.is_none_or(is_due) {
             self.template_sent_at = Some(now);
             self.send_message(now, SetKind::Template, &ipfix::encode_template(), 0);
@@ -78,7 +80,7 @@
     }
 
     /// Sends one message with this many data records. An error is ignored: see the sequence number above.
-    fn send_message(&mut self, now: Nanos, kind: SetKind, records: &[u8], count: u32) {
+    fn send_message(&mut self, now: MonotonicTime, kind: SetKind, records: &[u8], count: u32) {
         let header = MessageHeader { export_time: now, sequence: self.sequence, domain: self.domain };
         let message = ipfix::encode_message(&header, kind, records);
         let _ = self.socket.send(&message);
--- a/src/frontend/amqp/authentication.rs
+++ b/src/frontend/amqp/authentication.rs
@@ -4,13 +4,13 @@
 use super::users::Identity;
 use super::AmqpFrontend;
 use crate::frontend::{FrontendContext, TimerEvent};
-use crate::model::Nanos;
 use crate::net::Token;
 use sparbank_amqp::SaslRequest;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// A failed authentication is answered after this: it limits how fast passwords can be guessed.
-const FAILED_LOGIN_DELAY: Nanos = 1_000_000_000;
+const FAILED_LOGIN_DELAY: Duration = Duration::from_secs(1);
 
 impl AmqpFrontend {
     /// A client authenticates. Without a users' file every anonymous client is let in.
--- a/src/frontend/amqp/client_connections.rs
+++ b/src/frontend/amqp/client_connections.rs
@@ -88,10 +88,11 @@
         }
         if let Some(fault) = processed.fault {
             ctx.requests.counters.malformed += 1;
-            crate::log::line(format_args!(
-                "amqp-client-error condition={} {}",
-                fault.condition, fault.description
-            ));
+            tracing::warn!(
+                condition = %fault.condition,
+                description = %fault.description,
+                "AMQP client protocol error"
+            );
             client.conn.close(Some(Box::new(fault.into())));
         }
         let has_room_again = was_full && client.plaintext.len() < max_plaintext;
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -7,12 +7,11 @@
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use super::{password_checks, AmqpFrontend};
 use crate::frontend::FrontendContext;
-use crate::model::{Nanos, RequestId};
+use crate::model::RequestId;
 use crate::net::Token;
 use sparbank_amqp::{condition, Attach, Error, LinkId, Source, State, Tag, Target, Terminus, Value};
 use std::rc::Rc;
-
-const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+use std::time::Duration;
 
 /// The attach for a server that requests what a client requested.
 pub(super) fn attach_for_server(attach: &Attach) -> Attach {
@@ -92,7 +91,7 @@
         let Some(key) = self.link_key(token, link) else { return };
         let limits = self.config.recovery_limits();
         let timeout = resume_timeout(&target, limits);
-        let timeout_seconds = Some((timeout / NANOS_PER_SECOND) as u32).filter(|seconds| *seconds > 0);
+        let timeout_seconds = Some(timeout.as_secs() as u32).filter(|seconds| *seconds > 0);
         let unsettled = attach.unsettled_tags();
         let resumed = self.recovery.attach(limits, &key, token, timeout, &unsettled);
         let answer = Attach {
@@ -172,7 +171,7 @@
             Some(Value::Ulong(number)) => Some(number.to_string()),
             _ => None,
         };
-        let limit = ctx.classes.get(class).map_or(0, |class| class.hard_limit);
+        let limit = ctx.classes.get(class).map_or(Duration::ZERO, |class| class.hard_limit);
         let is_reconnect = properties.get("again") == Some(&Value::Bool(true));
         let arrival = arrival(class, limit, property, is_reconnect);
         ctx.requests.on_request(ctx.now, self.id, arrival)
@@ -259,12 +258,12 @@
     }
 }
 
-/// How long a link is remembered after it is lost, in nanoseconds; 0 where it does not request that.
-fn resume_timeout(target: &Target, limits: RecoveryLimits) -> Nanos {
+/// How long a link is remembered after it is lost; zero where it does not request that.
+fn resume_timeout(target: &Target, limits: RecoveryLimits) -> Duration {
     if target.expiry_policy.as_ref().is_some_and(|policy| policy.0 == "never") {
         return limits.max_timeout;
     }
-    let requested = Nanos::from(target.timeout.unwrap_or(0)) * NANOS_PER_SECOND;
+    let requested = Duration::from_secs(u64::from(target.timeout.unwrap_or(0)));
     requested.min(limits.max_timeout)
 }
 
--- a/src/frontend/amqp/client_transfers.rs
+++ b/src/frontend/amqp/client_transfers.rs
@@ -7,13 +7,13 @@
 use super::AmqpFrontend;
 use crate::frontend::{FrontendContext, ANSWER_MARGIN};
 use crate::hash::fnv1a;
-use crate::model::{Arrival, Nanos, RequestId};
+use crate::model::{Arrival, RequestId};
 use crate::net::Token;
 use sparbank_amqp::{condition, DecodeError, Error, Head, IncomingTransfer, LinkId, Message, State, Value};
+use std::time::Duration;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
-/// The longest deadline of a request: an hour.
-const MAX_DEADLINE: Nanos = 3_600_000 * NANOS_PER_MS;
+/// The longest time limit of a request.
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
 /// The most octets of a delivery before its body.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
@@ -183,8 +183,8 @@
         if self.shutting_down || buffered > self.config.max_buffered_bytes {
             return Err(rejected_state(RETRY_AFTER_MS));
         }
-        let limit = ctx.classes.get(class).map_or(0, |class| class.hard_limit);
-        let ttl = head.ttl.map(|ms| (Nanos::from(ms) * NANOS_PER_MS).min(MAX_DEADLINE));
+        let limit = ctx.classes.get(class).map_or(Duration::ZERO, |class| class.hard_limit);
+        let ttl = head.ttl.map(|ms| Duration::from_millis(u64::from(ms)).min(MAX_TIME_LIMIT));
         let is_reconnect = head.value(&bytes, "again") == Some(Value::Bool(true));
         let property = |name: &str| head.property(&bytes, name);
         let arrival = arrival(class, ttl.unwrap_or(limit), property, is_reconnect);
@@ -250,7 +250,7 @@
 /// The arrival of a request; `property` looks up its key and its group.
 pub(super) fn arrival(
     class: usize,
-    deadline: Nanos,
+    time_limit: Duration,
     property: impl Fn(&str) -> Option<String>,
     is_reconnect: bool,
 ) -> Arrival {
@@ -258,7 +258,7 @@
     Arrival {
         id: RequestId(0),
         class,
-        time_left: deadline.saturating_sub(ANSWER_MARGIN),
+        time_left: time_limit.saturating_sub(ANSWER_MARGIN),
         cost: None,
         key,
         group: property("group").map(|group| fnv1a(&group)),
--- a/src/frontend/amqp/clients.rs
+++ b/src/frontend/amqp/clients.rs
@@ -7,9 +7,10 @@
 use super::users::Identity;
 use crate::frontend::tls::TlsConnection;
 use crate::frontend::FrontendContext;
-use crate::model::{Nanos, RequestId};
+use crate::model::RequestId;
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use sparbank_amqp::{Connection, LinkId, Tag};
+use sparbank_time::MonotonicTime;
 use std::collections::HashSet;
 use std::net::IpAddr;
 use std::rc::Rc;
@@ -36,7 +37,7 @@
     /// A forwarder has more for it than is written at one time.
     pub stalled: bool,
     /// When a failed authentication is answered.
-    pub reject_login_at: Option<Nanos>,
+    pub reject_login_at: Option<MonotonicTime>,
 }
 
 /// What a client's link is for.
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -5,15 +5,14 @@
 use super::users::Users;
 use crate::frontend::tls::TlsListenerConfig;
 use crate::json;
-use crate::model::Nanos;
 use serde::Deserialize;
 use sparbank_amqp::{Credentials, Settings};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
+use std::time::Duration;
 
-const NANOS_PER_MS: Nanos = 1_000_000;
 /// Every peer takes frames of this size (2.4.1).
 const MIN_MAX_FRAME_BYTES: u32 = 512;
 /// A frame is buffered completely.
@@ -248,7 +247,7 @@
             incoming_window: self.window,
             max_unsettled: self.max_unsettled,
             max_message_size: self.max_message,
-            idle_timeout: Nanos::from(self.client_idle_ms) * NANOS_PER_MS,
+            idle_timeout: Duration::from_millis(u64::from(self.client_idle_ms)),
             initial_id: 0,
         }
     }
@@ -256,7 +255,7 @@
     /// The limits of connections to servers.
     pub fn server_settings(&self, container: &str) -> Settings {
         Settings {
-            idle_timeout: Nanos::from(self.server_idle_ms) * NANOS_PER_MS,
+            idle_timeout: Duration::from_millis(u64::from(self.server_idle_ms)),
             max_links: usize::MAX,
             handle_max: SERVER_HANDLE_MAX,
             ..self.client_settings(container)
@@ -268,7 +267,7 @@
         RecoveryLimits {
             max_links: self.max_resumable_links,
             max_settled_per_link: self.max_unsettled as usize,
-            max_timeout: Nanos::from(self.max_resume_timeout_ms) * NANOS_PER_MS,
+            max_timeout: Duration::from_millis(u64::from(self.max_resume_timeout_ms)),
         }
     }
 
--- a/src/frontend/amqp/config/tests.rs
+++ b/src/frontend/amqp/config/tests.rs
@@ -93,7 +93,7 @@
     );
     assert_eq!(error(r#"{"unsettled": 0}"#), "FILE: field window, credit, unsettled, max_links: at least 1");
     assert_eq!(error(r#"{"region_lanes": 0}"#), "FILE: field server_lanes, server_connections: at least 1");
-    assert_eq!(error(r#"{"keep": 2, "max_buffered": 1}"#), "FILE: field max_held: at least keep");
+    assert_eq!(error(r#"{"keep": 2, "max_held": 1}"#), "FILE: field max_held: at least keep");
     assert!(error(r#"{"max_frame": "x"}"#).starts_with("FILE: field max_frame: invalid type"));
     assert!(error(r#"{"users": "absent.json"}"#).contains("absent.json: No such file"));
 }
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -1,8 +1,9 @@
 //! Deliveries from clients that are not settled yet: the bytes received of each, and the progress of its attempt.
 
-use crate::model::{Nanos, RequestId, ServerId};
+use crate::model::{RequestId, ServerId};
 use crate::net::Token;
 use sparbank_amqp::{Head, LinkId, Tag};
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 
 /// A hash map with a fast hasher, for keys that no peer chooses.
@@ -39,7 +40,7 @@
     /// The server.
     pub server: ServerId,
     /// When it times out.
-    pub deadline: Nanos,
+    pub deadline: MonotonicTime,
     /// How far it has come.
     pub stage: AttemptStage,
 }
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -29,8 +29,8 @@
 
 pub use users::{add_user, Rights};
 
-use super::{Frontend, FrontendContext, FrontendError, FrontendSetup, OpenedFrontend, OptionalFrontend};
-use crate::model::{Nanos, Outcome, RequestId, ServerId};
+use super::{Frontend, FrontendContext, FrontendError, FrontendSetup, OptionalFrontend};
+use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketOwner, Token};
 use crate::requests::FrontendId;
 use clients::Clients;
@@ -42,9 +42,9 @@
 use replies::{failed_state, rejected_state, retry_error};
 use servers::Servers;
 use sparbank_amqp::{condition, Error};
+use sparbank_time::DurationExt;
 use std::any::Any;
-
-const NANOS_PER_MS: Nanos = 1_000_000;
+use std::time::Duration;
 
 /// How this frontend is enabled.
 pub const OPTIONAL_FRONTEND: OptionalFrontend = OptionalFrontend {
@@ -88,20 +88,20 @@
         id: FrontendId,
         config: AmqpConfig,
         setup: FrontendSetup,
-    ) -> Result<OpenedFrontend, FrontendError> {
+    ) -> Result<Box<dyn Frontend>, FrontendError> {
         let FrontendSetup { net, node_name, site } = setup;
         let address = net
             .listen(config.listen, SocketOwner::Frontend(id))
             .map_err(|error| FrontendError::Listen { socket: "amqp listen", error })?;
-        let mut line = format!("listen={address}");
-        let mut tls_listener = None;
-        if let Some(tls) = &config.tls {
-            let listener = net
-                .listen_with_token(tls.listen, SocketOwner::Frontend(id))
-                .map_err(|error| FrontendError::Listen { socket: "amqp tls listen", error })?;
-            line = format!("tls={} {line}", listener.addr);
-            tls_listener = Some(listener.token);
-        }
+        let tls_listener = match &config.tls {
+            None => None,
+            Some(tls) => Some(
+                net.listen_with_token(tls.listen, SocketOwner::Frontend(id))
+                    .map_err(|error| FrontendError::Listen { socket: "amqp tls listen", error })?,
+            ),
+        };
+        let tls_address = tls_listener.as_ref().map(|listener| tracing::field::display(listener.addr));
+        tracing::info!(listen = %address, tls_listen = tls_address, "AMQP frontend ready");
         let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
         let frontend = AmqpFrontend {
             id,
@@ -114,13 +114,13 @@
             forwarders: Forwarders::default(),
             recovery: Recovery::default(),
             password_checks: PasswordChecks::default(),
-            tls_listener,
+            tls_listener: tls_listener.map(|listener| listener.token),
             aborted: 0,
             rejected_logins: 0,
             fate_unknown: 0,
             shutting_down: false,
         };
-        Ok(OpenedFrontend { frontend: Box::new(frontend), listen_line: line })
+        Ok(Box::new(frontend))
     }
 
     /// Reads the clients that were paused while memory for messages was short.
@@ -157,7 +157,7 @@
         ctx: &mut FrontendContext,
         request_id: RequestId,
         server: ServerId,
-        timeout: Nanos,
+        timeout: Duration,
     ) {
         if let Some(id) = self.forwarders.of_request(request_id) {
             if let Some(forwarder) = self.forwarders.get(id) {
@@ -178,8 +178,8 @@
         self.cancel_delivery_or_forwarder(ctx, request_id)
     }
 
-    fn reject(&mut self, _ctx: &mut FrontendContext, request_id: RequestId, retry_after: Nanos) {
-        let retry_after_ms = (retry_after / NANOS_PER_MS) as u32;
+    fn reject(&mut self, _ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration) {
+        let retry_after_ms = retry_after.as_millis_u64() as u32;
         let description = "no region takes it now; come again";
         let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
         self.refuse_forwarder(request_id, error);
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -6,10 +6,12 @@
 //! as long as its connection lasts.
 
 use super::deliveries::Map;
-use crate::model::{Nanos, RequestId};
+use crate::model::RequestId;
 use crate::net::Token;
 use sparbank_amqp::{State, Tag};
+use sparbank_time::MonotonicTime;
 use std::collections::{HashSet, VecDeque};
+use std::time::Duration;
 
 /// A link's identity across connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -38,9 +40,9 @@
     deliveries: Map<Tag, DeliveryStatus>,
     /// The tags of settled deliveries, oldest first.
     settled: VecDeque<Tag>,
-    /// How long it is remembered after its link is lost, in nanoseconds; 0: as long as its connection lasts.
-    timeout: Nanos,
-    expires_at: Option<Nanos>,
+    /// How long it is remembered after its link is lost; zero: as long as its connection lasts.
+    timeout: Duration,
+    expires_at: Option<MonotonicTime>,
 }
 
 /// Bounds on what is remembered.
@@ -50,8 +52,8 @@
     pub max_links: usize,
     /// Settled deliveries that are remembered of each link.
     pub max_settled_per_link: usize,
-    /// The longest timeout, in nanoseconds.
-    pub max_timeout: Nanos,
+    /// The longest timeout.
+    pub max_timeout: Duration,
 }
 
 /// All remembered links.
@@ -76,19 +78,19 @@
 }
 
 impl Recovery {
-    /// A link attaches. `unsettled` are the tags of the peer's unsettled map. A timeout above 0 (nanoseconds) has the
-    /// link remembered from now on.
+    /// A link attaches. `unsettled` are the tags of the peer's unsettled map. A timeout above zero has the link
+    /// remembered from now on.
     pub fn attach(
         &mut self,
         limits: RecoveryLimits,
         key: &LinkKey,
         token: Token,
-        timeout: Nanos,
+        timeout: Duration,
         unsettled: &[Tag],
     ) -> ResumedLink {
         let timeout = timeout.min(limits.max_timeout);
         let Some(link) = self.links.get_mut(key) else {
-            if timeout > 0 {
+            if !timeout.is_zero() {
                 self.remember(limits, key, token, timeout);
             }
             let unknown = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
@@ -107,7 +109,7 @@
         ResumedLink { known, unknown: HashSet::new(), abandoned }
     }
 
-    fn remember(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, timeout: Nanos) -> bool {
+    fn remember(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, timeout: Duration) -> bool {
         if self.links.len() >= limits.max_links {
             return false;
         }
@@ -163,25 +165,31 @@
     }
 
     /// A link is detached and not closed: it may be resumed. False where there is no capacity to remember it.
-    pub fn suspend(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, now: Nanos) -> bool {
-        if !self.is_remembered(key) && !self.remember(limits, key, token, 0) {
+    pub fn suspend(
+        &mut self,
+        limits: RecoveryLimits,
+        key: &LinkKey,
+        token: Token,
+        now: MonotonicTime,
+    ) -> bool {
+        if !self.is_remembered(key) && !self.remember(limits, key, token, Duration::ZERO) {
             return false;
         }
         if let Some(link) = self.links.get_mut(key) {
             link.attached = false;
-            link.expires_at = (link.timeout > 0).then_some(now + link.timeout);
+            link.expires_at = (!link.timeout.is_zero()).then_some(now + link.timeout);
         }
         true
     }
 
     /// A connection is lost. Gives the requests whose outcome nobody can request any more.
-    pub fn connection_lost(&mut self, token: Token, now: Nanos) -> Vec<RequestId> {
+    pub fn connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
         let mut forgotten = Vec::new();
         for (key, link) in &mut self.links {
             if link.token == token {
                 link.attached = false;
                 link.expires_at.get_or_insert(now + link.timeout);
-                if link.timeout == 0 {
+                if link.timeout.is_zero() {
                     forgotten.push(key.clone());
                 }
             }
@@ -195,7 +203,7 @@
     }
 
     /// Forgets the links that have expired by now. Gives the requests whose outcome nobody can request any more.
-    pub fn expire(&mut self, now: Nanos) -> Vec<RequestId> {
+    pub fn expire(&mut self, now: MonotonicTime) -> Vec<RequestId> {
         let expired = self.links.iter().filter(|(_, link)| link.is_expired(now));
         let expired = expired.map(|(key, _)| key.clone()).collect();
         self.forget_links(expired)
@@ -253,7 +261,7 @@
         abandoned
     }
 
-    fn is_expired(&self, now: Nanos) -> bool {
+    fn is_expired(&self, now: MonotonicTime) -> bool {
         !self.attached && self.expires_at.is_some_and(|at| at <= now)
     }
 }
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -1,16 +1,23 @@
 //! What is remembered of links that may be resumed: its bounds, expiry and settled deliveries.
 
 use super::{LinkKey, Recovery, RecoveryLimits, ResumedLink};
-use crate::model::{Nanos, RequestId};
+use crate::model::RequestId;
 use crate::net::token_for_tests as token;
 use sparbank_amqp::{State, Tag};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const LIMITS: RecoveryLimits = RecoveryLimits { max_links: 2, max_settled_per_link: 3, max_timeout: 1000 };
+const LIMITS: RecoveryLimits =
+    RecoveryLimits { max_links: 2, max_settled_per_link: 3, max_timeout: Duration::from_nanos(1000) };
 
 fn key(name: &str) -> LinkKey {
     LinkKey { container: "c".into(), user: None, name: name.into() }
 }
 
+fn at(nanos: u64) -> MonotonicTime {
+    MonotonicTime::from_nanos(nanos)
+}
+
 fn tag(n: u8) -> Tag {
     Tag::new(&[n]).expect("short")
 }
@@ -19,22 +26,26 @@
 fn a_resumed_link_learns_the_state_of_its_deliveries() {
     let mut recovery = Recovery::default();
     let link = key("a");
-    assert_eq!(recovery.attach(LIMITS, &link, token(1), 500, &[]), ResumedLink::default());
+    assert_eq!(
+        recovery.attach(LIMITS, &link, token(1), Duration::from_nanos(500), &[]),
+        ResumedLink::default()
+    );
     for n in 0..3 {
         recovery.record_running(&link, tag(n), RequestId(u64::from(n)));
     }
     recovery.record_settled(LIMITS, RequestId(0), &State::Accepted);
-    assert!(recovery.connection_lost(token(1), 100).is_empty(), "the timeout has not passed");
-    assert!(recovery.expire(599).is_empty());
-    let found = recovery.attach(LIMITS, &link, token(2), 500, &[tag(0), tag(1), tag(9)]);
+    assert!(recovery.connection_lost(token(1), at(100)).is_empty(), "the timeout has not passed");
+    assert!(recovery.expire(at(599)).is_empty());
+    let found =
+        recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
     assert_eq!(found.known, [(tag(0), Some(State::Accepted)), (tag(1), None)]);
     assert_eq!((found.unknown.len(), found.abandoned), (0, vec![RequestId(2)]));
     assert_eq!(recovery.status(&link, &tag(9)), None, "it never arrived completely: it may run");
     // Lost again, until it expires.
-    recovery.connection_lost(token(2), 700);
-    assert_eq!(recovery.expire(1200), [RequestId(1)]);
+    recovery.connection_lost(token(2), at(700));
+    assert_eq!(recovery.expire(at(1200)), [RequestId(1)]);
     assert_eq!((recovery.len(), recovery.running.len()), (0, 0));
-    let found = recovery.attach(LIMITS, &link, token(3), 500, &[tag(1)]);
+    let found = recovery.attach(LIMITS, &link, token(3), Duration::from_nanos(500), &[tag(1)]);
     assert!(found.unknown.contains(&tag(1)), "whether it ran is unknown");
 }
 
@@ -42,29 +53,32 @@
 fn remembered_links_and_deliveries_are_bounded() {
     let mut recovery = Recovery::default();
     let link = key("a");
-    recovery.attach(LIMITS, &link, token(1), 9_999, &[]);
+    recovery.attach(LIMITS, &link, token(1), Duration::from_nanos(9_999), &[]);
     for n in 0..10 {
         recovery.record_running(&link, tag(n), RequestId(u64::from(n)));
         recovery.record_settled(LIMITS, RequestId(u64::from(n)), &State::Released);
     }
     assert_eq!(recovery.links[&link].deliveries.len(), 3);
-    assert_eq!(recovery.links[&link].timeout, 1000, "no longer than the node allows");
-    recovery.attach(LIMITS, &key("b"), token(1), 1, &[]);
-    recovery.attach(LIMITS, &key("c"), token(1), 1, &[]);
-    assert!(!recovery.is_remembered(&key("c")) && !recovery.suspend(LIMITS, &key("c"), token(1), 0));
+    assert_eq!(recovery.links[&link].timeout, Duration::from_nanos(1000), "no longer than the node allows");
+    recovery.attach(LIMITS, &key("b"), token(1), Duration::from_nanos(1), &[]);
+    recovery.attach(LIMITS, &key("c"), token(1), Duration::from_nanos(1), &[]);
+    assert!(
+        !recovery.is_remembered(&key("c"))
+            && !recovery.suspend(LIMITS, &key("c"), token(1), MonotonicTime::ZERO)
+    );
 }
 
 #[test]
 fn a_link_without_a_timeout_is_remembered_as_long_as_its_connection() {
     let mut recovery = Recovery::default();
     let link = key("a");
-    recovery.attach(LIMITS, &link, token(1), 0, &[]);
+    recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[]);
     assert!(!recovery.is_remembered(&link));
-    assert!(recovery.suspend(LIMITS, &link, token(1), 5));
+    assert!(recovery.suspend(LIMITS, &link, token(1), at(5)));
     recovery.record_running(&link, tag(1), RequestId(7));
-    assert!(recovery.expire(Nanos::MAX).is_empty());
-    let found = recovery.attach(LIMITS, &link, token(1), 0, &[tag(1)]);
+    assert!(recovery.expire(MonotonicTime::MAX).is_empty());
+    let found = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
     assert_eq!(found.known, [(tag(1), None)]);
-    assert_eq!(recovery.connection_lost(token(1), 9), [RequestId(7)]);
+    assert_eq!(recovery.connection_lost(token(1), at(9)), [RequestId(7)]);
     assert!(!recovery.is_remembered(&link));
 }
--- a/src/frontend/amqp/sending.rs
+++ b/src/frontend/amqp/sending.rs
@@ -5,14 +5,14 @@
 use super::fair_queue::FairQueue;
 use super::servers::{AttemptResult, ClassQueue, SendingLink, Servers};
 use crate::frontend::FrontendContext;
-use crate::model::{Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Outcome, RequestId, ServerId};
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
+use sparbank_time::DurationExt;
 
 /// Octets that a link sends before the next link has its turn.
 const CHUNK_BYTES: usize = 16 * 1024;
 /// Octets not yet written at which a connection is full.
 const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
-const NANOS_PER_MS: Nanos = 1_000_000;
 
 /// The result of a link's turn.
 enum Turn {
@@ -141,15 +141,14 @@
                 // A client that comes back may still resume the delivery: its absence does not count here.
                 let permission = self.ctx.requests.may_send(self.ctx.now, request_id, false, server_ready);
                 if let Err(refusal) = permission {
-                    let request = request_id.0;
-                    crate::log::trace(format_args!("trace not-sent request={request} reason={refusal}"));
+                    tracing::trace!(request = request_id.0, reason = %refusal, "attempt not sent");
                     return Turn::NotSent(request_id);
                 }
                 let size = delivery.bytes.len() as u64;
                 if conn.max_message_size(link.link).is_some_and(|max_size| size > max_size) {
                     return Turn::TooLarge(request_id);
                 }
-                let ttl_ms = attempt.deadline.saturating_sub(self.ctx.now) / NANOS_PER_MS;
+                let ttl_ms = attempt.deadline.saturating_duration_since(self.ctx.now).as_millis_u64();
                 let progress = chunk.begin(conn, delivery, (ttl_ms as u32).max(1), self.scratch);
                 if !progress.sent.started {
                     waiting.push(delivery.client, request_id);
--- a/src/frontend/amqp/server_connections.rs
+++ b/src/frontend/amqp/server_connections.rs
@@ -16,10 +16,11 @@
         let fault = self.process_server_input(ctx, token);
         let Some(connection) = self.servers.get(token) else { return };
         if let Some(fault) = fault.filter(|_| !connection.conn.peer_has_no_sasl()) {
-            crate::log::line(format_args!(
-                "server-protocol-error reason={} {}",
-                fault.condition, fault.description
-            ));
+            tracing::warn!(
+                condition = %fault.condition,
+                description = %fault.description,
+                "server protocol error"
+            );
             connection.conn.close(Some(Box::new(fault.into())));
         }
         let is_lost = connection.conn.is_closed()
--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -2,23 +2,25 @@
 
 use crate::config::SiteSettings;
 use crate::discovery::EndpointRegistry;
-use crate::model::{Event, Nanos, Outcome, RequestClass, RequestId, ServerId};
+use crate::model::{Event, Outcome, RequestClass, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketReactor, TimerWheel, Token};
 use crate::requests::{FrontendId, RequestTable};
+use sparbank_time::MonotonicTime;
 use std::any::Any;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 /// The id of the platform's own frontend.
 pub const TEXT_FRONTEND: FrontendId = FrontendId { index: 0, name: "text" };
 
-/// Time, in nanoseconds, by which a frontend's answer precedes the client's deadline: the timer wheel, the event loop
+/// Time by which a frontend's answer precedes the client's deadline: the timer wheel, the event loop
 /// and the way back to the client take this much at most.
-pub const ANSWER_MARGIN: Nanos = 12_000_000;
+pub const ANSWER_MARGIN: Duration = Duration::from_millis(12);
 
 /// The parts of the node that a frontend may use during one call.
 pub struct FrontendContext<'a> {
-    /// The time of this call, in nanoseconds on the node's clock.
-    pub now: Nanos,
+    /// The time of this call, on the node's clock.
+    pub now: MonotonicTime,
     /// The sockets of all frontends.
     pub net: &'a mut SocketReactor,
     /// The requests and their attempts.
@@ -68,12 +70,12 @@
         ctx: &mut FrontendContext,
         request_id: RequestId,
         server: ServerId,
-        timeout: Nanos,
+        timeout: Duration,
     );
     /// Cancels an attempt and returns its outcome: an attempt that was not sent completely never ran.
     fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome;
     /// Sends the final answer "rejected", with the advice to retry after `retry_after`.
-    fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Nanos);
+    fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration);
     /// Sends the final answer "failed".
     fn fail(&mut self, ctx: &mut FrontendContext, request_id: RequestId);
     /// Tells the client of an established connection to reconnect. The request table has already dropped the request.
--- a/src/frontend/frontends.rs
+++ b/src/frontend/frontends.rs
@@ -26,18 +26,18 @@
         Frontends { entries: vec![Entry { frontend, name: TEXT_FRONTEND.name }] }
     }
 
-    /// Opens an optional frontend, by its index into [`OPTIONAL_FRONTENDS`], and returns its log line.
+    /// Opens an optional frontend, by its index into [`OPTIONAL_FRONTENDS`], and adds it.
     pub fn open(
         &mut self,
         which: usize,
         config: Box<dyn Any>,
         setup: FrontendSetup,
-    ) -> Result<String, FrontendError> {
+    ) -> Result<(), FrontendError> {
         let optional = &OPTIONAL_FRONTENDS[which];
         let id = FrontendId { index: self.entries.len() as u8, name: optional.name };
-        let opened = (optional.open)(id, config, setup)?;
-        self.entries.push(Entry { frontend: opened.frontend, name: optional.name });
-        Ok(format!("{} {}", optional.name, opened.listen_line))
+        let frontend = (optional.open)(id, config, setup)?;
+        self.entries.push(Entry { frontend, name: optional.name });
+        Ok(())
     }
 
     /// The frontend with this id.
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -13,6 +13,4 @@
 
 pub use api::{Frontend, FrontendContext, TimerEvent, TransferredConnection, ANSWER_MARGIN, TEXT_FRONTEND};
 pub use frontends::{Frontends, OPTIONAL_FRONTENDS};
-pub use optional::{
-    FrontendError, FrontendFiles, FrontendSetup, OpenedFrontend, OptionalFrontend, ParsedFrontendFiles,
-};
+pub use optional::{FrontendError, FrontendFiles, FrontendSetup, OptionalFrontend, ParsedFrontendFiles};
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -16,14 +16,21 @@
 /// Parsed configurations of optional frontends, each with its frontend's index into [`OPTIONAL_FRONTENDS`](super::OPTIONAL_FRONTENDS).
 pub type ParsedFrontendFiles = Vec<(usize, Box<dyn Any>)>;
 
+/// A parsed configuration file, of a type that its frontend knows.
+pub type FrontendConfig = Box<dyn Any>;
+
+/// Opens a frontend with its id and its configuration.
+pub type OpenFrontend =
+    fn(FrontendId, FrontendConfig, FrontendSetup) -> Result<Box<dyn Frontend>, FrontendError>;
+
 /// A frontend that is off unless its configuration file is named on the command line.
 pub struct OptionalFrontend {
     /// Its name in log lines and, behind `--`, its option.
     pub name: &'static str,
     /// Reads and checks its configuration file.
-    pub read: fn(&Path) -> Result<Box<dyn Any>, FrontendError>,
-    /// Opens the frontend: listens, and says where.
-    pub open: fn(FrontendId, Box<dyn Any>, FrontendSetup) -> Result<OpenedFrontend, FrontendError>,
+    pub read: fn(&Path) -> Result<FrontendConfig, FrontendError>,
+    /// Opens the frontend: listens, and logs where.
+    pub open: OpenFrontend,
 }
 
 /// What a frontend is opened with, beside its id and its configuration.
@@ -36,14 +43,6 @@
     pub site: &'a SiteSettings,
 }
 
-/// A frontend that was opened.
-pub struct OpenedFrontend {
-    /// The frontend.
-    pub frontend: Box<dyn Frontend>,
-    /// Where it listens, as `key=value` pairs of its log line.
-    pub listen_line: String,
-}
-
 /// Why an optional frontend could not be configured or opened.
 #[derive(Debug)]
 pub enum FrontendError {
--- a/src/frontend/text/client_side.rs
+++ b/src/frontend/text/client_side.rs
@@ -5,14 +5,17 @@
 use super::session::{arrival, AttemptState, ConnectionRole, Session, SessionEnding, SessionState};
 use super::TextFrontend;
 use crate::frontend::{FrontendContext, TimerEvent, ANSWER_MARGIN, TEXT_FRONTEND};
-use crate::model::{Nanos, Outcome, ServerId};
+use crate::model::{Outcome, ServerId};
 use crate::net::{ConnectError, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
-use crate::rules::{check_close, may_start, CloseInputs, SendRefusal, StartInputs, StartRefusal, Violation};
+use crate::rules::{
+    check_close, may_start, CloseInputs, SendRefusal, StartInputs, StartRefusal, Violation, ViolationContext,
+};
+use std::time::Duration;
 
 /// A client may send this many `PING`s on one connection.
 const MAX_PINGS: u32 = 8;
 /// A server whose client has ended its sending has this long to end its own side.
-const HALF_CLOSED_TIMEOUT: Nanos = 2_000_000_000;
+const HALF_CLOSED_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl TextFrontend {
     // ---- Before a request ----------------------------------------------------------------------
@@ -126,7 +129,7 @@
         open: &OpenRequest,
         refusal: StartRefusal,
     ) {
-        crate::log::trace(format_args!("trace refused-start id={} reason={refusal}", open.id));
+        tracing::trace!(id = %open.id, reason = %refusal, "request answered without an attempt");
         match refusal {
             StartRefusal::MoreInput | StartRefusal::DuplicateId => self.reject_malformed(ctx, token),
             StartRefusal::Closing => self.answer_and_close(ctx, token, b"BUSY\r\n"),
@@ -149,7 +152,7 @@
     /// Reconnects a client that was connected before the run to the server that it had: it is no placement.
     fn restore_session(&mut self, ctx: &mut FrontendContext, token: Token, server_name: &str) {
         let Some(server) = ctx.registry.id_of(server_name) else { return self.reject_malformed(ctx, token) };
-        let timeout = self.sessions.get(&token).map_or(0, |session| session.open.time_left);
+        let timeout = self.sessions.get(&token).map_or(Duration::ZERO, |session| session.open.time_left);
         let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
         ctx.wheel.schedule(answer_by, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
         if self.connect_to_server(ctx, token, server, timeout).is_err() {
@@ -166,7 +169,7 @@
         ctx: &mut FrontendContext,
         client: Token,
         server: ServerId,
-        timeout: Nanos,
+        timeout: Duration,
     ) -> Result<(), Outcome> {
         let Some(session) = self.sessions.get_mut(&client) else { return Ok(()) };
         let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
@@ -190,7 +193,7 @@
         let Some(session) = self.sessions.get_mut(&client) else { return };
         let SessionState::Attempting(attempt) = &mut session.state else { return };
         attempt.line_sent = true;
-        let time_left = attempt.ends_at.saturating_sub(ctx.now);
+        let time_left = attempt.ends_at.saturating_duration_since(ctx.now);
         ctx.net.send(attempt.server_connection, session.open.line_for_server(time_left).as_bytes());
     }
 
@@ -210,7 +213,7 @@
     fn on_send_refused(&mut self, ctx: &mut FrontendContext, client: Token, refusal: SendRefusal) {
         let request_id = self.sessions.get(&client).and_then(|session| session.request_id);
         let request = request_id.map_or(0, |request_id| request_id.0);
-        crate::log::trace(format_args!("trace not-sent request={request} reason={refusal}"));
+        tracing::trace!(request, reason = %refusal, "attempt not sent");
         match refusal {
             SendRefusal::ClientGone => self.on_client_input(ctx, client, ctx.net.is_failed(client)),
             SendRefusal::NotCurrent | SendRefusal::ServerNotReady | SendRefusal::TooLate => {
@@ -279,14 +282,14 @@
     }
 
     fn trace_answer(&self, client: Token, answer: &[u8]) {
-        if !crate::log::is_trace_enabled() {
+        if !tracing::enabled!(tracing::Level::TRACE) {
             return;
         }
         let session = self.sessions.get(&client);
         let request = session.and_then(|session| session.request_id).map_or(0, |request_id| request_id.0);
         let id = session.map_or("-", |session| session.open.id.as_str());
         let answer = String::from_utf8_lossy(answer.trim_ascii_end());
-        crate::log::line(format_args!("trace answer request={request} id={id} answer={answer}"));
+        tracing::trace!(request, %id, %answer, "final answer");
     }
 
     /// A client gets its final answer, or is told to come again once its session is established.
@@ -299,7 +302,7 @@
             let id = &session.open.id;
             ctx.requests
                 .violations
-                .record(Violation::AnsweredTwice, format_args!("request={request} id={id}"));
+                .record(Violation::AnsweredTwice, ViolationContext::Request { request, id });
         }
     }
 
@@ -335,7 +338,7 @@
     pub(super) fn remove_session(&mut self, ctx: &mut FrontendContext, client: Token) {
         self.connections.remove(&client);
         let Some(session) = self.sessions.remove(&client) else { return };
-        session.trace("over", ctx);
+        session.trace("ended", ctx);
         check_session_close(ctx, &session);
         self.open_ids.remove(&session.open.id);
         if let Some(request_id) = session.request_id {
@@ -367,7 +370,7 @@
     if let Err(violation) = check_close(&inputs) {
         let request = session.request_id.map_or(0, |request_id| request_id.0);
         let id = &session.open.id;
-        ctx.requests.violations.record(violation, format_args!("request={request} id={id}"));
+        ctx.requests.violations.record(violation, ViolationContext::Request { request, id });
     }
 }
 
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -6,12 +6,13 @@
 };
 use super::TextFrontend;
 use crate::frontend::{FrontendContext, TransferredConnection, TEXT_FRONTEND};
-use crate::model::Nanos;
 use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::requests::HandedOverConnection;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 use std::fmt;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 /// A connection with more output than this stays until its peer has read.
 const MAX_TRANSFERRED_OUTPUT_BYTES: usize = 2 * OUTPUT_HIGH_WATERMARK_BYTES;
@@ -38,12 +39,13 @@
     server_name: String,
     /// When the request arrived.
     #[serde(rename = "began")]
-    started_at: Nanos,
+    started_at: MonotonicTime,
     #[serde(rename = "asked")]
-    unanswered_since: Option<Nanos>,
+    unanswered_since: Option<MonotonicTime>,
     #[serde(rename = "last")]
     ending: SessionEnding,
-    load: Option<Nanos>,
+    #[serde(default, with = "sparbank_time::serde_nanos::option")]
+    load: Option<Duration>,
     #[serde(rename = "terminal")]
     client: BufferedConnection,
     #[serde(rename = "task")]
@@ -212,7 +214,7 @@
             is_answered: true,
             end_announced: false,
         };
-        session.trace("took", ctx);
+        session.trace("inherited", ctx);
         self.sessions.insert(client, session);
         self.on_server_event(ctx, client, server_connection, ConnectionEvent::Ready);
         ctx.net.update_interest(server_connection);
--- a/src/frontend/text/handover/tests.rs
+++ b/src/frontend/text/handover/tests.rs
@@ -1,6 +1,8 @@
 use super::{SessionEnding, TransferredEstablished, TransferredSession};
 use crate::net::BufferedConnection;
 use rstest::rstest;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 // JSON that the code of version 00677b7 wrote: what a process of that version hands to this one.
 const AWAITING_REQUEST: &str = include_str!("json_of_00677b7/awaiting_request.json");
@@ -33,14 +35,19 @@
 }
 
 #[rstest]
-#[case::unannounced(UNANNOUNCED, SessionEnding::Unannounced, Some(7_000_000_000), Some(2_727_000))]
+#[case::unannounced(
+    UNANNOUNCED,
+    SessionEnding::Unannounced,
+    Some(MonotonicTime::from_nanos(7_000_000_000)),
+    Some(Duration::from_nanos(2_727_000))
+)]
 #[case::completed(COMPLETED, SessionEnding::Completed, None, None)]
-#[case::migrated(MIGRATED, SessionEnding::Migrated, None, Some(0))]
+#[case::migrated(MIGRATED, SessionEnding::Migrated, None, Some(Duration::ZERO))]
 fn an_established_session_keeps_its_state(
     #[case] json: &str,
     #[case] ending: SessionEnding,
-    #[case] unanswered_since: Option<u64>,
-    #[case] load: Option<u64>,
+    #[case] unanswered_since: Option<MonotonicTime>,
+    #[case] load: Option<Duration>,
 ) {
     let TransferredSession::Established(session) = read(json) else { panic!("another kind of session") };
     // The position in the output stream is checked with the connection's own JSON, in net.
@@ -48,7 +55,7 @@
     let expected = TransferredEstablished {
         request_line: "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f".to_string(),
         server_name: "s-2".to_string(),
-        started_at: 5_000_000_000,
+        started_at: MonotonicTime::from_nanos(5_000_000_000),
         unanswered_since,
         ending,
         load,
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -9,24 +9,27 @@
 
 use super::line_buffer::{take_line, LineRead};
 use super::load_report::{LoadReport, UTILIZATION};
+use super::protocol_error::{server_name, ServerProtocolError};
 use super::session::ConnectionRole;
 use super::TextFrontend;
 use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
-use crate::model::{Event, Nanos, ServerId};
+use crate::model::{Event, ServerId};
 use crate::net::{SocketOwner, Token};
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// What a health check is sent as.
 const HEALTH_CHECK_LINE: &[u8] = b"STATS\r\n";
 /// A check without an answer after this has failed, and its connection is closed: a server that takes longer to
 /// answer a check than the latency objective of a message is no better for being known.
-const HEALTH_CHECK_TIMEOUT: Nanos = 250_000_000;
+const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A health-check connection.
 struct CheckConnection {
     token: Token,
     /// When the check in flight was sent, if one is.
-    in_flight_since: Option<Nanos>,
+    in_flight_since: Option<MonotonicTime>,
 }
 
 /// A health-check connection that is over.
@@ -57,7 +60,7 @@
 
 impl HealthChecks {
     /// A check of this server begins at `now`.
-    fn begin(&mut self, now: Nanos, server: ServerId) -> CheckStep {
+    fn begin(&mut self, now: MonotonicTime, server: ServerId) -> CheckStep {
         match self.by_server.get_mut(&server) {
             None => CheckStep::Connect,
             Some(connection) if connection.in_flight_since.is_some() => CheckStep::AlreadyInFlight,
@@ -69,7 +72,7 @@
     }
 
     /// A connection was opened for a check sent at `now`.
-    fn add_connection(&mut self, now: Nanos, server: ServerId, token: Token) {
+    fn add_connection(&mut self, now: MonotonicTime, server: ServerId, token: Token) {
         self.by_server.insert(server, CheckConnection { token, in_flight_since: Some(now) });
         self.servers.insert(token, server);
     }
@@ -81,15 +84,15 @@
     }
 
     /// Whether the check in flight on this connection, if any, was sent before this time.
-    fn was_sent_before(&self, token: Token, time: Nanos) -> bool {
+    fn was_sent_before(&self, token: Token, time: MonotonicTime) -> bool {
         let connection = self.servers.get(&token).and_then(|server| self.by_server.get(server));
         let sent_at = connection.and_then(|connection| connection.in_flight_since);
         sent_at.is_some_and(|sent_at| sent_at < time)
     }
 
     /// Whether the check in flight on this connection, if any, has timed out.
-    pub(super) fn has_timed_out(&self, token: Token, now: Nanos) -> bool {
-        self.was_sent_before(token, (now + 1).saturating_sub(HEALTH_CHECK_TIMEOUT))
+    pub(super) fn has_timed_out(&self, token: Token, now: MonotonicTime) -> bool {
+        self.was_sent_before(token, now + Duration::from_nanos(1) - HEALTH_CHECK_TIMEOUT)
     }
 
     /// A connection is over.
@@ -160,12 +163,11 @@
     let utilization = match LoadReport::parse_health_check_answer(&String::from_utf8_lossy(line)) {
         Ok(report) => report.and_then(|report| report.get(UTILIZATION)),
         Err(error) => {
-            crate::log::line(format_args!("server-protocol-error reason=probe: {error}"));
+            ServerProtocolError::HealthCheckAnswer(error).log(ctx, Some(server));
             None
         }
     };
-    let name = ctx.registry.entry(server).map_or("?", |endpoint| endpoint.name());
-    crate::log::trace(format_args!("trace probe server={name} over={utilization:?}"));
+    tracing::trace!(server = %server_name(ctx, Some(server)), ?utilization, "health check result");
     ctx.requests.push_event(Event::HealthCheckResult { server, utilization });
 }
 
--- a/src/frontend/text/health_check/tests.rs
+++ b/src/frontend/text/health_check/tests.rs
@@ -1,19 +1,24 @@
 use super::{CheckStep, EndedConnection, HealthChecks};
 use crate::model::ServerId;
 use crate::net::Token;
+use sparbank_time::MonotonicTime;
+
+fn at(nanos: u64) -> MonotonicTime {
+    MonotonicTime::from_nanos(nanos)
+}
 
 #[test]
 fn one_check_in_flight_a_server_and_its_connection_is_reused() {
     let mut checks = HealthChecks::default();
     let server = ServerId(3);
     let token = Token::for_tests(9);
-    assert_eq!(checks.begin(0, server), CheckStep::Connect);
-    checks.add_connection(0, server, token);
-    assert_eq!(checks.begin(5, server), CheckStep::AlreadyInFlight);
-    assert!(checks.was_sent_before(token, 1) && !checks.was_sent_before(token, 0));
+    assert_eq!(checks.begin(at(0), server), CheckStep::Connect);
+    checks.add_connection(at(0), server, token);
+    assert_eq!(checks.begin(at(5), server), CheckStep::AlreadyInFlight);
+    assert!(checks.was_sent_before(token, at(1)) && !checks.was_sent_before(token, at(0)));
     assert_eq!(checks.on_answer(token), Some(server));
     assert_eq!(checks.on_answer(token), None, "a line that no check waits for answers nothing");
-    assert_eq!(checks.begin(10, server), CheckStep::Reuse(token));
+    assert_eq!(checks.begin(at(10), server), CheckStep::Reuse(token));
     assert_eq!(checks.remove_connection(token), Some(EndedConnection { server, was_in_flight: true }));
-    assert_eq!(checks.begin(20, server), CheckStep::Connect);
+    assert_eq!(checks.begin(at(20), server), CheckStep::Connect);
 }
--- a/src/frontend/text/latency.rs
+++ b/src/frontend/text/latency.rs
@@ -1,17 +1,19 @@
 //! Message latency by server, measured from a client's line to the server's next line.
 
-use crate::model::{Nanos, ServerId};
+use crate::model::ServerId;
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// How often latencies are reported.
-const REPORT_INTERVAL: Nanos = 1_000_000_000;
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// A latency is reported once it is above the objective divided by this.
-const REPORT_ABOVE_OBJECTIVE_DIVISOR: Nanos = 3;
+const REPORT_ABOVE_OBJECTIVE_DIVISOR: u32 = 3;
 
 /// A server's latency since the last report.
 #[derive(Clone, Copy, Default)]
 struct ServerLatency {
-    worst: Option<Nanos>,
+    worst: Option<Duration>,
     /// The latency was high in the last report, so the next one is reported whatever it is.
     was_high: bool,
 }
@@ -19,26 +21,26 @@
 /// A latency to report to the balancer.
 pub(super) struct MeasuredLatency {
     pub(super) server: ServerId,
-    pub(super) latency: Nanos,
+    pub(super) latency: Duration,
 }
 
 /// The latencies of all servers.
 #[derive(Default)]
 pub(super) struct LatencyTracker {
     by_server: HashMap<ServerId, ServerLatency>,
-    reported_at: Nanos,
+    reported_at: MonotonicTime,
 }
 
 impl LatencyTracker {
     /// A server has answered a message after this time.
-    pub(super) fn record(&mut self, server: ServerId, latency: Nanos) {
+    pub(super) fn record(&mut self, server: ServerId, latency: Duration) {
         let measured = self.by_server.entry(server).or_default();
         measured.worst = measured.worst.max(Some(latency));
     }
 
     /// Whether the next reports are due; if so, the interval begins anew.
-    pub(super) fn begin_report(&mut self, now: Nanos) -> bool {
-        let report_due = now.saturating_sub(self.reported_at) >= REPORT_INTERVAL;
+    pub(super) fn begin_report(&mut self, now: MonotonicTime) -> bool {
+        let report_due = now.saturating_duration_since(self.reported_at) >= REPORT_INTERVAL;
         if report_due {
             self.reported_at = now;
         }
@@ -46,7 +48,7 @@
     }
 
     /// Takes the latencies that are high against this objective or were so in the last report, by server.
-    pub(super) fn take_reports(&mut self, objective: Nanos) -> Vec<MeasuredLatency> {
+    pub(super) fn take_reports(&mut self, objective: Duration) -> Vec<MeasuredLatency> {
         let mut reports = Vec::new();
         for (server, measured) in &mut self.by_server {
             let Some(latency) = measured.worst.take() else { continue };
--- a/src/frontend/text/latency/tests.rs
+++ b/src/frontend/text/latency/tests.rs
@@ -1,9 +1,19 @@
 use super::{LatencyTracker, REPORT_INTERVAL};
-use crate::model::{Nanos, ServerId};
+use crate::model::ServerId;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const OBJECTIVE: Nanos = 300;
+const OBJECTIVE: Duration = nanos(300);
 
-fn reports(tracker: &mut LatencyTracker) -> Vec<(ServerId, Nanos)> {
+const fn nanos(count: u64) -> Duration {
+    Duration::from_nanos(count)
+}
+
+fn at(since_origin: Duration) -> MonotonicTime {
+    MonotonicTime::ZERO + since_origin
+}
+
+fn reports(tracker: &mut LatencyTracker) -> Vec<(ServerId, Duration)> {
     let reports = tracker.take_reports(OBJECTIVE);
     reports.into_iter().map(|report| (report.server, report.latency)).collect()
 }
@@ -11,14 +21,18 @@
 #[test]
 fn a_high_latency_is_reported_and_so_is_the_one_after_it() {
     let mut tracker = LatencyTracker::default();
-    tracker.record(ServerId(2), 100);
-    tracker.record(ServerId(1), 101);
-    tracker.record(ServerId(1), 7);
-    assert_eq!(reports(&mut tracker), [(ServerId(1), 101)], "the worst of the interval, above a third only");
+    tracker.record(ServerId(2), nanos(100));
+    tracker.record(ServerId(1), nanos(101));
+    tracker.record(ServerId(1), nanos(7));
+    assert_eq!(
+        reports(&mut tracker),
+        [(ServerId(1), nanos(101))],
+        "the worst of the interval, above a third only"
+    );
     assert_eq!(reports(&mut tracker), [], "nothing was measured since");
-    tracker.record(ServerId(1), 5);
-    assert_eq!(reports(&mut tracker), [(ServerId(1), 5)], "the server has recovered");
-    tracker.record(ServerId(1), 5);
+    tracker.record(ServerId(1), nanos(5));
+    assert_eq!(reports(&mut tracker), [(ServerId(1), nanos(5))], "the server has recovered");
+    tracker.record(ServerId(1), nanos(5));
     assert_eq!(reports(&mut tracker), []);
 }
 
@@ -26,16 +40,16 @@
 fn reports_are_sorted_by_server() {
     let mut tracker = LatencyTracker::default();
     for server in [3, 1, 2] {
-        tracker.record(ServerId(server), 200);
+        tracker.record(ServerId(server), nanos(200));
     }
-    assert_eq!(reports(&mut tracker), [1, 2, 3].map(|server| (ServerId(server), 200)));
+    assert_eq!(reports(&mut tracker), [1, 2, 3].map(|server| (ServerId(server), nanos(200))));
 }
 
 #[test]
 fn an_interval_lasts_from_report_to_report() {
     let mut tracker = LatencyTracker::default();
-    assert!(!tracker.begin_report(REPORT_INTERVAL - 1));
-    assert!(tracker.begin_report(REPORT_INTERVAL + 5));
-    assert!(!tracker.begin_report(2 * REPORT_INTERVAL + 4));
-    assert!(tracker.begin_report(2 * REPORT_INTERVAL + 5));
+    assert!(!tracker.begin_report(at(REPORT_INTERVAL - nanos(1))));
+    assert!(tracker.begin_report(at(REPORT_INTERVAL + nanos(5))));
+    assert!(!tracker.begin_report(at(2 * REPORT_INTERVAL + nanos(4))));
+    assert!(tracker.begin_report(at(2 * REPORT_INTERVAL + nanos(5))));
 }
--- a/src/frontend/text/load_report.rs
+++ b/src/frontend/text/load_report.rs
@@ -4,6 +4,9 @@
 //! `PONG avg_ms=12.5,rps=40,active=3,x0=0.8`; `BYE`, `ERR` and `BUSY` may end with one where the settings say
 //! that answers carry reports.
 
+use super::protocol_error::ServerProtocolError;
+use crate::frontend::FrontendContext;
+use crate::model::ServerId;
 use std::fmt;
 
 /// A report has at most this many values: the settings name four or fewer, and a server may add some.
@@ -102,9 +105,14 @@
 
 /// Writes a log line about a malformed report at the end of a server's answer. The answer means what its word says
 /// all the same.
-pub(super) fn log_malformed_trailing_report(line: &[u8], word: &str) {
+pub(super) fn log_malformed_trailing_report(
+    ctx: &FrontendContext,
+    server: Option<ServerId>,
+    line: &[u8],
+    word: &'static str,
+) {
     if let Some(Err(error)) = LoadReport::parse_trailing(&String::from_utf8_lossy(line), word) {
-        crate::log::line(format_args!("server-protocol-error reason=report after {word}: {error}"));
+        ServerProtocolError::TrailingReport { word, error }.log(ctx, server);
     }
 }
 
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -17,23 +17,26 @@
 mod latency;
 mod line_buffer;
 mod load_report;
+mod protocol_error;
 mod request_line;
 mod server_side;
 mod session;
 
 use super::{Frontend, FrontendContext, TransferredConnection};
-use crate::model::{Event, Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Event, Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketEventKind, Token};
 use client_side::{has_disconnected, is_ready};
 use health_check::HealthChecks;
 use latency::LatencyTracker;
 use server_side::is_line_written;
 use session::{ConnectionEvent, ConnectionRole, Session, SessionState};
+use sparbank_time::DurationExt;
 use std::collections::{HashMap, HashSet};
+use std::time::Duration;
 
 /// A client whose established server leaves a line unanswered for this long is migrated. Clients send a line every
 /// 2 s, and the rule allows 7 s from the last answer.
-const SILENT_SERVER_TIMEOUT: Nanos = 4_500_000_000;
+const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(4_500);
 
 /// The text protocol's frontend.
 #[derive(Default)]
@@ -59,7 +62,7 @@
         let now = ctx.now;
         let is_silent = |session: &Session| {
             let since = session.established().and_then(|established| established.unanswered_since);
-            since.is_some_and(|since| now.saturating_sub(since) > SILENT_SERVER_TIMEOUT)
+            since.is_some_and(|since| now.saturating_duration_since(since) > SILENT_SERVER_TIMEOUT)
         };
         let silent: Vec<RequestId> = self
             .sessions
@@ -68,7 +71,7 @@
             .filter_map(|session| session.request_id)
             .collect();
         for request_id in silent {
-            crate::log::trace(format_args!("trace silent request={}", request_id.0));
+            tracing::trace!(request = request_id.0, "server is silent, migrating");
             ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
             self.migrate(ctx, request_id);
         }
@@ -80,7 +83,7 @@
             return;
         }
         let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
-        let objective = objectives.min().unwrap_or(Nanos::MAX);
+        let objective = objectives.min().unwrap_or(Duration::from_nanos(u64::MAX));
         for report in self.latencies.take_reports(objective) {
             ctx.requests.push_event(Event::LatencyReport { server: report.server, latency: report.latency });
         }
@@ -149,7 +152,7 @@
         ctx: &mut FrontendContext,
         request_id: RequestId,
         server: ServerId,
-        timeout: Nanos,
+        timeout: Duration,
     ) {
         let Some(client) = self.clients.get(&request_id).copied() else { return };
         // No attempt is started for a client that has disconnected by now, nor at a server that has begun to drain
@@ -196,9 +199,9 @@
         self.on_server_event(ctx, client, connection, ConnectionEvent::Ready);
     }
 
-    fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Nanos) {
+    fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration) {
         if let Some(client) = self.clients.get(&request_id).copied() {
-            let answer = match retry_after / 1_000_000 {
+            let answer = match retry_after.as_millis_u64() {
                 0 => "BUSY\r\n".to_string(),
                 ms => format!("BUSY {ms}\r\n"),
             };
@@ -233,7 +236,7 @@
 
     fn receive_connection(&mut self, ctx: &mut FrontendContext, connection: TransferredConnection) {
         if let Err(error) = self.import_client(ctx, connection) {
-            crate::log::line(format_args!("handover-lost {error}"));
+            tracing::warn!(%error, "transferred connection is unreadable, closed");
         }
     }
 
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -2,8 +2,10 @@
 
 use crate::config::SiteSettings;
 use crate::hash::fnv1a;
-use crate::model::{Nanos, RequestClass};
+use crate::model::RequestClass;
+use sparbank_time::DurationExt;
 use std::ops::Range;
+use std::time::Duration;
 
 /// The longest id or key, in bytes.
 const MAX_ID_BYTES: usize = 64;
@@ -12,7 +14,6 @@
 const MAX_DEADLINE_MS: u64 = 3_600_000;
 /// The largest load that a hint can mean, in microseconds of work a second.
 const MAX_LOAD_MICROS_PER_SECOND: f64 = 1e12;
-const NANOS_PER_MS: Nanos = 1_000_000;
 
 /// What a client's line opens with.
 #[derive(Debug, PartialEq)]
@@ -35,7 +36,7 @@
     /// The class's index in the settings.
     pub(super) class: usize,
     /// How long the client waits.
-    pub(super) time_left: Nanos,
+    pub(super) time_left: Duration,
     /// The request's subject.
     pub(super) key: u64,
     /// The group that shares work on a server.
@@ -45,7 +46,7 @@
     /// The client repeats a request that failed.
     pub(super) client_retry: bool,
     /// The load that the client expects to be, in nanoseconds of work a second.
-    pub(super) load_hint: Option<Nanos>,
+    pub(super) load_hint: Option<Duration>,
     /// The server to which the client was connected before the run.
     pub(super) resumed_at: Option<String>,
 }
@@ -73,7 +74,7 @@
     deadline_ms: Option<u64>,
     deadline_value: Option<Range<usize>>,
     resumed_at: Option<String>,
-    load_hint: Option<Nanos>,
+    load_hint: Option<Duration>,
     group: Option<u64>,
     reconnect: bool,
     client_retry: bool,
@@ -131,7 +132,7 @@
             return None;
         }
         let time_left = match fields.deadline_ms {
-            Some(ms) => ms * NANOS_PER_MS,
+            Some(ms) => Duration::from_millis(ms),
             None => classes.get(class)?.hard_limit,
         };
         Some(OpenRequest {
@@ -155,12 +156,12 @@
     }
 
     /// The line for the server: as received, but with the time that the node will wait as its deadline.
-    pub(super) fn line_for_server(&self, timeout: Nanos) -> String {
+    pub(super) fn line_for_server(&self, timeout: Duration) -> String {
         match &self.deadline_value {
             Some(value) => {
                 let before = &self.line[..value.start];
                 let after = &self.line[value.end..];
-                let ms = (timeout / NANOS_PER_MS).max(1);
+                let ms = timeout.as_millis_u64().max(1);
                 format!("{before}{ms}{after}\r\n")
             }
             None => format!("{}\r\n", self.line),
@@ -190,7 +191,9 @@
 }
 
 /// Parses a load in microseconds of work a second; yields nanoseconds of work a second.
-pub(super) fn parse_load(text: &str) -> Option<Nanos> {
+pub(super) fn parse_load(text: &str) -> Option<Duration> {
     let micros: f64 = text.parse().ok()?;
-    (0.0..=MAX_LOAD_MICROS_PER_SECOND).contains(&micros).then_some((micros * 1e3) as Nanos)
+    (0.0..=MAX_LOAD_MICROS_PER_SECOND)
+        .contains(&micros)
+        .then_some(Duration::from_nanos((micros * 1e3) as u64))
 }
--- a/src/frontend/text/server_side.rs
+++ b/src/frontend/text/server_side.rs
@@ -2,13 +2,16 @@
 
 use super::line_buffer::{take_line, LineRead};
 use super::load_report::log_malformed_trailing_report;
+use super::protocol_error::{server_name, ServerProtocolError};
 use super::request_line::parse_load;
 use super::session::{arrival, AttemptState, ConnectionEvent, ConnectionRole, SessionEnding, SessionState};
 use super::TextFrontend;
 use crate::frontend::{FrontendContext, TEXT_FRONTEND};
 use crate::model::{Event, Outcome, RequestId};
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use sparbank_time::DurationExt;
 use std::ops::ControlFlow;
+use std::time::Duration;
 
 impl TextFrontend {
     /// Something happened at a connection to a server.
@@ -81,7 +84,7 @@
                 LineRead::Complete(line) if established => self.forward_server_line(ctx, client, &line),
                 LineRead::Complete(line) => self.on_first_answer(ctx, client, &line),
                 LineRead::TooLong => {
-                    crate::log::line(format_args!("server-protocol-error reason=line-too-long"));
+                    ServerProtocolError::LineTooLong.log(ctx, session.server);
                     self.on_attempt_end(ctx, client, Outcome::Error, true);
                     return ControlFlow::Break(());
                 }
@@ -118,19 +121,20 @@
     /// The first line of a server answers the request line.
     fn on_first_answer(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let word = line.split(|byte| byte.is_ascii_whitespace()).next().unwrap_or(b"");
+        let server = self.sessions.get(&client).and_then(|session| session.server);
         let outcome = match word {
             b"UP" => return self.on_server_accepts(ctx, client, line),
             b"BUSY" => {
-                log_malformed_trailing_report(line, "BUSY");
+                log_malformed_trailing_report(ctx, server, line, "BUSY");
                 Outcome::Rejected
             }
             b"MOVE" => Outcome::Cancelled,
             b"ERR" => {
-                log_malformed_trailing_report(line, "ERR");
+                log_malformed_trailing_report(ctx, server, line, "ERR");
                 Outcome::Error
             }
             _ => {
-                crate::log::line(format_args!("server-protocol-error reason=first-line"));
+                ServerProtocolError::UnknownAnswer.log(ctx, server);
                 Outcome::Error
             }
         };
@@ -163,7 +167,7 @@
         let text = line.trim_ascii_end();
         established.ending = match text.split(|byte| *byte == b' ').next().unwrap_or(b"") {
             b"BYE" => {
-                log_malformed_trailing_report(text, "BYE");
+                log_malformed_trailing_report(ctx, session.server, text, "BYE");
                 SessionEnding::Completed
             }
             b"MOVE" => SessionEnding::Migrated,
@@ -179,11 +183,13 @@
             }
             _ => {
                 if let (Some(since), Some(server)) = (established.unanswered_since.take(), session.server) {
-                    let latency = ctx.now.saturating_sub(since);
+                    let latency = ctx.now.saturating_duration_since(since);
                     self.latencies.record(server, latency);
-                    let name = ctx.registry.entry(server).map_or("?", |endpoint| endpoint.name());
-                    let ms = latency / 1_000_000;
-                    crate::log::trace(format_args!("trace line server={name} took_ms={ms}"));
+                    tracing::trace!(
+                        server = %server_name(ctx, Some(server)),
+                        after_ms = latency.as_millis_u64(),
+                        "line answered"
+                    );
                 }
             }
         }
@@ -269,7 +275,7 @@
     attempt.line_sent && ctx.net.pending_output_bytes(attempt.server_connection) == 0
 }
 
-fn report_load(ctx: &mut FrontendContext, id: RequestId, cost: crate::model::Nanos) {
-    crate::log::trace(format_args!("trace load request={} us={}", id.0, cost / 1_000));
+fn report_load(ctx: &mut FrontendContext, id: RequestId, cost: Duration) {
+    tracing::trace!(request = id.0, load_us_per_s = cost.as_nanos_u64() / 1_000, "load report");
     ctx.requests.push_event(Event::LoadReport { id, cost });
 }
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -2,9 +2,11 @@
 
 use super::request_line::OpenRequest;
 use crate::frontend::{FrontendContext, ANSWER_MARGIN};
-use crate::model::{Arrival, Nanos, RequestId, ServerId};
+use crate::model::{Arrival, RequestId, ServerId};
 use crate::net::Token;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// What a connection of this frontend is for.
 pub(super) enum ConnectionRole {
@@ -61,7 +63,7 @@
 pub(super) struct AttemptState {
     pub(super) server_connection: Token,
     /// The node stops waiting then.
-    pub(super) ends_at: Nanos,
+    pub(super) ends_at: MonotonicTime,
     /// The request line has been passed to the socket, which may not have written all of it.
     pub(super) line_sent: bool,
 }
@@ -70,11 +72,11 @@
 pub(super) struct EstablishedSession {
     pub(super) server_connection: Token,
     /// When the oldest line that the server has not answered was sent.
-    pub(super) unanswered_since: Option<Nanos>,
+    pub(super) unanswered_since: Option<MonotonicTime>,
     /// How the server's last line announces the end.
     pub(super) ending: SessionEnding,
     /// The load that the server reported last.
-    pub(super) load: Option<Nanos>,
+    pub(super) load: Option<Duration>,
 }
 
 /// How a server's last line announces the end of its connection. The names on the handover wire are fixed.
@@ -148,22 +150,24 @@
 
     /// Writes the session's state to the trace, if that is on.
     pub(super) fn trace(&self, what: &str, ctx: &FrontendContext) {
-        if !crate::log::is_trace_enabled() {
+        if !tracing::enabled!(tracing::Level::TRACE) {
             return;
         }
         let request_id = self.request_id.map_or(0, |request_id| request_id.0);
         let server = self.server.and_then(|server| ctx.registry.entry(server));
         let server = server.map_or("-", |endpoint| endpoint.name());
         let open = &self.open;
-        crate::log::line(format_args!(
-            "trace client {what} request={request_id} key={:x} group={:x} class={} server={server} again={} repeat={} up={}",
-            open.key,
-            open.group.unwrap_or(0),
-            open.class,
-            open.reconnect,
-            open.client_retry,
-            self.is_established()
-        ));
+        tracing::trace!(
+            request = request_id,
+            key = %format_args!("{:x}", open.key),
+            group = %format_args!("{:x}", open.group.unwrap_or(0)),
+            class = open.class,
+            %server,
+            reconnect = open.reconnect,
+            retry = open.client_retry,
+            established_at_start = self.is_established(),
+            "client {what}"
+        );
     }
 }
 
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -5,28 +5,28 @@
 use crate::config::Config;
 use crate::discovery::EndpointRegistry;
 use crate::frontend::{Frontend, FrontendContext, TimerEvent, TEXT_FRONTEND};
-use crate::model::{Nanos, Outcome, RequestId};
+use crate::model::{Outcome, RequestId};
 use crate::net::{SocketOwner, SocketReactor, TimerWheel};
 use crate::requests::{Command, RequestTable};
+use sparbank_time::{MonotonicTime, WallTime};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-const MILLISECOND: Nanos = 1_000_000;
 /// When a test begins.
-const START: Nanos = 1_000_000 * MILLISECOND;
-/// One wait for sockets, in nanoseconds.
-const WAIT: Nanos = 20 * MILLISECOND;
+const START: MonotonicTime = MonotonicTime::from_nanos(1_000_000_000_000);
+/// One wait for sockets.
+const WAIT: Duration = Duration::from_millis(20);
 /// A test that has waited this often waits for what will not come.
 const MAX_WAITS: usize = 100;
 /// Longer than the kernel takes over loopback to deliver a segment.
 const KERNEL_DELIVERY_TIME: Duration = Duration::from_millis(60);
 /// The window in which servers discard repeats, and the class's deadline.
-const DEDUP_WINDOW: Nanos = 800 * MILLISECOND;
+const DEDUP_WINDOW: Duration = Duration::from_millis(800);
 
 /// A text frontend between one client and two servers.
 struct FrontendBench {
-    now: Nanos,
+    now: MonotonicTime,
     net: SocketReactor,
     requests: RequestTable,
     registry: EndpointRegistry,
@@ -48,13 +48,14 @@
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"7","limits":{{"sockets":256}},
         "known":{{"generation":1,"reset":true,"instances":[{}]}},
-        "settings":{{"Profiles":[{{"Effect":"idempotency_key","DedupScope":"all","WindowNs":{DEDUP_WINDOW},
+        "settings":{{"Profiles":[{{"Effect":"idempotency_key","DedupScope":"all","WindowNs":{},
             "HardLimitNs":{},"Name":"keyed","ObjectiveNs":{}}}],"Discovery":"ask","Zones":["a"],
         "Limits":{{"MaxAttempts":3,"MayCancel":true,"DialTimeoutNs":{}}},"Rules":{{}}}}}}"#,
         instances.join(","),
-        5_000 * MILLISECOND,
-        300 * MILLISECOND,
-        250 * MILLISECOND,
+        DEDUP_WINDOW.as_nanos(),
+        Duration::from_millis(5_000).as_nanos(),
+        Duration::from_millis(300).as_nanos(),
+        Duration::from_millis(250).as_nanos(),
     )
 }
 
@@ -66,7 +67,11 @@
         let mut net = SocketReactor::new(config.max_descriptors).expect("epoll");
         let listen = net.listen(config.listen, SocketOwner::Frontend(TEXT_FRONTEND)).expect("a port");
         let mut requests = RequestTable::new(config.seed, config.settings.clone()).expect("valid settings");
-        let mut registry = EndpointRegistry::new(config.site.zones.clone(), START, START);
+        let mut registry = EndpointRegistry::new(
+            config.site.zones.clone(),
+            START,
+            WallTime::from_unix_nanos(START.as_nanos()),
+        );
         requests.push_event(registry.restore(&config.known_endpoints));
         let mut bench = FrontendBench {
             now: START,
@@ -99,7 +104,7 @@
         call(&mut self.frontend, &mut ctx)
     }
 
-    /// Handles what the sockets have, as the first step of a iteration.
+    /// Handles what the sockets have, as the first step of an iteration.
     fn poll(&mut self) {
         for event in self.net.poll(self.now, WAIT).expect("a turn") {
             if matches!(event.owner, SocketOwner::Frontend(_)) {
@@ -108,7 +113,7 @@
         }
     }
 
-    /// Has the balancer decide, as the second step of a iteration. Timers that it sets elapse at once.
+    /// Has the balancer decide, as the second step of an iteration. Timers that it sets elapse at once.
     fn decide(&mut self) -> Vec<RequestId> {
         let mut started = Vec::new();
         while self.requests.has_pending_events() {
@@ -124,7 +129,7 @@
                         self.requests.push_event(crate::model::Event::Timer(token));
                     }
                     Command::Reject { request_id, .. } => {
-                        self.with_frontend(|frontend, ctx| frontend.reject(ctx, request_id, 0));
+                        self.with_frontend(|frontend, ctx| frontend.reject(ctx, request_id, Duration::ZERO));
                     }
                     Command::Fail { request_id, .. } => {
                         self.with_frontend(|frontend, ctx| frontend.fail(ctx, request_id));
@@ -136,7 +141,7 @@
         started
     }
 
-    /// Writes to the connections that were established, as the last step of a iteration.
+    /// Writes to the connections that were established, as the last step of an iteration.
     fn flush_connected(&mut self) {
         for connected in self.net.take_connected() {
             self.with_frontend(|frontend, ctx| frontend.on_connected(ctx, connected.token));
--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -1,6 +1,5 @@
 //! The handover socket: a Unix socket between a process and its successor that carries messages with descriptors.
 
-use crate::log;
 use rustix::fd::AsFd;
 use rustix::io::Errno;
 use rustix::net::{
@@ -60,7 +59,7 @@
     // The name is that of earlier versions: an older process listens there.
     let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
     if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
-        log::line(format_args!("handover-off reason=TMPDIR is too long for a socket's path"));
+        tracing::warn!(error = %"TMPDIR is too long for a socket's path", "handover disabled");
         return None;
     }
     Some(path)
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -13,6 +13,8 @@
     Closed,
     /// It sent a message that cannot be read.
     Message(MessageError),
+    /// It is gone, or its socket fails.
+    NotReading,
     /// It sent a message that it may not send, or not now.
     UnexpectedMessage,
 }
@@ -22,7 +24,8 @@
         match self {
             LinkError::Closed => write!(f, "ended"),
             LinkError::Message(error) => write!(f, "{error}"),
-            LinkError::UnexpectedMessage => write!(f, "a message out of turn"),
+            LinkError::NotReading => write!(f, "it does not read"),
+            LinkError::UnexpectedMessage => write!(f, "unexpected message"),
         }
     }
 }
@@ -31,7 +34,7 @@
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
         match self {
             LinkError::Message(error) => Some(error),
-            LinkError::Closed | LinkError::UnexpectedMessage => None,
+            LinkError::Closed | LinkError::NotReading | LinkError::UnexpectedMessage => None,
         }
     }
 }
@@ -50,10 +53,7 @@
             Peer::Predecessor => "predecessor",
             Peer::Successor => "successor",
         };
-        match error {
-            LinkError::UnexpectedMessage => crate::log::line(format_args!("handover-end reason={error}")),
-            _ => crate::log::line(format_args!("handover-end {peer} reason={error}")),
-        }
+        tracing::warn!(%peer, %error, "handover ended");
     }
 }
 
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -87,6 +87,7 @@
     Ready,
     #[serde(rename = "Terminal")]
     Connection {
+        #[serde(rename = "front")]
         frontend: String,
         #[serde(rename = "luggage")]
         connection: String,
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -26,7 +26,6 @@
 
 use crate::discovery::TransferredWatch;
 use crate::frontend::TransferredConnection;
-use crate::log;
 use crate::net::{ListeningSocket, SocketEvent, SocketOwner, SocketReactor, Token};
 use link::{Peer, Turn};
 use message::Message;
@@ -82,7 +81,7 @@
     pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
         let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
         if let Err(error) = &listener {
-            log::line(format_args!("handover-off reason=listen: {error}"));
+            tracing::warn!(error = %format_args!("listen: {error}"), "handover disabled");
         }
         let predecessor = predecessor.and_then(|channel| PredecessorLink::open(net, channel));
         Handover { listener: listener.ok(), predecessor, successor: None }
--- a/src/handover/snapshot.rs
+++ b/src/handover/snapshot.rs
@@ -2,8 +2,8 @@
 
 use super::message::{Message, MessageError};
 use crate::discovery::EndpointListDocument;
-use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 
 /// The longest piece of the state.
 const MAX_PIECE_BYTES: usize = 32 * 1024;
@@ -27,7 +27,7 @@
     pub open_descriptors: usize,
     /// The process's clock, by which all its times are: the successor goes on with it. Earlier versions do not tell it.
     #[serde(default, rename = "clock", skip_serializing_if = "Option::is_none")]
-    pub clock: Option<Nanos>,
+    pub clock: Option<MonotonicTime>,
 }
 
 impl StateSnapshot {
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -4,7 +4,6 @@
 use super::message::{Message, MessageError, PROTOCOL_VERSION};
 use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::TransferredWatch;
-use crate::log;
 use crate::net::ListeningSocket;
 use std::fmt;
 use std::io;
@@ -47,7 +46,7 @@
             StateRequestError::NotSent => write!(f, "it does not listen"),
             StateRequestError::NoAnswer => write!(f, "it does not answer"),
             StateRequestError::Closed => write!(f, "it ended or is of another version"),
-            StateRequestError::UnexpectedMessage => write!(f, "a message out of turn"),
+            StateRequestError::UnexpectedMessage => write!(f, "unexpected message"),
             StateRequestError::Message(error) => write!(f, "{error}"),
         }
     }
@@ -77,7 +76,7 @@
         // There is no handover socket: no process of this node runs.
         Err(StateRequestError::NotConnected(error)) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
-            log::line(format_args!("handover-none reason={error}"));
+            tracing::info!(reason = %error, "no predecessor");
             None
         }
     }
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,10 +1,9 @@
 //! The link to the successor: the role of a process that serves and may be replaced.
 
 use super::channel::{self, ChannelError, FramedMessage};
-use super::link::{read_iteration, LinkError, Turn};
+use super::link::{read_iteration, LinkError, Peer, Turn};
 use super::message::{Message, PROTOCOL_VERSION};
 use super::{FrontendConnection, HandoverEvent};
-use crate::log;
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
@@ -64,7 +63,7 @@
                 Ok(()) => drop(self.outbox.pop_front()),
                 Err(ChannelError::WouldBlock) => break,
                 Err(ChannelError::Closed) => {
-                    log::line(format_args!("handover-end successor reason=it takes nothing"));
+                    Peer::Successor.log_end(&LinkError::NotReading);
                     return Err(ChannelError::Closed);
                 }
             }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -8,14 +8,18 @@
 use crate::model::{DedupScope, Discovery, Effect, RequestClass, Settings};
 use crate::policy::Balancer;
 use rstest::rstest;
+use sparbank_time::{MonotonicTime, WallTime};
 use std::fs::File;
 use std::os::fd::OwnedFd;
 use std::path::PathBuf;
+use std::time::Duration;
 
-/// Both clocks, later than any start of a server here.
-const NOW: crate::model::Nanos = u64::MAX / 4;
+/// The node's clock, later than any start of a server here.
+const NOW: MonotonicTime = MonotonicTime::from_nanos(u64::MAX / 4);
+/// The wall clock, which shows the same.
+const WALL_NOW: WallTime = WallTime::from_unix_nanos(u64::MAX / 4);
 
-const SECOND: u64 = 1_000_000_000;
+const SECOND: Duration = Duration::from_secs(1);
 
 /// A recorded message and the number of descriptors that arrived beside it.
 struct Recorded {
@@ -128,7 +132,7 @@
         hard_limit: 12 * SECOND / 10,
         effect: Effect::ReadLike,
         dedup_scope: DedupScope::All,
-        dedup_window: 0,
+        dedup_window: Duration::ZERO,
         priority_weight: 2.0,
         message_latency_objective: None,
     };
@@ -159,9 +163,9 @@
 #[case::drained("drained")]
 fn the_recorded_balancer_state_is_restored_completely(#[case] name: &str) {
     let snapshot = snapshot(name);
-    let list = EndpointRegistry::new(vec!["a".to_string()], NOW, NOW).restore(&snapshot.endpoint_list);
+    let list = EndpointRegistry::new(vec!["a".to_string()], NOW, WALL_NOW).restore(&snapshot.endpoint_list);
     let mut balancer = Balancer::new(7, settings()).expect("valid settings");
-    balancer.handle(SECOND, list, &mut Vec::new());
+    balancer.handle(MonotonicTime::ZERO + SECOND, list, &mut Vec::new());
     assert_ne!(balancer.state_snapshot(), snapshot.balancer_state, "nothing is known yet");
     balancer.restore_state(&snapshot.balancer_state).expect("it is read");
     assert_eq!(balancer.state_snapshot(), snapshot.balancer_state);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,18 +6,20 @@
 //!
 //! ```
 //! use sparbank::model::{
-//!     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
+//!     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Outcome, RequestClass,
 //!     RequestId, ServerId, Settings, SettingsError, Status,
 //! };
 //! use sparbank::Balancer;
+//! use sparbank_time::MonotonicTime;
+//! use std::time::Duration;
 //!
-//! const SECOND: Nanos = 1_000_000_000;
+//! const SECOND: Duration = Duration::from_secs(1);
 //! let class = RequestClass {
 //!     objective: SECOND / 2,
 //!     hard_limit: 2 * SECOND,
 //!     effect: Effect::ReadLike,
 //!     dedup_scope: DedupScope::All,
-//!     dedup_window: 0,
+//!     dedup_window: Duration::ZERO,
 //!     priority_weight: 1.0,
 //!     message_latency_objective: None,
 //! };
@@ -29,7 +31,7 @@
 //!     weight_by_work: false,
 //!     max_attempts: 3,
 //!     may_cancel: true,
-//!     max_retry_after: 0,
+//!     max_retry_after: Duration::ZERO,
 //!     poll_within: 10 * SECOND,
 //!     dial_timeout: SECOND / 4,
 //!     slow_start_floor: 0.3,
@@ -41,7 +43,7 @@
 //!     health_checks: false,
 //! };
 //! let mut balancer = Balancer::new(42, settings)?;
-//! let mut now = 0;
+//! let mut now = MonotonicTime::ZERO;
 //! let mut actions = Vec::new();
 //! let endpoint = |number: u32| Endpoint {
 //!     server: ServerId(number),
@@ -49,7 +51,7 @@
 //!     zone: 0,
 //!     cell: 0,
 //!     nominal: 1.0,
-//!     started_at: 0,
+//!     started_at: MonotonicTime::ZERO,
 //!     status: Status::Serving,
 //! };
 //! balancer.handle(now, Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]), &mut actions);
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -11,7 +11,7 @@
 //! | HandedOver   | is drained   | error     | no change    | Serving or Draining | ShuttingDown |
 //! | ShuttingDown | is drained   | error     | has a successor | has none         | no change    |
 //!
-//! No I/O and no clock: time comes as an argument, in Unix nanoseconds.
+//! No I/O and no clock: time comes as an argument.
 
 mod phases;
 mod schedule;
@@ -20,9 +20,10 @@
 
 pub use schedule::{MigrationStep, MIGRATION_STEP_INTERVAL};
 
-use crate::model::Nanos;
 use phases::{Draining, HandedOver, Serving, ShuttingDown, WithoutSuccessor};
+use sparbank_time::MonotonicTime;
 use std::fmt;
+use std::time::Duration;
 
 /// The process shuts down, or its successor serves: it cannot accept clients again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -57,7 +58,7 @@
 
 impl Lifecycle {
     /// Drains the node from now on. False where it is drained already: a second call changes nothing.
-    pub fn drain(&mut self, now: Nanos) -> bool {
+    pub fn drain(&mut self, now: MonotonicTime) -> bool {
         if !self.accepts_clients() {
             return false;
         }
@@ -84,7 +85,7 @@
 
     /// A successor serves: connections are transferred to it, and those that cannot be are migrated before SIGKILL
     /// could follow if SIGTERM arrived now. `longest_deadline` is that of all request classes.
-    pub fn hand_over(&mut self, now: Nanos, longest_deadline: Nanos) {
+    pub fn hand_over(&mut self, now: MonotonicTime, longest_deadline: Duration) {
         *self = match *self {
             Lifecycle::Serving(serving) => Lifecycle::HandedOver(serving.hand_over(now, longest_deadline)),
             Lifecycle::Draining(draining) => Lifecycle::HandedOver(draining.hand_over(now, longest_deadline)),
@@ -94,7 +95,7 @@
     }
 
     /// The successor is gone: the process serves or drains as before, if it does not shut down.
-    pub fn successor_lost(&mut self, now: Nanos) {
+    pub fn successor_lost(&mut self, now: MonotonicTime) {
         *self = match *self {
             Lifecycle::HandedOver(handed_over) => match handed_over.successor_lost(now) {
                 WithoutSuccessor::Serving(serving) => Lifecycle::Serving(serving),
@@ -107,7 +108,7 @@
 
     /// SIGTERM: the process ends before SIGKILL, whose time follows from the longest deadline of all request classes.
     /// False where the process shuts down already.
-    pub fn shut_down(&mut self, now: Nanos, longest_deadline: Nanos) -> bool {
+    pub fn shut_down(&mut self, now: MonotonicTime, longest_deadline: Duration) -> bool {
         let shutting_down = match *self {
             Lifecycle::Serving(serving) => serving.shut_down(now, longest_deadline),
             Lifecycle::Draining(draining) => draining.shut_down(now, longest_deadline),
@@ -136,12 +137,12 @@
 
     /// Whether the process is about to end: all established clients have been migrated, and what comes now is
     /// answered at once.
-    pub fn is_closing(&self, now: Nanos) -> bool {
+    pub fn is_closing(&self, now: MonotonicTime) -> bool {
         matches!(self, Lifecycle::ShuttingDown(shutting_down) if shutting_down.schedule.is_over(now))
     }
 
     /// What is to be done now with the established clients, of which there are so many. None where they stay.
-    pub fn migration_step(&self, now: Nanos, established: usize) -> Option<MigrationStep> {
+    pub fn migration_step(&self, now: MonotonicTime, established: usize) -> Option<MigrationStep> {
         match self {
             Lifecycle::Serving(_) => None,
             Lifecycle::Draining(draining) => Some(draining.schedule.step_of_drain(now, established)),
@@ -155,7 +156,7 @@
     }
 
     /// Whether the process is to end now; `idle` says whether nothing is open any more.
-    pub fn should_exit(&self, now: Nanos, idle: bool) -> bool {
+    pub fn should_exit(&self, now: MonotonicTime, idle: bool) -> bool {
         match self {
             Lifecycle::Serving(_) | Lifecycle::Draining(_) => false,
             Lifecycle::HandedOver(handed_over) => idle && now >= handed_over.exit_at,
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -2,27 +2,29 @@
 //! that shuts down cannot resume, and one that serves has nothing to resume from.
 
 use super::schedule::MigrationSchedule;
-use crate::model::{Nanos, MAX_STALL};
+use crate::model::MAX_STALL;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// An operator's drain is complete this long after the call.
-const DRAIN_DURATION: Nanos = 4_000_000_000;
+const DRAIN_DURATION: Duration = Duration::from_secs(4);
 /// SIGKILL follows SIGTERM after the longest request deadline and this.
-const KILL_DELAY_AFTER_DEADLINE: Nanos = 700_000_000;
+const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
 /// No more of the longest deadline counts than this: SIGKILL once ended a node that still counted on 3.7 s where
 /// the deadlines are 1.2 s.
-const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
+const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// The process ends this long before SIGKILL, whether or not its clients have read their last line. It counts from when
 /// it handles SIGTERM: it may have been stalled before that, and takes a moment to end.
-const EXIT_BEFORE_KILL: Nanos = MAX_STALL + 50_000_000;
+const EXIT_BEFORE_KILL: Duration = MAX_STALL.saturating_add(Duration::from_millis(50));
 /// A process whose successor serves waits for SIGTERM no longer than this.
-const MAX_WAIT_FOR_SIGTERM: Nanos = 10_000_000_000;
+const MAX_WAIT_FOR_SIGTERM: Duration = Duration::from_secs(10);
 
 /// When SIGKILL follows if SIGTERM arrives now.
-fn kill_time(now: Nanos, longest_deadline: Nanos) -> Nanos {
+fn kill_time(now: MonotonicTime, longest_deadline: Duration) -> MonotonicTime {
     now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
 }
 
-fn drain_schedule(now: Nanos) -> MigrationSchedule {
+fn drain_schedule(now: MonotonicTime) -> MigrationSchedule {
     MigrationSchedule::until(now, now + DRAIN_DURATION)
 }
 
@@ -31,11 +33,11 @@
 pub struct Serving(());
 
 impl Serving {
-    pub(super) fn drain(self, now: Nanos) -> Draining {
+    pub(super) fn drain(self, now: MonotonicTime) -> Draining {
         Draining { schedule: drain_schedule(now) }
     }
 
-    pub(super) fn hand_over(self, now: Nanos, longest_deadline: Nanos) -> HandedOver {
+    pub(super) fn hand_over(self, now: MonotonicTime, longest_deadline: Duration) -> HandedOver {
         HandedOver {
             schedule: MigrationSchedule::until(now, kill_time(now, longest_deadline)),
             exit_at: now + MAX_WAIT_FOR_SIGTERM,
@@ -43,7 +45,7 @@
         }
     }
 
-    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+    pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let kill = kill_time(now, longest_deadline);
         ShuttingDown {
             schedule: MigrationSchedule::until(now, kill),
@@ -65,7 +67,7 @@
         Serving::default()
     }
 
-    pub(super) fn hand_over(self, now: Nanos, longest_deadline: Nanos) -> HandedOver {
+    pub(super) fn hand_over(self, now: MonotonicTime, longest_deadline: Duration) -> HandedOver {
         let handed_over = Serving::default().hand_over(now, longest_deadline);
         HandedOver {
             schedule: handed_over.schedule.or_earlier(self.schedule),
@@ -74,7 +76,7 @@
         }
     }
 
-    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+    pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let shutting_down = Serving::default().shut_down(now, longest_deadline);
         ShuttingDown {
             schedule: shutting_down.schedule.or_earlier(self.schedule),
@@ -96,16 +98,16 @@
 pub struct HandedOver {
     pub(super) schedule: MigrationSchedule,
     /// The process ends then, once it is idle.
-    pub(super) exit_at: Nanos,
+    pub(super) exit_at: MonotonicTime,
     pub(super) is_drained: bool,
 }
 
 impl HandedOver {
-    pub(super) fn drain(self, now: Nanos) -> HandedOver {
+    pub(super) fn drain(self, now: MonotonicTime) -> HandedOver {
         HandedOver { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
     }
 
-    pub(super) fn successor_lost(self, now: Nanos) -> WithoutSuccessor {
+    pub(super) fn successor_lost(self, now: MonotonicTime) -> WithoutSuccessor {
         let serving = Serving::default();
         if self.is_drained {
             WithoutSuccessor::Draining(serving.drain(now))
@@ -114,7 +116,7 @@
         }
     }
 
-    pub(super) fn shut_down(self, now: Nanos, longest_deadline: Nanos) -> ShuttingDown {
+    pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let shutting_down = Serving::default().shut_down(now, longest_deadline);
         ShuttingDown {
             schedule: shutting_down.schedule.or_earlier(self.schedule),
@@ -130,14 +132,14 @@
 pub struct ShuttingDown {
     pub(super) schedule: MigrationSchedule,
     /// The process ends no later than this.
-    pub(super) exit_by: Nanos,
+    pub(super) exit_by: MonotonicTime,
     pub(super) is_drained: bool,
     /// A successor serves: nothing new comes here.
     pub(super) has_successor: bool,
 }
 
 impl ShuttingDown {
-    pub(super) fn drain(self, now: Nanos) -> ShuttingDown {
+    pub(super) fn drain(self, now: MonotonicTime) -> ShuttingDown {
         ShuttingDown { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
     }
 
@@ -150,7 +152,7 @@
     }
 
     /// Whether the process is to end now.
-    pub(super) fn should_exit(&self, now: Nanos, idle: bool) -> bool {
+    pub(super) fn should_exit(&self, now: MonotonicTime, idle: bool) -> bool {
         let nothing_more_comes = self.has_successor || self.schedule.is_over(now);
         now >= self.exit_by || (idle && nothing_more_comes)
     }
