--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -1,17 +1,18 @@
 //! When established clients are migrated: evenly in steps, between a start and an end.
 
-use crate::model::Nanos;
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
 /// Time between two migration steps.
-pub const MIGRATION_STEP_INTERVAL: Nanos = 25_000_000;
+pub const MIGRATION_STEP_INTERVAL: Duration = Duration::from_millis(25);
 /// Clients are migrated no earlier than this long after the announcement: until the load balancer in front of the
 /// nodes has noticed it, a migrated client would come back here.
-const MIGRATION_DELAY: Nanos = 300_000_000;
+const MIGRATION_DELAY: Duration = Duration::from_millis(300);
 /// All established clients have been notified this long before the end of the schedule.
-const MIGRATED_BEFORE_END: Nanos = 400_000_000;
+const MIGRATED_BEFORE_END: Duration = Duration::from_millis(400);
 /// Requests that still wait get their final answer this long before the end of the schedule: their deadline is over,
 /// or no time is left.
-const ABANDON_BEFORE_END: Nanos = 250_000_000;
+const ABANDON_BEFORE_END: Duration = Duration::from_millis(250);
 
 /// What is to be done in one migration step.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -21,21 +22,21 @@
     /// The number of established clients to migrate now.
     pub migrations: usize,
     /// Requests that began before this time and still wait get their final answer now.
-    pub abandon_before: Option<Nanos>,
+    pub abandon_before: Option<MonotonicTime>,
 }
 
-/// The times of one migration of all clients. Times are in Unix nanoseconds.
+/// The times of one migration of all clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MigrationSchedule {
-    start: Nanos,
+    start: MonotonicTime,
     /// All established clients have been migrated by then.
-    migrated_by: Nanos,
-    abandon_at: Nanos,
+    migrated_by: MonotonicTime,
+    abandon_at: MonotonicTime,
 }
 
 impl MigrationSchedule {
     /// A schedule that is announced now and leaves nothing open at `end`.
-    pub(super) fn until(now: Nanos, end: Nanos) -> MigrationSchedule {
+    pub(super) fn until(now: MonotonicTime, end: MonotonicTime) -> MigrationSchedule {
         MigrationSchedule {
             start: now + MIGRATION_DELAY,
             migrated_by: end - MIGRATED_BEFORE_END,
@@ -53,26 +54,27 @@
     }
 
     /// Whether all established clients have been migrated by now.
-    pub(super) fn is_over(&self, now: Nanos) -> bool {
+    pub(super) fn is_over(&self, now: MonotonicTime) -> bool {
         now >= self.migrated_by
     }
 
     /// The step of a node that goes on after the drain. It still serves whoever comes late and migrates it then, so
     /// only requests from before the end of the migration are abandoned.
-    pub(super) fn step_of_drain(&self, now: Nanos, established: usize) -> MigrationStep {
+    pub(super) fn step_of_drain(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, self.migrated_by)
     }
 
     /// The step of a process that ends: nothing that waits can be served later.
-    pub(super) fn step_before_exit(&self, now: Nanos, established: usize) -> MigrationStep {
-        self.step(now, established, Nanos::MAX)
+    pub(super) fn step_before_exit(&self, now: MonotonicTime, established: usize) -> MigrationStep {
+        self.step(now, established, MonotonicTime::MAX)
     }
 
-    fn step(&self, now: Nanos, established: usize, abandon_before: Nanos) -> MigrationStep {
+    fn step(&self, now: MonotonicTime, established: usize, abandon_before: MonotonicTime) -> MigrationStep {
         if now < self.start {
             return MigrationStep::default();
         }
-        let later_steps = self.migrated_by.saturating_sub(now) / MIGRATION_STEP_INTERVAL;
+        let remaining = self.migrated_by.saturating_duration_since(now);
+        let later_steps = remaining.as_nanos_u64() / MIGRATION_STEP_INTERVAL.as_nanos_u64();
         MigrationStep {
             started: true,
             migrations: established.div_ceil(later_steps as usize + 1),
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,14 +1,21 @@
 //! The times of drain, shutdown and handover, and their crossings.
 
 use super::{Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
-use crate::model::Nanos;
 use rstest::rstest;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const MILLISECOND: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MILLISECOND;
+const NANOSECOND: Duration = Duration::from_nanos(1);
+const MILLISECOND: Duration = Duration::from_millis(1);
+const SECOND: Duration = Duration::from_secs(1);
+
+/// The instant this long after the origin of the clock.
+fn at(since_origin: Duration) -> MonotonicTime {
+    MonotonicTime::ZERO + since_origin
+}
 
 /// Runs the steps from a time on, and gives the time until the last client was migrated.
-fn time_to_migrate(lifecycle: &Lifecycle, from: Nanos, mut established: usize) -> Nanos {
+fn time_to_migrate(lifecycle: &Lifecycle, from: MonotonicTime, mut established: usize) -> Duration {
     let mut now = from;
     while established > 0 {
         now += MIGRATION_STEP_INTERVAL;
@@ -16,7 +23,7 @@
         assert!(step.migrations <= established && now < from + 10 * SECOND);
         established -= step.migrations;
     }
-    now - from
+    now.saturating_duration_since(from)
 }
 
 #[rstest]
@@ -26,25 +33,25 @@
 #[case(100_000)]
 fn a_drain_migrates_evenly_and_completes_before_its_end(#[case] established: usize) {
     let mut lifecycle = Lifecycle::default();
-    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(SECOND, established).is_none());
-    assert!(lifecycle.drain(SECOND) && !lifecycle.accepts_clients());
+    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(at(SECOND), established).is_none());
+    assert!(lifecycle.drain(at(SECOND)) && !lifecycle.accepts_clients());
     assert_eq!(
-        lifecycle.migration_step(SECOND + 299 * MILLISECOND, established),
+        lifecycle.migration_step(at(SECOND + 299 * MILLISECOND), established),
         Some(MigrationStep::default()),
         "migrated clients would come back"
     );
-    let took = time_to_migrate(&lifecycle, SECOND, established);
-    assert!(took <= 3_600 * MILLISECOND, "{took}");
-    let half = lifecycle.migration_step(SECOND + 2 * SECOND, established).expect("a step").migrations;
+    let took = time_to_migrate(&lifecycle, at(SECOND), established);
+    assert!(took <= 3_600 * MILLISECOND, "{took:?}");
+    let half = lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step").migrations;
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
-    assert!(!lifecycle.should_exit(100 * SECOND, true), "a drained process stays");
+    assert!(!lifecycle.should_exit(at(100 * SECOND), true), "a drained process stays");
     // A client that is established later is migrated at the next step.
     assert_eq!(
-        lifecycle.migration_step(60 * SECOND, 7),
+        lifecycle.migration_step(at(60 * SECOND), 7),
         Some(MigrationStep {
             started: true,
             migrations: 7,
-            abandon_before: Some(SECOND + 3_600 * MILLISECOND)
+            abandon_before: Some(at(SECOND + 3_600 * MILLISECOND))
         })
     );
 }
@@ -53,15 +60,15 @@
 fn a_second_drain_changes_nothing_and_resume_ends_a_drain_at_any_point() {
     let mut lifecycle = Lifecycle::default();
     assert_eq!(lifecycle.resume(), Ok(false));
-    assert!(lifecycle.drain(SECOND));
+    assert!(lifecycle.drain(at(SECOND)));
     let before = lifecycle;
-    assert!(!lifecycle.drain(3 * SECOND));
+    assert!(!lifecycle.drain(at(3 * SECOND)));
     assert_eq!(lifecycle, before);
     assert_eq!(lifecycle.resume(), Ok(true));
-    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(4 * SECOND, 9).is_none());
-    assert!(lifecycle.drain(10 * SECOND));
+    assert!(lifecycle.accepts_clients() && lifecycle.migration_step(at(4 * SECOND), 9).is_none());
+    assert!(lifecycle.drain(at(10 * SECOND)));
     assert_eq!(
-        lifecycle.migration_step(10 * SECOND, 9),
+        lifecycle.migration_step(at(10 * SECOND), 9),
         Some(MigrationStep::default()),
         "a new drain has its own schedule"
     );
@@ -69,13 +76,13 @@
 
 #[rstest]
 // After SIGTERM at 1 s the process ends at 2.7 s; a drain at 1 s has migrated all clients at 4.6 s.
-#[case::sigterm_in_a_drain(SECOND, 2 * SECOND, 2_500 * MILLISECOND + SECOND)]
-#[case::sigterm_long_after_a_drain(SECOND, 20 * SECOND, 4_600 * MILLISECOND)]
-#[case::drain_after_sigterm(5 * SECOND, SECOND, 2_500 * MILLISECOND)]
+#[case::sigterm_in_a_drain(at(SECOND), at(2 * SECOND), at(2_500 * MILLISECOND + SECOND))]
+#[case::sigterm_long_after_a_drain(at(SECOND), at(20 * SECOND), at(4_600 * MILLISECOND))]
+#[case::drain_after_sigterm(at(5 * SECOND), at(SECOND), at(2_500 * MILLISECOND))]
 fn of_drain_and_sigterm_the_earlier_end_counts(
-    #[case] drain: Nanos,
-    #[case] sigterm: Nanos,
-    #[case] migrated_by: Nanos,
+    #[case] drain: MonotonicTime,
+    #[case] sigterm: MonotonicTime,
+    #[case] migrated_by: MonotonicTime,
 ) {
     let mut lifecycle = Lifecycle::default();
     if drain < sigterm {
@@ -83,9 +90,9 @@
     } else {
         assert!(lifecycle.shut_down(sigterm, 1_200 * MILLISECOND) && lifecycle.drain(drain));
     }
-    assert!(!lifecycle.shut_down(sigterm + 1, 0) && !lifecycle.accepts_clients());
+    assert!(!lifecycle.shut_down(sigterm + NANOSECOND, Duration::ZERO) && !lifecycle.accepts_clients());
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
-    assert!(!lifecycle.should_exit(migrated_by - 1, true));
+    assert!(!lifecycle.should_exit(migrated_by - NANOSECOND, true));
     assert!(lifecycle.should_exit(migrated_by.max(sigterm), true));
     assert!(
         !lifecycle.should_exit(sigterm + 1_699 * MILLISECOND, false)
@@ -99,36 +106,39 @@
 fn with_a_successor_sigterm_ends_the_process_and_losing_it_restores_the_phase(#[case] drained: bool) {
     let mut lifecycle = Lifecycle::default();
     if drained {
-        lifecycle.drain(SECOND);
+        lifecycle.drain(at(SECOND));
     }
-    lifecycle.hand_over(2 * SECOND, 1_200 * MILLISECOND);
+    lifecycle.hand_over(at(2 * SECOND), 1_200 * MILLISECOND);
     assert_eq!((lifecycle.accepts_clients(), lifecycle.is_shutting_down()), (!drained, true));
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
     // What cannot be transferred is migrated, and the process waits for SIGTERM for a bounded time.
-    assert!(time_to_migrate(&lifecycle, 2 * SECOND, 100) <= 1_500 * MILLISECOND);
-    assert!(!lifecycle.should_exit(11 * SECOND, true) && lifecycle.should_exit(12 * SECOND, true));
+    assert!(time_to_migrate(&lifecycle, at(2 * SECOND), 100) <= 1_500 * MILLISECOND);
+    assert!(!lifecycle.should_exit(at(11 * SECOND), true) && lifecycle.should_exit(at(12 * SECOND), true));
     let mut alone = lifecycle;
-    alone.successor_lost(3 * SECOND);
+    alone.successor_lost(at(3 * SECOND));
     assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
-    assert!(!alone.should_exit(60 * SECOND, true));
-    assert!(lifecycle.shut_down(3 * SECOND, 1_200 * MILLISECOND));
-    assert!(lifecycle.should_exit(3 * SECOND, true), "nothing new comes");
-    assert!(!lifecycle.should_exit(4 * SECOND, false) && lifecycle.should_exit(4_700 * MILLISECOND, false));
+    assert!(!alone.should_exit(at(60 * SECOND), true));
+    assert!(lifecycle.shut_down(at(3 * SECOND), 1_200 * MILLISECOND));
+    assert!(lifecycle.should_exit(at(3 * SECOND), true), "nothing new comes");
+    assert!(!lifecycle.should_exit(at(4 * SECOND), false));
+    assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), false));
     // The successor dies after SIGTERM: what comes until the end is served here again.
-    lifecycle.successor_lost(3_100 * MILLISECOND);
-    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(3_200 * MILLISECOND, true));
+    lifecycle.successor_lost(at(3_100 * MILLISECOND));
+    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), true));
 }
 
 #[rstest]
 #[case(1_200 * MILLISECOND, 1_900 * MILLISECOND)]
 #[case(60 * SECOND, 3_700 * MILLISECOND)]
-fn sigterm_answers_and_migrates_before_sigkill(#[case] longest: Nanos, #[case] kill: Nanos) {
+fn sigterm_answers_and_migrates_before_sigkill(#[case] longest: Duration, #[case] kill: Duration) {
     let mut lifecycle = Lifecycle::default();
-    assert!(lifecycle.shut_down(SECOND, longest) && lifecycle.accepts_clients(), "arrivals still come");
-    assert!(time_to_migrate(&lifecycle, SECOND, 500) <= kill - 400 * MILLISECOND);
-    let abandon_before =
-        |ms| lifecycle.migration_step(SECOND + kill - ms * MILLISECOND, 0).expect("a step").abandon_before;
-    assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(Nanos::MAX)));
-    let exit_by = SECOND + kill - 200 * MILLISECOND;
-    assert!(!lifecycle.should_exit(exit_by - 1, false) && lifecycle.should_exit(exit_by, false));
+    assert!(lifecycle.shut_down(at(SECOND), longest) && lifecycle.accepts_clients(), "arrivals still come");
+    assert!(time_to_migrate(&lifecycle, at(SECOND), 500) <= kill - 400 * MILLISECOND);
+    let abandon_before = |ms: u32| {
+        let now = at(SECOND + kill - ms * MILLISECOND);
+        lifecycle.migration_step(now, 0).expect("a step").abandon_before
+    };
+    assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(MonotonicTime::MAX)));
+    let exit_by = at(SECOND + kill - 200 * MILLISECOND);
+    assert!(!lifecycle.should_exit(exit_by - NANOSECOND, false) && lifecycle.should_exit(exit_by, false));
 }
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -1,6 +1,8 @@
 //! What the balancer wants a node to do.
 
-use super::{Nanos, RequestId, ServerId};
+use super::{RequestId, ServerId};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// What the balancer wants a node to do. Actions are carried out in the order given.
 #[derive(Clone, Debug, PartialEq)]
@@ -12,9 +14,9 @@
         /// The server.
         server: ServerId,
         /// The attempt fails if it has not succeeded after this time.
-        timeout: Nanos,
+        timeout: Duration,
         /// The request is not to be written to the server from this time on.
-        send_by: Nanos,
+        send_by: MonotonicTime,
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
@@ -28,7 +30,7 @@
         /// The request.
         id: RequestId,
         /// How long the client should wait before it retries; zero for no advice.
-        retry_after: Nanos,
+        retry_after: Duration,
     },
     /// Final answer: failed. Nothing is promised about effects.
     Fail(RequestId),
@@ -39,7 +41,7 @@
     /// Deliver an [`Event::Timer`](super::Event::Timer) with this token after a delay.
     SetTimer {
         /// The delay from now.
-        after: Nanos,
+        after: Duration,
         /// Returned unchanged in the event.
         token: u64,
     },
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -1,7 +1,8 @@
 //! Entries of the endpoint list.
 
-use super::{Nanos, ServerId};
+use super::ServerId;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -29,7 +30,7 @@
     /// Capacity relative to other servers. Zero, negative and non-finite values count as one.
     pub nominal: f64,
     /// When the server's process last started; zero means long ago.
-    pub started_at: Nanos,
+    pub started_at: MonotonicTime,
     /// The state of the server.
     pub status: Status,
 }
@@ -49,7 +50,7 @@
     pub nominal: f64,
     /// When the server's process last started; zero means long ago.
     #[serde(rename = "born")]
-    pub started_at: Nanos,
+    pub started_at: MonotonicTime,
 }
 
 /// Where a server is.
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -1,6 +1,7 @@
 //! What a node reports to the balancer.
 
-use super::{Endpoint, ListKind, Nanos, RequestId, ServerId};
+use super::{Endpoint, ListKind, RequestId, ServerId};
+use std::time::Duration;
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,9 +42,9 @@
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
     /// Time left until the client gives up.
-    pub time_left: Nanos,
+    pub time_left: Duration,
     /// Expected load, in nanoseconds of work per second; absent on some deployments.
-    pub cost: Option<Nanos>,
+    pub cost: Option<Duration>,
     /// The idempotency key, or the subject of the request.
     pub key: Option<u64>,
     /// Requests of one group share work: a server pays once for each group of which it serves any request.
@@ -70,14 +71,14 @@
         /// The server.
         server: ServerId,
         /// Time since the attempt was started.
-        setup_time: Nanos,
+        setup_time: Duration,
     },
     /// The present load of an established connection.
     LoadReport {
         /// The request.
         id: RequestId,
         /// Load, in nanoseconds of work per second.
-        cost: Nanos,
+        cost: Duration,
     },
     /// The result of a health check.
     HealthCheckResult {
@@ -91,7 +92,7 @@
         /// The server.
         server: ServerId,
         /// Latency of a message.
-        latency: Nanos,
+        latency: Duration,
     },
     /// An attempt, or the connection that it established, has ended.
     AttemptEnded {
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,6 @@
 //! The model that all of the program shares: settings, endpoints, and the events and actions of the balancer.
 //!
-//! All times are nanoseconds on the node's own monotonic clock. Nothing here decides anything.
+//! All instants are on the node's own monotonic clock. Nothing here decides anything.
 
 mod action;
 mod endpoint;
@@ -14,9 +14,8 @@
 pub use id::{RequestId, ServerId};
 pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError};
 
-/// A point in time or a duration, in nanoseconds.
-pub type Nanos = u64;
+use std::time::Duration;
 
 /// A process may be stalled for this long between the reading of its clock and a write. A time limit within which a
 /// write has to take place is kept with that much to spare.
-pub const MAX_STALL: Nanos = 150_000_000;
+pub const MAX_STALL: Duration = Duration::from_millis(150);
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of the balancer, as the platform provides them at start-up.
 
-use super::Nanos;
 use std::fmt;
+use std::time::Duration;
 
 /// Whether a request may be repeated once an earlier attempt may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,19 +41,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// A connection established within this time earns the full priority weight.
-    pub objective: Nanos,
+    pub objective: Duration,
     /// How long a client waits, over all attempts.
-    pub hard_limit: Nanos,
+    pub hard_limit: Duration,
     /// Whether a request may be repeated.
     pub effect: Effect,
     /// With an idempotency key: the servers that discard repeats.
     pub dedup_scope: DedupScope,
     /// With an idempotency key: how long after the first attempt that may have run repeats are discarded.
-    pub dedup_window: Nanos,
+    pub dedup_window: Duration,
     /// Priority weight of a request, or of a second of its connection.
     pub priority_weight: f64,
     /// Latency objective of messages on an established connection.
-    pub message_latency_objective: Option<Nanos>,
+    pub message_latency_objective: Option<Duration>,
 }
 
 /// What an instance is configured with at its start.
@@ -74,19 +74,19 @@
     /// An attempt in flight may be cancelled.
     pub may_cancel: bool,
     /// The longest Retry-After that clients honour; zero where none is passed on.
-    pub max_retry_after: Nanos,
+    pub max_retry_after: Duration,
     /// Where discovery is polled: a node that has not polled for this long counts as notified.
-    pub poll_within: Nanos,
+    pub poll_within: Duration,
     /// A connection that is not established after this time has failed: a request is sent no later than this.
-    pub dial_timeout: Nanos,
+    pub dial_timeout: Duration,
     /// Fraction of its capacity that a server has when it starts.
     pub slow_start_floor: f64,
     /// How long a server is warming up.
-    pub slow_start_duration: Nanos,
+    pub slow_start_duration: Duration,
     /// A server that is warming up is overloaded by more than this multiple of its present capacity.
     pub overload_multiple: f64,
     /// An overload that lasts this long makes the server fail.
-    pub overload_after: Nanos,
+    pub overload_after: Duration,
     /// Connections that all nodes together may have within the tenants' quotas; zero if unknown.
     pub quota_connections: f64,
     /// New connections per second that all nodes together may get within the quotas; zero if unknown.
@@ -121,7 +121,7 @@
             true => Ok(()),
             false => Err(SettingsError { field, problem }),
         };
-        let has_time = self.classes.iter().all(|class| class.hard_limit > 0);
+        let has_time = self.classes.iter().all(|class| !class.hard_limit.is_zero());
         require(!self.classes.is_empty(), "classes", "there must be a request class")?;
         require(has_time, "hard_limit", "must be above zero")?;
         require(self.max_attempts > 0, "max_attempts", "must be at least one")?;
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -8,12 +8,12 @@
 use super::socket::{Socket, SocketState};
 use super::system;
 use crate::frontend_id::FrontendId;
-use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::sockopt;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 /// Connections that the system queues for a listener.
 const LISTEN_BACKLOG: i32 = 1024;
@@ -24,10 +24,10 @@
 /// before it can be evicted.
 const RESERVED_ACCEPTS_PER_ITERATION: usize = 4;
 /// How long accepting pauses when the system has no descriptors left.
-const ACCEPT_PAUSE: Nanos = 50_000_000;
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// An accepted peer has this long to complete its handshake. 3 s are promised, and the event loop runs at least
 /// five times a second.
-const HANDSHAKE_TIMEOUT: Nanos = 2_600_000_000;
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_600);
 
 impl SocketReactor {
     // ---- Listening -----------------------------------------------------------------------------
@@ -154,7 +154,7 @@
         self.pending_events.len() > events_before
     }
 
-    /// Accepts the connections that wait at a listener, up to the limit of a iteration.
+    /// Accepts the connections that wait at a listener, up to the limit of an iteration.
     pub(super) fn accept_ready(&mut self, listener: Token) {
         let Some(uses_reserve) = self.sockets.get(listener).map(|socket| socket.uses_reserve) else { return };
         let max_accepts = if uses_reserve { RESERVED_ACCEPTS_PER_ITERATION } else { ACCEPTS_PER_ITERATION };
@@ -218,7 +218,7 @@
     fn pause_accepting(&mut self) {
         self.accept_paused_until = Some(self.now + ACCEPT_PAUSE);
         self.shortages.accept_pauses += 1;
-        crate::log::line(format_args!("accept-rests open={}", self.sockets.len()));
+        tracing::warn!(open_sockets = self.sockets.len(), "accepting paused, no descriptor available");
         self.watch_listeners(Interest::empty());
     }
 
@@ -231,7 +231,7 @@
     }
 
     /// The time-out of a wait that must not outlast a pause.
-    pub(super) fn limit_by_accept_pause(&self, timeout: Nanos) -> Nanos {
+    pub(super) fn limit_by_accept_pause(&self, timeout: Duration) -> Duration {
         if self.accept_paused_until.is_some() {
             timeout.min(ACCEPT_PAUSE)
         } else {
--- a/src/net/buffered_io.rs
+++ b/src/net/buffered_io.rs
@@ -6,13 +6,12 @@
 use super::socket::{Socket, SocketState, WriteState};
 use super::system::{read, write};
 use super::transfer_pause::is_transfer_shortage;
-use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::{sockopt, Shutdown};
 use std::time::Duration;
 
 /// How long a closed connection waits for the peer's end.
-const LINGER_TIMEOUT: Nanos = 1_000_000_000;
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// What the peer may still send to a closed connection: after that a reset tells it to stop.
 const LINGER_DISCARD_BYTES: usize = 1024 * 1024;
 /// One read of a closed connection takes at most this much.
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -5,7 +5,7 @@
 use super::slab::Token;
 use super::socket::{Socket, SocketState};
 use super::system;
-use crate::model::Nanos;
+use sparbank_time::MonotonicTime;
 
 /// Descriptors that no attempt takes: for the list's watch and the one after it, and for what is open beside the
 /// sockets counted here (the standard streams, epoll, the other ends of the signals' pipes).
@@ -108,7 +108,7 @@
     }
 
     /// When the handshake of a connection must be complete, if it is not yet.
-    pub(super) fn handshake_deadline(&self, token: Token) -> Option<Nanos> {
+    pub(super) fn handshake_deadline(&self, token: Token) -> Option<MonotonicTime> {
         if !self.sockets.get(token)?.awaiting_handshake {
             return None;
         }
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -2,17 +2,16 @@
 
 use super::slab::Token;
 use super::system;
-use crate::model::Nanos;
 use rustix::event::{epoll, Timespec};
 use rustix::io::Errno;
 use std::io;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 pub(super) use rustix::event::epoll::EventFlags as Interest;
 
 /// How many events one wait yields at most.
 const EVENTS_PER_WAIT: usize = 256;
-const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
 /// A descriptor that is ready.
 pub(super) struct Readiness {
@@ -47,12 +46,10 @@
         let _ = epoll::delete(&self.epoll, fd);
     }
 
-    /// Waits for at most `timeout` nanoseconds.
-    pub(super) fn wait(&self, timeout: Nanos) -> io::Result<impl Iterator<Item = Readiness>> {
-        let mut timeout = Timespec {
-            tv_sec: (timeout / NANOS_PER_SECOND) as i64,
-            tv_nsec: (timeout % NANOS_PER_SECOND) as i64,
-        };
+    /// Waits for at most `timeout`.
+    pub(super) fn wait(&self, timeout: Duration) -> io::Result<impl Iterator<Item = Readiness>> {
+        let mut timeout =
+            Timespec { tv_sec: timeout.as_secs() as i64, tv_nsec: i64::from(timeout.subsec_nanos()) };
         let mut events: Vec<epoll::Event> = Vec::with_capacity(EVENTS_PER_WAIT);
         loop {
             match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), Some(&timeout)) {
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -9,20 +9,21 @@
 use super::socket::{Socket, SocketState};
 use super::system;
 use super::watch_retry::{is_watch_shortage, WatchState};
-use crate::model::Nanos;
 use rustix::io::Errno;
 use rustix::net::sockopt;
+use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
+use std::time::Duration;
 
 /// One read takes at most this much.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
 
 /// A time limit of one socket.
 pub(super) struct SocketDeadline {
-    pub(super) at: Nanos,
+    pub(super) at: MonotonicTime,
     pub(super) token: Token,
 }
 
@@ -51,7 +52,7 @@
     /// Accepted connections whose handshake may be incomplete, by deadline.
     pub(super) awaiting_handshake: VecDeque<SocketDeadline>,
     /// Accepting is paused until then, because the system had no descriptors left.
-    pub(super) accept_paused_until: Option<Nanos>,
+    pub(super) accept_paused_until: Option<MonotonicTime>,
     /// Whether the frontends accept connections; where not, another process does.
     pub(super) frontends_accept: bool,
     /// Listening sockets of the process before this one that nobody listens on yet.
@@ -66,7 +67,7 @@
     /// Connections established since the last [`SocketReactor::take_connected`].
     pub(super) connected: Vec<Token>,
     /// The time of the last poll.
-    pub(super) now: Nanos,
+    pub(super) now: MonotonicTime,
     pub(super) read_chunk: Vec<u8>,
 }
 
@@ -91,26 +92,26 @@
             paused_transfers: VecDeque::new(),
             shortages: ShortageCounts::default(),
             connected: Vec::new(),
-            now: 0,
+            now: MonotonicTime::ZERO,
             read_chunk: vec![0; READ_CHUNK_BYTES],
         })
     }
 
     // ---- Waiting -------------------------------------------------------------------------------
 
-    /// Waits for at most `timeout` nanoseconds and yields what happened, connections on reserved descriptors
+    /// Waits for at most `timeout` and yields what happened, connections on reserved descriptors
     /// first.
     ///
     /// # Errors
     /// Where epoll itself fails; the node cannot go on.
-    pub fn poll(&mut self, now: Nanos, timeout: Nanos) -> io::Result<Vec<SocketEvent>> {
+    pub fn poll(&mut self, now: MonotonicTime, timeout: Duration) -> io::Result<Vec<SocketEvent>> {
         self.now = now;
         self.end_expired_lingering();
         self.report_handshake_timeouts();
         self.resume_accepting_if_rested();
         self.resume_paused_transfers();
         self.retry_refused_watches();
-        let timeout = if self.pending_events.is_empty() { timeout } else { 0 };
+        let timeout = if self.pending_events.is_empty() { timeout } else { Duration::ZERO };
         let timeout = self.limit_by_accept_pause(timeout);
         let timeout = self.limit_by_paused_transfers(self.limit_by_refused_watches(timeout));
         for readiness in self.poller.wait(timeout)? {
--- a/src/net/system/tests.rs
+++ b/src/net/system/tests.rs
@@ -5,16 +5,17 @@
 use crate::net::{SocketEventKind, SocketOwner, SocketReactor, Token};
 use rstest::rstest;
 use rustix::io::Errno;
+use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
 /// Descriptors that the reactor may have.
 const DESCRIPTORS: usize = 64;
-/// One turn waits at most this long, in nanoseconds.
-const TURN: u64 = 20_000_000;
-/// A test that has taken this many turns waits for what will not come.
-const MAX_TURNS: u64 = 100;
+/// One iteration waits at most this long.
+const ITERATION: Duration = Duration::from_millis(20);
+/// A test that has taken this many iterations waits for what will not come.
+const MAX_ITERATIONS: u32 = 100;
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
 fn reactor_with_listener() -> (SocketReactor, SocketAddr) {
@@ -24,10 +25,15 @@
     (net, addr)
 }
 
-/// Turns the reactor until an event of this kind; yields its socket.
+/// When an iteration begins.
+fn time_of(iteration: u32) -> MonotonicTime {
+    MonotonicTime::ZERO + iteration * ITERATION
+}
+
+/// Polls the reactor until an event of this kind; yields its socket.
 fn wait_for(net: &mut SocketReactor, wanted: impl Fn(SocketEventKind) -> bool) -> Token {
-    for turn in 0..MAX_TURNS {
-        let events = net.poll(turn * TURN, TURN).expect("a turn");
+    for iteration in 0..MAX_ITERATIONS {
+        let events = net.poll(time_of(iteration), ITERATION).expect("epoll");
         flush_connected(net);
         if let Some(event) = events.iter().find(|event| wanted(event.kind)) {
             return event.token;
@@ -100,8 +106,8 @@
         client.read_to_string(&mut answer).expect("an orderly end");
         answer
     });
-    for turn in 0..MAX_TURNS {
-        net.poll(turn * TURN, TURN).expect("a turn");
+    for iteration in 0..MAX_ITERATIONS {
+        net.poll(time_of(iteration), ITERATION).expect("epoll");
         if reading.is_finished() {
             break;
         }
@@ -163,8 +169,8 @@
     let token = net.connect(addr, SocketOwner::Discovery).expect("it has begun");
     net.send(token, b"GET\r\n");
     let (mut peer, _) = server.accept().expect("it connects");
-    for turn in 0..4 {
-        net.poll(turn, TURN).expect("a turn");
+    for nanos in 0..4 {
+        net.poll(MonotonicTime::from_nanos(nanos), ITERATION).expect("epoll");
         flush_connected(&mut net);
     }
     let mut received = [0; 5];
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -3,10 +3,12 @@
 //! Timers cannot be cancelled: whoever scheduled one ignores it when it no longer matters. So scheduling takes
 //! constant time, and a timer costs no memory beside its own entry.
 
-use crate::model::Nanos;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// The wheel's resolution: a timer expires up to this much late, and never early.
-const TICK: Nanos = 5_000_000;
+const TICK: Duration = Duration::from_millis(5);
+const TICK_NANOS: u64 = TICK.as_nanos() as u64;
 /// Slots of the wheel. A timer further ahead than one round stays in its slot for several.
 const SLOT_COUNT: usize = 1024;
 
@@ -26,21 +28,21 @@
 
 impl<T> TimerWheel<T> {
     /// A wheel without timers.
-    pub fn new(now: Nanos) -> TimerWheel<T> {
+    pub fn new(now: MonotonicTime) -> TimerWheel<T> {
         let slots = (0..SLOT_COUNT).map(|_| Vec::new()).collect();
-        TimerWheel { slots, current_tick: now / TICK, timer_count: 0 }
+        TimerWheel { slots, current_tick: now.as_nanos() / TICK_NANOS, timer_count: 0 }
     }
 
     /// Schedules an item for the first tick at or after `expires_at`, and not before the next tick.
-    pub fn schedule(&mut self, expires_at: Nanos, item: T) {
-        let expires_at_tick = expires_at.div_ceil(TICK).max(self.current_tick + 1);
+    pub fn schedule(&mut self, expires_at: MonotonicTime, item: T) {
+        let expires_at_tick = expires_at.as_nanos().div_ceil(TICK_NANOS).max(self.current_tick + 1);
         self.slots[slot_index(expires_at_tick)].push(Timer { expires_at_tick, item });
         self.timer_count += 1;
     }
 
     /// Takes the items that have expired by now, by tick and within one in the order of scheduling.
-    pub fn take_expired(&mut self, now: Nanos) -> Vec<T> {
-        let target_tick = now / TICK;
+    pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<T> {
+        let target_tick = now.as_nanos() / TICK_NANOS;
         let mut expired = Vec::new();
         while self.current_tick < target_tick {
             if self.timer_count == 0 {
@@ -66,11 +68,12 @@
     }
 
     /// How long the event loop may sleep.
-    pub fn time_until_next(&self, now: Nanos) -> Nanos {
+    pub fn time_until_next(&self, now: MonotonicTime) -> Duration {
         let ticks_ahead = (1..=SLOT_COUNT as u64)
             .find(|ahead| !self.slots[slot_index(self.current_tick + ahead)].is_empty())
             .unwrap_or(SLOT_COUNT as u64);
-        ((self.current_tick + ticks_ahead) * TICK).saturating_sub(now)
+        let next = MonotonicTime::from_nanos((self.current_tick + ticks_ahead) * TICK_NANOS);
+        next.saturating_duration_since(now)
     }
 }
 
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -4,8 +4,8 @@
 use super::reactor::{SocketDeadline, SocketReactor};
 use super::slab::Token;
 use super::socket::{SocketState, WriteState};
-use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 use std::io;
 use std::os::fd::OwnedFd;
 
@@ -23,7 +23,7 @@
     bytes_written: u64,
     /// Where the handshake is incomplete: when it must be complete.
     #[serde(rename = "word_by")]
-    handshake_deadline: Option<Nanos>,
+    handshake_deadline: Option<MonotonicTime>,
 }
 
 /// Bytes as base64 text, which is shorter in JSON than an array of numbers.
--- a/src/net/transfer/tests.rs
+++ b/src/net/transfer/tests.rs
@@ -2,6 +2,7 @@
 use crate::frontend_id::FrontendId;
 use crate::net::{ListeningSocket, SocketOwner, SocketReactor};
 use rstest::rstest;
+use sparbank_time::MonotonicTime;
 use std::net::{TcpListener, TcpStream};
 use std::os::fd::OwnedFd;
 use std::time::Duration;
@@ -12,14 +13,20 @@
 const ESTABLISHED: &str = r#"{"input":"","output":"AP8K","written":42,"word_by":null}"#;
 
 #[rstest]
-#[case::awaiting_handshake(AWAITING_HANDSHAKE, b"OPEN 9b", b"PONG\r\n", 6, Some(2_600_000_000))]
+#[case::awaiting_handshake(
+    AWAITING_HANDSHAKE,
+    b"OPEN 9b",
+    b"PONG\r\n",
+    6,
+    Some(MonotonicTime::from_nanos(2_600_000_000))
+)]
 #[case::established(ESTABLISHED, b"", &[0, 255, 10], 42, None)]
 fn json_of_00677b7_is_read_and_written_unchanged(
     #[case] json: &str,
     #[case] input: &[u8],
     #[case] output: &[u8],
     #[case] bytes_written: u64,
-    #[case] handshake_deadline: Option<u64>,
+    #[case] handshake_deadline: Option<MonotonicTime>,
 ) {
     let expected = BufferedConnection {
         input: input.to_vec(),
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -3,11 +3,11 @@
 
 use super::reactor::{SocketDeadline, SocketReactor};
 use super::slab::Token;
-use crate::model::Nanos;
 use rustix::io::Errno;
+use std::time::Duration;
 
 /// How long a connection rests.
-const TRANSFER_PAUSE: Nanos = 10_000_000;
+const TRANSFER_PAUSE: Duration = Duration::from_millis(10);
 
 /// Whether a read or write failed for want of kernel memory, which passes.
 pub(super) fn is_transfer_shortage(error: Errno) -> bool {
@@ -37,7 +37,7 @@
     }
 
     /// The time-out of a wait that must not outlast a pause.
-    pub(super) fn limit_by_paused_transfers(&self, timeout: Nanos) -> Nanos {
+    pub(super) fn limit_by_paused_transfers(&self, timeout: Duration) -> Duration {
         if self.paused_transfers.is_empty() {
             timeout
         } else {
--- a/src/net/watch_retry.rs
+++ b/src/net/watch_retry.rs
@@ -4,11 +4,11 @@
 use super::poller::Interest;
 use super::reactor::SocketReactor;
 use super::slab::Token;
-use crate::model::Nanos;
 use rustix::io::Errno;
+use std::time::Duration;
 
 /// A turn sleeps no longer than this while a change waits.
-const RETRY_INTERVAL: Nanos = 10_000_000;
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// What epoll knows of a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -58,7 +58,7 @@
     }
 
     /// The time-out of a wait that must not outlast the interval between two tries.
-    pub(super) fn limit_by_refused_watches(&self, timeout: Nanos) -> Nanos {
+    pub(super) fn limit_by_refused_watches(&self, timeout: Duration) -> Duration {
         if self.refused_watches.is_empty() {
             timeout
         } else {
--- a/src/node/admin_calls.rs
+++ b/src/node/admin_calls.rs
@@ -3,9 +3,8 @@
 use super::Node;
 use crate::admin::{AdminCall, Response};
 use crate::lifecycle::ShuttingDownError;
-use crate::log;
-use crate::model::Nanos;
 use crate::net::SocketEvent;
+use sparbank_time::MonotonicTime;
 
 impl Node {
     /// Handles an event at a socket of the admin API, and answers a call that it completes.
@@ -20,7 +19,7 @@
         }
     }
 
-    fn execute_admin_call(&mut self, now: Nanos, call: AdminCall) -> Response {
+    fn execute_admin_call(&mut self, now: MonotonicTime, call: AdminCall) -> Response {
         match call {
             AdminCall::Ready if self.state.lifecycle.is_shutting_down() => Response::new(503, "leaving"),
             AdminCall::Ready => Response::new(200, "ready"),
@@ -30,11 +29,11 @@
     }
 
     /// Begins to migrate all clients. A second call changes nothing.
-    fn drain(&mut self, now: Nanos) -> Response {
+    fn drain(&mut self, now: MonotonicTime) -> Response {
         let established = self.state.requests.established().len();
         if self.state.lifecycle.drain(now) {
             self.state.requests.counters.drains += 1;
-            log::line(format_args!("draining standing={established}"));
+            tracing::info!(established_connections = established, "draining");
             self.schedule_drain_steps();
         }
         Response::new(200, format!("draining standing={established}"))
@@ -46,7 +45,8 @@
             Ok(was_draining) => {
                 if was_draining {
                     self.state.requests.counters.resumes += 1;
-                    log::line(format_args!("resumed standing={}", self.state.requests.established().len()));
+                    let established_connections = self.state.requests.established().len();
+                    tracing::info!(established_connections, "drain ended, serving again");
                     self.for_each_frontend(|frontend, ctx| frontend.resume_serving(ctx));
                 }
                 Response::new(200, "serving")
--- a/src/node/commands.rs
+++ b/src/node/commands.rs
@@ -2,9 +2,10 @@
 
 use super::Node;
 use crate::frontend::{TimerEvent, TEXT_FRONTEND};
-use crate::log;
-use crate::model::{Event, Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Event, Outcome, RequestId, ServerId};
 use crate::requests::{Command, FrontendId};
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
 impl Node {
     /// Lets the balancer decide on all pending events and executes its commands; then the frontends flush what they have
@@ -27,7 +28,7 @@
     }
 
     /// Executes a command of the request table.
-    pub(super) fn execute(&mut self, now: Nanos, command: Command) {
+    pub(super) fn execute(&mut self, now: MonotonicTime, command: Command) {
         match command {
             Command::StartAttempt { frontend, request_id, server, timeout } => {
                 self.start_attempt(now, frontend, request_id, server, timeout);
@@ -36,8 +37,8 @@
                 self.cancel_attempt(frontend, request_id);
             }
             Command::Reject { frontend, request_id, retry_after } => {
-                let ms = retry_after / 1_000_000;
-                log::trace(format_args!("trace refused request={} ms={ms}", request_id.0));
+                let retry_after_ms = retry_after.as_millis_u64();
+                tracing::trace!(request = request_id.0, retry_after_ms, "request rejected");
                 self.with_frontend(frontend, |frontend, ctx| frontend.reject(ctx, request_id, retry_after));
             }
             Command::Fail { frontend, request_id } => {
@@ -49,30 +50,29 @@
             Command::HealthCheck { server } => {
                 self.with_frontend(TEXT_FRONTEND, |frontend, ctx| frontend.check_health(ctx, server));
             }
-            Command::SetTimer { after: 0, token } => self.state.requests.push_event(Event::Timer(token)),
+            Command::SetTimer { after, token } if after.is_zero() => {
+                self.state.requests.push_event(Event::Timer(token));
+            }
             Command::SetTimer { after, token } => {
-                log::trace(format_args!("trace timer token={token} ms={}", after / 1_000_000));
+                tracing::trace!(token, delay_ms = after.as_millis_u64(), "timer set");
                 self.state.wheel.schedule(now + after, TimerEvent::Policy(token));
             }
             Command::Subscribe => self.subscribe(now),
-            Command::Log(text) => log::line(format_args!("module {text}")),
+            Command::Log(text) => tracing::info!("{text}"),
         }
     }
 
     fn start_attempt(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         frontend: FrontendId,
         request_id: RequestId,
         server: ServerId,
-        timeout: Nanos,
+        timeout: Duration,
     ) {
         let attempt = self.state.requests.attempt_number(request_id);
-        let (request, ms) = (request_id.0, timeout / 1_000_000);
-        log::trace(format_args!(
-            "trace connecting request={request} number={attempt} server={} ms={ms}",
-            server.0
-        ));
+        let timeout_ms = timeout.as_millis_u64();
+        tracing::trace!(request = request_id.0, attempt, server = server.0, timeout_ms, "attempt started");
         self.state.wheel.schedule(now + timeout, TimerEvent::AttemptTimeout(request_id, attempt));
         self.with_frontend(frontend, |frontend, ctx| {
             frontend.start_attempt(ctx, request_id, server, timeout)
--- a/src/node/draining.rs
+++ b/src/node/draining.rs
@@ -3,7 +3,8 @@
 use super::Node;
 use crate::frontend::TimerEvent;
 use crate::lifecycle;
-use crate::model::{Nanos, Outcome, RequestId};
+use crate::model::{Outcome, RequestId};
+use sparbank_time::MonotonicTime;
 
 impl Node {
     /// From now on there are drain steps, until clients are accepted again.
@@ -26,7 +27,7 @@
             frontend.on_drain_step(ctx);
         });
         let now = self.state.now();
-        for command in self.state.requests.fail_unanswered(now, Nanos::MAX) {
+        for command in self.state.requests.fail_unanswered(now, MonotonicTime::MAX) {
             self.execute(now, command);
         }
         for request_id in self.state.requests.established() {
@@ -35,7 +36,7 @@
         self.run_balancer();
     }
 
-    fn migrate_established(&mut self, now: Nanos, request_id: RequestId) {
+    fn migrate_established(&mut self, now: MonotonicTime, request_id: RequestId) {
         let closed = self.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
         if let Some(frontend) = closed {
             self.with_frontend(frontend, |frontend, ctx| frontend.migrate(ctx, request_id));
--- a/src/node/endpoint_events.rs
+++ b/src/node/endpoint_events.rs
@@ -2,13 +2,13 @@
 
 use super::clock::Clock;
 use super::Node;
-use crate::log;
-use crate::model::{Event, ListKind, Nanos};
+use crate::model::{Event, ListKind};
 use crate::net::{SocketEvent, SocketEventKind};
+use sparbank_time::MonotonicTime;
 
 impl Node {
     /// Starts the watch on the endpoint list.
-    pub(super) fn subscribe(&mut self, now: Nanos) {
+    pub(super) fn subscribe(&mut self, now: MonotonicTime) {
         let event = self.discovery.subscribe(now, &mut self.state.net, &self.state.registry);
         if let Some(event) = event {
             self.on_endpoint_event(event);
@@ -25,7 +25,7 @@
     }
 
     /// Looks for a step of the wall clock, by which discovery says when servers started. Yields the node's time.
-    pub(super) fn observe_clocks(&mut self) -> Nanos {
+    pub(super) fn observe_clocks(&mut self) -> MonotonicTime {
         let now = self.state.now();
         self.state.registry.observe_clocks(now, Clock::wall());
         now
@@ -56,7 +56,7 @@
     /// Passes an endpoint list on to the balancer, and the servers that accept nothing new to the frontends.
     pub(super) fn on_endpoint_event(&mut self, event: Event) {
         if let Event::EndpointList(kind, endpoints) = &event {
-            log::trace(format_args!("trace list kind={kind:?} entries={}", endpoints.len()));
+            tracing::trace!(?kind, entries = endpoints.len(), "endpoint list received");
         }
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
             self.state.requests.counters.discovery_failures += 1;
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -2,13 +2,13 @@
 
 use super::{Node, ServeError};
 use crate::frontend::TimerEvent;
-use crate::log;
-use crate::model::{Event, Nanos};
+use crate::model::Event;
 use crate::net::{ConnectedSocket, SocketEvent, SocketOwner};
-use crate::rules::Violation;
+use crate::rules::{Violation, ViolationContext};
+use std::time::Duration;
 
 /// How often silent peers are looked for and flows exported.
-const TICK_INTERVAL: Nanos = 200_000_000;
+const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 impl Node {
     /// Serves until the node has shut down.
@@ -35,7 +35,7 @@
                 self.check_exit();
                 self.export_flows(self.state.now());
                 self.print_counters();
-                log::line(format_args!("stopped"));
+                tracing::info!("node stopped");
                 return Ok(());
             }
         }
@@ -109,8 +109,8 @@
     fn check_exit(&mut self) {
         if !self.state.requests.is_idle() || !self.frontends.are_idle() {
             let established = self.state.requests.established().len();
-            let detail = format_args!("standing={established}");
-            self.state.requests.violations.record(Violation::OpenAtExit, detail);
+            let context = ViolationContext::Exit { open: established };
+            self.state.requests.violations.record(Violation::OpenAtExit, context);
         }
     }
 
--- a/src/node/handover_steps.rs
+++ b/src/node/handover_steps.rs
@@ -3,7 +3,6 @@
 use super::Node;
 use crate::frontend::{TransferredConnection, TEXT_FRONTEND};
 use crate::handover::{self, FrontendConnection, Handover, HandoverEvent, StateSnapshot};
-use crate::log;
 use crate::model::{Event, ListKind};
 use crate::net::SocketEvent;
 
@@ -11,17 +10,18 @@
     /// Restores what the predecessor knew. The balancer has had the predecessor's endpoint list before.
     pub(super) fn restore_snapshot(&mut self, snapshot: &StateSnapshot) {
         if let Err(error) = self.state.requests.restore_state(&snapshot.balancer_state) {
-            log::line(format_args!("handover-state-unreadable reason={error}"));
+            tracing::warn!(%error, "predecessor's state is unreadable");
         }
         if snapshot.is_drained && self.state.lifecycle.drain(self.state.now()) {
             self.schedule_drain_steps();
         }
         self.state.requests.counters.handovers += 1;
         self.limit_beside_predecessor(snapshot.open_descriptors);
-        log::line(format_args!(
-            "handover-from-predecessor drained={} descriptors={}",
-            snapshot.is_drained, snapshot.open_descriptors
-        ));
+        tracing::info!(
+            drained = snapshot.is_drained,
+            predecessor_descriptors = snapshot.open_descriptors,
+            "handover from predecessor started"
+        );
     }
 
     /// Limits this process's descriptors so that, with the predecessor's, they stay within the node's limit.
@@ -49,8 +49,8 @@
                 }
                 HandoverEvent::PredecessorExited => {
                     self.limit_beside_predecessor(0);
-                    let established = self.state.requests.established().len();
-                    log::line(format_args!("handover-complete standing={established}"));
+                    let established_connections = self.state.requests.established().len();
+                    tracing::info!(established_connections, "handover from predecessor complete");
                 }
             }
         }
@@ -78,8 +78,8 @@
         let (now, longest_deadline) = (self.state.now(), self.state.longest_deadline());
         self.state.lifecycle.hand_over(now, longest_deadline);
         self.state.requests.counters.handovers += 1;
-        let established = self.state.requests.established().len();
-        log::line(format_args!("handover-to-successor standing={established}"));
+        let established_connections = self.state.requests.established().len();
+        tracing::info!(established_connections, "handover to successor started");
         self.schedule_drain_steps();
     }
 
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -35,12 +35,13 @@
 use crate::frontend::{Frontend, FrontendContext, FrontendFiles, Frontends, TimerEvent};
 use crate::handover::Handover;
 use crate::lifecycle::Lifecycle;
-use crate::model::Nanos;
 use crate::net::{SocketReactor, TimerWheel};
 use crate::quota::transport::LeaseTransport;
 use crate::requests::{FrontendId, RequestTable};
 use clock::Clock;
 use signals::SignalSockets;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// What frontends work on, through a [`FrontendContext`].
 struct NodeState {
@@ -54,7 +55,7 @@
 }
 
 impl NodeState {
-    fn now(&self) -> Nanos {
+    fn now(&self) -> MonotonicTime {
         self.clock.now()
     }
 
@@ -75,8 +76,8 @@
     }
 
     /// The longest deadline of any request class.
-    fn longest_deadline(&self) -> Nanos {
-        self.config.settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or(0)
+    fn longest_deadline(&self) -> Duration {
+        self.config.settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or_default()
     }
 }
 
--- a/src/node/quotas.rs
+++ b/src/node/quotas.rs
@@ -2,7 +2,6 @@
 
 use super::Node;
 use crate::frontend::TimerEvent;
-use crate::log;
 use crate::net::SocketEvent;
 use crate::quota::transport;
 
@@ -21,9 +20,7 @@
         let now = self.state.now();
         let Some(transport) = &mut self.lease_transport else { return };
         let Some(quotas) = &mut self.state.requests.quotas else { return };
-        if let Some(transition) = transport.exchange(now, &mut self.state.net, quotas) {
-            log::line(format_args!("{transition}"));
-        }
+        transport.exchange(now, &mut self.state.net, quotas);
         for command in self.state.requests.migrate_over_quota(now) {
             self.execute(now, command);
         }
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -2,7 +2,6 @@
 
 use super::configuration::Configuration;
 use super::Node;
-use crate::log;
 
 impl Node {
     /// Reads the configuration again. An invalid one changes nothing; of a valid one, what a running node can change is
@@ -10,7 +9,10 @@
     pub(super) fn reload(&mut self) {
         let new = match Configuration::reread(&self.state.config, &self.frontend_files) {
             Ok(configuration) => configuration,
-            Err(error) => return log::line(format_args!("reload-refused {error}")),
+            Err(error) => {
+                tracing::warn!(%error, "configuration reload rejected");
+                return;
+            }
         };
         let discovery_moved = new.node.discovery != self.state.config.discovery;
         let mut needs_restart = self.state.config.apply_reload(new.node);
@@ -20,9 +22,9 @@
         // A predecessor that still runs reports its open descriptors again with its next connection.
         self.state.net.set_descriptor_limit(self.state.config.max_descriptors);
         self.state.requests.update_settings(self.state.config.settings.clone());
-        log::line(format_args!("reloaded discovery={}", self.state.config.discovery));
+        tracing::info!(discovery = %self.state.config.discovery, "configuration reloaded");
         if !needs_restart.is_empty() {
-            log::line(format_args!("reload-needs-restart fields={}", needs_restart.join(",")));
+            tracing::warn!(fields = %needs_restart.join(","), "changed fields need a restart");
         }
         if discovery_moved {
             self.change_discovery_address();
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -3,22 +3,23 @@
 use super::Node;
 use crate::admin::AdminServer;
 use crate::log;
-use crate::model::Nanos;
 use crate::requests::AttemptStep;
-
-const NANOS_PER_MS: Nanos = 1_000_000;
+use sparbank_time::{DurationExt, MonotonicTime};
 
 impl Node {
     /// Prints the lines of `--trace` on attempts.
     pub(super) fn print_trace(&mut self) {
         for record in self.state.requests.attempt_trace.take() {
             let server = self.state.registry.entry(record.server).map_or("?", |entry| entry.name());
-            let step = match record.step {
-                AttemptStep::Ended(outcome) => format!("ended={outcome:?}"),
-                AttemptStep::Established => "up".to_string(),
-            };
-            let (request, ms) = (record.request_id.0, record.elapsed / NANOS_PER_MS);
-            log::line(format_args!("trace attempt request={request} server={server} {step} after_ms={ms}"));
+            let (request, after_ms) = (record.request_id.0, record.elapsed.as_millis_u64());
+            match record.step {
+                AttemptStep::Established => {
+                    tracing::trace!(request, %server, after_ms, "attempt established")
+                }
+                AttemptStep::Ended(outcome) => {
+                    tracing::trace!(request, %server, ?outcome, after_ms, "attempt ended");
+                }
+            }
         }
     }
 
@@ -40,10 +41,10 @@
             counters.admin_rejected = calls.failed;
             counters.admin_incomplete = calls.incomplete;
         }
-        log::line(format_args!("{counters}"));
+        tracing::info!("{counters}");
         self.print_quotas();
         for line in self.frontends.counter_lines() {
-            log::line(format_args!("{line}"));
+            tracing::info!("{line}");
         }
     }
 
@@ -51,25 +52,30 @@
         let Some(transport) = &self.lease_transport else { return };
         let Some(quotas) = &self.state.requests.quotas else { return };
         let counters = transport.counters();
-        let lease_left_ms = quotas.lease_remaining(self.state.now()) / NANOS_PER_MS;
-        log::line(format_args!(
-            "quotas lease_left_ms={lease_left_ms} requests={} grants={} unread={} written={} freed={}",
-            counters.requests,
-            counters.grants,
-            counters.undecodable_frames,
-            counters.applied_requests,
-            counters.reclaimed_leases
-        ));
+        tracing::info!(
+            lease_remaining_ms = quotas.lease_remaining(self.state.now()).as_millis_u64(),
+            requests = counters.requests,
+            grants = counters.grants,
+            undecodable_frames = counters.undecodable_frames,
+            applied_requests = counters.applied_requests,
+            reclaimed_leases = counters.reclaimed_leases,
+            "quota lease"
+        );
         for (name, status) in quotas.statuses() {
-            log::line(format_args!(
-                "quota name={name} total={} floor={} allotment={} used={} refused={}",
-                status.total, status.floor, status.allotment, status.used, status.rejected
-            ));
+            tracing::info!(
+                %name,
+                total = %status.total,
+                floor = %status.floor,
+                allotment = %status.allotment,
+                used = %status.used,
+                rejected = status.rejected,
+                "quota"
+            );
         }
     }
 
     /// Exports the flows that have ended since the last call.
-    pub(super) fn export_flows(&mut self, now: Nanos) {
+    pub(super) fn export_flows(&mut self, now: MonotonicTime) {
         if let Some(export) = &mut self.flow_export {
             let flows = self.state.requests.ended_flows.take();
             export.send(now, &flows, &self.state.registry, &self.state.config.site);
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -2,7 +2,6 @@
 //! reloads the configuration.
 
 use super::Node;
-use crate::log;
 use crate::net::{SocketOwner, SocketReactor, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
@@ -81,7 +80,8 @@
         if !self.state.lifecycle.shut_down(now, longest_deadline) {
             return;
         }
-        log::line(format_args!("shutting-down standing={}", self.state.requests.established().len()));
+        let established_connections = self.state.requests.established().len();
+        tracing::info!(established_connections, "shutting down");
         if let Some(quotas) = &mut self.state.requests.quotas {
             quotas.shut_down();
         }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -15,12 +15,11 @@
 use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
 use crate::hash::fnv1a;
 use crate::lifecycle::Lifecycle;
-use crate::log;
-use crate::model::Nanos;
 use crate::net::{SocketOwner, SocketReactor, TimerWheel};
 use crate::quota::transport::LeaseTransport;
 use crate::quota::{self, QuotaAdmission, QuotaMembership};
 use crate::requests::RequestTable;
+use sparbank_time::{DurationExt, MonotonicTime, WallTime};
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -90,7 +89,7 @@
         startup.listen_for_clients(self.passed_listener)?;
         startup.open_optional_frontends(&mut frontends, frontend_configs)?;
         if let Some(admin) = &admin {
-            log::line(format_args!("operator listen={}", admin.listen));
+            tracing::info!(listen = %admin.listen, "admin API ready");
         }
         let flow_export = startup.open_flow_export(self.flow_collector)?;
         let clock = startup.clock;
@@ -160,12 +159,14 @@
 impl Startup {
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
-        if log::is_trace_enabled() {
+        if tracing::enabled!(tracing::Level::TRACE) {
             requests.attempt_trace.enable();
         }
         let clock = Clock::new();
         let now = clock.now();
-        let registry = EndpointRegistry::new(config.site.zones.clone(), now, now);
+        // The wall clock has just set the node's clock: both show the same.
+        let wall = WallTime::from_unix_nanos(now.as_nanos());
+        let registry = EndpointRegistry::new(config.site.zones.clone(), now, wall);
         let discovery = DiscoveryClient::new(config.discovery);
         Ok(Startup { clock, config, net, requests, registry, discovery })
     }
@@ -207,7 +208,7 @@
             None => retry_while_short(|| self.net.listen(self.config.listen, owner), is_shortage),
         };
         let listen = listening.map_err(ServeError::Listen)?;
-        log::line(format_args!("started name={} listen={listen}", self.config.name));
+        tracing::info!(name = %self.config.name, %listen, "node started");
         Ok(())
     }
 
@@ -219,8 +220,7 @@
         for (which, frontend_config) in frontend_configs {
             let setup =
                 FrontendSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
-            let line = frontends.open(which, frontend_config, setup)?;
-            log::line(format_args!("{line}"));
+            frontends.open(which, frontend_config, setup)?;
         }
         Ok(())
     }
@@ -231,21 +231,23 @@
         let export = FlowExport::new(self.config.listen.ip(), collector, domain);
         let export = export.map_err(ServeError::FlowExport)?;
         self.requests.ended_flows.enable();
-        log::line(format_args!("ipfix collector={collector} domain={domain}"));
+        tracing::info!(%collector, observation_domain = domain, "IPFIX export enabled");
         Ok(Some(export))
     }
 
     /// Opens the lease protocol's transport, and admits requests against the fleet-wide quotas from now on.
-    fn join_fleet(&mut self, membership: QuotaMembership, now: Nanos) -> Result<LeaseTransport, ServeError> {
+    fn join_fleet(
+        &mut self,
+        membership: QuotaMembership,
+        now: MonotonicTime,
+    ) -> Result<LeaseTransport, ServeError> {
         let member = membership.member;
         let transport = match LeaseTransport::open(&mut self.net, &membership, now) {
             Ok(transport) => transport,
             Err(source) => return Err(ServeError::LeaseTransport { member, source }),
         };
-        match transport.grant_delay(now) {
-            Some(wait) => log::line(format_args!("quotas member={member} grants-in-ms={}", wait / 1_000_000)),
-            None => log::line(format_args!("quotas member={member}")),
-        }
+        let grants_in_ms = transport.grant_delay(now).map(|delay| delay.as_millis_u64());
+        tracing::info!(member, grants_in_ms, "fleet-wide quotas enabled");
         let classes: Vec<String> = self.config.site.classes.iter().map(|class| class.name.clone()).collect();
         let max_retry_after = self.config.settings.max_retry_after;
         self.requests.quotas = Some(QuotaAdmission::new(membership, now, &classes, max_retry_after));
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -7,19 +7,24 @@
 use super::request::{Phase, Request, Requests};
 use super::selection::Selection;
 use super::server::{Server, ServerSet};
-use crate::model::{Action, Arrival, Endpoint, Event, ListKind, Nanos, Outcome};
-use crate::model::{RequestId, ServerId, Settings, SettingsError};
-use crate::random::{mix64, uniform_up_to, Rng};
-use crate::resilience::{request_backoff_limit, EndpointSubscription, FillTarget, FleetLimits, SlowStart};
-use crate::resilience::{Admission, RetryAdmission};
+use crate::model::{
+    Action, Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, SettingsError,
+};
+use crate::random::{mix64, uniform_duration_up_to, Rng};
+use crate::resilience::{
+    request_backoff_limit, Admission, EndpointSubscription, FillTarget, FleetLimits, RetryAdmission,
+    SlowStart,
+};
 use crate::rules::{self, RetryInputs, RetryRefusal};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// One node's decisions: a state machine without clock, I/O or shared state.
 pub struct Balancer {
     settings: Settings,
     limits: FleetLimits,
     slow_start: SlowStart,
-    now: Nanos,
+    now: MonotonicTime,
     rng: Rng,
     salt: u64,
     servers: ServerSet,
@@ -27,11 +32,9 @@
     admission: RetryAdmission,
     subscription: EndpointSubscription,
     /// When a server was last selected: what servers in slow start admit since then may still be sent.
-    last_selection_at: Nanos,
+    last_selection_at: MonotonicTime,
     /// The actions of the event that is handled now.
     actions: Vec<Action>,
-    /// Why requests got their final answer in the event that was handled last.
-    pub(crate) refusals: Vec<(RequestId, RetryRefusal)>,
 }
 
 impl Balancer {
@@ -42,16 +45,15 @@
             limits: FleetLimits::new(&settings),
             slow_start: SlowStart::new(&settings),
             settings,
-            now: 0,
+            now: MonotonicTime::ZERO,
             rng: Rng::from_seed(seed),
             salt: mix64(seed),
             servers: ServerSet::default(),
             requests: Requests::new(),
             admission: RetryAdmission::default(),
             subscription: EndpointSubscription::default(),
-            last_selection_at: 0,
+            last_selection_at: MonotonicTime::ZERO,
             actions: Vec::new(),
-            refusals: Vec::new(),
         })
     }
 
@@ -77,11 +79,10 @@
     }
 
     /// Takes one event that happened at `now`, and appends what is to be done.
-    pub fn handle(&mut self, now: Nanos, event: Event, out: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         self.actions.clear();
-        self.refusals.clear();
-        if self.last_selection_at == 0 {
+        if self.last_selection_at == MonotonicTime::ZERO {
             self.last_selection_at = now;
         }
         match event {
@@ -95,9 +96,7 @@
             Event::Timer(token) => self.on_timer(token),
             Event::EndpointList(kind, endpoints) => self.on_endpoint_list(kind, &endpoints),
             Event::LoadReport { id, cost } => {
-                if let Some(request) = self.requests.get_mut(&id) {
-                    request.cost = cost;
-                }
+                self.requests.entry(id).and_modify(|request| request.cost = cost);
             }
             Event::LatencyReport { server, latency } => self.migration().on_latency_report(server, latency),
             Event::HealthCheckResult { server, utilization } => {
@@ -123,7 +122,7 @@
         self.on_success(server);
     }
 
-    fn on_established(&mut self, id: RequestId, server: ServerId, setup_time: Nanos) {
+    fn on_established(&mut self, id: RequestId, server: ServerId, setup_time: Duration) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::Established;
             let is_fast = setup_time <= self.settings.classes[request.class].objective / 2;
@@ -149,7 +148,13 @@
         if is_over {
             self.requests.remove(&id);
         }
-        self.record_outcome(server, outcome, was_established);
+        if let Some(health) = self.servers.health_mut(server) {
+            let roll = || self.rng.next_u64();
+            match was_established {
+                true => health.on_connection_ended(self.now, outcome, roll),
+                false => health.on_attempt_ended(self.now, outcome, roll),
+            }
+        }
         if !is_over {
             self.back_off(id);
         }
@@ -184,10 +189,10 @@
             self.servers.apply_list(kind, endpoints);
         }
         if self.subscription.on_list(kind) {
-            self.actions.push(Action::Log("the server list is lost: keeping the last".to_string()));
+            self.actions.push(Action::Log("endpoint list may be stale, keeping the last one".to_string()));
         }
         if let Some(poll) = self.subscription.schedule_poll(kind, &self.settings) {
-            let after = uniform_up_to(self.rng.next_u64(), poll.max_delay);
+            let after = uniform_duration_up_to(self.rng.next_u64(), poll.max_delay);
             self.actions.push(Action::SetTimer { after, token: poll.token });
         }
     }
@@ -207,8 +212,8 @@
         request.backoffs += 1;
         request.phase = Phase::BackingOff;
         let limit = request_backoff_limit(class, interval, request.backoffs);
-        let time_left = request.deadline.saturating_sub(self.now);
-        let after = uniform_up_to(roll, limit).min(time_left);
+        let time_left = request.deadline.saturating_duration_since(self.now);
+        let after = uniform_duration_up_to(roll, limit).min(time_left);
         self.actions.push(Action::SetTimer { after, token: id.0 });
     }
 
@@ -218,8 +223,8 @@
         if let Err(refusal) = self.may_attempt(request) {
             return self.give_up(id, refusal);
         }
-        let attempts_left = u64::from(self.settings.max_attempts - request.attempts.count());
-        let timeout = ((request.deadline - self.now) / attempts_left).max(1);
+        let time_left = request.deadline.saturating_duration_since(self.now);
+        let timeout = request.attempts.next_timeout(time_left, self.settings.max_attempts);
         let window_end = request.attempts.dedup_window_end(&self.settings.classes[request.class]);
         let send_by = rules::send_by(request.deadline, window_end);
         let is_retry = request.client_retry || request.attempts.count() > 0;
@@ -234,8 +239,8 @@
         request.phase = Phase::Attempting;
         request.attempts.on_sent(server, self.now);
         self.servers.reserve(server, id, request.group, self.now);
-        let pause = uniform_up_to(self.rng.next_u64(), 2 * self.setup_interval());
-        self.admission.on_sent(self.now.saturating_add(pause));
+        let pause = uniform_duration_up_to(self.rng.next_u64(), 2 * self.setup_interval());
+        self.admission.on_sent(self.now + pause);
         self.actions.push(Action::StartAttempt { id, server, timeout, send_by });
     }
 
@@ -249,7 +254,7 @@
 
     /// Gives the one final answer: a rejection where a retry by the client is safe, a failure otherwise.
     fn give_up(&mut self, id: RequestId, refusal: RetryRefusal) {
-        self.refusals.push((id, refusal));
+        tracing::trace!(request = id.0, reason = %refusal, "no further attempt");
         let queue_delay = self.admission.queue_delay(self.setup_interval());
         let Some(request) = self.requests.remove(&id) else { return };
         self.admission.dequeue(request.queued);
@@ -257,7 +262,7 @@
             return self.actions.push(Action::Fail(id));
         }
         let max = self.settings.max_retry_after;
-        let retry_after = uniform_up_to(self.rng.next_u64(), max).max(queue_delay.min(max));
+        let retry_after = uniform_duration_up_to(self.rng.next_u64(), max).max(queue_delay.min(max));
         self.actions.push(Action::Reject { id, retry_after });
     }
 
@@ -294,23 +299,10 @@
     }
 
     /// The interval that this node keeps between connection set-ups while it is throttled; zero otherwise.
-    fn setup_interval(&self) -> Nanos {
+    fn setup_interval(&self) -> Duration {
         self.limits.setup_interval(self.requests.len(), self.admission.throttled_rate())
     }
 
-    fn record_outcome(&mut self, server: ServerId, outcome: Outcome, was_established: bool) {
-        let Some(health) = self.servers.health_mut(server) else { return };
-        match outcome {
-            Outcome::Ok => health.on_success(),
-            Outcome::Reset if was_established => health.on_reset(self.now),
-            Outcome::Reset if !health.is_unconfirmed() => {}
-            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalShortage | Outcome::Rejected => {}
-            Outcome::Reset | Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed => {
-                health.on_failure(self.now, self.rng.next_u64(), outcome == Outcome::Error);
-            }
-        }
-    }
-
     fn on_success(&mut self, server: ServerId) {
         if let Some(health) = self.servers.health_mut(server) {
             health.on_success();
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -2,13 +2,15 @@
 
 use super::request::{Phase, Request, Requests};
 use super::server::ServerSet;
-use crate::model::{Action, Nanos, RequestId, ServerId, Settings};
+use crate::model::{Action, RequestId, ServerId, Settings};
 use crate::random::{mix64, Rng};
 use crate::resilience::{connection_value, least_valuable, Connection, LatencyResponse};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// What a migration changes, and what it depends on.
 pub(super) struct Migration<'a> {
-    pub now: Nanos,
+    pub now: MonotonicTime,
     pub settings: &'a Settings,
     pub servers: &'a mut ServerSet,
     pub requests: &'a mut Requests,
@@ -17,7 +19,7 @@
 }
 
 impl Migration<'_> {
-    pub fn on_latency_report(&mut self, server: ServerId, latency: Nanos) {
+    pub fn on_latency_report(&mut self, server: ServerId, latency: Duration) {
         let Some(health) = self.servers.health_mut(server) else { return };
         match health.on_latency_report(self.settings, self.now, latency) {
             LatencyResponse::None => {}
@@ -53,6 +55,6 @@
         }
         let weight = self.settings.classes[request.class].priority_weight;
         let value = connection_value(weight, request.cost, self.settings.weight_by_work);
-        Some(Connection { id, value, rank: mix64(id.0 ^ self.now) })
+        Some(Connection { id, value, rank: mix64(id.0 ^ self.now.as_nanos()) })
     }
 }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,9 +1,11 @@
 //! The state of one request.
 
-use crate::model::{Arrival, Nanos, RequestId};
+use crate::model::{Arrival, RequestId};
 use crate::random::mix64;
 use crate::resilience::AttemptHistory;
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// All requests of this node that are not over, in the order of their ids.
 pub(super) type Requests = BTreeMap<RequestId, Request>;
@@ -23,7 +25,7 @@
 #[derive(Default)]
 pub(super) struct Request {
     pub class: usize,
-    pub deadline: Nanos,
+    pub deadline: MonotonicTime,
     pub phase: Phase,
     pub attempts: AttemptHistory,
     /// Backoffs begun, after attempts that failed and selections that found no server.
@@ -39,26 +41,26 @@
     /// It is counted among those that wait for admission.
     pub queued: bool,
     /// Load in nanoseconds of work per second; zero if unknown.
-    pub cost: Nanos,
+    pub cost: Duration,
     /// The client is gone or was migrated; the request stays until its attempt or connection has ended.
     pub is_over: bool,
 }
 
 impl Request {
     /// `roll` is a uniform random number of this node.
-    pub fn new(arrival: &Arrival, class: usize, now: Nanos, phase: Phase, roll: u64) -> Request {
+    pub fn new(arrival: &Arrival, class: usize, now: MonotonicTime, phase: Phase, roll: u64) -> Request {
         // The requests of a group have the same candidates at every node: few servers pay for the group.
         let shared_seed = arrival.group.or(arrival.key.filter(|_| !arrival.reconnect));
         Request {
             class,
-            deadline: now.saturating_add(arrival.time_left),
+            deadline: now + arrival.time_left,
             phase,
             candidate_seed: shared_seed.map_or(roll, mix64),
             slow_start_roll: roll,
             group: arrival.group,
             rerouted: arrival.rerouted,
             client_retry: arrival.reconnect || arrival.client_retry,
-            cost: arrival.cost.unwrap_or(0),
+            cost: arrival.cost.unwrap_or_default(),
             ..Request::default()
         }
     }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -2,9 +2,10 @@
 
 use super::request::Request;
 use super::server::{Server, ServerSet};
-use crate::model::{Nanos, ServerId, Settings};
+use crate::model::{ServerId, Settings};
 use crate::random::{mix64, unit_interval};
 use crate::resilience::{deduplicates, rendezvous_rank, FillTarget, LowestRanks, Ranked, SlowStart};
+use sparbank_time::MonotonicTime;
 
 /// Servers compared for one attempt.
 const MAX_CANDIDATES: usize = 3;
@@ -16,7 +17,7 @@
 
 /// What the selection depends on.
 pub(super) struct Selection<'a> {
-    pub now: Nanos,
+    pub now: MonotonicTime,
     pub settings: &'a Settings,
     pub servers: &'a ServerSet,
     pub slow_start: &'a SlowStart,
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,8 +1,9 @@
 //! The state of each server, and the set of all servers.
 
-use crate::model::{Endpoint, ListKind, Nanos, RequestId, ServerAttributes, ServerId, Status};
+use crate::model::{Endpoint, ListKind, RequestId, ServerAttributes, ServerId, Status};
 use crate::resilience::{InFlight, ServerHealth};
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
 
 /// One server. Its serialized form is handed over to other versions of this program: its names stay.
 #[derive(Default, Deserialize, Serialize)]
@@ -83,7 +84,7 @@
     }
 
     /// Counts an attempt or connection at a server.
-    pub fn reserve(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: Nanos) {
+    pub fn reserve(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: MonotonicTime) {
         if let Some(server) = self.servers.get_mut(server.index()) {
             server.in_flight.insert(id, group);
             server.health.on_sent(now);
--- a/src/quota/transport/grantor_service.rs
+++ b/src/quota/transport/grantor_service.rs
@@ -1,9 +1,10 @@
 //! The grantor at this node: it collects lease requests and answers them together, once per exchange interval.
 
-use crate::model::Nanos;
 use crate::net::Token;
 use sparbank_quota::{Grantor, HolderId, LeaseGrant, LeaseRequest, LeaseTable, LogEntry, QuotaPlan};
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Where a lease request came from, and where its grant goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,21 +39,21 @@
     grantor: Grantor,
     /// An earlier incarnation may have granted leases that this one does not know; it grants nothing until all of them
     /// have expired.
-    grants_from: Nanos,
+    grants_from: MonotonicTime,
     /// The newest request of each holder since the last batch.
     pending: BTreeMap<HolderId, PendingRequest>,
 }
 
 impl GrantorService {
-    pub(super) fn new(plan: QuotaPlan, now: Nanos) -> GrantorService {
+    pub(super) fn new(plan: QuotaPlan, now: MonotonicTime) -> GrantorService {
         let grants_from = now + plan.connections_cleared_after();
         let grantor = Grantor::new(LeaseTable::new(plan), now);
         GrantorService { grantor, grants_from, pending: BTreeMap::new() }
     }
 
     /// How long this grantor still waits before it grants.
-    pub(super) fn grant_delay(&self, now: Nanos) -> Nanos {
-        self.grants_from.saturating_sub(now)
+    pub(super) fn grant_delay(&self, now: MonotonicTime) -> Duration {
+        self.grants_from.saturating_duration_since(now)
     }
 
     /// Whether a request is of this grantor's plan.
@@ -74,7 +75,7 @@
     }
 
     /// Applies the queued requests and the leases that have expired. Until the grantor grants, requests are dropped.
-    pub(super) fn apply_pending(&mut self, now: Nanos) -> AppliedBatch {
+    pub(super) fn apply_pending(&mut self, now: MonotonicTime) -> AppliedBatch {
         let pending = std::mem::take(&mut self.pending);
         if now < self.grants_from {
             return AppliedBatch::default();
--- a/src/quota/transport/mod.rs
+++ b/src/quota/transport/mod.rs
@@ -8,31 +8,31 @@
 mod frame;
 mod grantor_service;
 
-use crate::model::Nanos;
 use crate::net::{SocketEvent, SocketEventKind, SocketOwner, SocketReactor, Token};
 use crate::quota::{QuotaAdmission, QuotaMembership};
 use frame::{FrameLimits, Message, UndecodableFrame};
 use grantor_service::{GrantorService, Requester};
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// How often [`LeaseTransport::exchange`] is to be called: the resolution of all times here.
-pub const EXCHANGE_INTERVAL: Nanos = 50_000_000;
+pub const EXCHANGE_INTERVAL: Duration = Duration::from_millis(50);
 /// A frame that is not complete after this time ends its connection.
-const FRAME_TIMEOUT: Nanos = 2_500_000_000;
+const FRAME_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The shortest time between two attempts to connect to the grantor.
-const RECONNECT_INTERVAL: Nanos = 250_000_000;
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(250);
 
 /// This node's end of the lease protocol.
 pub struct LeaseTransport {
     grantor_address: SocketAddr,
     /// The connection to the grantor.
     grantor_link: Option<Token>,
-    connected_at: Nanos,
+    connected_at: MonotonicTime,
     /// The connections of other nodes to this one, and since when an incomplete frame is waiting.
-    callers: HashMap<Token, Option<Nanos>>,
+    callers: HashMap<Token, Option<MonotonicTime>>,
     limits: FrameLimits,
     /// Set if this node is the grantor.
     grantor_service: Option<GrantorService>,
@@ -55,26 +55,6 @@
     pub reclaimed_leases: u64,
 }
 
-/// A change of this node's lease. It is displayed as a log line.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LeaseTransition {
-    /// The node has a lease again.
-    Acquired,
-    /// The lease ended without a grant: the node lives on its floors.
-    Expired,
-}
-
-impl fmt::Display for LeaseTransition {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LeaseTransition::Acquired => write!(f, "quotas-leased"),
-            LeaseTransition::Expired => {
-                write!(f, "quotas-on-floors the grantor gives no answer: this node lives on its floors")
-            }
-        }
-    }
-}
-
 impl LeaseTransport {
     /// Listens at the member's address, which makes this process its owner, and starts the grantor if this member is
     /// one.
@@ -85,7 +65,7 @@
     pub fn open(
         net: &mut SocketReactor,
         membership: &QuotaMembership,
-        now: Nanos,
+        now: MonotonicTime,
     ) -> io::Result<LeaseTransport> {
         let plan = &membership.plan;
         let own_address = plan.members[membership.member].address;
@@ -98,7 +78,7 @@
         Ok(LeaseTransport {
             grantor_address,
             grantor_link: None,
-            connected_at: 0,
+            connected_at: MonotonicTime::ZERO,
             callers: HashMap::new(),
             limits: FrameLimits::new(plan.quotas.len()),
             grantor_service: is_grantor.then(|| GrantorService::new(plan.clone(), now)),
@@ -108,7 +88,7 @@
     }
 
     /// How long this node waits before it grants leases; None if it is no grantor.
-    pub fn grant_delay(&self, now: Nanos) -> Option<Nanos> {
+    pub fn grant_delay(&self, now: MonotonicTime) -> Option<Duration> {
         self.grantor_service.as_ref().map(|service| service.grant_delay(now))
     }
 
@@ -120,7 +100,7 @@
     /// Handles an event of a socket that belongs to the transport.
     pub fn on_socket_event(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         net: &mut SocketReactor,
         quotas: &mut QuotaAdmission,
         event: SocketEvent,
@@ -149,7 +129,13 @@
         net.close(token);
     }
 
-    fn read(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission, token: Token) {
+    fn read(
+        &mut self,
+        now: MonotonicTime,
+        net: &mut SocketReactor,
+        quotas: &mut QuotaAdmission,
+        token: Token,
+    ) {
         let is_read_closed = net.is_read_closed(token);
         let Some(input) = net.input_buffer(token) else { return };
         let mut messages = Vec::new();
@@ -172,7 +158,13 @@
         }
     }
 
-    fn on_message(&mut self, now: Nanos, quotas: &mut QuotaAdmission, token: Token, message: Message) {
+    fn on_message(
+        &mut self,
+        now: MonotonicTime,
+        quotas: &mut QuotaAdmission,
+        token: Token,
+        message: Message,
+    ) {
         match (message, &mut self.grantor_service) {
             (Message::Request(request), Some(service)) if service.matches_layout(&request) => {
                 service.enqueue(Requester::Remote(token), request);
@@ -185,14 +177,8 @@
     }
 
     /// The periodic work, once per [`EXCHANGE_INTERVAL`]: sends this node's lease request if it is due, ends the
-    /// connections whose frames stay incomplete, and answers requests if this node is the grantor. The result is a
-    /// change of this node's lease.
-    pub fn exchange(
-        &mut self,
-        now: Nanos,
-        net: &mut SocketReactor,
-        quotas: &mut QuotaAdmission,
-    ) -> Option<LeaseTransition> {
+    /// connections whose frames stay incomplete, and answers requests if this node is the grantor.
+    pub fn exchange(&mut self, now: MonotonicTime, net: &mut SocketReactor, quotas: &mut QuotaAdmission) {
         if let Some(request) = quotas.poll_lease_request(now) {
             self.counters.requests += 1;
             match &mut self.grantor_service {
@@ -202,21 +188,22 @@
         }
         self.close_stalled_callers(now, net);
         self.answer_requests(now, net, quotas);
-        self.update_lease(quotas.lease_remaining(now) > 0)
+        self.update_lease(quotas.lease_remaining(now) > Duration::ZERO);
     }
 
-    fn update_lease(&mut self, has_lease: bool) -> Option<LeaseTransition> {
+    /// Logs a change of this node's lease. Without one the node lives on its floors.
+    fn update_lease(&mut self, has_lease: bool) {
         let had_lease = std::mem::replace(&mut self.has_lease, has_lease);
         match (had_lease, has_lease) {
-            (false, true) => Some(LeaseTransition::Acquired),
-            (true, false) => Some(LeaseTransition::Expired),
-            _ => None,
+            (false, true) => tracing::info!("quota lease acquired"),
+            (true, false) => tracing::warn!("quota lease expired, using the floors"),
+            _ => {}
         }
     }
 
-    fn close_stalled_callers(&mut self, now: Nanos, net: &mut SocketReactor) {
-        let is_stalled = |incomplete_since: &Option<Nanos>| {
-            incomplete_since.is_some_and(|since| now.saturating_sub(since) >= FRAME_TIMEOUT)
+    fn close_stalled_callers(&mut self, now: MonotonicTime, net: &mut SocketReactor) {
+        let is_stalled = |incomplete_since: &Option<MonotonicTime>| {
+            incomplete_since.is_some_and(|since| now.saturating_duration_since(since) >= FRAME_TIMEOUT)
         };
         let callers = self.callers.iter();
         let stalled: Vec<Token> =
@@ -227,7 +214,7 @@
         }
     }
 
-    fn answer_requests(&mut self, now: Nanos, net: &mut SocketReactor, quotas: &mut QuotaAdmission) {
+    fn answer_requests(&mut self, now: MonotonicTime, net: &mut SocketReactor, quotas: &mut QuotaAdmission) {
         let Some(service) = &mut self.grantor_service else { return };
         let applied = service.apply_pending(now);
         self.counters.reclaimed_leases += applied.expiries as u64;
@@ -246,13 +233,15 @@
         }
     }
 
-    fn send_to_grantor(&mut self, now: Nanos, net: &mut SocketReactor, message: &Message) {
+    fn send_to_grantor(&mut self, now: MonotonicTime, net: &mut SocketReactor, message: &Message) {
         // A message that the connection does not take in time is of no use later: connect anew.
         let is_stuck = |link: &Token| net.pending_output_bytes(*link) > self.limits.max_frame_bytes();
         if let Some(link) = self.grantor_link.filter(is_stuck) {
             self.close(net, link);
         }
-        if self.grantor_link.is_none() && now.saturating_sub(self.connected_at) >= RECONNECT_INTERVAL {
+        if self.grantor_link.is_none()
+            && now.saturating_duration_since(self.connected_at) >= RECONNECT_INTERVAL
+        {
             self.connected_at = now;
             self.grantor_link = net.connect(self.grantor_address, SocketOwner::Quota).ok();
             if let Some(link) = self.grantor_link {
--- a/src/random.rs
+++ b/src/random.rs
@@ -1,6 +1,8 @@
 //! Random numbers and arithmetic on them, written out so that no library version changes a decision.
 
 use rand_core::{RngCore, SeedableRng};
+use sparbank_time::DurationExt;
+use std::time::Duration;
 
 /// A node's random number generator: a PCG with a seed.
 pub struct Rng(rand_pcg::Pcg64Mcg);
@@ -33,3 +35,8 @@
 pub fn uniform_up_to(roll: u64, max: u64) -> u64 {
     ((u128::from(roll) * (u128::from(max) + 1)) >> 64) as u64
 }
+
+/// Scales a uniform random number to a span of whole nanoseconds from zero to `max`, `max` included.
+pub fn uniform_duration_up_to(roll: u64, max: Duration) -> Duration {
+    Duration::from_nanos(uniform_up_to(roll, max.as_nanos_u64()))
+}
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,7 +1,8 @@
 //! Commands of the request table to the node.
 
 use crate::frontend_id::FrontendId;
-use crate::model::{Nanos, RequestId, ServerId};
+use crate::model::{RequestId, ServerId};
+use std::time::Duration;
 
 /// A command that the node carries out.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,8 +15,8 @@
         request_id: RequestId,
         /// The server to send it to.
         server: ServerId,
-        /// How long the attempt may take, in nanoseconds.
-        timeout: Nanos,
+        /// How long the attempt may take.
+        timeout: Duration,
     },
     /// Cancel the attempt of a request.
     CancelAttempt {
@@ -30,8 +31,8 @@
         frontend: FrontendId,
         /// The request.
         request_id: RequestId,
-        /// The advice when to retry, in nanoseconds from now; zero for none.
-        retry_after: Nanos,
+        /// How long the client should wait before it retries; zero for no advice.
+        retry_after: Duration,
     },
     /// Send the final answer "failed".
     Fail {
@@ -55,8 +56,8 @@
     },
     /// Push an [`Event::Timer`](crate::model::Event::Timer) with this token.
     SetTimer {
-        /// In nanoseconds from now.
-        after: Nanos,
+        /// The delay from now.
+        after: Duration,
         /// Returned as it is.
         token: u64,
     },
--- a/src/requests/decide.rs
+++ b/src/requests/decide.rs
@@ -5,27 +5,25 @@
 use super::records::FlowResult;
 use super::table::{QuotaRejection, RequestTable};
 use crate::frontend_id::FrontendId;
-use crate::log;
-use crate::model::{Action, Event, Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Action, Event, Outcome, RequestId, ServerId};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// An attempt as the balancer wants it.
 struct AttemptPlan {
     server: ServerId,
-    timeout: Nanos,
-    send_by: Nanos,
+    timeout: Duration,
+    send_by: MonotonicTime,
 }
 
 impl RequestTable {
     /// Passes all pending events to the balancer and returns the commands that follow, in order.
-    pub fn decide(&mut self, now: Nanos) -> Vec<Command> {
+    pub fn decide(&mut self, now: MonotonicTime) -> Vec<Command> {
         let mut commands = self.answer_quota_rejections(now);
         let mut actions = Vec::new();
         while !self.pending_events.is_empty() {
             for event in std::mem::take(&mut self.pending_events) {
                 self.balancer.handle(now, event, &mut actions);
-                for (id, refusal) in &self.balancer.refusals {
-                    log::trace(format_args!("trace given-up request={} reason={refusal}", id.0));
-                }
             }
             for action in actions.drain(..) {
                 commands.extend(self.apply(now, action));
@@ -34,7 +32,7 @@
         commands
     }
 
-    fn answer_quota_rejections(&mut self, now: Nanos) -> Vec<Command> {
+    fn answer_quota_rejections(&mut self, now: MonotonicTime) -> Vec<Command> {
         let mut commands = Vec::new();
         for rejection in std::mem::take(&mut self.quota_rejections) {
             let QuotaRejection { request_id, retry_after } = rejection;
@@ -48,7 +46,7 @@
         commands
     }
 
-    fn apply(&mut self, now: Nanos, action: Action) -> Option<Command> {
+    fn apply(&mut self, now: MonotonicTime, action: Action) -> Option<Command> {
         match action {
             Action::StartAttempt { id, server, timeout, send_by } => {
                 self.start_attempt(now, id, AttemptPlan { server, timeout, send_by })
@@ -76,7 +74,7 @@
         }
     }
 
-    fn start_attempt(&mut self, now: Nanos, id: RequestId, plan: AttemptPlan) -> Option<Command> {
+    fn start_attempt(&mut self, now: MonotonicTime, id: RequestId, plan: AttemptPlan) -> Option<Command> {
         let AttemptPlan { server, timeout, send_by } = plan;
         let waiting = self.open.get_mut(id).filter(|request| request.state == RequestState::NoAttempt);
         let Some(request) = waiting else {
@@ -96,11 +94,11 @@
         let attempt = Attempt { server, sent_at: now, number: request.attempts, send_by };
         request.state = RequestState::InFlight(attempt);
         self.counters.sent += 1;
-        let timeout = timeout.min(request.deadline.saturating_sub(now));
+        let timeout = timeout.min(request.deadline.saturating_duration_since(now));
         Some(Command::StartAttempt { frontend: request.frontend, request_id: id, server, timeout })
     }
 
-    fn reject(&mut self, now: Nanos, id: RequestId, retry_after: Nanos) -> Option<Command> {
+    fn reject(&mut self, now: MonotonicTime, id: RequestId, retry_after: Duration) -> Option<Command> {
         let is_unsent = self.open.get(id).is_some_and(|request| request.attempts == 0);
         let frontend = self.close_unanswered(now, id, FlowResult::Rejected)?;
         self.counters.rejected += 1;
@@ -109,7 +107,12 @@
     }
 
     /// Closes a request that has no attempt in flight and no answer yet.
-    fn close_unanswered(&mut self, now: Nanos, id: RequestId, result: FlowResult) -> Option<FrontendId> {
+    fn close_unanswered(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        result: FlowResult,
+    ) -> Option<FrontendId> {
         let request = self.open.get(id)?;
         if request.state != RequestState::NoAttempt {
             return None;
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,7 +1,8 @@
 //! The requests that may still be answered or ended, by their ids.
 
 use crate::frontend_id::FrontendId;
-use crate::model::{Arrival, Nanos, RequestId, ServerId};
+use crate::model::{Arrival, RequestId, ServerId};
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 
 /// An attempt that has no outcome yet.
@@ -10,11 +11,11 @@
     /// The server that it was sent to.
     pub server: ServerId,
     /// When it was sent.
-    pub sent_at: Nanos,
+    pub sent_at: MonotonicTime,
     /// Its number within the request, from one.
     pub number: u32,
     /// The request is not to be written to the server from this time on.
-    pub send_by: Nanos,
+    pub send_by: MonotonicTime,
 }
 
 /// The state of a request between its arrival and its end.
@@ -36,9 +37,9 @@
     /// Its class, an index into the settings' classes.
     pub class: usize,
     /// When it arrived.
-    pub started_at: Nanos,
+    pub started_at: MonotonicTime,
     /// When its client stops waiting.
-    pub deadline: Nanos,
+    pub deadline: MonotonicTime,
     /// The number of attempts so far.
     pub attempts: u32,
     /// Its state.
@@ -73,7 +74,7 @@
     /// Adds a request and assigns its id, which is also written into the arrival.
     pub fn insert(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         frontend: FrontendId,
         arrival: &mut Arrival,
         state: RequestState,
@@ -84,7 +85,7 @@
             frontend,
             class: arrival.class,
             started_at: now,
-            deadline: now.saturating_add(arrival.time_left),
+            deadline: now + arrival.time_left,
             attempts: 0,
             state,
             uses_quota: false,
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -1,7 +1,9 @@
 //! Records of ended flows and of attempts, gathered for an export or a trace.
 
 use crate::frontend_id::FrontendId;
-use crate::model::{Nanos, Outcome, RequestId, ServerId};
+use crate::model::{Outcome, RequestId, ServerId};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// Records gathered between two turns of the event loop; none while it is disabled.
 pub struct RecordBuffer<T> {
@@ -44,9 +46,9 @@
     /// The server of its last attempt, unless the request ended between two attempts.
     pub server: Option<ServerId>,
     /// When it arrived.
-    pub started_at: Nanos,
+    pub started_at: MonotonicTime,
     /// When it ended.
-    pub ended_at: Nanos,
+    pub ended_at: MonotonicTime,
     /// The number of attempts sent.
     pub attempts: u32,
     /// How it ended.
@@ -80,7 +82,7 @@
     /// What happened.
     pub step: AttemptStep,
     /// Since the attempt was sent; for the end of an established connection, since the request arrived.
-    pub elapsed: Nanos,
+    pub elapsed: Duration,
 }
 
 /// What happened to an attempt.
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -5,10 +5,12 @@
 use super::records::{AttemptRecord, AttemptStep, FlowRecord, FlowResult, RecordBuffer};
 use crate::counters::Counters;
 use crate::frontend_id::FrontendId;
-use crate::model::{Arrival, Event, Nanos, Outcome, RequestId, ServerId, Settings, SettingsError};
+use crate::model::{Arrival, Event, Outcome, RequestId, ServerId, Settings, SettingsError};
 use crate::policy::Balancer;
 use crate::quota::QuotaAdmission;
 use crate::rules::{self, SendInputs, SendRefusal, ViolationLog};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// An established connection that the process before this one handed over.
 #[derive(Clone, Debug, PartialEq)]
@@ -20,15 +22,15 @@
     /// Its server.
     pub server: ServerId,
     /// When its request arrived, on the node's clock.
-    pub started_at: Nanos,
+    pub started_at: MonotonicTime,
     /// Its last load report, in nanoseconds of work a second.
-    pub load: Option<Nanos>,
+    pub load: Option<Duration>,
 }
 
 /// A request that the quotas rejected on arrival.
 pub(super) struct QuotaRejection {
     pub(super) request_id: RequestId,
-    pub(super) retry_after: Nanos,
+    pub(super) retry_after: Duration,
 }
 
 /// The open requests, and the events about them that the balancer has not seen yet.
@@ -93,7 +95,12 @@
     // ---- Reports of the frontends -----------------------------------------------------------------
 
     /// A request arrived. Returns the id assigned to it.
-    pub fn on_request(&mut self, now: Nanos, frontend: FrontendId, mut arrival: Arrival) -> RequestId {
+    pub fn on_request(
+        &mut self,
+        now: MonotonicTime,
+        frontend: FrontendId,
+        mut arrival: Arrival,
+    ) -> RequestId {
         self.counters.requests += 1;
         let request_id = self.open.insert(now, frontend, &mut arrival, RequestState::NoAttempt);
         if let Some(quotas) = &mut self.quotas {
@@ -110,7 +117,7 @@
     /// A connection from before this node's start is established again, without a selection of its server.
     pub fn restore_established(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         frontend: FrontendId,
         arrival: Arrival,
         server: ServerId,
@@ -120,7 +127,7 @@
     }
 
     /// Continues an established connection of the process before this one.
-    pub fn receive_handed_over(&mut self, now: Nanos, connection: HandedOverConnection) -> RequestId {
+    pub fn receive_handed_over(&mut self, now: MonotonicTime, connection: HandedOverConnection) -> RequestId {
         let HandedOverConnection { frontend, arrival, server, started_at, load } = connection;
         self.counters.inherited += 1;
         let id = self.insert_established(now, frontend, arrival, server);
@@ -135,7 +142,7 @@
 
     fn insert_established(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         frontend: FrontendId,
         mut arrival: Arrival,
         server: ServerId,
@@ -151,7 +158,7 @@
 
     /// Hands an established connection over to the process that replaces this one, without a flow record: that
     /// process records the whole flow. Returns when the request arrived; `None` if it is not established.
-    pub fn hand_over(&mut self, id: RequestId) -> Option<Nanos> {
+    pub fn hand_over(&mut self, id: RequestId) -> Option<MonotonicTime> {
         let RequestState::Established(server) = self.open.get(id)?.state else { return None };
         let request = self.open.remove(id)?;
         self.release_quota(&request);
@@ -167,32 +174,32 @@
     /// Why not; the frontend then reports the attempt as [`Outcome::NotSent`].
     pub fn may_send(
         &self,
-        now: Nanos,
+        now: MonotonicTime,
         id: RequestId,
         client_gone: bool,
         server_ready: bool,
     ) -> Result<(), SendRefusal> {
         let attempt = self.open.get(id).and_then(Request::attempt_in_flight);
-        let send_by = attempt.map_or(0, |attempt| attempt.send_by);
+        let send_by = attempt.map_or(MonotonicTime::ZERO, |attempt| attempt.send_by);
         let is_current_attempt = attempt.is_some();
         rules::may_send(&SendInputs { now, client_gone, server_ready, is_current_attempt, send_by })
     }
 
     /// The attempt in flight was accepted: its connection is established and the client has its answer.
-    pub fn on_established(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_established(&mut self, now: MonotonicTime, id: RequestId) {
         let Some(request) = self.open.get_mut(id) else { return };
         let RequestState::InFlight(attempt) = request.state else { return };
         request.state = RequestState::Established(attempt.server);
         self.counters.established += 1;
         self.counters.served += 1;
-        let waited = now.saturating_sub(attempt.sent_at);
+        let waited = now.saturating_duration_since(attempt.sent_at);
         self.trace_attempt(id, attempt.server, AttemptStep::Established, waited);
         self.pending_events.push(Event::Established { id, server: attempt.server, setup_time: waited });
     }
 
     /// The attempt in flight, or the connection that it established, has ended. Returns whether that was the
     /// final answer.
-    pub fn on_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_attempt_ended(&mut self, now: MonotonicTime, id: RequestId, outcome: Outcome) -> bool {
         let Some(request) = self.open.get_mut(id) else { return false };
         let started_at = request.started_at;
         match request.state {
@@ -202,7 +209,7 @@
                 self.on_in_flight_ended(now, id, attempt, outcome)
             }
             RequestState::Established(server) => {
-                let elapsed = now.saturating_sub(started_at);
+                let elapsed = now.saturating_duration_since(started_at);
                 self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
                 self.close_served(now, id, server, outcome);
                 self.push_last_attempt_ended(id, server, outcome);
@@ -211,11 +218,17 @@
         }
     }
 
-    fn on_in_flight_ended(&mut self, now: Nanos, id: RequestId, attempt: Attempt, outcome: Outcome) -> bool {
+    fn on_in_flight_ended(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        attempt: Attempt,
+        outcome: Outcome,
+    ) -> bool {
         let server = attempt.server;
         let done = outcome == Outcome::Ok;
         self.counters.count_attempt(outcome);
-        let elapsed = now.saturating_sub(attempt.sent_at);
+        let elapsed = now.saturating_duration_since(attempt.sent_at);
         self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
         if done {
             // Served to its end in one step: it was never reported as established.
@@ -229,7 +242,12 @@
 
     /// The attempt in flight has ended and cannot be repeated, since its frontend no longer has the bytes to send.
     /// Returns whether a final answer, failed, is still due to the client.
-    pub fn on_unrepeatable_attempt_ended(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> bool {
+    pub fn on_unrepeatable_attempt_ended(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        outcome: Outcome,
+    ) -> bool {
         let Some(request) = self.open.get(id) else { return false };
         let RequestState::InFlight(attempt) = request.state else { return false };
         self.counters.count_attempt(outcome);
@@ -241,7 +259,7 @@
     }
 
     /// The client disconnected. The frontend has already cancelled the attempt, if one was in flight.
-    pub fn on_client_disconnected(&mut self, now: Nanos, id: RequestId) {
+    pub fn on_client_disconnected(&mut self, now: MonotonicTime, id: RequestId) {
         let Some(request) = self.open.get(id) else { return };
         match request.state {
             RequestState::NoAttempt => {
@@ -272,11 +290,16 @@
 
     /// Closes an established connection that the node migrates, during a drain or because its server is silent.
     /// Returns the frontend that has to notify the client; `None` if it is not established.
-    pub fn close_for_migration(&mut self, now: Nanos, id: RequestId, outcome: Outcome) -> Option<FrontendId> {
+    pub fn close_for_migration(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        outcome: Outcome,
+    ) -> Option<FrontendId> {
         let request = self.open.get(id)?;
         let RequestState::Established(server) = request.state else { return None };
         let frontend = request.frontend;
-        let elapsed = now.saturating_sub(request.started_at);
+        let elapsed = now.saturating_duration_since(request.started_at);
         self.counters.migrated += 1;
         self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
         self.close(now, id, Some(server), FlowResult::Migrated);
@@ -285,7 +308,7 @@
     }
 
     /// Closes the established connections that exceed the quotas, the newest first.
-    pub fn migrate_over_quota(&mut self, now: Nanos) -> Vec<Command> {
+    pub fn migrate_over_quota(&mut self, now: MonotonicTime) -> Vec<Command> {
         let Some(quotas) = &mut self.quotas else { return Vec::new() };
         if !quotas.has_excess(now) {
             return Vec::new();
@@ -308,7 +331,7 @@
     }
 
     /// The node drains or shuts down: requests that arrived before `before` and have no answer yet fail.
-    pub fn fail_unanswered(&mut self, now: Nanos, before: Nanos) -> Vec<Command> {
+    pub fn fail_unanswered(&mut self, now: MonotonicTime, before: MonotonicTime) -> Vec<Command> {
         let is_due = |request: &Request| !request.is_established() && request.started_at < before;
         let mut commands = Vec::new();
         for request_id in self.open.ids_oldest_first(is_due) {
@@ -362,7 +385,7 @@
     // ---- The end of a request --------------------------------------------------------------------------
 
     /// Closes a request that was served, after its connection ended with this outcome.
-    fn close_served(&mut self, now: Nanos, id: RequestId, server: ServerId, outcome: Outcome) {
+    fn close_served(&mut self, now: MonotonicTime, id: RequestId, server: ServerId, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Cancelled => FlowResult::Served,
             _ => FlowResult::Broken,
@@ -371,7 +394,13 @@
         self.close(now, id, Some(server), result);
     }
 
-    pub(super) fn close(&mut self, now: Nanos, id: RequestId, server: Option<ServerId>, result: FlowResult) {
+    pub(super) fn close(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        server: Option<ServerId>,
+        result: FlowResult,
+    ) {
         let Some(request) = self.open.remove(id) else { return };
         self.release_quota(&request);
         self.ended_flows.push(FlowRecord {
@@ -391,7 +420,13 @@
         self.pending_events.push(Event::AttemptEnded { id, server, outcome, done: true });
     }
 
-    fn trace_attempt(&mut self, request_id: RequestId, server: ServerId, step: AttemptStep, elapsed: Nanos) {
+    fn trace_attempt(
+        &mut self,
+        request_id: RequestId,
+        server: ServerId,
+        step: AttemptStep,
+        elapsed: Duration,
+    ) {
         self.attempt_trace.push(AttemptRecord { request_id, server, step, elapsed });
     }
 
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -2,12 +2,16 @@
 
 use super::*;
 use crate::model::{
-    Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
-    RequestId, ServerId, Settings, Status,
+    Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Outcome, RequestClass, RequestId,
+    ServerId, Settings, Status,
 };
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const MILLISECOND: Nanos = 1_000_000;
-const SECOND: Nanos = 1_000 * MILLISECOND;
+const MILLISECOND: Duration = Duration::from_millis(1);
+const SECOND: Duration = Duration::from_secs(1);
+/// When the requests of most tests arrive.
+const START: MonotonicTime = MonotonicTime::from_nanos(1_000_000_000);
 const FRONTEND: FrontendId = FrontendId { index: 0, name: "text" };
 const SERVER: ServerId = ServerId(0);
 
@@ -17,7 +21,7 @@
         hard_limit: 2 * SECOND,
         effect: Effect::ReadLike,
         dedup_scope: DedupScope::All,
-        dedup_window: 0,
+        dedup_window: Duration::ZERO,
         priority_weight: 1.0,
         message_latency_objective: None,
     };
@@ -44,7 +48,7 @@
         zone: 0,
         cell: 0,
         nominal: 1.0,
-        started_at: 0,
+        started_at: MonotonicTime::ZERO,
         status: Status::Serving,
     }
 }
@@ -69,12 +73,12 @@
     requests.ended_flows.enable();
     requests.attempt_trace.enable();
     requests.push_event(Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]));
-    requests.decide(0);
+    requests.decide(MonotonicTime::ZERO);
     requests
 }
 
 /// The server of the attempt that a new request's first decision starts.
-fn start_request(requests: &mut RequestTable, now: Nanos) -> (RequestId, ServerId) {
+fn start_request(requests: &mut RequestTable, now: MonotonicTime) -> (RequestId, ServerId) {
     let id = requests.on_request(now, FRONTEND, arrival());
     match requests.decide(now)[..] {
         [Command::StartAttempt { request_id, server, frontend: FRONTEND, .. }] if request_id == id => {
@@ -91,15 +95,15 @@
 #[test]
 fn established_request_is_served_to_its_end() {
     let mut requests = two_server_requests();
-    let (id, server) = start_request(&mut requests, SECOND);
-    requests.on_established(SECOND + MILLISECOND, id);
+    let (id, server) = start_request(&mut requests, START);
+    requests.on_established(START + MILLISECOND, id);
     assert_eq!(requests.established(), [id]);
-    assert!(requests.on_attempt_ended(3 * SECOND, id, Outcome::Ok));
+    assert!(requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Ok));
     assert!(requests.is_idle());
     let flows = requests.ended_flows.take();
     let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
     assert_eq!((flow.server, flow.result, flow.attempts), (Some(server), FlowResult::Served, 1));
-    assert_eq!((flow.started_at, flow.ended_at), (SECOND, 3 * SECOND));
+    assert_eq!((flow.started_at, flow.ended_at), (START, START + 2 * SECOND));
     let counters = &requests.counters;
     assert_eq!([counters.requests, counters.sent, counters.established], [1, 1, 1]);
     assert_eq!([counters.served, counters.ended], [1, 1]);
@@ -108,9 +112,9 @@
 #[test]
 fn attempt_trace_has_each_step_with_its_time() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    requests.on_established(SECOND + MILLISECOND, id);
-    requests.on_attempt_ended(3 * SECOND, id, Outcome::Reset);
+    let (id, _) = start_request(&mut requests, START);
+    requests.on_established(START + MILLISECOND, id);
+    requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Reset);
     let steps: Vec<_> = requests.attempt_trace.take().iter().map(|r| (r.step, r.elapsed)).collect();
     let expected =
         [(AttemptStep::Established, MILLISECOND), (AttemptStep::Ended(Outcome::Reset), 2 * SECOND)];
@@ -121,8 +125,8 @@
 #[test]
 fn request_answered_in_one_step_is_served() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    assert!(requests.on_attempt_ended(2 * SECOND, id, Outcome::Ok));
+    let (id, _) = start_request(&mut requests, START);
+    assert!(requests.on_attempt_ended(START + SECOND, id, Outcome::Ok));
     assert_eq!([requests.counters.established, requests.counters.served, requests.counters.ended], [1, 1, 1]);
     assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
@@ -130,11 +134,11 @@
 #[test]
 fn failed_attempt_is_no_final_answer() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    assert!(!requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed));
+    let (id, _) = start_request(&mut requests, START);
+    assert!(!requests.on_attempt_ended(START, id, Outcome::ConnectFailed));
     assert!(!requests.is_idle());
     assert!(
-        !requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed),
+        !requests.on_attempt_ended(START, id, Outcome::ConnectFailed),
         "no attempt is in flight any more"
     );
     assert_eq!(requests.counters.attempt_connect_failed, 1);
@@ -143,10 +147,10 @@
 #[test]
 fn second_final_answer_finds_no_request() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    requests.on_client_disconnected(SECOND, id);
-    requests.on_client_disconnected(SECOND, id);
-    assert!(!requests.on_attempt_ended(SECOND, id, Outcome::Ok));
+    let (id, _) = start_request(&mut requests, START);
+    requests.on_client_disconnected(START, id);
+    requests.on_client_disconnected(START, id);
+    assert!(!requests.on_attempt_ended(START, id, Outcome::Ok));
     assert_eq!((requests.counters.client_disconnected, requests.counters.served), (1, 0));
     assert_eq!(results(&mut requests), [FlowResult::ClientDisconnected]);
 }
@@ -154,9 +158,9 @@
 #[test]
 fn client_that_disconnects_once_established_was_served() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    requests.on_established(SECOND, id);
-    requests.on_client_disconnected(2 * SECOND, id);
+    let (id, _) = start_request(&mut requests, START);
+    requests.on_established(START, id);
+    requests.on_client_disconnected(START + SECOND, id);
     assert_eq!((requests.counters.client_disconnected, requests.counters.ended), (0, 1));
     assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
@@ -164,21 +168,21 @@
 #[test]
 fn time_out_of_an_earlier_attempt_finds_no_frontend() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
+    let (id, _) = start_request(&mut requests, START);
     let first = requests.attempt_number(id);
     assert_eq!((first, requests.frontend_of_attempt(id, first)), (1, Some(FRONTEND)));
     assert_eq!(requests.frontend_of_attempt(id, first + 1), None);
-    requests.on_attempt_ended(SECOND, id, Outcome::ConnectFailed);
+    requests.on_attempt_ended(START, id, Outcome::ConnectFailed);
     assert_eq!(requests.frontend_of_attempt(id, first), None);
 }
 
 #[test]
 fn unrepeatable_attempt_fails_its_request_once() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    assert!(requests.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
-    assert!(!requests.on_unrepeatable_attempt_ended(SECOND, id, Outcome::Reset));
-    let commands = requests.decide(SECOND);
+    let (id, _) = start_request(&mut requests, START);
+    assert!(requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
+    assert!(!requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
+    let commands = requests.decide(START);
     assert!(!commands.iter().any(|command| matches!(command, Command::StartAttempt { .. })), "{commands:?}");
     assert_eq!((requests.counters.failed, requests.counters.attempt_reset), (1, 1));
     assert_eq!(results(&mut requests), [FlowResult::Failed]);
@@ -187,12 +191,12 @@
 #[test]
 fn unanswered_requests_fail_and_established_ones_stay() {
     let mut requests = two_server_requests();
-    let (established, _) = start_request(&mut requests, SECOND);
-    requests.on_established(SECOND, established);
-    let (in_flight, _) = start_request(&mut requests, SECOND);
-    let waiting = requests.on_request(SECOND, FRONTEND, arrival());
-    let late = requests.on_request(2 * SECOND, FRONTEND, arrival());
-    let commands = requests.fail_unanswered(3 * SECOND, 2 * SECOND);
+    let (established, _) = start_request(&mut requests, START);
+    requests.on_established(START, established);
+    let (in_flight, _) = start_request(&mut requests, START);
+    let waiting = requests.on_request(START, FRONTEND, arrival());
+    let late = requests.on_request(START + SECOND, FRONTEND, arrival());
+    let commands = requests.fail_unanswered(START + 2 * SECOND, START + SECOND);
     let expected = [
         Command::CancelAttempt { frontend: FRONTEND, request_id: in_flight },
         Command::Fail { frontend: FRONTEND, request_id: in_flight },
@@ -208,10 +212,10 @@
 #[test]
 fn only_an_established_connection_is_migrated() {
     let mut requests = two_server_requests();
-    let (id, _) = start_request(&mut requests, SECOND);
-    assert_eq!(requests.close_for_migration(SECOND, id, Outcome::Cancelled), None);
-    requests.on_established(SECOND, id);
-    assert_eq!(requests.close_for_migration(2 * SECOND, id, Outcome::Cancelled), Some(FRONTEND));
+    let (id, _) = start_request(&mut requests, START);
+    assert_eq!(requests.close_for_migration(START, id, Outcome::Cancelled), None);
+    requests.on_established(START, id);
+    assert_eq!(requests.close_for_migration(START + SECOND, id, Outcome::Cancelled), Some(FRONTEND));
     assert!(requests.is_idle());
     assert_eq!(requests.counters.migrated, 1);
     assert_eq!(results(&mut requests), [FlowResult::Migrated]);
@@ -220,9 +224,9 @@
 #[test]
 fn handed_over_connection_is_recorded_by_the_process_that_receives_it() {
     let mut predecessor = two_server_requests();
-    let (id, _) = start_request(&mut predecessor, SECOND);
+    let (id, _) = start_request(&mut predecessor, START);
     assert_eq!(predecessor.hand_over(id), None, "it is not established yet");
-    predecessor.on_established(SECOND, id);
+    predecessor.on_established(START, id);
     let started_at = predecessor.hand_over(id).expect("it is established");
     assert!(predecessor.is_idle());
     assert_eq!(results(&mut predecessor), []);
@@ -233,21 +237,21 @@
         arrival: arrival(),
         server: SERVER,
         started_at,
-        load: Some(7),
+        load: Some(Duration::from_nanos(7)),
     };
-    let id = successor.receive_handed_over(5 * SECOND, connection);
-    successor.on_attempt_ended(6 * SECOND, id, Outcome::Ok);
+    let id = successor.receive_handed_over(START + 4 * SECOND, connection);
+    successor.on_attempt_ended(START + 5 * SECOND, id, Outcome::Ok);
     let flows = successor.ended_flows.take();
     let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
-    assert_eq!((flow.started_at, flow.server), (SECOND, Some(SERVER)));
+    assert_eq!((flow.started_at, flow.server), (START, Some(SERVER)));
     assert_eq!((predecessor.counters.handed_over, successor.counters.inherited), (1, 1));
 }
 
 #[test]
 fn disabled_record_buffer_gathers_nothing() {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
-    let id = requests.restore_established(SECOND, FRONTEND, arrival(), SERVER);
-    requests.on_attempt_ended(2 * SECOND, id, Outcome::Ok);
+    let id = requests.restore_established(START, FRONTEND, arrival(), SERVER);
+    requests.on_attempt_ended(START + SECOND, id, Outcome::Ok);
     assert_eq!(requests.ended_flows.take(), []);
     assert_eq!(requests.attempt_trace.take(), []);
 }
--- a/src/resilience/backoff/tests.rs
+++ b/src/resilience/backoff/tests.rs
@@ -1,16 +1,20 @@
 use super::{full_jitter_limit, request_backoff_limit};
 use crate::model::{DedupScope, Effect, RequestClass};
+use std::time::Duration;
+
+const MAX: Duration = Duration::from_nanos(u64::MAX);
 
 #[test]
 fn the_limit_doubles_up_to_the_cap() {
-    let limits: Vec<u64> = (0..5).map(|attempt| full_jitter_limit(10, 100, attempt)).collect();
-    assert_eq!(limits, [10, 20, 40, 80, 100]);
+    let (base, cap) = (Duration::from_nanos(10), Duration::from_nanos(100));
+    let limits: Vec<Duration> = (0..5).map(|attempt| full_jitter_limit(base, cap, attempt)).collect();
+    assert_eq!(limits, [10, 20, 40, 80, 100].map(Duration::from_nanos));
 }
 
 #[test]
 fn large_exponents_and_bases_saturate() {
-    assert_eq!(full_jitter_limit(u64::MAX, u64::MAX, u32::MAX), u64::MAX);
-    assert_eq!(full_jitter_limit(1, u64::MAX, u32::MAX), 1 << 32);
+    assert_eq!(full_jitter_limit(MAX, MAX, u32::MAX), MAX);
+    assert_eq!(full_jitter_limit(Duration::from_nanos(1), MAX, u32::MAX), Duration::from_nanos(1 << 32));
 }
 
 #[rstest::rstest]
@@ -25,13 +29,14 @@
     #[case] limit: u64,
 ) {
     let class = RequestClass {
-        objective: 400,
-        hard_limit: 4_000,
+        objective: Duration::from_nanos(400),
+        hard_limit: Duration::from_nanos(4_000),
         effect: Effect::ReadLike,
         dedup_scope: DedupScope::All,
-        dedup_window: 0,
+        dedup_window: Duration::ZERO,
         priority_weight: 1.0,
         message_latency_objective: None,
     };
-    assert_eq!(request_backoff_limit(&class, setup_interval, backoffs), limit);
+    let setup_interval = Duration::from_nanos(setup_interval);
+    assert_eq!(request_backoff_limit(&class, setup_interval, backoffs), Duration::from_nanos(limit));
 }
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -1,7 +1,12 @@
 //! Which connections to migrate from a server: those of the least value for their load.
 
-use crate::model::{Nanos, RequestId};
+use crate::model::RequestId;
 use crate::random::unit_interval;
+use sparbank_time::DurationExt;
+use std::time::Duration;
+
+/// An unknown load counts as this one, the smallest that is not zero.
+const MIN_COST: Duration = Duration::from_nanos(1);
 
 /// A connection that may be migrated.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -16,11 +21,11 @@
 
 /// The value of a connection for its load of `cost` nanoseconds of work per second, zero if unknown. Where the weight
 /// counts per unit of work anyway, it is the value.
-pub fn connection_value(priority_weight: f64, cost: Nanos, weight_by_work: bool) -> f64 {
+pub fn connection_value(priority_weight: f64, cost: Duration, weight_by_work: bool) -> f64 {
     if weight_by_work {
         priority_weight
     } else {
-        priority_weight / cost.max(1) as f64
+        priority_weight / cost.max(MIN_COST).as_nanos_f64()
     }
 }
 
--- a/src/resilience/connection_value/tests.rs
+++ b/src/resilience/connection_value/tests.rs
@@ -1,5 +1,6 @@
 use super::{connection_value, least_valuable, Connection};
 use crate::model::RequestId;
+use std::time::Duration;
 
 fn connection(id: u64, value: f64, rank: u64) -> Connection {
     Connection { id: RequestId(id), value, rank }
@@ -22,8 +23,13 @@
 
 #[test]
 fn the_value_is_the_weight_for_the_load() {
+    const COST: Duration = Duration::from_nanos(3);
     assert_eq!(
-        (connection_value(6.0, 3, false), connection_value(6.0, 0, false), connection_value(6.0, 3, true)),
+        (
+            connection_value(6.0, COST, false),
+            connection_value(6.0, Duration::ZERO, false),
+            connection_value(6.0, COST, true)
+        ),
         (2.0, 6.0, 6.0)
     );
 }
--- a/src/resilience/endpoint_subscription.rs
+++ b/src/resilience/endpoint_subscription.rs
@@ -1,7 +1,8 @@
 //! The subscription to the endpoint list: whether it is established, and when discovery is polled again.
 
 use super::poll_backoff::max_poll_delay;
-use crate::model::{ListKind, Nanos, Settings};
+use crate::model::{ListKind, Settings};
+use std::time::Duration;
 
 /// Poll timers have tokens above all request ids.
 const FIRST_POLL_TOKEN: u64 = 1 << 62;
@@ -22,7 +23,7 @@
     /// The token of its timer.
     pub token: u64,
     /// The limit of its Full Jitter delay.
-    pub max_delay: Nanos,
+    pub max_delay: Duration,
 }
 
 impl Default for EndpointSubscription {
--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -3,7 +3,9 @@
 //! What is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a share of
 //! the fleet's limits that it derives from the settings.
 
-use crate::model::{Nanos, Settings};
+use crate::model::Settings;
+use sparbank_time::DurationExt;
+use std::time::Duration;
 
 const NANOS_PER_SECOND: f64 = 1e9;
 /// The fleet may make this multiple of the connection set-ups that the tenants' quotas allow: what all nodes share,
@@ -14,7 +16,7 @@
 /// The connections that fill all servers, as a multiple of the quotas: quotas grant less than the servers can take.
 const FULL_FLEET_MULTIPLE: f64 = 2.0;
 /// The longest interval between set-ups, an hour: settings come from outside, and callers double the interval.
-const MAX_SETUP_INTERVAL: Nanos = 3_600_000_000_000;
+const MAX_SETUP_INTERVAL: Duration = Duration::from_secs(3_600);
 /// A node's connections at one server where the settings do not tell.
 const DEFAULT_CONNECTIONS_PER_SERVER: f64 = 20.0;
 /// Clients wait at least this long, in seconds, in the estimate of the set-ups that idle nodes make at once.
@@ -34,13 +36,18 @@
     /// Derives the limits from the settings. Figures that cannot be right count as unknown.
     pub fn new(settings: &Settings) -> FleetLimits {
         let known = |x: f64| if x.is_finite() && x > 0.0 { x } else { 0.0 };
-        let longest_wait = settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or(0);
+        let longest_wait =
+            settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or(Duration::ZERO);
         let nodes = f64::from(settings.instances.max(1));
         let quota_rate = known(settings.quota_setups_per_second);
         FleetLimits {
             nodes,
             quota_connections: known(settings.quota_connections),
-            setups_per_second: fleet_setup_rate(nodes, quota_rate, longest_wait as f64 / NANOS_PER_SECOND),
+            setups_per_second: fleet_setup_rate(
+                nodes,
+                quota_rate,
+                longest_wait.as_nanos_f64() / NANOS_PER_SECOND,
+            ),
         }
     }
 
@@ -56,12 +63,12 @@
     /// The interval between this node's connection set-ups at which all nodes together keep to the fleet's rate, if
     /// this node uses `rate_fraction` of its share. Zero, which is no limit, if the rate is unknown or
     /// `rate_fraction` is `None`.
-    pub fn setup_interval(&self, requests: usize, rate_fraction: Option<f64>) -> Nanos {
+    pub fn setup_interval(&self, requests: usize, rate_fraction: Option<f64>) -> Duration {
         let rate = self.setups_per_second * self.load_share(requests) * rate_fraction.unwrap_or(0.0);
         if rate > 0.0 {
-            ((NANOS_PER_SECOND / rate) as Nanos).min(MAX_SETUP_INTERVAL)
+            Duration::from_nanos((NANOS_PER_SECOND / rate) as u64).min(MAX_SETUP_INTERVAL)
         } else {
-            0
+            Duration::ZERO
         }
     }
 
--- a/src/resilience/fleet_limits/tests.rs
+++ b/src/resilience/fleet_limits/tests.rs
@@ -1,22 +1,23 @@
-use super::{fleet_setup_rate, FleetLimits, Nanos, DEFAULT_CONNECTIONS_PER_SERVER, MAX_SETUP_INTERVAL};
+use super::{fleet_setup_rate, FleetLimits, DEFAULT_CONNECTIONS_PER_SERVER, MAX_SETUP_INTERVAL};
+use std::time::Duration;
 
 const LARGE: FleetLimits = FleetLimits { nodes: 100.0, quota_connections: 500.0, setups_per_second: 40.0 };
 const SMALL: FleetLimits = FleetLimits { nodes: 3.0, quota_connections: 620.0, setups_per_second: 125.0 };
 const UNKNOWN: FleetLimits = FleetLimits { nodes: 100.0, quota_connections: 0.0, setups_per_second: 0.0 };
 
 #[rstest::rstest]
-#[case(LARGE, 2, 0.01, 2_500_000_000)]
+#[case(LARGE, 2, 0.01, Duration::from_millis(2_500))]
 // Where most nodes are gone, one has their load.
-#[case(LARGE, 25, 0.05, 500_000_000)]
-#[case(LARGE, 9_999, 1.0, 25_000_000)]
-#[case(SMALL, 100, 1.0 / 3.0, 24_000_000)]
-#[case(UNKNOWN, 50, 0.01, 0)]
+#[case(LARGE, 25, 0.05, Duration::from_millis(500))]
+#[case(LARGE, 9_999, 1.0, Duration::from_millis(25))]
+#[case(SMALL, 100, 1.0 / 3.0, Duration::from_millis(24))]
+#[case(UNKNOWN, 50, 0.01, Duration::ZERO)]
 #[case(FleetLimits { setups_per_second: 1e-30, ..LARGE }, 2, 0.01, MAX_SETUP_INTERVAL)]
 fn the_load_share_is_even_or_what_this_node_has(
     #[case] limits: FleetLimits,
     #[case] requests: usize,
     #[case] share: f64,
-    #[case] interval: Nanos,
+    #[case] interval: Duration,
 ) {
     assert_eq!((limits.load_share(requests), limits.setup_interval(requests, Some(1.0))), (share, interval));
 }
--- a/src/resilience/latency_overload.rs
+++ b/src/resilience/latency_overload.rs
@@ -4,13 +4,14 @@
 //! and is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
 //! is to be migrated.
 
-use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
 /// A report is valid this long unless another comes: they come once per [`REPORT_INTERVAL`].
-const REPORT_VALIDITY: Nanos = 2_500_000_000;
+const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
 /// How far apart latency reports of one server are.
-const REPORT_INTERVAL: Nanos = 1_000_000_000;
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// A server is overloaded above this fraction of the objective. Servers report from a third of the strictest
 /// objective on, and once more below it when the overload is over.
 const OVERLOAD_FRACTION: f64 = 0.33;
@@ -20,18 +21,18 @@
 /// The largest fraction that is migrated for the growth of the latency.
 const MAX_GROWTH_MIGRATION: f64 = 0.3;
 /// A latency that is lower by more than one in this many is falling.
-const FALLING_DIVISOR: Nanos = 16;
+const FALLING_DIVISOR: u32 = 16;
 
 /// The latency state of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct LatencyOverload {
     /// The latency last reported.
-    #[serde(rename = "delay")]
-    latency: Nanos,
+    #[serde(rename = "delay", with = "sparbank_time::serde_nanos")]
+    latency: Duration,
     #[serde(rename = "busy_until")]
-    overloaded_until: Nanos,
+    overloaded_until: MonotonicTime,
     #[serde(rename = "paced_until")]
-    recovering_until: Nanos,
+    recovering_until: MonotonicTime,
 }
 
 /// A request to migrate connections away from a server.
@@ -45,28 +46,28 @@
 
 impl LatencyOverload {
     /// Whether nothing new should be sent there now.
-    pub fn is_overloaded(&self, now: Nanos) -> bool {
+    pub fn is_overloaded(&self, now: MonotonicTime) -> bool {
         self.overloaded_until > now
     }
 
     /// Until then the server is filled slowly.
-    pub fn recovering_until(&self) -> Nanos {
+    pub fn recovering_until(&self) -> MonotonicTime {
         self.recovering_until
     }
 
     /// Records a report. Gives what to migrate if the latency is above the objective and not falling.
     pub fn on_report(
         &mut self,
-        now: Nanos,
-        latency: Nanos,
-        objective: Nanos,
-        recovery_time: Nanos,
+        now: MonotonicTime,
+        latency: Duration,
+        objective: Duration,
+        recovery_time: Duration,
     ) -> Option<MigrationDemand> {
-        let previous = if self.is_overloaded(now) { self.latency } else { 0 };
+        let previous = if self.is_overloaded(now) { self.latency } else { Duration::ZERO };
         self.latency = latency;
-        if latency as f64 > objective as f64 * OVERLOAD_FRACTION {
-            self.overloaded_until = now.saturating_add(REPORT_VALIDITY);
-            self.recovering_until = now.saturating_add(recovery_time);
+        if latency.as_nanos_f64() > objective.as_nanos_f64() * OVERLOAD_FRACTION {
+            self.overloaded_until = now + REPORT_VALIDITY;
+            self.recovering_until = now + recovery_time;
         } else {
             self.overloaded_until = now;
         }
@@ -74,7 +75,7 @@
         if latency <= objective || is_falling {
             return None;
         }
-        let growth = latency.saturating_sub(previous) as f64 / REPORT_INTERVAL as f64;
+        let growth = latency.saturating_sub(previous).as_nanos_f64() / REPORT_INTERVAL.as_nanos_f64();
         let fraction = growth.min(MAX_GROWTH_MIGRATION) + BACKLOG_MIGRATION;
         Some(MigrationDemand { fraction, is_confirmed: previous > objective })
     }
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -7,21 +7,22 @@
 //! `EJECTION_CAP` it costs two attempts, and more only where all eligible servers have an attempt in flight.
 
 use super::backoff::full_jitter_limit;
-use crate::model::Nanos;
-use crate::random::uniform_up_to;
+use crate::random::uniform_duration_up_to;
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// The limit of an ejection starts here and doubles: about the time of one failure that is noticed.
-const EJECTION_BASE: Nanos = 1_000_000_000;
+const EJECTION_BASE: Duration = Duration::from_secs(1);
 /// A confirmed endpoint is ejected no longer than this, so that a server that recovered unseen is tried again.
-pub const EJECTION_CAP: Nanos = 30_000_000_000;
+pub const EJECTION_CAP: Duration = Duration::from_secs(30);
 
 /// The outlier state of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OutlierState {
     /// Consecutive failures.
     failures: u32,
-    ejected_until: Nanos,
+    ejected_until: MonotonicTime,
     /// Only a cached list contains it. Not handed over: the next process receives a newer list.
     #[serde(skip)]
     unconfirmed: bool,
@@ -46,7 +47,7 @@
     }
 
     /// Whether attempts may not be sent to it now.
-    pub fn is_ejected(&self, now: Nanos) -> bool {
+    pub fn is_ejected(&self, now: MonotonicTime) -> bool {
         self.ejected_until > now
     }
 
@@ -67,18 +68,18 @@
 
     /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error,
     /// which confirms the endpoint.
-    pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
+    pub fn on_failure(&mut self, now: MonotonicTime, roll: u64, answered: bool) {
         self.failures += 1;
         self.unconfirmed &= !answered;
         let ejection = match (self.unconfirmed, self.failures) {
-            (true, 1) => uniform_up_to(roll, EJECTION_CAP),
-            (true, _) => EJECTION_CAP + uniform_up_to(roll, EJECTION_CAP),
+            (true, 1) => uniform_duration_up_to(roll, EJECTION_CAP),
+            (true, _) => EJECTION_CAP + uniform_duration_up_to(roll, EJECTION_CAP),
             (false, failures) => {
                 let limit = full_jitter_limit(EJECTION_BASE, EJECTION_CAP, failures);
-                uniform_up_to(roll, limit)
+                uniform_duration_up_to(roll, limit)
             }
         };
-        self.ejected_until = self.ejected_until.max(now.saturating_add(ejection));
+        self.ejected_until = self.ejected_until.max(now + ejection);
     }
 }
 
--- a/src/resilience/outlier/tests.rs
+++ b/src/resilience/outlier/tests.rs
@@ -1,4 +1,6 @@
-use super::{uniform_up_to, OutlierState, EJECTION_BASE, EJECTION_CAP};
+use super::{uniform_duration_up_to, OutlierState, EJECTION_BASE, EJECTION_CAP};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 const ROLLS: [u64; 3] = [0, u64::MAX / 2, u64::MAX];
 
@@ -8,12 +10,15 @@
         let mut outlier = OutlierState::default();
         outlier.on_listed(true);
         assert!(outlier.admits_another(0) && !outlier.admits_another(1), "one at a time");
-        let sent_at = 7;
+        let sent_at = MonotonicTime::from_nanos(7);
         outlier.on_failure(sent_at, first, false);
-        let retried_at = sent_at + uniform_up_to(first, EJECTION_CAP);
+        let retried_at = sent_at + uniform_duration_up_to(first, EJECTION_CAP);
         assert!(!outlier.is_ejected(retried_at));
         outlier.on_failure(retried_at, second, false);
-        assert!(outlier.is_ejected(sent_at + EJECTION_CAP - 1), "no third within {first} {second}");
+        assert!(
+            outlier.is_ejected(sent_at + EJECTION_CAP - Duration::from_nanos(1)),
+            "no third within {first} {second}"
+        );
         outlier.confirm();
         assert!(!outlier.is_ejected(sent_at) && outlier.admits_another(9), "a newer list contains it");
     }
@@ -23,20 +28,23 @@
 fn an_endpoint_that_answers_is_confirmed() {
     let mut outlier = OutlierState::default();
     outlier.on_listed(true);
-    outlier.on_failure(0, u64::MAX, true);
-    assert!(!outlier.is_unconfirmed() && !outlier.is_ejected(2 * EJECTION_BASE));
+    outlier.on_failure(MonotonicTime::ZERO, u64::MAX, true);
+    assert!(!outlier.is_unconfirmed() && !outlier.is_ejected(MonotonicTime::ZERO + 2 * EJECTION_BASE));
     outlier.on_listed(true);
     outlier.on_success();
-    assert!(!outlier.is_ejected(0) && outlier.admits_another(5), "it succeeded: more than one at a time");
+    assert!(
+        !outlier.is_ejected(MonotonicTime::ZERO) && outlier.admits_another(5),
+        "it succeeded: more than one at a time"
+    );
 }
 
 #[test]
 fn a_restart_ends_the_ejection_and_a_list_alone_does_not() {
     let mut outlier = OutlierState::default();
-    outlier.on_failure(0, u64::MAX, false);
+    outlier.on_failure(MonotonicTime::ZERO, u64::MAX, false);
     outlier.on_listed(false);
-    assert!(outlier.is_ejected(EJECTION_BASE));
+    assert!(outlier.is_ejected(MonotonicTime::ZERO + EJECTION_BASE));
     outlier.reset();
     outlier.on_listed(false);
-    assert!(!outlier.is_ejected(0));
+    assert!(!outlier.is_ejected(MonotonicTime::ZERO));
 }
--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -1,23 +1,24 @@
 //! When a node polls discovery again after a poll that failed: the limit of its Full Jitter delay.
 
 use super::backoff::full_jitter_limit;
-use crate::model::{Discovery, Nanos, Settings};
+use crate::model::{Discovery, Settings};
+use std::time::Duration;
 
 /// A node counts as notified of a change 6 s after discovery had it and could be reached, whatever the settings
 /// allow after a failed poll. A poll that times out after 2 s, this delay and the next poll's answer fit into that.
-const MAX_POLL_DELAY: Nanos = 2_500_000_000;
+const MAX_POLL_DELAY: Duration = Duration::from_millis(2_500);
 /// The same for the first poll after a watch that was open: that it fell silent was found out after 4.2 s, at the next
 /// tick (0.2 s), perhaps by a process that was stalled (0.15 s), and the poll has to be answered too.
-const MAX_FIRST_POLL_DELAY: Nanos = 1_250_000_000;
+const MAX_FIRST_POLL_DELAY: Duration = Duration::from_millis(1_250);
 /// Polls of the machine's own agent cost nothing: the delay only bounds the rate at which a dead agent is polled.
-const AGENT_BASE_DELAY: Nanos = 10_000_000;
-const AGENT_MAX_DELAY: Nanos = 200_000_000;
+const AGENT_BASE_DELAY: Duration = Duration::from_millis(10);
+const AGENT_MAX_DELAY: Duration = Duration::from_millis(200);
 /// The first delay is [`Settings::poll_within`] divided by this.
-const BASE_DELAY_DIVISOR: Nanos = 16;
+const BASE_DELAY_DIVISOR: u32 = 16;
 
 /// The longest delay before the next poll, after this many polls in a row that failed. `None` where changes are
 /// pushed and polls are not needed.
-pub fn max_poll_delay(settings: &Settings, failed_polls: u32) -> Option<Nanos> {
+pub fn max_poll_delay(settings: &Settings, failed_polls: u32) -> Option<Duration> {
     let (base, cap) = match settings.discovery {
         Discovery::Pushed => return None,
         Discovery::LocalAgent => (AGENT_BASE_DELAY, AGENT_MAX_DELAY),
--- a/src/resilience/poll_backoff/tests.rs
+++ b/src/resilience/poll_backoff/tests.rs
@@ -1,19 +1,20 @@
 use super::{max_poll_delay, MAX_POLL_DELAY};
-use crate::model::{Discovery, Nanos, Settings};
+use crate::model::{Discovery, Settings};
+use std::time::Duration;
 
-const SECOND: Nanos = 1_000_000_000;
+const SECOND: Duration = Duration::from_secs(1);
 
 #[rstest::rstest]
 #[case(Discovery::Pushed, 0, None)]
 #[case(Discovery::Polled, 0, Some(SECOND))]
-#[case(Discovery::Polled, 1, Some(2 * SECOND))]
+#[case(Discovery::Polled, 1, Some(Duration::from_secs(2)))]
 #[case(Discovery::Polled, 9, Some(MAX_POLL_DELAY))]
-#[case(Discovery::LocalAgent, 0, Some(SECOND / 100))]
-#[case(Discovery::LocalAgent, 9, Some(SECOND / 5))]
+#[case(Discovery::LocalAgent, 0, Some(Duration::from_millis(10)))]
+#[case(Discovery::LocalAgent, 9, Some(Duration::from_millis(200)))]
 fn the_delay_follows_the_way_of_discovery(
     #[case] discovery: Discovery,
     #[case] failed_polls: u32,
-    #[case] limit: Option<Nanos>,
+    #[case] limit: Option<Duration>,
 ) {
     let settings = Settings { discovery, poll_within: 16 * SECOND, ..Settings::default() };
     assert_eq!(max_poll_delay(&settings, failed_polls), limit);
@@ -23,10 +24,10 @@
 /// the first poll after that has to be answered within 6 s, however seldom the settings have a node poll.
 #[rstest::rstest]
 fn the_first_poll_after_a_silent_watch_is_in_time(#[values(1, 16, 60, 600)] poll_within_seconds: u64) {
-    let poll_within = poll_within_seconds * SECOND;
+    let poll_within = Duration::from_secs(poll_within_seconds);
     let settings = Settings { discovery: Discovery::Polled, poll_within, ..Settings::default() };
     let found_silent_after = SECOND * 455 / 100;
     let answer_time = SECOND / 10;
     let delay = max_poll_delay(&settings, 0).expect("it polls");
-    assert!(found_silent_after + delay + answer_time <= 6 * SECOND, "{delay}");
+    assert!(found_silent_after + delay + answer_time <= 6 * SECOND, "{delay:?}");
 }
--- a/src/resilience/recent_resets.rs
+++ b/src/resilience/recent_resets.rs
@@ -1,10 +1,11 @@
 //! How many established connections a server has reset lately. The count decays exponentially.
 
-use crate::model::Nanos;
 use serde::{Deserialize, Serialize};
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
-/// Time constant of the decay, in nanoseconds.
-const DECAY_TIME: f64 = 10e9;
+/// Time constant of the decay.
+const DECAY_TIME: Duration = Duration::from_secs(10);
 
 /// A count of resets, and when it was last brought up to date.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -13,17 +14,18 @@
     #[serde(rename = "broken")]
     count: f64,
     #[serde(rename = "broken_at")]
-    updated_at: Nanos,
+    updated_at: MonotonicTime,
 }
 
 impl RecentResets {
     /// The decayed count.
-    pub fn count(&self, now: Nanos) -> f64 {
-        self.count * (-(now.saturating_sub(self.updated_at) as f64) / DECAY_TIME).exp()
+    pub fn count(&self, now: MonotonicTime) -> f64 {
+        let age = now.saturating_duration_since(self.updated_at);
+        self.count * (-age.as_nanos_f64() / DECAY_TIME.as_nanos_f64()).exp()
     }
 
     /// The server reset a connection.
-    pub fn record(&mut self, now: Nanos) {
+    pub fn record(&mut self, now: MonotonicTime) {
         self.count = self.count(now) + 1.0;
         self.updated_at = now;
     }
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -5,8 +5,10 @@
 //! the window is below [`THROTTLE_BELOW`] the node is throttled: retries also keep a pacing interval, and a request
 //! that would have to queue past its deadline is rejected at once.
 
-use crate::model::{Action, Nanos, Outcome};
+use crate::model::{Action, Outcome};
+use sparbank_time::MonotonicTime;
 use std::fmt;
+use std::time::Duration;
 
 /// A fast set-up multiplies the window by this: two in a row double it.
 const FAST_FACTOR: f64 = 1.5;
@@ -43,9 +45,9 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             ThrottleChange::Started => {
-                "connection set-ups fail or are slow: reconnects and retries are paced"
+                "connection establishment fails or is slow, pacing reconnects and retries"
             }
-            ThrottleChange::Ended => "connection set-ups succeed again",
+            ThrottleChange::Ended => "connection establishment has recovered, pacing ended",
         })
     }
 }
@@ -63,9 +65,9 @@
     in_flight: u32,
     queued: u32,
     /// While throttled, no retry is sent before this time.
-    next_at: Nanos,
+    next_at: MonotonicTime,
     /// When an attempt last failed: failures of attempts that were sent before that tell nothing new.
-    last_failure_at: Nanos,
+    last_failure_at: MonotonicTime,
     throttled: bool,
 }
 
@@ -75,8 +77,8 @@
             window: 1.0,
             in_flight: 0,
             queued: 0,
-            next_at: 0,
-            last_failure_at: 0,
+            next_at: MonotonicTime::ZERO,
+            last_failure_at: MonotonicTime::ZERO,
             throttled: false,
         }
     }
@@ -85,7 +87,7 @@
 impl RetryAdmission {
     /// Decides whether a request may be sent now. `was_queued` tells whether the last decision on it was
     /// [`Admission::Queued`].
-    pub fn decide(&mut self, now: Nanos, is_retry: bool, was_queued: bool) -> Admission {
+    pub fn decide(&mut self, now: MonotonicTime, is_retry: bool, was_queued: bool) -> Admission {
         self.dequeue(was_queued);
         let is_full = self.in_flight >= self.window.max(1.0) as u32;
         let is_paced = self.throttled && now < self.next_at;
@@ -98,13 +100,13 @@
     }
 
     /// Whether a queued request would have to wait past its deadline, at this pacing interval.
-    pub fn misses_deadline(&self, now: Nanos, interval: Nanos, deadline: Nanos) -> bool {
-        self.throttled && now < self.next_at && now.saturating_add(self.queue_delay(interval)) >= deadline
+    pub fn misses_deadline(&self, now: MonotonicTime, interval: Duration, deadline: MonotonicTime) -> bool {
+        self.throttled && now < self.next_at && now + self.queue_delay(interval) >= deadline
     }
 
     /// How long it takes until all that are queued have been sent, at this pacing interval.
-    pub fn queue_delay(&self, interval: Nanos) -> Nanos {
-        interval.saturating_mul(u64::from(self.queued))
+    pub fn queue_delay(&self, interval: Duration) -> Duration {
+        interval.saturating_mul(self.queued)
     }
 
     /// A request ends without having been sent; `was_queued` tells whether it was queued.
@@ -113,7 +115,7 @@
     }
 
     /// An attempt was sent. While throttled, the next retry is sent no sooner than `next_at`.
-    pub fn on_sent(&mut self, next_at: Nanos) {
+    pub fn on_sent(&mut self, next_at: MonotonicTime) {
         self.in_flight += 1;
         self.next_at = next_at;
     }
@@ -131,8 +133,8 @@
     pub fn on_attempt_ended(
         &mut self,
         outcome: Outcome,
-        sent_at: Nanos,
-        now: Nanos,
+        sent_at: MonotonicTime,
+        now: MonotonicTime,
     ) -> Option<ThrottleChange> {
         self.in_flight = self.in_flight.saturating_sub(1);
         let has_failed = matches!(outcome, Outcome::Error | Outcome::Timeout);
--- a/src/resilience/retry_safety.rs
+++ b/src/resilience/retry_safety.rs
@@ -1,6 +1,11 @@
 //! Retry safety: the attempts of a request so far, and which repeats cannot run an effect twice.
 
-use crate::model::{DedupScope, Effect, Location, Nanos, Outcome, RequestClass, ServerId};
+use crate::model::{DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
+
+/// The shortest time that an attempt is given.
+const MIN_TIMEOUT: Duration = Duration::from_nanos(1);
 
 /// An attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -8,14 +13,14 @@
     /// Where it was sent.
     pub server: ServerId,
     /// When it was sent.
-    pub sent_at: Nanos,
+    pub sent_at: MonotonicTime,
 }
 
 /// The attempts of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
     count: u32,
-    last_sent_at: Nanos,
+    last_sent_at: MonotonicTime,
     tried: Vec<ServerId>,
     first_possible_run: Option<PossibleRun>,
 }
@@ -27,7 +32,7 @@
     }
 
     /// When the last attempt was sent.
-    pub fn last_sent_at(&self) -> Nanos {
+    pub fn last_sent_at(&self) -> MonotonicTime {
         self.last_sent_at
     }
 
@@ -47,7 +52,7 @@
     }
 
     /// An attempt is sent.
-    pub fn on_sent(&mut self, server: ServerId, now: Nanos) {
+    pub fn on_sent(&mut self, server: ServerId, now: MonotonicTime) {
         self.count += 1;
         self.last_sent_at = now;
         self.tried.push(server);
@@ -69,23 +74,30 @@
         self.tried.pop_if(|tried| *tried == server);
     }
 
+    /// The time for the next attempt: an even share of the time until the request's deadline. At least one of the
+    /// `max_attempts` is left.
+    pub fn next_timeout(&self, time_left: Duration, max_attempts: u32) -> Duration {
+        let attempts_left = max_attempts - self.count;
+        (time_left / attempts_left).max(MIN_TIMEOUT)
+    }
+
     /// Whether one more attempt can do no harm, at a server that [`deduplicates`] allows. `dial_timeout` is the
     /// longest time until the attempt's connection is established and the request sent.
-    pub fn may_retry(&self, class: &RequestClass, now: Nanos, dial_timeout: Nanos) -> bool {
+    pub fn may_retry(&self, class: &RequestClass, now: MonotonicTime, dial_timeout: Duration) -> bool {
         match (class.effect, self.first_possible_run) {
             (Effect::ReadLike, _) | (_, None) => true,
             // The request is sent once its connection is established, which still has to be inside the window.
             (Effect::IdempotencyKey, Some(run)) => {
-                now.saturating_sub(run.sent_at).saturating_add(dial_timeout) < class.dedup_window
+                now.saturating_duration_since(run.sent_at).saturating_add(dial_timeout) < class.dedup_window
             }
             (Effect::NonIdempotent, Some(_)) => false,
         }
     }
 
     /// When servers no longer discard a repeat of what may have run; none where nothing is discarded.
-    pub fn dedup_window_end(&self, class: &RequestClass) -> Option<Nanos> {
+    pub fn dedup_window_end(&self, class: &RequestClass) -> Option<MonotonicTime> {
         let run = self.first_possible_run.filter(|_| class.effect == Effect::IdempotencyKey)?;
-        Some(run.sent_at.saturating_add(class.dedup_window))
+        Some(run.sent_at + class.dedup_window)
     }
 
     /// Whether a retry by the client, which may go to any server, can do no harm.
--- a/src/resilience/retry_safety/tests.rs
+++ b/src/resilience/retry_safety/tests.rs
@@ -1,15 +1,22 @@
 use super::{deduplicates, AttemptHistory, PossibleRun};
 use crate::model::{DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const DIAL_TIMEOUT: u64 = 10;
+const DIAL_TIMEOUT: Duration = Duration::from_nanos(10);
+
+/// The instant this many nanoseconds after the origin of the clock.
+fn at(nanos: u64) -> MonotonicTime {
+    MonotonicTime::from_nanos(nanos)
+}
 
 fn class(effect: Effect, dedup_scope: DedupScope) -> RequestClass {
     RequestClass {
-        objective: 1,
-        hard_limit: 1,
+        objective: Duration::from_nanos(1),
+        hard_limit: Duration::from_nanos(1),
         effect,
         dedup_scope,
-        dedup_window: 50,
+        dedup_window: Duration::from_nanos(50),
         priority_weight: 1.0,
         message_latency_objective: None,
     }
@@ -17,7 +24,7 @@
 
 fn history(outcome: Outcome) -> AttemptHistory {
     let mut history = AttemptHistory::default();
-    history.on_sent(ServerId(0), 100);
+    history.on_sent(ServerId(0), at(100));
     history.on_ended(ServerId(0), outcome);
     history
 }
@@ -35,7 +42,7 @@
     #[case] is_safe: bool,
 ) {
     let class = class(effect, DedupScope::All);
-    assert_eq!(history(outcome).may_retry(&class, now, DIAL_TIMEOUT), is_safe);
+    assert_eq!(history(outcome).may_retry(&class, at(now), DIAL_TIMEOUT), is_safe);
 }
 
 #[rstest::rstest]
@@ -77,11 +84,11 @@
     let mut history = history(Outcome::ConnectFailed);
     assert_eq!((history.count(), history.first_possible_run()), (1, None));
     for (server, sent_at) in [(ServerId(1), 200), (ServerId(2), 300)] {
-        history.on_sent(server, sent_at);
+        history.on_sent(server, at(sent_at));
         history.on_ended(server, Outcome::Timeout);
     }
-    let first = PossibleRun { server: ServerId(1), sent_at: 200 };
+    let first = PossibleRun { server: ServerId(1), sent_at: at(200) };
     assert_eq!((history.count(), history.first_possible_run()), (3, Some(first)));
     assert!(history.has_tried(ServerId(0)) && !history.has_tried(ServerId(3)));
-    assert_eq!(history.last_sent_at(), 300);
+    assert_eq!(history.last_sent_at(), at(300));
 }
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -6,8 +6,10 @@
 use super::outlier::OutlierState;
 use super::recent_resets::RecentResets;
 use super::slow_start::ServerRamp;
-use crate::model::{Nanos, Settings};
+use crate::model::{Outcome, Settings};
 use serde::{Deserialize, Serialize};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
 /// The health of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
@@ -15,7 +17,7 @@
     #[serde(flatten)]
     latency: LatencyOverload,
     #[serde(rename = "sent_at")]
-    last_sent_at: Nanos,
+    last_sent_at: MonotonicTime,
     #[serde(flatten)]
     resets: RecentResets,
     #[serde(rename = "trust")]
@@ -53,13 +55,8 @@
         self.outlier.confirm();
     }
 
-    /// Whether the server may be only an old entry of a cached list.
-    pub fn is_unconfirmed(&self) -> bool {
-        self.outlier.is_unconfirmed()
-    }
-
     /// Whether attempts may be sent there now: it is neither ejected nor overloaded.
-    pub fn is_available(&self, now: Nanos) -> bool {
+    pub fn is_available(&self, now: MonotonicTime) -> bool {
         !self.latency.is_overloaded(now) && !self.outlier.is_ejected(now)
     }
 
@@ -69,7 +66,7 @@
     }
 
     /// The established connections that it reset lately; decays with time.
-    pub fn recent_resets(&self, now: Nanos) -> f64 {
+    pub fn recent_resets(&self, now: MonotonicTime) -> f64 {
         self.resets.count(now)
     }
 
@@ -80,7 +77,7 @@
     }
 
     /// An attempt was sent there.
-    pub fn on_sent(&mut self, now: Nanos) {
+    pub fn on_sent(&mut self, now: MonotonicTime) {
         self.last_sent_at = now;
     }
 
@@ -89,19 +86,35 @@
         self.outlier.on_success();
     }
 
-    /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error.
-    pub fn on_failure(&mut self, now: Nanos, roll: u64, answered: bool) {
-        self.outlier.on_failure(now, roll, answered);
+    /// An attempt ended before its connection was established. `roll` draws a uniform random number, which is needed
+    /// for a failure alone.
+    pub fn on_attempt_ended(&mut self, now: MonotonicTime, outcome: Outcome, roll: impl FnOnce() -> u64) {
+        match outcome {
+            Outcome::Ok => self.on_success(),
+            Outcome::Reset if !self.outlier.is_unconfirmed() => {}
+            Outcome::Cancelled | Outcome::NotSent | Outcome::LocalShortage | Outcome::Rejected => {}
+            Outcome::Reset | Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed => {
+                self.outlier.on_failure(now, roll(), outcome == Outcome::Error);
+            }
+        }
     }
 
-    /// An established connection was reset: it was more than the server can take.
-    pub fn on_reset(&mut self, now: Nanos) {
-        self.resets.record(now);
+    /// An established connection ended. A reset tells that it was more than the server can take.
+    pub fn on_connection_ended(&mut self, now: MonotonicTime, outcome: Outcome, roll: impl FnOnce() -> u64) {
+        match outcome {
+            Outcome::Reset => self.resets.record(now),
+            _ => self.on_attempt_ended(now, outcome, roll),
+        }
     }
 
     /// Records a latency report. The strictest objective of all classes counts. A single report above it may be a
     /// stall: where health checks are possible, one decides.
-    pub fn on_latency_report(&mut self, settings: &Settings, now: Nanos, latency: Nanos) -> LatencyResponse {
+    pub fn on_latency_report(
+        &mut self,
+        settings: &Settings,
+        now: MonotonicTime,
+        latency: Duration,
+    ) -> LatencyResponse {
         let objectives = settings.classes.iter().filter_map(|class| class.message_latency_objective);
         let Some(objective) = objectives.min() else { return LatencyResponse::None };
         let demand = self.latency.on_report(now, latency, objective, settings.slow_start_duration);
--- a/src/resilience/slow_start/tests.rs
+++ b/src/resilience/slow_start/tests.rs
@@ -1,22 +1,33 @@
-use super::{FillTarget, Nanos, ServerRamp, SlowStart, RECOVERY_TIME};
+use super::{FillTarget, ServerRamp, SlowStart, NANOSECOND, RECOVERY_TIME};
+use sparbank_time::{DurationExt, MonotonicTime};
+use std::time::Duration;
 
-const SECOND: Nanos = 1_000_000_000;
-const SLOW_START: SlowStart =
-    SlowStart { floor: 0.2, duration: 10 * SECOND, overload_multiple: 3.0, overload_after: SECOND };
+const SECOND: Duration = Duration::from_secs(1);
+const SLOW_START: SlowStart = SlowStart {
+    floor: 0.2,
+    duration: Duration::from_secs(10),
+    overload_multiple: 3.0,
+    overload_after: SECOND,
+};
 const TARGET: FillTarget = FillTarget { connections: 100.0, total_nominal: 10.0, accrued: 1e9 };
-const NOW: Nanos = 100 * SECOND;
+const NOW: MonotonicTime = MonotonicTime::from_nanos(100_000_000_000);
 
 fn ramp(capacity_factor: f64) -> ServerRamp {
-    ServerRamp { capacity_factor, nominal: 1.0, recovering_until: 0, last_sent_at: 0 }
+    ServerRamp {
+        capacity_factor,
+        nominal: 1.0,
+        recovering_until: MonotonicTime::ZERO,
+        last_sent_at: MonotonicTime::ZERO,
+    }
 }
 
 #[rstest::rstest]
-#[case(0, 1.0)]
+#[case(MonotonicTime::ZERO, 1.0)]
 #[case(NOW, 0.2)]
 #[case(NOW - 5 * SECOND, 0.6)]
 #[case(NOW - 10 * SECOND, 1.0)]
 #[case(NOW + SECOND, 0.2)]
-fn capacity_grows_from_the_floor_to_one(#[case] started_at: Nanos, #[case] factor: f64) {
+fn capacity_grows_from_the_floor_to_one(#[case] started_at: MonotonicTime, #[case] factor: f64) {
     let measured = SLOW_START.capacity_factor(NOW, started_at);
     assert!((measured - factor).abs() < 1e-9, "{measured}");
 }
@@ -35,26 +46,26 @@
 
 #[test]
 fn a_server_that_recovers_admits_what_fills_it_over_the_recovery_time() {
-    let recovering = ServerRamp { recovering_until: NOW + 1, ..ramp(1.0) };
+    let recovering = ServerRamp { recovering_until: NOW + NANOSECOND, ..ramp(1.0) };
     let per_second = SLOW_START.admissible_fraction(NOW, &recovering, &TARGET);
-    assert!((per_second - 10.0 * 1e9 / RECOVERY_TIME).abs() < 1e-9, "{per_second}");
+    assert!((per_second - 10.0 * 1e9 / RECOVERY_TIME.as_nanos_f64()).abs() < 1e-9, "{per_second}");
 }
 
 #[test]
 fn placements_on_a_server_that_warms_up_are_spaced() {
-    let sent = |ago: Nanos| ServerRamp { last_sent_at: NOW - ago, ..ramp(0.5) };
+    let sent = |ago: Duration| ServerRamp { last_sent_at: NOW - ago, ..ramp(0.5) };
     assert_eq!(SLOW_START.admissible_fraction(NOW, &sent(SECOND / 2), &TARGET), 0.0);
     assert!(SLOW_START.admissible_fraction(NOW, &sent(SECOND), &TARGET) > 0.0);
 }
 
 #[rstest::rstest]
-#[case(0, NOW - SECOND / 2, 0.5e9)]
-#[case(0, 0, 1e9)]
-#[case(SECOND, 0, 2e9)]
-#[case(SECOND, NOW + 1, 0.0)]
+#[case(Duration::ZERO, NOW - SECOND / 2, 0.5e9)]
+#[case(Duration::ZERO, MonotonicTime::ZERO, 1e9)]
+#[case(SECOND, MonotonicTime::ZERO, 2e9)]
+#[case(SECOND, NOW + NANOSECOND, 0.0)]
 fn placements_accrue_for_a_bounded_time(
-    #[case] setup_interval: Nanos,
-    #[case] last_selection_at: Nanos,
+    #[case] setup_interval: Duration,
+    #[case] last_selection_at: MonotonicTime,
     #[case] accrued: f64,
 ) {
     assert_eq!(SLOW_START.accrued(NOW, last_selection_at, setup_interval), accrued);
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -17,4 +17,4 @@
 pub use retry::{may_retry, RetryInputs, RetryRefusal};
 pub use send::{may_send, send_by, SendInputs, SendRefusal};
 pub use start::{may_start, StartInputs, StartRefusal};
-pub use violation::{Violation, ViolationLog};
+pub use violation::{Violation, ViolationContext, ViolationLog};
--- a/src/rules/retry.rs
+++ b/src/rules/retry.rs
@@ -1,16 +1,17 @@
 //! Whether a request may have one more attempt.
 
-use crate::model::{Nanos, RequestClass, Settings};
+use crate::model::{RequestClass, Settings};
 use crate::resilience::AttemptHistory;
+use sparbank_time::MonotonicTime;
 use std::fmt;
 
 /// What is known of a request that waits for its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInputs<'a> {
     /// The time.
-    pub now: Nanos,
+    pub now: MonotonicTime,
     /// When the request's client stops waiting.
-    pub deadline: Nanos,
+    pub deadline: MonotonicTime,
     /// The attempts so far.
     pub attempts: &'a AttemptHistory,
     /// The request's class.
@@ -36,7 +37,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             RetryRefusal::DeadlinePassed => "deadline-passed",
-            RetryRefusal::QueueTooSlow => "turn-too-late",
+            RetryRefusal::QueueTooSlow => "queue-too-slow",
             RetryRefusal::AttemptsUsed => "attempts-used",
             RetryRefusal::MayHaveRun => "may-have-run",
         })
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,13 +1,14 @@
 //! Whether a request may be written to a server now.
 
-use crate::model::{Nanos, MAX_STALL};
+use crate::model::MAX_STALL;
+use sparbank_time::MonotonicTime;
 use std::fmt;
 
 /// What is known at the moment at which the first byte of a request would be written to a server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendInputs {
     /// The time, read after all that is stated here.
-    pub now: Nanos,
+    pub now: MonotonicTime,
     /// The client has ended or reset its connection, or cancelled its request.
     pub client_gone: bool,
     /// The endpoint list has the server as one that takes new requests.
@@ -15,7 +16,7 @@
     /// The request waits for this attempt and no other.
     pub is_current_attempt: bool,
     /// The latest time for the write; see [`send_by`].
-    pub send_by: Nanos,
+    pub send_by: MonotonicTime,
 }
 
 /// Why a request may not be written to a server.
@@ -64,9 +65,9 @@
 
 /// The latest time at which an attempt may be written: before its request's deadline, and where it may repeat a run
 /// that servers discard until `dedup_window_end`, so long before that end that a stall does not carry the write past it.
-pub fn send_by(deadline: Nanos, dedup_window_end: Option<Nanos>) -> Nanos {
+pub fn send_by(deadline: MonotonicTime, dedup_window_end: Option<MonotonicTime>) -> MonotonicTime {
     match dedup_window_end {
-        Some(end) => deadline.min(end.saturating_sub(MAX_STALL)),
+        Some(end) => deadline.min(end - MAX_STALL),
         None => deadline,
     }
 }
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -1,14 +1,25 @@
 //! Each question has one reason for "no" at a time, and the first one counts.
 
 use super::*;
-use crate::model::{DedupScope, Effect, Nanos, Outcome, RequestClass, ServerId, Settings};
+use crate::model::{DedupScope, Effect, Outcome, RequestClass, ServerId, Settings};
 use crate::resilience::AttemptHistory;
 use rstest::rstest;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-const MILLISECOND: Nanos = 1_000_000;
+/// The instant this many milliseconds after the origin of the clock.
+fn at_ms(ms: u64) -> MonotonicTime {
+    MonotonicTime::ZERO + Duration::from_millis(ms)
+}
 
 fn send_inputs() -> SendInputs {
-    SendInputs { now: 10, client_gone: false, server_ready: true, is_current_attempt: true, send_by: 11 }
+    SendInputs {
+        now: MonotonicTime::from_nanos(10),
+        client_gone: false,
+        server_ready: true,
+        is_current_attempt: true,
+        send_by: MonotonicTime::from_nanos(11),
+    }
 }
 
 #[rstest]
@@ -16,7 +27,7 @@
 #[case(SendInputs { client_gone: true, server_ready: false, ..send_inputs() }, Err(SendRefusal::ClientGone))]
 #[case(SendInputs { is_current_attempt: false, ..send_inputs() }, Err(SendRefusal::NotCurrent))]
 #[case(SendInputs { server_ready: false, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
-#[case(SendInputs { now: 11, ..send_inputs() }, Err(SendRefusal::TooLate))]
+#[case(SendInputs { now: MonotonicTime::from_nanos(11), ..send_inputs() }, Err(SendRefusal::TooLate))]
 fn a_request_is_sent_for_a_client_that_waits_to_a_server_that_is_ready_in_time(
     #[case] inputs: SendInputs,
     #[case] expected: Result<(), SendRefusal>,
@@ -30,8 +41,8 @@
 #[case(Some(5_000), 1_200)]
 #[case(Some(100), 0)]
 fn a_stall_does_not_carry_a_retry_past_its_window(#[case] window_end_ms: Option<u64>, #[case] by_ms: u64) {
-    let window_end = window_end_ms.map(|ms| ms * MILLISECOND);
-    assert_eq!(send_by(1_200 * MILLISECOND, window_end), by_ms * MILLISECOND);
+    let window_end = window_end_ms.map(at_ms);
+    assert_eq!(send_by(at_ms(1_200), window_end), at_ms(by_ms));
 }
 
 fn start_inputs() -> StartInputs {
@@ -89,21 +100,21 @@
 ) {
     let mut attempts = AttemptHistory::default();
     for number in 0..attempts_so_far {
-        attempts.on_sent(ServerId(number), 0);
+        attempts.on_sent(ServerId(number), MonotonicTime::ZERO);
         attempts.on_ended(ServerId(number), Outcome::Timeout);
     }
     let class = RequestClass {
-        objective: 1,
-        hard_limit: 1,
+        objective: Duration::from_nanos(1),
+        hard_limit: Duration::from_nanos(1),
         effect: Effect::NonIdempotent,
         dedup_scope: DedupScope::All,
-        dedup_window: 0,
+        dedup_window: Duration::ZERO,
         priority_weight: 1.0,
         message_latency_objective: None,
     };
     let inputs = RetryInputs {
-        now: now_ms * MILLISECOND,
-        deadline: 1_200 * MILLISECOND,
+        now: at_ms(now_ms),
+        deadline: at_ms(1_200),
         attempts: &attempts,
         class: &class,
         misses_deadline,
@@ -115,6 +126,6 @@
 #[test]
 fn violations_are_counted() {
     let mut violations = ViolationLog::default();
-    violations.record(Violation::CutOff, format_args!("request=1"));
+    violations.record(Violation::CutOff, ViolationContext::Request { request: 1, id: "r1" });
     assert_eq!(violations.count(), 1);
 }
--- a/src/rules/violation.rs
+++ b/src/rules/violation.rs
@@ -26,6 +26,23 @@
     }
 }
 
+/// What a violation is about, for the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ViolationContext<'a> {
+    /// One request.
+    Request {
+        /// The node's id of the request; zero if it has none yet.
+        request: u64,
+        /// The client's id of the request.
+        id: &'a str,
+    },
+    /// The end of the process.
+    Exit {
+        /// Connections that are established still.
+        open: usize,
+    },
+}
+
 /// The violations of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViolationLog {
@@ -33,10 +50,17 @@
 }
 
 impl ViolationLog {
-    /// Counts a violation and logs it. `detail` has the ids, as `name=value` pairs.
-    pub fn record(&mut self, violation: Violation, detail: fmt::Arguments<'_>) {
+    /// Counts a violation and logs it.
+    pub fn record(&mut self, violation: Violation, context: ViolationContext<'_>) {
         self.count += 1;
-        crate::log::line(format_args!("invariant-violated rule={violation} {detail}"));
+        match context {
+            ViolationContext::Request { request, id } => {
+                tracing::error!(rule = %violation, request, %id, "invariant violated");
+            }
+            ViolationContext::Exit { open } => {
+                tracing::error!(rule = %violation, open, "invariant violated");
+            }
+        }
     }
 
     /// Violations so far.
--- a/src/simulator_adapter/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -5,7 +5,7 @@
 use super::instance::{decode, Instance, ListsBySlot};
 use super::outgoing::{ActionDocument, InstanceActions, ReplyDocument};
 use super::panics::capture_panic_messages;
-use crate::model::Nanos;
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
 
 /// Hosts the simulated nodes of one run: takes batches and gives replies.
@@ -73,7 +73,7 @@
 
     fn handle_event(
         &mut self,
-        now: Nanos,
+        now: MonotonicTime,
         instance: Option<u64>,
         name: &str,
         raw: &str,
--- a/src/simulator_adapter/incoming.rs
+++ b/src/simulator_adapter/incoming.rs
@@ -6,15 +6,17 @@
 use crate::model::{Arrival, ListKind, Outcome, RequestId, Status};
 use serde::Deserialize;
 use serde_json::value::RawValue;
+use sparbank_time::MonotonicTime;
 use std::borrow::Cow;
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// One line: events for several instances at one moment.
 #[derive(Deserialize)]
 pub struct BatchDocument<'a> {
     /// The moment, in nanoseconds.
     #[serde(rename = "TsNs")]
-    pub now: u64,
+    pub now: MonotonicTime,
     pub frame: u64,
     #[serde(rename = "parts", borrow)]
     pub instances: Vec<InstanceEvents<'a>>,
@@ -60,7 +62,7 @@
     #[serde(rename = "Hall", default)]
     pub zone: u32,
     #[serde(rename = "BornNs", default)]
-    pub started_at_ns: u64,
+    pub started_at: MonotonicTime,
     #[serde(rename = "Backend")]
     pub server: String,
     #[serde(rename = "UnitGroup", default)]
@@ -156,8 +158,8 @@
         Arrival {
             id: RequestId(self.request_id),
             class: self.class,
-            time_left: self.grace_ns,
-            cost: self.cost_ns,
+            time_left: Duration::from_nanos(self.grace_ns),
+            cost: self.cost_ns.map(Duration::from_nanos),
             key: self.key,
             group: self.group,
             reconnect: self.reconnect,
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -10,11 +10,13 @@
 use super::panics::{catch_panic, DecisionPanic};
 use crate::hash::fnv1a;
 use crate::json;
-use crate::model::{Action, Endpoint, Event, ListKind, Nanos, RequestId, ServerId, Settings};
+use crate::model::{Action, Endpoint, Event, ListKind, RequestId, ServerId, Settings};
 use crate::policy::Balancer;
 use serde::Deserialize;
+use sparbank_time::{DurationExt, MonotonicTime};
 use std::collections::HashMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Endpoint lists by the slot in which the simulator stored them.
 pub type ListsBySlot = HashMap<usize, EndpointListDocument>;
@@ -68,7 +70,7 @@
     }
 
     /// Lets the balancer handle an event; the result is its actions as they go on the wire.
-    pub fn handle(&mut self, now: Nanos, event: Event) -> Result<Vec<ActionDocument>, DecisionPanic> {
+    pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Result<Vec<ActionDocument>, DecisionPanic> {
         let actions = catch_panic(|actions| self.balancer.handle(now, event, actions))?;
         Ok(actions.into_iter().map(|action| self.action_document(action)).collect())
     }
@@ -94,7 +96,7 @@
             zone: document.zone,
             cell: document.cell,
             nominal: document.nominal,
-            started_at: document.started_at_ns,
+            started_at: document.started_at,
             status: document.status.into(),
         }
     }
@@ -109,7 +111,7 @@
         Event::Established {
             id: RequestId(document.request_id),
             server: self.server_id(&document.server),
-            setup_time: document.wait_time_ns,
+            setup_time: Duration::from_nanos(document.wait_time_ns),
         }
     }
 
@@ -117,11 +119,11 @@
         let server = self.server_id(&document.server);
         match document.topic {
             TOPIC_LOAD => {
-                let cost = (document.level * 1e3) as u64;
+                let cost = Duration::from_nanos((document.level * 1e3) as u64);
                 Some(Event::LoadReport { id: RequestId(document.request_id), cost })
             }
             TOPIC_LATENCY => {
-                let latency = (document.level * 1e6) as u64;
+                let latency = Duration::from_nanos((document.level * 1e6) as u64);
                 Some(Event::LatencyReport { server, latency })
             }
             _ => None,
@@ -147,18 +149,20 @@
             Action::StartAttempt { id, server, timeout, .. } => ActionDocument::StartAttempt {
                 request_id: id.0,
                 server: self.server_name(server),
-                give_up_after_ns: timeout,
+                give_up_after_ns: timeout.as_nanos_u64(),
             },
             Action::CancelAttempt { id, attempt } => {
                 ActionDocument::CancelAttempt { request_id: id.0, attempt }
             }
             Action::Reject { id, retry_after } => {
-                ActionDocument::Reject { request_id: id.0, cool_down_ns: retry_after }
+                ActionDocument::Reject { request_id: id.0, cool_down_ns: retry_after.as_nanos_u64() }
             }
             Action::Fail(id) => ActionDocument::Fail { request_id: id.0 },
             Action::Migrate(id) => ActionDocument::Migrate { request_id: id.0 },
             Action::HealthCheck(server) => ActionDocument::HealthCheck { server: self.server_name(server) },
-            Action::SetTimer { after, token } => ActionDocument::SetTimer { after_ns: after, token },
+            Action::SetTimer { after, token } => {
+                ActionDocument::SetTimer { after_ns: after.as_nanos_u64(), token }
+            }
             Action::Subscribe => ActionDocument::Subscribe { on: true },
             Action::Log(text) => ActionDocument::Log { text },
         }
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -6,7 +6,9 @@
 use std::net::SocketAddr;
 use std::process::Output;
 use std::time::Duration;
-use support::{config, counter_value, established_client, listener, node_command, temp_file, Bench, Peer};
+use support::{
+    config, counter_value, established_client, listener, log_field, node_command, temp_file, Bench, Peer,
+};
 
 /// A node with an admin API, and its address.
 fn node(servers: usize) -> (Bench, SocketAddr) {
@@ -14,9 +16,9 @@
     let mut bench = Bench::with_args(servers, None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
-    let line = bench.wait_for_log("operator");
-    let at = line.split("listen=").nth(1).and_then(|at| at.parse().ok());
-    (bench, at.expect("an address in the log"))
+    let line = bench.wait_for_log("admin API ready");
+    let at = log_field(&line, "listen").parse().expect("an address in the log");
+    (bench, at)
 }
 
 /// Reads a response up to the end of the connection: its status and its text.
@@ -117,7 +119,7 @@
     let (mut bench, at) = node(1);
     let (mut client, _task) = established_client(&bench, 1);
     bench.signal("-TERM");
-    bench.wait_for_log("shutting-down");
+    bench.wait_for_log("shutting down");
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
@@ -142,13 +144,16 @@
     let other = listener();
     let used = start_with_address(&other.local_addr().expect("an address").to_string());
     assert_eq!(used.status.code(), Some(1));
-    assert!(error(&used).contains("error operator: 127.0.0.1:"), "{}", error(&used));
+    assert!(error(&used).contains("ERROR operator: 127.0.0.1:"), "{}", error(&used));
 }
 
 #[rstest]
 fn a_changed_address_needs_a_restart() {
     let (mut bench, at) = node(1);
     bench.reconfigure(|text| text.replace(r#""operator":"127.0.0.1:0""#, r#""operator":"127.0.0.1:1""#));
-    assert_eq!(bench.wait_for_log("reload-needs-restart"), "sparbank reload-needs-restart fields=operator");
+    assert_eq!(
+        bench.wait_for_log("changed fields need a restart"),
+        " WARN changed fields need a restart fields=operator"
+    );
     assert_eq!(call(at, "GET /-/ready").0, 200);
 }
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -244,7 +244,7 @@
     bench.send_endpoint(&mut watch, &entry);
     // The watch ends after the list, so that its loss shows that the list was applied.
     watch.send("0\r\n\r\n");
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     let scripts = [Script::default(), Script::default()];
     for (server, script) in bench.servers.iter().zip(&scripts) {
         script.lock().expect("fresh").extend([Act::Serve; 12]);
@@ -270,7 +270,7 @@
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal("-TERM");
-    bench.wait_for_log("shutting-down");
+    bench.wait_for_log("shutting down");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -4,6 +4,7 @@
 
 use rstest::rstest;
 use sparbank_amqp::{condition, Connection, Credentials, Event, SaslRequest, Settings, State, Transfer};
+use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Stdio;
@@ -43,10 +44,10 @@
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     let (user, password) = (user.to_string(), password.to_string());
     let credentials = Credentials::Scram { user, password, nonce: "fyko+d2lbbFgONRv9qkxdawL".into() };
-    let mut conn = Connection::dial(0, Settings::default(), Some(credentials));
+    let mut conn = Connection::dial(MonotonicTime::ZERO, Settings::default(), Some(credentials));
     let mut input = Vec::new();
     loop {
-        stream.write_all(&conn.take_output(0)).expect("written");
+        stream.write_all(&conn.take_output(MonotonicTime::ZERO)).expect("written");
         let mut chunk = [0; 4096];
         let count = stream.read(&mut chunk).unwrap_or(0);
         if count == 0 {
@@ -55,7 +56,7 @@
         input.extend(&chunk[..count]);
         let mut left = &input[..];
         loop {
-            match conn.next_event(0, &mut left) {
+            match conn.next_event(MonotonicTime::ZERO, &mut left) {
                 Ok(Some(Event::Opened {})) => return true,
                 Ok(Some(Event::SaslRequest(SaslRequest::Anonymous))) => {
                     unreachable!("the server asks nothing")
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -127,7 +127,7 @@
 
 #[rstest]
 fn a_large_message_is_streamed_and_never_buffered_completely() {
-    let on = r#"{"listen":"127.0.0.1:0","max_buffered":300000}"#;
+    let on = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
     let mut bench = Bench::with(vec![listener()], Some(on));
     let mut client = client(&bench);
     let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
@@ -574,7 +574,7 @@
 /// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
 #[rstest]
 fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
-    let on = r#"{"listen":"127.0.0.1:0","max_buffered":400000,"max_message":2000000}"#;
+    let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
     let mut bench = Bench::with(vec![listener()], Some(on));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
     let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -7,6 +7,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
 use sparbank_amqp::{Connection, Credentials, Event, Settings};
+use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -69,8 +70,7 @@
     );
     let on = format!(r#"{{"listen":"127.0.0.1:0","tls":{tls}{more}}}"#);
     let bench = Bench::with(vec![listener()], Some(&on));
-    let addr = bench.amqp_line.split("tls=").nth(1).and_then(|rest| rest.split(' ').next());
-    let addr = addr.expect("where TLS is").parse().expect("an address");
+    let addr = log_field(&bench.amqp_line, "tls_listen").parse().expect("an address");
     (bench, addr)
 }
 
@@ -101,10 +101,10 @@
     let stream = TcpStream::connect(addr).expect("it listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     let mut stream = StreamOwned::new(conn, stream);
-    let mut amqp = Connection::dial(0, Settings::default(), Some(credentials));
+    let mut amqp = Connection::dial(MonotonicTime::ZERO, Settings::default(), Some(credentials));
     let mut input = Vec::new();
     loop {
-        stream.write_all(&amqp.take_output(0)).map_err(|e| e.to_string())?;
+        stream.write_all(&amqp.take_output(MonotonicTime::ZERO)).map_err(|e| e.to_string())?;
         let mut chunk = [0; 4096];
         let count = stream.read(&mut chunk).map_err(|e| e.to_string())?;
         if count == 0 {
@@ -112,7 +112,9 @@
         }
         input.extend(&chunk[..count]);
         let mut left = &input[..];
-        while let Some(event) = amqp.next_event(0, &mut left).map_err(|e| e.condition.to_string())? {
+        while let Some(event) =
+            amqp.next_event(MonotonicTime::ZERO, &mut left).map_err(|e| e.condition.to_string())?
+        {
             if matches!(event, Event::Opened {}) {
                 return Ok(stream);
             }
@@ -159,7 +161,7 @@
     let mut old = open(&keys, addr, "node.test", None, Credentials::Anonymous).expect("the first name");
     keys.renew("renewed.test");
     bench.signal("-HUP");
-    bench.wait_for_log("reloaded");
+    bench.wait_for_log("configuration reloaded");
     assert!(open(&keys, addr, "renewed.test", None, Credentials::Anonymous).is_ok());
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_err());
     // The old connection still beats, or is closed politely when it has been silent too long.
@@ -172,7 +174,7 @@
     let (mut bench, addr) = bench(&keys.folder, "");
     std::fs::write(keys.folder.join("node.pem"), "not a certificate").expect("written");
     bench.signal("-HUP");
-    let line = bench.wait_for_log("reload-refused");
+    let line = bench.wait_for_log("configuration reload rejected");
     assert!(line.contains("field tls.certificate"), "{line}");
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_ok());
 }
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -128,7 +128,7 @@
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
     drop(watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     let open_descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", bench.process.child.id())).expect("listed").count();
     let descriptors = open_descriptors();
@@ -136,7 +136,7 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     let (mut client, _attempt) = established_client(&bench, 1);
     drop(idle);
     client.send("M 1\r\n");
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -120,7 +120,7 @@
     let server = full_server.listener.try_clone().expect("a second handle");
     let mut bench = Bench::with_args(vec![server], None, &["--trace"], long_timeouts);
     let client = bench.connect_client(&open_line_with_long_deadline(1));
-    bench.wait_for_log("trace client arrived");
+    bench.wait_for_log("client arrived");
     wait_for_kernel();
     bench.pause();
     // The kernel completes the connection while the node is stopped.
@@ -139,9 +139,9 @@
     let mut bench = Bench::with_args(vec![server, listener()], None, &["--trace"], long_timeouts);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 1, "gone");
-    bench.wait_for_log("trace list kind=Incremental");
+    bench.wait_for_log("endpoint list received kind=Incremental");
     let mut client = bench.connect_client(&open_line_with_long_deadline(1));
-    bench.wait_for_log("trace client arrived");
+    bench.wait_for_log("client arrived");
     wait_for_kernel();
     bench.pause();
     let mut attempt = full_server.accept_next();
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -77,7 +77,7 @@
     let started = format!(r#""startedAtMs":{}"#, WallClock::now_ms(seconds));
     let entry = instance(server, address, "ready").replace(r#""startedAtMs":0"#, &started);
     bench.send_endpoint(watch, &entry);
-    bench.wait_for_log("trace list kind=Incremental");
+    bench.wait_for_log("endpoint list received kind=Incremental");
 }
 
 /// Sends a burst of requests; yields how many of the first attempts came to this server.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,13 +2,19 @@
 #![allow(dead_code)]
 
 use sparbank::model::{
-    Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestClass,
+    Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Outcome, RequestClass,
     RequestId, ServerId, Settings, Status,
 };
 use sparbank::Balancer;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
 
-pub const MILLIS: Nanos = 1_000_000;
-pub const SECOND: Nanos = 1_000_000_000;
+pub const MILLIS: Duration = Duration::from_millis(1);
+pub const SECOND: Duration = Duration::from_secs(1);
+/// When a server started that is not in slow start.
+pub const LONG_AGO: MonotonicTime = MonotonicTime::ZERO;
+/// When the nodes of the tests start.
+pub const START: MonotonicTime = MonotonicTime::from_nanos(100_000_000_000);
 
 pub fn class(effect: Effect, dedup_scope: DedupScope) -> RequestClass {
     RequestClass {
@@ -49,7 +55,7 @@
     }
 }
 
-pub fn endpoint(server: u32, started_at: Nanos, status: Status) -> Endpoint {
+pub fn endpoint(server: u32, started_at: MonotonicTime, status: Status) -> Endpoint {
     let name_hash = (u64::from(server) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Endpoint {
         server: ServerId(server),
@@ -63,7 +69,7 @@
 }
 
 pub fn serving_endpoints(servers: u32) -> Vec<Endpoint> {
-    (0..servers).map(|server| endpoint(server, 0, Status::Serving)).collect()
+    (0..servers).map(|server| endpoint(server, LONG_AGO, Status::Serving)).collect()
 }
 
 /// Servers of the node's own zone: crossing zones has a cost, which counts in the selection.
@@ -87,13 +93,13 @@
 
 pub struct Node {
     pub balancer: Balancer,
-    pub now: Nanos,
+    pub now: MonotonicTime,
 }
 
 impl Node {
     pub fn new(seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Node {
         let balancer = Balancer::new(seed, settings).expect("settings are right");
-        let mut node = Node { balancer, now: 100 * SECOND };
+        let mut node = Node { balancer, now: START };
         node.handle(Event::EndpointList(ListKind::Saved, endpoints));
         node
     }
@@ -125,7 +131,7 @@
     }
 }
 
-pub fn requested_timer(actions: &[Action]) -> Option<(Nanos, u64)> {
+pub fn requested_timer(actions: &[Action]) -> Option<(Duration, u64)> {
     actions.iter().find_map(|a| match a {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -143,7 +143,7 @@
 fn drain_the_first_server(bench: &mut Bench, mut watch: Peer, class: usize) {
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     for number in 200..204 {
         let _client = bench.connect_client(&request_line(number, class));
         let (server, mut attempt) = accept_any(&bench.servers);
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -72,7 +72,7 @@
     let mut bench = Bench::start(1);
     let mut watch = bench.accept_watch();
     send_chunk(&mut watch, text);
-    assert!(bench.wait_for_log("list-lost").contains("NotJson"));
+    assert!(bench.wait_for_log("endpoint watch lost").ends_with("error=malformed JSON"));
     bench.accept_watch();
 }
 
@@ -85,7 +85,7 @@
     std::thread::sleep(Duration::from_millis(2_600));
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -104,7 +104,7 @@
     bench.update_lifecycle(&mut next_watch, 0, "draining");
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     drop(next_watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -119,7 +119,7 @@
     bench.update_lifecycle(&mut old_watch, 0, "draining");
     bench.move_discovery();
     bench.resume();
-    bench.wait_for_log("reloaded");
+    bench.wait_for_log("configuration reloaded");
     let _silent_watch = Peer::accept(&bench.discovery);
     all_clients_connect_to_server_1(&bench, 0..6);
 }
@@ -132,13 +132,13 @@
     bench.update_lifecycle(&mut old_watch, 1, "ready");
     bench.update_lifecycle(&mut old_watch, 0, "draining");
     bench.move_discovery();
-    bench.wait_for_log("reloaded");
+    bench.wait_for_log("configuration reloaded");
     bench.generation = 2;
     let mut watch = bench.accept_watch();
     let address = |server: usize| bench.servers[server].local_addr().expect("an address");
     let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
     bench.send_endpoints(&mut watch, true, &entries);
     drop(watch);
-    bench.wait_for_log("list-lost reason=Ended");
+    bench.wait_for_log("endpoint watch lost error=ended");
     all_clients_connect_to_server_1(&bench, 0..6);
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -54,7 +54,7 @@
     // The same watch continues, and the successor receives what it brings.
     node.bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
-    node.bench.wait_for_log("list-lost");
+    node.bench.wait_for_log("endpoint watch lost");
     let counters = node.bench.counters();
     let counts = ["inherited", "requests", "migrated", "discovery_polls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
@@ -120,11 +120,11 @@
     if serves {
         // It exits without having continued the connection that was sent to it: that client is lost with it.
         successor.send(READY);
-        node.bench.wait_for_log("handover-to-successor");
+        node.bench.wait_for_log("handover to successor started");
         assert!(successor.receive().starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
-    node.bench.wait_for_log("handover-end successor");
+    node.bench.wait_for_log("handover ended peer=successor");
     // A new watch is requested: the first one was transferred.
     let _watch = node.bench.accept_watch();
     if serves {
@@ -192,7 +192,7 @@
     let mut node = HandoverNode::start();
     let (mut client, mut server) = established_client(&node.bench, 1);
     node.bench.signal("-TERM");
-    node.bench.wait_for_log("shutting-down");
+    node.bench.wait_for_log("shutting down");
     let mut predecessor = node.start_successor();
     assert_eq!(counter_value(&predecessor.wait_for_log("counters"), "handed_over"), 1);
     assert!(predecessor.child.wait().expect("it ends").success());
@@ -220,6 +220,6 @@
     let output = command.output().expect("it ends");
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{line}");
-    assert!(line.starts_with(&format!("sparbank error NODE_PASSED_SOCKET: \"{number}\": ")), "{line}");
+    assert!(line.starts_with(&format!("ERROR NODE_PASSED_SOCKET: \"{number}\": ")), "{line}");
     assert_eq!(line.lines().count(), 1, "{line}");
 }
--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -226,7 +226,7 @@
     let counts = ["inherited", "migrated", "handovers"].map(|name| counters[name]);
     assert_eq!(counts, [5, 0, 1]);
     drop(successor.link);
-    successor.node.bench.wait_for_log("handover-complete");
+    successor.node.bench.wait_for_log("handover from predecessor complete");
 }
 
 #[rstest]
@@ -271,8 +271,8 @@
     let second = object(2);
     successor.watch.send(&format!("{:x}\r\n{second}\r\n", second.len()));
     // The third generation has been applied: the second one goes back.
-    let line = successor.node.bench.wait_for_log("list-back");
-    assert_eq!(line, "sparbank list-back version=2 current=3");
+    let line = successor.node.bench.wait_for_log("endpoint list is older than the current one");
+    assert_eq!(line, " WARN endpoint list is older than the current one version=2 current_version=3");
     let counters = successor.node.bench.counters();
     assert_eq!([counters["discovery_polls"], counters["stale_lists"]], [0, 1]);
 }
