--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -10,6 +10,7 @@
 use sparbank_amqp::{
     Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus, Value,
 };
+use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -182,7 +183,11 @@
 }
 
 fn amqp_server(server: &Server, mut stream: TcpStream) {
-    let mut conn = Connection::accept(0, Settings { idle_timeout: 0, ..Settings::default() }, None);
+    let mut conn = Connection::accept(
+        MonotonicTime::ZERO,
+        Settings { idle_timeout: Duration::ZERO, ..Settings::default() },
+        None,
+    );
     let mut in_flight: Vec<InFlight> = Vec::new();
     let mut input = Vec::new();
     let mut beat = Instant::now();
@@ -194,7 +199,9 @@
         }
         let bytes = std::mem::take(&mut input);
         let mut left = &bytes[..];
-        while let Some(event) = conn.next_event(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) =
+            conn.next_event(MonotonicTime::ZERO, &mut left).expect("the node keeps to the standard")
+        {
             on_server_event(server, &mut conn, &mut in_flight, event);
         }
         input = left.to_vec();
@@ -204,7 +211,7 @@
                 server.ends(item, attempt, true);
             }
         }
-        let mut out = conn.take_output(0);
+        let mut out = conn.take_output(MonotonicTime::ZERO);
         if beat.elapsed() > Duration::from_secs(1) {
             beat = Instant::now();
             sparbank_amqp::write_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
@@ -306,15 +313,15 @@
     let mut stream = TcpStream::connect(addr).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_millis(5))).expect("a time-out");
     let mut conn = Connection::dial(
-        0,
-        Settings { idle_timeout: 0, ..Settings::default() },
+        MonotonicTime::ZERO,
+        Settings { idle_timeout: Duration::ZERO, ..Settings::default() },
         Some(Credentials::Anonymous),
     );
     let (mut input, mut links, mut open) = (Vec::new(), HashMap::new(), HashMap::new());
     let (mut seen, mut last, mut beat) = (Seen::default(), Instant::now(), Instant::now());
     while Instant::now() < until || !open.is_empty() {
         assert!(Instant::now() < until + Duration::from_secs(10), "{} items without an answer", open.len());
-        let mut out = conn.take_output(0);
+        let mut out = conn.take_output(MonotonicTime::ZERO);
         if beat.elapsed() > Duration::from_secs(1) {
             beat = Instant::now();
             sparbank_amqp::write_frame(&mut out, sparbank_amqp::AMQP, 0, None, &[]);
@@ -323,7 +330,9 @@
         more(&mut stream, &mut input).expect("the node stays");
         let bytes = std::mem::take(&mut input);
         let mut left = &bytes[..];
-        while let Some(event) = conn.next_event(0, &mut left).expect("the node keeps to the standard") {
+        while let Some(event) =
+            conn.next_event(MonotonicTime::ZERO, &mut left).expect("the node keeps to the standard")
+        {
             match event {
                 Event::Opened {} => drop(conn.begin()),
                 Event::Began { channel } => {
--- a/tests/policy_rules/deduplication.rs
+++ b/tests/policy_rules/deduplication.rs
@@ -2,6 +2,7 @@
 
 use crate::common::{attempted_server, requested_timer, serving_endpoints, settings, Node, MILLIS};
 use sparbank::model::{Action, Event, Outcome, RequestId, Settings};
+use std::time::Duration;
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails_and_is_not_rejected() {
@@ -31,7 +32,7 @@
 #[test]
 fn a_retry_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
     let slow = Settings { dial_timeout: 250 * MILLIS, ..settings() };
-    let mut latest = 0;
+    let mut latest = Duration::ZERO;
     for seed in 0..400 {
         let mut node = Node::new(seed, slow.clone(), serving_endpoints(8));
         let first = attempted_server(&node.request(1, 1)).expect("placed");
@@ -43,11 +44,11 @@
             actions = node.handle(Event::Timer(token));
         }
         if attempted_server(&actions).is_some() {
-            latest = latest.max(node.now + 250 * MILLIS - sent);
+            latest = latest.max((node.now + 250 * MILLIS).saturating_duration_since(sent));
         }
     }
     assert!(
         (750 * MILLIS..800 * MILLIS).contains(&latest),
-        "the last repeat may be sent {latest} ns after the first"
+        "the last repeat may be sent {latest:?} after the first"
     );
 }
--- a/tests/policy_rules/endpoint_list.rs
+++ b/tests/policy_rules/endpoint_list.rs
@@ -1,15 +1,15 @@
 //! Rule 3 (draining) and discovery polls.
 
 use crate::common::{
-    attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, MILLIS, SECOND,
+    attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, LONG_AGO, MILLIS, SECOND,
 };
 use sparbank::model::{Action, Discovery, Event, ListKind, Settings, Status};
 
 #[test]
 fn nothing_is_sent_to_a_draining_server_or_one_absent_from_a_full_list() {
     let mut node = Node::new(1, settings(), serving_endpoints(4));
-    node.handle(Event::EndpointList(ListKind::Incremental, vec![endpoint(0, 0, Status::Draining)]));
-    node.handle(Event::EndpointList(ListKind::Incremental, vec![endpoint(1, 0, Status::Removed)]));
+    node.handle(Event::EndpointList(ListKind::Incremental, vec![endpoint(0, LONG_AGO, Status::Draining)]));
+    node.handle(Event::EndpointList(ListKind::Incremental, vec![endpoint(1, LONG_AGO, Status::Removed)]));
     node.handle(Event::EndpointList(ListKind::Failed, vec![]));
     for id in 0..50 {
         assert!(attempted_server(&node.request(id, 0)).is_some_and(|server| server.0 >= 2));
@@ -36,7 +36,7 @@
             for failed in 0..20 {
                 let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
                 let (after, token) = requested_timer(&actions).expect("it polls again");
-                assert!(after <= most, "{discovery:?}: {after} ns after {failed} failures");
+                assert!(after <= most, "{discovery:?}: {after:?} after {failed} failures");
                 node.now += after;
                 assert_eq!(node.handle(Event::Timer(token)), [Action::Subscribe]);
             }
--- a/tests/policy_rules/final_answer.rs
+++ b/tests/policy_rules/final_answer.rs
@@ -1,7 +1,10 @@
 //! Rule 1: one final answer in time, and nothing after it.
 
-use crate::common::{attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, SECOND};
+use crate::common::{
+    attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, LONG_AGO, SECOND,
+};
 use sparbank::model::{Action, Event, Outcome, RequestId, Status};
+use std::time::Duration;
 
 fn final_answers(actions: &[Action]) -> usize {
     actions.iter().filter(|a| matches!(a, Action::Reject { .. } | Action::Fail(_))).count()
@@ -27,12 +30,12 @@
         answers += final_answers(&actions);
     }
     assert_eq!((answers, attempts), (1, 3), "a server that does not answer costs one attempt's timeout");
-    assert!(node.now - start <= 2 * SECOND);
+    assert!(node.now <= start + 2 * SECOND);
 }
 
 #[test]
 fn without_a_serving_server_a_request_is_rejected_by_its_deadline() {
-    let draining = (0..4).map(|server| endpoint(server, 0, Status::Draining)).collect();
+    let draining = (0..4).map(|server| endpoint(server, LONG_AGO, Status::Draining)).collect();
     for endpoints in [vec![], draining] {
         let mut node = Node::new(1, settings(), endpoints);
         let start = node.now;
@@ -42,7 +45,7 @@
             actions = node.elapse_timer(&actions);
         }
         assert!(matches!(actions[..], [Action::Reject { .. }]), "nothing ran: a rejection is safe");
-        assert!(node.now - start <= 2 * SECOND);
+        assert!(node.now <= start + 2 * SECOND);
     }
 }
 
@@ -52,7 +55,7 @@
     let mut node = Node::new(1, settings(), vec![]);
     let actions = node.request(1, 0);
     let (after, token) = requested_timer(&actions).expect("a backoff");
-    node.now += after.saturating_sub(1);
+    node.now += after.saturating_sub(Duration::from_nanos(1));
     assert!(!node.handle(Event::Timer(token)).is_empty());
 }
 
--- a/tests/policy_rules/invalid_input.rs
+++ b/tests/policy_rules/invalid_input.rs
@@ -1,7 +1,12 @@
 //! Invalid settings, lists, clocks and ids.
 
-use crate::common::{arrival, attempted_server, endpoint, serving_endpoints, settings, Node};
+use crate::common::{arrival, attempted_server, endpoint, serving_endpoints, settings, Node, LONG_AGO};
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, Status};
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
+
+/// The longest span of whole nanoseconds that fits 64 bits.
+const LONGEST: Duration = Duration::from_nanos(u64::MAX);
 
 #[test]
 fn invalid_settings_are_rejected_by_name() {
@@ -17,7 +22,7 @@
 #[test]
 fn invalid_lists_clocks_and_ids_do_no_harm() {
     let mut node = Node::new(1, settings(), vec![]);
-    let invalid = |server, nominal| Endpoint { nominal, ..endpoint(server, 0, Status::Serving) };
+    let invalid = |server, nominal| Endpoint { nominal, ..endpoint(server, LONG_AGO, Status::Serving) };
     let endpoints = vec![
         invalid(0, 0.0),
         invalid(0, 2.0),
@@ -34,17 +39,17 @@
     }
     assert_eq!(node.handle(Event::ClientDisconnected(RequestId(12345))), []);
     assert_eq!(node.end_attempt(12345, ServerId(77), Outcome::Ok), []);
-    assert_eq!(node.handle(Event::LatencyReport { server: ServerId(77), latency: u64::MAX }), []);
-    node.handle(Event::LatencyReport { server: ServerId(1), latency: u64::MAX });
+    assert_eq!(node.handle(Event::LatencyReport { server: ServerId(77), latency: LONGEST }), []);
+    node.handle(Event::LatencyReport { server: ServerId(1), latency: LONGEST });
     node.establish(12345, ServerId(77));
-    node.now = u64::MAX;
+    node.now = MonotonicTime::MAX;
     node.request(21, 0);
-    node.now = u64::MAX - 1;
-    node.handle(Event::Request(Arrival { time_left: u64::MAX, ..arrival(22, 0) }));
+    node.now = MonotonicTime::MAX - Duration::from_nanos(1);
+    node.handle(Event::Request(Arrival { time_left: LONGEST, ..arrival(22, 0) }));
     for earlier in 0..5 {
         node.handle(Event::EndpointList(
             ListKind::Incremental,
-            vec![endpoint(0, node.now - earlier, Status::Serving)],
+            vec![endpoint(0, node.now - Duration::from_nanos(earlier), Status::Serving)],
         ));
     }
     let many = Node::new(1, settings(), serving_endpoints(5000)).request(1, 0);
--- a/tests/policy_rules/large_fleet.rs
+++ b/tests/policy_rules/large_fleet.rs
@@ -4,16 +4,18 @@
     arrival, attempted_server, large_fleet_settings, same_zone_endpoints, serving_endpoints, Node, MILLIS,
     SECOND,
 };
-use sparbank::model::{Action, Arrival, Endpoint, Event, Nanos, Outcome, ServerId};
+use sparbank::model::{Action, Arrival, Endpoint, Event, Outcome, ServerId};
+use sparbank_time::MonotonicTime;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
+use std::time::Duration;
 
 /// Runs one node until all its requests are over, where each attempt times out after `time_to_fail`. Gives the times
 /// at which attempts were started.
-fn attempt_times(node: &mut Node, requests: Vec<Arrival>, time_to_fail: Nanos) -> Vec<Nanos> {
-    let mut due: BinaryHeap<Reverse<(Nanos, u64, u32)>> = BinaryHeap::new();
+fn attempt_times(node: &mut Node, requests: Vec<Arrival>, time_to_fail: Duration) -> Vec<MonotonicTime> {
+    let mut due: BinaryHeap<Reverse<(MonotonicTime, u64, u32)>> = BinaryHeap::new();
     let mut sent = Vec::new();
-    let mut schedule = |actions: Vec<Action>, now: Nanos, due: &mut BinaryHeap<_>| {
+    let mut schedule = |actions: Vec<Action>, now: MonotonicTime, due: &mut BinaryHeap<_>| {
         for action in actions {
             match action {
                 Action::SetTimer { after, token } => due.push(Reverse((now + after, token, u32::MAX))),
@@ -54,12 +56,13 @@
         sent.extend(
             attempt_times(&mut node, (1..=6).map(reconnect).collect(), 400 * MILLIS)
                 .into_iter()
-                .map(|t| t - start),
+                .map(|t| t.saturating_duration_since(start)),
         );
     }
     sent.sort_unstable();
-    let most =
-        |span: Nanos| sent.iter().map(|t| sent.iter().filter(|u| (*t..*t + span).contains(*u)).count()).max();
+    let most = |span: Duration| {
+        sent.iter().map(|t| sent.iter().filter(|u| (*t..*t + span).contains(*u)).count()).max()
+    };
     // With a window of one at a start, 100 may be in flight at once, each for a third of what a client waits.
     assert!(sent.len() <= 320, "retries of a failure are paced: {}", sent.len());
     assert!(most(SECOND / 4) <= Some(100), "{:?} in a quarter of a second", most(SECOND / 4));
--- a/tests/policy_rules/large_fleet_slow_start.rs
+++ b/tests/policy_rules/large_fleet_slow_start.rs
@@ -1,10 +1,11 @@
 //! Many nodes, each of which sees little: servers that are warming up.
 
 use crate::common::{
-    arrival, attempted_server, large_fleet_settings, same_zone_endpoints, Node, MILLIS, SECOND,
+    arrival, attempted_server, large_fleet_settings, same_zone_endpoints, Node, LONG_AGO, MILLIS, SECOND,
 };
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, ServerId, Settings};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Found on a day of the large fleet: five of nine servers had just started and together got one connection per
 /// second, while the others reset what they were sent.
@@ -16,15 +17,17 @@
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, same_zone_endpoints(5));
         let now = node.now;
-        let started_at =
-            |m: Endpoint| Endpoint { started_at: if m.server.0 < 3 { now - 3 * SECOND } else { 0 }, ..m };
+        let started_at = |m: Endpoint| Endpoint {
+            started_at: if m.server.0 < 3 { now - 3 * SECOND } else { LONG_AGO },
+            ..m
+        };
         node.handle(Event::EndpointList(
             ListKind::Full,
             same_zone_endpoints(5).into_iter().map(started_at).collect(),
         ));
         // Two seconds at twice the rate of the quotas: 40 placements of all nodes.
         if seed % 5 < 2 {
-            node.now += seed * 20 * MILLIS;
+            node.now += Duration::from_millis(seed * 20);
             match attempted_server(&node.request(seed + 1, 0)).expect("placed").0 {
                 0..3 => starting += 1,
                 _ => other += 1,
@@ -50,8 +53,10 @@
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, same_zone_endpoints(5));
         let now = node.now;
-        let started_at =
-            |m: Endpoint| Endpoint { started_at: if m.server.0 == 0 { now - 3 * SECOND } else { 0 }, ..m };
+        let started_at = |m: Endpoint| Endpoint {
+            started_at: if m.server.0 == 0 { now - 3 * SECOND } else { LONG_AGO },
+            ..m
+        };
         node.handle(Event::EndpointList(
             ListKind::Full,
             same_zone_endpoints(5).into_iter().map(started_at).collect(),
@@ -83,8 +88,10 @@
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, Vec::new());
         let now = node.now;
-        let started_at =
-            |m: Endpoint| Endpoint { started_at: if m.server.0 < 6 { now - 3 * SECOND } else { 0 }, ..m };
+        let started_at = |m: Endpoint| Endpoint {
+            started_at: if m.server.0 < 6 { now - 3 * SECOND } else { LONG_AGO },
+            ..m
+        };
         node.handle(Event::EndpointList(
             ListKind::Full,
             same_zone_endpoints(12).into_iter().map(started_at).collect(),
--- a/tests/policy_rules/placement.rs
+++ b/tests/policy_rules/placement.rs
@@ -2,14 +2,15 @@
 
 use crate::common::{
     arrival, attempted_server, endpoint, requested_timer, same_zone_endpoints, serving_endpoints, settings,
-    Node, MILLIS, SECOND,
+    Node, LONG_AGO, MILLIS, SECOND,
 };
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Status};
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 #[test]
 fn first_attempts_start_at_once_and_a_retry_backs_off_and_goes_to_another_server() {
-    let mut longest = 0;
+    let mut longest = Duration::ZERO;
     for seed in 0..200 {
         let mut node = Node::new(seed, settings(), serving_endpoints(5));
         let first = attempted_server(&node.request(1, 0)).expect("the first attempt goes at once");
@@ -21,7 +22,7 @@
         assert_ne!(first, second);
     }
     // base * 2^1 is half the objective here: no backoff is longer, and some are almost as long.
-    assert!(longest <= 150 * MILLIS && longest > 120 * MILLIS, "longest backoff {longest}");
+    assert!(longest <= 150 * MILLIS && longest > 120 * MILLIS, "longest backoff {longest:?}");
 }
 
 #[test]
@@ -55,7 +56,7 @@
     assert!(found > 50, "{found} of 100 found their server; chance finds 5");
     let started_at = other.now - SECOND;
     let unsuitable = (0..10)
-        .map(|s| endpoint(s, 0, Status::Draining))
+        .map(|s| endpoint(s, LONG_AGO, Status::Draining))
         .chain((10..15).map(|s| endpoint(s, started_at, Status::Serving)));
     other.handle(Event::EndpointList(ListKind::Incremental, unsuitable.collect()));
     for id in 100..200 {
--- a/tests/policy_rules/slow_start.rs
+++ b/tests/policy_rules/slow_start.rs
@@ -1,8 +1,10 @@
 //! Rule 4: all nodes together do not overload a server that is warming up.
 
 use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, MILLIS, SECOND};
-use sparbank::model::{Event, ListKind, Nanos, ServerId, Status};
+use sparbank::model::{Event, ListKind, ServerId, Status};
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Twenty nodes with `connections` each at warm servers meet `starting` servers, a second old, while clients
 /// reconnect. Gives the most attempts that one starting server was sent within one second.
@@ -12,7 +14,7 @@
     connections: u64,
     overloaded: bool,
 ) -> usize {
-    let mut sent: BTreeMap<ServerId, Vec<Nanos>> = BTreeMap::new();
+    let mut sent: BTreeMap<ServerId, Vec<MonotonicTime>> = BTreeMap::new();
     for number in 0..20 {
         let mut node = Node::new(number, settings(), serving_endpoints(warm));
         for id in 0..connections {
@@ -21,7 +23,7 @@
                 node.establish(id, server);
             }
         }
-        node.now = 200 * SECOND;
+        node.now = MonotonicTime::ZERO + 200 * SECOND;
         let started_at = node.now - SECOND;
         let starts =
             (warm..warm + starting).map(|server| endpoint(server, started_at, Status::Serving)).collect();
@@ -35,11 +37,12 @@
             if let Some(server) = attempted_server(&node.request(id, 0)).filter(|server| server.0 >= warm) {
                 sent.entry(server).or_default().push(node.now);
             }
-            node.now += 97 * MILLIS + number * MILLIS / 3;
+            node.now += 97 * MILLIS + Duration::from_millis(number) / 3;
         }
     }
-    let worst = |times: &Vec<Nanos>| {
-        let count_from = |from: Nanos| times.iter().filter(|t| (from..from + SECOND).contains(*t)).count();
+    let worst = |times: &Vec<MonotonicTime>| {
+        let count_from =
+            |from: MonotonicTime| times.iter().filter(|t| (from..from + SECOND).contains(*t)).count();
         times.iter().map(|from| count_from(*from)).max()
     };
     sent.values().filter_map(worst).max().unwrap_or(0)
--- a/tests/policy_rules/state_snapshot.rs
+++ b/tests/policy_rules/state_snapshot.rs
@@ -1,7 +1,8 @@
 //! The state that a handover transfers.
 
-use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, SECOND};
+use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, LONG_AGO};
 use sparbank::model::{Endpoint, Event, ListKind, Outcome, ServerId, Status};
+use sparbank_time::MonotonicTime;
 
 /// Three servers that could not be reached stay ejected in the next process, which numbers them anew.
 #[test]
@@ -42,8 +43,8 @@
 fn a_snapshot_of_version_00677b7_is_read_and_written_back_identically() {
     let snapshot = SNAPSHOT_00677B7.trim_end();
     let mut node = Node::new(1, settings(), serving_endpoints(4));
-    let started = endpoint(1, 92 * SECOND + 123, Status::Serving);
-    let later = vec![started, endpoint(5, 0, Status::Serving)];
+    let started = endpoint(1, MonotonicTime::from_nanos(92_000_000_123), Status::Serving);
+    let later = vec![started, endpoint(5, LONG_AGO, Status::Serving)];
     node.handle(Event::EndpointList(ListKind::Incremental, later));
     assert_ne!(node.balancer.state_snapshot(), snapshot);
     node.balancer.restore_state(snapshot).expect("it is read");
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -1,20 +1,22 @@
 //! The surroundings of one node: clients, servers and timers. They check each action of the balancer.
 
-use crate::common::{arrival, endpoint, serving_endpoints, settings, MILLIS, SECOND};
+use crate::common::{arrival, endpoint, serving_endpoints, settings, LONG_AGO, MILLIS, SECOND, START};
 use sparbank::model::{
-    Action, Arrival, Effect, Endpoint, Event, ListKind, Nanos, Outcome, RequestId, ServerId, Settings, Status,
+    Action, Arrival, Effect, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, Status,
 };
 use sparbank::Balancer;
+use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The number of servers that are ever listed.
 pub const SERVERS: u32 = 6;
 /// Attempts may be sent to a draining server for this long.
-const DRAIN_GRACE: Nanos = 500 * MILLIS;
+const DRAIN_GRACE: Duration = Duration::from_millis(500);
 /// A final answer may be this late.
-const ANSWER_SLACK: Nanos = 20 * MILLIS;
+const ANSWER_SLACK: Duration = Duration::from_millis(20);
 /// Timers and timeouts are handled at the first tick after their time.
-const TICK: Nanos = 5 * MILLIS;
+const TICK: Duration = Duration::from_millis(5);
 /// Latency reports and health checks also name servers that are never listed.
 const REPORTED_SERVERS: u32 = 8;
 /// How attempts and connections end, other than by a timeout.
@@ -40,14 +42,14 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum AttemptState {
-    InFlight { until: Nanos },
+    InFlight { until: MonotonicTime },
     Established,
     Ended(Outcome),
 }
 
 struct Attempt {
     server: ServerId,
-    sent_at: Nanos,
+    sent_at: MonotonicTime,
     state: AttemptState,
 }
 
@@ -67,7 +69,7 @@
 
 struct Client {
     class: usize,
-    deadline: Nanos,
+    deadline: MonotonicTime,
     /// The final answer was given, or the client has disconnected.
     is_over: bool,
     attempts: Vec<Attempt>,
@@ -82,11 +84,11 @@
         self.attempts.last().is_some_and(|attempt| attempt.state == AttemptState::Established)
     }
 
-    fn is_overdue(&self, now: Nanos) -> bool {
+    fn is_overdue(&self, now: MonotonicTime) -> bool {
         !self.is_over && !self.is_established() && now > self.deadline + ANSWER_SLACK
     }
 
-    fn has_timed_out(&self, now: Nanos) -> bool {
+    fn has_timed_out(&self, now: MonotonicTime) -> bool {
         let last = self.attempts.last();
         last.is_some_and(|last| matches!(last.state, AttemptState::InFlight { until } if until <= now))
     }
@@ -98,7 +100,7 @@
 }
 
 struct Timer {
-    at: Nanos,
+    at: MonotonicTime,
     token: u64,
 }
 
@@ -107,10 +109,10 @@
     pub journal: Vec<Action>,
     settings: Settings,
     balancer: Balancer,
-    now: Nanos,
+    now: MonotonicTime,
     timers: Vec<Timer>,
     clients: BTreeMap<u64, Client>,
-    draining_since: BTreeMap<ServerId, Nanos>,
+    draining_since: BTreeMap<ServerId, MonotonicTime>,
     listed: BTreeMap<ServerId, Status>,
     next_request: u64,
 }
@@ -122,7 +124,7 @@
             journal: Vec::new(),
             balancer: Balancer::new(seed, settings.clone()).expect("valid settings"),
             settings,
-            now: 100 * SECOND,
+            now: START,
             timers: Vec::new(),
             clients: BTreeMap::new(),
             draining_since: BTreeMap::new(),
@@ -154,7 +156,7 @@
                 assert!(self.clients[&id.0].attempts.len() > *attempt as usize)
             }
             Action::SetTimer { after, token } => {
-                self.timers.push(Timer { at: self.now + after, token: *token });
+                self.timers.push(Timer { at: self.now + *after, token: *token });
             }
             Action::HealthCheck(server) => {
                 assert!(self.settings.health_checks, "a health check where none is allowed");
@@ -164,13 +166,13 @@
         }
     }
 
-    fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Nanos) {
+    fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
         let client = self.clients.get_mut(&id.0).expect("a request that arrived");
         assert!(!client.is_over, "rule 1: an attempt after the end");
         assert!(client.attempts.iter().all(Attempt::is_ended), "one attempt at a time");
         assert!(client.attempts.len() < self.settings.max_attempts as usize, "attempts used up");
         if let Some(since) = self.draining_since.get(&server) {
-            assert!(self.now <= since + DRAIN_GRACE, "rule 3: {server:?} is draining or removed");
+            assert!(self.now <= *since + DRAIN_GRACE, "rule 3: {server:?} is draining or removed");
         }
         let class = &self.settings.classes[client.class];
         if let Some(first) = client.attempts.iter().find(|attempt| attempt.may_have_run()) {
@@ -178,7 +180,7 @@
                 Effect::ReadLike => {}
                 Effect::NonIdempotent => panic!("rule 2: a non-idempotent request twice"),
                 Effect::IdempotencyKey => {
-                    let age = self.now - first.sent_at;
+                    let age = self.now.saturating_duration_since(first.sent_at);
                     assert!(age <= class.dedup_window, "rule 2: the repeat is not discarded any more");
                     assert_eq!(first.server.0 % 2, server.0 % 2, "rule 2: another zone");
                 }
@@ -200,7 +202,7 @@
     }
 
     /// Lets time pass.
-    pub fn pass(&mut self, span: Nanos) {
+    pub fn pass(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += TICK;
@@ -275,7 +277,7 @@
                 self.send_list(ListKind::Full, full.collect());
             }
             13 => {
-                let latency = choice % 900 * MILLIS;
+                let latency = Duration::from_millis(choice % 900);
                 self.handle(Event::LatencyReport { server: reported, latency });
             }
             14 => self.disconnect_one(choice),
@@ -285,14 +287,14 @@
                 self.handle(Event::HealthCheckResult { server: reported, utilization });
             }
         }
-        self.pass(Nanos::from(step.pause_ms) * MILLIS);
+        self.pass(Duration::from_millis(step.pause_ms.into()));
     }
 
     fn send_request(&mut self, choice: u64) {
         let id = self.next_request;
         self.next_request += 1;
         let class = choice as usize % 3;
-        let time_left = 50 * MILLIS + choice % 1950 * MILLIS;
+        let time_left = 50 * MILLIS + Duration::from_millis(choice % 1950);
         let deadline = self.now + time_left;
         self.clients.insert(id, Client { class, deadline, is_over: false, attempts: Vec::new() });
         self.handle(Event::Request(Arrival {
@@ -307,7 +309,7 @@
         let Some((id, server)) = self.choose_client(choice, Client::is_in_flight) else { return };
         let attempt = self.client_mut(id).attempts.last_mut().expect("an attempt in flight");
         attempt.state = AttemptState::Established;
-        let setup_time = choice % 400 * MILLIS;
+        let setup_time = Duration::from_millis(choice % 400);
         self.handle(Event::Established { id: RequestId(id), server, setup_time });
     }
 
@@ -319,7 +321,7 @@
 
     fn send_changed_endpoint(&mut self, choice: u64) {
         let status = [Status::Serving, Status::Draining, Status::Removed][choice as usize % 3];
-        let started_at = if choice.is_multiple_of(2) { self.now - SECOND } else { 0 };
+        let started_at = if choice.is_multiple_of(2) { self.now - SECOND } else { LONG_AGO };
         let changed = endpoint(choice as u32 % SERVERS, started_at, status);
         self.send_list(ListKind::Incremental, vec![changed.clone(), changed]);
     }
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -29,7 +29,7 @@
     attempt.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
     bench.move_discovery();
-    bench.wait_for_log("reloaded");
+    bench.wait_for_log("configuration reloaded");
     // The new discovery counts its versions from elsewhere.
     bench.generation = 0;
     let mut watch = bench.accept_watch();
@@ -41,7 +41,7 @@
     bench.send_endpoints(&mut watch, true, &entries.join(","));
     // The watch ends after the list, so that its loss shows that the list was handled.
     watch.send("0\r\n\r\n");
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     let _placed: Vec<_> = (0..4).map(|key| establish_at(&bench, 1, key)).collect();
     // The established connection goes on, at whichever server.
     client.send("M 1 x\r\n");
@@ -57,7 +57,7 @@
     let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     let _established = establish_at(&bench, 0, 1);
     // One reload during the poll that follows, and one more: each ends the watch before it.
     let mut pending = Peer::accept(&bench.discovery);
@@ -79,13 +79,13 @@
     let mut bench = Bench::start(1);
     let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
-    let refusal = bench.wait_for_log("reload-refused");
+    let refusal = bench.wait_for_log("configuration reload rejected");
     assert!(refusal.contains("node.json") && refusal.contains(expected), "{refusal}");
     let _established = establish_at(&bench, 0, 1);
     // The watch is still the same.
     bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     assert_eq!(bench.counter("discovery_failures"), 1);
 }
 
@@ -100,6 +100,9 @@
             .replace(r#""name":"n1""#, r#""name":"n2""#)
             .replace(r#""seed":"7""#, r#""seed":"8""#)
     });
-    assert_eq!(bench.wait_for_log("reload-needs-restart"), "sparbank reload-needs-restart fields=name,seed");
+    assert_eq!(
+        bench.wait_for_log("changed fields need a restart"),
+        " WARN changed fields need a restart fields=name,seed"
+    );
     assert_eq!(bench.connect_client(OPEN).read_line(), "BUSY 500");
 }
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -5,7 +5,7 @@
 
 use rstest::rstest;
 use std::time::{Duration, Instant};
-use support::{accept_any, counter_value, established_client, listener, open_line, Bench, Peer};
+use support::{accept_any, counter_value, established_client, listener, log_field, open_line, Bench, Peer};
 
 /// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s here.
 const SIGKILL_AFTER: Duration = Duration::from_millis(1_900);
@@ -139,7 +139,7 @@
     }
     let sigterm_at = Instant::now();
     bench.resume();
-    bench.wait_for_log("shutting-down");
+    bench.wait_for_log("shutting down");
     assert_eq!(read_lines(&mut client), ["MOVE"]);
     drop((client, attempt));
     expect_exit(bench, sigterm_at);
@@ -169,8 +169,8 @@
     let mut bench = Bench::with_args(vec![listener()], None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
-    let line = bench.wait_for_log("operator");
-    let admin = line.split("listen=").nth(1).and_then(|address| address.parse().ok()).expect("an address");
+    let line = bench.wait_for_log("admin API ready");
+    let admin = log_field(&line, "listen").parse().expect("an address");
     let mut caller = Peer::connect(admin);
     caller.send("POST /-/drain HTTP/1.1\r\nHost: node\r\n\r\n").read_to_end();
     std::thread::sleep(OPERATORS_DRAIN);
--- a/tests/startup_races.rs
+++ b/tests/startup_races.rs
@@ -8,7 +8,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Stdio};
 use std::time::Duration;
-use support::{config, listener, node_command, temp_file};
+use support::{config, is_log_of, listener, node_command, temp_file};
 
 /// The process gets no descriptors for this long.
 const SHORTAGE: Duration = Duration::from_millis(700);
@@ -16,10 +16,10 @@
 /// A signal arrives while the process reads its configuration: SIGHUP and SIGUSR1 do not end it, and SIGTERM lets it end
 /// in order. The configuration is a FIFO, which holds the process up until the test has sent the signal.
 #[rstest]
-#[case::reload("-HUP", "reloaded")]
+#[case::reload("-HUP", "configuration reloaded")]
 #[case::counters("-USR1", "counters")]
-#[case::shutdown("-TERM", "stopped")]
-fn a_signal_during_start_up_does_not_kill_the_process(#[case] signal: &str, #[case] event: &str) {
+#[case::shutdown("-TERM", "node stopped")]
+fn a_signal_during_start_up_does_not_kill_the_process(#[case] signal: &str, #[case] message: &str) {
     let discovery = listener();
     let text = config(discovery.local_addr().expect("an address"), "", 256);
     let path = temp_file("node.json", "");
@@ -36,14 +36,13 @@
     fifo.write_all(text.as_bytes()).expect("the process still reads");
     drop(fifo);
     let log = BufReader::new(child.stderr.take().expect("its log"));
-    let wanted = format!("sparbank {event}");
-    let found = log.lines().map_while(Result::ok).any(|line| line.starts_with(&wanted));
-    if event != "stopped" {
+    let found = log.lines().map_while(Result::ok).any(|line| is_log_of(&line, message));
+    if message != "node stopped" {
         child.kill().expect("it still runs");
     }
     let status = child.wait().expect("it ends");
     std::fs::remove_file(&path).expect("the file");
-    assert!(found, "no log line {event}: {status}");
+    assert!(found, "no log line {message}: {status}");
 }
 
 /// The process gets no descriptors while it starts: it waits for them and then serves.
@@ -63,5 +62,5 @@
     child.kill().expect("it is ended");
     child.wait().expect("it ends");
     std::fs::remove_file(&path).expect("the file");
-    assert!(lines.concat().starts_with("sparbank started"), "{lines:?}");
+    assert!(lines.concat().starts_with(" INFO node started"), "{lines:?}");
 }
--- a/tests/support/bench.rs
+++ b/tests/support/bench.rs
@@ -1,7 +1,7 @@
 //! The test bench: one node with its discovery and its servers.
 
 use super::node_config::{config, instance, open_line, temp_file};
-use super::node_process::{NodeProcess, StartOptions};
+use super::node_process::{log_field, NodeProcess, StartOptions};
 use super::peer::{accept_any, listener, try_accept, Peer};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
@@ -68,8 +68,8 @@
         let config_path = temp_file("node.json", &config);
         let start_options = start_options(amqp, args, env);
         let mut process = start_options.spawn(&config_path);
-        let addr = listen_addr(&process.wait_for_log("started"));
-        let amqp_line = amqp.map(|_| process.wait_for_log("amqp"));
+        let addr = listen_addr(&process.wait_for_log("node started"));
+        let amqp_line = amqp.map(|_| process.wait_for_log("AMQP frontend ready"));
         Bench {
             process,
             start_options,
@@ -180,9 +180,9 @@
 
     // ---- Log and counters ----------------------------------------------------------------------
 
-    /// The next log line that begins with this event.
-    pub fn wait_for_log(&mut self, event: &str) -> String {
-        self.process.wait_for_log(event)
+    /// The next log line whose text after the level begins with this message.
+    pub fn wait_for_log(&mut self, message: &str) -> String {
+        self.process.wait_for_log(message)
     }
 
     /// Makes the node log its counters; yields their line.
@@ -200,7 +200,7 @@
     pub fn frontend_counters(&mut self, frontend: &str) -> String {
         // The line of an earlier signal may be in the log: the one behind these counters is the last.
         self.counters_line();
-        self.wait_for_log(&format!("{front}-counters"))
+        self.wait_for_log(&format!("{frontend}-counters"))
     }
 
     /// All counters by name.
@@ -245,8 +245,7 @@
 
 /// The value of a counter in a line of counters.
 pub fn counter_value(line: &str, name: &str) -> u64 {
-    let found = line.split(' ').find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
-    found.and_then(|value| value.parse().ok()).unwrap_or_else(|| panic!("{name} is not in {line}"))
+    log_field(line, name).parse().unwrap_or_else(|error| panic!("{name} in {line}: {error}"))
 }
 
 /// The values of several counters in a line of counters.
@@ -272,6 +271,5 @@
 
 /// The address in a log line about a listener.
 fn listen_addr(line: &str) -> SocketAddr {
-    let addr = line.split("listen=").nth(1).expect("an address in the log");
-    addr.parse().expect("an address")
+    log_field(line, "listen").parse().expect("an address")
 }
--- a/tests/support/handover.rs
+++ b/tests/support/handover.rs
@@ -1,6 +1,6 @@
 //! A node whose process can be replaced by a successor, and a scripted process at its handover socket.
 
-use super::{listener, temp_file, Bench, NodeProcess};
+use super::{listener, log_field, temp_file, Bench, NodeProcess};
 use rustix::io::IoSlice;
 use rustix::net::{
     recv, send, sendmsg, AddressFamily, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags,
@@ -79,8 +79,8 @@
     pub fn start_successor(&mut self) -> NodeProcess {
         let mut predecessor = self.bench.start_successor();
         self.admin = admin_address(&mut self.bench);
-        self.bench.wait_for_log("handover-from-predecessor");
-        predecessor.wait_for_log("handover-to-successor");
+        self.bench.wait_for_log("handover from predecessor started");
+        predecessor.wait_for_log("handover to successor started");
         predecessor
     }
 
@@ -90,15 +90,15 @@
         predecessor.signal("-TERM");
         let counters = predecessor.wait_for_log("counters");
         assert!(predecessor.child.wait().expect("it ends").success());
-        self.bench.wait_for_log("handover-complete");
+        self.bench.wait_for_log("handover from predecessor complete");
         counters
     }
 }
 
 /// Where the process that has just started serves its admin API.
 fn admin_address(bench: &mut Bench) -> SocketAddr {
-    let line = bench.wait_for_log("operator");
-    line.split("listen=").nth(1).and_then(|address| address.parse().ok()).expect("an address")
+    let line = bench.wait_for_log("admin API ready");
+    log_field(&line, "listen").parse().expect("an address")
 }
 
 /// A scripted process at the handover socket.
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -13,5 +13,5 @@
 pub use bench::{counter_value, counter_values, establish, established_client, Bench};
 pub use handover::{listen_for_handover, HandoverFolder, HandoverNode, HandoverPeer};
 pub use node_config::{config, instance, open_line, temp_file};
-pub use node_process::{node_command, NodeProcess};
+pub use node_process::{is_log_of, log_field, node_command, NodeProcess};
 pub use peer::{accept_any, listener, refusing_port, try_accept, FullBacklogServer, Peer};
--- a/tests/support/node_process.rs
+++ b/tests/support/node_process.rs
@@ -11,6 +11,20 @@
 const NODE_VARIABLES: [&str; 5] =
     ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"];
 
+/// The levels of log lines, as they are printed.
+const LOG_LEVELS: [&str; 5] = ["ERROR ", " WARN ", " INFO ", "DEBUG ", "TRACE "];
+
+/// Whether a log line's text after the level begins with this message.
+pub fn is_log_of(line: &str, message: &str) -> bool {
+    LOG_LEVELS.iter().any(|level| line.strip_prefix(level).is_some_and(|text| text.starts_with(message)))
+}
+
+/// The value of a field of a log line.
+pub fn log_field<'a>(line: &'a str, name: &str) -> &'a str {
+    let value = line.split(' ').find_map(|word| word.strip_prefix(name)?.strip_prefix('='));
+    value.unwrap_or_else(|| panic!("{name} is not in {line}"))
+}
+
 /// The program with these arguments and this configuration file.
 pub fn node_command(args: &[&str], config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_sparbank"));
@@ -45,14 +59,21 @@
 }
 
 impl NodeProcess {
-    /// The next log line that begins with this event.
-    pub fn wait_for_log(&mut self, event: &str) -> String {
-        let prefix = format!("sparbank {event}");
+    /// The next log line whose text after the level begins with this message.
+    pub fn wait_for_log(&mut self, message: &str) -> String {
+        self.wait_for_any_log(&[message])
+    }
+
+    /// The next log line whose text after the level begins with any of these messages.
+    pub fn wait_for_any_log(&mut self, messages: &[&str]) -> String {
         let mut line = String::new();
         loop {
             line.clear();
-            assert!(self.log.read_line(&mut line).expect("a log line") > 0, "the log ended before {event}");
-            if line.starts_with(&prefix) {
+            assert!(
+                self.log.read_line(&mut line).expect("a log line") > 0,
+                "the log ended before {messages:?}"
+            );
+            if messages.iter().any(|message| is_log_of(&line, message)) {
                 return line.trim_end().to_string();
             }
         }
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -6,7 +6,7 @@
 use std::net::TcpListener;
 use std::time::Duration;
 use support::{
-    accept_any, counter_value, counter_values, establish, established_client, listener, open_line,
+    accept_any, counter_value, counter_values, establish, established_client, is_log_of, listener, open_line,
     refusing_port, try_accept, Bench, FullBacklogServer, Peer,
 };
 
@@ -57,11 +57,11 @@
     let (_, mut attempt) = accept_attempt(&bench);
     attempt.read_line();
     attempt.send("UP r1\r\nLOAD 2727\r\n");
-    assert!(bench.wait_for_log("trace load").ends_with("us=2727"));
+    assert!(bench.wait_for_log("load report").ends_with(" load_us_per_s=2727"));
     // A second later, and nearer to the class's latency objective in milliseconds than to the load before it.
     std::thread::sleep(Duration::from_millis(1_000));
     attempt.send("LOAD 90\r\n");
-    assert!(bench.wait_for_log("trace load").ends_with("us=90"));
+    assert!(bench.wait_for_log("load report").ends_with(" load_us_per_s=90"));
     assert_eq!(
         [client.read_line(), client.read_line(), client.read_line()],
         ["UP r1", "LOAD 2727", "LOAD 90"]
@@ -82,9 +82,10 @@
     drop(attempt);
     assert_eq!(client.read_line(), bye.trim_end());
     client.expect_closed();
-    assert!(bench.wait_for_log("trace attempt").contains(" up "));
-    let ended = bench.wait_for_log("trace attempt");
-    assert!(ended.contains("ended=Ok"), "{ended}");
+    let attempt_messages = ["attempt established", "attempt ended"];
+    assert!(is_log_of(&bench.process.wait_for_any_log(&attempt_messages), "attempt established"));
+    let ended = bench.process.wait_for_any_log(&attempt_messages);
+    assert!(is_log_of(&ended, "attempt ended") && ended.contains(" outcome=Ok"), "{ended}");
 }
 
 #[rstest]
@@ -244,7 +245,7 @@
     bench.update_lifecycle(&mut watch, 0, "draining");
     // The watch ends after the change, so that its loss shows that the change was handled.
     watch.send("0\r\n\r\n");
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     for key in 0..4 {
         let mut client = bench.connect_client(&open_line(key));
         let mut attempt = Peer::accept(&bench.servers[1]);
@@ -283,7 +284,7 @@
     let mut bench = Bench::start(1);
     let mut call = Peer::accept(&bench.discovery);
     call.send(answer);
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     let _established = established_client(&bench, 0x9b1f);
     let _watch = bench.accept_watch();
     assert_eq!(bench.counter("discovery_failures"), 1);
@@ -296,7 +297,7 @@
     let mut bench = Bench::start(1);
     let (mut first, _first_server) = established_client(&bench, 0x9b1f);
     bench.signal("-TERM");
-    bench.wait_for_log("shutting-down");
+    bench.wait_for_log("shutting down");
     let mut second = bench.connect_client(&open_line(2));
     let (_, mut attempt) = accept_attempt(&bench);
     attempt.read_line();
--- a/tests/text_overload.rs
+++ b/tests/text_overload.rs
@@ -87,7 +87,7 @@
     let mut bench = Bench::start(1);
     limit_descriptors(&bench, 4);
     let mut client = bench.connect_client(&open_line(0x9b1f));
-    bench.wait_for_log("accept-rests");
+    bench.wait_for_log("accepting paused, no descriptor available");
     limit_descriptors(&bench, 64);
     let (_, mut attempt) = accept_any(&bench.servers);
     establish(&mut client, &mut attempt);
@@ -104,7 +104,7 @@
     assert_eq!(client.read_line(), "PONG");
     limit_descriptors(&bench, 4);
     client.send(&open_line(0x9b1f).replace("d=1200", "d=9000")).send("\r\n");
-    bench.wait_for_log("trace client arrived");
+    bench.wait_for_log("client arrived");
     std::thread::sleep(LOCAL_SHORTAGE);
     limit_descriptors(&bench, 64);
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -119,7 +119,7 @@
     assert_eq!(bench.counter("discovery_failures"), 0);
     limit_descriptors(&bench, 4);
     drop(watch);
-    bench.wait_for_log("list-lost");
+    bench.wait_for_log("endpoint watch lost");
     std::thread::sleep(LOCAL_SHORTAGE);
     assert_eq!(bench.counter("discovery_failures"), 1, "the lost watch alone");
     limit_descriptors(&bench, 64);
