--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,17 +1,19 @@
 //! The configuration of a node: the file that `NODE_CONFIG` names, and the variables beside it.
 //!
-//! The file is JSON. Its `settings` object is the platform's document for the site; it is decoded twice, into what the
-//! balancer decides by ([`Settings`]) and into what the frontends and exports need besides ([`SiteSettings`]).
+//! The file is JSON. Its `settings` object is the platform's document for the site: [`SettingsDocument`] is its schema,
+//! which is mapped to what the balancer decides by ([`Settings`]) and to what frontends and exports read
+//! ([`FrontendSettings`]).
 
 mod error;
-pub mod settings;
-mod site;
+mod settings;
+mod settings_document;
 
 #[cfg(test)]
 mod tests;
 
 pub use error::{ConfigError, ContentError};
-pub use site::SiteSettings;
+pub use settings::{FrontendSettings, UTILIZATION_FIELD};
+pub use settings_document::SettingsDocument;
 
 use crate::discovery::EndpointListDocument;
 use crate::json;
@@ -41,14 +43,12 @@
     pub known_endpoints: EndpointListDocument,
     /// What the balancer decides by.
     pub settings: Settings,
-    /// What frontends and exports need besides.
-    pub site: SiteSettings,
+    /// What frontends and exports read.
+    pub frontend_settings: FrontendSettings,
 }
 
-/// The document in the file that `NODE_CONFIG` names. `expecting` keeps the text of decoding errors as earlier versions
-/// print it.
+/// The document in the file that `NODE_CONFIG` names.
 #[derive(Deserialize)]
-#[serde(expecting = "struct File")]
 struct ConfigDocument<'a> {
     name: String,
     listen: SocketAddr,
@@ -66,7 +66,6 @@
 }
 
 #[derive(Deserialize)]
-#[serde(expecting = "struct Limits")]
 struct LimitsDocument {
     #[serde(rename = "sockets")]
     max_descriptors: usize,
@@ -75,6 +74,9 @@
 impl Config {
     /// Reads the file that `NODE_CONFIG` names. `NODE_NAME`, `NODE_LISTEN`, `NODE_OPERATOR` and `NODE_DISCOVERY`
     /// override it where they are set.
+    ///
+    /// # Errors
+    /// Names the variable, or the file and its field.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::NotSet("NODE_CONFIG"))?;
         let text = match std::fs::read_to_string(&path) {
@@ -96,6 +98,9 @@
 
     /// Reads the configuration again for the node that runs under this one. The variables are those of the start:
     /// where the file names another discovery service than it did, the file is newer and wins over `NODE_DISCOVERY`.
+    ///
+    /// # Errors
+    /// Those of [`Config::from_env`].
     pub fn reread(&self) -> Result<Config, ConfigError> {
         let mut config = Config::from_env()?;
         let file_changed = config.discovery_in_file != self.discovery_in_file;
@@ -109,9 +114,9 @@
     /// Open connections refer to classes and zones by index: settings that change either need a restart.
     pub fn apply_reload(&mut self, new: Config) -> Vec<&'static str> {
         let mut needs_restart = Vec::new();
-        if new.site.has_same_classes_and_zones(&self.site) {
+        if new.frontend_settings.has_same_classes_and_zones(&self.frontend_settings) {
             self.settings = new.settings;
-            self.site = new.site;
+            self.frontend_settings = new.frontend_settings;
         } else {
             needs_restart.push("settings");
         }
@@ -129,11 +134,14 @@
     }
 
     /// Decodes and checks the text of the file.
+    ///
+    /// # Errors
+    /// Names the field and what is wrong with it.
     pub fn parse(text: &str) -> Result<Config, ContentError> {
         let document: ConfigDocument = json::parse(text)?;
         let settings_text = document.settings.get();
         tracing::trace!(settings = %settings_text, "settings document");
-        let (settings, site) = parse_settings(settings_text)?;
+        let (settings, frontend_settings) = parse_settings(settings_text)?;
         settings.validate()?;
         let seed = match document.seed.as_str() {
             "" => 0,
@@ -149,21 +157,22 @@
             max_descriptors: document.limits.max_descriptors,
             known_endpoints: document.known_endpoints,
             settings,
-            site,
+            frontend_settings,
         })
     }
 }
 
 /// Decodes the `settings` object as a node on real sockets reads it.
-fn parse_settings(text: &str) -> Result<(Settings, SiteSettings), ContentError> {
-    let mut settings = settings::parse(text).map_err(|e| e.within("settings"))?;
-    let site: SiteSettings = json::parse(text).map_err(|e| e.within("settings"))?;
-    settings.dial_timeout = site.limits.dial_timeout_ns;
+fn parse_settings(text: &str) -> Result<(Settings, FrontendSettings), ContentError> {
+    let document: SettingsDocument = json::parse(text).map_err(|error| error.within("settings"))?;
+    let frontend_settings = FrontendSettings::try_from(&document)?;
+    let mut settings = Settings::from(document);
+    settings.dial_timeout = frontend_settings.dial_timeout;
     // On sockets nothing is pushed without a request: pushed lists are at the machine's agent, which serves a watch.
     if settings.discovery == Discovery::Pushed {
         settings.discovery = Discovery::LocalAgent;
     }
-    Ok((settings, site))
+    Ok((settings, frontend_settings))
 }
 
 /// The address in an environment variable; none where it is not set or not Unicode.
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -26,12 +26,22 @@
 #[case(r#""MaxAttempts":3"#, r#""MaxAttempts":0"#, "field settings.max_attempts: must be at least one")]
 #[case("\"7f\"", "\"7g\"", "field seed: invalid digit found in string")]
 #[case("\"sockets\":20", "\"sockets\":\"20\"", "field limits.sockets: invalid type")]
+#[case(r#","Name":"a""#, "", "field settings.Profiles[0]: missing field `Name`")]
+#[case(
+    r#""Name":"a""#,
+    r#""Name":null"#,
+    "field settings.Profiles[0].Name: invalid type: null, expected a string at"
+)]
 #[case("\"name\"", "\"nome\"", "field .: missing field `name`")]
-#[case("{\"sockets\":20}", "20", "field limits: invalid type: integer `20`, expected struct Limits at")]
+#[case(
+    "{\"sockets\":20}",
+    "20",
+    "field limits: invalid type: integer `20`, expected struct LimitsDocument at"
+)]
 #[case(
     "\"Rules\":{}",
     "\"Rules\":1",
-    "field settings.Rules: invalid type: integer `1`, expected struct InRules at"
+    "field settings.Rules: invalid type: integer `1`, expected struct RulesDocument at"
 )]
 fn an_error_names_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
     let error = Config::parse(&file(from, to)).expect_err("it is invalid").to_string();
@@ -46,5 +56,5 @@
     assert_eq!((running.name.as_str(), running.max_descriptors), ("n1", 40));
     let new = Config::parse(&file(r#""Name":"a""#, r#""Name":"b""#).replace("127.0.0.1:2", "127.0.0.1:9"));
     assert_eq!(running.apply_reload(new.expect("it is valid")), ["settings", "operator"]);
-    assert_eq!(running.site.classes[0].name, "a");
+    assert_eq!(running.frontend_settings.class_names, ["a"]);
 }
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -5,7 +5,7 @@
 
 mod ipfix;
 
-use crate::config::SiteSettings;
+use crate::config::FrontendSettings;
 use crate::discovery::EndpointRegistry;
 use crate::requests::FlowRecord;
 use ipfix::{MessageHeader, SetKind};
@@ -46,7 +46,7 @@
         now: MonotonicTime,
         flows: &[FlowRecord],
         registry: &EndpointRegistry,
-        site: &SiteSettings,
+        site: &FrontendSettings,
     ) {
         if flows.is_empty() {
             return;
@@ -57,7 +57,7 @@
         for flow in flows {
             let endpoint = flow.server.and_then(|server| registry.entry(server));
             let address = endpoint.map(|endpoint| endpoint.address());
-            let class = site.classes.get(flow.class).map_or("", |class| class.name.as_str());
+            let class = site.class_names.get(flow.class).map_or("", String::as_str);
             let record = ipfix::encode_record(flow, address, class);
             if records.len() + record.len() > ipfix::MAX_RECORDS_BYTES {
                 self.send_message(now, SetKind::Data, &records, count);
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -102,7 +102,7 @@
         };
         let tls_address = tls_listener.as_ref().map(|listener| tracing::field::display(listener.addr));
         tracing::info!(listen = %address, tls_listen = tls_address, "AMQP frontend ready");
-        let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
+        let classes = site.class_names.clone();
         let frontend = AmqpFrontend {
             id,
             container: node_name.to_string(),
--- a/src/frontend/amqp/servers.rs
+++ b/src/frontend/amqp/servers.rs
@@ -193,10 +193,7 @@
         server.connections.push(token);
         let connection = ServerConnection { server: server_id, conn, links: Map::default() };
         self.by_token.insert(token, connection);
-        ctx.wheel.schedule(
-            ctx.now + ctx.site.limits.dial_timeout_ns,
-            TimerEvent::ConnectTimeout(self.frontend, token),
-        );
+        ctx.wheel.schedule(ctx.now + ctx.site.dial_timeout, TimerEvent::ConnectTimeout(self.frontend, token));
         self.write_pending(ctx, token);
         Ok(())
     }
--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -1,6 +1,6 @@
 //! What the event loop and a frontend agree on: the trait [`Frontend`], the context of its calls, and the timer events.
 
-use crate::config::SiteSettings;
+use crate::config::FrontendSettings;
 use crate::discovery::EndpointRegistry;
 use crate::model::{Event, Outcome, RequestClass, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketReactor, TimerWheel, Token};
@@ -30,7 +30,7 @@
     /// Timers; each comes back as the [`TimerEvent`] that was put in.
     pub wheel: &'a mut TimerWheel<TimerEvent>,
     /// The settings that frontends need and the balancer does not.
-    pub site: &'a SiteSettings,
+    pub site: &'a FrontendSettings,
     /// The request classes, in the order of the settings.
     pub classes: &'a [RequestClass],
     /// Whether the load balancer in front of the nodes should send clients here.
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -1,7 +1,7 @@
 //! Frontends that are off unless their configuration file is named on the command line.
 
 use super::api::Frontend;
-use crate::config::SiteSettings;
+use crate::config::FrontendSettings;
 use crate::net::SocketReactor;
 use crate::requests::FrontendId;
 use std::any::Any;
@@ -40,7 +40,7 @@
     /// The node's name.
     pub node_name: &'a str,
     /// The settings that frontends need.
-    pub site: &'a SiteSettings,
+    pub site: &'a FrontendSettings,
 }
 
 /// Why an optional frontend could not be configured or opened.
--- a/src/frontend/text/client_side.rs
+++ b/src/frontend/text/client_side.rs
@@ -175,7 +175,7 @@
         let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
         let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
         let server_connection = connecting.map_err(ConnectError::outcome)?;
-        let connect_by = ctx.now + ctx.site.limits.dial_timeout_ns;
+        let connect_by = ctx.now + ctx.site.dial_timeout;
         ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
         let ends_at = ctx.now + timeout;
         session.state =
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -79,7 +79,7 @@
 
     /// Reports latencies, where the settings say that the balancer uses them.
     fn report_latencies(&mut self, ctx: &mut FrontendContext) {
-        if !ctx.site.family_info.reports_message_latency || !self.latencies.begin_report(ctx.now) {
+        if !ctx.site.reports_message_latency || !self.latencies.begin_report(ctx.now) {
             return;
         }
         let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -1,6 +1,6 @@
 //! A client's request line: read completely and checked before the requests module receives it.
 
-use crate::config::SiteSettings;
+use crate::config::FrontendSettings;
 use crate::hash::fnv1a;
 use crate::model::RequestClass;
 use sparbank_time::DurationExt;
@@ -53,7 +53,11 @@
 
 impl RequestLine {
     /// Parses a line with its end. None is a line that no server could use: the node answers it itself, at once.
-    pub(super) fn parse(line: &[u8], site: &SiteSettings, classes: &[RequestClass]) -> Option<RequestLine> {
+    pub(super) fn parse(
+        line: &[u8],
+        site: &FrontendSettings,
+        classes: &[RequestClass],
+    ) -> Option<RequestLine> {
         let text = std::str::from_utf8(line).ok()?;
         let text = text.strip_suffix('\n').unwrap_or(text);
         let text = text.strip_suffix('\r').unwrap_or(text);
@@ -82,7 +86,7 @@
 
 impl OpenFields {
     /// Parses the list of pairs, which begins at this offset of the line.
-    fn parse(list: &str, list_offset: usize, site: &SiteSettings) -> Option<OpenFields> {
+    fn parse(list: &str, list_offset: usize, site: &FrontendSettings) -> Option<OpenFields> {
         let mut fields = OpenFields::default();
         let mut pair_offset = list_offset;
         for pair in list.split(',') {
@@ -92,11 +96,11 @@
         Some(fields)
     }
 
-    fn set(&mut self, pair: &str, pair_offset: usize, site: &SiteSettings) -> Option<()> {
+    fn set(&mut self, pair: &str, pair_offset: usize, site: &FrontendSettings) -> Option<()> {
         let (name, value) = pair.split_once('=')?;
         match name {
             "c" if self.class.is_none() => {
-                self.class = Some(site.classes.iter().position(|class| class.name == value)?);
+                self.class = Some(site.class_names.iter().position(|name| name == value)?);
             }
             "d" if self.deadline_ms.is_none() => {
                 self.deadline_ms = Some(parse_milliseconds(value)?);
@@ -116,7 +120,7 @@
 }
 
 impl OpenRequest {
-    fn parse(line: &str, site: &SiteSettings, classes: &[RequestClass]) -> Option<OpenRequest> {
+    fn parse(line: &str, site: &FrontendSettings, classes: &[RequestClass]) -> Option<OpenRequest> {
         let mut words = line.split(' ');
         let verb = words.next()?;
         let id = words.next()?;
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -68,7 +68,7 @@
         let listen = net.listen(config.listen, SocketOwner::Frontend(TEXT_FRONTEND)).expect("a port");
         let mut requests = RequestTable::new(config.seed, config.settings.clone()).expect("valid settings");
         let mut registry = EndpointRegistry::new(
-            config.site.zones.clone(),
+            config.frontend_settings.zone_names.clone(),
             START,
             WallTime::from_unix_nanos(START.as_nanos()),
         );
@@ -96,7 +96,7 @@
             requests: &mut self.requests,
             registry: &self.registry,
             wheel: &mut self.wheel,
-            site: &self.config.site,
+            site: &self.config.frontend_settings,
             classes: &self.config.settings.classes,
             accepts_clients: true,
             shutting_down: false,
--- a/src/json.rs
+++ b/src/json.rs
@@ -1,13 +1,16 @@
 //! JSON decoding whose errors name the field at fault.
 
 use serde::Deserialize;
-use std::fmt;
 
 #[cfg(test)]
 mod tests;
 
+/// The path of the document itself.
+const DOCUMENT_ITSELF: &str = ".";
+
 /// Why a JSON text could not be decoded.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
+#[error("field {field_path}: {source}")]
 pub struct JsonError {
     /// The path of the field at fault, such as `Profiles[0].Effect`; `.` for the document itself, `?` where it is not
     /// known.
@@ -18,19 +21,11 @@
 impl JsonError {
     /// The same error in a document that has the decoded one in its field `parent`.
     pub fn within(self, parent: &str) -> JsonError {
-        JsonError { field_path: format!("{parent}.{}", self.field_path), source: self.source }
-    }
-}
-
-impl fmt::Display for JsonError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "field {}: {}", self.field_path, self.source)
-    }
-}
-
-impl std::error::Error for JsonError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.source)
+        let field_path = match self.field_path.as_str() {
+            DOCUMENT_ITSELF => parent.to_string(),
+            inner => format!("{parent}.{inner}"),
+        };
+        JsonError { field_path, source: self.source }
     }
 }
 
--- a/src/json/tests.rs
+++ b/src/json/tests.rs
@@ -32,6 +32,8 @@
 fn an_error_of_an_inner_document_names_its_place_in_the_outer_one() {
     let error = error_of(r#"{"items":[{"count":-1}]}"#).within("settings");
     assert!(error.to_string().starts_with("field settings.items[0].count: "), "{error}");
+    let error = error_of("{}").within("settings");
+    assert!(error.to_string().starts_with("field settings: missing field `items`"), "{error}");
 }
 
 #[test]
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -68,7 +68,7 @@
             requests: &mut self.requests,
             registry: &self.registry,
             wheel: &mut self.wheel,
-            site: &self.config.site,
+            site: &self.config.frontend_settings,
             classes: &self.config.settings.classes,
             accepts_clients: self.lifecycle.accepts_clients(),
             shutting_down: self.lifecycle.is_closing(now),
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -78,7 +78,7 @@
     pub(super) fn export_flows(&mut self, now: MonotonicTime) {
         if let Some(export) = &mut self.flow_export {
             let flows = self.state.requests.ended_flows.take();
-            export.send(now, &flows, &self.state.registry, &self.state.config.site);
+            export.send(now, &flows, &self.state.registry, &self.state.config.frontend_settings);
         }
     }
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -166,7 +166,7 @@
         let now = clock.now();
         // The wall clock has just set the node's clock: both show the same.
         let wall = WallTime::from_unix_nanos(now.as_nanos());
-        let registry = EndpointRegistry::new(config.site.zones.clone(), now, wall);
+        let registry = EndpointRegistry::new(config.frontend_settings.zone_names.clone(), now, wall);
         let discovery = DiscoveryClient::new(config.discovery);
         Ok(Startup { clock, config, net, requests, registry, discovery })
     }
@@ -218,8 +218,11 @@
         frontend_configs: ParsedFrontendFiles,
     ) -> Result<(), ServeError> {
         for (which, frontend_config) in frontend_configs {
-            let setup =
-                FrontendSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
+            let setup = FrontendSetup {
+                net: &mut self.net,
+                node_name: &self.config.name,
+                site: &self.config.frontend_settings,
+            };
             frontends.open(which, frontend_config, setup)?;
         }
         Ok(())
@@ -248,9 +251,9 @@
         };
         let grants_in_ms = transport.grant_delay(now).map(|delay| delay.as_millis_u64());
         tracing::info!(member, grants_in_ms, "fleet-wide quotas enabled");
-        let classes: Vec<String> = self.config.site.classes.iter().map(|class| class.name.clone()).collect();
+        let classes = &self.config.frontend_settings.class_names;
         let max_retry_after = self.config.settings.max_retry_after;
-        self.requests.quotas = Some(QuotaAdmission::new(membership, now, &classes, max_retry_after));
+        self.requests.quotas = Some(QuotaAdmission::new(membership, now, classes, max_retry_after));
         Ok(transport)
     }
 }
--- a/src/simulator_adapter/incoming.rs
+++ b/src/simulator_adapter/incoming.rs
@@ -2,7 +2,7 @@
 //!
 //! A field whose name begins with an underscore is checked and not used.
 
-use crate::config::settings::SettingsDocument;
+use crate::config::{SettingsDocument, UTILIZATION_FIELD};
 use crate::model::{Arrival, ListKind, Outcome, RequestId, Status};
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -252,9 +252,6 @@
     pub token: u64,
 }
 
-/// Key of a server's load over its capacity in a load report.
-const LOAD_OVER_CAPACITY: &str = "x0";
-
 /// `CHECK_RESULT`: a health check has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
@@ -272,6 +269,6 @@
         if self.status != STATUS_OK {
             return None;
         }
-        self.load_report.as_ref()?.get(LOAD_OVER_CAPACITY).copied()
+        self.load_report.as_ref()?.get(UTILIZATION_FIELD).copied()
     }
 }
