--- a/src/frontend/amqp/client_connections.rs
+++ b/src/frontend/amqp/client_connections.rs
@@ -25,7 +25,7 @@
         match event.kind {
             SocketEventKind::Accepted => return self.accept_client(ctx, token),
             SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
-                ctx.requests.counters.idle_closed += 1;
+                ctx.requests.counters_mut().idle_closed += 1;
                 ctx.net.close(token);
                 return self.on_client_gone(ctx, token);
             }
@@ -38,7 +38,7 @@
 
     fn accept_client(&mut self, ctx: &mut FrontendContext, token: Token) {
         if ctx.net.is_short_of_descriptors() && !ctx.net.reclaim_descriptors() {
-            ctx.requests.counters.capacity_rejected += 1;
+            ctx.requests.counters_mut().capacity_rejected += 1;
             return ctx.net.close(token);
         }
         let is_tls = self.tls_listener.is_some() && ctx.net.accepting_listener(token) == self.tls_listener;
@@ -58,7 +58,7 @@
         let address = ctx.net.peer_addr(token).map(|peer| peer.ip());
         let max_per_address = self.config.max_connections_per_address;
         if !self.clients.insert(token, conn, tls, address, max_per_address) {
-            ctx.requests.counters.capacity_rejected += 1;
+            ctx.requests.counters_mut().capacity_rejected += 1;
             ctx.net.close(token);
         }
     }
@@ -87,7 +87,7 @@
             }
         }
         if let Some(fault) = processed.fault {
-            ctx.requests.counters.malformed += 1;
+            ctx.requests.counters_mut().malformed += 1;
             tracing::warn!(
                 condition = %fault.condition,
                 description = %fault.description,
--- a/src/frontend/amqp/client_transfers.rs
+++ b/src/frontend/amqp/client_transfers.rs
@@ -155,9 +155,9 @@
             Ok(request_id) => IncompleteDelivery::Request(request_id),
             Err(state) => {
                 if matches!(state, State::Rejected(_)) {
-                    ctx.requests.counters.malformed += 1;
+                    ctx.requests.counters_mut().malformed += 1;
                 } else {
-                    ctx.requests.counters.capacity_rejected += 1;
+                    ctx.requests.counters_mut().capacity_rejected += 1;
                 }
                 if let Some(client) = self.clients.get(received.token) {
                     client.conn.settle(received.link.channel, received.transfer.id, state);
--- a/src/frontend/text/client_side.rs
+++ b/src/frontend/text/client_side.rs
@@ -64,7 +64,7 @@
 
     /// Answers a line that no server could use, here and at once.
     fn reject_malformed(&mut self, ctx: &mut FrontendContext, token: Token) {
-        ctx.requests.counters.malformed += 1;
+        ctx.requests.counters_mut().malformed += 1;
         self.answer_and_close(ctx, token, b"ERR\r\n");
     }
 
@@ -75,7 +75,7 @@
         ctx.net.read_available(token);
         self.on_request_input(ctx, token);
         if let Some(ConnectionRole::AwaitingRequest { pings }) = self.connections.get(&token) {
-            ctx.requests.counters.idle_closed += 1;
+            ctx.requests.counters_mut().idle_closed += 1;
             // A client that has sent a PING has its answer.
             if *pings == 0 {
                 ctx.net.send(token, b"BUSY\r\n");
@@ -134,7 +134,7 @@
             StartRefusal::MoreInput | StartRefusal::DuplicateId => self.reject_malformed(ctx, token),
             StartRefusal::Closing => self.answer_and_close(ctx, token, b"BUSY\r\n"),
             StartRefusal::NoDescriptor => {
-                ctx.requests.counters.capacity_rejected += 1;
+                ctx.requests.counters_mut().capacity_rejected += 1;
                 self.answer_and_close(ctx, token, b"BUSY 500\r\n");
             }
         }
@@ -301,8 +301,7 @@
             let request = session.request_id.map_or(0, |request_id| request_id.0);
             let id = &session.open.id;
             ctx.requests
-                .violations
-                .record(Violation::AnsweredTwice, ViolationContext::Request { request, id });
+                .record_violation(Violation::AnsweredTwice, ViolationContext::Request { request, id });
         }
     }
 
@@ -370,7 +369,7 @@
     if let Err(violation) = check_close(&inputs) {
         let request = session.request_id.map_or(0, |request_id| request_id.0);
         let id = &session.open.id;
-        ctx.requests.violations.record(violation, ViolationContext::Request { request, id });
+        ctx.requests.record_violation(violation, ViolationContext::Request { request, id });
     }
 }
 
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -116,7 +116,7 @@
                 token
             }
         };
-        ctx.requests.counters.health_checks += 1;
+        ctx.requests.counters_mut().health_checks += 1;
         ctx.net.send(token, HEALTH_CHECK_LINE);
         ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
     }
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -130,7 +130,7 @@
                 ctx.net.set_farewell(token, Some(b"BUSY\r\n"));
             }
             SocketEventKind::Evicted => {
-                ctx.requests.counters.idle_closed += 1;
+                ctx.requests.counters_mut().idle_closed += 1;
                 self.connections.remove(&token);
             }
             SocketEventKind::HandshakeTimeout => {
--- a/src/node/admin_calls.rs
+++ b/src/node/admin_calls.rs
@@ -32,7 +32,7 @@
     fn drain(&mut self, now: MonotonicTime) -> Response {
         let established = self.state.requests.established().len();
         if self.state.lifecycle.drain(now) {
-            self.state.requests.counters.drains += 1;
+            self.state.requests.counters_mut().drains += 1;
             tracing::info!(established_connections = established, "draining");
             self.schedule_drain_steps();
         }
@@ -44,7 +44,7 @@
         match self.state.lifecycle.resume() {
             Ok(was_draining) => {
                 if was_draining {
-                    self.state.requests.counters.resumes += 1;
+                    self.state.requests.counters_mut().resumes += 1;
                     let established_connections = self.state.requests.established().len();
                     tracing::info!(established_connections, "drain ended, serving again");
                     self.for_each_frontend(|frontend, ctx| frontend.resume_serving(ctx));
--- a/src/node/endpoint_events.rs
+++ b/src/node/endpoint_events.rs
@@ -59,7 +59,7 @@
             tracing::trace!(?kind, entries = endpoints.len(), "endpoint list received");
         }
         if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-            self.state.requests.counters.discovery_failures += 1;
+            self.state.requests.counters_mut().discovery_failures += 1;
         }
         self.state.requests.push_event(event);
         let not_ready = self.state.registry.not_ready();
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -110,7 +110,7 @@
         if !self.state.requests.is_idle() || !self.frontends.are_idle() {
             let established = self.state.requests.established().len();
             let context = ViolationContext::Exit { open: established };
-            self.state.requests.violations.record(Violation::OpenAtExit, context);
+            self.state.requests.record_violation(Violation::OpenAtExit, context);
         }
     }
 
--- a/src/node/handover_steps.rs
+++ b/src/node/handover_steps.rs
@@ -15,7 +15,7 @@
         if snapshot.is_drained && self.state.lifecycle.drain(self.state.now()) {
             self.schedule_drain_steps();
         }
-        self.state.requests.counters.handovers += 1;
+        self.state.requests.counters_mut().handovers += 1;
         self.limit_beside_predecessor(snapshot.open_descriptors);
         tracing::info!(
             drained = snapshot.is_drained,
@@ -77,7 +77,7 @@
         self.state.net.set_accepting(false);
         let (now, longest_deadline) = (self.state.now(), self.state.longest_deadline());
         self.state.lifecycle.hand_over(now, longest_deadline);
-        self.state.requests.counters.handovers += 1;
+        self.state.requests.counters_mut().handovers += 1;
         let established_connections = self.state.requests.established().len();
         tracing::info!(established_connections, "handover to successor started");
         self.schedule_drain_steps();
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -9,7 +9,7 @@
 impl Node {
     /// Prints the lines of `--trace` on attempts.
     pub(super) fn print_trace(&mut self) {
-        for record in self.state.requests.attempt_trace.take() {
+        for record in self.state.requests.take_attempt_records() {
             let server = self.state.registry.entry(record.server).map_or("?", |entry| entry.name());
             let (request, after_ms) = (record.request_id.0, record.elapsed.as_millis_u64());
             match record.step {
@@ -25,8 +25,8 @@
 
     /// Prints the node's counters, those of the lease protocol and those of the frontends.
     pub(super) fn print_counters(&mut self) {
-        let violations = self.state.requests.violations.count();
-        let counters = &mut self.state.requests.counters;
+        let violations = self.state.requests.violation_count();
+        let counters = self.state.requests.counters_mut();
         counters.invariant_violations = violations;
         let shortages = self.state.net.shortages();
         counters.accept_pauses = shortages.accept_pauses;
@@ -50,7 +50,7 @@
 
     fn print_quotas(&self) {
         let Some(transport) = &self.lease_transport else { return };
-        let Some(quotas) = &self.state.requests.quotas else { return };
+        let Some(quotas) = self.state.requests.quotas() else { return };
         let counters = transport.counters();
         tracing::info!(
             lease_remaining_ms = quotas.lease_remaining(self.state.now()).as_millis_u64(),
@@ -77,7 +77,7 @@
     /// Exports the flows that have ended since the last call.
     pub(super) fn export_flows(&mut self, now: MonotonicTime) {
         if let Some(export) = &mut self.flow_export {
-            let flows = self.state.requests.ended_flows.take();
+            let flows = self.state.requests.take_flow_records();
             export.send(now, &flows, &self.state.registry, &self.state.config.frontend_settings);
         }
     }
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -82,7 +82,7 @@
         }
         let established_connections = self.state.requests.established().len();
         tracing::info!(established_connections, "shutting down");
-        if let Some(quotas) = &mut self.state.requests.quotas {
+        if let Some(quotas) = self.state.requests.quotas_mut() {
             quotas.shut_down();
         }
         self.schedule_drain_steps();
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -160,7 +160,7 @@
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
         if tracing::enabled!(tracing::Level::TRACE) {
-            requests.attempt_trace.enable();
+            requests.enable_attempt_records();
         }
         let clock = Clock::new();
         let now = clock.now();
@@ -233,7 +233,7 @@
         let domain = fnv1a(&self.config.name) as u32;
         let export = FlowExport::new(self.config.listen.ip(), collector, domain);
         let export = export.map_err(ServeError::FlowExport)?;
-        self.requests.ended_flows.enable();
+        self.requests.enable_flow_records();
         tracing::info!(%collector, observation_domain = domain, "IPFIX export enabled");
         Ok(Some(export))
     }
@@ -253,7 +253,7 @@
         tracing::info!(member, grants_in_ms, "fleet-wide quotas enabled");
         let classes = &self.config.frontend_settings.class_names;
         let max_retry_after = self.config.settings.max_retry_after;
-        self.requests.quotas = Some(QuotaAdmission::new(membership, now, classes, max_retry_after));
+        self.requests.enable_quotas(QuotaAdmission::new(membership, now, classes, max_retry_after));
         Ok(transport)
     }
 }
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -4,6 +4,7 @@
 use crate::model::{Arrival, RequestId, ServerId};
 use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
+use std::time::Duration;
 
 /// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -63,6 +64,21 @@
     }
 }
 
+/// An established connection that the process before this one handed over.
+#[derive(Clone, Debug, PartialEq)]
+pub struct HandedOverConnection {
+    /// The frontend through which its request arrived.
+    pub frontend: FrontendId,
+    /// The request that opened it.
+    pub arrival: Arrival,
+    /// Its server.
+    pub server: ServerId,
+    /// When its request arrived, on the node's clock.
+    pub started_at: MonotonicTime,
+    /// Its last load report: work per second.
+    pub load: Option<Duration>,
+}
+
 /// All open requests. Ids are assigned here, in the order of arrival, and never reused.
 #[derive(Default)]
 pub struct OpenRequests {
@@ -104,6 +120,13 @@
         self.by_id.get_mut(&id)
     }
 
+    /// The request counts against the quotas until it ends.
+    pub fn mark_quota_used(&mut self, id: RequestId) {
+        if let Some(request) = self.by_id.get_mut(&id) {
+            request.uses_quota = true;
+        }
+    }
+
     /// Takes a request out.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         self.by_id.remove(&id)
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -5,32 +5,67 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// Records gathered between two turns of the event loop; none while it is disabled.
-pub struct RecordBuffer<T> {
-    records: Option<Vec<T>>,
+/// The records of flows and of attempts. Each kind is gathered once it is enabled.
+#[derive(Default)]
+pub struct Records {
+    flows: RecordBuffer<FlowRecord>,
+    attempts: RecordBuffer<AttemptRecord>,
 }
 
-impl<T> RecordBuffer<T> {
-    /// A disabled buffer.
-    pub fn new() -> RecordBuffer<T> {
-        RecordBuffer { records: None }
+impl Records {
+    /// Gathers records of flows from now on.
+    pub fn enable_flows(&mut self) {
+        self.flows.enable();
+    }
+
+    /// Adds a flow that ended, if records of flows are enabled.
+    pub fn push_flow(&mut self, record: FlowRecord) {
+        self.flows.push(record);
+    }
+
+    /// Takes the records of flows that were gathered, oldest first.
+    pub fn take_flows(&mut self) -> Vec<FlowRecord> {
+        self.flows.take()
+    }
+
+    /// Gathers records of attempts from now on.
+    pub fn enable_attempts(&mut self) {
+        self.attempts.enable();
+    }
+
+    /// Adds a step of an attempt, if records of attempts are enabled.
+    pub fn push_attempt(&mut self, record: AttemptRecord) {
+        self.attempts.push(record);
     }
 
-    /// Gathers records from now on.
-    pub fn enable(&mut self) {
-        self.records.get_or_insert_with(Vec::new);
+    /// Takes the records of attempts that were gathered, oldest first.
+    pub fn take_attempts(&mut self) -> Vec<AttemptRecord> {
+        self.attempts.take()
+    }
+}
+
+/// Records gathered until they are taken; `None` while disabled.
+struct RecordBuffer<T>(Option<Vec<T>>);
+
+impl<T> Default for RecordBuffer<T> {
+    fn default() -> RecordBuffer<T> {
+        RecordBuffer(None)
+    }
+}
+
+impl<T> RecordBuffer<T> {
+    fn enable(&mut self) {
+        self.0.get_or_insert_default();
     }
 
-    /// Adds a record, where the buffer is enabled.
-    pub fn push(&mut self, record: T) {
-        if let Some(records) = &mut self.records {
+    fn push(&mut self, record: T) {
+        if let Some(records) = &mut self.0 {
             records.push(record);
         }
     }
 
-    /// Takes the records gathered so far, oldest first.
-    pub fn take(&mut self) -> Vec<T> {
-        self.records.as_mut().map(std::mem::take).unwrap_or_default()
+    fn take(&mut self) -> Vec<T> {
+        self.0.as_mut().map(std::mem::take).unwrap_or_default()
     }
 }
 
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -70,8 +70,8 @@
 /// A table whose balancer knows two servers, with flow records and the attempt trace enabled.
 fn two_server_requests() -> RequestTable {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
-    requests.ended_flows.enable();
-    requests.attempt_trace.enable();
+    requests.enable_flow_records();
+    requests.enable_attempt_records();
     requests.push_event(Event::EndpointList(ListKind::Full, vec![endpoint(0), endpoint(1)]));
     requests.decide(MonotonicTime::ZERO);
     requests
@@ -89,7 +89,7 @@
 }
 
 fn results(requests: &mut RequestTable) -> Vec<FlowResult> {
-    requests.ended_flows.take().into_iter().map(|flow| flow.result).collect()
+    requests.take_flow_records().into_iter().map(|flow| flow.result).collect()
 }
 
 #[test]
@@ -100,11 +100,11 @@
     assert_eq!(requests.established(), [id]);
     assert!(requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Ok));
     assert!(requests.is_idle());
-    let flows = requests.ended_flows.take();
+    let flows = requests.take_flow_records();
     let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
     assert_eq!((flow.server, flow.result, flow.attempts), (Some(server), FlowResult::Served, 1));
     assert_eq!((flow.started_at, flow.ended_at), (START, START + 2 * SECOND));
-    let counters = &requests.counters;
+    let counters = requests.counters_mut();
     assert_eq!([counters.requests, counters.sent, counters.established], [1, 1, 1]);
     assert_eq!([counters.served, counters.ended], [1, 1]);
 }
@@ -115,7 +115,7 @@
     let (id, _) = start_request(&mut requests, START);
     requests.on_established(START + MILLISECOND, id);
     requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Reset);
-    let steps: Vec<_> = requests.attempt_trace.take().iter().map(|r| (r.step, r.elapsed)).collect();
+    let steps: Vec<_> = requests.take_attempt_records().iter().map(|r| (r.step, r.elapsed)).collect();
     let expected =
         [(AttemptStep::Established, MILLISECOND), (AttemptStep::Ended(Outcome::Reset), 2 * SECOND)];
     assert_eq!(steps, expected);
@@ -127,7 +127,10 @@
     let mut requests = two_server_requests();
     let (id, _) = start_request(&mut requests, START);
     assert!(requests.on_attempt_ended(START + SECOND, id, Outcome::Ok));
-    assert_eq!([requests.counters.established, requests.counters.served, requests.counters.ended], [1, 1, 1]);
+    assert_eq!(
+        [requests.counters_mut().established, requests.counters_mut().served, requests.counters_mut().ended],
+        [1, 1, 1]
+    );
     assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
 
@@ -141,7 +144,7 @@
         !requests.on_attempt_ended(START, id, Outcome::ConnectFailed),
         "no attempt is in flight any more"
     );
-    assert_eq!(requests.counters.attempt_connect_failed, 1);
+    assert_eq!(requests.counters_mut().attempt_connect_failed, 1);
 }
 
 #[test]
@@ -151,7 +154,7 @@
     requests.on_client_disconnected(START, id);
     requests.on_client_disconnected(START, id);
     assert!(!requests.on_attempt_ended(START, id, Outcome::Ok));
-    assert_eq!((requests.counters.client_disconnected, requests.counters.served), (1, 0));
+    assert_eq!((requests.counters_mut().client_disconnected, requests.counters_mut().served), (1, 0));
     assert_eq!(results(&mut requests), [FlowResult::ClientDisconnected]);
 }
 
@@ -161,7 +164,7 @@
     let (id, _) = start_request(&mut requests, START);
     requests.on_established(START, id);
     requests.on_client_disconnected(START + SECOND, id);
-    assert_eq!((requests.counters.client_disconnected, requests.counters.ended), (0, 1));
+    assert_eq!((requests.counters_mut().client_disconnected, requests.counters_mut().ended), (0, 1));
     assert_eq!(results(&mut requests), [FlowResult::Served]);
 }
 
@@ -184,7 +187,7 @@
     assert!(!requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
     let commands = requests.decide(START);
     assert!(!commands.iter().any(|command| matches!(command, Command::StartAttempt { .. })), "{commands:?}");
-    assert_eq!((requests.counters.failed, requests.counters.attempt_reset), (1, 1));
+    assert_eq!((requests.counters_mut().failed, requests.counters_mut().attempt_reset), (1, 1));
     assert_eq!(results(&mut requests), [FlowResult::Failed]);
 }
 
@@ -217,7 +220,7 @@
     requests.on_established(START, id);
     assert_eq!(requests.close_for_migration(START + SECOND, id, Outcome::Cancelled), Some(FRONTEND));
     assert!(requests.is_idle());
-    assert_eq!(requests.counters.migrated, 1);
+    assert_eq!(requests.counters_mut().migrated, 1);
     assert_eq!(results(&mut requests), [FlowResult::Migrated]);
 }
 
@@ -241,10 +244,10 @@
     };
     let id = successor.receive_handed_over(START + 4 * SECOND, connection);
     successor.on_attempt_ended(START + 5 * SECOND, id, Outcome::Ok);
-    let flows = successor.ended_flows.take();
+    let flows = successor.take_flow_records();
     let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
     assert_eq!((flow.started_at, flow.server), (START, Some(SERVER)));
-    assert_eq!((predecessor.counters.handed_over, successor.counters.inherited), (1, 1));
+    assert_eq!((predecessor.counters_mut().handed_over, successor.counters_mut().inherited), (1, 1));
 }
 
 #[test]
@@ -252,6 +255,6 @@
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
     let id = requests.restore_established(START, FRONTEND, arrival(), SERVER);
     requests.on_attempt_ended(START + SECOND, id, Outcome::Ok);
-    assert_eq!(requests.ended_flows.take(), []);
-    assert_eq!(requests.attempt_trace.take(), []);
+    assert_eq!(requests.take_flow_records(), []);
+    assert_eq!(requests.take_attempt_records(), []);
 }
