--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -79,7 +79,7 @@
 
     /// Reports latencies, where the settings say that the balancer uses them.
     fn report_latencies(&mut self, ctx: &mut FrontendContext) {
-        if !ctx.site.family_info.reports_message_latency || !self.latencies.begin_report(ctx.now) {
+        if !ctx.site.reports_message_latency || !self.latencies.begin_report(ctx.now) {
             return;
         }
         let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
@@ -130,7 +130,7 @@
                 ctx.net.set_farewell(token, Some(b"BUSY\r\n"));
             }
             SocketEventKind::Evicted => {
-                ctx.requests.counters.idle_closed += 1;
+                ctx.requests.counters_mut().idle_closed += 1;
                 self.connections.remove(&token);
             }
             SocketEventKind::HandshakeTimeout => {
