--- a/src/net/connect_error.rs
+++ b/src/net/connect_error.rs
@@ -2,17 +2,19 @@
 
 use crate::model::Outcome;
 use rustix::io::Errno;
-use std::fmt;
 
 /// Why a connection could not be started. Nothing was sent.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
     /// This machine is short of descriptors, ports or memory, which passes. It says nothing of the peer.
-    Shortage(Errno),
+    #[error("shortage: {0}")]
+    Shortage(#[source] Errno),
     /// This machine has no route to the peer now. Another peer may be reached.
-    Unroutable(Errno),
+    #[error("no route: {0}")]
+    Unroutable(#[source] Errno),
     /// The peer refused, or the system will not connect to it.
-    Failed(Errno),
+    #[error("{0}")]
+    Failed(#[source] Errno),
 }
 
 impl ConnectError {
@@ -41,15 +43,3 @@
         }
     }
 }
-
-impl fmt::Display for ConnectError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConnectError::Shortage(error) => write!(f, "shortage: {error}"),
-            ConnectError::Unroutable(error) => write!(f, "no route: {error}"),
-            ConnectError::Failed(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl std::error::Error for ConnectError {}
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -1,15 +1,13 @@
 //! The epoll instance that watches every socket, level-triggered.
 
 use super::slab::Token;
-use super::system;
+use super::system::{self, Interest};
 use rustix::event::{epoll, Timespec};
 use rustix::io::Errno;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-pub(super) use rustix::event::epoll::EventFlags as Interest;
-
 /// How many events one wait yields at most.
 const EVENTS_PER_WAIT: usize = 256;
 
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -1,31 +1,29 @@
-//! The reactor: one wait for all sockets, and queries about each.
+//! The reactor: the wait for events of all sockets, and what owners may do with a socket.
+//!
+//! The work is done by the parts that own the state; this file calls them in the right order.
 
+use super::accept::Acceptor;
+use super::buffered_sockets::BufferedSockets;
+use super::connect::Connector;
 use super::connect_error::ConnectError;
-use super::event::{SocketEvent, SocketEventKind, SocketOwner};
-use super::listener::ListeningSocket;
-use super::poller::{Interest, Poller, Readiness};
-use super::reserve::DescriptorReserve;
-use super::slab::{Slab, Token};
+use super::event::{ConnectedSocket, SocketEvent, SocketEventKind, SocketOwner};
+use super::eviction::EvictionCandidates;
+use super::listener::{BoundListener, InheritedListeners, ListeningSocket};
+use super::poller::Readiness;
+use super::slab::Token;
 use super::socket::{Socket, SocketState};
-use super::system;
-use super::watch_retry::{is_watch_shortage, WatchState};
-use rustix::io::Errno;
-use rustix::net::sockopt;
+use super::system::Interest;
+use super::transfer::{BufferedConnection, ExportedConnection};
+use crate::frontend_id::FrontendId;
 use sparbank_time::MonotonicTime;
-use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// One read takes at most this much.
-const READ_CHUNK_BYTES: usize = 64 * 1024;
-
-/// A time limit of one socket.
-pub(super) struct SocketDeadline {
-    pub(super) at: MonotonicTime,
-    pub(super) token: Token,
-}
+mod queries;
+#[cfg(test)]
+mod tests;
 
 /// How often the system was short of something, since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -34,129 +32,79 @@
     pub accept_pauses: u64,
     /// Changes of the epoll set that were refused.
     pub refused_watches: u64,
-    /// Connections that rested because a read or write found no kernel memory.
+    /// Connections that were paused because a read or write found no kernel memory.
     pub transfer_pauses: u64,
     /// Connections that could not be started for want of a descriptor, a port or memory.
     pub failed_connects: u64,
 }
 
-/// All sockets of the node. See the [module](super) for how the concerns are divided.
+/// All sockets of the node. See the [module](super) for the parts.
 pub struct SocketReactor {
-    pub(super) poller: Poller,
-    pub(super) sockets: Slab<Socket>,
-    /// How many descriptors the process may hold.
-    pub(super) descriptor_limit: usize,
-    pub(super) reserve: DescriptorReserve,
-    /// Closed connections that wait for the peer's end, the one closed first in front.
-    pub(super) lingering: VecDeque<SocketDeadline>,
-    /// Accepted connections whose handshake may be incomplete, by deadline.
-    pub(super) awaiting_handshake: VecDeque<SocketDeadline>,
-    /// Accepting is paused until then, because the system had no descriptors left.
-    pub(super) accept_paused_until: Option<MonotonicTime>,
-    /// Whether the frontends accept connections; where not, another process does.
-    pub(super) frontends_accept: bool,
-    /// Listening sockets of the process before this one that nobody listens on yet.
-    pub(super) inherited_listeners: Vec<ListeningSocket>,
-    pub(super) pending_events: Vec<SocketEvent>,
-    /// Sockets whose last change of the epoll set the system has refused.
-    pub(super) refused_watches: Vec<Token>,
-    /// Connections that rest for want of kernel memory, by the end of the pause.
-    pub(super) paused_transfers: VecDeque<SocketDeadline>,
-    /// How often the system was short of something.
-    pub(super) shortages: ShortageCounts,
-    /// Connections established since the last [`SocketReactor::take_connected`].
-    pub(super) connected: Vec<Token>,
-    /// The time of the last poll.
-    pub(super) now: MonotonicTime,
-    pub(super) read_chunk: Vec<u8>,
+    sockets: BufferedSockets,
+    candidates: EvictionCandidates,
+    acceptor: Acceptor,
+    connector: Connector,
+    inherited_listeners: InheritedListeners,
 }
 
 impl SocketReactor {
-    /// A reactor without sockets, for a process that may hold this many descriptors.
+    /// A reactor without sockets, for a process that may have this many descriptors.
     ///
     /// # Errors
     /// Where the system gives no epoll instance.
     pub fn new(descriptor_limit: usize) -> io::Result<SocketReactor> {
         Ok(SocketReactor {
-            poller: Poller::new()?,
-            sockets: Slab::new(),
-            descriptor_limit,
-            reserve: DescriptorReserve::default(),
-            lingering: VecDeque::new(),
-            awaiting_handshake: VecDeque::new(),
-            accept_paused_until: None,
-            frontends_accept: true,
-            inherited_listeners: Vec::new(),
-            pending_events: Vec::new(),
-            refused_watches: Vec::new(),
-            paused_transfers: VecDeque::new(),
-            shortages: ShortageCounts::default(),
-            connected: Vec::new(),
-            now: MonotonicTime::ZERO,
-            read_chunk: vec![0; READ_CHUNK_BYTES],
+            sockets: BufferedSockets::new(descriptor_limit)?,
+            candidates: EvictionCandidates::default(),
+            acceptor: Acceptor::new(),
+            connector: Connector::default(),
+            inherited_listeners: InheritedListeners::default(),
         })
     }
 
     // ---- Waiting -------------------------------------------------------------------------------
 
-    /// Waits for at most `timeout` and yields what happened, connections on reserved descriptors
-    /// first.
+    /// Waits for at most `timeout` and yields what happened, events of connections on reserved descriptors first.
     ///
     /// # Errors
     /// Where epoll itself fails; the node cannot go on.
     pub fn poll(&mut self, now: MonotonicTime, timeout: Duration) -> io::Result<Vec<SocketEvent>> {
-        self.now = now;
-        self.end_expired_lingering();
-        self.report_handshake_timeouts();
-        self.resume_accepting_if_rested();
-        self.resume_paused_transfers();
-        self.retry_refused_watches();
-        let timeout = if self.pending_events.is_empty() { timeout } else { Duration::ZERO };
-        let timeout = self.limit_by_accept_pause(timeout);
-        let timeout = self.limit_by_paused_transfers(self.limit_by_refused_watches(timeout));
-        for readiness in self.poller.wait(timeout)? {
+        self.sockets.store.set_now(now);
+        self.candidates.end_expired_lingering(&mut self.sockets.store);
+        self.candidates.report_handshake_timeouts(&mut self.sockets.store);
+        self.acceptor.resume_if_pause_is_over(&mut self.sockets.store);
+        self.sockets.resume_paused();
+        self.sockets.store.retry_refused_changes();
+        for readiness in self.sockets.store.wait(self.limit_wait(timeout))? {
             self.handle_readiness(readiness);
         }
-        let mut events = std::mem::take(&mut self.pending_events);
-        if !self.reserve.is_unused() {
-            events.sort_by_key(|event| !self.uses_reserve(event.token));
-        }
-        Ok(events)
+        Ok(self.sockets.store.take_events_reserved_first())
     }
 
-    /// What has happened since the last poll without a wait of its own.
-    pub fn take_pending_events(&mut self) -> Vec<SocketEvent> {
-        std::mem::take(&mut self.pending_events)
-    }
-
-    fn uses_reserve(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| socket.uses_reserve)
-    }
-
-    fn end_expired_lingering(&mut self) {
-        while self.lingering.front().is_some_and(|deadline| deadline.at <= self.now) {
-            if let Some(deadline) = self.lingering.pop_front() {
-                self.drop_socket(deadline.token);
-            }
+    /// The time-out of a wait that must not outlast a pause, or delay events that are there already.
+    fn limit_wait(&self, timeout: Duration) -> Duration {
+        if self.sockets.store.event_count() > 0 {
+            return Duration::ZERO;
         }
+        let timeout = self.acceptor.limit_wait(timeout);
+        let timeout = self.sockets.store.limit_wait(timeout);
+        self.sockets.pauses().limit_wait(timeout)
     }
 
-    fn report_handshake_timeouts(&mut self) {
-        while self.awaiting_handshake.front().is_some_and(|deadline| deadline.at <= self.now) {
-            let Some(SocketDeadline { token, .. }) = self.awaiting_handshake.pop_front() else { return };
-            if self.sockets.get(token).is_some_and(|socket| socket.awaiting_handshake) {
-                self.emit(token, SocketEventKind::HandshakeTimeout);
-            }
-        }
+    /// What has happened since the last poll without a wait of its own.
+    pub fn take_pending_events(&mut self) -> Vec<SocketEvent> {
+        self.sockets.store.take_events()
     }
 
     fn handle_readiness(&mut self, Readiness { token, flags }: Readiness) {
-        let Some(socket) = self.sockets.get(token) else { return };
+        let Some(socket) = self.sockets.store.get(token) else { return };
         match socket.state {
-            SocketState::Listening => self.accept_ready(token),
+            SocketState::Listening => {
+                self.acceptor.accept_ready(&mut self.sockets, &mut self.candidates, token);
+            }
             SocketState::Failed => {}
             SocketState::Raw => self.report_raw_readiness(token, flags),
-            SocketState::Connecting => self.handle_connect_result(token, flags),
+            SocketState::Connecting => self.connector.on_ready(&mut self.sockets, token, flags),
             SocketState::Open | SocketState::Lingering { .. } => self.transfer_bytes(token, flags),
         }
     }
@@ -164,47 +112,28 @@
     fn report_raw_readiness(&mut self, token: Token, flags: Interest) {
         // The owner finds the peer's end by reading.
         if flags != Interest::OUT {
-            self.emit(token, SocketEventKind::Readable);
-        }
-        if flags.contains(Interest::OUT) {
-            self.emit(token, SocketEventKind::OutputFlushed);
-        }
-    }
-
-    fn handle_connect_result(&mut self, token: Token, flags: Interest) {
-        let Some(socket) = self.sockets.get_mut(token) else { return };
-        if let Ok(Err(_)) | Err(_) = sockopt::socket_error(&socket.fd) {
-            return self.fail(token);
+            self.sockets.store.emit(token, SocketEventKind::Readable);
         }
         if flags.contains(Interest::OUT) {
-            socket.state = SocketState::Open;
-            self.connected.push(token);
+            self.sockets.store.emit(token, SocketEventKind::OutputFlushed);
         }
     }
 
     fn transfer_bytes(&mut self, token: Token, flags: Interest) {
-        let Some(socket) = self.sockets.get(token) else { return };
+        let Some(socket) = self.sockets.store.get(token) else { return };
         let hung_up = socket.read_closed && flags.contains(Interest::HUP);
         if flags.contains(Interest::IN) {
-            self.read_into_buffer(token);
+            self.sockets.read(token);
         } else if flags.contains(Interest::ERR) || hung_up {
-            return self.fail(token);
+            return self.sockets.fail(token);
         }
         if flags.contains(Interest::OUT) {
-            self.flush_output(token);
-        }
-        self.update_interest(token);
-    }
-
-    /// Queues an event. The owner of a connection that it has closed hears nothing more of it.
-    pub(super) fn emit(&mut self, token: Token, kind: SocketEventKind) {
-        if let Some(socket) = self.sockets.get(token).filter(|socket| !socket.is_lingering()) {
-            let owner = socket.owner;
-            self.pending_events.push(SocketEvent { token, owner, kind });
+            self.sockets.write(token);
         }
+        self.sockets.store.update_interest(token);
     }
 
-    // ---- Opening -------------------------------------------------------------------------------
+    // ---- Connecting ----------------------------------------------------------------------------
 
     /// Starts a connection. What is sent meanwhile is written once it is established
     /// ([`SocketReactor::take_connected`]).
@@ -212,38 +141,118 @@
     /// # Errors
     /// Where there is no descriptor, or the system refuses at once.
     pub fn connect(&mut self, addr: SocketAddr, owner: SocketOwner) -> Result<Token, ConnectError> {
-        let connecting = self.start_connect(addr, owner);
-        if let Err(ConnectError::Shortage(_)) = connecting {
-            self.shortages.failed_connects += 1;
-        }
-        connecting
+        self.connector.connect(&mut self.sockets, &mut self.candidates, addr, owner)
     }
 
-    fn start_connect(&mut self, addr: SocketAddr, owner: SocketOwner) -> Result<Token, ConnectError> {
-        let fd = loop {
-            match system::stream_socket(addr) {
-                // The system gives fewer descriptors than the configuration says.
-                Err(Errno::MFILE) if self.evict() => {}
-                created => break created?,
+    /// The connections that were established since the last call, in that order. Their owners decide what is written
+    /// first, once all else of the iteration is known; [`SocketReactor::flush`] then writes it.
+    pub fn take_connected(&mut self) -> Vec<ConnectedSocket> {
+        self.connector.take_established(&self.sockets.store)
+    }
+
+    // ---- Listening -----------------------------------------------------------------------------
+
+    /// Listens on an address and yields the address that it is bound to, for a port that the system picked.
+    ///
+    /// # Errors
+    /// Where the address cannot be bound.
+    pub fn listen(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<SocketAddr> {
+        self.listen_with_token(addr, owner).map(|listener| listener.addr)
+    }
+
+    /// The same, with the listener's token, for an owner of several listeners
+    /// ([`SocketReactor::accepting_listener`]).
+    ///
+    /// # Errors
+    /// Where the address cannot be bound.
+    pub fn listen_with_token(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<BoundListener> {
+        let listening = match self.inherited_listeners.take(addr) {
+            Some(ListeningSocket { addr, fd }) => {
+                rustix::io::ioctl_fionbio(&fd, true)?;
+                ListeningSocket { addr, fd }
             }
+            None => ListeningSocket::bind(addr)?,
+        };
+        self.add_listener(listening, owner)
+    }
+
+    /// Listens for connections on reserved descriptors, `max_connections` at a time: no shortage takes these
+    /// descriptors, and the longest idle connection among them is evicted for the next one. Their events come
+    /// first.
+    ///
+    /// # Errors
+    /// Where the address cannot be bound.
+    pub fn listen_with_reserve(
+        &mut self,
+        addr: SocketAddr,
+        owner: SocketOwner,
+        max_connections: usize,
+    ) -> io::Result<SocketAddr> {
+        let listener = self.listen_with_token(addr, owner)?;
+        if let Some(socket) = self.sockets.store.get_mut(listener.token) {
+            socket.uses_reserve = true;
+        }
+        self.reserve_descriptors(max_connections);
+        Ok(listener.addr)
+    }
+
+    /// Registers a socket that listens already, and that another process may share.
+    ///
+    /// # Errors
+    /// Where it cannot be made non-blocking or watched.
+    pub fn register_listener(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<SocketAddr> {
+        let listening = ListeningSocket::adopt(fd)?;
+        self.add_listener(listening, owner).map(|listener| listener.addr)
+    }
+
+    fn add_listener(&mut self, listening: ListeningSocket, owner: SocketOwner) -> io::Result<BoundListener> {
+        let ListeningSocket { addr, fd } = listening;
+        let token = self.sockets.store.insert(fd, owner, SocketState::Listening)?;
+        Ok(BoundListener { token, addr })
+    }
+
+    /// Gives listening sockets of the process before this one. Whoever listens at one of these addresses from now
+    /// on gets that socket.
+    pub fn inherit_listeners(&mut self, listeners: Vec<ListeningSocket>) {
+        self.inherited_listeners = InheritedListeners::new(listeners);
+    }
+
+    /// Duplicates of the frontends' listening sockets except one frontend's, for another process to share.
+    pub fn listeners_except(&self, excluded: FrontendId) -> Vec<ListeningSocket> {
+        let is_shared = |socket: &&Socket| {
+            socket.is_frontend_listener() && socket.owner != SocketOwner::Frontend(excluded)
         };
-        // Without it lines are late, no more.
-        let _ = sockopt::set_tcp_nodelay(&fd, true);
-        match system::connect(&fd, addr) {
-            // An interrupted call goes on in the background like any other.
-            Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
-            Err(error) => return Err(error.into()),
+        let shared = self.sockets.store.values().filter(is_shared);
+        shared.filter_map(|socket| ListeningSocket::duplicate(&socket.fd)).collect()
+    }
+
+    /// Sets whether the frontends accept connections.
+    pub fn set_accepting(&mut self, accepting: bool) {
+        self.acceptor.set_frontends_accept(&mut self.sockets.store, accepting);
+    }
+
+    /// Accepts all connections that wait at the frontends' listeners, so that a process that ends leaves none of them
+    /// unanswered. Yields whether there were any; they are among the next events.
+    pub fn accept_waiting(&mut self) -> bool {
+        self.acceptor.accept_waiting(&mut self.sockets, &mut self.candidates)
+    }
+
+    /// A peer has completed its handshake: its connection is no longer evicted for others.
+    pub fn mark_handshake_complete(&mut self, token: Token) {
+        if let Some(socket) = self.sockets.store.get_mut(token) {
+            socket.awaiting_handshake = false;
         }
-        Ok(self.insert(fd, owner, SocketState::Connecting)?)
     }
 
+    // ---- Other descriptors ---------------------------------------------------------------------
+
     /// Registers a descriptor to be read through a buffer, such as a signal's pipe.
     ///
     /// # Errors
     /// Where it cannot be made non-blocking or watched.
     pub fn register_reader(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
-        Ok(self.insert(fd, owner, SocketState::Open)?)
+        Ok(self.sockets.store.insert(fd, owner, SocketState::Open)?)
     }
 
     /// Registers a descriptor that its owner reads and writes itself.
@@ -252,137 +261,137 @@
     /// Where it cannot be made non-blocking or watched.
     pub fn register_raw(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
-        Ok(self.insert(fd, owner, SocketState::Raw)?)
+        Ok(self.sockets.store.insert(fd, owner, SocketState::Raw)?)
     }
 
-    /// Puts a socket into the slab and watches it.
-    pub(super) fn insert(
-        &mut self,
-        fd: OwnedFd,
-        owner: SocketOwner,
-        state: SocketState,
-    ) -> Result<Token, Errno> {
-        let poller = &self.poller;
-        let mut is_refused = false;
-        let token = self.sockets.insert_with(|token| {
-            let mut socket = Socket::new(fd, owner, state);
-            match poller.add(&socket.fd, token, socket.interest) {
-                Err(error) if is_watch_shortage(error) => {
-                    socket.watch = WatchState::AddRefused;
-                    is_refused = true;
-                }
-                added => added?,
-            }
-            Ok::<_, Errno>(socket)
-        })?;
-        if is_refused {
-            self.shortages.refused_watches += 1;
-            self.refused_watches.push(token);
+    /// Whether the owner of a raw descriptor wants to know when it takes more bytes.
+    pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
+        let Some(socket) = self.sockets.store.get(token) else { return };
+        let writable = if wanted { Interest::OUT } else { Interest::empty() };
+        let interest = Interest::IN | writable;
+        if socket.state == SocketState::Raw && socket.watch.interest() != interest {
+            self.sockets.store.change_interest(token, interest);
         }
-        Ok(token)
     }
 
-    // ---- Interest ------------------------------------------------------------------------------
+    // ---- Reading and writing -------------------------------------------------------------------
 
-    /// Watches for what the socket's buffers allow. Owners call it after they have taken input.
-    pub fn update_interest(&mut self, token: Token) {
-        let Some(socket) = self.sockets.get_mut(token) else { return };
-        if matches!(socket.state, SocketState::Failed | SocketState::Raw) {
-            return;
-        }
-        let interest = socket.wanted_interest();
-        if interest != socket.interest {
-            self.change_interest(token, interest);
-        }
+    /// The bytes that have arrived. The owner removes what it has handled.
+    pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
+        self.sockets.store.get_mut(token).map(|socket| socket.buffers.input_mut())
     }
 
-    /// Whether the owner of a raw descriptor wants to know when it takes more bytes.
-    pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
-        let Some(socket) = self.sockets.get_mut(token) else { return };
-        let writable = if wanted { Interest::OUT } else { Interest::empty() };
-        let interest = Interest::IN | writable;
-        if socket.state == SocketState::Raw && socket.interest != interest {
-            self.change_interest(token, interest);
-        }
+    /// Watches for what the socket's buffers allow. Owners call it after they have taken input.
+    pub fn update_interest(&mut self, token: Token) {
+        self.sockets.store.update_interest(token);
     }
 
     /// How many bytes may be buffered ahead of the owner: a frame that is handled in one piece must fit.
     pub fn set_read_limit(&mut self, token: Token, bytes: usize) {
-        if let Some(socket) = self.sockets.get_mut(token) {
-            socket.read_limit_bytes = bytes;
+        if let Some(socket) = self.sockets.store.get_mut(token) {
+            socket.buffers.set_read_limit(bytes);
         }
     }
 
-    /// How often the system was short of something.
-    pub fn shortages(&self) -> ShortageCounts {
-        self.shortages
+    /// Reads what has arrived by now (bytes, the peer's end or its reset), for owners that must not act on an
+    /// older state.
+    pub fn read_available(&mut self, token: Token) {
+        self.sockets.read_available(token);
     }
 
-    // ---- Queries -------------------------------------------------------------------------------
-
-    /// The descriptor of a raw socket.
-    pub fn raw_descriptor(&self, token: Token) -> Option<&OwnedFd> {
-        self.sockets.get(token).filter(|socket| socket.state == SocketState::Raw).map(|socket| &socket.fd)
+    /// Sends bytes: at once as far as the peer takes them, the rest as it drains.
+    pub fn send(&mut self, token: Token, bytes: &[u8]) {
+        self.sockets.send(token, bytes);
     }
 
-    /// The listener that accepted a connection.
-    pub fn accepting_listener(&self, token: Token) -> Option<Token> {
-        self.sockets.get(token)?.listener
+    /// Writes what waits on a connection, as far as the peer takes it.
+    pub fn flush(&mut self, token: Token) {
+        self.sockets.flush(token);
     }
 
-    /// The address of a connection's other end.
-    pub fn peer_addr(&self, token: Token) -> Option<SocketAddr> {
-        let socket = self.sockets.get(token)?;
-        rustix::net::getpeername(&socket.fd).ok()?.and_then(|addr| SocketAddr::try_from(addr).ok())
-    }
+    // ---- Closing -------------------------------------------------------------------------------
 
-    /// Whether the connection failed; input that had arrived is still there.
-    pub fn is_failed(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| socket.state == SocketState::Failed)
+    /// Ends our direction of the connection once the output is written. The peer may go on sending.
+    pub fn shutdown_write(&mut self, token: Token) {
+        self.sockets.shutdown_write(token);
     }
 
-    /// Whether the connection is not established yet.
-    pub fn is_connecting(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| socket.state == SocketState::Connecting)
+    /// Closes the connection after its output is written, and waits a while for the peer's end; the token is void
+    /// for the owner. A connection that was not established is closed at once.
+    pub fn close(&mut self, token: Token) {
+        self.candidates.close(&mut self.sockets, token);
     }
 
-    /// Whether the peer has ended its sending; bytes may still wait in [`SocketReactor::input_buffer`].
-    pub fn is_read_closed(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| socket.read_closed)
+    /// Closes the connection at once; output that waits is not written.
+    pub fn close_without_flush(&mut self, token: Token) {
+        self.sockets.store.close(token);
     }
 
-    /// The bytes that have arrived. The owner removes what it has handled.
-    pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
-        self.sockets.get_mut(token).map(|socket| &mut socket.input)
+    /// Closes the connection with a reset, as its counterpart was.
+    pub fn reset(&mut self, token: Token) {
+        self.sockets.reset(token);
     }
 
-    /// How many bytes wait to be written.
-    pub fn pending_output_bytes(&self, token: Token) -> usize {
-        self.sockets.get(token).map_or(0, |socket| socket.output.len())
+    // ---- Descriptors ---------------------------------------------------------------------------
+
+    /// Changes how many descriptors the process may have.
+    pub fn set_descriptor_limit(&mut self, limit: usize) {
+        self.sockets.store.descriptors_mut().set_limit(limit);
     }
 
-    /// Whether any byte has been written.
-    pub fn has_written(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| socket.bytes_written > 0)
+    /// Sets this many descriptors aside for what is not counted here.
+    pub fn reserve_descriptors(&mut self, descriptors: usize) {
+        self.sockets.store.descriptors_mut().reserve_mut().enlarge(descriptors);
     }
 
-    /// How many bytes have been written.
-    pub fn bytes_written(&self, token: Token) -> u64 {
-        self.sockets.get(token).map_or(0, |socket| socket.bytes_written)
+    /// Evicts connections while descriptors run short: closed ones that linger, the oldest first, then those that
+    /// have not completed their handshake. False where only connections in use are left.
+    pub fn reclaim_descriptors(&mut self) -> bool {
+        self.candidates.reclaim_descriptors(&mut self.sockets)
     }
 
-    /// The position in the output stream of the next byte that is sent.
-    pub fn output_position(&self, token: Token) -> u64 {
-        self.sockets.get(token).map_or(0, |socket| socket.bytes_written + socket.output.len() as u64)
+    /// What a peer is sent if its connection is evicted before its handshake is complete; none is sent where it has had
+    /// an answer already.
+    pub fn set_farewell(&mut self, token: Token, farewell: Option<&'static [u8]>) {
+        if let Some(socket) = self.sockets.store.get_mut(token) {
+            socket.farewell = farewell;
+        }
     }
 
-    /// Whether every connection that was closed is over on both sides.
-    pub fn all_closes_complete(&self) -> bool {
-        self.lingering.iter().all(|deadline| self.sockets.get(deadline.token).is_none())
+    // ---- Transfer to another process -----------------------------------------------------------
+
+    /// Takes a connection out, for another process to go on with. None where [`SocketReactor::can_transfer`] says
+    /// no.
+    pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
+        if !self.can_transfer(token) {
+            return None;
+        }
+        let handshake_deadline = self.candidates.handshake_deadline(&self.sockets.store, token);
+        let socket = self.sockets.store.remove(token)?;
+        let connection = BufferedConnection::new(socket.buffers, handshake_deadline);
+        Some(ExportedConnection { fd: socket.fd, connection })
     }
 
-    /// How many descriptors the sockets use.
-    pub fn descriptors_in_use(&self) -> usize {
-        self.sockets.len()
+    /// Goes on with a connection that another process exported.
+    ///
+    /// # Errors
+    /// Where it cannot be made non-blocking or watched.
+    pub fn import_connection(
+        &mut self,
+        fd: OwnedFd,
+        connection: BufferedConnection,
+        owner: SocketOwner,
+    ) -> io::Result<Token> {
+        let token = self.register_reader(fd, owner)?;
+        let handshake_deadline = connection.handshake_deadline();
+        if let Some(socket) = self.sockets.store.get_mut(token) {
+            socket.buffers = connection.into_buffers();
+            socket.awaiting_handshake = handshake_deadline.is_some();
+        }
+        if let Some(deadline) = handshake_deadline {
+            self.candidates.await_handshake_until(deadline, token);
+        }
+        self.sockets.store.update_interest(token);
+        Ok(token)
     }
 }
--- a/src/net/system/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,7 +1,7 @@
 //! The reactor where system calls fail for a moment, as Linux documents it.
 
-use super::faults::{all_happened, fail};
-use super::SystemCall;
+use crate::net::system::faults::{all_happened, fail};
+use crate::net::system::SystemCall;
 use crate::net::{SocketEventKind, SocketOwner, SocketReactor, Token};
 use rstest::rstest;
 use rustix::io::Errno;
@@ -146,7 +146,7 @@
     assert!(all_happened());
 }
 
-/// A shortage of the whole system is no reason to evict a client of this node.
+/// A shortage that is not this process's own is no reason to evict a client of this node.
 #[rstest]
 #[case(Errno::NFILE)]
 #[case(Errno::NOBUFS)]
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,17 +1,12 @@
 //! One socket: its descriptor, its state and its buffers.
 
+use super::buffers::Buffers;
+use super::epoll_set::Watch;
 use super::event::SocketOwner;
-use super::poller::Interest;
 use super::slab::Token;
-use super::watch_retry::WatchState;
+use super::system::Interest;
 use std::os::fd::OwnedFd;
 
-/// Input buffered ahead of the owner, unless the owner sets another limit
-/// ([`SocketReactor::set_read_limit`](super::SocketReactor::set_read_limit)).
-pub(super) const DEFAULT_READ_LIMIT_BYTES: usize = 8 * 1024;
-/// Output waiting at a peer above which the peer is slow: its counterpart's input is not read until it drains.
-pub const OUTPUT_HIGH_WATERMARK_BYTES: usize = 16 * 1024;
-
 /// What a socket is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SocketState {
@@ -42,7 +37,7 @@
     ShutDown,
 }
 
-/// A socket in the slab.
+/// A socket of the reactor.
 pub(super) struct Socket {
     pub(super) fd: OwnedFd,
     pub(super) owner: SocketOwner,
@@ -50,23 +45,15 @@
     pub(super) write_state: WriteState,
     /// The peer has ended its sending.
     pub(super) read_closed: bool,
-    /// Bytes that have arrived and that the owner has not taken.
-    pub(super) input: Vec<u8>,
-    /// Bytes that wait to be written.
-    pub(super) output: Vec<u8>,
-    pub(super) bytes_written: u64,
+    pub(super) buffers: Buffers,
     /// What epoll watches it for.
-    pub(super) interest: Interest,
+    pub(super) watch: Watch,
     /// What its peer is sent if it is evicted.
     pub(super) farewell: Option<&'static [u8]>,
     /// It is neither read nor written for a moment, for want of kernel memory.
     pub(super) is_paused: bool,
-    /// Whether epoll knows of it.
-    pub(super) watch: WatchState,
     /// It was accepted and its owner has not reported a complete handshake yet.
     pub(super) awaiting_handshake: bool,
-    /// Input buffered ahead of the owner.
-    pub(super) read_limit_bytes: usize,
     /// The listener that accepted it.
     pub(super) listener: Option<Token>,
     /// It uses one of the reserved descriptors, or it is the listener that hands them out.
@@ -83,15 +70,11 @@
             state,
             write_state: WriteState::Open,
             read_closed: false,
-            input: Vec::new(),
-            output: Vec::new(),
-            bytes_written: 0,
-            interest,
+            buffers: Buffers::new(),
+            watch: Watch::new(interest),
             farewell: None,
             is_paused: false,
-            watch: WatchState::Current,
             awaiting_handshake: false,
-            read_limit_bytes: DEFAULT_READ_LIMIT_BYTES,
             listener: None,
             uses_reserve: false,
         }
@@ -102,18 +85,28 @@
         matches!(self.state, SocketState::Lingering { .. })
     }
 
+    /// Whether it accepts connections for a frontend.
+    pub(super) fn is_frontend_listener(&self) -> bool {
+        self.state == SocketState::Listening && matches!(self.owner, SocketOwner::Frontend(_))
+    }
+
+    /// Whether another process can continue the connection: it is established, and neither side has ended its sending.
+    pub(super) fn can_transfer(&self) -> bool {
+        self.state == SocketState::Open && !self.read_closed && self.write_state == WriteState::Open
+    }
+
     /// What epoll is to watch a buffered socket for.
     pub(super) fn wanted_interest(&self) -> Interest {
         if self.is_paused {
             return Interest::empty();
         }
         let connecting = self.state == SocketState::Connecting;
-        let has_read_capacity = self.input.len() < self.read_limit_bytes || self.is_lingering();
+        let has_read_capacity = self.buffers.read_capacity() > 0 || self.is_lingering();
         let mut interest = Interest::empty();
         if !connecting && !self.read_closed && has_read_capacity {
             interest |= Interest::IN;
         }
-        if connecting || !self.output.is_empty() {
+        if connecting || self.buffers.pending_output_bytes() > 0 {
             interest |= Interest::OUT;
         }
         interest
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -1,9 +1,8 @@
 //! The system calls of the reactor on its sockets, each in one place.
 //!
-//! In unit tests they fail as a test has arranged ([`faults`]). A table in the process was preferred to a preloaded
+//! In unit tests they fail as a test has arranged ([`faults`]). A list within the process was preferred to a preloaded
 //! library, which sees none of the calls that rustix makes itself, and to a tracer, which not every machine has.
 
-use super::poller::Interest;
 use super::slab::Token;
 use rustix::event::epoll;
 use rustix::io::Errno;
@@ -11,10 +10,11 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
+/// What a descriptor is watched for, and what epoll reports of it.
+pub(super) use rustix::event::epoll::EventFlags as Interest;
+
 #[cfg(test)]
 pub(super) mod faults;
-#[cfg(test)]
-mod tests;
 
 /// A system call that a test can have fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -70,7 +70,7 @@
     rustix::io::read(fd, buffer)
 }
 
-/// Writes from a buffer, perhaps a part.
+/// Writes from a buffer; the system may take less than all of it.
 pub(super) fn write(fd: &OwnedFd, bytes: &[u8]) -> Result<usize, Errno> {
     injected(SystemCall::Write)?;
     rustix::io::write(fd, bytes)
--- a/src/net/system/faults.rs
+++ b/src/net/system/faults.rs
@@ -1,4 +1,4 @@
-//! A table of the system calls that fail in this thread, for unit tests.
+//! The system calls that are to fail in this thread, for unit tests.
 
 use super::SystemCall;
 use rustix::io::Errno;
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,12 +1,8 @@
-//! Connections on their way from one process of the node to the next.
+//! The form in which a connection goes from one process of the node to the next.
 
-use super::event::SocketOwner;
-use super::reactor::{SocketDeadline, SocketReactor};
-use super::slab::Token;
-use super::socket::{SocketState, WriteState};
+use super::buffers::{BufferParts, Buffers};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
-use std::io;
 use std::os::fd::OwnedFd;
 
 /// A connection's buffers and state, for the process that continues it. Its JSON belongs to the handover
@@ -51,58 +47,21 @@
     pub connection: BufferedConnection,
 }
 
-impl SocketReactor {
-    /// Whether a connection can go on in another process: it is established, and neither side has ended its
-    /// sending.
-    pub fn can_transfer(&self, token: Token) -> bool {
-        self.sockets.get(token).is_some_and(|socket| {
-            socket.state == SocketState::Open && !socket.read_closed && socket.write_state == WriteState::Open
-        })
+impl BufferedConnection {
+    /// The state of a connection that is taken out of the reactor.
+    pub(super) fn new(buffers: Buffers, handshake_deadline: Option<MonotonicTime>) -> BufferedConnection {
+        let BufferParts { input, output, bytes_written } = buffers.into_parts();
+        BufferedConnection { input, output, bytes_written, handshake_deadline }
     }
 
-    /// Takes a connection out, for another process to go on with. None where [`SocketReactor::can_transfer`] says
-    /// no.
-    pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
-        if !self.can_transfer(token) {
-            return None;
-        }
-        let handshake_deadline = self.handshake_deadline(token);
-        let socket = self.sockets.remove(token)?;
-        // The other process has the socket open: closing ours would not take it out of the epoll set.
-        self.poller.delete(&socket.fd);
-        let connection = BufferedConnection {
-            input: socket.input,
-            output: socket.output,
-            bytes_written: socket.bytes_written,
-            handshake_deadline,
-        };
-        Some(ExportedConnection { fd: socket.fd, connection })
+    /// When the handshake must be complete, if it is not yet.
+    pub(super) fn handshake_deadline(&self) -> Option<MonotonicTime> {
+        self.handshake_deadline
     }
 
-    /// Goes on with a connection that another process exported.
-    ///
-    /// # Errors
-    /// Where it cannot be made non-blocking or watched.
-    pub fn import_connection(
-        &mut self,
-        fd: OwnedFd,
-        connection: BufferedConnection,
-        owner: SocketOwner,
-    ) -> io::Result<Token> {
-        rustix::io::ioctl_fionbio(&fd, true)?;
-        let token = self.insert(fd, owner, SocketState::Open)?;
-        if let Some(socket) = self.sockets.get_mut(token) {
-            socket.input = connection.input;
-            socket.output = connection.output;
-            socket.bytes_written = connection.bytes_written;
-            socket.awaiting_handshake = connection.handshake_deadline.is_some();
-        }
-        if let Some(at) = connection.handshake_deadline {
-            let index = self.awaiting_handshake.partition_point(|other| other.at <= at);
-            self.awaiting_handshake.insert(index, SocketDeadline { at, token });
-        }
-        self.update_interest(token);
-        Ok(token)
+    /// The buffers with which the connection continues.
+    pub(super) fn into_buffers(self) -> Buffers {
+        Buffers::restored(self.input, self.output, self.bytes_written)
     }
 }
 
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -1,12 +1,15 @@
-//! Reads and writes that find no kernel memory. The connection is sound: it rests for a moment and goes on, since a
-//! descriptor that is ready and cannot be served would otherwise keep the event loop from sleeping.
+//! Pauses of connections whose reads or writes find no kernel memory.
+//!
+//! The connection is sound: it is neither read nor written for a moment and then goes on. Without the pause a descriptor
+//! that is ready and cannot be served would keep the event loop from sleeping.
 
-use super::reactor::{SocketDeadline, SocketReactor};
+use super::deadlines::DeadlineQueue;
 use super::slab::Token;
 use rustix::io::Errno;
+use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// How long a connection rests.
+/// How long a connection is paused.
 const TRANSFER_PAUSE: Duration = Duration::from_millis(10);
 
 /// Whether a read or write failed for want of kernel memory, which passes.
@@ -14,34 +17,36 @@
     matches!(error, Errno::NOBUFS | Errno::NOMEM)
 }
 
-impl SocketReactor {
-    /// The connection is neither read nor written for a moment.
-    pub(super) fn pause_transfer(&mut self, token: Token) {
-        let Some(socket) = self.sockets.get_mut(token) else { return };
-        if !std::mem::replace(&mut socket.is_paused, true) {
-            self.shortages.transfer_pauses += 1;
-            self.paused_transfers.push_back(SocketDeadline { at: self.now + TRANSFER_PAUSE, token });
-        }
-        self.update_interest(token);
+/// The connections that are paused, by the end of the pause.
+#[derive(Default)]
+pub(super) struct TransferPauses {
+    pauses: DeadlineQueue,
+    started: u64,
+}
+
+impl TransferPauses {
+    /// A connection is paused from now on.
+    pub(super) fn start(&mut self, now: MonotonicTime, token: Token) {
+        self.started += 1;
+        self.pauses.push_latest(now + TRANSFER_PAUSE, token);
     }
 
-    /// Ends the pauses that have lasted long enough.
-    pub(super) fn resume_paused_transfers(&mut self) {
-        while self.paused_transfers.front().is_some_and(|deadline| deadline.at <= self.now) {
-            let Some(SocketDeadline { token, .. }) = self.paused_transfers.pop_front() else { return };
-            if let Some(socket) = self.sockets.get_mut(token) {
-                socket.is_paused = false;
-            }
-            self.update_interest(token);
-        }
+    /// Takes a connection whose pause is over.
+    pub(super) fn pop_over(&mut self, now: MonotonicTime) -> Option<Token> {
+        self.pauses.pop_reached(now)
     }
 
     /// The time-out of a wait that must not outlast a pause.
-    pub(super) fn limit_by_paused_transfers(&self, timeout: Duration) -> Duration {
-        if self.paused_transfers.is_empty() {
+    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
+        if self.pauses.is_empty() {
             timeout
         } else {
             timeout.min(TRANSFER_PAUSE)
         }
     }
+
+    /// How many pauses have been started.
+    pub(super) fn started(&self) -> u64 {
+        self.started
+    }
 }
