--- /dev/null
+++ b/src/frontend/text/attempt.rs
@@ -0,0 +1,146 @@
+//! Attempts: connecting to a server, and sending the request line once the connection is established.
+
+use super::client_input::{has_disconnected, on_client_event};
+use super::connection_event::ConnectionEvent;
+use super::session::{AttemptState, SessionState};
+use super::session_end::{drop_attempt, on_attempt_end, ConnectionEnd};
+use super::sessions::Sessions;
+use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
+use crate::model::{Outcome, RequestId, ServerId};
+use crate::net::{ConnectError, SocketOwner, Token};
+use crate::rules::SendRefusal;
+use std::time::Duration;
+
+/// Starts an attempt of a request, unless its client has disconnected by now or the server takes no new requests.
+pub(super) fn start(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    request_id: RequestId,
+    server: ServerId,
+    timeout: Duration,
+) {
+    let Some(client) = sessions.client_of_request(request_id) else { return };
+    ctx.net.read_available(client);
+    if has_disconnected(ctx, client) {
+        let event = ConnectionEvent::current(ctx, client);
+        return on_client_event(sessions, ctx, client, event);
+    }
+    // The server may have begun to drain in this very iteration, after it was selected.
+    let connecting = if !is_ready(ctx, server) {
+        Err(Outcome::NotSent)
+    } else if !ctx.net.has_descriptor_for_attempt() {
+        Err(Outcome::LocalShortage)
+    } else {
+        connect(sessions, ctx, client, server, timeout)
+    };
+    if let Err(outcome) = connecting {
+        ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
+    }
+}
+
+/// Connects to a server. The client's line is sent once the connection is established ([`send_request`]).
+///
+/// # Errors
+/// The attempt's outcome, where no connection could be started.
+pub(super) fn connect(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    server: ServerId,
+    timeout: Duration,
+) -> Result<(), Outcome> {
+    if !sessions.contains(client) {
+        return Ok(());
+    }
+    let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
+    let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
+    let server_connection = connecting.map_err(ConnectError::outcome)?;
+    let connect_by = ctx.now + ctx.site.limits.dial_timeout_ns;
+    ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
+    let attempt = AttemptState { server_connection, ends_at: ctx.now + timeout, line_sent: false };
+    sessions.set_attempt(client, server, attempt);
+    Ok(())
+}
+
+/// Sends a request line on a connection that has just been established, if it may still be sent.
+pub(super) fn send_request(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
+    if let Err(refusal) = check_send(sessions, ctx, client) {
+        return on_send_refused(sessions, ctx, client, refusal);
+    }
+    let Some(session) = sessions.get_mut(client) else { return };
+    let SessionState::Attempting(attempt) = &mut session.state else { return };
+    attempt.line_sent = true;
+    let time_left = attempt.ends_at.saturating_duration_since(ctx.now);
+    ctx.net.send(attempt.server_connection, session.open.line_for_server(time_left).as_bytes());
+}
+
+fn check_send(sessions: &Sessions, ctx: &mut FrontendContext, client: Token) -> Result<(), SendRefusal> {
+    let Some(session) = sessions.get(client) else { return Err(SendRefusal::NotCurrent) };
+    ctx.net.read_available(client);
+    let client_gone = has_disconnected(ctx, client);
+    let server_ready = session.server.is_some_and(|server| is_ready(ctx, server));
+    match session.request_id {
+        Some(request_id) => ctx.requests.may_send(ctx.now, request_id, client_gone, server_ready),
+        // It is restored at the server that it had before the run, in whatever state that is.
+        None if client_gone => Err(SendRefusal::ClientGone),
+        None => Ok(()),
+    }
+}
+
+fn on_send_refused(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token, refusal: SendRefusal) {
+    let request = sessions.get(client).map_or(0, |session| session.request_number());
+    tracing::trace!(request, reason = %refusal, "attempt not sent");
+    match refusal {
+        SendRefusal::ClientGone => {
+            let event = ConnectionEvent::current(ctx, client);
+            on_client_event(sessions, ctx, client, event);
+        }
+        SendRefusal::NotCurrent | SendRefusal::ServerNotReady | SendRefusal::TooLate => {
+            on_attempt_end(sessions, ctx, client, Outcome::NotSent, ConnectionEnd::Reset);
+        }
+    }
+}
+
+/// Cancels the attempt of a request and yields its outcome.
+pub(super) fn cancel(sessions: &mut Sessions, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
+    let Some(client) = sessions.client_of_request(request_id) else { return Outcome::Cancelled };
+    let attempt = sessions.get(client).and_then(|session| session.attempt());
+    let may_have_run = attempt.is_none_or(|attempt| attempt.is_line_written(ctx));
+    drop_attempt(sessions, ctx, client);
+    if may_have_run {
+        Outcome::Timeout
+    } else {
+        Outcome::ConnectFailed
+    }
+}
+
+/// The time for connecting to a server is over.
+pub(super) fn on_connect_timeout(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token) {
+    if !ctx.net.is_connecting(token) {
+        return;
+    }
+    if let Some(client) = sessions.client_of_server_connection(token) {
+        on_attempt_end(sessions, ctx, client, Outcome::ConnectFailed, ConnectionEnd::Reset);
+    }
+}
+
+/// Cancels the attempts at these servers of which no byte has been written.
+pub(super) fn cancel_unsent(sessions: &mut Sessions, ctx: &mut FrontendContext, servers: &[ServerId]) {
+    let unsent: Vec<Token> = sessions
+        .iter()
+        .filter(|(_, session)| {
+            let attempt = session.attempt();
+            let is_unsent = attempt.is_some_and(|attempt| !ctx.net.has_written(attempt.server_connection));
+            is_unsent && session.server.is_some_and(|server| servers.contains(&server))
+        })
+        .map(|(client, _)| client)
+        .collect();
+    for client in unsent {
+        on_attempt_end(sessions, ctx, client, Outcome::ConnectFailed, ConnectionEnd::Reset);
+    }
+}
+
+/// Whether a server takes new requests, by the endpoint list.
+fn is_ready(ctx: &FrontendContext, server: ServerId) -> bool {
+    ctx.registry.entry(server).is_some_and(|endpoint| endpoint.is_ready())
+}
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -1,16 +1,15 @@
-//! Connections that go on in the next process of the node.
+//! Clients' connections that continue in the next process of the node.
 
+use super::awaiting_clients::AwaitingClients;
 use super::request_line::{OpenRequest, RequestLine};
-use super::session::{
-    arrival, ConnectionEvent, ConnectionRole, EstablishedSession, Session, SessionEnding, SessionState,
-};
-use super::TextFrontend;
+use super::session::{arrival, EstablishedSession, Session, SessionEnding, SessionState};
+use super::session_end::finish_session;
+use super::sessions::Sessions;
 use crate::frontend::{FrontendContext, TransferredConnection, TEXT_FRONTEND};
 use crate::net::{BufferedConnection, ExportedConnection, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::requests::HandedOverConnection;
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
-use std::fmt;
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
@@ -53,173 +52,163 @@
 }
 
 /// A transferred connection cannot be continued: its state is malformed, or a descriptor is missing or unusable.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
+#[error("a connection that cannot be read")]
 pub(super) struct UnreadableConnection;
 
-impl fmt::Display for UnreadableConnection {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a connection that cannot be read")
-    }
+/// A client's connection that this process has taken over. Its input is still to be handled.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ImportedClient {
+    /// A client that has sent no request.
+    AwaitingRequest(Token),
+    /// A client with an established session.
+    Established {
+        /// The client's connection.
+        client: Token,
+        /// The connection to its server.
+        server_connection: Token,
+    },
+    /// A client that was sent `MOVE`: it reconnects.
+    Migrated,
 }
 
-impl std::error::Error for UnreadableConnection {}
-
-impl TextFrontend {
-    /// The clients' connections that can go on in another process as they are, at most so many.
-    pub(super) fn transferable_connections(
-        &self,
-        ctx: &FrontendContext,
-        max_connections: usize,
-    ) -> Vec<Token> {
-        let mut tokens: Vec<Token> =
-            self.connections.keys().filter(|token| self.can_transfer(ctx, **token)).copied().collect();
-        tokens.sort_unstable();
-        tokens.truncate(max_connections);
-        tokens
-    }
+// ---- Export ------------------------------------------------------------------------------------
+
+/// The clients' connections that can go on in another process as they are, at most so many.
+pub(super) fn transferable_connections(
+    awaiting: &AwaitingClients,
+    sessions: &Sessions,
+    ctx: &FrontendContext,
+    max_connections: usize,
+) -> Vec<Token> {
+    let awaiting = awaiting.tokens().filter(|token| is_transferable(ctx, *token));
+    let established = sessions.iter().filter(|(client, session)| {
+        let established = session.established();
+        established.is_some_and(|established| {
+            is_transferable(ctx, *client) && is_transferable(ctx, established.server_connection)
+        })
+    });
+    let mut tokens: Vec<Token> = awaiting.chain(established.map(|(client, _)| client)).collect();
+    tokens.sort_unstable();
+    tokens.truncate(max_connections);
+    tokens
+}
 
-    fn can_transfer(&self, ctx: &FrontendContext, client: Token) -> bool {
-        let is_ready = |token: Token| {
-            ctx.net.can_transfer(token) && ctx.net.pending_output_bytes(token) < MAX_TRANSFERRED_OUTPUT_BYTES
-        };
-        match self.connections.get(&client) {
-            Some(ConnectionRole::AwaitingRequest { .. }) => is_ready(client),
-            Some(ConnectionRole::Client) => {
-                let established = self.sessions.get(&client).and_then(|session| session.established());
-                established
-                    .is_some_and(|established| is_ready(client) && is_ready(established.server_connection))
-            }
-            Some(ConnectionRole::Server { .. } | ConnectionRole::HealthCheck) | None => false,
-        }
-    }
+fn is_transferable(ctx: &FrontendContext, token: Token) -> bool {
+    ctx.net.can_transfer(token) && ctx.net.pending_output_bytes(token) < MAX_TRANSFERRED_OUTPUT_BYTES
+}
 
-    /// Takes a client's connection out of this process.
-    pub(super) fn export_client(
-        &mut self,
-        ctx: &mut FrontendContext,
-        token: Token,
-    ) -> Option<TransferredConnection> {
-        let role = self.connections.remove(&token)?;
-        let ExportedConnection { fd: client_fd, connection: client } = ctx.net.export_connection(token)?;
-        match role {
-            ConnectionRole::AwaitingRequest { pings } => {
-                let transferred = TransferredSession::AwaitingRequest(pings, client);
-                Some(TransferredConnection {
-                    state: serde_json::to_string(&transferred).ok()?,
-                    fds: vec![client_fd],
-                })
-            }
-            ConnectionRole::Client => self.export_session(ctx, token, client_fd, client),
-            ConnectionRole::Server { .. } | ConnectionRole::HealthCheck => None,
-        }
+/// Takes a client's connection out of this process.
+pub(super) fn export_client(
+    awaiting: &mut AwaitingClients,
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    token: Token,
+) -> Option<TransferredConnection> {
+    let ExportedConnection { fd: client_fd, connection: client } = ctx.net.export_connection(token)?;
+    match awaiting.remove(token) {
+        Some(pings) => transferred(&TransferredSession::AwaitingRequest(pings, client), vec![client_fd]),
+        None => export_session(sessions.remove(token)?, ctx, client_fd, client),
     }
+}
 
-    fn export_session(
-        &mut self,
-        ctx: &mut FrontendContext,
-        token: Token,
-        client_fd: OwnedFd,
-        client: BufferedConnection,
-    ) -> Option<TransferredConnection> {
-        let session = self.sessions.get(&token)?;
-        let established = session.established()?;
-        self.connections.remove(&established.server_connection);
-        let ExportedConnection { fd: server_fd, connection: server } =
-            ctx.net.export_connection(established.server_connection)?;
-        let endpoint = session.server.and_then(|server| ctx.registry.entry(server))?;
-        let transferred = TransferredEstablished {
-            request_line: session.open.line().to_string(),
-            server_name: endpoint.name().to_string(),
-            started_at: session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?,
-            unanswered_since: established.unanswered_since,
-            ending: established.ending,
-            load: established.load,
-            client,
-            server,
-        };
-        // Here it ends without a word, since it goes on in the other process.
-        if let Some(session) = self.sessions.get_mut(&token) {
-            session.end_announced = true;
-        }
-        self.remove_session(ctx, token);
-        let transferred = TransferredSession::Established(transferred);
-        Some(TransferredConnection {
-            state: serde_json::to_string(&transferred).ok()?,
-            fds: vec![client_fd, server_fd],
-        })
-    }
+fn export_session(
+    mut session: Session,
+    ctx: &mut FrontendContext,
+    client_fd: OwnedFd,
+    client: BufferedConnection,
+) -> Option<TransferredConnection> {
+    let established = session.established()?;
+    let ExportedConnection { fd: server_fd, connection: server } =
+        ctx.net.export_connection(established.server_connection)?;
+    let endpoint = session.server.and_then(|server| ctx.registry.entry(server))?;
+    let established = TransferredEstablished {
+        request_line: session.open.line().to_string(),
+        server_name: endpoint.name().to_string(),
+        started_at: session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?,
+        unanswered_since: established.unanswered_since,
+        ending: established.ending,
+        load: established.load,
+        client,
+        server,
+    };
+    // Its end is not announced here, since it goes on in the other process.
+    session.end_announced = true;
+    finish_session(ctx, &session);
+    transferred(&TransferredSession::Established(established), vec![client_fd, server_fd])
+}
+
+fn transferred(session: &TransferredSession, fds: Vec<OwnedFd>) -> Option<TransferredConnection> {
+    Some(TransferredConnection { state: serde_json::to_string(session).ok()?, fds })
+}
+
+// ---- Import ------------------------------------------------------------------------------------
 
-    /// Goes on with a client's connection of the process before this one.
-    pub(super) fn import_client(
-        &mut self,
-        ctx: &mut FrontendContext,
-        transferred: TransferredConnection,
-    ) -> Result<(), UnreadableConnection> {
-        let session = serde_json::from_str(&transferred.state).map_err(|_| UnreadableConnection)?;
-        let mut fds = transferred.fds.into_iter();
-        match session {
-            TransferredSession::AwaitingRequest(pings, client) => {
-                let token = import_connection(ctx, fds.next(), client)?;
-                self.connections.insert(token, ConnectionRole::AwaitingRequest { pings });
-                self.on_request_input(ctx, token);
-                ctx.net.update_interest(token);
-            }
-            TransferredSession::Established(mut established) => {
-                let client = import_connection(ctx, fds.next(), std::mem::take(&mut established.client))?;
-                let server = import_connection(ctx, fds.next(), std::mem::take(&mut established.server))?;
-                self.continue_session(ctx, client, server, &established);
-            }
+/// Takes over a client's connection from the process before this one.
+///
+/// # Errors
+/// Where its state or a descriptor cannot be used.
+pub(super) fn import_client(
+    awaiting: &mut AwaitingClients,
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    transferred: TransferredConnection,
+) -> Result<ImportedClient, UnreadableConnection> {
+    let session = serde_json::from_str(&transferred.state).map_err(|_| UnreadableConnection)?;
+    let mut fds = transferred.fds.into_iter();
+    match session {
+        TransferredSession::AwaitingRequest(pings, client) => {
+            let token = import_connection(ctx, fds.next(), client)?;
+            awaiting.insert(token, pings);
+            Ok(ImportedClient::AwaitingRequest(token))
+        }
+        TransferredSession::Established(mut established) => {
+            let client = import_connection(ctx, fds.next(), std::mem::take(&mut established.client))?;
+            let server = import_connection(ctx, fds.next(), std::mem::take(&mut established.server))?;
+            Ok(import_session(sessions, ctx, client, server, &established))
         }
-        Ok(())
     }
+}
 
-    fn continue_session(
-        &mut self,
-        ctx: &mut FrontendContext,
-        client: Token,
-        server_connection: Token,
-        transferred: &TransferredEstablished,
-    ) {
-        let open = parse_open(ctx, &transferred.request_line);
-        let (Some(open), Some(server)) = (open, ctx.registry.id_of(&transferred.server_name)) else {
-            // It was placed under other classes, or on a server that is unknown here: it is placed anew.
-            ctx.net.send(client, b"MOVE\r\n");
-            ctx.net.close(client);
-            ctx.net.close(server_connection);
-            return;
-        };
-        let connection = HandedOverConnection {
-            frontend: TEXT_FRONTEND,
-            arrival: arrival(&open),
-            server,
-            started_at: transferred.started_at,
-            load: transferred.load,
-        };
-        let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
-        self.open_ids.insert(open.id.clone());
-        self.connections.insert(client, ConnectionRole::Client);
-        self.connections.insert(server_connection, ConnectionRole::Server { client });
-        self.clients.insert(request_id, client);
-        let established = EstablishedSession {
-            server_connection,
-            unanswered_since: transferred.unanswered_since,
-            ending: transferred.ending,
-            load: transferred.load,
-        };
-        let session = Session {
-            open,
-            request_id: Some(request_id),
-            server: Some(server),
-            state: SessionState::Established(established),
-            is_answered: true,
-            end_announced: false,
-        };
-        session.trace("inherited", ctx);
-        self.sessions.insert(client, session);
-        self.on_server_event(ctx, client, server_connection, ConnectionEvent::Ready);
-        ctx.net.update_interest(server_connection);
-        ctx.net.update_interest(client);
-    }
+fn import_session(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    server_connection: Token,
+    transferred: &TransferredEstablished,
+) -> ImportedClient {
+    let open = parse_open(ctx, &transferred.request_line);
+    let (Some(open), Some(server)) = (open, ctx.registry.id_of(&transferred.server_name)) else {
+        // It was placed under other classes, or on a server that is unknown here: it is placed anew.
+        ctx.net.send(client, b"MOVE\r\n");
+        ctx.net.close(client);
+        ctx.net.close(server_connection);
+        return ImportedClient::Migrated;
+    };
+    let connection = HandedOverConnection {
+        frontend: TEXT_FRONTEND,
+        arrival: arrival(&open),
+        server,
+        started_at: transferred.started_at,
+        load: transferred.load,
+    };
+    let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
+    let established = EstablishedSession {
+        server_connection,
+        unanswered_since: transferred.unanswered_since,
+        ending: transferred.ending,
+        load: transferred.load,
+    };
+    let session = Session {
+        request_id: Some(request_id),
+        server: Some(server),
+        state: SessionState::Established(established),
+        is_answered: true,
+        ..Session::new(open)
+    };
+    session.trace("inherited", ctx);
+    sessions.insert(client, session);
+    ImportedClient::Established { client, server_connection }
 }
 
 fn parse_open(ctx: &FrontendContext, line: &str) -> Option<OpenRequest> {
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -7,11 +7,10 @@
 //! The node has one health-check connection a server at most and one check in flight on it at a time, so the
 //! descriptors that checks use are bounded by the servers in the endpoint registry.
 
+use super::connection_event::ConnectionEvent;
 use super::line_buffer::{take_line, LineRead};
 use super::load_report::{LoadReport, UTILIZATION};
 use super::protocol_error::{server_name, ServerProtocolError};
-use super::session::ConnectionRole;
-use super::TextFrontend;
 use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
 use crate::model::{Event, ServerId};
 use crate::net::{SocketOwner, Token};
@@ -44,7 +43,7 @@
 #[derive(Default)]
 pub(super) struct HealthChecks {
     by_server: HashMap<ServerId, CheckConnection>,
-    servers: HashMap<Token, ServerId>,
+    servers_by_connection: HashMap<Token, ServerId>,
 }
 
 /// How a health check is carried out.
@@ -74,18 +73,18 @@
     /// A connection was opened for a check sent at `now`.
     fn add_connection(&mut self, now: MonotonicTime, server: ServerId, token: Token) {
         self.by_server.insert(server, CheckConnection { token, in_flight_since: Some(now) });
-        self.servers.insert(token, server);
+        self.servers_by_connection.insert(token, server);
     }
 
     /// An answer has arrived on a connection: the server, where a check was in flight on it.
     fn on_answer(&mut self, token: Token) -> Option<ServerId> {
-        let server = *self.servers.get(&token)?;
+        let server = *self.servers_by_connection.get(&token)?;
         self.by_server.get_mut(&server)?.in_flight_since.take().map(|_| server)
     }
 
     /// Whether the check in flight on this connection, if any, was sent before this time.
     fn was_sent_before(&self, token: Token, time: MonotonicTime) -> bool {
-        let connection = self.servers.get(&token).and_then(|server| self.by_server.get(server));
+        let connection = self.servers_by_connection.get(&token).and_then(|server| self.by_server.get(server));
         let sent_at = connection.and_then(|connection| connection.in_flight_since);
         sent_at.is_some_and(|sent_at| sent_at < time)
     }
@@ -97,20 +96,23 @@
 
     /// A connection is over.
     fn remove_connection(&mut self, token: Token) -> Option<EndedConnection> {
-        let server = self.servers.remove(&token)?;
+        let server = self.servers_by_connection.remove(&token)?;
         let connection = self.by_server.remove(&server)?;
         Some(EndedConnection { server, was_in_flight: connection.in_flight_since.is_some() })
     }
-}
 
-impl TextFrontend {
+    /// Whether this is one of its connections.
+    pub(super) fn contains(&self, token: Token) -> bool {
+        self.servers_by_connection.contains_key(&token)
+    }
+
     /// Sends a health check, on the server's connection for them or on a new one.
-    pub(super) fn start_health_check(&mut self, ctx: &mut FrontendContext, server: ServerId) {
-        let token = match self.health_checks.begin(ctx.now, server) {
+    pub(super) fn start(&mut self, ctx: &mut FrontendContext, server: ServerId) {
+        let token = match self.begin(ctx.now, server) {
             CheckStep::AlreadyInFlight => return,
             CheckStep::Reuse(token) => token,
             CheckStep::Connect => {
-                let Some(token) = self.connect_for_health_checks(ctx, server) else {
+                let Some(token) = self.connect(ctx, server) else {
                     return ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
                 };
                 token
@@ -121,39 +123,35 @@
         ctx.wheel.schedule(ctx.now + HEALTH_CHECK_TIMEOUT, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
     }
 
-    fn connect_for_health_checks(&mut self, ctx: &mut FrontendContext, server: ServerId) -> Option<Token> {
+    fn connect(&mut self, ctx: &mut FrontendContext, server: ServerId) -> Option<Token> {
         let addr = ctx.registry.entry(server)?.address();
         let token = ctx.net.connect(addr, SocketOwner::Frontend(TEXT_FRONTEND)).ok()?;
-        self.health_checks.add_connection(ctx.now, server, token);
-        self.connections.insert(token, ConnectionRole::HealthCheck);
+        self.add_connection(ctx.now, server, token);
         Some(token)
     }
 
-    /// Lines on a health-check connection: each answers the check in flight on it, if any.
-    pub(super) fn on_health_check_input(&mut self, ctx: &mut FrontendContext, token: Token, failed: bool) {
+    /// Handles lines on a connection, each of which answers the check in flight on it, if any, and the connection's end.
+    pub(super) fn on_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
         while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
                 LineRead::Incomplete => break,
-                LineRead::TooLong => return self.end_health_check(ctx, token),
+                LineRead::TooLong => return self.close(ctx, token),
                 LineRead::Complete(line) => {
-                    if let Some(server) = self.health_checks.on_answer(token) {
+                    if let Some(server) = self.on_answer(token) {
                         report_health_check_answer(ctx, server, &line);
                     }
                 }
             }
         }
-        if failed || ctx.net.is_read_closed(token) {
-            self.end_health_check(ctx, token);
+        if event != ConnectionEvent::Ready || ctx.net.is_read_closed(token) {
+            self.close(ctx, token);
         }
     }
 
-    /// Closes a health-check connection. The check in flight on it, if any, has no result.
-    pub(super) fn end_health_check(&mut self, ctx: &mut FrontendContext, token: Token) {
-        self.connections.remove(&token);
+    /// Closes a connection. The check in flight on it, if any, has no result.
+    pub(super) fn close(&mut self, ctx: &mut FrontendContext, token: Token) {
         ctx.net.close(token);
-        if let Some(EndedConnection { server, was_in_flight: true }) =
-            self.health_checks.remove_connection(token)
-        {
+        if let Some(EndedConnection { server, was_in_flight: true }) = self.remove_connection(token) {
             ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
         }
     }
--- a/src/frontend/text/latency.rs
+++ b/src/frontend/text/latency.rs
@@ -1,6 +1,7 @@
 //! Message latency by server, measured from a client's line to the server's next line.
 
-use crate::model::ServerId;
+use crate::frontend::FrontendContext;
+use crate::model::{Event, ServerId};
 use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 use std::time::Duration;
@@ -10,6 +11,9 @@
 /// A latency is reported once it is above the objective divided by this.
 const REPORT_ABOVE_OBJECTIVE_DIVISOR: u32 = 3;
 
+/// The objective where no class has one: no latency is high.
+const NO_OBJECTIVE: Duration = Duration::from_nanos(u64::MAX);
+
 /// A server's latency since the last report.
 #[derive(Clone, Copy, Default)]
 struct ServerLatency {
@@ -38,6 +42,17 @@
         measured.worst = measured.worst.max(Some(latency));
     }
 
+    /// Reports latencies to the balancer, where the settings say that it uses them and the next reports are due.
+    pub(super) fn report(&mut self, ctx: &mut FrontendContext) {
+        if !ctx.site.family_info.reports_message_latency || !self.begin_report(ctx.now) {
+            return;
+        }
+        let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
+        for report in self.take_reports(objectives.min().unwrap_or(NO_OBJECTIVE)) {
+            ctx.requests.push_event(Event::LatencyReport { server: report.server, latency: report.latency });
+        }
+    }
+
     /// Whether the next reports are due; if so, the interval begins anew.
     pub(super) fn begin_report(&mut self, now: MonotonicTime) -> bool {
         let report_due = now.saturating_duration_since(self.reported_at) >= REPORT_INTERVAL;
--- a/src/frontend/text/load_report.rs
+++ b/src/frontend/text/load_report.rs
@@ -4,11 +4,6 @@
 //! `PONG avg_ms=12.5,rps=40,active=3,x0=0.8`; `BYE`, `ERR` and `BUSY` may end with one where the settings say
 //! that answers carry reports.
 
-use super::protocol_error::ServerProtocolError;
-use crate::frontend::FrontendContext;
-use crate::model::ServerId;
-use std::fmt;
-
 /// A report has at most this many values: the settings name four or fewer, and a server may add some.
 pub(super) const MAX_REPORT_VALUES: usize = 16;
 /// The report's value of the load offered to a server, divided by its capacity.
@@ -28,31 +23,22 @@
 }
 
 /// Why a report, or the answer to a health check, cannot be used.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LoadReportError {
     /// The answer is none that a health check has: not `PONG`, `ERR` or `NO`.
+    #[error("no answer to a probe")]
     NotAnAnswer,
     /// A pair without `=`, or without a name.
+    #[error("a pair without a name or '='")]
     NotAPair,
     /// The value of this name is no finite number.
+    #[error("{0} is no number")]
     NotANumber(String),
     /// More than [`MAX_REPORT_VALUES`] values.
+    #[error("more than {MAX_REPORT_VALUES} values")]
     TooManyValues,
 }
 
-impl fmt::Display for LoadReportError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LoadReportError::NotAnAnswer => write!(f, "no answer to a probe"),
-            LoadReportError::NotAPair => write!(f, "a pair without a name or '='"),
-            LoadReportError::NotANumber(name) => write!(f, "{name} is no number"),
-            LoadReportError::TooManyValues => write!(f, "more than {MAX_REPORT_VALUES} values"),
-        }
-    }
-}
-
-impl std::error::Error for LoadReportError {}
-
 impl LoadReport {
     /// Parses a report. An empty text is an empty report.
     pub(super) fn parse(text: &str) -> Result<LoadReport, LoadReportError> {
@@ -103,18 +89,5 @@
     }
 }
 
-/// Writes a log line about a malformed report at the end of a server's answer. The answer means what its word says
-/// all the same.
-pub(super) fn log_malformed_trailing_report(
-    ctx: &FrontendContext,
-    server: Option<ServerId>,
-    line: &[u8],
-    word: &'static str,
-) {
-    if let Some(Err(error)) = LoadReport::parse_trailing(&String::from_utf8_lossy(line), word) {
-        ServerProtocolError::TrailingReport { word, error }.log(ctx, server);
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -3,15 +3,28 @@
 //! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
 //! Only complete lines go to a client, so that `MOVE` can always follow.
 //!
+//! [`TextFrontend`] owns the parts of the state and passes each event to the files that it concerns.
+//!
 //! | file | concern |
 //! | --- | --- |
-//! | `request_line`, `line_buffer` | parsing |
-//! | `session` | states of a session |
-//! | `client_side`, `server_side` | the two connections of a session |
-//! | `latency`, `load_report`, `health_check` | what is measured at servers and reported by them |
-//! | `handover` | connections that go on in the next process |
+//! | `line_buffer`, `request_line`, `load_report` | parsing |
+//! | `awaiting_clients` | clients that have sent no request yet |
+//! | `connection_event` | what happened at a connection |
+//! | `session`, `sessions` | one client with a request; all of them |
+//! | `session_end` | final answers, and the ends of attempts and sessions |
+//! | `client_input` | input of clients with a session |
+//! | `attempt` | attempts until the request line is sent |
+//! | `request_opening` | clients before their request, and the line that opens one |
+//! | `server_events` | servers' answers and lines |
+//! | `silent_servers` | clients of servers that have stopped answering |
+//! | `latency`, `health_check` | what is measured at servers and requested of them |
+//! | `protocol_error` | violations of the protocol by servers |
+//! | `handover` | connections that continue in the next process |
 
-mod client_side;
+mod attempt;
+mod awaiting_clients;
+mod client_input;
+mod connection_event;
 mod handover;
 mod health_check;
 mod latency;
@@ -19,34 +32,36 @@
 mod load_report;
 mod protocol_error;
 mod request_line;
-mod server_side;
+mod request_opening;
+mod server_events;
 mod session;
+mod session_end;
+mod sessions;
+mod silent_servers;
 
 use super::{Frontend, FrontendContext, TransferredConnection};
-use crate::model::{Event, Outcome, RequestId, ServerId};
+use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketEventKind, Token};
-use client_side::{has_disconnected, is_ready};
+use awaiting_clients::AwaitingClients;
+use client_input::on_client_event;
+use connection_event::ConnectionEvent;
+use handover::ImportedClient;
 use health_check::HealthChecks;
 use latency::LatencyTracker;
-use server_side::is_line_written;
-use session::{ConnectionEvent, ConnectionRole, Session, SessionState};
+use server_events::ServerEvents;
+use session_end::{answer_and_close, end_session, ConnectionEnd};
+use sessions::Sessions;
 use sparbank_time::DurationExt;
-use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// A client whose established server leaves a line unanswered for this long is migrated. Clients send a line every
-/// 2 s, and the rule allows 7 s from the last answer.
-const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(4_500);
+/// What a client is sent whose connection is closed before it has sent a request.
+const FAREWELL: &[u8] = b"BUSY\r\n";
 
 /// The text protocol's frontend.
 #[derive(Default)]
 pub struct TextFrontend {
-    connections: HashMap<Token, ConnectionRole>,
-    /// Sessions by their client's connection.
-    sessions: HashMap<Token, Session>,
-    clients: HashMap<RequestId, Token>,
-    /// The ids of all open requests: a client that comes with one of them is not the one that opened it.
-    open_ids: HashSet<String>,
+    awaiting: AwaitingClients,
+    sessions: Sessions,
     latencies: LatencyTracker,
     health_checks: HealthChecks,
 }
@@ -57,84 +72,60 @@
         TextFrontend::default()
     }
 
-    /// Migrates the clients whose servers have stopped answering.
-    fn migrate_from_silent_servers(&mut self, ctx: &mut FrontendContext) {
-        let now = ctx.now;
-        let is_silent = |session: &Session| {
-            let since = session.established().and_then(|established| established.unanswered_since);
-            since.is_some_and(|since| now.saturating_duration_since(since) > SILENT_SERVER_TIMEOUT)
-        };
-        let silent: Vec<RequestId> = self
-            .sessions
-            .values()
-            .filter(|session| is_silent(session))
-            .filter_map(|session| session.request_id)
-            .collect();
-        for request_id in silent {
-            tracing::trace!(request = request_id.0, "server is silent, migrating");
-            ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
-            self.migrate(ctx, request_id);
-        }
+    fn server_events(&mut self) -> ServerEvents<'_> {
+        ServerEvents::new(&mut self.sessions, &mut self.latencies)
     }
 
-    /// Reports latencies, where the settings say that the balancer uses them.
-    fn report_latencies(&mut self, ctx: &mut FrontendContext) {
-        if !ctx.site.family_info.reports_message_latency || !self.latencies.begin_report(ctx.now) {
-            return;
-        }
-        let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
-        let objective = objectives.min().unwrap_or(Duration::from_nanos(u64::MAX));
-        for report in self.latencies.take_reports(objective) {
-            ctx.requests.push_event(Event::LatencyReport { server: report.server, latency: report.latency });
+    /// Input, capacity for output, or a failure at a connection.
+    fn on_connection_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
+        if self.awaiting.contains(token) {
+            self.on_awaiting_client_event(ctx, token, event);
+        } else if self.sessions.contains(token) {
+            on_client_event(&mut self.sessions, ctx, token, event);
+            self.server_events().resume_lines(ctx, token);
+        } else if let Some(client) = self.sessions.client_of_server_connection(token) {
+            self.server_events().handle(ctx, client, token, event);
+        } else if self.health_checks.contains(token) {
+            self.health_checks.on_event(ctx, token, event);
+        } else {
+            ctx.net.close(token);
         }
+        ctx.net.update_interest(token);
     }
 
-    /// Removes a connection that has no session and closes it.
-    fn close_connection(&mut self, ctx: &mut FrontendContext, token: Token) {
-        self.connections.remove(&token);
-        ctx.net.close(token);
-    }
-
-    /// Input, capacity for output, or a failure at a connection.
-    fn on_connection_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
-        let failed = matches!(event, ConnectionEvent::Failed { .. });
-        match self.connections.get(&token) {
-            None => ctx.net.close(token),
-            // A client that breaks its connection off waits for no answer, whatever it had sent.
-            Some(ConnectionRole::AwaitingRequest { .. }) if failed => self.close_connection(ctx, token),
-            Some(ConnectionRole::AwaitingRequest { .. }) => self.on_request_input(ctx, token),
-            Some(ConnectionRole::Client) => {
-                self.on_client_input(ctx, token, failed);
-                self.resume_server_lines(ctx, token);
+    fn on_awaiting_client_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
+        match event {
+            ConnectionEvent::Ready => {
+                request_opening::on_input(&mut self.awaiting, &mut self.sessions, ctx, token);
             }
-            Some(ConnectionRole::Server { client }) => self.on_server_event(ctx, *client, token, event),
-            Some(ConnectionRole::HealthCheck) => self.on_health_check_input(ctx, token, failed),
+            // A client that breaks its connection off waits for no answer, whatever it had sent.
+            ConnectionEvent::Failed { .. } => request_opening::close(&mut self.awaiting, ctx, token),
         }
-        ctx.net.update_interest(token);
+    }
+
+    fn close_without_request(&mut self, ctx: &mut FrontendContext, token: Token) {
+        request_opening::close_without_request(&mut self.awaiting, &mut self.sessions, ctx, token);
     }
 }
 
 impl Frontend for TextFrontend {
     fn is_idle(&self) -> bool {
-        let is_client = |role: &ConnectionRole| {
-            matches!(role, ConnectionRole::AwaitingRequest { .. } | ConnectionRole::Client)
-        };
-        !self.connections.values().any(is_client)
+        self.awaiting.is_empty() && self.sessions.is_empty()
     }
 
     fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         let token = event.token;
         match event.kind {
             SocketEventKind::Accepted => {
-                self.connections.insert(token, ConnectionRole::AwaitingRequest { pings: 0 });
-                ctx.net.set_farewell(token, Some(b"BUSY\r\n"));
+                self.awaiting.insert(token, 0);
+                ctx.net.set_farewell(token, Some(FAREWELL));
             }
             SocketEventKind::Evicted => {
                 ctx.requests.counters.idle_closed += 1;
-                self.connections.remove(&token);
+                self.awaiting.remove(token);
             }
             SocketEventKind::HandshakeTimeout => {
-                if let Some(ConnectionRole::AwaitingRequest { .. }) = self.connections.get(&token) {
+                if self.awaiting.contains(token) {
                     self.close_without_request(ctx, token);
                 }
             }
@@ -154,98 +145,87 @@
         server: ServerId,
         timeout: Duration,
     ) {
-        let Some(client) = self.clients.get(&request_id).copied() else { return };
-        // No attempt is started for a client that has disconnected by now, nor at a server that has begun to drain
-        // in this very iteration, after it was selected.
-        ctx.net.read_available(client);
-        if has_disconnected(ctx, client) {
-            return self.on_client_input(ctx, client, ctx.net.is_failed(client));
-        }
-        let connecting = if !is_ready(ctx, server) {
-            Err(Outcome::NotSent)
-        } else if !ctx.net.has_descriptor_for_attempt() {
-            Err(Outcome::LocalShortage)
-        } else {
-            self.connect_to_server(ctx, client, server, timeout)
-        };
-        if let Err(outcome) = connecting {
-            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
-        }
+        attempt::start(&mut self.sessions, ctx, request_id, server, timeout);
     }
 
     fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
-        let Some(client) = self.clients.get(&request_id).copied() else { return Outcome::Cancelled };
-        let attempt = self.sessions.get(&client).and_then(|session| session.attempt());
-        let may_have_run = attempt.is_none_or(|attempt| is_line_written(ctx, attempt));
-        self.drop_attempt(ctx, client);
-        if may_have_run {
-            Outcome::Timeout
-        } else {
-            Outcome::ConnectFailed
-        }
+        attempt::cancel(&mut self.sessions, ctx, request_id)
     }
 
     fn on_connected(&mut self, ctx: &mut FrontendContext, token: Token) {
-        if let Some(client) = self.client_of(token) {
-            self.send_request(ctx, client);
+        if let Some(client) = self.sessions.client_of_server_connection(token) {
+            attempt::send_request(&mut self.sessions, ctx, client);
         }
     }
 
+    fn on_connect_timeout(&mut self, ctx: &mut FrontendContext, token: Token) {
+        attempt::on_connect_timeout(&mut self.sessions, ctx, token);
+    }
+
+    /// Attempts of which no byte has gone out are cancelled.
+    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
+        attempt::cancel_unsent(&mut self.sessions, ctx, stopped);
+    }
+
     fn read_answer(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
-        let Some(client) = self.clients.get(&request_id).copied() else { return };
-        let connection = self.sessions.get(&client).and_then(|session| session.server_connection());
+        let Some(client) = self.sessions.client_of_request(request_id) else { return };
+        let connection = self.sessions.get(client).and_then(|session| session.server_connection());
         let Some(connection) = connection else { return };
         ctx.net.read_available(connection);
-        self.on_server_event(ctx, client, connection, ConnectionEvent::Ready);
+        self.server_events().handle(ctx, client, connection, ConnectionEvent::Ready);
     }
 
     fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration) {
-        if let Some(client) = self.clients.get(&request_id).copied() {
+        if let Some(client) = self.sessions.client_of_request(request_id) {
             let answer = match retry_after.as_millis_u64() {
                 0 => "BUSY\r\n".to_string(),
                 ms => format!("BUSY {ms}\r\n"),
             };
-            self.answer_and_close(ctx, client, answer.as_bytes());
+            answer_and_close(&mut self.sessions, ctx, client, answer.as_bytes());
         }
     }
 
     fn fail(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
-        if let Some(client) = self.clients.get(&request_id).copied() {
-            self.answer_and_close(ctx, client, b"ERR\r\n");
+        if let Some(client) = self.sessions.client_of_request(request_id) {
+            answer_and_close(&mut self.sessions, ctx, client, b"ERR\r\n");
         }
     }
 
-    fn check_health(&mut self, ctx: &mut FrontendContext, server: ServerId) {
-        self.start_health_check(ctx, server);
-    }
-
     fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
-        if let Some(client) = self.clients.get(&request_id).copied() {
-            self.answer_and_close(ctx, client, b"MOVE\r\n");
+        if let Some(client) = self.sessions.client_of_request(request_id) {
+            answer_and_close(&mut self.sessions, ctx, client, b"MOVE\r\n");
         }
     }
 
+    fn check_health(&mut self, ctx: &mut FrontendContext, server: ServerId) {
+        self.health_checks.start(ctx, server);
+    }
+
     fn hand_over_connections(
         &mut self,
         ctx: &mut FrontendContext,
         max_connections: usize,
     ) -> Vec<TransferredConnection> {
-        let tokens = self.transferable_connections(ctx, max_connections);
-        tokens.into_iter().filter_map(|token| self.export_client(ctx, token)).collect()
+        let tokens = handover::transferable_connections(&self.awaiting, &self.sessions, ctx, max_connections);
+        tokens
+            .into_iter()
+            .filter_map(|token| handover::export_client(&mut self.awaiting, &mut self.sessions, ctx, token))
+            .collect()
     }
 
     fn receive_connection(&mut self, ctx: &mut FrontendContext, connection: TransferredConnection) {
-        if let Err(error) = self.import_client(ctx, connection) {
-            tracing::warn!(%error, "transferred connection is unreadable, closed");
-        }
-    }
-
-    fn on_connect_timeout(&mut self, ctx: &mut FrontendContext, token: Token) {
-        if !ctx.net.is_connecting(token) {
-            return;
-        }
-        if let Some(client) = self.client_of(token) {
-            self.on_attempt_end(ctx, client, Outcome::ConnectFailed, true);
+        match handover::import_client(&mut self.awaiting, &mut self.sessions, ctx, connection) {
+            Ok(ImportedClient::AwaitingRequest(token)) => {
+                request_opening::on_input(&mut self.awaiting, &mut self.sessions, ctx, token);
+                ctx.net.update_interest(token);
+            }
+            Ok(ImportedClient::Established { client, server_connection }) => {
+                self.server_events().handle(ctx, client, server_connection, ConnectionEvent::Ready);
+                ctx.net.update_interest(server_connection);
+                ctx.net.update_interest(client);
+            }
+            Ok(ImportedClient::Migrated) => {}
+            Err(error) => tracing::warn!(%error, "transferred connection is unreadable, closed"),
         }
     }
 
@@ -253,31 +233,13 @@
     /// ended its sending.
     fn on_timer(&mut self, ctx: &mut FrontendContext, token: Token) {
         if self.health_checks.has_timed_out(token, ctx.now) {
-            return self.end_health_check(ctx, token);
+            return self.health_checks.close(ctx, token);
         }
-        let Some(session) = self.sessions.get(&token) else { return };
+        let Some(session) = self.sessions.get(token) else { return };
         if session.request_id.is_none() {
-            self.answer_and_close(ctx, token, b"ERR\r\n");
+            answer_and_close(&mut self.sessions, ctx, token, b"ERR\r\n");
         } else if session.is_established() && ctx.net.is_read_closed(token) {
-            self.end_session(ctx, token, Outcome::Cancelled, false);
-        }
-    }
-
-    /// Attempts of which no byte has gone out are cancelled.
-    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
-        let is_unsent = |session: &Session| match session.state {
-            SessionState::Attempting(attempt) => !ctx.net.has_written(attempt.server_connection),
-            SessionState::AwaitingAttempt | SessionState::Established(_) => false,
-        };
-        let is_stopped = |session: &Session| session.server.is_some_and(|server| stopped.contains(&server));
-        let unsent: Vec<Token> = self
-            .sessions
-            .iter()
-            .filter(|(_, session)| is_unsent(session) && is_stopped(session))
-            .map(|(client, _)| *client)
-            .collect();
-        for client in unsent {
-            self.on_attempt_end(ctx, client, Outcome::ConnectFailed, true);
+            end_session(&mut self.sessions, ctx, token, Outcome::Cancelled, ConnectionEnd::Orderly);
         }
     }
 
@@ -286,9 +248,7 @@
         if !ctx.shutting_down {
             return;
         }
-        let is_awaiting = |role: &ConnectionRole| matches!(role, ConnectionRole::AwaitingRequest { .. });
-        let mut awaiting: Vec<Token> =
-            self.connections.iter().filter(|(_, role)| is_awaiting(role)).map(|(token, _)| *token).collect();
+        let mut awaiting: Vec<Token> = self.awaiting.tokens().collect();
         awaiting.sort_unstable();
         for token in awaiting {
             self.close_without_request(ctx, token);
@@ -296,8 +256,8 @@
     }
 
     fn on_tick(&mut self, ctx: &mut FrontendContext) {
-        self.migrate_from_silent_servers(ctx);
-        self.report_latencies(ctx);
+        silent_servers::migrate_clients(&mut self.sessions, ctx);
+        self.latencies.report(ctx);
     }
 }
 
--- a/src/frontend/text/protocol_error.rs
+++ b/src/frontend/text/protocol_error.rs
@@ -1,6 +1,6 @@
 //! Violations of the text protocol by servers.
 
-use super::load_report::LoadReportError;
+use super::load_report::{LoadReport, LoadReportError};
 use crate::frontend::FrontendContext;
 use crate::model::ServerId;
 
@@ -37,3 +37,16 @@
 pub(super) fn server_name<'a>(ctx: &'a FrontendContext, server: Option<ServerId>) -> &'a str {
     server.and_then(|server| ctx.registry.entry(server)).map_or("?", |endpoint| endpoint.name())
 }
+
+/// Writes a log line about a malformed report at the end of a server's answer. The answer means what its word says
+/// all the same.
+pub(super) fn log_malformed_trailing_report(
+    ctx: &FrontendContext,
+    server: Option<ServerId>,
+    line: &[u8],
+    word: &'static str,
+) {
+    if let Some(Err(error)) = LoadReport::parse_trailing(&String::from_utf8_lossy(line), word) {
+        ServerProtocolError::TrailingReport { word, error }.log(ctx, server);
+    }
+}
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -43,7 +43,7 @@
     pub(super) group: Option<u64>,
     /// The client was connected before.
     pub(super) reconnect: bool,
-    /// The client repeats a request that failed.
+    /// The client retries a request that failed.
     pub(super) client_retry: bool,
     /// The load that the client expects to be, in nanoseconds of work a second.
     pub(super) load_hint: Option<Duration>,
--- /dev/null
+++ b/src/frontend/text/request_opening.rs
@@ -0,0 +1,179 @@
+//! Clients before their request, and the request line that opens a session.
+
+use super::attempt;
+use super::awaiting_clients::AwaitingClients;
+use super::client_input::on_client_event;
+use super::connection_event::ConnectionEvent;
+use super::line_buffer::{take_line, LineRead};
+use super::request_line::{OpenRequest, RequestLine};
+use super::session::{arrival, Session};
+use super::session_end::{answer_and_close, reject_malformed, trace_answer};
+use super::sessions::Sessions;
+use crate::frontend::{FrontendContext, TimerEvent, ANSWER_MARGIN, TEXT_FRONTEND};
+use crate::net::Token;
+use crate::rules::{may_start, StartInputs, StartRefusal};
+use std::time::Duration;
+
+/// Handles the lines of a client that has sent no request yet.
+pub(super) fn on_input(
+    awaiting: &mut AwaitingClients,
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    token: Token,
+) {
+    while let Some(input) = ctx.net.input_buffer(token) {
+        let line = match take_line(input) {
+            LineRead::Incomplete => {
+                if ctx.net.is_read_closed(token) {
+                    close(awaiting, ctx, token);
+                }
+                return;
+            }
+            LineRead::TooLong => return reject_malformed_line(awaiting, ctx, token),
+            LineRead::Complete(line) => line,
+        };
+        match RequestLine::parse(&line, ctx.site, ctx.classes) {
+            Some(RequestLine::Ping) => {
+                if awaiting.count_ping(token).is_err() {
+                    return reject_malformed_line(awaiting, ctx, token);
+                }
+                answer_ping(ctx, token);
+            }
+            Some(RequestLine::Open(open)) => return open_request(awaiting, sessions, ctx, token, open),
+            None => return reject_malformed_line(awaiting, ctx, token),
+        }
+    }
+}
+
+fn answer_ping(ctx: &mut FrontendContext, token: Token) {
+    // What is not PONG tells the load balancer in front of the nodes to send no clients here.
+    let answer: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
+    ctx.net.send(token, answer);
+    ctx.net.set_farewell(token, None);
+}
+
+// ---- Ends before a request ---------------------------------------------------------------------
+
+/// Closes a connection on which no request has come. What arrives in that instant is answered, one way or the
+/// other: a complete line that is there is handled, and for one that is still to come the answer is there
+/// already.
+pub(super) fn close_without_request(
+    awaiting: &mut AwaitingClients,
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    token: Token,
+) {
+    ctx.net.read_available(token);
+    on_input(awaiting, sessions, ctx, token);
+    if let Some(pings) = awaiting.remove(token) {
+        ctx.requests.counters.idle_closed += 1;
+        // A client that has sent a PING has its answer.
+        if pings == 0 {
+            ctx.net.send(token, b"BUSY\r\n");
+        }
+        ctx.net.close(token);
+    }
+}
+
+/// Closes a connection on which no request has come, without an answer.
+pub(super) fn close(awaiting: &mut AwaitingClients, ctx: &mut FrontendContext, token: Token) {
+    awaiting.remove(token);
+    ctx.net.close(token);
+}
+
+fn reject_malformed_line(awaiting: &mut AwaitingClients, ctx: &mut FrontendContext, token: Token) {
+    ctx.requests.counters.malformed += 1;
+    answer_without_session(awaiting, ctx, token, b"ERR\r\n");
+}
+
+fn answer_without_session(
+    awaiting: &mut AwaitingClients,
+    ctx: &mut FrontendContext,
+    token: Token,
+    answer: &[u8],
+) {
+    trace_answer(0, "-", answer);
+    ctx.net.send(token, answer);
+    close(awaiting, ctx, token);
+}
+
+// ---- A request ---------------------------------------------------------------------------------
+
+fn open_request(
+    awaiting: &mut AwaitingClients,
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    token: Token,
+    open: OpenRequest,
+) {
+    ctx.net.mark_handshake_complete(token);
+    if let Err(refusal) = check_start(sessions, ctx, token, &open) {
+        return refuse_start(awaiting, ctx, token, &open, refusal);
+    }
+    awaiting.remove(token);
+    match open.resumed_at.clone() {
+        Some(server_name) => {
+            sessions.open(token, open);
+            restore_session(sessions, ctx, token, &server_name);
+        }
+        None => place_request(sessions, ctx, token, open),
+    }
+}
+
+fn check_start(
+    sessions: &Sessions,
+    ctx: &mut FrontendContext,
+    token: Token,
+    open: &OpenRequest,
+) -> Result<(), StartRefusal> {
+    let inputs = StartInputs {
+        is_closing: ctx.shutting_down,
+        is_restored: open.resumed_at.is_some(),
+        has_more_input: ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()),
+        is_duplicate_id: sessions.is_open_id(&open.id),
+        has_descriptor: true,
+    };
+    may_start(&inputs)?;
+    // Descriptors are reclaimed for a request that is taken on otherwise.
+    let has_descriptor = ctx.net.reclaim_descriptors();
+    may_start(&StartInputs { has_descriptor, ..inputs })
+}
+
+fn refuse_start(
+    awaiting: &mut AwaitingClients,
+    ctx: &mut FrontendContext,
+    token: Token,
+    open: &OpenRequest,
+    refusal: StartRefusal,
+) {
+    tracing::trace!(id = %open.id, reason = %refusal, "request answered without an attempt");
+    match refusal {
+        StartRefusal::MoreInput | StartRefusal::DuplicateId => reject_malformed_line(awaiting, ctx, token),
+        StartRefusal::Closing => answer_without_session(awaiting, ctx, token, b"BUSY\r\n"),
+        StartRefusal::NoDescriptor => {
+            ctx.requests.counters.capacity_rejected += 1;
+            answer_without_session(awaiting, ctx, token, b"BUSY 500\r\n");
+        }
+    }
+}
+
+fn place_request(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
+    let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONTEND, arrival(&open));
+    let session = Session { request_id: Some(request_id), ..Session::new(open) };
+    session.trace("arrived", ctx);
+    sessions.insert(token, session);
+    on_client_event(sessions, ctx, token, ConnectionEvent::Ready);
+}
+
+/// Reconnects a client that was connected before the run to the server that it had, which is not a placement.
+fn restore_session(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, server_name: &str) {
+    let Some(server) = ctx.registry.id_of(server_name) else {
+        return reject_malformed(sessions, ctx, token);
+    };
+    let timeout = sessions.get(token).map_or(Duration::ZERO, |session| session.open.time_left);
+    let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
+    ctx.wheel.schedule(answer_by, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
+    if attempt::connect(sessions, ctx, token, server, timeout).is_err() {
+        answer_and_close(sessions, ctx, token, b"ERR\r\n");
+    }
+}
--- /dev/null
+++ b/src/frontend/text/server_events.rs
@@ -0,0 +1,224 @@
+//! Connections to servers: the answer to an attempt, and the lines of established sessions.
+
+use super::client_input::on_client_event;
+use super::connection_event::ConnectionEvent;
+use super::latency::LatencyTracker;
+use super::line_buffer::{take_line, LineRead};
+use super::protocol_error::{log_malformed_trailing_report, server_name, ServerProtocolError};
+use super::request_line::parse_load;
+use super::session::{arrival, SessionEnding};
+use super::session_end::{on_attempt_end, ConnectionEnd};
+use super::sessions::Sessions;
+use crate::frontend::{FrontendContext, TEXT_FRONTEND};
+use crate::model::{Event, Outcome, RequestId, ServerId};
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use sparbank_time::DurationExt;
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// The connections to the servers of sessions, as one event sees them.
+pub(super) struct ServerEvents<'a> {
+    sessions: &'a mut Sessions,
+    latencies: &'a mut LatencyTracker,
+}
+
+impl<'a> ServerEvents<'a> {
+    /// Handles events for these sessions, and records the latencies of their servers.
+    pub(super) fn new(sessions: &'a mut Sessions, latencies: &'a mut LatencyTracker) -> ServerEvents<'a> {
+        ServerEvents { sessions, latencies }
+    }
+
+    /// Handles an event at the connection to a client's server.
+    pub(super) fn handle(
+        &mut self,
+        ctx: &mut FrontendContext,
+        client: Token,
+        server_connection: Token,
+        event: ConnectionEvent,
+    ) {
+        if self.handle_lines(ctx, client, server_connection).is_break() {
+            return;
+        }
+        if self.sessions.client_of_server_connection(server_connection).is_none() {
+            return;
+        }
+        let established = self.sessions.get(client).is_some_and(|session| session.is_established());
+        match event {
+            ConnectionEvent::Ready if ctx.net.is_read_closed(server_connection) => {
+                self.on_server_end(ctx, client, server_connection);
+            }
+            ConnectionEvent::Ready if established => {
+                on_client_event(self.sessions, ctx, client, ConnectionEvent::Ready);
+            }
+            ConnectionEvent::Ready => {}
+            // Before its last byte was written the request cannot have run; after that it may have.
+            ConnectionEvent::Failed { all_written } => {
+                let may_have_run = established || (all_written && self.has_sent_line(client));
+                let outcome = if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed };
+                on_attempt_end(self.sessions, ctx, client, outcome, ConnectionEnd::Reset);
+            }
+        }
+    }
+
+    /// A client may have read what it was sent: its server's lines, and the server's end behind them, go on where they
+    /// had stopped for it.
+    pub(super) fn resume_lines(&mut self, ctx: &mut FrontendContext, client: Token) {
+        let established = self.sessions.get(client).and_then(|session| session.established());
+        let Some(server_connection) = established.map(|established| established.server_connection) else {
+            return;
+        };
+        let has_input = ctx.net.input_buffer(server_connection).is_some_and(|input| !input.is_empty());
+        let event = ConnectionEvent::current(ctx, server_connection);
+        if !has_input && event == ConnectionEvent::Ready && !ctx.net.is_read_closed(server_connection) {
+            return;
+        }
+        self.handle(ctx, client, server_connection, event);
+        ctx.net.update_interest(server_connection);
+    }
+
+    /// Handles all complete lines of a server. Breaks where the client is too slow to take more, or where the
+    /// attempt has ended over a line.
+    fn handle_lines(
+        &mut self,
+        ctx: &mut FrontendContext,
+        client: Token,
+        server_connection: Token,
+    ) -> ControlFlow<()> {
+        while let Some(session) = self.sessions.get(client) {
+            if session.server_connection() != Some(server_connection) {
+                break;
+            }
+            let server = session.server;
+            let established = session.is_established();
+            if established && ctx.net.pending_output_bytes(client) >= OUTPUT_HIGH_WATERMARK_BYTES {
+                return ControlFlow::Break(());
+            }
+            let Some(input) = ctx.net.input_buffer(server_connection) else { break };
+            match take_line(input) {
+                LineRead::Complete(line) if established => self.forward_line(ctx, client, &line),
+                LineRead::Complete(line) => self.on_first_answer(ctx, client, server, &line),
+                LineRead::TooLong => {
+                    ServerProtocolError::LineTooLong.log(ctx, server);
+                    on_attempt_end(self.sessions, ctx, client, Outcome::Error, ConnectionEnd::Reset);
+                    return ControlFlow::Break(());
+                }
+                LineRead::Incomplete => break,
+            }
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// The server has ended its sending.
+    fn on_server_end(&mut self, ctx: &mut FrontendContext, client: Token, server_connection: Token) {
+        let established = self.sessions.get(client).is_some_and(|session| session.is_established());
+        if established {
+            let rest = ctx.net.input_buffer(server_connection).map(std::mem::take).unwrap_or_default();
+            ctx.net.send(client, &rest);
+        }
+        let all_written = ctx.net.pending_output_bytes(server_connection) == 0;
+        let may_have_run = all_written && (established || self.has_sent_line(client));
+        let outcome = if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed };
+        on_attempt_end(self.sessions, ctx, client, outcome, ConnectionEnd::Orderly);
+    }
+
+    /// Whether the line of a client's attempt has been passed to its socket.
+    fn has_sent_line(&self, client: Token) -> bool {
+        let attempt = self.sessions.get(client).and_then(|session| session.attempt());
+        attempt.is_some_and(|attempt| attempt.line_sent)
+    }
+
+    /// The first line of a server answers the request line.
+    fn on_first_answer(
+        &mut self,
+        ctx: &mut FrontendContext,
+        client: Token,
+        server: Option<ServerId>,
+        line: &[u8],
+    ) {
+        let word = line.split(|byte| byte.is_ascii_whitespace()).next().unwrap_or(b"");
+        let outcome = match word {
+            b"UP" => return self.on_accepted(ctx, client, line),
+            b"BUSY" => {
+                log_malformed_trailing_report(ctx, server, line, "BUSY");
+                Outcome::Rejected
+            }
+            b"MOVE" => Outcome::Cancelled,
+            b"ERR" => {
+                log_malformed_trailing_report(ctx, server, line, "ERR");
+                Outcome::Error
+            }
+            _ => {
+                ServerProtocolError::UnknownAnswer.log(ctx, server);
+                Outcome::Error
+            }
+        };
+        on_attempt_end(self.sessions, ctx, client, outcome, ConnectionEnd::Orderly);
+    }
+
+    /// The server has accepted the client: the session is established.
+    fn on_accepted(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
+        let Some(session) = self.sessions.get(client) else { return };
+        match session.request_id {
+            Some(request_id) => ctx.requests.on_established(ctx.now, request_id),
+            None => {
+                let Some(server) = session.server else { return };
+                let arrival = arrival(&session.open);
+                let request_id = ctx.requests.restore_established(ctx.now, TEXT_FRONTEND, arrival, server);
+                self.sessions.set_request(client, request_id);
+            }
+        }
+        let Some(session) = self.sessions.get_mut(client) else { return };
+        session.establish();
+        session.is_answered = true;
+        session.trace("established", ctx);
+        ctx.net.send(client, line);
+        on_client_event(self.sessions, ctx, client, ConnectionEvent::Ready);
+    }
+
+    /// Forwards a line of an established session and records what it says.
+    fn forward_line(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
+        let Some(session) = self.sessions.get_mut(client) else { return };
+        let (server, request_id) = (session.server, session.request_id);
+        let Some(established) = session.established_mut() else { return };
+        let text = line.trim_ascii_end();
+        established.ending = announced_ending(ctx, server, text);
+        match (text.strip_prefix(b"LOAD "), request_id) {
+            // The protocol's one meaning of it: the connection's load now. No line on a socket reports a latency.
+            (Some(value), Some(request_id)) => {
+                if let Some(load) = std::str::from_utf8(value).ok().and_then(|text| parse_load(text.trim())) {
+                    established.load = Some(load);
+                    report_load(ctx, request_id, load);
+                }
+            }
+            _ => {
+                if let (Some(since), Some(server)) = (established.unanswered_since.take(), server) {
+                    let latency = ctx.now.saturating_duration_since(since);
+                    self.latencies.record(server, latency);
+                    tracing::trace!(
+                        server = %server_name(ctx, Some(server)),
+                        after_ms = latency.as_millis_u64(),
+                        "line answered"
+                    );
+                }
+            }
+        }
+        ctx.net.send(client, line);
+    }
+}
+
+/// What a line of a server announces of the end of its connection.
+fn announced_ending(ctx: &FrontendContext, server: Option<ServerId>, text: &[u8]) -> SessionEnding {
+    match text.split(|byte| *byte == b' ').next().unwrap_or(b"") {
+        b"BYE" => {
+            log_malformed_trailing_report(ctx, server, text, "BYE");
+            SessionEnding::Completed
+        }
+        b"MOVE" => SessionEnding::Migrated,
+        _ => SessionEnding::Unannounced,
+    }
+}
+
+fn report_load(ctx: &mut FrontendContext, id: RequestId, cost: Duration) {
+    tracing::trace!(request = id.0, load_us_per_s = cost.as_nanos_u64() / 1_000, "load report");
+    ctx.requests.push_event(Event::LoadReport { id, cost });
+}
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -8,30 +8,6 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// What a connection of this frontend is for.
-pub(super) enum ConnectionRole {
-    /// A client that has sent no request yet, but this many `PING`s.
-    AwaitingRequest { pings: u32 },
-    /// A client with a [`Session`].
-    Client,
-    /// The attempt of that client, or the established connection that it became.
-    Server { client: Token },
-    /// Health checks of a server.
-    HealthCheck,
-}
-
-/// What happened at a connection.
-#[derive(Clone, Copy)]
-pub(super) enum ConnectionEvent {
-    /// There is input, the peer's end, or capacity for more output.
-    Ready,
-    /// The connection could not be established or was reset.
-    Failed {
-        /// All of our output had been written.
-        all_written: bool,
-    },
-}
-
 /// A client with a request.
 pub(super) struct Session {
     /// The client's request line.
@@ -44,7 +20,7 @@
     pub(super) state: SessionState,
     /// The client has its final answer.
     pub(super) is_answered: bool,
-    /// The client of the established session was told to come again, or one of the two sides has ended.
+    /// The client of the established session was sent `MOVE`, or one of the two sides has ended.
     pub(super) end_announced: bool,
 }
 
@@ -68,6 +44,13 @@
     pub(super) line_sent: bool,
 }
 
+impl AttemptState {
+    /// Whether the last byte of the request line has been written: from then on the attempt may have run.
+    pub(super) fn is_line_written(&self, ctx: &FrontendContext) -> bool {
+        self.line_sent && ctx.net.pending_output_bytes(self.server_connection) == 0
+    }
+}
+
 /// What is known of an established session.
 pub(super) struct EstablishedSession {
     pub(super) server_connection: Token,
@@ -106,6 +89,11 @@
         }
     }
 
+    /// The number of its request in log events: 0 where it has none yet.
+    pub(super) fn request_number(&self) -> u64 {
+        self.request_id.map_or(0, |request_id| request_id.0)
+    }
+
     /// Whether the server has accepted the client.
     pub(super) fn is_established(&self) -> bool {
         matches!(self.state, SessionState::Established(_))
@@ -119,6 +107,14 @@
         }
     }
 
+    /// The same, to change it.
+    pub(super) fn established_mut(&mut self) -> Option<&mut EstablishedSession> {
+        match &mut self.state {
+            SessionState::Established(established) => Some(established),
+            SessionState::AwaitingAttempt | SessionState::Attempting(_) => None,
+        }
+    }
+
     /// The connection to the server, if there is one.
     pub(super) fn server_connection(&self) -> Option<Token> {
         match &self.state {
@@ -153,12 +149,11 @@
         if !tracing::enabled!(tracing::Level::TRACE) {
             return;
         }
-        let request_id = self.request_id.map_or(0, |request_id| request_id.0);
         let server = self.server.and_then(|server| ctx.registry.entry(server));
         let server = server.map_or("-", |endpoint| endpoint.name());
         let open = &self.open;
         tracing::trace!(
-            request = request_id,
+            request = self.request_number(),
             key = %format_args!("{:x}", open.key),
             group = %format_args!("{:x}", open.group.unwrap_or(0)),
             class = open.class,
--- /dev/null
+++ b/src/frontend/text/session_end.rs
@@ -0,0 +1,198 @@
+//! Ends of attempts and of sessions: final answers, and what is closed with them.
+
+use super::session::{Session, SessionEnding, SessionState};
+use super::sessions::Sessions;
+use crate::frontend::FrontendContext;
+use crate::model::{Outcome, RequestId};
+use crate::net::Token;
+use crate::rules::{check_close, CloseInputs, Violation, ViolationContext};
+
+/// How the connections of an established session end.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ConnectionEnd {
+    /// After all output is written.
+    Orderly,
+    /// With a reset, as one of the two was.
+    Reset,
+}
+
+// ---- Answers -----------------------------------------------------------------------------------
+
+/// Sends the final answer of a client with a session, or tells it to reconnect if the session is established, and
+/// closes its connection.
+pub(super) fn answer_and_close(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    answer: &[u8],
+) {
+    record_answer(sessions, ctx, client);
+    if let Some(session) = sessions.get(client) {
+        trace_answer(session.request_number(), &session.open.id, answer);
+    }
+    ctx.net.send(client, answer);
+    remove_session(sessions, ctx, client);
+    ctx.net.close(client);
+}
+
+/// The same for a line that no server could use.
+pub(super) fn reject_malformed(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
+    ctx.requests.counters.malformed += 1;
+    answer_and_close(sessions, ctx, client, b"ERR\r\n");
+}
+
+/// Writes a final answer to the trace, if that is on.
+pub(super) fn trace_answer(request: u64, id: &str, answer: &[u8]) {
+    tracing::trace!(
+        request,
+        %id,
+        answer = %String::from_utf8_lossy(answer.trim_ascii_end()),
+        "final answer"
+    );
+}
+
+/// Records that a client gets its final answer, or `MOVE` once its session is established.
+fn record_answer(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
+    let Some(session) = sessions.get_mut(client) else { return };
+    if session.is_established() {
+        session.end_announced = true;
+    } else if std::mem::replace(&mut session.is_answered, true) {
+        let context = violation_context(session);
+        ctx.requests.violations.record(Violation::AnsweredTwice, context);
+    }
+}
+
+// ---- Attempts ----------------------------------------------------------------------------------
+
+/// The attempt has ended, before or after the session was established.
+pub(super) fn on_attempt_end(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    outcome: Outcome,
+    end: ConnectionEnd,
+) {
+    let Some(session) = sessions.get(client) else { return };
+    let request_id = session.request_id;
+    if let Some(established) = session.established() {
+        let ending = established.ending;
+        if outcome == Outcome::Error {
+            // The server is there and cannot be used: the client goes on elsewhere.
+            ctx.requests.on_attempt_ended(ctx.now, request_id.unwrap_or(RequestId(0)), outcome);
+            return answer_and_close(sessions, ctx, client, b"MOVE\r\n");
+        }
+        return on_server_connection_end(sessions, ctx, client, ending, end);
+    }
+    drop_attempt(sessions, ctx, client);
+    match request_id {
+        Some(request_id) => {
+            ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
+        }
+        None if outcome == Outcome::Rejected => answer_and_close(sessions, ctx, client, b"BUSY\r\n"),
+        None => answer_and_close(sessions, ctx, client, b"ERR\r\n"),
+    }
+}
+
+/// The connection to the server of an established session is over.
+fn on_server_connection_end(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    ending: SessionEnding,
+    end: ConnectionEnd,
+) {
+    let (outcome, end) = match ending {
+        SessionEnding::Completed => (Outcome::Ok, ConnectionEnd::Orderly),
+        SessionEnding::Migrated => (Outcome::Cancelled, ConnectionEnd::Orderly),
+        // The client ended first; the server follows.
+        SessionEnding::Unannounced if ctx.net.is_read_closed(client) => (Outcome::Cancelled, end),
+        SessionEnding::Unannounced => (Outcome::Reset, end),
+    };
+    end_session(sessions, ctx, client, outcome, end);
+}
+
+/// Ends a client's attempt; the request waits for another one.
+pub(super) fn drop_attempt(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
+    if let Some(state) = sessions.take_attempt(client) {
+        close_server_connection(ctx, &state);
+    }
+}
+
+/// Closes the connection to the server, if there is one. What is left of a request line must not be written
+/// any more: complete, it would be an attempt.
+fn close_server_connection(ctx: &mut FrontendContext, state: &SessionState) {
+    match state {
+        SessionState::AwaitingAttempt => {}
+        SessionState::Attempting(attempt) if ctx.net.pending_output_bytes(attempt.server_connection) > 0 => {
+            ctx.net.close_without_flush(attempt.server_connection);
+        }
+        SessionState::Attempting(attempt) => ctx.net.close(attempt.server_connection),
+        SessionState::Established(established) => ctx.net.close(established.server_connection),
+    }
+}
+
+// ---- Sessions ----------------------------------------------------------------------------------
+
+/// Ends an established session: both connections end, the same way.
+pub(super) fn end_session(
+    sessions: &mut Sessions,
+    ctx: &mut FrontendContext,
+    client: Token,
+    outcome: Outcome,
+    end: ConnectionEnd,
+) {
+    let Some(session) = sessions.get_mut(client) else { return };
+    let server_connection = session.server_connection();
+    let ending = session.established().map(|established| established.ending);
+    session.end_announced |= has_ended(ctx, client)
+        || server_connection.is_none_or(|server_connection| has_ended(ctx, server_connection))
+        || ending.is_some_and(|ending| ending != SessionEnding::Unannounced);
+    if let Some(request_id) = session.request_id {
+        ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
+    }
+    if end == ConnectionEnd::Reset {
+        for token in [Some(client), server_connection].into_iter().flatten() {
+            if ctx.net.pending_output_bytes(token) == 0 {
+                ctx.net.reset(token);
+            }
+        }
+    }
+    remove_session(sessions, ctx, client);
+    ctx.net.close(client);
+}
+
+/// Removes all that is known of a client, and ends its attempt.
+fn remove_session(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
+    if let Some(session) = sessions.remove(client) {
+        finish_session(ctx, &session);
+        close_server_connection(ctx, &session.state);
+    }
+}
+
+/// Traces and checks a session that has been removed.
+pub(super) fn finish_session(ctx: &mut FrontendContext, session: &Session) {
+    session.trace("ended", ctx);
+    check_session_close(ctx, session);
+}
+
+/// Whether the other side of a connection has ended or reset it.
+fn has_ended(ctx: &FrontendContext, token: Token) -> bool {
+    ctx.net.is_read_closed(token) || ctx.net.is_failed(token)
+}
+
+/// Checks that a session that is over was answered, and announced where it was established.
+fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
+    let inputs = CloseInputs {
+        has_request: true,
+        is_answered: session.is_answered,
+        is_established: session.is_established(),
+        is_announced: session.end_announced,
+    };
+    if let Err(violation) = check_close(&inputs) {
+        ctx.requests.violations.record(violation, violation_context(session));
+    }
+}
+
+fn violation_context(session: &Session) -> ViolationContext<'_> {
+    ViolationContext::Request { request: session.request_number(), id: &session.open.id }
+}
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -21,11 +21,11 @@
 const MAX_WAITS: usize = 100;
 /// Longer than the kernel takes over loopback to deliver a segment.
 const KERNEL_DELIVERY_TIME: Duration = Duration::from_millis(60);
-/// The window in which servers discard repeats, and the class's deadline.
+/// The window in which servers discard retries, and the class's deadline.
 const DEDUP_WINDOW: Duration = Duration::from_millis(800);
 
 /// A text frontend between one client and two servers.
-struct FrontendBench {
+struct FrontendFixture {
     now: MonotonicTime,
     net: SocketReactor,
     requests: RequestTable,
@@ -59,8 +59,8 @@
     )
 }
 
-impl FrontendBench {
-    fn new() -> FrontendBench {
+impl FrontendFixture {
+    fn new() -> FrontendFixture {
         let servers: Vec<TcpListener> =
             (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
         let config = Config::parse(&config_text(&servers)).expect("it is valid");
@@ -73,7 +73,7 @@
             WallTime::from_unix_nanos(START.as_nanos()),
         );
         requests.push_event(registry.restore(&config.known_endpoints));
-        let mut bench = FrontendBench {
+        let mut fixture = FrontendFixture {
             now: START,
             net,
             requests,
@@ -84,8 +84,8 @@
             listen,
             servers,
         };
-        bench.decide();
-        bench
+        fixture.decide();
+        fixture
     }
 
     /// Calls the frontend.
@@ -182,63 +182,61 @@
         }
         panic!("no connection")
     }
+
+    /// The attempt's time is up, as the node sees it.
+    fn time_out(&mut self, request_id: RequestId) {
+        self.with_frontend(|frontend, ctx| frontend.read_answer(ctx, request_id));
+        if self.requests.frontend_of_attempt(request_id, 1).is_some() {
+            let outcome = self.with_frontend(|frontend, ctx| frontend.cancel_attempt(ctx, request_id));
+            assert_eq!(outcome, Outcome::Timeout);
+            self.requests.on_attempt_ended(self.now, request_id, outcome);
+        }
+    }
 }
 
 /// The node is stalled after it has read its sockets, and the client goes meanwhile: its request is not sent.
 #[test]
 fn a_client_that_disconnects_while_the_node_is_stalled_gets_no_attempt() {
-    let mut bench = FrontendBench::new();
-    let (client, _) = bench.attempt_about_to_be_sent();
+    let mut fixture = FrontendFixture::new();
+    let (client, _) = fixture.attempt_about_to_be_sent();
     drop(client);
     std::thread::sleep(KERNEL_DELIVERY_TIME);
-    bench.flush_connected();
-    assert_eq!(bench.received_by_a_server().1, "");
+    fixture.flush_connected();
+    assert_eq!(fixture.received_by_a_server().1, "");
 }
 
-/// The node is stalled before it writes a repeat: with the window of its key nearly over, it is not sent.
+/// The node is stalled before it writes a retry: with the window of its key nearly over, it is not sent.
 #[test]
 fn a_retry_is_not_sent_once_the_node_was_stalled_to_the_end_of_its_window() {
-    let mut bench = FrontendBench::new();
-    let (_client, _) = bench.attempt_about_to_be_sent();
-    bench.flush_connected();
-    let (first, line) = bench.received_by_a_server();
+    let mut fixture = FrontendFixture::new();
+    let (_client, _) = fixture.attempt_about_to_be_sent();
+    fixture.flush_connected();
+    let (first, line) = fixture.received_by_a_server();
     assert!(line.starts_with("OPEN 1 1 "), "{line:?}");
-    bench.now += DEDUP_WINDOW / 2;
+    fixture.now += DEDUP_WINDOW / 2;
     drop(first);
     std::thread::sleep(KERNEL_DELIVERY_TIME);
-    bench.poll();
-    assert_eq!(bench.decide().len(), 1, "it is repeated");
+    fixture.poll();
+    assert_eq!(fixture.decide().len(), 1, "it is retried");
     std::thread::sleep(KERNEL_DELIVERY_TIME);
-    bench.poll();
-    bench.now += DEDUP_WINDOW / 2;
-    bench.flush_connected();
-    assert_eq!(bench.received_by_a_server().1, "");
+    fixture.poll();
+    fixture.now += DEDUP_WINDOW / 2;
+    fixture.flush_connected();
+    assert_eq!(fixture.received_by_a_server().1, "");
 }
 
 /// The server's answer has arrived and is not read when the attempt's time is up: it counts.
 #[test]
 fn an_answer_that_waits_in_the_kernel_counts_before_the_time_out() {
-    let mut bench = FrontendBench::new();
-    let (mut client, request_id) = bench.attempt_about_to_be_sent();
-    bench.flush_connected();
-    let (mut attempt, _) = bench.received_by_a_server();
+    let mut fixture = FrontendFixture::new();
+    let (mut client, request_id) = fixture.attempt_about_to_be_sent();
+    fixture.flush_connected();
+    let (mut attempt, _) = fixture.received_by_a_server();
     attempt.write_all(b"UP r1\r\n").expect("written");
     std::thread::sleep(KERNEL_DELIVERY_TIME);
-    bench.time_out(request_id);
+    fixture.time_out(request_id);
     client.set_read_timeout(Some(Duration::from_secs(1))).expect("a time-out");
     let mut answer = [0; 7];
     client.read_exact(&mut answer).expect("the answer");
     assert_eq!(&answer, b"UP r1\r\n");
 }
-
-impl FrontendBench {
-    /// The attempt's time is up, as the node sees it.
-    fn time_out(&mut self, request_id: RequestId) {
-        self.with_frontend(|frontend, ctx| frontend.read_answer(ctx, request_id));
-        if self.requests.frontend_of_attempt(request_id, 1).is_some() {
-            let outcome = self.with_frontend(|frontend, ctx| frontend.cancel_attempt(ctx, request_id));
-            assert_eq!(outcome, Outcome::Timeout);
-            self.requests.on_attempt_ended(self.now, request_id, outcome);
-        }
-    }
-}
