--- a/src/frontend/amqp/error.rs
+++ b/src/frontend/amqp/error.rs
@@ -1,16 +1,15 @@
-//! Errors in the AMQP frontend's own files.
+//! Errors in the AMQP frontend's own files: its configuration and the users' file.
 
 use crate::frontend::tls::TlsConfigError;
-use std::error::Error;
-use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
 /// Why a file of the AMQP frontend cannot be used. Printed in one line that names the file and, where there is one, the
 /// field.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file cannot be read or written.
+    #[error("{}: {source}", .path.display())]
     Io {
         /// The file.
         path: PathBuf,
@@ -18,6 +17,7 @@
         source: io::Error,
     },
     /// The file is not JSON of the expected form.
+    #[error("{}: {problem}", .path.display())]
     Parse {
         /// The file.
         path: PathBuf,
@@ -25,6 +25,7 @@
         problem: String,
     },
     /// A field has a value out of its range.
+    #[error("{}: field {field}: {problem}", .path.display())]
     Field {
         /// The file.
         path: PathBuf,
@@ -34,6 +35,7 @@
         problem: String,
     },
     /// The certificates or the key that the file names cannot be used.
+    #[error("{}: {source}", .path.display())]
     Tls {
         /// The file.
         path: PathBuf,
@@ -41,7 +43,8 @@
         source: Box<TlsConfigError>,
     },
     /// The system has no random numbers for a salt.
-    Randomness(getrandom::Error),
+    #[error("no random numbers: {0}")]
+    Randomness(#[source] getrandom::Error),
 }
 
 impl FileError {
@@ -65,28 +68,3 @@
         FileError::Field { path: path.to_path_buf(), field: field.into(), problem: problem.into() }
     }
 }
-
-impl fmt::Display for FileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FileError::Io { path, source } => write!(f, "{}: {source}", path.display()),
-            FileError::Parse { path, problem } => write!(f, "{}: {problem}", path.display()),
-            FileError::Field { path, field, problem } => {
-                write!(f, "{}: field {field}: {problem}", path.display())
-            }
-            FileError::Tls { path, source } => write!(f, "{}: {source}", path.display()),
-            FileError::Randomness(source) => write!(f, "no random numbers: {source}"),
-        }
-    }
-}
-
-impl Error for FileError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            FileError::Io { source, .. } => Some(source),
-            FileError::Tls { source, .. } => Some(source.as_ref()),
-            FileError::Randomness(source) => Some(source),
-            FileError::Parse { .. } | FileError::Field { .. } => None,
-        }
-    }
-}
