--- /dev/null
+++ b/src/frontend/amqp/client_events.rs
@@ -0,0 +1,295 @@
+//! What happens on clients' connections: accept, input, events of the protocol, loss, and idle timeouts.
+
+use super::authentication::Authenticator;
+use super::client_links::ClientLinks;
+use super::clients::{ClientLink, Flushed};
+use super::connection_link::ConnectionLink;
+use super::delivery_requests::{DeliveryRequests, LinkEnd, TransferHandler};
+use super::forwarding::Forwarding;
+use super::info::FrontendInfo;
+use super::peers::Peers;
+use super::replies::shutdown_error;
+use super::users::TransportSecurity;
+use crate::frontend::tls::TlsConnection;
+use crate::frontend::FrontendContext;
+use crate::model::RequestId;
+use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use sparbank_amqp::{Connection, Event, Fault, LinkId, Role};
+
+/// Handles the events of clients' connections. The frontend makes one for each call of the event loop.
+pub struct ClientEvents<'a, 'b> {
+    /// The node's parts.
+    pub ctx: &'a mut FrontendContext<'b>,
+    /// What is fixed about the frontend.
+    pub info: &'a FrontendInfo,
+    /// The connections.
+    pub peers: Peers<'a>,
+    /// The requests of clients' sending links.
+    pub requests: &'a mut DeliveryRequests,
+    /// The forwarders of clients' receiving links.
+    pub forwarding: &'a mut Forwarding,
+    /// Who decides on clients' logins.
+    pub authenticator: &'a mut Authenticator,
+}
+
+/// The result of processing a client's input.
+struct ProcessedInput {
+    /// Octets that were processed.
+    count: usize,
+    /// What ends the connection.
+    fault: Option<Fault>,
+}
+
+impl<'b> ClientEvents<'_, 'b> {
+    /// Something happened at a client's socket.
+    pub fn on_socket_event(&mut self, event: SocketEvent) {
+        let token = event.token;
+        match event.kind {
+            SocketEventKind::Accepted => return self.accept(token),
+            SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
+                self.ctx.requests.counters.idle_closed += 1;
+                self.ctx.net.close(token);
+                return self.on_gone(token);
+            }
+            SocketEventKind::Failed { .. } => return self.on_gone(token),
+            SocketEventKind::OutputFlushed => self.forwarding.forward_all(self.ctx, &mut self.peers, token),
+            SocketEventKind::Readable => {}
+        }
+        self.read(token);
+    }
+
+    fn accept(&mut self, token: Token) {
+        let net = &mut *self.ctx.net;
+        if net.is_short_of_descriptors() && !net.reclaim_descriptors() {
+            self.ctx.requests.counters.capacity_rejected += 1;
+            return self.ctx.net.close(token);
+        }
+        let tls_listener = self.info.tls_listener;
+        let is_tls = tls_listener.is_some() && net.accepting_listener(token) == tls_listener;
+        let config = self.peers.config;
+        let tls_config = config.tls_config.as_ref().filter(|_| is_tls);
+        let tls = tls_config.and_then(|tls_config| TlsConnection::new(tls_config).ok());
+        if is_tls && tls.is_none() {
+            return net.close(token);
+        }
+        let requests_certificate = config.tls.as_ref().is_some_and(|tls| tls.client_ca.is_some());
+        let transport = TransportSecurity {
+            allows_plain: is_tls || config.plain_unencrypted,
+            requests_certificate: is_tls && requests_certificate,
+        };
+        let mechanisms = config.known_users.as_ref().map(|users| users.mechanisms(transport));
+        let settings = config.client_settings(&self.info.container);
+        let conn = Connection::accept(self.ctx.now, settings, mechanisms);
+        net.set_read_limit(token, config.read_ahead_bytes());
+        let address = net.peer_addr(token).map(|peer| peer.ip());
+        let max_per_address = config.max_connections_per_address;
+        if self.peers.clients.insert(token, conn, tls, address, max_per_address).is_err() {
+            self.ctx.requests.counters.capacity_rejected += 1;
+            self.ctx.net.close(token);
+        }
+    }
+
+    // ---- Input -------------------------------------------------------------------------------------
+
+    /// Reads the clients that were paused while memory for messages was short.
+    pub fn read_paused(&mut self) {
+        if self.requests.buffered_bytes() < self.peers.config.max_buffered_bytes / 4 * 3 {
+            for token in self.peers.clients.take_paused() {
+                self.read(token);
+            }
+        }
+    }
+
+    /// Processes a client's input, unless the client does not read its answers or no memory is left for messages.
+    fn read(&mut self, token: Token) {
+        if self.ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
+            return self.ctx.net.update_interest(token);
+        }
+        // Unprocessed plaintext is bounded as unprocessed input of the socket is.
+        let max_plaintext = self.peers.config.read_ahead_bytes();
+        let client = self.peers.clients.get(token);
+        let was_full = client.is_some_and(|client| client.is_plaintext_full(max_plaintext));
+        // While the plaintext is full, nothing is taken from the socket.
+        let input = self.ctx.net.input_buffer(token).filter(|_| !was_full);
+        let mut bytes = input.map(std::mem::take).unwrap_or_default();
+        let processed = self.process(token, &mut bytes);
+        let Some(client) = self.peers.clients.get(token) else { return self.ctx.net.close(token) };
+        if processed.count < bytes.len() {
+            bytes.drain(..processed.count);
+            client.restore_input(self.ctx, token, bytes);
+        }
+        let is_full = client.is_plaintext_full(max_plaintext);
+        if let Some(fault) = processed.fault {
+            self.close_on_fault(token, fault);
+        }
+        self.peers.clients.mark_dirty(token);
+        let has_capacity_again = was_full && !is_full;
+        if has_capacity_again && self.ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
+            // For input that is already here, no further event comes.
+            return self.read(token);
+        }
+        if self.ctx.net.is_read_closed(token) {
+            return self.on_gone(token);
+        }
+        self.ctx.net.update_interest(token);
+    }
+
+    /// Decrypts a client's input if it uses TLS, and handles the events in it. `bytes` is all plaintext afterwards.
+    fn process(&mut self, token: Token, bytes: &mut Vec<u8>) -> ProcessedInput {
+        if let Some(Err(fault)) = self.peers.clients.get(token).map(|client| client.decrypt(bytes)) {
+            return ProcessedInput { count: 0, fault: Some(fault) };
+        }
+        let mut rest = &bytes[..];
+        let mut fault = None;
+        while let Some(client) = self.peers.clients.get(token) {
+            if self.requests.buffered_bytes() >= self.peers.config.max_buffered_bytes {
+                self.peers.clients.pause(token);
+                break;
+            }
+            match client.conn.next_event(self.ctx.now, &mut rest) {
+                Ok(Some(event)) => self.on_protocol_event(token, event),
+                Ok(None) => break,
+                Err(error) => {
+                    fault = Some(error);
+                    break;
+                }
+            }
+        }
+        ProcessedInput { count: bytes.len() - rest.len(), fault }
+    }
+
+    /// Closes a connection whose client breaks the protocol.
+    fn close_on_fault(&mut self, token: Token, fault: Fault) {
+        let Some(client) = self.peers.clients.get(token) else { return };
+        self.ctx.requests.counters.malformed += 1;
+        tracing::warn!(
+            condition = %fault.condition,
+            description = %fault.description,
+            "AMQP client protocol error"
+        );
+        client.conn.close(Some(Box::new(fault.into())));
+    }
+
+    fn on_protocol_event(&mut self, token: Token, event: Event<'_>) {
+        let at = |id: LinkId| ConnectionLink { token, id };
+        match event {
+            Event::SaslRequest(request) => {
+                self.authenticator.on_request(self.ctx, &mut self.peers, token, request)
+            }
+            Event::Opened {} => self.on_opened(token),
+            Event::AttachRequested { link, role, attach } => self.links().on_attach(at(link), role, attach),
+            Event::Credit { link } => {
+                if let Some(forwarder) = self.peers.clients.forwarder_of(at(link)) {
+                    self.forwarding.forward(self.ctx, &mut self.peers, forwarder);
+                }
+            }
+            Event::SessionWindow { channel } => {
+                self.forwarding.on_session_window(self.ctx, &mut self.peers, token, channel)
+            }
+            Event::Transfer { link, transfer } => self.transfers().on_transfer(at(link), transfer),
+            Event::Settled { link, key, state, .. } => {
+                if let Some(forwarder) = self.peers.clients.forwarder_of(at(link)) {
+                    self.forwarding.on_settled_by_client(self.peers.servers, forwarder, key, state);
+                }
+            }
+            Event::SettledBySender { key, .. } => {
+                self.requests.abandon(self.ctx, &mut self.peers, RequestId(key))
+            }
+            Event::DeliveryLost { role: Role::Receiver, key, .. } => {
+                if let Some(client) = self.peers.clients.get(token) {
+                    client.add_detached_request(RequestId(key));
+                }
+            }
+            Event::Detached { link, closed, .. } => {
+                let end = if closed { LinkEnd::Closed } else { LinkEnd::Suspended };
+                self.links().on_detached(at(link), end);
+            }
+            _ => {}
+        }
+    }
+
+    fn links(&mut self) -> ClientLinks<'_, 'b> {
+        ClientLinks {
+            ctx: self.ctx,
+            info: self.info,
+            peers: self.peers.reborrow(),
+            requests: self.requests,
+            forwarding: self.forwarding,
+        }
+    }
+
+    fn transfers(&mut self) -> TransferHandler<'_, 'b> {
+        TransferHandler {
+            ctx: self.ctx,
+            info: self.info,
+            peers: self.peers.reborrow(),
+            requests: self.requests,
+        }
+    }
+
+    fn on_opened(&mut self, token: Token) {
+        self.ctx.net.mark_handshake_complete(token);
+        let anonymous = self.peers.config.known_users.as_ref().and_then(|users| users.anonymous());
+        if let (Some(client), Some(identity)) = (self.peers.clients.get(token), anonymous) {
+            if client.identity().name.is_none() {
+                client.set_identity(identity);
+            }
+        }
+    }
+
+    // ---- Output and end ----------------------------------------------------------------------------
+
+    /// Writes to the clients that are marked dirty.
+    pub fn flush(&mut self) {
+        for token in self.peers.clients.take_dirty() {
+            if self.peers.clients.flush(self.ctx, token) == Flushed::Closed {
+                self.on_gone(token);
+            } else if self.peers.clients.clear_stall(self.ctx, token) {
+                self.forwarding.forward_all(self.ctx, &mut self.peers, token);
+            }
+        }
+    }
+
+    /// A client's connection is closed or lost. Requests on links that may be resumed go on; the others are abandoned.
+    fn on_gone(&mut self, token: Token) {
+        if let Some(client) = self.peers.clients.get(token) {
+            client.write_last(self.ctx, token);
+        }
+        self.ctx.net.close(token);
+        let Some(mut client) = self.peers.clients.remove(token) else { return };
+        self.requests.on_connection_lost(self.ctx, &mut self.peers, token, &mut client);
+        for link in client.take_links() {
+            match link {
+                ClientLink::Receiving(forwarder) => {
+                    self.forwarding.on_client_gone(self.ctx, self.peers.servers, forwarder)
+                }
+                ClientLink::Sending(link) => self.requests.drop_incomplete(&link.incomplete),
+            }
+        }
+    }
+
+    /// A timer of a client's socket has elapsed.
+    pub fn on_timer(&mut self, token: Token) {
+        self.authenticator.on_timer(self.ctx, &mut self.peers, token);
+    }
+
+    /// Forgets the links that were not resumed in time.
+    pub fn expire_links(&mut self) {
+        self.requests.expire(self.ctx, &mut self.peers);
+    }
+
+    /// Checks the idle timeouts of the clients' connections. While the node drains, closes those without open requests.
+    pub fn check_connections(&mut self) {
+        let redirect = self.peers.config.redirect.as_ref();
+        let is_draining = self.peers.clients.is_draining();
+        for token in self.peers.clients.tokens() {
+            let Some(client) = self.peers.clients.get(token) else { continue };
+            if let Err(fault) = client.conn.tick(self.ctx.now) {
+                client.conn.close(Some(Box::new(fault.into())));
+            } else if is_draining && client.is_idle() {
+                client.conn.close(Some(Box::new(shutdown_error(redirect))));
+            }
+            self.peers.clients.mark_dirty(token);
+        }
+    }
+}
--- /dev/null
+++ b/src/frontend/amqp/clients/mod.rs
@@ -0,0 +1,254 @@
+//! The clients' connections: which there are, their credit, and what is written to them.
+//!
+//! [`Clients`] owns them. `client` is one connection, `credit` how the credit is shared between links.
+
+mod client;
+mod credit;
+
+pub use client::{Client, ClientLink, IncompleteDelivery, SendingLink};
+
+use super::config::AmqpConfig;
+use super::connection_link::ConnectionLink;
+use super::fast_map::FastHashMap;
+use super::forwarder_id::ForwarderId;
+use crate::frontend::tls::TlsConnection;
+use crate::frontend::FrontendContext;
+use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
+use credit::SubscriberLinks;
+use sparbank_amqp::Connection;
+use std::net::IpAddr;
+
+/// An address has as many connections as it may.
+#[derive(Debug, thiserror::Error)]
+#[error("too many connections from one address")]
+pub struct AddressLimitReached;
+
+/// Whether a client's connection goes on after it was written to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Flushed {
+    /// It goes on.
+    Open,
+    /// Nothing follows what was written.
+    Closed,
+}
+
+/// All clients' connections.
+#[derive(Default)]
+pub struct Clients {
+    by_token: FastHashMap<Token, Box<Client>>,
+    connections_by_address: FastHashMap<IpAddr, usize>,
+    subscriber_links: SubscriberLinks,
+    /// Connections that may have something to write, in the order in which they were marked.
+    dirty: Vec<Token>,
+    /// Clients that are not read while messages take too much memory.
+    paused: Vec<Token>,
+    /// The node drains: clients get no credit.
+    is_draining: bool,
+}
+
+impl Clients {
+    /// Adds a connection.
+    ///
+    /// # Errors
+    /// Its address has `max_per_address` already.
+    pub fn insert(
+        &mut self,
+        token: Token,
+        conn: Connection,
+        tls: Option<TlsConnection>,
+        address: Option<IpAddr>,
+        max_per_address: usize,
+    ) -> Result<(), AddressLimitReached> {
+        if let Some(address) = address {
+            let count = self.connections_by_address.entry(address).or_default();
+            if *count >= max_per_address {
+                return Err(AddressLimitReached);
+            }
+            *count += 1;
+        }
+        self.by_token.insert(token, Box::new(Client::new(conn, tls, address)));
+        Ok(())
+    }
+
+    /// Removes a connection.
+    pub fn remove(&mut self, token: Token) -> Option<Box<Client>> {
+        let client = self.by_token.remove(&token)?;
+        if let Some(address) = client.address {
+            self.uncount_connection(address);
+        }
+        let sending_links = client.sending_links().count() as u32;
+        self.subscriber_links.remove(client.identity().subscriber(), sending_links);
+        Some(client)
+    }
+
+    fn uncount_connection(&mut self, address: IpAddr) {
+        if let Some(count) = self.connections_by_address.get_mut(&address) {
+            *count -= 1;
+            if *count == 0 {
+                self.connections_by_address.remove(&address);
+            }
+        }
+    }
+
+    /// A client by its connection.
+    pub fn get(&mut self, token: Token) -> Option<&mut Client> {
+        self.by_token.get_mut(&token).map(|client| &mut **client)
+    }
+
+    /// The forwarder that sends on a link.
+    pub fn forwarder_of(&self, link: ConnectionLink) -> Option<ForwarderId> {
+        self.by_token.get(&link.token)?.forwarder_of(link.id)
+    }
+
+    /// Whether there is no connection.
+    pub fn is_empty(&self) -> bool {
+        self.by_token.is_empty()
+    }
+
+    /// The number of connections.
+    pub fn len(&self) -> usize {
+        self.by_token.len()
+    }
+
+    /// All connections, in order.
+    pub fn tokens(&self) -> Vec<Token> {
+        let mut tokens: Vec<Token> = self.by_token.keys().copied().collect();
+        tokens.sort_unstable();
+        tokens
+    }
+
+    /// A sending link is attached.
+    pub fn add_sending_link(&mut self, at: ConnectionLink, link: SendingLink) {
+        let Some(client) = self.by_token.get_mut(&at.token) else { return };
+        client.links.insert(at.id, ClientLink::Sending(link));
+        self.subscriber_links.add(client.identity().subscriber());
+    }
+
+    /// A link is detached. Returns what it was for.
+    pub fn remove_link(&mut self, at: ConnectionLink) -> Option<ClientLink> {
+        let client = self.by_token.get_mut(&at.token)?;
+        let link = client.links.remove(&at.id)?;
+        if matches!(link, ClientLink::Sending(_)) {
+            self.subscriber_links.remove(client.identity().subscriber(), 1);
+        }
+        Some(link)
+    }
+
+    // ---- Output ------------------------------------------------------------------------------------
+
+    /// Marks a connection: there may be something to write to it.
+    pub fn mark_dirty(&mut self, token: Token) {
+        if let Some(client) = self.by_token.get_mut(&token).filter(|client| !client.is_dirty) {
+            client.is_dirty = true;
+            self.dirty.push(token);
+        }
+    }
+
+    /// Whether any connection is marked.
+    pub fn is_dirty(&self) -> bool {
+        !self.dirty.is_empty()
+    }
+
+    /// Returns the marked connections and unmarks them.
+    pub fn take_dirty(&mut self) -> Vec<Token> {
+        let dirty = std::mem::take(&mut self.dirty);
+        for token in &dirty {
+            if let Some(client) = self.by_token.get_mut(token) {
+                client.is_dirty = false;
+            }
+        }
+        dirty
+    }
+
+    /// Writes a client's pending output.
+    pub fn flush(&mut self, ctx: &mut FrontendContext, token: Token) -> Flushed {
+        let Some(client) = self.by_token.get_mut(&token) else { return Flushed::Open };
+        client.write_pending(ctx, token);
+        if client.conn.is_closed() {
+            Flushed::Closed
+        } else {
+            Flushed::Open
+        }
+    }
+
+    /// Whether forwarders had more for a client than was written at one time, and its socket takes more now. Clears
+    /// that mark: if the socket took everything at once, no event says so.
+    pub fn clear_stall(&mut self, ctx: &FrontendContext, token: Token) -> bool {
+        let Some(client) = self.by_token.get_mut(&token) else { return false };
+        let can_resume =
+            client.is_stalled() && ctx.net.pending_output_bytes(token) < OUTPUT_HIGH_WATERMARK_BYTES;
+        if can_resume {
+            client.set_stalled(false);
+        }
+        can_resume
+    }
+
+    // ---- Input -------------------------------------------------------------------------------------
+
+    /// Stops reading a client until [`Clients::take_paused`].
+    pub fn pause(&mut self, token: Token) {
+        if !self.paused.contains(&token) {
+            self.paused.push(token);
+        }
+    }
+
+    /// Returns the clients that were paused, to be read again.
+    pub fn take_paused(&mut self) -> Vec<Token> {
+        std::mem::take(&mut self.paused)
+    }
+
+    // ---- Credit ------------------------------------------------------------------------------------
+
+    /// Whether the node drains: new requests are rejected, and clients without open requests are disconnected.
+    pub fn is_draining(&self) -> bool {
+        self.is_draining
+    }
+
+    /// The node drains: takes back the credit of all sending links, and grants none until [`Clients::end_drain`]. A
+    /// further call changes nothing.
+    pub fn start_drain(&mut self) {
+        if std::mem::replace(&mut self.is_draining, true) {
+            return;
+        }
+        for token in self.tokens() {
+            self.revoke_credit(token);
+        }
+    }
+
+    /// The node serves again: credit is replenished from now on. False if it did not drain.
+    pub fn end_drain(&mut self) -> bool {
+        std::mem::take(&mut self.is_draining)
+    }
+
+    /// Grants a sending link fresh credit, once no more than half of its share is left, unless the node drains.
+    pub fn replenish_credit(&mut self, at: ConnectionLink, config: &AmqpConfig, buffered_bytes: usize) {
+        let Some(client) = self.by_token.get_mut(&at.token).filter(|_| !self.is_draining) else { return };
+        let subscriber = client.identity().subscriber();
+        let target = self.subscriber_links.target_credit(subscriber, config, buffered_bytes);
+        let current = client.conn.credit(at.id);
+        if target > current && current <= target / 2 {
+            client.conn.set_credit(at.id, target);
+            self.mark_dirty(at.token);
+        }
+    }
+
+    /// Replenishes the credit of the sending links that have none left: it shrank while memory was short, or was taken
+    /// back for a drain.
+    pub fn replenish_all_credit(&mut self, config: &AmqpConfig, buffered_bytes: usize) {
+        for token in self.tokens() {
+            let Some(client) = self.get(token) else { continue };
+            for id in client.links_without_credit() {
+                self.replenish_credit(ConnectionLink { token, id }, config, buffered_bytes);
+            }
+        }
+    }
+
+    fn revoke_credit(&mut self, token: Token) {
+        let Some(client) = self.by_token.get_mut(&token) else { return };
+        let sending_links: Vec<_> = client.sending_links().collect();
+        for link in sending_links {
+            client.conn.set_credit(link, 0);
+        }
+        self.mark_dirty(token);
+    }
+}
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -193,6 +193,9 @@
 
 impl AmqpConfig {
     /// Reads and checks the file and the files that it names.
+    ///
+    /// # Errors
+    /// A file cannot be read, or a field has a wrong value: the error names the file and the field.
     pub fn read(path: &Path) -> Result<AmqpConfig, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
         let mut config: AmqpConfig = json::parse(&text).map_err(|error| FileError::parse(path, error))?;
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -1,26 +1,21 @@
 //! Deliveries from clients that are not settled yet: the bytes received of each, and the progress of its attempt.
 
-use crate::model::{RequestId, ServerId};
-use crate::net::Token;
-use sparbank_amqp::{Head, LinkId, Tag};
+use super::connection_link::ConnectionLink;
+use super::fast_map::FastHashMap;
+use crate::model::{Outcome, RequestId, ServerId};
+use sparbank_amqp::{Head, Tag};
 use sparbank_time::MonotonicTime;
-use std::collections::HashMap;
-
-/// A hash map with a fast hasher, for keys that no peer chooses.
-pub type Map<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
 
 /// A delivery that is not settled yet.
 pub struct Delivery {
-    /// The client's connection that it was received on, and that its answer goes to.
-    pub client: Token,
-    /// The client's link.
-    pub link: LinkId,
+    /// The client's link that it was received on, and that its answer goes to.
+    pub link: ConnectionLink,
     /// Its delivery id on the client's session.
     pub delivery_id: u32,
     /// Its tag.
     pub tag: Tag,
     /// Whether the client's link is attached and can take the answer.
-    pub attached: bool,
+    pub is_attached: bool,
     /// The index of its class.
     pub class: usize,
     /// The sections before the body.
@@ -30,7 +25,7 @@
     /// Octets discarded from its start: once above 0 it cannot be sent again.
     pub discarded: usize,
     /// Whether its last transfer has been received.
-    pub complete: bool,
+    pub is_complete: bool,
     /// Its attempt at a server, if there is one.
     pub attempt: Option<Attempt>,
 }
@@ -51,10 +46,8 @@
     Queued,
     /// It was sent partly: it can be aborted, and then has not run.
     Sending {
-        /// The server's connection.
-        token: Token,
         /// The link to the server.
-        link: LinkId,
+        link: ConnectionLink,
         /// The delivery id on the server's session.
         delivery_id: u32,
         /// Octets of the message that were sent.
@@ -62,10 +55,8 @@
     },
     /// It was sent completely, or will be once the connection has written up to `end`: it may run.
     Sent {
-        /// The server's connection.
-        token: Token,
         /// The link to the server.
-        link: LinkId,
+        link: ConnectionLink,
         /// The delivery id on the server's session.
         delivery_id: u32,
         /// The position in the connection's output at which the delivery ends.
@@ -83,10 +74,9 @@
 /// All unsettled deliveries, and the octets buffered for them together.
 #[derive(Default)]
 pub struct Deliveries {
-    by_request: Map<RequestId, Delivery>,
+    by_request: FastHashMap<RequestId, Delivery>,
     buffered_bytes: usize,
-    /// The most octets that were buffered at one time.
-    pub max_buffered_bytes: usize,
+    peak_buffered_bytes: usize,
 }
 
 impl Deliveries {
@@ -113,11 +103,16 @@
         Some(delivery)
     }
 
-    /// Appends octets that were received of a delivery; `last` says that it is complete with them.
-    pub fn append(&mut self, request_id: RequestId, bytes: &[u8], last: bool) -> Option<&Delivery> {
+    /// Whether the last transfer of a request's delivery has been received.
+    pub fn is_complete(&self, request_id: RequestId) -> bool {
+        self.get(request_id).is_some_and(|delivery| delivery.is_complete)
+    }
+
+    /// Appends the octets of a further transfer to a delivery; `is_last` says that it is complete with them.
+    pub fn append(&mut self, request_id: RequestId, bytes: &[u8], is_last: bool) -> Option<&Delivery> {
         let delivery = self.by_request.get_mut(&request_id)?;
         delivery.bytes.extend_from_slice(bytes);
-        delivery.complete |= last;
+        delivery.is_complete |= is_last;
         self.add_buffered(bytes.len());
         self.by_request.get(&request_id)
     }
@@ -145,10 +140,15 @@
         self.buffered_bytes
     }
 
+    /// The most octets that were buffered at one time.
+    pub fn peak_buffered_bytes(&self) -> usize {
+        self.peak_buffered_bytes
+    }
+
     /// Counts octets as buffered, such as those of a delivery that is no request yet.
     pub fn add_buffered(&mut self, octets: usize) {
         self.buffered_bytes += octets;
-        self.max_buffered_bytes = self.max_buffered_bytes.max(self.buffered_bytes);
+        self.peak_buffered_bytes = self.peak_buffered_bytes.max(self.buffered_bytes);
     }
 
     /// Counts octets as no longer buffered.
@@ -156,6 +156,16 @@
         self.buffered_bytes -= octets;
     }
 
+    /// The outcome of a delivery's attempt whose link or connection is lost after `written` octets of the connection's
+    /// output: it may have run if its last octet was written.
+    pub fn interrupted_outcome(&self, request_id: RequestId, written: u64) -> Outcome {
+        let attempt = self.get(request_id).and_then(|delivery| delivery.attempt.as_ref());
+        match attempt.map(|attempt| &attempt.stage) {
+            Some(AttemptStage::Sent { end, .. }) if *end <= written => Outcome::Reset,
+            _ => Outcome::ConnectFailed,
+        }
+    }
+
     /// The requests whose attempt at one of these servers was not sent completely, in order.
     pub fn unsent_at(&self, servers: &[ServerId]) -> Vec<RequestId> {
         let is_unsent = |attempt: &Attempt| {
--- /dev/null
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -0,0 +1,263 @@
+//! Transfers from clients: a delivery becomes a request once the sections before its body are read.
+
+use super::DeliveryRequests;
+use crate::frontend::amqp::arrival::{default_time_limit, RequestAttributes};
+use crate::frontend::amqp::class_names::AddressField;
+use crate::frontend::amqp::clients::{IncompleteDelivery, SendingLink};
+use crate::frontend::amqp::connection_link::ConnectionLink;
+use crate::frontend::amqp::deliveries::Delivery;
+use crate::frontend::amqp::info::FrontendInfo;
+use crate::frontend::amqp::peers::Peers;
+use crate::frontend::amqp::recovery::DeliveryStatus;
+use crate::frontend::amqp::replies::{invalid_state, rejected_state, unknown_state, RETRY_AFTER_MS};
+use crate::frontend::FrontendContext;
+use crate::model::RequestId;
+use sparbank_amqp::{DecodeError, Head, IncomingTransfer, Message, State, Value};
+use std::time::Duration;
+
+/// The longest time limit of a request.
+const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
+/// The most octets of a delivery before its body.
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+
+/// Handles the transfers that are received on clients' connections.
+pub struct TransferHandler<'a, 'b> {
+    /// The node's parts.
+    pub ctx: &'a mut FrontendContext<'b>,
+    /// What is fixed about the frontend.
+    pub info: &'a FrontendInfo,
+    /// The connections.
+    pub peers: Peers<'a>,
+    /// The requests.
+    pub requests: &'a mut DeliveryRequests,
+}
+
+/// A transfer, and the link that it was received on.
+#[derive(Clone, Copy)]
+struct ReceivedTransfer<'a, 'b> {
+    link: ConnectionLink,
+    /// The class that the link's target names; none at the anonymous terminus.
+    class: Option<usize>,
+    transfer: &'a IncomingTransfer<'b>,
+}
+
+impl TransferHandler<'_, '_> {
+    /// A transfer was received from a client.
+    pub fn on_transfer(&mut self, link: ConnectionLink, transfer: IncomingTransfer<'_>) {
+        let Some(sending_link) = self.sending_link(link) else { return };
+        let class = sending_link.class;
+        let incomplete = std::mem::take(&mut sending_link.incomplete);
+        let has_history = transfer.resume || sending_link.is_remembered || !sending_link.unknown.is_empty();
+        let may_be_resumed = has_history && transfer.first && !transfer.aborted;
+        let incomplete = if may_be_resumed && self.answer_resumed(link, &transfer) {
+            IncompleteDelivery::Ignored
+        } else if transfer.aborted {
+            self.on_aborted(&incomplete);
+            IncompleteDelivery::None
+        } else {
+            let received = ReceivedTransfer { link, class, transfer: &transfer };
+            self.continue_delivery(received, incomplete)
+        };
+        if !transfer.last {
+            if let Some(sending_link) = self.sending_link(link) {
+                sending_link.incomplete = incomplete;
+            }
+        }
+        self.requests.replenish_credit(&mut self.peers, link);
+    }
+
+    fn sending_link(&mut self, link: ConnectionLink) -> Option<&mut SendingLink> {
+        self.peers.clients.get(link.token)?.sending_link(link.id)
+    }
+
+    /// The client has aborted a delivery.
+    fn on_aborted(&mut self, incomplete: &IncompleteDelivery) {
+        self.requests.drop_incomplete(incomplete);
+        if let IncompleteDelivery::Request(request_id) = incomplete {
+            self.requests.abandon(self.ctx, &mut self.peers, *request_id);
+        }
+    }
+
+    /// Adds a transfer to its delivery. Returns the delivery's state after it.
+    fn continue_delivery(
+        &mut self,
+        received: ReceivedTransfer<'_, '_>,
+        incomplete: IncompleteDelivery,
+    ) -> IncompleteDelivery {
+        match incomplete {
+            IncompleteDelivery::None => self.start_delivery(received, Vec::new()),
+            IncompleteDelivery::ReadingHead(bytes) => {
+                self.requests.deliveries.subtract_buffered(bytes.len());
+                self.start_delivery(received, bytes)
+            }
+            IncompleteDelivery::Request(request_id) => {
+                let IncomingTransfer { payload, last, .. } = *received.transfer;
+                let Some(delivery) = self.requests.deliveries.append(request_id, payload, last) else {
+                    return IncompleteDelivery::Ignored;
+                };
+                if let Some(attempt) = &delivery.attempt {
+                    self.peers.servers.mark_dirty(attempt.server);
+                }
+                IncompleteDelivery::Request(request_id)
+            }
+            IncompleteDelivery::Ignored => IncompleteDelivery::Ignored,
+        }
+    }
+
+    /// Answers a delivery that was received before on this link: it is not run again. False if it is new.
+    fn answer_resumed(&mut self, link: ConnectionLink, transfer: &IncomingTransfer<'_>) -> bool {
+        let Some(client) = self.peers.clients.get(link.token) else { return false };
+        let Some(sending_link) = client.sending_link(link.id) else { return false };
+        let state = match self.requests.recovery.status(&sending_link.key, &transfer.tag) {
+            Some(DeliveryStatus::Settled(state)) => state.clone(),
+            Some(DeliveryStatus::Running(request_id)) => {
+                let request_id = *request_id;
+                self.reattach_request(link, transfer.id, request_id);
+                return true;
+            }
+            None => {
+                let is_unknown = sending_link.unknown.remove(&transfer.tag)
+                    || (transfer.resume && !sending_link.is_remembered);
+                if !is_unknown {
+                    return false;
+                }
+                self.requests.unknown += 1;
+                unknown_state()
+            }
+        };
+        client.conn.settle(link.id.channel, transfer.id, state);
+        self.peers.clients.mark_dirty(link.token);
+        true
+    }
+
+    /// A running request's answer goes to the link that its delivery was resumed on.
+    fn reattach_request(&mut self, link: ConnectionLink, delivery_id: u32, request_id: RequestId) {
+        let Some(client) = self.peers.clients.get(link.token) else { return };
+        client.conn.set_delivery_key(link.id.channel, delivery_id, request_id.0);
+        if let Some(delivery) = self.requests.deliveries.get_mut(request_id) {
+            if !delivery.is_attached {
+                client.count_open_request();
+            }
+            delivery.link = link;
+            delivery.delivery_id = delivery_id;
+            delivery.is_attached = true;
+        }
+    }
+
+    /// The first transfers of a delivery: it becomes a request, is answered at once, or needs more octets.
+    fn start_delivery(
+        &mut self,
+        received: ReceivedTransfer<'_, '_>,
+        mut bytes: Vec<u8>,
+    ) -> IncompleteDelivery {
+        bytes.extend_from_slice(received.transfer.payload);
+        let head = match read_head(&bytes, received.transfer.last) {
+            Ok(Some(head)) => Ok(head),
+            Ok(None) => {
+                self.requests.deliveries.add_buffered(bytes.len());
+                return IncompleteDelivery::ReadingHead(bytes);
+            }
+            Err(error) => Err(invalid_state(error.into())),
+        };
+        match head.and_then(|head| self.start_request(received, head, bytes)) {
+            Ok(request_id) => IncompleteDelivery::Request(request_id),
+            Err(state) => {
+                self.settle_at_once(received, state);
+                IncompleteDelivery::Ignored
+            }
+        }
+    }
+
+    /// Settles a delivery that did not become a request.
+    fn settle_at_once(&mut self, received: ReceivedTransfer<'_, '_>, state: State) {
+        if matches!(state, State::Rejected(_)) {
+            self.ctx.requests.counters.malformed += 1;
+        } else {
+            self.ctx.requests.counters.capacity_rejected += 1;
+        }
+        if let Some(client) = self.peers.clients.get(received.link.token) {
+            client.conn.settle(received.link.id.channel, received.transfer.id, state);
+        }
+    }
+
+    /// Makes a delivery a request.
+    ///
+    /// # Errors
+    /// The state that the delivery is settled with at once.
+    fn start_request(
+        &mut self,
+        received: ReceivedTransfer<'_, '_>,
+        head: Head,
+        bytes: Vec<u8>,
+    ) -> Result<RequestId, State> {
+        let class = match received.class {
+            Some(class) => class,
+            None => self.class_of_message(received.link, &head)?,
+        };
+        let buffered = self.requests.buffered_bytes() + bytes.len();
+        if self.peers.clients.is_draining() || buffered > self.peers.config.max_buffered_bytes {
+            return Err(rejected_state(RETRY_AFTER_MS));
+        }
+        let time_to_live = head.ttl.map(|ms| Duration::from_millis(u64::from(ms)).min(MAX_TIME_LIMIT));
+        let attributes = RequestAttributes {
+            class,
+            time_limit: time_to_live.unwrap_or(default_time_limit(self.ctx, class)),
+            key: head.property(&bytes, "key"),
+            group: head.property(&bytes, "group"),
+            is_reconnect: head.value(&bytes, "again") == Some(Value::Bool(true)),
+        };
+        let request_id = self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival());
+        self.record_request(received, request_id);
+        let delivery = Delivery {
+            link: received.link,
+            delivery_id: received.transfer.id,
+            tag: received.transfer.tag,
+            is_attached: true,
+            class,
+            head,
+            bytes,
+            discarded: 0,
+            is_complete: received.transfer.last,
+            attempt: None,
+        };
+        self.requests.deliveries.insert(request_id, delivery);
+        Ok(request_id)
+    }
+
+    /// The class that `to` of a message names.
+    ///
+    /// # Errors
+    /// The state of a delivery that names none, or one that the client may not use.
+    fn class_of_message(&mut self, link: ConnectionLink, head: &Head) -> Result<usize, State> {
+        let client = self.peers.clients.get(link.token);
+        let identity = client.as_deref().map(|client| client.identity());
+        let class = self.info.classes.authorize(identity, AddressField::To, head.to.as_deref());
+        class.map_err(invalid_state)
+    }
+
+    /// Records a new request with its client's connection and, if the link is remembered, for recovery.
+    fn record_request(&mut self, received: ReceivedTransfer<'_, '_>, request_id: RequestId) {
+        let ReceivedTransfer { link, transfer, .. } = received;
+        let Some(client) = self.peers.clients.get(link.token) else { return };
+        client.count_open_request();
+        client.conn.set_delivery_key(link.id.channel, transfer.id, request_id.0);
+        if transfer.settled {
+            return;
+        }
+        if let Some(link) = client.sending_link(link.id).filter(|link| link.is_remembered) {
+            self.requests.recovery.record_running(&link.key, transfer.tag, request_id);
+        }
+    }
+}
+
+/// Reads the sections before the body. None if more octets are needed. A complete message is checked to its end.
+fn read_head(bytes: &[u8], is_complete: bool) -> Result<Option<Head>, DecodeError> {
+    if is_complete {
+        return Message::decode(bytes).map(|message| Some(message.head));
+    }
+    let head = Head::read(bytes)?;
+    if head.is_none() && bytes.len() > MAX_HEAD_BYTES {
+        return Err(DecodeError::TooMuch);
+    }
+    Ok(head)
+}
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -1,29 +1,36 @@
 //! The AMQP 1.0 frontend. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
 //! is a request that is established once its server sends. The protocol itself is `sparbank-amqp`'s.
 //!
-//! `clients`, `servers`, `deliveries`, `forwarders` and `recovery` each own one piece of the state. The methods of
-//! [`AmqpFrontend`] that pass events between them are in a file per concern: `client_connections`, `authentication`,
-//! `client_links`, `client_transfers`, `server_connections`, `forwarding` and `outcomes`.
+//! [`AmqpFrontend`] is what the event loop calls. It owns the parts below and lends them to whoever handles a call:
+//!
+//! - `clients` and `servers` own the connections on each side, and what is sent on them;
+//! - `delivery_requests` owns the requests that are deliveries, and what is remembered of them for links that are resumed;
+//! - `forwarding` owns the forwarders, which pass servers' deliveries to clients;
+//! - `authentication` decides who clients are;
+//! - `client_events` (with `client_links` for attach and detach) and `server_events` handle what is received. They own
+//!   nothing: they hold the parts for the duration of one call.
 
+mod arrival;
 mod authentication;
-mod client_connections;
+mod class_names;
+mod client_events;
 mod client_links;
-mod client_transfers;
 mod clients;
 mod config;
+mod connection_link;
 mod deliveries;
+mod delivery_requests;
 mod error;
-mod fair_queue;
-mod forwarder;
-mod forwarders;
+mod fast_map;
+mod forwarder_id;
 mod forwarding;
-mod outcomes;
+mod info;
+mod nonce;
 mod password_checks;
+mod peers;
 mod recovery;
 mod replies;
-mod sending;
-mod server_connections;
-mod server_links;
+mod server_events;
 mod servers;
 mod users;
 
@@ -33,15 +40,19 @@
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::{SocketEvent, SocketOwner, Token};
 use crate::requests::FrontendId;
+use authentication::Authenticator;
+use class_names::ClassNames;
+use client_events::ClientEvents;
 use clients::Clients;
 use config::AmqpConfig;
-use deliveries::{Attempt, AttemptStage, Deliveries};
-use forwarders::Forwarders;
-use password_checks::PasswordChecks;
-use recovery::Recovery;
+use delivery_requests::DeliveryRequests;
+use forwarding::Forwarding;
+use info::FrontendInfo;
+use peers::Peers;
 use replies::{failed_state, rejected_state, retry_error};
+use server_events::ServerEvents;
 use servers::Servers;
-use sparbank_amqp::{condition, Error};
+use sparbank_amqp::{condition, Error, State};
 use sparbank_time::DurationExt;
 use std::any::Any;
 use std::time::Duration;
@@ -61,25 +72,13 @@
 
 /// The AMQP frontend.
 pub struct AmqpFrontend {
-    id: FrontendId,
+    info: FrontendInfo,
     config: AmqpConfig,
-    /// The node's container id.
-    container: String,
-    /// The names of the classes.
-    classes: Vec<String>,
     clients: Clients,
     servers: Servers,
-    deliveries: Deliveries,
-    forwarders: Forwarders,
-    recovery: Recovery,
-    password_checks: PasswordChecks,
-    tls_listener: Option<Token>,
-    /// Deliveries aborted after they were sent partly.
-    aborted: u64,
-    rejected_logins: u64,
-    /// Deliveries in clients' unsettled maps of which nothing was known.
-    fate_unknown: u64,
-    shutting_down: bool,
+    requests: DeliveryRequests,
+    forwarding: Forwarding,
+    authenticator: Authenticator,
 }
 
 impl AmqpFrontend {
@@ -102,53 +101,55 @@
         };
         let tls_address = tls_listener.as_ref().map(|listener| tracing::field::display(listener.addr));
         tracing::info!(listen = %address, tls_listen = tls_address, "AMQP frontend ready");
-        let classes: Vec<String> = site.classes.iter().map(|class| class.name.clone()).collect();
-        let frontend = AmqpFrontend {
-            id,
-            container: node_name.to_string(),
-            servers: Servers::new(id, node_name, classes.clone()),
-            classes,
+        let classes = ClassNames::new(site.classes.iter().map(|class| class.name.clone()).collect());
+        let servers = Servers::new(id, node_name, classes.clone());
+        let tls_listener = tls_listener.map(|listener| listener.token);
+        let info = FrontendInfo { id, container: node_name.to_string(), classes, tls_listener };
+        Ok(Box::new(AmqpFrontend {
+            info,
             config,
             clients: Clients::default(),
-            deliveries: Deliveries::default(),
-            forwarders: Forwarders::default(),
-            recovery: Recovery::default(),
-            password_checks: PasswordChecks::default(),
-            tls_listener: tls_listener.map(|listener| listener.token),
-            aborted: 0,
-            rejected_logins: 0,
-            fate_unknown: 0,
-            shutting_down: false,
-        };
-        Ok(Box::new(frontend))
+            servers,
+            requests: DeliveryRequests::default(),
+            forwarding: Forwarding::default(),
+            authenticator: Authenticator::new(id),
+        }))
     }
 
-    /// Reads the clients that were paused while memory for messages was short.
-    fn read_paused_clients(&mut self, ctx: &mut FrontendContext) {
-        if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 4 * 3 {
-            for token in self.clients.take_paused() {
-                self.read_client(ctx, token);
-            }
+    fn client_events<'a, 'b>(&'a mut self, ctx: &'a mut FrontendContext<'b>) -> ClientEvents<'a, 'b> {
+        ClientEvents {
+            ctx,
+            info: &self.info,
+            peers: Peers { config: &self.config, clients: &mut self.clients, servers: &mut self.servers },
+            requests: &mut self.requests,
+            forwarding: &mut self.forwarding,
+            authenticator: &mut self.authenticator,
         }
     }
 
-    /// Writes to the clients that are marked dirty.
-    fn flush_clients(&mut self, ctx: &mut FrontendContext) {
-        for token in self.clients.take_dirty() {
-            if !self.clients.flush(ctx, token) {
-                self.on_client_gone(ctx, token);
-            } else if self.clients.clear_stall(ctx, token) {
-                self.forward_all(ctx, token);
-            }
+    fn server_events<'a, 'b>(&'a mut self, ctx: &'a mut FrontendContext<'b>) -> ServerEvents<'a, 'b> {
+        ServerEvents {
+            ctx,
+            peers: Peers { config: &self.config, clients: &mut self.clients, servers: &mut self.servers },
+            requests: &mut self.requests,
+            forwarding: &mut self.forwarding,
         }
     }
+
+    /// Refuses the link, or settles the delivery, of a request.
+    fn answer_unserved(&mut self, request_id: RequestId, error: Error, state: State) {
+        let mut peers =
+            Peers { config: &self.config, clients: &mut self.clients, servers: &mut self.servers };
+        self.forwarding.refuse(&mut peers, request_id, error);
+        self.requests.answer(&mut peers, request_id, state);
+    }
 }
 
 impl Frontend for AmqpFrontend {
     fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent) {
         match self.servers.server_of(event.token) {
-            Some(_) => self.on_server_event(ctx, event),
-            None => self.on_client_event(ctx, event),
+            Some(_) => self.server_events(ctx).on_socket_event(event),
+            None => self.client_events(ctx).on_socket_event(event),
         }
     }
 
@@ -159,54 +160,39 @@
         server: ServerId,
         timeout: Duration,
     ) {
-        if let Some(id) = self.forwarders.of_request(request_id) {
-            if let Some(forwarder) = self.forwarders.get(id) {
-                forwarder.server = Some(server);
-                let attach = client_links::attach_for_server(&forwarder.attach);
-                self.servers.enqueue_forwarder(server, id, Box::new(attach));
-            }
-            return;
-        }
-        if let Some(delivery) = self.deliveries.get_mut(request_id) {
-            let deadline = ctx.now + timeout;
-            delivery.attempt = Some(Attempt { server, deadline, stage: AttemptStage::Queued });
-            self.servers.enqueue(server, delivery.class, delivery.client, request_id);
+        if self.forwarding.has_request(request_id) {
+            self.forwarding.start_attempt(&mut self.servers, request_id, server);
+        } else {
+            self.requests.start_attempt(ctx, &mut self.servers, request_id, server, timeout);
         }
     }
 
     fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
-        self.cancel_delivery_or_forwarder(ctx, request_id)
+        match self.forwarding.cancel_attempt(&mut self.servers, request_id) {
+            Some(outcome) => outcome,
+            None => self.requests.cancel_attempt(ctx, &mut self.servers, request_id),
+        }
     }
 
     fn reject(&mut self, _ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration) {
         let retry_after_ms = retry_after.as_millis_u64() as u32;
         let description = "no region takes it now; come again";
         let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
-        self.refuse_forwarder(request_id, error);
-        self.answer(request_id, rejected_state(retry_after_ms));
+        self.answer_unserved(request_id, error, rejected_state(retry_after_ms));
     }
 
     fn fail(&mut self, _ctx: &mut FrontendContext, request_id: RequestId) {
-        self.refuse_forwarder(request_id, Error::new(condition::INTERNAL_ERROR, "no region could serve it"));
-        self.answer(request_id, failed_state());
+        let error = Error::new(condition::INTERNAL_ERROR, "no region could serve it");
+        self.answer_unserved(request_id, error, failed_state());
     }
 
-    fn migrate(&mut self, _ctx: &mut FrontendContext, request_id: RequestId) {
-        let Some(id) = self.forwarders.of_request(request_id) else { return };
-        if let Some(forwarder) = self.forwarders.remove(id, &mut self.servers) {
-            let error = retry_error(condition::DETACH_FORCED, "moved: come again", 0);
-            self.detach_client_link(&forwarder, Some(error));
-        }
+    fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
+        let ServerEvents { mut peers, forwarding, .. } = self.server_events(ctx);
+        forwarding.migrate(&mut peers, request_id);
     }
 
     fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
-        for request_id in self.deliveries.unsent_at(stopped) {
-            self.cancel_delivery_or_forwarder(ctx, request_id);
-            self.on_attempt_ended(ctx, request_id, Outcome::ConnectFailed);
-        }
-        for forwarder in self.forwarders.unanswered_at(stopped) {
-            self.on_forwarder_attempt_failed(ctx, forwarder, Outcome::ConnectFailed);
-        }
+        self.server_events(ctx).on_servers_draining(stopped);
     }
 
     fn is_idle(&self) -> bool {
@@ -214,49 +200,40 @@
     }
 
     fn on_connect_timeout(&mut self, ctx: &mut FrontendContext, token: Token) {
-        if self.servers.is_opening(token) {
-            self.on_server_connection_lost(ctx, token);
-        }
+        self.server_events(ctx).on_connect_timeout(token);
     }
 
     fn on_timer(&mut self, ctx: &mut FrontendContext, token: Token) {
-        self.check_passwords(ctx);
-        self.reject_due_login(ctx, token);
+        self.client_events(ctx).on_timer(token);
     }
 
     fn on_tick(&mut self, ctx: &mut FrontendContext) {
-        self.check_client_connections(ctx);
-        self.check_server_connections(ctx);
-        for request_id in self.recovery.expire(ctx.now) {
-            self.abandon_request(ctx, request_id);
-        }
-        if self.deliveries.buffered_bytes() < self.config.max_buffered_bytes / 2 {
-            self.replenish_all_credit();
+        self.client_events(ctx).check_connections();
+        self.server_events(ctx).check_connections();
+        self.client_events(ctx).expire_links();
+        if self.requests.buffered_bytes() < self.config.max_buffered_bytes / 2 {
+            self.clients.replenish_all_credit(&self.config, self.requests.buffered_bytes());
         }
     }
 
     fn flush(&mut self, ctx: &mut FrontendContext) {
         // What one side writes may give capacity to the other: both are flushed until neither has more.
         while self.servers.is_dirty() || self.clients.is_dirty() {
-            let results = self.servers.flush(ctx, &self.config, &mut self.deliveries);
-            self.on_attempt_results(ctx, results);
-            self.read_paused_clients(ctx);
-            self.flush_clients(ctx);
+            self.server_events(ctx).flush();
+            let mut client_events = self.client_events(ctx);
+            client_events.read_paused();
+            client_events.flush();
         }
     }
 
     fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
-        if !std::mem::replace(&mut self.shutting_down, true) {
-            for token in self.clients.tokens() {
-                self.clients.revoke_credit(token);
-            }
-        }
-        self.check_client_connections(ctx);
+        self.clients.start_drain();
+        self.client_events(ctx).check_connections();
     }
 
     fn resume_serving(&mut self, _ctx: &mut FrontendContext) {
-        if std::mem::take(&mut self.shutting_down) {
-            self.replenish_all_credit();
+        if self.clients.end_drain() {
+            self.clients.replenish_all_credit(&self.config, self.requests.buffered_bytes());
         }
     }
 
@@ -275,20 +252,21 @@
     }
 
     fn counter_line(&self) -> Option<String> {
+        let deliveries = self.requests.counters();
         Some(format!(
             "clients={} servers={} forwarders={} forwarded={} buffered_bytes={} max_buffered_bytes={} \
              aborted={} logins_refused={} remembered={} resumed={} fate_unknown={}",
             self.clients.len(),
-            self.servers.len(),
-            self.forwarders.len(),
-            self.forwarders.forwarded,
-            self.deliveries.buffered_bytes(),
-            self.deliveries.max_buffered_bytes,
-            self.aborted,
-            self.rejected_logins,
-            self.recovery.len(),
-            self.recovery.resumed,
-            self.fate_unknown,
+            self.servers.connection_count(),
+            self.forwarding.len(),
+            self.forwarding.forwarded(),
+            deliveries.buffered_bytes,
+            deliveries.peak_buffered_bytes,
+            deliveries.aborted + self.forwarding.aborted(),
+            self.authenticator.rejected_logins(),
+            deliveries.remembered_links,
+            deliveries.resumed_links,
+            deliveries.unknown,
         ))
     }
 }
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -5,7 +5,7 @@
 //! remembered from its attach on. Any other link is remembered only after a detach that does not close it, and only
 //! as long as its connection lasts.
 
-use super::deliveries::Map;
+use super::fast_map::FastHashMap;
 use crate::model::RequestId;
 use crate::net::Token;
 use sparbank_amqp::{State, Tag};
@@ -36,8 +36,8 @@
 struct RememberedLink {
     /// The connection that the link is on or was on last.
     token: Token,
-    attached: bool,
-    deliveries: Map<Tag, DeliveryStatus>,
+    is_attached: bool,
+    deliveries: FastHashMap<Tag, DeliveryStatus>,
     /// The tags of settled deliveries, oldest first.
     settled: VecDeque<Tag>,
     /// How long it is remembered after its link is lost; zero: as long as its connection lasts.
@@ -59,17 +59,22 @@
 /// All remembered links.
 #[derive(Default)]
 pub struct Recovery {
-    links: Map<LinkKey, RememberedLink>,
-    running: Map<RequestId, (LinkKey, Tag)>,
-    /// How many links were resumed.
-    pub resumed: u64,
+    links: FastHashMap<LinkKey, RememberedLink>,
+    running: FastHashMap<RequestId, RunningDelivery>,
+    resumed: u64,
+}
+
+/// The delivery of a running request.
+struct RunningDelivery {
+    link: LinkKey,
+    tag: Tag,
 }
 
 /// What the node knows about a link's deliveries when it attaches.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResumedLink {
-    /// Deliveries of the peer's unsettled map that are known, with their state if they are settled.
-    pub known: Vec<(Tag, Option<State>)>,
+    /// Deliveries of the peer's unsettled map that are known.
+    pub known: Vec<KnownDelivery>,
     /// Deliveries of the peer's unsettled map while nothing at all is known of the link: whether they ran is
     /// unknown.
     pub unknown: HashSet<Tag>,
@@ -77,6 +82,15 @@
     pub abandoned: Vec<RequestId>,
 }
 
+/// A delivery of a link that attaches again.
+#[derive(Debug, PartialEq)]
+pub struct KnownDelivery {
+    /// Its tag.
+    pub tag: Tag,
+    /// Its state; none if it is not settled.
+    pub state: Option<State>,
+}
+
 impl Recovery {
     /// A link attaches. `unsettled` are the tags of the peer's unsettled map. A timeout above zero has the link
     /// remembered from now on.
@@ -96,9 +110,9 @@
             let unknown = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
             return ResumedLink { unknown, ..ResumedLink::default() };
         };
-        self.resumed += u64::from(!link.attached);
+        self.resumed += u64::from(!link.is_attached);
         link.token = token;
-        link.attached = true;
+        link.is_attached = true;
         link.expires_at = None;
         link.timeout = timeout;
         let known = link.known_among(unsettled);
@@ -115,8 +129,8 @@
         }
         let link = RememberedLink {
             token,
-            attached: true,
-            deliveries: Map::default(),
+            is_attached: true,
+            deliveries: FastHashMap::default(),
             settled: VecDeque::new(),
             timeout,
             expires_at: None,
@@ -139,14 +153,14 @@
     pub fn record_running(&mut self, key: &LinkKey, tag: Tag, request_id: RequestId) {
         if let Some(link) = self.links.get_mut(key) {
             link.deliveries.insert(tag, DeliveryStatus::Running(request_id));
-            self.running.insert(request_id, (key.clone(), tag));
+            self.running.insert(request_id, RunningDelivery { link: key.clone(), tag });
         }
     }
 
     /// A request has its answer.
     pub fn record_settled(&mut self, limits: RecoveryLimits, request_id: RequestId, state: &State) {
-        let Some((key, tag)) = self.running.remove(&request_id) else { return };
-        let Some(link) = self.links.get_mut(&key) else { return };
+        let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
+        let Some(link) = self.links.get_mut(&link) else { return };
         link.deliveries.insert(tag, DeliveryStatus::Settled(state.clone()));
         link.settled.push_back(tag);
         while link.settled.len() > limits.max_settled_per_link {
@@ -158,8 +172,8 @@
 
     /// A request was abandoned: its delivery is forgotten.
     pub fn forget_request(&mut self, request_id: RequestId) {
-        let Some((key, tag)) = self.running.remove(&request_id) else { return };
-        if let Some(link) = self.links.get_mut(&key) {
+        let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
+        if let Some(link) = self.links.get_mut(&link) {
             link.deliveries.remove(&tag);
         }
     }
@@ -176,18 +190,18 @@
             return false;
         }
         if let Some(link) = self.links.get_mut(key) {
-            link.attached = false;
+            link.is_attached = false;
             link.expires_at = (!link.timeout.is_zero()).then_some(now + link.timeout);
         }
         true
     }
 
-    /// A connection is lost. Gives the requests whose outcome nobody can request any more.
+    /// A connection is lost. Returns the requests whose outcome nobody can request any more.
     pub fn connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
         let mut forgotten = Vec::new();
         for (key, link) in &mut self.links {
             if link.token == token {
-                link.attached = false;
+                link.is_attached = false;
                 link.expires_at.get_or_insert(now + link.timeout);
                 if link.timeout.is_zero() {
                     forgotten.push(key.clone());
@@ -197,12 +211,12 @@
         self.forget_links(forgotten)
     }
 
-    /// A link is closed. Gives the requests whose outcome nobody can request any more.
+    /// A link is closed. Returns the requests whose outcome nobody can request any more.
     pub fn forget(&mut self, key: &LinkKey) -> Vec<RequestId> {
         self.forget_links(vec![key.clone()])
     }
 
-    /// Forgets the links that have expired by now. Gives the requests whose outcome nobody can request any more.
+    /// Forgets the links that have expired by now. Returns the requests whose outcome nobody can request any more.
     pub fn expire(&mut self, now: MonotonicTime) -> Vec<RequestId> {
         let expired = self.links.iter().filter(|(_, link)| link.is_expired(now));
         let expired = expired.map(|(key, _)| key.clone()).collect();
@@ -225,6 +239,11 @@
         abandoned
     }
 
+    /// How many links were resumed.
+    pub fn resumed_links(&self) -> u64 {
+        self.resumed
+    }
+
     /// The number of remembered links.
     pub fn len(&self) -> usize {
         self.links.len()
@@ -233,19 +252,18 @@
 
 impl RememberedLink {
     /// The known deliveries among these, in their order.
-    fn known_among(&self, unsettled: &[Tag]) -> Vec<(Tag, Option<State>)> {
-        let mut known = Vec::new();
-        for tag in unsettled {
-            match self.deliveries.get(tag) {
-                Some(DeliveryStatus::Settled(state)) => known.push((*tag, Some(state.clone()))),
-                Some(DeliveryStatus::Running(_)) => known.push((*tag, None)),
-                None => {}
-            }
-        }
-        known
+    fn known_among(&self, unsettled: &[Tag]) -> Vec<KnownDelivery> {
+        let known = |tag: &Tag| {
+            let state = match self.deliveries.get(tag)? {
+                DeliveryStatus::Settled(state) => Some(state.clone()),
+                DeliveryStatus::Running(_) => None,
+            };
+            Some(KnownDelivery { tag: *tag, state })
+        };
+        unsettled.iter().filter_map(known).collect()
     }
 
-    /// Forgets all deliveries but these. Gives the requests that were running among the forgotten, in order.
+    /// Forgets all deliveries but these. Returns the requests that were running among the forgotten, in order.
     fn retain_unsettled(&mut self, unsettled: &[Tag]) -> Vec<RequestId> {
         let unsettled: HashSet<Tag> = unsettled.iter().copied().collect();
         let mut abandoned = Vec::new();
@@ -262,7 +280,7 @@
     }
 
     fn is_expired(&self, now: MonotonicTime) -> bool {
-        !self.attached && self.expires_at.is_some_and(|at| at <= now)
+        !self.is_attached && self.expires_at.is_some_and(|at| at <= now)
     }
 }
 
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -1,6 +1,6 @@
 //! What is remembered of links that may be resumed: its bounds, expiry and settled deliveries.
 
-use super::{LinkKey, Recovery, RecoveryLimits, ResumedLink};
+use super::{KnownDelivery, LinkKey, Recovery, RecoveryLimits, ResumedLink};
 use crate::model::RequestId;
 use crate::net::token_for_tests as token;
 use sparbank_amqp::{State, Tag};
@@ -22,6 +22,10 @@
     Tag::new(&[n]).expect("short")
 }
 
+fn known(n: u8, state: Option<State>) -> KnownDelivery {
+    KnownDelivery { tag: tag(n), state }
+}
+
 #[test]
 fn a_resumed_link_learns_the_state_of_its_deliveries() {
     let mut recovery = Recovery::default();
@@ -38,7 +42,7 @@
     assert!(recovery.expire(at(599)).is_empty());
     let found =
         recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
-    assert_eq!(found.known, [(tag(0), Some(State::Accepted)), (tag(1), None)]);
+    assert_eq!(found.known, [known(0, Some(State::Accepted)), known(1, None)]);
     assert_eq!((found.unknown.len(), found.abandoned), (0, vec![RequestId(2)]));
     assert_eq!(recovery.status(&link, &tag(9)), None, "it never arrived completely: it may run");
     // Lost again, until it expires.
@@ -78,7 +82,7 @@
     recovery.record_running(&link, tag(1), RequestId(7));
     assert!(recovery.expire(MonotonicTime::MAX).is_empty());
     let found = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
-    assert_eq!(found.known, [(tag(1), None)]);
+    assert_eq!(found.known, [known(1, None)]);
     assert_eq!(recovery.connection_lost(token(1), at(9)), [RequestId(7)]);
     assert!(!recovery.is_remembered(&link));
 }
--- a/src/frontend/amqp/fair_queue.rs
+++ b/src/frontend/amqp/servers/fair_queue.rs
@@ -1,16 +1,18 @@
-//! A queue of requests that is fair between clients.
+//! A queue of requests that is fair between clients. Each class at each server has one.
 
-use super::deliveries::Map;
+use crate::frontend::amqp::fast_map::FastHashMap;
 use crate::model::RequestId;
 use crate::net::Token;
 use std::collections::VecDeque;
 
-/// Requests that wait for a server's links of one class. Clients take turns (round robin), so that many deliveries
-/// of one client do not delay a single delivery of another.
+/// Requests that wait for a server's links of one class. Clients are served round robin, so that many deliveries of one
+/// client do not delay a single delivery of another.
 #[derive(Default)]
 pub struct FairQueue {
-    turns: VecDeque<Token>,
-    by_client: Map<Token, VecDeque<RequestId>>,
+    /// The clients with waiting requests; the first is served next.
+    round_robin: VecDeque<Token>,
+    /// Each client's requests, oldest first; never empty.
+    by_client: FastHashMap<Token, VecDeque<RequestId>>,
     len: usize,
 }
 
@@ -19,21 +21,21 @@
     pub fn push(&mut self, client: Token, request_id: RequestId) {
         let queue = self.by_client.entry(client).or_default();
         if queue.is_empty() {
-            self.turns.push_back(client);
+            self.round_robin.push_back(client);
         }
         queue.push_back(request_id);
         self.len += 1;
     }
 
-    /// Removes and gives the next request.
+    /// Removes and returns the next request.
     pub fn pop(&mut self) -> Option<RequestId> {
-        let client = self.turns.pop_front()?;
+        let client = self.round_robin.pop_front()?;
         let queue = self.by_client.get_mut(&client)?;
         let request_id = queue.pop_front();
         if queue.is_empty() {
             self.by_client.remove(&client);
         } else {
-            self.turns.push_back(client);
+            self.round_robin.push_back(client);
         }
         self.len -= usize::from(request_id.is_some());
         request_id
@@ -47,7 +49,7 @@
         self.len -= before - queue.len();
         if queue.is_empty() {
             self.by_client.remove(&client);
-            self.turns.retain(|waiting| *waiting != client);
+            self.round_robin.retain(|waiting| *waiting != client);
         }
     }
 
@@ -56,7 +58,7 @@
         self.len == 0
     }
 
-    /// Removes all requests and gives them in the order of their turns.
+    /// Removes all requests and returns them in the order in which they would have been served.
     pub fn drain(&mut self) -> Vec<RequestId> {
         std::iter::from_fn(|| self.pop()).collect()
     }
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -68,6 +68,15 @@
     }
 }
 
+/// What the transport of a client's connection offers to its authentication.
+#[derive(Clone, Copy, Debug)]
+pub struct TransportSecurity {
+    /// Passwords may be sent as they are.
+    pub allows_plain: bool,
+    /// The client is asked for a certificate, which can authenticate it.
+    pub requests_certificate: bool,
+}
+
 /// All users of a users' file.
 #[derive(Clone, Debug, Default)]
 pub struct Users {
@@ -78,6 +87,9 @@
 
 impl Users {
     /// Reads the users' file.
+    ///
+    /// # Errors
+    /// The file cannot be read, or an entry is wrong: the error names the file and the field.
     pub fn read(path: &Path) -> Result<Users, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
         let file: UsersFile = crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?;
@@ -92,13 +104,12 @@
         Ok(users)
     }
 
-    /// The SASL mechanisms offered to a client. `plain`: passwords may be sent as they are; `external`: the transport
-    /// can authenticate the client.
-    pub fn mechanisms(&self, plain: bool, external: bool) -> Vec<Mechanism> {
+    /// The SASL mechanisms offered to a client.
+    pub fn mechanisms(&self, transport: TransportSecurity) -> Vec<Mechanism> {
         let is_offered = |mechanism: &Mechanism| match mechanism {
-            Mechanism::External => external,
+            Mechanism::External => transport.requests_certificate,
             Mechanism::ScramSha256 => !self.keys.is_empty(),
-            Mechanism::Plain => plain && !self.keys.is_empty(),
+            Mechanism::Plain => transport.allows_plain && !self.keys.is_empty(),
             Mechanism::Anonymous => self.anonymous.is_some(),
         };
         Mechanism::ALL.into_iter().filter(is_offered).collect()
@@ -158,7 +169,10 @@
     }
 }
 
-/// Adds a user to a users' file or replaces it there. The file is created where it is absent, and replaced atomically.
+/// Adds a user to a users' file or replaces it there. The file is created if it is absent, and replaced atomically.
+///
+/// # Errors
+/// The file cannot be read or written, or is not a users' file, or the system has no random numbers.
 pub fn add_user(path: &Path, user: &str, password: &str, rights: Rights) -> Result<(), FileError> {
     let mut file: UsersFile = match std::fs::read_to_string(path) {
         Ok(text) => crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?,
--- a/src/frontend/amqp/users/tests.rs
+++ b/src/frontend/amqp/users/tests.rs
@@ -1,6 +1,6 @@
 //! The users' file: as version 00677b7 wrote it, and as this version writes it.
 
-use super::{add_user, Rights, Users};
+use super::{add_user, Rights, TransportSecurity, Users};
 use crate::frontend::amqp::password_checks::PasswordChecks;
 use crate::net::token_for_tests as token;
 use sparbank_amqp::Mechanism;
@@ -9,7 +9,7 @@
 /// Whether a user's password is this.
 fn is_valid(users: &Users, user: &str, password: &str) -> bool {
     let mut checks = PasswordChecks::default();
-    assert!(checks.start(token(1), users, user.to_string(), password.as_bytes()));
+    checks.start(token(1), users, user.to_string(), password.as_bytes()).expect("no other check is pending");
     loop {
         if let Some(checked) = checks.step() {
             assert_eq!(checked.user, user);
@@ -32,7 +32,10 @@
     assert!(users.named("carla").is_none() && users.anonymous().is_none());
     assert!(is_valid(&users, "anna", "the password") && is_valid(&users, "bruno", "other"));
     assert!(!is_valid(&users, "anna", "other") && !is_valid(&users, "carla", "other"));
-    assert_eq!(users.mechanisms(false, false), [Mechanism::ScramSha256]);
+    assert_eq!(
+        users.mechanisms(TransportSecurity { allows_plain: false, requests_certificate: false }),
+        [Mechanism::ScramSha256]
+    );
 }
 
 #[test]
