--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -4,9 +4,7 @@
 //! requests of received transfers. The rest is called with what becomes of a request: its attempts at servers, its answer,
 //! and the loss of the client or its link.
 
-mod transfers;
-
-pub use transfers::TransferHandler;
+pub mod transfers;
 
 use super::clients::{Client, IncompleteDelivery, SendingLink};
 use super::connection_link::ConnectionLink;
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -1,5 +1,6 @@
 //! The connections to servers, by their sockets.
 
+use super::ended_attempt::EndedAttempt;
 use crate::frontend::amqp::config::AmqpConfig;
 use crate::frontend::amqp::deliveries::Deliveries;
 use crate::frontend::amqp::fast_map::FastHashMap;
@@ -11,8 +12,6 @@
 use crate::requests::FrontendId;
 use sparbank_amqp::{AbandonedDelivery, Connection, Credentials, LinkId, Role};
 
-use super::EndedAttempt;
-
 /// A connection to a server.
 pub struct ServerConnection {
     /// The protocol state.
--- a/src/frontend/amqp/servers/link_placement.rs
+++ b/src/frontend/amqp/servers/link_placement.rs
@@ -2,8 +2,8 @@
 //! link, on as few connections and sessions as the server's limits allow: a long message occupies its link and no other.
 
 use super::connection::{ServerConnections, ServerLink};
+use super::ended_attempt::EndedAttempt;
 use super::server::{SendingLink, Server, WaitingForwarder};
-use super::EndedAttempt;
 use crate::frontend::amqp::class_names::ClassNames;
 use crate::frontend::amqp::config::AmqpConfig;
 use crate::frontend::amqp::connection_link::ConnectionLink;
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -4,12 +4,14 @@
 //! calls [`Servers::flush`]: `link_placement` attaches the links that are needed, `sending` sends deliveries on them.
 
 mod connection;
+mod ended_attempt;
 mod fair_queue;
 mod link_placement;
 mod sending;
 mod server;
 
 pub use connection::{ServerConnection, ServerLink};
+pub use ended_attempt::EndedAttempt;
 
 use super::class_names::ClassNames;
 use super::config::AmqpConfig;
@@ -27,25 +29,6 @@
 use server::{ClassQueue, Server, WaitingForwarder};
 use sparbank_amqp::Attach;
 
-/// An attempt at a server that has ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum EndedAttempt {
-    /// A delivery's attempt.
-    Delivery {
-        /// The request.
-        request_id: RequestId,
-        /// Its outcome.
-        outcome: Outcome,
-    },
-    /// A forwarder's attempt: it got no link.
-    Forwarder {
-        /// The forwarder.
-        id: ForwarderId,
-        /// Its outcome.
-        outcome: Outcome,
-    },
-}
-
 /// What a lost connection leaves behind.
 #[derive(Default)]
 pub struct LostConnection {
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -1,9 +1,9 @@
 //! Sends deliveries to one server, as far as credit, session windows and sockets allow.
 
 use super::connection::ServerConnections;
+use super::ended_attempt::EndedAttempt;
 use super::fair_queue::FairQueue;
 use super::server::{ClassQueue, SendingLink, Server};
-use super::EndedAttempt;
 use crate::frontend::amqp::deliveries::{AttemptStage, Deliveries, Delivery};
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
--- a/src/frontend/amqp/servers/server.rs
+++ b/src/frontend/amqp/servers/server.rs
@@ -1,8 +1,8 @@
 //! What waits at one server, and the links that it waits for.
 
 use super::connection::SaslSupport;
+use super::ended_attempt::EndedAttempt;
 use super::fair_queue::FairQueue;
-use super::EndedAttempt;
 use crate::frontend::amqp::connection_link::ConnectionLink;
 use crate::frontend::amqp::forwarder_id::ForwarderId;
 use crate::model::{Outcome, RequestId};
