--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -26,6 +26,7 @@
 
 /// The server of the admin API.
 pub struct AdminServer {
+    address: SocketAddr,
     /// Callers whose call has not been answered yet.
     callers: HashSet<Token>,
     counts: CallCounts,
@@ -43,11 +44,18 @@
 }
 
 impl AdminServer {
-    /// Listens at an address; also gives the address that the socket is bound to.
-    pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
-        let bound = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
-        let server = AdminServer { callers: HashSet::new(), counts: CallCounts::default() };
-        Ok((server, bound))
+    /// Listens at an address.
+    ///
+    /// # Errors
+    /// Where the address cannot be listened on.
+    pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<AdminServer> {
+        let address = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
+        Ok(AdminServer { address, callers: HashSet::new(), counts: CallCounts::default() })
+    }
+
+    /// The address that the server is bound to.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// Handles an event at one of the server's sockets. A call that is complete now is to be answered with
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -3,9 +3,8 @@
 
 use crate::config::{Config, ConfigError};
 use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFiles, OPTIONAL_FRONTENDS};
-use std::error::Error;
-use std::fmt;
 use std::io;
+use thiserror::Error;
 
 /// A checked configuration, not applied yet.
 pub struct Configuration {
@@ -17,11 +16,17 @@
 
 impl Configuration {
     /// Reads the environment's configuration and the optional frontends' files.
+    ///
+    /// # Errors
+    /// Where any of them cannot be read, or is invalid.
     pub fn read(frontend_files: &FrontendFiles) -> Result<Configuration, ConfigurationError> {
         Ok(Configuration { node: Config::from_env()?, frontends: read_frontend_files(frontend_files)? })
     }
 
-    /// Reads all again for a running node: all of it is valid, or none of it is applied.
+    /// Reads everything again for a running node.
+    ///
+    /// # Errors
+    /// Where any of it cannot be read, or is invalid: nothing is to be applied then.
     pub fn reread(
         running: &Config,
         frontend_files: &FrontendFiles,
@@ -39,13 +44,15 @@
     Ok(parsed)
 }
 
-/// Why a configuration was refused: one line that names the file and the field.
-#[derive(Debug)]
+/// Why a configuration is invalid: one line that names the file and the field.
+#[derive(Debug, Error)]
 pub enum ConfigurationError {
     /// The node's own configuration.
-    Node(ConfigError),
+    #[error(transparent)]
+    Node(#[from] ConfigError),
     /// An optional frontend's file.
-    Frontend(FrontendError),
+    #[error(transparent)]
+    Frontend(#[from] FrontendError),
 }
 
 impl ConfigurationError {
@@ -57,33 +64,3 @@
         }
     }
 }
-
-impl fmt::Display for ConfigurationError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ConfigurationError::Node(error) => error.fmt(f),
-            ConfigurationError::Frontend(error) => error.fmt(f),
-        }
-    }
-}
-
-impl Error for ConfigurationError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            ConfigurationError::Node(error) => Some(error),
-            ConfigurationError::Frontend(error) => Some(error),
-        }
-    }
-}
-
-impl From<ConfigError> for ConfigurationError {
-    fn from(error: ConfigError) -> ConfigurationError {
-        ConfigurationError::Node(error)
-    }
-}
-
-impl From<FrontendError> for ConfigurationError {
-    fn from(error: FrontendError) -> ConfigurationError {
-        ConfigurationError::Frontend(error)
-    }
-}
--- /dev/null
+++ b/src/node/drain.rs
@@ -0,0 +1,119 @@
+//! The steps by which established connections are migrated: in a drain, a handover or a shutdown.
+//!
+//! [`Lifecycle`](crate::lifecycle::Lifecycle) decides how many connections are migrated in each step; this module
+//! starts the steps, executes them, and completes them before the process exits.
+
+use super::executor::Executor;
+use super::frontend_host::FrontendHost;
+use crate::frontend::TimerEvent;
+use crate::lifecycle;
+use crate::rules::{Violation, ViolationContext};
+use sparbank_time::MonotonicTime;
+
+/// Owns the timer of the drain steps.
+#[derive(Debug, Default)]
+pub(super) struct DrainSteps {
+    /// A [`TimerEvent::DrainStep`] is on the timer wheel.
+    is_scheduled: bool,
+}
+
+impl DrainSteps {
+    /// Starts to migrate all clients. False where the node is drained already: nothing changes then.
+    pub(super) fn drain(&mut self, host: &mut FrontendHost, now: MonotonicTime) -> bool {
+        let is_started = host.state.lifecycle.drain(now);
+        if is_started {
+            self.schedule(host);
+        }
+        is_started
+    }
+
+    /// Starts a graceful shutdown; a second call changes nothing.
+    pub(super) fn shut_down(&mut self, host: &mut FrontendHost) {
+        let state = &mut host.state;
+        let (now, longest_deadline) = (state.now(), state.longest_deadline());
+        if !state.lifecycle.shut_down(now, longest_deadline) {
+            return;
+        }
+        tracing::info!(established_connections = state.established_connections(), "shutting down");
+        if let Some(quotas) = &mut state.requests.quotas {
+            quotas.shut_down();
+        }
+        self.schedule(host);
+    }
+
+    /// A successor serves: this process migrates what it cannot transfer.
+    pub(super) fn hand_over(&mut self, host: &mut FrontendHost) {
+        let state = &mut host.state;
+        let (now, longest_deadline) = (state.now(), state.longest_deadline());
+        state.lifecycle.hand_over(now, longest_deadline);
+        state.requests.counters.handovers += 1;
+        let established_connections = state.established_connections();
+        tracing::info!(established_connections, "handover to successor started");
+        self.schedule(host);
+    }
+
+    /// Starts the steps, unless they run. They stop where the lifecycle has no further step.
+    fn schedule(&mut self, host: &mut FrontendHost) {
+        if !self.is_scheduled {
+            self.is_scheduled = true;
+            host.state.wheel.schedule(host.state.now(), TimerEvent::DrainStep);
+        }
+    }
+
+    /// Executes one step: migrates as many established connections as it takes for all to be migrated in time, and
+    /// fails requests that have waited too long.
+    pub(super) fn step(&mut self, executor: &mut Executor) {
+        let (now, established) = (executor.host.state.now(), executor.host.state.requests.established());
+        let Some(step) = executor.host.state.lifecycle.migration_step(now, established.len()) else {
+            self.is_scheduled = false;
+            return;
+        };
+        if step.started {
+            executor.host.for_each(|frontend, ctx| frontend.on_drain_step(ctx));
+        }
+        if let Some(abandon_before) = step.abandon_before {
+            let commands = executor.host.state.requests.fail_unanswered(now, abandon_before);
+            executor.execute_all(now, commands);
+        }
+        for request_id in established.into_iter().take(step.migrations) {
+            executor.migrate_established(now, request_id);
+        }
+        let next_step_at = now + lifecycle::MIGRATION_STEP_INTERVAL;
+        executor.host.state.wheel.schedule(next_step_at, TimerEvent::DrainStep);
+    }
+}
+
+/// Whether the process is to exit now.
+pub(super) fn should_exit(host: &FrontendHost) -> bool {
+    let state = &host.state;
+    if !state.lifecycle.is_shutting_down() {
+        return false;
+    }
+    // The exit resets connections that are still closing, and a reset may destroy the MOVE that a client has not
+    // read yet.
+    let is_idle = host.is_idle() && state.net.all_closes_complete();
+    state.lifecycle.should_exit(state.now(), is_idle)
+}
+
+/// Leaves nothing open before the exit: requests without an answer fail, and established connections are migrated.
+pub(super) fn settle_before_exit(executor: &mut Executor) {
+    executor.host.for_each(|frontend, ctx| {
+        ctx.shutting_down = true;
+        frontend.on_drain_step(ctx);
+    });
+    let now = executor.host.state.now();
+    let commands = executor.host.state.requests.fail_unanswered(now, MonotonicTime::MAX);
+    executor.execute_all(now, commands);
+    for request_id in executor.host.state.requests.established() {
+        executor.migrate_established(now, request_id);
+    }
+    executor.run_balancer();
+}
+
+/// Checks that nothing is open where the process ends.
+pub(super) fn check_exit(host: &mut FrontendHost) {
+    if !host.is_idle() {
+        let open = host.state.established_connections();
+        host.state.requests.violations.record(Violation::OpenAtExit, ViolationContext::Exit { open });
+    }
+}
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -5,70 +5,38 @@
 use crate::handover::PassedListenerError;
 use crate::model::SettingsError;
 use crate::quota::QuotaFileError;
-use std::error::Error;
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
+use thiserror::Error;
 
 /// Why nothing was started: something that was configured is wrong.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum PrepareError {
     /// The configuration, or an optional frontend's file.
-    Configuration(ConfigurationError),
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
     /// The file of the fleet-wide quotas.
-    Quota(QuotaFileError),
+    #[error(transparent)]
+    Quota(#[from] QuotaFileError),
     /// The listening socket that the platform passes.
-    PassedListener(PassedListenerError),
-}
-
-impl fmt::Display for PrepareError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            PrepareError::Configuration(error) => error.fmt(f),
-            PrepareError::Quota(error) => error.fmt(f),
-            PrepareError::PassedListener(error) => error.fmt(f),
-        }
-    }
-}
-
-impl Error for PrepareError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            PrepareError::Configuration(error) => Some(error),
-            PrepareError::Quota(error) => Some(error),
-            PrepareError::PassedListener(error) => Some(error),
-        }
-    }
-}
-
-impl From<ConfigurationError> for PrepareError {
-    fn from(error: ConfigurationError) -> PrepareError {
-        PrepareError::Configuration(error)
-    }
-}
-
-impl From<QuotaFileError> for PrepareError {
-    fn from(error: QuotaFileError) -> PrepareError {
-        PrepareError::Quota(error)
-    }
-}
-
-impl From<PassedListenerError> for PrepareError {
-    fn from(error: PassedListenerError) -> PrepareError {
-        PrepareError::PassedListener(error)
-    }
+    #[error(transparent)]
+    PassedListener(#[from] PassedListenerError),
 }
 
 /// Why a node could not start serving, or had to stop.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub enum ServeError {
     /// Sockets cannot be polled.
-    Poll(io::Error),
+    #[error("epoll: {0}")]
+    Poll(#[source] io::Error),
     /// Signals cannot be received.
-    Signals(io::Error),
-    /// The balancer refuses the settings.
-    Settings(SettingsError),
+    #[error("signals: {0}")]
+    Signals(#[source] io::Error),
+    /// The balancer rejects the settings.
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
     /// The admin API's address.
+    #[error("operator: {address}: {source}")]
     AdminListen {
         /// The address.
         address: SocketAddr,
@@ -76,12 +44,16 @@
         source: io::Error,
     },
     /// The clients' address.
-    Listen(io::Error),
+    #[error("listen: {0}")]
+    Listen(#[source] io::Error),
     /// An optional frontend.
-    Frontend(FrontendError),
+    #[error(transparent)]
+    Frontend(#[from] FrontendError),
     /// The export of flow records.
-    FlowExport(io::Error),
+    #[error("ipfix: {0}")]
+    FlowExport(#[source] io::Error),
     /// The lease protocol's address.
+    #[error("--fleet: members[{member}].address: {source}")]
     LeaseTransport {
         /// This node's index among the members of the quota file.
         member: usize,
@@ -89,48 +61,3 @@
         source: io::Error,
     },
 }
-
-impl fmt::Display for ServeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ServeError::Poll(error) => write!(f, "epoll: {error}"),
-            ServeError::Signals(error) => write!(f, "signals: {error}"),
-            ServeError::Settings(error) => error.fmt(f),
-            ServeError::AdminListen { address, source } => write!(f, "operator: {address}: {source}"),
-            ServeError::Listen(error) => write!(f, "listen: {error}"),
-            ServeError::Frontend(error) => error.fmt(f),
-            ServeError::FlowExport(error) => write!(f, "ipfix: {error}"),
-            ServeError::LeaseTransport { member, source } => {
-                write!(f, "--fleet: members[{member}].address: {source}")
-            }
-        }
-    }
-}
-
-impl Error for ServeError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            ServeError::Poll(error)
-            | ServeError::Signals(error)
-            | ServeError::Listen(error)
-            | ServeError::FlowExport(error) => Some(error),
-            ServeError::AdminListen { source, .. } | ServeError::LeaseTransport { source, .. } => {
-                Some(source)
-            }
-            ServeError::Settings(error) => Some(error),
-            ServeError::Frontend(error) => Some(error),
-        }
-    }
-}
-
-impl From<SettingsError> for ServeError {
-    fn from(error: SettingsError) -> ServeError {
-        ServeError::Settings(error)
-    }
-}
-
-impl From<FrontendError> for ServeError {
-    fn from(error: FrontendError) -> ServeError {
-        ServeError::Frontend(error)
-    }
-}
--- /dev/null
+++ b/src/node/frontend_host.rs
@@ -0,0 +1,59 @@
+//! The frontends together with the state that they work on.
+
+use super::state::NodeState;
+use crate::frontend::{Frontend, FrontendContext, Frontends, TransferredConnection};
+use crate::requests::FrontendId;
+use std::any::Any;
+
+/// Owns the frontends and calls them, each time with a context of the shared state.
+pub(super) struct FrontendHost {
+    pub(super) state: NodeState,
+    frontends: Frontends,
+}
+
+impl FrontendHost {
+    /// Hosts frontends that have been opened.
+    pub(super) fn new(state: NodeState, frontends: Frontends) -> FrontendHost {
+        FrontendHost { state, frontends }
+    }
+
+    /// Calls the frontend with this id. None where there is no such frontend.
+    pub(super) fn call<R>(
+        &mut self,
+        id: FrontendId,
+        call: impl FnOnce(&mut dyn Frontend, &mut FrontendContext) -> R,
+    ) -> Option<R> {
+        let frontend = self.frontends.get(id)?;
+        Some(call(frontend, &mut self.state.frontend_context()))
+    }
+
+    /// Calls every frontend, in the order of their ids.
+    pub(super) fn for_each(&mut self, mut call: impl FnMut(&mut dyn Frontend, &mut FrontendContext)) {
+        for frontend in self.frontends.all() {
+            call(frontend.as_mut(), &mut self.state.frontend_context());
+        }
+    }
+
+    /// Has the frontend of this name continue a connection of another process. Without such a frontend the connection
+    /// is closed.
+    pub(super) fn receive_connection(&mut self, frontend: &str, connection: TransferredConnection) {
+        if let Some(id) = self.frontends.id_by_name(frontend) {
+            self.call(id, |frontend, ctx| frontend.receive_connection(ctx, connection));
+        }
+    }
+
+    /// Applies a newer configuration file to an optional frontend. Returns the fields that need a restart.
+    pub(super) fn reload(&mut self, which: usize, file: Box<dyn Any>) -> Vec<&'static str> {
+        self.frontends.reload(which, file)
+    }
+
+    /// Whether there is neither an open request nor a client.
+    pub(super) fn is_idle(&self) -> bool {
+        self.state.requests.is_idle() && self.frontends.are_idle()
+    }
+
+    /// The log lines of the frontends' own counters.
+    pub(super) fn counter_lines(&self) -> Vec<String> {
+        self.frontends.counter_lines()
+    }
+}
--- /dev/null
+++ b/src/node/handover.rs
@@ -0,0 +1,138 @@
+//! Handover between two processes of this node (hot restart): the steps of the successor and of the predecessor.
+
+use super::drain::DrainSteps;
+use super::executor::Executor;
+use super::frontend_host::FrontendHost;
+use crate::frontend::{TransferredConnection, TEXT_FRONTEND};
+use crate::handover::{self, FrontendConnection, Handover, HandoverEvent, StateSnapshot};
+use crate::net::SocketEvent;
+
+/// Owns the links to the predecessor and the successor, where the platform allows for a handover.
+pub(super) struct HandoverSteps {
+    handover: Option<Handover>,
+}
+
+impl HandoverSteps {
+    /// Executes what these links ask for.
+    pub(super) fn new(handover: Option<Handover>) -> HandoverSteps {
+        HandoverSteps { handover }
+    }
+
+    /// Handles an event at a socket between the two processes.
+    pub(super) fn on_socket_event(
+        &mut self,
+        executor: &mut Executor,
+        drain_steps: &mut DrainSteps,
+        event: SocketEvent,
+    ) {
+        let Some(handover) = &mut self.handover else { return };
+        let events = handover.on_socket_event(&mut executor.host.state.net, event);
+        self.on_handover_events(executor, drain_steps, events);
+    }
+
+    fn on_handover_events(
+        &mut self,
+        executor: &mut Executor,
+        drain_steps: &mut DrainSteps,
+        events: Vec<HandoverEvent>,
+    ) {
+        for event in events {
+            match event {
+                HandoverEvent::StateRequested => self.send_state(executor, drain_steps),
+                HandoverEvent::SuccessorReady => {
+                    executor.host.state.net.set_accepting(false);
+                    drain_steps.hand_over(&mut executor.host);
+                }
+                HandoverEvent::SuccessorLost { unsent } => on_successor_lost(executor, unsent),
+                HandoverEvent::ConnectionReceived { received, predecessor_descriptors } => {
+                    limit_beside_predecessor(&mut executor.host, predecessor_descriptors);
+                    receive_connection(&mut executor.host, received);
+                }
+                HandoverEvent::PredecessorExited => {
+                    limit_beside_predecessor(&mut executor.host, 0);
+                    let established_connections = executor.host.state.established_connections();
+                    tracing::info!(established_connections, "handover from predecessor complete");
+                }
+            }
+        }
+    }
+
+    /// Sends the successor this node's state, its frontends' listening sockets and the discovery watch.
+    fn send_state(&mut self, executor: &mut Executor, drain_steps: &mut DrainSteps) {
+        let state = &mut executor.host.state;
+        let snapshot = StateSnapshot {
+            is_drained: !state.lifecycle.accepts_clients(),
+            endpoint_list: state.registry.snapshot(),
+            balancer_state: state.requests.state_snapshot(),
+            open_descriptors: state.net.descriptors_in_use(),
+            clock: Some(state.now()),
+        };
+        let listeners = state.net.listeners_except(TEXT_FRONTEND);
+        let watch = executor.endpoints.release(&mut state.net);
+        let Some(handover) = &mut self.handover else { return };
+        let events = handover.send_state(&mut state.net, &snapshot, listeners, watch);
+        self.on_handover_events(executor, drain_steps, events);
+    }
+
+    /// Transfers to the successor the connections that can be transferred by now.
+    pub(super) fn transfer_connections(&mut self, executor: &mut Executor, drain_steps: &mut DrainSteps) {
+        while let Some(handover) = self.handover.as_mut().filter(|handover| handover.can_transfer()) {
+            let connections = take_transferable_connections(&mut executor.host);
+            if connections.is_empty() {
+                return;
+            }
+            let net = &mut executor.host.state.net;
+            let events = handover.transfer(net, TEXT_FRONTEND.name, connections);
+            self.on_handover_events(executor, drain_steps, events);
+            executor.run_balancer();
+        }
+    }
+}
+
+/// Restores what the predecessor knew. The balancer has been passed the predecessor's endpoint list before.
+pub(super) fn restore_snapshot(
+    host: &mut FrontendHost,
+    drain_steps: &mut DrainSteps,
+    snapshot: &StateSnapshot,
+) {
+    if let Err(error) = host.state.requests.restore_state(&snapshot.balancer_state) {
+        tracing::warn!(%error, "predecessor's state is unreadable");
+    }
+    if snapshot.is_drained {
+        drain_steps.drain(host, host.state.now());
+    }
+    host.state.requests.counters.handovers += 1;
+    limit_beside_predecessor(host, snapshot.open_descriptors);
+    tracing::info!(
+        drained = snapshot.is_drained,
+        predecessor_descriptors = snapshot.open_descriptors,
+        "handover from predecessor started"
+    );
+}
+
+/// Limits this process's descriptors so that, with the predecessor's, they stay within the node's limit.
+fn limit_beside_predecessor(host: &mut FrontendHost, predecessor_descriptors: usize) {
+    let limit = host.state.config.max_descriptors.saturating_sub(predecessor_descriptors);
+    host.state.net.set_descriptor_limit(limit);
+}
+
+/// The successor is gone: this process accepts clients again.
+fn on_successor_lost(executor: &mut Executor, unsent: Vec<FrontendConnection>) {
+    for connection in unsent {
+        receive_connection(&mut executor.host, connection);
+    }
+    let state = &mut executor.host.state;
+    state.net.set_accepting(true);
+    state.lifecycle.successor_lost(state.now());
+    executor.endpoints.on_successor_lost(&mut executor.host);
+}
+
+fn receive_connection(host: &mut FrontendHost, received: FrontendConnection) {
+    host.receive_connection(&received.frontend, received.connection);
+}
+
+fn take_transferable_connections(host: &mut FrontendHost) -> Vec<TransferredConnection> {
+    let limit = handover::CONNECTIONS_PER_ITERATION;
+    let connections = host.call(TEXT_FRONTEND, |frontend, ctx| frontend.hand_over_connections(ctx, limit));
+    connections.unwrap_or_default()
+}
--- /dev/null
+++ b/src/node/prepared.rs
@@ -0,0 +1,62 @@
+//! A node that can be started: its configuration has been read and checked.
+
+use super::configuration::Configuration;
+use super::shortage_retry::{is_shortage, retry_while_short};
+use super::signals::SignalPipes;
+use super::{startup, Options, PrepareError, ServeError};
+use crate::frontend::FrontendFiles;
+use crate::handover;
+use crate::quota::{self, QuotaMembership};
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+
+/// A node whose configuration has been read and checked, and which has opened no socket yet.
+pub struct PreparedNode {
+    /// The signals' handlers, or why there are none.
+    pub(super) signals: io::Result<SignalPipes>,
+    pub(super) configuration: Configuration,
+    pub(super) frontend_files: FrontendFiles,
+    pub(super) flow_collector: Option<SocketAddr>,
+    pub(super) quota_membership: Option<QuotaMembership>,
+    /// The clients' listening socket, where the platform passes it.
+    pub(super) passed_listener: Option<OwnedFd>,
+}
+
+impl PreparedNode {
+    /// Installs the signal handlers, and reads and checks all that is configured.
+    ///
+    /// # Errors
+    /// Where anything that is configured is invalid: nothing is started then.
+    pub fn prepare(options: Options) -> Result<PreparedNode, PrepareError> {
+        let signals = retry_while_short(SignalPipes::install, is_shortage);
+        let configuration = retry_while_short(
+            || Configuration::read(&options.frontend_files),
+            |error| error.io_error().is_some_and(is_shortage),
+        )?;
+        let quota_membership = match &options.quota_file {
+            Some(file) => {
+                let config = &configuration.node;
+                Some(quota::load_membership(file, &config.name, config.max_descriptors)?)
+            }
+            None => None,
+        };
+        let passed_listener = handover::passed_listener()?;
+        Ok(PreparedNode {
+            signals,
+            configuration,
+            frontend_files: options.frontend_files,
+            flow_collector: options.flow_collector,
+            quota_membership,
+            passed_listener,
+        })
+    }
+
+    /// Starts the node and serves until it has shut down.
+    ///
+    /// # Errors
+    /// Where a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
+    pub fn serve(self) -> Result<(), ServeError> {
+        startup::start(self)?.run()
+    }
+}
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -1,84 +1,75 @@
-//! What the node reports of itself: trace lines, counters, flow records.
+//! What the node reports about itself: trace events, counters, flow records.
 
-use super::Node;
-use crate::admin::AdminServer;
+use super::admin::AdminCalls;
+use super::executor::Executor;
+use super::quota_leases::QuotaLeases;
+use super::state::NodeState;
+use crate::flow_export::FlowExport;
 use crate::log;
 use crate::requests::AttemptStep;
 use sparbank_time::{DurationExt, MonotonicTime};
 
-impl Node {
-    /// Prints the lines of `--trace` on attempts.
-    pub(super) fn print_trace(&mut self) {
-        for record in self.state.requests.attempt_trace.take() {
-            let server = self.state.registry.entry(record.server).map_or("?", |entry| entry.name());
-            let (request, after_ms) = (record.request_id.0, record.elapsed.as_millis_u64());
-            match record.step {
-                AttemptStep::Established => {
-                    tracing::trace!(request, %server, after_ms, "attempt established")
-                }
-                AttemptStep::Ended(outcome) => {
-                    tracing::trace!(request, %server, ?outcome, after_ms, "attempt ended");
-                }
-            }
-        }
+/// Owns the export of flow records, where it is enabled.
+pub(super) struct FlowReports {
+    export: Option<FlowExport>,
+}
+
+impl FlowReports {
+    /// Reports ended flows to this exporter.
+    pub(super) fn new(export: Option<FlowExport>) -> FlowReports {
+        FlowReports { export }
     }
 
-    /// Prints the node's counters, those of the lease protocol and those of the frontends.
-    pub(super) fn print_counters(&mut self) {
-        let violations = self.state.requests.violations.count();
-        let counters = &mut self.state.requests.counters;
-        counters.invariant_violations = violations;
-        let shortages = self.state.net.shortages();
-        counters.accept_pauses = shortages.accept_pauses;
-        counters.refused_watches = shortages.refused_watches;
-        counters.transfer_pauses = shortages.transfer_pauses;
-        counters.failed_connects = shortages.failed_connects;
-        counters.log_lines_dropped = log::dropped_lines();
-        counters.discovery_polls = self.discovery.watch_requests;
-        counters.stale_lists = self.state.registry.stale_lists;
-        if let Some(calls) = self.admin.as_ref().map(AdminServer::counts) {
-            counters.admin_accepted = calls.succeeded;
-            counters.admin_rejected = calls.failed;
-            counters.admin_incomplete = calls.incomplete;
-        }
-        tracing::info!("{counters}");
-        self.print_quotas();
-        for line in self.frontends.counter_lines() {
-            tracing::info!("{line}");
+    /// Exports the flows that have ended since the last call.
+    pub(super) fn export(&mut self, state: &mut NodeState, now: MonotonicTime) {
+        if let Some(export) = &mut self.export {
+            let flows = state.requests.ended_flows.take();
+            export.send(now, &flows, &state.registry, &state.config.site);
         }
     }
+}
 
-    fn print_quotas(&self) {
-        let Some(transport) = &self.lease_transport else { return };
-        let Some(quotas) = &self.state.requests.quotas else { return };
-        let counters = transport.counters();
-        tracing::info!(
-            lease_remaining_ms = quotas.lease_remaining(self.state.now()).as_millis_u64(),
-            requests = counters.requests,
-            grants = counters.grants,
-            undecodable_frames = counters.undecodable_frames,
-            applied_requests = counters.applied_requests,
-            reclaimed_leases = counters.reclaimed_leases,
-            "quota lease"
-        );
-        for (name, status) in quotas.statuses() {
-            tracing::info!(
-                %name,
-                total = %status.total,
-                floor = %status.floor,
-                allotment = %status.allotment,
-                used = %status.used,
-                rejected = status.rejected,
-                "quota"
-            );
+/// Emits the trace events of attempts since the last call; there are none unless tracing is enabled.
+pub(super) fn trace_attempts(state: &mut NodeState) {
+    for record in state.requests.attempt_trace.take() {
+        let server = state.registry.entry(record.server).map_or("?", |entry| entry.name());
+        let (request, after_ms) = (record.request_id.0, record.elapsed.as_millis_u64());
+        match record.step {
+            AttemptStep::Established => tracing::trace!(request, %server, after_ms, "attempt established"),
+            AttemptStep::Ended(outcome) => {
+                tracing::trace!(request, %server, ?outcome, after_ms, "attempt ended");
+            }
         }
     }
+}
 
-    /// Exports the flows that have ended since the last call.
-    pub(super) fn export_flows(&mut self, now: MonotonicTime) {
-        if let Some(export) = &mut self.flow_export {
-            let flows = self.state.requests.ended_flows.take();
-            export.send(now, &flows, &self.state.registry, &self.state.config.site);
-        }
+/// Logs the node's counters, then those of the lease protocol and those of the frontends.
+pub(super) fn log_counters(executor: &mut Executor, admin: &AdminCalls, leases: &QuotaLeases) {
+    update_counters(executor, admin);
+    tracing::info!("{}", executor.host.state.requests.counters);
+    leases.log(&executor.host.state);
+    for line in executor.host.counter_lines() {
+        tracing::info!("{line}");
+    }
+}
+
+/// Brings the counters up to date that other parts of the node keep.
+fn update_counters(executor: &mut Executor, admin: &AdminCalls) {
+    let state = &mut executor.host.state;
+    let violations = state.requests.violations.count();
+    let counters = &mut state.requests.counters;
+    counters.invariant_violations = violations;
+    let shortages = state.net.shortages();
+    counters.accept_pauses = shortages.accept_pauses;
+    counters.refused_watches = shortages.refused_watches;
+    counters.transfer_pauses = shortages.transfer_pauses;
+    counters.failed_connects = shortages.failed_connects;
+    counters.log_lines_dropped = log::dropped_lines();
+    counters.discovery_polls = executor.endpoints.request_count();
+    counters.stale_lists = state.registry.stale_lists;
+    if let Some(calls) = admin.counts() {
+        counters.admin_accepted = calls.succeeded;
+        counters.admin_rejected = calls.failed;
+        counters.admin_incomplete = calls.incomplete;
     }
 }
--- a/src/node/startup_retry.rs
+++ b/src/node/shortage_retry.rs
@@ -1,5 +1,6 @@
-//! Steps of the start-up that meet a shortage of this machine: they are repeated for a while, since a node that does not
-//! start is a node that is gone.
+//! Retries start-up steps that fail because this machine is short of descriptors or memory.
+//!
+//! A shortage passes, while a node that has given up stays away.
 
 use rustix::io::Errno;
 use std::io;
@@ -10,13 +11,13 @@
 const MAX_WAIT: Duration = Duration::from_secs(8);
 const RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether the machine is short of descriptors or memory, which passes.
+/// Whether an error says that the machine is short of descriptors or memory.
 pub(super) fn is_shortage(error: &io::Error) -> bool {
     let shortages = [Errno::MFILE, Errno::NFILE, Errno::NOBUFS, Errno::NOMEM];
     Errno::from_io_error(error).is_some_and(|errno| shortages.contains(&errno))
 }
 
-/// Carries a step out, again and again while it fails for a shortage.
+/// Executes a step, and retries it while it fails for a shortage.
 ///
 /// # Errors
 /// Any other error at once, and a shortage that lasts.
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -1,7 +1,5 @@
-//! Signals, received as readable sockets: SIGTERM and SIGINT shut the node down, SIGUSR1 prints the counters, SIGHUP
-//! reloads the configuration.
+//! Signals, received as readable sockets.
 
-use super::Node;
 use crate::net::{SocketOwner, SocketReactor, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::io;
@@ -12,7 +10,7 @@
 /// anything is read, since until then each of these signals kills the process; what arrives waits in its socket.
 pub(super) struct SignalPipes {
     shutdown: OwnedFd,
-    print_counters: OwnedFd,
+    log_counters: OwnedFd,
     reload: OwnedFd,
 }
 
@@ -24,7 +22,7 @@
     pub(super) fn install() -> io::Result<SignalPipes> {
         Ok(SignalPipes {
             shutdown: install(&[SIGTERM, SIGINT])?,
-            print_counters: install(&[SIGUSR1])?,
+            log_counters: install(&[SIGUSR1])?,
             reload: install(&[SIGHUP])?,
         })
     }
@@ -39,52 +37,52 @@
     Ok(OwnedFd::from(reader))
 }
 
+/// What a signal asks for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum SignalRequest {
+    /// SIGTERM or SIGINT: shut down gracefully.
+    ShutDown,
+    /// SIGUSR1: log the counters.
+    LogCounters,
+    /// SIGHUP: read the configuration again.
+    Reload,
+}
+
 /// The sockets that become readable when a signal arrives.
 pub(super) struct SignalSockets {
     shutdown: Token,
-    print_counters: Token,
+    log_counters: Token,
     reload: Token,
 }
 
 impl SignalSockets {
     /// Watches the signals' sockets.
+    ///
+    /// # Errors
+    /// Where a socket cannot be added to the epoll set.
     pub(super) fn register(net: &mut SocketReactor, pipes: SignalPipes) -> io::Result<SignalSockets> {
         let mut register = |pipe| net.register_reader(pipe, SocketOwner::Signal);
         Ok(SignalSockets {
             shutdown: register(pipes.shutdown)?,
-            print_counters: register(pipes.print_counters)?,
+            log_counters: register(pipes.log_counters)?,
             reload: register(pipes.reload)?,
         })
     }
-}
 
-impl Node {
-    /// A signal has arrived, perhaps several times.
-    pub(super) fn on_signal(&mut self, token: Token) {
-        if let Some(input) = self.state.net.input_buffer(token) {
+    /// Reads a readable socket. The result is what its signal, which may have arrived several times, asks for.
+    pub(super) fn receive(&self, net: &mut SocketReactor, token: Token) -> Option<SignalRequest> {
+        if let Some(input) = net.input_buffer(token) {
             input.clear();
         }
-        self.state.net.update_interest(token);
-        if token == self.signals.print_counters {
-            self.print_counters();
-        } else if token == self.signals.reload {
-            self.reload();
-        } else if token == self.signals.shutdown {
-            self.shut_down();
-        }
-    }
-
-    /// Begins a graceful shutdown, once.
-    fn shut_down(&mut self) {
-        let (now, longest_deadline) = (self.state.now(), self.state.longest_deadline());
-        if !self.state.lifecycle.shut_down(now, longest_deadline) {
-            return;
-        }
-        let established_connections = self.state.requests.established().len();
-        tracing::info!(established_connections, "shutting down");
-        if let Some(quotas) = &mut self.state.requests.quotas {
-            quotas.shut_down();
+        net.update_interest(token);
+        if token == self.log_counters {
+            Some(SignalRequest::LogCounters)
+        } else if token == self.reload {
+            Some(SignalRequest::Reload)
+        } else if token == self.shutdown {
+            Some(SignalRequest::ShutDown)
+        } else {
+            None
         }
-        self.schedule_drain_steps();
     }
 }
--- /dev/null
+++ b/src/node/state.rs
@@ -0,0 +1,65 @@
+//! The state of the node that its parts and the frontends share.
+
+use super::clock::Clock;
+use crate::config::Config;
+use crate::discovery::EndpointRegistry;
+use crate::frontend::{FrontendContext, TimerEvent};
+use crate::lifecycle::Lifecycle;
+use crate::net::{SocketReactor, TimerWheel};
+use crate::requests::RequestTable;
+use sparbank_time::MonotonicTime;
+use std::time::Duration;
+
+/// What frontends work on, through a [`FrontendContext`] for each call, and the node's parts directly.
+///
+/// Each field keeps its own invariants; the parts of the node borrow several of them at once.
+pub(super) struct NodeState {
+    pub(super) clock: Clock,
+    pub(super) net: SocketReactor,
+    pub(super) requests: RequestTable,
+    pub(super) registry: EndpointRegistry,
+    pub(super) wheel: TimerWheel<TimerEvent>,
+    pub(super) config: Config,
+    pub(super) lifecycle: Lifecycle,
+}
+
+impl NodeState {
+    /// The present time on the node's clock.
+    pub(super) fn now(&self) -> MonotonicTime {
+        self.clock.now()
+    }
+
+    /// Reads both clocks, so that a step of the wall clock, by which discovery reports when servers started, is
+    /// noticed. Returns the node's time.
+    pub(super) fn observe_clocks(&mut self) -> MonotonicTime {
+        let now = self.now();
+        self.registry.observe_clocks(now, Clock::wall());
+        now
+    }
+
+    /// The context for one call of a frontend.
+    pub(super) fn frontend_context(&mut self) -> FrontendContext<'_> {
+        let now = self.now();
+        FrontendContext {
+            now,
+            net: &mut self.net,
+            requests: &mut self.requests,
+            registry: &self.registry,
+            wheel: &mut self.wheel,
+            site: &self.config.site,
+            classes: &self.config.settings.classes,
+            accepts_clients: self.lifecycle.accepts_clients(),
+            shutting_down: self.lifecycle.is_closing(now),
+        }
+    }
+
+    /// The longest deadline of any request class.
+    pub(super) fn longest_deadline(&self) -> Duration {
+        self.config.settings.classes.iter().map(|class| class.hard_limit).max().unwrap_or_default()
+    }
+
+    /// The number of established connections.
+    pub(super) fn established_connections(&self) -> usize {
+        self.requests.established().len()
+    }
+}
