--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The admin API: operators' calls over HTTP/1.1, one to a connection, on the event loop.
+//! The admin API: calls over HTTP/1.1, one on each connection.
 //!
-//! Callers have reserved descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a
-//! further caller closes the one that has been idle longest. The event loop executes the calls.
+//! [`AdminServer`] reads calls and writes responses on the event loop; the node executes the calls. Callers have reserved
+//! descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a further caller evicts
+//! the one that has been idle longest.
 
 mod request;
 mod response;
@@ -18,14 +19,14 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Callers at a time; each has a reserved descriptor.
+/// Connections at a time; each has a reserved descriptor.
 const MAX_CALLERS: usize = 8;
-/// A call that is not complete after this is answered as such. Operators expect the answer to a complete one within
-/// 1 s.
+/// A call that is not complete after this time is answered with an error.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The server of the admin API.
 pub struct AdminServer {
+    /// The address that the listener is bound to.
     address: SocketAddr,
     /// Callers whose call has not been answered yet.
     callers: HashSet<Token>,
@@ -53,7 +54,7 @@
         Ok(AdminServer { address, callers: HashSet::new(), counts: CallCounts::default() })
     }
 
-    /// The address that the server is bound to.
+    /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -108,7 +109,7 @@
         None
     }
 
-    /// The time for a call is over.
+    /// Answers a call that is not complete at its time-out.
     pub fn on_timeout(&mut self, net: &mut SocketReactor, token: Token) {
         if self.callers.contains(&token) {
             self.respond(net, token, &Response::new(408, "no whole call came"));
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -7,10 +7,10 @@
 /// The most header fields of a request.
 const MAX_HEADER_FIELDS: usize = 32;
 
-/// What an operator calls for.
+/// A call of the admin API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Whether this process can serve.
+    /// Report whether this process can serve.
     Ready,
     /// Migrate all clients, and accept no others.
     Drain,
@@ -18,7 +18,7 @@
     Resume,
 }
 
-/// Where a call is found, and the one method that it takes.
+/// The path of a call, and the one method that it allows.
 struct Route {
     path: &'static str,
     method: &'static str,
@@ -31,18 +31,18 @@
     Route { path: "/-/resume", method: "POST", call: AdminCall::Resume },
 ];
 
-/// What the bytes received so far are.
+/// The result of parsing the bytes received so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ParsedHead {
     /// The head is not complete yet.
     Incomplete,
     /// A call.
     Call(AdminCall),
-    /// No call: this is the response to it.
+    /// Not a call: this is the response to it.
     Rejected(Response),
 }
 
-/// Parses what has been received of a request. A body, which no call needs, is ignored.
+/// Parses the head of a request as far as it has been received. A body, which no call needs, is ignored.
 pub fn parse(bytes: &[u8]) -> ParsedHead {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -1,13 +1,13 @@
 //! The response to a call, as HTTP/1.1 (RFC 9112). No I/O.
 
-/// A response: a status and one line of text. After it the connection ends.
+/// A response: a status and one line of text. The connection is closed after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
     /// HTTP status: 2xx is success, all else failure.
     pub status: u16,
     /// One short line.
     pub text: String,
-    /// The method that the path takes, where the request had another one.
+    /// The method that the path allows, where the request had another one.
     allowed_method: Option<&'static str>,
 }
 
--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -7,12 +7,12 @@
     ReturnFlags, SendAncillaryBuffer, SendAncillaryMessage, SendFlags, SocketAddrUnix, SocketFlags,
     SocketType,
 };
-use std::fmt;
 use std::io::{self, IoSlice, IoSliceMut};
 use std::mem::MaybeUninit;
 use std::os::fd::OwnedFd;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use thiserror::Error;
 
 /// The longest message: the buffers of two connections, in base64, and their state.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
@@ -33,30 +33,21 @@
 }
 
 /// Why a message was not sent or received.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ChannelError {
-    /// The socket takes or has nothing now, or a blocking call timed out.
+    /// The socket cannot send or has nothing to receive now, or a blocking call timed out.
+    #[error("the handover socket would block")]
     WouldBlock,
     /// The other process is gone, or what it sent is no message.
+    #[error("the handover socket is closed")]
     Closed,
 }
 
-impl fmt::Display for ChannelError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ChannelError::WouldBlock => write!(f, "the handover socket would block"),
-            ChannelError::Closed => write!(f, "the handover socket is closed"),
-        }
-    }
-}
-
-impl std::error::Error for ChannelError {}
-
 /// The path of a node's handover socket: in `$TMPDIR`, by the node's name. None where there is no such folder.
 pub fn socket_path(node_name: &str) -> Option<PathBuf> {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     let name: String = node_name.chars().map(|c| if is_plain(c) { c } else { '_' }).collect();
-    // The name is that of earlier versions: an older process listens there.
+    // The file name is part of the protocol: a process of an earlier version listens there.
     let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
     if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
         tracing::warn!(error = %"TMPDIR is too long for a socket's path", "handover disabled");
@@ -65,7 +56,10 @@
     Some(path)
 }
 
-/// Listens at a path for the successor of this process. What another process left there is replaced.
+/// Listens at a path for the successor of this process. The socket of an earlier process is replaced.
+///
+/// # Errors
+/// Where the system refuses the socket, or the path.
 pub fn listen(path: &Path) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?;
     match std::fs::remove_file(path) {
@@ -88,6 +82,9 @@
 
 /// Connects to the process that listens at a path. The socket blocks: [`send`] and [`receive`] on it return within
 /// `timeout`.
+///
+/// # Errors
+/// Where nothing listens at the path.
 pub fn connect(path: &Path, timeout: Duration) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC)?;
     sockopt::set_socket_timeout(&fd, sockopt::Timeout::Recv, Some(timeout))?;
@@ -100,7 +97,10 @@
     Ok(rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Sends one message, complete or not at all.
+/// Sends one message, completely or not at all.
+///
+/// # Errors
+/// [`ChannelError::WouldBlock`] where it can be sent later.
 pub fn send(fd: impl AsFd, message: &FramedMessage) -> Result<(), ChannelError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = SendAncillaryBuffer::new(&mut space);
@@ -120,6 +120,9 @@
 }
 
 /// Receives one message.
+///
+/// # Errors
+/// [`ChannelError::WouldBlock`] where none has arrived, [`ChannelError::Closed`] also for a truncated one.
 pub fn receive(fd: impl AsFd) -> Result<FramedMessage, ChannelError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,44 +1,29 @@
-//! What both roles share: reading the messages of the handover socket on the event loop.
+//! What the links to the predecessor and to the successor share: reading the messages of the handover socket.
 
 use super::channel::{self, ChannelError};
 use super::message::{Message, MessageError};
 use super::{HandoverEvent, CONNECTIONS_PER_ITERATION};
 use crate::net::{SocketReactor, Token};
-use std::fmt;
+use std::os::fd::OwnedFd;
+use thiserror::Error;
 
 /// Why the link to the other process ends.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 pub(super) enum LinkError {
     /// The other process is gone, or sent no message.
+    #[error("ended")]
     Closed,
-    /// It sent a message that cannot be read.
-    Message(MessageError),
+    /// It sent a message that cannot be decoded.
+    #[error(transparent)]
+    Message(#[from] MessageError),
     /// It is gone, or its socket fails.
+    #[error("it does not read")]
     NotReading,
-    /// It sent a message that it may not send, or not now.
+    /// It sent a message that it may not send, or not at this stage.
+    #[error("unexpected message")]
     UnexpectedMessage,
 }
 
-impl fmt::Display for LinkError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            LinkError::Closed => write!(f, "ended"),
-            LinkError::Message(error) => write!(f, "{error}"),
-            LinkError::NotReading => write!(f, "it does not read"),
-            LinkError::UnexpectedMessage => write!(f, "unexpected message"),
-        }
-    }
-}
-
-impl std::error::Error for LinkError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            LinkError::Message(error) => Some(error),
-            LinkError::Closed | LinkError::NotReading | LinkError::UnexpectedMessage => None,
-        }
-    }
-}
-
 /// The other process.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Peer {
@@ -57,40 +42,38 @@
     }
 }
 
-/// The messages of one iteration of the event loop.
-pub(super) struct Turn {
-    /// What the event loop has to do for them.
+/// The messages that one iteration of the event loop has read.
+pub(super) struct ReceivedMessages {
+    /// What the node has to do for them.
     pub(super) events: Vec<HandoverEvent>,
     /// Why the link ends, if it does.
-    pub(super) end: Option<LinkError>,
+    pub(super) link_error: Option<LinkError>,
 }
 
-/// Reads the messages that have arrived and maps each to an event. The socket stays readable while there are more than
-/// one iteration's.
-pub(super) fn read_iteration(
+/// Reads messages that have arrived and maps each to an event. The socket stays readable where more have arrived than
+/// one iteration of the event loop reads.
+pub(super) fn read_messages(
     net: &SocketReactor,
     token: Token,
     mut handle: impl FnMut(Message) -> Result<HandoverEvent, LinkError>,
-) -> Turn {
-    let mut turn = Turn { events: Vec::new(), end: None };
+) -> ReceivedMessages {
+    let mut events = Vec::new();
     for _ in 0..CONNECTIONS_PER_ITERATION {
         let Some(socket) = net.raw_descriptor(token) else { break };
-        let framed = match channel::receive(socket) {
-            Ok(framed) => framed,
-            Err(ChannelError::WouldBlock) => break,
-            Err(ChannelError::Closed) => {
-                turn.end = Some(LinkError::Closed);
-                break;
-            }
-        };
-        let handled = Message::decode(framed).map_err(LinkError::Message).and_then(&mut handle);
-        match handled {
-            Ok(event) => turn.events.push(event),
-            Err(error) => {
-                turn.end = Some(error);
-                break;
-            }
+        match read_message(socket).and_then(|message| message.map(&mut handle).transpose()) {
+            Ok(Some(event)) => events.push(event),
+            Ok(None) => break,
+            Err(error) => return ReceivedMessages { events, link_error: Some(error) },
         }
     }
-    turn
+    ReceivedMessages { events, link_error: None }
+}
+
+/// The next message; none where none has arrived.
+fn read_message(socket: &OwnedFd) -> Result<Option<Message>, LinkError> {
+    match channel::receive(socket) {
+        Ok(framed) => Ok(Some(Message::decode(framed)?)),
+        Err(ChannelError::WouldBlock) => Ok(None),
+        Err(ChannelError::Closed) => Err(LinkError::Closed),
+    }
 }
--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -4,79 +4,66 @@
 use rustix::net::{sockopt, AddressFamily};
 use rustix::process::{getpid, pidfd_getfd, pidfd_open, PidfdFlags, PidfdGetfdFlags};
 use std::env::VarError;
-use std::fmt;
 use std::io;
 use std::os::fd::OwnedFd;
+use thiserror::Error;
 
 /// The environment variable with the number of the passed descriptor, in decimal.
 pub const VARIABLE: &str = "NODE_PASSED_SOCKET";
 
 /// Why the descriptor that [`VARIABLE`] names cannot be used. The text is one line that names the variable.
-#[derive(Debug)]
-pub struct PassedListenerError {
-    /// The value of the variable; none where it is not Unicode.
-    value: Option<String>,
-    problem: ListenerProblem,
+#[derive(Debug, Error)]
+pub enum PassedListenerError {
+    /// The value of the variable is not Unicode.
+    #[error("{VARIABLE}: {0}")]
+    NotUnicode(#[source] VarError),
+    /// The descriptor is no listening TCP socket.
+    #[error("{VARIABLE}: {value:?}: {problem}")]
+    Unusable {
+        /// The value of the variable.
+        value: String,
+        /// What is wrong with the descriptor.
+        #[source]
+        problem: ListenerProblem,
+    },
 }
 
 /// What is wrong with a passed descriptor.
-#[derive(Debug)]
-enum ListenerProblem {
-    NotUnicode(VarError),
+#[derive(Debug, Error)]
+pub enum ListenerProblem {
+    /// The value is not the number of a descriptor.
+    #[error("no descriptor's number")]
     NoNumber,
-    NotOpen(io::Error),
-    NoSocket(Errno),
+    /// No such descriptor is open.
+    #[error("no open descriptor: {0}")]
+    NotOpen(#[source] io::Error),
+    /// The descriptor is not a socket.
+    #[error("no socket: {0}")]
+    NoSocket(#[source] Errno),
+    /// The system does not report the socket's address family.
+    #[error(transparent)]
     UnknownDomain(Errno),
+    /// The socket does not listen.
+    #[error("that socket does not listen")]
     NotListening,
+    /// The socket listens for another protocol.
+    #[error("that socket is no TCP socket")]
     NotTcp,
 }
 
-impl fmt::Display for ListenerProblem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ListenerProblem::NotUnicode(error) => write!(f, "{error}"),
-            ListenerProblem::NoNumber => write!(f, "no descriptor's number"),
-            ListenerProblem::NotOpen(error) => write!(f, "no open descriptor: {error}"),
-            ListenerProblem::NoSocket(error) => write!(f, "no socket: {error}"),
-            ListenerProblem::UnknownDomain(error) => write!(f, "{error}"),
-            ListenerProblem::NotListening => write!(f, "that socket does not listen"),
-            ListenerProblem::NotTcp => write!(f, "that socket is no TCP socket"),
-        }
-    }
-}
-
-impl fmt::Display for PassedListenerError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match &self.value {
-            Some(value) => write!(f, "{VARIABLE}: {value:?}: {}", self.problem),
-            None => write!(f, "{VARIABLE}: {}", self.problem),
-        }
-    }
-}
-
-impl std::error::Error for PassedListenerError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match &self.problem {
-            ListenerProblem::NotUnicode(error) => Some(error),
-            ListenerProblem::NotOpen(error) => Some(error),
-            ListenerProblem::NoSocket(error) | ListenerProblem::UnknownDomain(error) => Some(error),
-            ListenerProblem::NoNumber | ListenerProblem::NotListening | ListenerProblem::NotTcp => None,
-        }
-    }
-}
-
 /// The listening TCP socket that [`VARIABLE`] names; none where the variable is not set.
+///
+/// # Errors
+/// Where the variable names anything else.
 pub fn passed_listener() -> Result<Option<OwnedFd>, PassedListenerError> {
     let value = match std::env::var(VARIABLE) {
         Ok(value) => value,
         Err(VarError::NotPresent) => return Ok(None),
-        Err(error) => {
-            return Err(PassedListenerError { value: None, problem: ListenerProblem::NotUnicode(error) })
-        }
+        Err(error) => return Err(PassedListenerError::NotUnicode(error)),
     };
     match open_listener(&value) {
         Ok(listener) => Ok(Some(listener)),
-        Err(problem) => Err(PassedListenerError { value: Some(value), problem }),
+        Err(problem) => Err(PassedListenerError::Unusable { value, problem }),
     }
 }
 
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -20,11 +20,11 @@
 use crate::frontend::TransferredConnection;
 use crate::net::BufferedConnection;
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
+use thiserror::Error;
 
-/// Rises with every change of what is sent. A process ends the exchange with another version.
+/// Incremented with every incompatible change of the messages. A process ends the exchange with another version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
 /// A message with the descriptors that belong to it.
@@ -97,31 +97,22 @@
 }
 
 /// Why a message cannot be used.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
     /// It is no JSON value of the expected form.
+    #[error("invalid message: {0}")]
     InvalidJson(String),
     /// Its descriptors are missing, or it has some that it should not have.
+    #[error("message with the wrong number of descriptors")]
     WrongDescriptors,
     /// The state is longer than a process accepts.
+    #[error("state of more than {max_bytes} bytes")]
     StateTooLong {
         /// The longest state that is accepted.
         max_bytes: usize,
     },
 }
 
-impl fmt::Display for MessageError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            MessageError::InvalidJson(problem) => write!(f, "no message: {problem}"),
-            MessageError::WrongDescriptors => write!(f, "a message without its descriptors"),
-            MessageError::StateTooLong { max_bytes } => write!(f, "a state of more than {max_bytes} octets"),
-        }
-    }
-}
-
-impl std::error::Error for MessageError {}
-
 impl From<serde_json::Error> for MessageError {
     fn from(error: serde_json::Error) -> MessageError {
         MessageError::InvalidJson(error.to_string())
@@ -130,12 +121,18 @@
 
 impl Message {
     /// Encodes the message for the handover socket.
+    ///
+    /// # Errors
+    /// Where it cannot be written as JSON.
     pub fn encode(self) -> Result<FramedMessage, MessageError> {
         let (wire_message, fds) = self.into_wire();
         Ok(FramedMessage { bytes: serde_json::to_vec(&wire_message)?, fds })
     }
 
     /// Decodes a message of the handover socket.
+    ///
+    /// # Errors
+    /// Where it is no message, or has other descriptors than such a message has.
     pub fn decode(framed: FramedMessage) -> Result<Message, MessageError> {
         let wire_message = serde_json::from_slice(&framed.bytes)?;
         Message::from_wire(wire_message, framed.fds)
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! Where the platform passes the clients' listening socket, each process also listens on a Unix socket in `$TMPDIR`,
 //! the handover socket. A process that starts and finds another one there requests its state; once the new process
-//! serves, the old one transfers its connections, which go on without the clients' notice. [`message`] has the order
-//! of the messages.
+//! serves, the old one transfers its established connections, which their clients do not notice. [`message`] has the
+//! order of the messages.
 //!
-//! A process may have a predecessor and a successor at the same time: [`Handover`] owns both links, and reports
-//! what the event loop has to do as [`HandoverEvent`]s.
+//! A process may have a predecessor and a successor at the same time: [`Handover`] owns both links, and reports what
+//! the node has to do as [`HandoverEvent`]s.
 
 mod channel;
 mod link;
@@ -27,7 +27,7 @@
 use crate::discovery::TransferredWatch;
 use crate::frontend::TransferredConnection;
 use crate::net::{ListeningSocket, SocketEvent, SocketOwner, SocketReactor, Token};
-use link::{Peer, Turn};
+use link::{Peer, ReceivedMessages};
 use message::Message;
 use predecessor::PredecessorLink;
 use std::os::fd::OwnedFd;
@@ -47,13 +47,13 @@
     pub connection: TransferredConnection,
 }
 
-/// What the event loop has to do for the handover.
+/// What the node has to do for the handover.
 pub enum HandoverEvent {
     /// A successor requests the state: answer with [`Handover::send_state`].
     StateRequested,
     /// The successor serves: accept nothing more, and transfer connections with [`Handover::transfer`].
     SuccessorReady,
-    /// The successor is gone.
+    /// The successor is gone: accept clients again.
     SuccessorLost {
         /// Connections that were released for it and not sent: continue them here.
         unsent: Vec<FrontendConnection>,
@@ -77,7 +77,8 @@
 }
 
 impl Handover {
-    /// Listens at a path for a successor. Where there is a predecessor, it is notified that this process serves.
+    /// Listens at a path for a successor. A predecessor, to which `predecessor` is
+    /// connected, is notified that this process serves.
     pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
         let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
         if let Err(error) = &listener {
@@ -120,8 +121,8 @@
 
     fn receive_from_predecessor(&mut self, net: &mut SocketReactor) -> Vec<HandoverEvent> {
         let Some(predecessor) = &self.predecessor else { return Vec::new() };
-        let Turn { mut events, end } = predecessor.receive(net);
-        if let Some(error) = end {
+        let ReceivedMessages { mut events, link_error } = predecessor.receive(net);
+        if let Some(error) = link_error {
             Peer::Predecessor.log_end(&error);
             events.extend(self.close_predecessor(net));
         }
@@ -130,8 +131,8 @@
 
     fn receive_from_successor(&mut self, net: &mut SocketReactor) -> Vec<HandoverEvent> {
         let Some(successor) = &mut self.successor else { return Vec::new() };
-        let Turn { mut events, end } = successor.receive(net);
-        if let Some(error) = end {
+        let ReceivedMessages { mut events, link_error } = successor.receive(net);
+        if let Some(error) = link_error {
             Peer::Successor.log_end(&error);
             events.extend(self.close_successor(net));
         }
@@ -154,14 +155,14 @@
         &mut self,
         net: &mut SocketReactor,
         snapshot: &StateSnapshot,
-        listening: Vec<ListeningSocket>,
+        listeners: Vec<ListeningSocket>,
         watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
         let Some(successor) = &mut self.successor else { return Vec::new() };
         for piece in snapshot.to_pieces().unwrap_or_default() {
             successor.queue(piece);
         }
-        for ListeningSocket { addr: address, fd: socket } in listening {
+        for ListeningSocket { addr: address, fd: socket } in listeners {
             successor.queue(Message::Listener { address, socket });
         }
         if let Some(watch) = watch {
@@ -193,7 +194,10 @@
     fn flush(&mut self, net: &mut SocketReactor) -> Option<HandoverEvent> {
         match self.successor.as_mut()?.flush(net) {
             Ok(()) => None,
-            Err(_) => self.close_successor(net),
+            Err(error) => {
+                Peer::Successor.log_end(&error);
+                self.close_successor(net)
+            }
         }
     }
 }
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,7 +1,7 @@
 //! The link to the predecessor: the role of a process that has requested a state and serves now.
 
 use super::channel;
-use super::link::{read_iteration, LinkError, Turn};
+use super::link::{read_messages, LinkError, ReceivedMessages};
 use super::message::Message;
 use super::{FrontendConnection, HandoverEvent};
 use crate::net::{SocketOwner, SocketReactor, Token};
@@ -13,7 +13,7 @@
 }
 
 impl PredecessorLink {
-    /// Tells the predecessor that this process serves. None where the predecessor is gone.
+    /// Notifies the predecessor that this process serves. None where the predecessor is gone.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<PredecessorLink> {
         let ready = Message::Ready.encode().ok()?;
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
@@ -29,8 +29,8 @@
     }
 
     /// Receives connections.
-    pub(super) fn receive(&self, net: &SocketReactor) -> Turn {
-        read_iteration(net, self.token, on_message)
+    pub(super) fn receive(&self, net: &SocketReactor) -> ReceivedMessages {
+        read_messages(net, self.token, on_message)
     }
 
     /// Ends the link.
--- a/src/handover/snapshot.rs
+++ b/src/handover/snapshot.rs
@@ -1,4 +1,4 @@
-//! What a process tells its successor about itself, in pieces that fit the handover socket.
+//! The state that a process sends its successor, in pieces that fit the handover socket.
 
 use super::message::{Message, MessageError};
 use crate::discovery::EndpointListDocument;
@@ -25,13 +25,16 @@
     /// Descriptors that the process has open.
     #[serde(rename = "descriptors")]
     pub open_descriptors: usize,
-    /// The process's clock, by which all its times are: the successor goes on with it. Earlier versions do not tell it.
+    /// The process's clock, on which all its times are: the successor continues it. Earlier versions do not send it.
     #[serde(default, rename = "clock", skip_serializing_if = "Option::is_none")]
     pub clock: Option<MonotonicTime>,
 }
 
 impl StateSnapshot {
     /// The state as messages, each with one piece of it.
+    ///
+    /// # Errors
+    /// Where it cannot be written as JSON.
     pub(super) fn to_pieces(&self) -> Result<Vec<Message>, MessageError> {
         let text = serde_json::to_string(self)?;
         let mut rest = text.as_str();
@@ -51,7 +54,7 @@
     (0..=longest).rev().find(|length| text.is_char_boundary(*length)).unwrap_or(0)
 }
 
-/// Puts a state together from its pieces.
+/// Reassembles a state from its pieces.
 #[derive(Debug, Default)]
 pub(super) struct SnapshotAssembler {
     text: String,
@@ -59,6 +62,9 @@
 
 impl SnapshotAssembler {
     /// Adds the next piece.
+    ///
+    /// # Errors
+    /// Where the state becomes longer than [`MAX_STATE_BYTES`].
     pub(super) fn add(&mut self, piece: &str) -> Result<(), MessageError> {
         if self.text.len() + piece.len() > MAX_STATE_BYTES {
             return Err(MessageError::StateTooLong { max_bytes: MAX_STATE_BYTES });
@@ -67,7 +73,10 @@
         Ok(())
     }
 
-    /// The state, once all of its pieces were added.
+    /// The state, once all of its pieces have been added.
+    ///
+    /// # Errors
+    /// Where the pieces are no state.
     pub(super) fn finish(&self) -> Result<StateSnapshot, MessageError> {
         Ok(serde_json::from_str(&self.text)?)
     }
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -1,15 +1,16 @@
-//! The start of a successor: before it serves, it requests the state of the process that serves now.
+//! The state request of a successor, which blocks: before the process serves, it requests the state of the one that
+//! serves now.
 
 use super::channel::{self, ChannelError};
 use super::message::{Message, MessageError, PROTOCOL_VERSION};
 use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::TransferredWatch;
 use crate::net::ListeningSocket;
-use std::fmt;
 use std::io;
 use std::os::fd::OwnedFd;
 use std::path::Path;
 use std::time::Duration;
+use thiserror::Error;
 
 /// The predecessor has this long for each message of its state. After that this process starts without one: the
 /// platform waits 6 s until a process is ready.
@@ -22,50 +23,27 @@
     /// The predecessor's state.
     pub snapshot: StateSnapshot,
     /// The listening sockets of its optional frontends, with their addresses.
-    pub listening: Vec<ListeningSocket>,
+    pub listeners: Vec<ListeningSocket>,
     /// Its watch of the discovery service.
     pub watch: Option<TransferredWatch>,
 }
 
 /// Why a process starts without its predecessor's state.
-#[derive(Debug)]
+#[derive(Debug, Error)]
 enum StateRequestError {
-    /// Nobody listens at the handover socket, though it is there.
-    NotConnected(io::Error),
+    /// The handover socket exists, and no process listens at it.
+    #[error("no process listens at the handover socket: {0}")]
+    NotConnected(#[source] io::Error),
+    #[error("the state request cannot be sent: it does not read")]
     NotSent,
+    #[error("it does not answer")]
     NoAnswer,
+    #[error("it ended or is of another version")]
     Closed,
+    #[error("unexpected message")]
     UnexpectedMessage,
-    Message(MessageError),
-}
-
-impl fmt::Display for StateRequestError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StateRequestError::NotConnected(error) => write!(f, "left behind: {error}"),
-            StateRequestError::NotSent => write!(f, "it does not listen"),
-            StateRequestError::NoAnswer => write!(f, "it does not answer"),
-            StateRequestError::Closed => write!(f, "it ended or is of another version"),
-            StateRequestError::UnexpectedMessage => write!(f, "unexpected message"),
-            StateRequestError::Message(error) => write!(f, "{error}"),
-        }
-    }
-}
-
-impl std::error::Error for StateRequestError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            StateRequestError::NotConnected(error) => Some(error),
-            StateRequestError::Message(error) => Some(error),
-            _ => None,
-        }
-    }
-}
-
-impl From<MessageError> for StateRequestError {
-    fn from(error: MessageError) -> StateRequestError {
-        StateRequestError::Message(error)
-    }
+    #[error(transparent)]
+    Message(#[from] MessageError),
 }
 
 /// Requests the state of the process that listens at a path. None where there is no such process, or where it does not
@@ -87,13 +65,13 @@
     let request = Message::StateRequest { version: PROTOCOL_VERSION, name: node_name.to_string() };
     channel::send(&channel, &request.encode()?).map_err(|_| StateRequestError::NotSent)?;
     let mut assembler = SnapshotAssembler::default();
-    let mut listening = Vec::new();
+    let mut listeners = Vec::new();
     let mut watch = None;
     loop {
         match receive(&channel)? {
             Message::StatePiece { piece } => assembler.add(&piece)?,
             Message::Listener { address, socket } => {
-                listening.push(ListeningSocket { addr: address, fd: socket });
+                listeners.push(ListeningSocket { addr: address, fd: socket });
             }
             Message::Watch(transferred) => watch = Some(transferred),
             Message::StateComplete => break,
@@ -102,7 +80,7 @@
             }
         }
     }
-    Ok(PredecessorState { channel, snapshot: assembler.finish()?, listening, watch })
+    Ok(PredecessorState { channel, snapshot: assembler.finish()?, listeners, watch })
 }
 
 fn receive(channel: &OwnedFd) -> Result<Message, StateRequestError> {
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,19 +1,19 @@
 //! The link to the successor: the role of a process that serves and may be replaced.
 
 use super::channel::{self, ChannelError, FramedMessage};
-use super::link::{read_iteration, LinkError, Peer, Turn};
+use super::link::{read_messages, LinkError, ReceivedMessages};
 use super::message::{Message, PROTOCOL_VERSION};
 use super::{FrontendConnection, HandoverEvent};
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
 
-/// How far a successor has come.
+/// The progress of a successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It starts, and may request the state.
+    /// It has connected, and may request the state.
     Starting,
-    /// It serves, and takes connections.
+    /// It serves, and accepts connections.
     Serving,
 }
 
@@ -21,12 +21,12 @@
 pub(super) struct SuccessorLink {
     token: Token,
     stage: Stage,
-    /// Messages that the socket has not taken yet: at most one state and one iteration's connections.
+    /// Messages that are not sent yet: at most one state and the connections of one iteration of the event loop.
     outbox: VecDeque<FramedMessage>,
 }
 
 impl SuccessorLink {
-    /// The link to a successor that has connected.
+    /// The link to a successor that has connected. None where its socket cannot be watched.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<SuccessorLink> {
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
         Some(SuccessorLink { token, stage: Stage::Starting, outbox: VecDeque::new() })
@@ -36,15 +36,15 @@
         self.token
     }
 
-    /// Whether the successor serves and all connections so far are sent.
+    /// Whether the successor serves and all messages so far are sent.
     pub(super) fn can_transfer(&self) -> bool {
         self.stage == Stage::Serving && self.outbox.is_empty()
     }
 
     /// Receives the successor's requests.
-    pub(super) fn receive(&mut self, net: &SocketReactor) -> Turn {
+    pub(super) fn receive(&mut self, net: &SocketReactor) -> ReceivedMessages {
         let stage = &mut self.stage;
-        read_iteration(net, self.token, |message| on_message(stage, message))
+        read_messages(net, self.token, |message| on_message(stage, message))
     }
 
     /// Queues a message; [`SuccessorLink::flush`] sends it.
@@ -54,25 +54,25 @@
         }
     }
 
-    /// Sends what the socket takes now. An error ends the link.
-    pub(super) fn flush(&mut self, net: &mut SocketReactor) -> Result<(), ChannelError> {
+    /// Sends the queued messages that the socket accepts now.
+    ///
+    /// # Errors
+    /// Where the successor is gone: the link is to be closed.
+    pub(super) fn flush(&mut self, net: &mut SocketReactor) -> Result<(), LinkError> {
         while let Some(framed) = self.outbox.front() {
             let Some(socket) = net.raw_descriptor(self.token) else { return Ok(()) };
             match channel::send(socket, framed) {
                 // This closes its descriptors here; the successor has them now.
                 Ok(()) => drop(self.outbox.pop_front()),
                 Err(ChannelError::WouldBlock) => break,
-                Err(ChannelError::Closed) => {
-                    Peer::Successor.log_end(&LinkError::NotReading);
-                    return Err(ChannelError::Closed);
-                }
+                Err(ChannelError::Closed) => return Err(LinkError::NotReading),
             }
         }
         net.set_writable_interest(self.token, !self.outbox.is_empty());
         Ok(())
     }
 
-    /// Ends the link and yields the connections that were not sent.
+    /// Closes the link. Returns the connections that were not sent.
     pub(super) fn close(self, net: &mut SocketReactor) -> Vec<FrontendConnection> {
         net.close(self.token);
         self.outbox.into_iter().filter_map(unsent_connection).collect()
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,8 +1,8 @@
-//! Whether this process serves its clients, drains them, or shuts down.
+//! The lifecycle of a process: whether it serves its clients, drains them, or shuts down.
 //!
-//! Drain and resume (operators), SIGTERM, and the handover to a successor process meet in one state machine. It says
-//! how many established clients are migrated in each step, when requests that wait get their final answer, and
-//! when the process ends.
+//! The admin API's drain and resume, SIGTERM, and the handover to a successor process are transitions of one state
+//! machine. It decides how many established clients are migrated in each step, when unanswered requests get their final
+//! answer, and when the process exits. The node owns it and executes the steps.
 //!
 //! | phase        | `drain`      | `resume`  | `hand_over`  | `successor_lost`    | `shut_down`  |
 //! |--------------|--------------|-----------|--------------|---------------------|--------------|
@@ -22,21 +22,23 @@
 
 use phases::{Draining, HandedOver, Serving, ShuttingDown, WithoutSuccessor};
 use sparbank_time::MonotonicTime;
-use std::fmt;
 use std::time::Duration;
+use thiserror::Error;
 
 /// The process shuts down, or its successor serves: it cannot accept clients again.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("the process shuts down")]
 pub struct ShuttingDownError;
 
-impl fmt::Display for ShuttingDownError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the process shuts down")
-    }
+/// Whether anything is open at this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Activity {
+    /// No request, no client, and no connection that is still closing.
+    Idle,
+    /// Something is open.
+    Busy,
 }
 
-impl std::error::Error for ShuttingDownError {}
-
 /// The lifecycle of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
@@ -46,7 +48,7 @@
     Draining(Draining),
     /// A successor serves in this process's place.
     HandedOver(HandedOver),
-    /// SIGTERM has come.
+    /// SIGTERM has arrived.
     ShuttingDown(ShuttingDown),
 }
 
@@ -72,6 +74,9 @@
     }
 
     /// Accepts clients again. False where the node was not drained.
+    ///
+    /// # Errors
+    /// Where the process shuts down, or a successor serves.
     pub fn resume(&mut self) -> Result<bool, ShuttingDownError> {
         match *self {
             Lifecycle::Serving(_) => Ok(false),
@@ -120,7 +125,7 @@
     }
 
     /// Whether the load balancer in front of the nodes is to send clients here: the answer to `PING`. SIGTERM alone
-    /// does not change it, since clients still arrive until the platform has noticed.
+    /// does not change it, since clients still arrive until the platform has noticed it.
     pub fn accepts_clients(&self) -> bool {
         match self {
             Lifecycle::Serving(_) => true,
@@ -130,18 +135,18 @@
         }
     }
 
-    /// Whether the process ends for good, or its successor serves.
+    /// Whether the process shuts down, or a successor serves.
     pub fn is_shutting_down(&self) -> bool {
         matches!(self, Lifecycle::ShuttingDown(_) | Lifecycle::HandedOver(_))
     }
 
-    /// Whether the process is about to end: all established clients have been migrated, and what comes now is
-    /// answered at once.
+    /// Whether the process is about to exit: all established clients have been migrated, and requests that arrive now
+    /// are answered without an attempt.
     pub fn is_closing(&self, now: MonotonicTime) -> bool {
         matches!(self, Lifecycle::ShuttingDown(shutting_down) if shutting_down.schedule.is_over(now))
     }
 
-    /// What is to be done now with the established clients, of which there are so many. None where they stay.
+    /// The step that is due now, with `established` clients. None where the clients stay.
     pub fn migration_step(&self, now: MonotonicTime, established: usize) -> Option<MigrationStep> {
         match self {
             Lifecycle::Serving(_) => None,
@@ -155,12 +160,12 @@
         }
     }
 
-    /// Whether the process is to end now; `idle` says whether nothing is open any more.
-    pub fn should_exit(&self, now: MonotonicTime, idle: bool) -> bool {
+    /// Whether the process is to exit now.
+    pub fn should_exit(&self, now: MonotonicTime, activity: Activity) -> bool {
         match self {
             Lifecycle::Serving(_) | Lifecycle::Draining(_) => false,
-            Lifecycle::HandedOver(handed_over) => idle && now >= handed_over.exit_at,
-            Lifecycle::ShuttingDown(shutting_down) => shutting_down.should_exit(now, idle),
+            Lifecycle::HandedOver(handed_over) => activity == Activity::Idle && now >= handed_over.exit_at,
+            Lifecycle::ShuttingDown(shutting_down) => shutting_down.should_exit(now, activity),
         }
     }
 }
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -1,7 +1,8 @@
-//! The phases of a process and the moves between them. A phase has methods for its legal moves only: a process
-//! that shuts down cannot resume, and one that serves has nothing to resume from.
+//! The phases of a process and the transitions between them. A phase has methods for its legal transitions only: a
+//! process that shuts down cannot resume, and one that serves has no drain to end.
 
 use super::schedule::MigrationSchedule;
+use super::Activity;
 use crate::model::MAX_STALL;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -10,11 +11,10 @@
 const DRAIN_DURATION: Duration = Duration::from_secs(4);
 /// SIGKILL follows SIGTERM after the longest request deadline and this.
 const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// No more of the longest deadline counts than this: SIGKILL once ended a node that still counted on 3.7 s where
-/// the deadlines are 1.2 s.
+/// A longer deadline than this does not delay SIGKILL any further.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The process ends this long before SIGKILL, whether or not its clients have read their last line. It counts from when
-/// it handles SIGTERM: it may have been stalled before that, and takes a moment to end.
+/// The process exits this long before SIGKILL, whether or not its clients have read their last line. SIGKILL is timed
+/// from the arrival of SIGTERM, and the process may have been stalled before it handled that.
 const EXIT_BEFORE_KILL: Duration = MAX_STALL.saturating_add(Duration::from_millis(50));
 /// A process whose successor serves waits for SIGTERM no longer than this.
 const MAX_WAIT_FOR_SIGTERM: Duration = Duration::from_secs(10);
@@ -97,7 +97,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HandedOver {
     pub(super) schedule: MigrationSchedule,
-    /// The process ends then, once it is idle.
+    /// The process exits then or later, once it is idle.
     pub(super) exit_at: MonotonicTime,
     pub(super) is_drained: bool,
 }
@@ -127,14 +127,14 @@
     }
 }
 
-/// SIGTERM has come: the process ends before SIGKILL.
+/// SIGTERM has arrived: the process exits before SIGKILL.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShuttingDown {
     pub(super) schedule: MigrationSchedule,
-    /// The process ends no later than this.
+    /// The process exits no later than this.
     pub(super) exit_by: MonotonicTime,
     pub(super) is_drained: bool,
-    /// A successor serves: nothing new comes here.
+    /// A successor serves: nothing new arrives here.
     pub(super) has_successor: bool,
 }
 
@@ -151,9 +151,9 @@
         ShuttingDown { has_successor: false, ..self }
     }
 
-    /// Whether the process is to end now.
-    pub(super) fn should_exit(&self, now: MonotonicTime, idle: bool) -> bool {
-        let nothing_more_comes = self.has_successor || self.schedule.is_over(now);
-        now >= self.exit_by || (idle && nothing_more_comes)
+    /// Whether the process is to exit now.
+    pub(super) fn should_exit(&self, now: MonotonicTime, activity: Activity) -> bool {
+        let nothing_more_arrives = self.has_successor || self.schedule.is_over(now);
+        now >= self.exit_by || (activity == Activity::Idle && nothing_more_arrives)
     }
 }
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -1,4 +1,4 @@
-//! When established clients are migrated: evenly in steps, between a start and an end.
+//! When established clients are migrated: in even steps, between a start and an end.
 
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Both schedules hold: of each time the earlier one.
+    /// The schedule that keeps both: the earlier one of each time.
     pub(super) fn or_earlier(self, other: MigrationSchedule) -> MigrationSchedule {
         MigrationSchedule {
             start: self.start.min(other.start),
@@ -58,13 +58,13 @@
         now >= self.migrated_by
     }
 
-    /// The step of a node that goes on after the drain. It still serves whoever comes late and migrates it then, so
-    /// only requests from before the end of the migration are abandoned.
+    /// The step of a node that stays after the drain. It still serves clients that arrive late, and migrates them at the
+    /// next step, so only requests from before the end of the migration are abandoned.
     pub(super) fn step_of_drain(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, self.migrated_by)
     }
 
-    /// The step of a process that ends: nothing that waits can be served later.
+    /// The step of a process that exits: a request that waits cannot be served later.
     pub(super) fn step_before_exit(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, MonotonicTime::MAX)
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,6 +1,6 @@
 //! The times of drain, shutdown and handover, and their crossings.
 
-use super::{Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
+use super::{Activity, Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
 use rstest::rstest;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -44,7 +44,7 @@
     assert!(took <= 3_600 * MILLISECOND, "{took:?}");
     let half = lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step").migrations;
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
-    assert!(!lifecycle.should_exit(at(100 * SECOND), true), "a drained process stays");
+    assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process stays");
     // A client that is established later is migrated at the next step.
     assert_eq!(
         lifecycle.migration_step(at(60 * SECOND), 7),
@@ -92,11 +92,11 @@
     }
     assert!(!lifecycle.shut_down(sigterm + NANOSECOND, Duration::ZERO) && !lifecycle.accepts_clients());
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
-    assert!(!lifecycle.should_exit(migrated_by - NANOSECOND, true));
-    assert!(lifecycle.should_exit(migrated_by.max(sigterm), true));
+    assert!(!lifecycle.should_exit(migrated_by - NANOSECOND, Activity::Idle));
+    assert!(lifecycle.should_exit(migrated_by.max(sigterm), Activity::Idle));
     assert!(
-        !lifecycle.should_exit(sigterm + 1_699 * MILLISECOND, false)
-            && lifecycle.should_exit(sigterm + 1_700 * MILLISECOND, false)
+        !lifecycle.should_exit(sigterm + 1_699 * MILLISECOND, Activity::Busy)
+            && lifecycle.should_exit(sigterm + 1_700 * MILLISECOND, Activity::Busy)
     );
 }
 
@@ -113,18 +113,21 @@
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
     // What cannot be transferred is migrated, and the process waits for SIGTERM for a bounded time.
     assert!(time_to_migrate(&lifecycle, at(2 * SECOND), 100) <= 1_500 * MILLISECOND);
-    assert!(!lifecycle.should_exit(at(11 * SECOND), true) && lifecycle.should_exit(at(12 * SECOND), true));
+    assert!(
+        !lifecycle.should_exit(at(11 * SECOND), Activity::Idle)
+            && lifecycle.should_exit(at(12 * SECOND), Activity::Idle)
+    );
     let mut alone = lifecycle;
     alone.successor_lost(at(3 * SECOND));
     assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
-    assert!(!alone.should_exit(at(60 * SECOND), true));
+    assert!(!alone.should_exit(at(60 * SECOND), Activity::Idle));
     assert!(lifecycle.shut_down(at(3 * SECOND), 1_200 * MILLISECOND));
-    assert!(lifecycle.should_exit(at(3 * SECOND), true), "nothing new comes");
-    assert!(!lifecycle.should_exit(at(4 * SECOND), false));
-    assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), false));
+    assert!(lifecycle.should_exit(at(3 * SECOND), Activity::Idle), "nothing new comes");
+    assert!(!lifecycle.should_exit(at(4 * SECOND), Activity::Busy));
+    assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), Activity::Busy));
     // The successor dies after SIGTERM: what comes until the end is served here again.
     lifecycle.successor_lost(at(3_100 * MILLISECOND));
-    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), true));
+    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), Activity::Idle));
 }
 
 #[rstest]
@@ -140,5 +143,8 @@
     };
     assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(MonotonicTime::MAX)));
     let exit_by = at(SECOND + kill - 200 * MILLISECOND);
-    assert!(!lifecycle.should_exit(exit_by - NANOSECOND, false) && lifecycle.should_exit(exit_by, false));
+    assert!(
+        !lifecycle.should_exit(exit_by - NANOSECOND, Activity::Busy)
+            && lifecycle.should_exit(exit_by, Activity::Busy)
+    );
 }
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -6,7 +6,7 @@
 use super::executor::Executor;
 use super::frontend_host::FrontendHost;
 use crate::frontend::TimerEvent;
-use crate::lifecycle;
+use crate::lifecycle::{self, Activity};
 use crate::rules::{Violation, ViolationContext};
 use sparbank_time::MonotonicTime;
 
@@ -92,7 +92,8 @@
     // The exit resets connections that are still closing, and a reset may destroy the MOVE that a client has not
     // read yet.
     let is_idle = host.is_idle() && state.net.all_closes_complete();
-    state.lifecycle.should_exit(state.now(), is_idle)
+    let activity = if is_idle { Activity::Idle } else { Activity::Busy };
+    state.lifecycle.should_exit(state.now(), activity)
 }
 
 /// Leaves nothing open before the exit: requests without an answer fail, and established connections are migrated.
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -129,7 +129,7 @@
     /// list of the configuration is where the balancer starts from.
     fn take_over_state(&mut self, handover_path: Option<&Path>) -> Predecessor {
         let inherited = handover_path.and_then(|path| handover::request_state(path, &self.config.name));
-        let Some(PredecessorState { channel, snapshot, listening, watch }) = inherited else {
+        let Some(PredecessorState { channel, snapshot, listeners, watch }) = inherited else {
             let event = self.registry.restore(&self.config.known_endpoints);
             self.requests.push_event(event);
             return Predecessor::default();
@@ -142,7 +142,7 @@
         let list = &snapshot.endpoint_list;
         let event = self.discovery.take_over(&mut self.net, &mut self.registry, list, watch);
         self.requests.push_event(event);
-        self.net.inherit_listeners(listening);
+        self.net.inherit_listeners(listeners);
         Predecessor { snapshot: Some(snapshot), channel: Some(channel) }
     }
 
