--- a/src/requests/ledger.rs
+++ b/src/requests/ledger.rs
@@ -46,6 +46,11 @@
     }
 
     /// Counts since the start of the process.
+    pub fn counters(&self) -> &Counters {
+        &self.counters
+    }
+
+    /// The counts, for what is counted elsewhere.
     pub fn counters_mut(&mut self) -> &mut Counters {
         &mut self.counters
     }
