--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -4,7 +4,7 @@
     ClassDocument, DedupScopeDocument, EffectDocument, LimitsDocument, SettingsDocument, TenantDocument,
 };
 use super::ContentError;
-use crate::model::{DedupScope, Discovery, Effect, RequestClass, Settings};
+use crate::model::{DedupScope, Discovery, Effect, RequestClass, Settings, WeightBasis};
 use std::time::Duration;
 
 #[cfg(test)]
@@ -64,6 +64,10 @@
             family_info.message_latency_objective_ns.into_iter().map(Duration::from_nanos);
         let classes = document.classes.into_iter().map(|class| class.into_class(latency_objectives.next()));
         let reports_utilization = document.feedback.fields.iter().any(|field| field == UTILIZATION_FIELD);
+        let weight_basis = match document.weight_by.as_str() {
+            WEIGHT_BY_WORK => WeightBasis::Work,
+            _ => WeightBasis::Request,
+        };
         let discovery = match document.discovery.as_str() {
             DISCOVERY_POLLED => Discovery::Polled,
             _ => Discovery::Pushed,
@@ -73,7 +77,7 @@
             instances: document.instances,
             zone: document.zone,
             discovery,
-            weight_by_work: document.weight_by == WEIGHT_BY_WORK,
+            weight_basis,
             max_attempts: limits.max_attempts,
             may_cancel: limits.may_cancel,
             max_retry_after: limits.honoured_retry_after(),
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -141,7 +141,7 @@
         zone: 0,
         classes: vec![class],
         discovery: Discovery::Polled,
-        weight_by_work: false,
+        weight_basis: crate::model::WeightBasis::Request,
         max_attempts: 3,
         may_cancel: true,
         max_retry_after: 6 * SECOND / 10,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,7 +7,7 @@
 //! ```
 //! use sparbank::model::{
 //!     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Outcome, RequestClass,
-//!     RequestId, ServerId, Settings, SettingsError, Status,
+//!     RequestId, ServerId, Settings, SettingsError, Status, WeightBasis,
 //! };
 //! use sparbank::Balancer;
 //! use sparbank_time::MonotonicTime;
@@ -28,7 +28,7 @@
 //!     zone: 0,
 //!     classes: vec![class],
 //!     discovery: Discovery::Pushed,
-//!     weight_by_work: false,
+//!     weight_basis: WeightBasis::Request,
 //!     max_attempts: 3,
 //!     may_cancel: true,
 //!     max_retry_after: Duration::ZERO,
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -1,6 +1,6 @@
 //! What the balancer wants a node to do.
 
-use super::{RequestId, ServerId};
+use super::{Notice, RequestId, ServerId};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
         /// The attempt's number, from zero.
         attempt: u32,
     },
-    /// Final answer: rejected. A retry by the client cannot repeat an effect.
+    /// Final answer: rejected. A retry by the client cannot run an effect twice.
     Reject {
         /// The request.
         id: RequestId,
@@ -47,6 +47,6 @@
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Write a line to the log.
-    Log(String),
+    /// Write a notice to the log.
+    Log(Notice),
 }
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -34,6 +34,16 @@
     }
 }
 
+/// Which attempt of a request it is, for admission.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum AttemptKind {
+    /// The first attempt for a new client.
+    #[default]
+    First,
+    /// An attempt after a failed one, or the first one for a client that reconnects or retries.
+    Retry,
+}
+
 /// A request that arrives, or the description of a connection handed over at start-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
@@ -57,6 +67,23 @@
     pub rerouted: bool,
 }
 
+impl Arrival {
+    /// What decides, at every node alike, which servers are candidates for the request. The requests of a group have
+    /// the same candidates, so that few servers pay for the group.
+    pub fn affinity_key(&self) -> Option<u64> {
+        self.group.or(self.key.filter(|_| !self.reconnect))
+    }
+
+    /// The kind of the request's first attempt.
+    pub fn first_attempt_kind(&self) -> AttemptKind {
+        if self.reconnect || self.client_retry {
+            AttemptKind::Retry
+        } else {
+            AttemptKind::First
+        }
+    }
+}
+
 /// What a node reports to the balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -6,16 +6,18 @@
 mod endpoint;
 mod event;
 mod id;
+mod notice;
 mod settings;
 
 pub use action::Action;
 pub use endpoint::{Endpoint, ListKind, Location, ServerAttributes, Status};
-pub use event::{Arrival, Event, Outcome};
+pub use event::{Arrival, AttemptKind, Event, Outcome};
 pub use id::{RequestId, ServerId};
-pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError};
+pub use notice::Notice;
+pub use settings::{DedupScope, Discovery, Effect, RequestClass, Settings, SettingsError, WeightBasis};
 
 use std::time::Duration;
 
-/// A process may be stalled for this long between the reading of its clock and a write. A time limit within which a
-/// write has to take place is kept with that much to spare.
+/// The operating system may suspend a process for this long between its reading of the clock and a write. A deadline
+/// for a write is moved forward by this much.
 pub const MAX_STALL: Duration = Duration::from_millis(150);
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -1,6 +1,5 @@
 //! Settings of the balancer, as the platform provides them at start-up.
 
-use std::fmt;
 use std::time::Duration;
 
 /// Whether a request may be repeated once an earlier attempt may have run.
@@ -8,13 +7,13 @@
 pub enum Effect {
     /// Repeating is harmless.
     ReadLike,
-    /// Repeats are discarded by the servers of one [`DedupScope`] while they remember the first.
+    /// Retries are discarded by the servers of one [`DedupScope`] while they remember the first.
     IdempotencyKey,
     /// Must not run twice.
     NonIdempotent,
 }
 
-/// The servers that discard each other's repeats of a request with an idempotency key.
+/// The servers that discard each other's retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All of them.
@@ -37,6 +36,16 @@
     Polled,
 }
 
+/// What the priority weight of a request class counts by.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum WeightBasis {
+    /// A request has the weight, whatever load it brings.
+    #[default]
+    Request,
+    /// A unit of work has the weight.
+    Work,
+}
+
 /// A request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
@@ -46,9 +55,9 @@
     pub hard_limit: Duration,
     /// Whether a request may be repeated.
     pub effect: Effect,
-    /// With an idempotency key: the servers that discard repeats.
+    /// With an idempotency key: the servers that discard retries.
     pub dedup_scope: DedupScope,
-    /// With an idempotency key: how long after the first attempt that may have run repeats are discarded.
+    /// With an idempotency key: how long after the first attempt that may have run retries are discarded.
     pub dedup_window: Duration,
     /// Priority weight of a request, or of a second of its connection.
     pub priority_weight: f64,
@@ -67,8 +76,8 @@
     pub classes: Vec<RequestClass>,
     /// How the endpoint list is discovered.
     pub discovery: Discovery,
-    /// The priority weight counts per unit of work rather than per request.
-    pub weight_by_work: bool,
+    /// What the priority weight counts by.
+    pub weight_basis: WeightBasis,
     /// Attempts allowed for one request.
     pub max_attempts: u32,
     /// An attempt in flight may be cancelled.
@@ -96,7 +105,8 @@
 }
 
 /// A setting that was rejected.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("setting {field}: {problem}")]
 pub struct SettingsError {
     /// The name of the setting.
     pub field: &'static str,
@@ -104,16 +114,11 @@
     pub problem: &'static str,
 }
 
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "setting {}: {}", self.field, self.problem)
-    }
-}
-
-impl std::error::Error for SettingsError {}
-
 impl Settings {
-    /// Checks the settings. The error names the first setting that cannot be right.
+    /// Checks the settings.
+    ///
+    /// # Errors
+    /// The first setting that is out of its range.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let is_fraction = |x: f64| x.is_finite() && (0.0..=1.0).contains(&x);
         let is_positive = |x: f64| x.is_finite() && x > 0.0;
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,14 +1,14 @@
-//! The balancer: takes events, keeps the state of requests, and answers with actions.
-//!
-//! A first attempt starts at once. A request whose attempt failed, or that no server can take, waits one Full
-//! Jitter backoff and is placed again.
+//! The balancer: takes events, keeps the state of requests, and answers with actions. A first attempt starts
+//! at once. A request whose attempt failed, or that no server can take, is placed again after a Full Jitter
+//! backoff.
 
 use super::migration::Migration;
 use super::request::{Phase, Request, Requests};
 use super::selection::Selection;
 use super::server::{Server, ServerSet};
 use crate::model::{
-    Action, Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, SettingsError,
+    Action, Arrival, AttemptKind, Endpoint, Event, ListKind, Notice, Outcome, RequestId, ServerId, Settings,
+    SettingsError,
 };
 use crate::random::{mix64, uniform_duration_up_to, Rng};
 use crate::resilience::{
@@ -107,7 +107,7 @@
     }
 
     fn on_request(&mut self, arrival: &Arrival) {
-        if self.register(arrival, Phase::BackingOff).client_retry {
+        if self.register(arrival, Phase::BackingOff).first_attempt == AttemptKind::Retry {
             self.back_off(arrival.id);
         } else {
             self.place(arrival.id);
@@ -125,8 +125,8 @@
     fn on_established(&mut self, id: RequestId, server: ServerId, setup_time: Duration) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.phase = Phase::Established;
-            let is_fast = setup_time <= self.settings.classes[request.class].objective / 2;
-            self.actions.extend(self.admission.on_established(is_fast).map(Action::from));
+            let objective = self.settings.classes[request.class].objective;
+            self.actions.extend(self.admission.on_established(setup_time, objective).map(Action::Log));
         }
         self.on_success(server);
     }
@@ -142,8 +142,8 @@
         let was_established = request.phase == Phase::Established;
         if !was_established {
             let sent_at = request.attempts.last_sent_at();
-            let change = self.admission.on_attempt_ended(outcome, sent_at, self.now);
-            self.actions.extend(change.map(Action::from));
+            let notice = self.admission.on_attempt_ended(outcome, sent_at, self.now);
+            self.actions.extend(notice.map(Action::Log));
         }
         if is_over {
             self.requests.remove(&id);
@@ -164,7 +164,7 @@
         let Some(request) = self.requests.get_mut(&id) else { return };
         match request.phase {
             Phase::BackingOff => {
-                self.admission.dequeue(request.queued);
+                self.admission.dequeue(request.admission);
                 self.requests.remove(&id);
             }
             Phase::Attempting if self.settings.may_cancel && !request.is_over => {
@@ -189,7 +189,7 @@
             self.servers.apply_list(kind, endpoints);
         }
         if self.subscription.on_list(kind) {
-            self.actions.push(Action::Log("endpoint list may be stale, keeping the last one".to_string()));
+            self.actions.push(Action::Log(Notice::EndpointListStale));
         }
         if let Some(poll) = self.subscription.schedule_poll(kind, &self.settings) {
             let after = uniform_duration_up_to(self.rng.next_u64(), poll.max_delay);
@@ -227,14 +227,15 @@
         let timeout = request.attempts.next_timeout(time_left, self.settings.max_attempts);
         let window_end = request.attempts.dedup_window_end(&self.settings.classes[request.class]);
         let send_by = rules::send_by(request.deadline, window_end);
-        let is_retry = request.client_retry || request.attempts.count() > 0;
-        let is_queued = self.admission.decide(self.now, is_retry, request.queued) == Admission::Queued;
-        let selected = if is_queued { None } else { self.select(request) };
-        if !is_queued {
+        let kind = request.attempts.next_kind(request.first_attempt);
+        let admission = self.admission.decide(self.now, kind, request.admission);
+        let mut selected = None;
+        if admission == Admission::Admitted {
+            selected = self.select(request);
             self.last_selection_at = self.now;
         }
         let Some(request) = self.requests.get_mut(&id) else { return };
-        request.queued = is_queued;
+        request.admission = admission;
         let Some(server) = selected else { return self.back_off(id) };
         request.phase = Phase::Attempting;
         request.attempts.on_sent(server, self.now);
@@ -246,8 +247,8 @@
 
     fn may_attempt(&self, request: &Request) -> Result<(), RetryRefusal> {
         let (now, deadline, attempts) = (self.now, request.deadline, &request.attempts);
-        let misses_deadline =
-            request.queued && self.admission.misses_deadline(now, self.setup_interval(), deadline);
+        let misses_deadline = request.admission == Admission::Queued
+            && self.admission.misses_deadline(now, self.setup_interval(), deadline);
         let class = &self.settings.classes[request.class];
         rules::may_retry(&RetryInputs { now, deadline, attempts, class, misses_deadline }, &self.settings)
     }
@@ -257,7 +258,7 @@
         tracing::trace!(request = id.0, reason = %refusal, "no further attempt");
         let queue_delay = self.admission.queue_delay(self.setup_interval());
         let Some(request) = self.requests.remove(&id) else { return };
-        self.admission.dequeue(request.queued);
+        self.admission.dequeue(request.admission);
         if !request.attempts.may_reject(&self.settings.classes[request.class]) {
             return self.actions.push(Action::Fail(id));
         }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -54,7 +54,7 @@
             return None;
         }
         let weight = self.settings.classes[request.class].priority_weight;
-        let value = connection_value(weight, request.cost, self.settings.weight_by_work);
+        let value = connection_value(weight, request.cost, self.settings.weight_basis);
         Some(Connection { id, value, rank: mix64(id.0 ^ self.now.as_nanos()) })
     }
 }
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,8 +1,8 @@
 //! The state of one request.
 
-use crate::model::{Arrival, RequestId};
+use crate::model::{Arrival, AttemptKind, RequestId};
 use crate::random::mix64;
-use crate::resilience::AttemptHistory;
+use crate::resilience::{Admission, AttemptHistory};
 use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -36,11 +36,11 @@
     pub slow_start_roll: u64,
     pub group: Option<u64>,
     pub rerouted: bool,
-    /// The client reconnects or retries: the first attempt is admitted like a retry.
-    pub client_retry: bool,
-    /// It is counted among those that wait for admission.
-    pub queued: bool,
-    /// Load in nanoseconds of work per second; zero if unknown.
+    /// The kind of its first attempt.
+    pub first_attempt: AttemptKind,
+    /// The last decision on its admission.
+    pub admission: Admission,
+    /// Load in work per second; zero if unknown.
     pub cost: Duration,
     /// The client is gone or was migrated; the request stays until its attempt or connection has ended.
     pub is_over: bool,
@@ -49,17 +49,15 @@
 impl Request {
     /// `roll` is a uniform random number of this node.
     pub fn new(arrival: &Arrival, class: usize, now: MonotonicTime, phase: Phase, roll: u64) -> Request {
-        // The requests of a group have the same candidates at every node: few servers pay for the group.
-        let shared_seed = arrival.group.or(arrival.key.filter(|_| !arrival.reconnect));
         Request {
             class,
             deadline: now + arrival.time_left,
             phase,
-            candidate_seed: shared_seed.map_or(roll, mix64),
+            candidate_seed: arrival.affinity_key().map_or(roll, mix64),
             slow_start_roll: roll,
             group: arrival.group,
             rerouted: arrival.rerouted,
-            client_retry: arrival.reconnect || arrival.client_retry,
+            first_attempt: arrival.first_attempt_kind(),
             cost: arrival.cost.unwrap_or_default(),
             ..Request::default()
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -75,7 +75,7 @@
         eligible
     }
 
-    /// Rule 2: after a possible run only servers that discard a repeat may take the request.
+    /// Rule 2: after a possible run only servers that discard a retry may take the request.
     fn is_retry_safe(&self, request: &Request, server: &Server) -> bool {
         let Some(run) = request.attempts.first_possible_run() else { return true };
         let Some(first) = self.servers.find(run.server) else { return false };
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -19,8 +19,11 @@
 }
 
 impl Server {
-    fn update(&mut self, endpoint: &Endpoint, cached: bool) {
-        self.health.on_listed(cached, endpoint.started_at != self.attributes.started_at);
+    fn update(&mut self, endpoint: &Endpoint, kind: ListKind) {
+        if endpoint.started_at != self.attributes.started_at {
+            self.health.on_restarted();
+        }
+        self.health.on_listed(kind);
         self.attributes = ServerAttributes::from(endpoint);
         self.status = endpoint.status;
     }
@@ -75,7 +78,7 @@
             if self.servers.len() <= index {
                 self.servers.resize_with(index + 1, Server::default);
             }
-            self.servers[index].update(endpoint, kind == ListKind::Saved);
+            self.servers[index].update(endpoint, kind);
         }
         let is_serving = |index: &usize| self.servers[*index].status == Status::Serving;
         let serving = (0..self.servers.len()).filter(is_serving);
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,7 +1,7 @@
 //! Commands of the request table to the node.
 
 use crate::frontend_id::FrontendId;
-use crate::model::{RequestId, ServerId};
+use crate::model::{Notice, RequestId, ServerId};
 use std::time::Duration;
 
 /// A command that the node carries out.
@@ -63,6 +63,6 @@
     },
     /// Start a watch on the endpoint registry.
     Subscribe,
-    /// Write a log line.
-    Log(String),
+    /// Write a notice to the log.
+    Log(Notice),
 }
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -284,7 +284,7 @@
             Action::SetTimer { after, token } => Some(Command::SetTimer { after, token }),
             Action::HealthCheck(server) => Some(Command::HealthCheck { server }),
             Action::Subscribe => Some(Command::Subscribe),
-            Action::Log(text) => Some(Command::Log(text)),
+            Action::Log(notice) => Some(Command::Log(notice)),
         }
     }
 
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -1,6 +1,6 @@
 //! Which connections to migrate from a server: those of the least value for their load.
 
-use crate::model::RequestId;
+use crate::model::{RequestId, WeightBasis};
 use crate::random::unit_interval;
 use sparbank_time::DurationExt;
 use std::time::Duration;
@@ -19,13 +19,12 @@
     pub rank: u64,
 }
 
-/// The value of a connection for its load of `cost` nanoseconds of work per second, zero if unknown. Where the weight
-/// counts per unit of work anyway, it is the value.
-pub fn connection_value(priority_weight: f64, cost: Duration, weight_by_work: bool) -> f64 {
-    if weight_by_work {
-        priority_weight
-    } else {
-        priority_weight / cost.max(MIN_COST).as_nanos_f64()
+/// The value of a connection for its load of `cost` of work per second, zero if unknown. A weight that counts by work
+/// is that value.
+pub fn connection_value(priority_weight: f64, cost: Duration, basis: WeightBasis) -> f64 {
+    match basis {
+        WeightBasis::Work => priority_weight,
+        WeightBasis::Request => priority_weight / cost.max(MIN_COST).as_nanos_f64(),
     }
 }
 
--- a/src/resilience/connection_value/tests.rs
+++ b/src/resilience/connection_value/tests.rs
@@ -1,5 +1,5 @@
 use super::{connection_value, least_valuable, Connection};
-use crate::model::RequestId;
+use crate::model::{RequestId, WeightBasis};
 use std::time::Duration;
 
 fn connection(id: u64, value: f64, rank: u64) -> Connection {
@@ -26,9 +26,9 @@
     const COST: Duration = Duration::from_nanos(3);
     assert_eq!(
         (
-            connection_value(6.0, COST, false),
-            connection_value(6.0, Duration::ZERO, false),
-            connection_value(6.0, COST, true)
+            connection_value(6.0, COST, WeightBasis::Request),
+            connection_value(6.0, Duration::ZERO, WeightBasis::Request),
+            connection_value(6.0, COST, WeightBasis::Work)
         ),
         (2.0, 6.0, 6.0)
     );
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -21,7 +21,7 @@
 pub use fleet_limits::FleetLimits;
 pub use in_flight::InFlight;
 pub use rendezvous::{rendezvous_rank, LowestRanks, Ranked};
-pub use retry_admission::{Admission, RetryAdmission, ThrottleChange};
+pub use retry_admission::{Admission, RetryAdmission};
 pub use retry_safety::{deduplicates, AttemptHistory, PossibleRun};
 pub use server_health::{LatencyResponse, ServerHealth};
 pub use slow_start::{FillTarget, ServerRamp, SlowStart};
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -7,6 +7,7 @@
 //! `EJECTION_CAP` it costs two attempts, and more only where all eligible servers have an attempt in flight.
 
 use super::backoff::full_jitter_limit;
+use crate::model::{ListKind, Outcome};
 use crate::random::uniform_duration_up_to;
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
@@ -29,9 +30,9 @@
 }
 
 impl OutlierState {
-    /// A list contains the endpoint: a cached one, or one from discovery.
-    pub fn on_listed(&mut self, cached: bool) {
-        self.unconfirmed = cached;
+    /// A list of this kind contains the endpoint.
+    pub fn on_listed(&mut self, kind: ListKind) {
+        self.unconfirmed = kind == ListKind::Saved;
     }
 
     /// The server's process has restarted: what was known of the one before is void.
@@ -66,11 +67,10 @@
         self.reset();
     }
 
-    /// An attempt failed. `roll` is a uniform random number; `answered` tells that the server answered with an error,
-    /// which confirms the endpoint.
-    pub fn on_failure(&mut self, now: MonotonicTime, roll: u64, answered: bool) {
+    /// An attempt failed. `roll` is a uniform random number. An error is an answer, which confirms the endpoint.
+    pub fn on_failure(&mut self, now: MonotonicTime, roll: u64, outcome: Outcome) {
         self.failures += 1;
-        self.unconfirmed &= !answered;
+        self.unconfirmed &= outcome != Outcome::Error;
         let ejection = match (self.unconfirmed, self.failures) {
             (true, 1) => uniform_duration_up_to(roll, EJECTION_CAP),
             (true, _) => EJECTION_CAP + uniform_duration_up_to(roll, EJECTION_CAP),
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -5,11 +5,12 @@
 //! the window is below [`THROTTLE_BELOW`] the node is throttled: retries also keep a pacing interval, and a request
 //! that would have to queue past its deadline is rejected at once.
 
-use crate::model::{Action, Outcome};
+use crate::model::{AttemptKind, Notice, Outcome};
 use sparbank_time::MonotonicTime;
-use std::fmt;
 use std::time::Duration;
 
+/// An attempt is fast that succeeds within its class's objective divided by this.
+const FAST_DIVISOR: u32 = 2;
 /// A fast set-up multiplies the window by this: two in a row double it.
 const FAST_FACTOR: f64 = 1.5;
 /// A slow set-up multiplies the window by this.
@@ -24,40 +25,15 @@
 const MIN_WINDOW: f64 = 0.25;
 
 /// Whether a request may be sent now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent.
+    /// It may be sent, or it has not asked yet.
+    #[default]
     Admitted,
     /// It has to wait and is counted among those queued.
     Queued,
 }
 
-/// The node became throttled, or is no longer. Displays as a line for the log.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ThrottleChange {
-    /// Set-ups are slow or fail: retries are paced from now on.
-    Started,
-    /// Set-ups succeed again.
-    Ended,
-}
-
-impl fmt::Display for ThrottleChange {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            ThrottleChange::Started => {
-                "connection establishment fails or is slow, pacing reconnects and retries"
-            }
-            ThrottleChange::Ended => "connection establishment has recovered, pacing ended",
-        })
-    }
-}
-
-impl From<ThrottleChange> for Action {
-    fn from(change: ThrottleChange) -> Action {
-        Action::Log(change.to_string())
-    }
-}
-
 /// The window of retries in flight, and the retries that are queued for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAdmission {
@@ -85,13 +61,12 @@
 }
 
 impl RetryAdmission {
-    /// Decides whether a request may be sent now. `was_queued` tells whether the last decision on it was
-    /// [`Admission::Queued`].
-    pub fn decide(&mut self, now: MonotonicTime, is_retry: bool, was_queued: bool) -> Admission {
-        self.dequeue(was_queued);
+    /// Decides whether a request may be sent now. `previous` is the last decision on it.
+    pub fn decide(&mut self, now: MonotonicTime, kind: AttemptKind, previous: Admission) -> Admission {
+        self.dequeue(previous);
         let is_full = self.in_flight >= self.window.max(1.0) as u32;
         let is_paced = self.throttled && now < self.next_at;
-        if is_retry && (is_full || is_paced) {
+        if kind == AttemptKind::Retry && (is_full || is_paced) {
             self.queued += 1;
             Admission::Queued
         } else {
@@ -109,9 +84,11 @@
         interval.saturating_mul(self.queued)
     }
 
-    /// A request ends without having been sent; `was_queued` tells whether it was queued.
-    pub fn dequeue(&mut self, was_queued: bool) {
-        self.queued = self.queued.saturating_sub(u32::from(was_queued));
+    /// A request that may be queued, by the last decision on it, no longer waits.
+    pub fn dequeue(&mut self, previous: Admission) {
+        if previous == Admission::Queued {
+            self.queued = self.queued.saturating_sub(1);
+        }
     }
 
     /// An attempt was sent. While throttled, the next retry is sent no sooner than `next_at`.
@@ -120,10 +97,10 @@
         self.next_at = next_at;
     }
 
-    /// An attempt succeeded, fast or slowly.
-    pub fn on_established(&mut self, is_fast: bool) -> Option<ThrottleChange> {
+    /// An attempt succeeded after `setup_time`; its class has this objective.
+    pub fn on_established(&mut self, setup_time: Duration, objective: Duration) -> Option<Notice> {
         self.in_flight = self.in_flight.saturating_sub(1);
-        let factor = if is_fast { FAST_FACTOR } else { SLOW_FACTOR };
+        let factor = if setup_time <= objective / FAST_DIVISOR { FAST_FACTOR } else { SLOW_FACTOR };
         self.window = (self.window * factor).clamp(MIN_WINDOW, MAX_WINDOW);
         self.update_throttle()
     }
@@ -135,7 +112,7 @@
         outcome: Outcome,
         sent_at: MonotonicTime,
         now: MonotonicTime,
-    ) -> Option<ThrottleChange> {
+    ) -> Option<Notice> {
         self.in_flight = self.in_flight.saturating_sub(1);
         let has_failed = matches!(outcome, Outcome::Error | Outcome::Timeout);
         if has_failed && sent_at >= self.last_failure_at {
@@ -150,12 +127,12 @@
         self.throttled.then_some(self.window / THROTTLE_BELOW)
     }
 
-    fn update_throttle(&mut self) -> Option<ThrottleChange> {
+    fn update_throttle(&mut self) -> Option<Notice> {
         let was_throttled = self.throttled;
         self.throttled = self.window < THROTTLE_BELOW;
         match (was_throttled, self.throttled) {
-            (false, true) => Some(ThrottleChange::Started),
-            (true, false) => Some(ThrottleChange::Ended),
+            (false, true) => Some(Notice::PacingStarted),
+            (true, false) => Some(Notice::PacingEnded),
             _ => None,
         }
     }
--- a/src/resilience/retry_admission/tests.rs
+++ b/src/resilience/retry_admission/tests.rs
@@ -1,7 +1,11 @@
-use super::{Admission, Outcome, RetryAdmission, ThrottleChange, MIN_WINDOW};
+use super::{Admission, AttemptKind, Notice, Outcome, RetryAdmission, MIN_WINDOW};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
+const OBJECTIVE: Duration = Duration::from_nanos(100);
+/// The slowest set-up that is fast for this objective.
+const FAST: Duration = Duration::from_nanos(50);
+
 /// The instant this many nanoseconds after the origin of the clock.
 fn at(nanos: u64) -> MonotonicTime {
     MonotonicTime::from_nanos(nanos)
@@ -12,22 +16,30 @@
 #[test]
 fn the_window_follows_how_fast_set_ups_succeed() {
     let mut admission = RetryAdmission::default();
-    assert_eq!(admission.decide(at(0), true, false), Admission::Admitted);
+    assert_eq!(admission.decide(at(0), AttemptKind::Retry, Admission::Admitted), Admission::Admitted);
     admission.on_sent(at(0));
-    assert_eq!(admission.decide(at(1), true, false), Admission::Queued, "one is in flight");
     assert_eq!(
-        admission.decide(at(1), false, false),
+        admission.decide(at(1), AttemptKind::Retry, Admission::Admitted),
+        Admission::Queued,
+        "one is in flight"
+    );
+    assert_eq!(
+        admission.decide(at(1), AttemptKind::First, Admission::Admitted),
         Admission::Admitted,
         "a new client's first attempt never waits"
     );
-    (0..6).for_each(|_| assert_eq!(admission.on_established(true), None));
-    let mut was_queued = true;
+    (0..6).for_each(|_| assert_eq!(admission.on_established(FAST, OBJECTIVE), None));
+    let mut previous = Admission::Queued;
     for _ in 0..11 {
-        assert_eq!(admission.decide(at(2), true, was_queued), Admission::Admitted);
-        was_queued = false;
+        assert_eq!(admission.decide(at(2), AttemptKind::Retry, previous), Admission::Admitted);
+        previous = Admission::Admitted;
         admission.on_sent(at(2));
     }
-    assert_eq!(admission.decide(at(3), true, false), Admission::Queued, "eleven are in flight");
+    assert_eq!(
+        admission.decide(at(3), AttemptKind::Retry, Admission::Admitted),
+        Admission::Queued,
+        "eleven are in flight"
+    );
     for (sent_at, now) in [(2, 10), (10, 11), (11, 12), (12, 13)] {
         assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(sent_at), at(now)), None);
         assert_eq!(admission.throttled_rate(), None);
@@ -35,20 +47,20 @@
     // What was sent before that failure was known tells nothing new.
     assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(12), at(14)), None);
     assert_eq!(admission.throttled_rate(), None);
-    assert_eq!(admission.on_attempt_ended(Outcome::Error, at(13), at(14)), Some(ThrottleChange::Started));
+    assert_eq!(admission.on_attempt_ended(Outcome::Error, at(13), at(14)), Some(Notice::PacingStarted));
     (14..20).map(at).for_each(|time| {
         assert_eq!(admission.on_attempt_ended(Outcome::Timeout, time, time), None, "reported once");
     });
     assert_eq!(admission.throttled_rate(), Some(0.5));
-    assert_eq!(admission.on_established(true), None);
-    assert_eq!(admission.on_established(true), Some(ThrottleChange::Ended));
+    assert_eq!(admission.on_established(FAST, OBJECTIVE), None);
+    assert_eq!(admission.on_established(FAST, OBJECTIVE), Some(Notice::PacingEnded));
     assert_eq!(admission.throttled_rate(), None);
 }
 
 #[test]
-fn the_log_lines_name_the_state() {
-    assert!(ThrottleChange::Started.to_string().contains("establishment fails"));
-    assert_eq!(ThrottleChange::Ended.to_string(), "connection establishment has recovered, pacing ended");
+fn the_notices_name_the_state() {
+    assert!(Notice::PacingStarted.to_string().contains("establishment fails"));
+    assert_eq!(Notice::PacingEnded.to_string(), "connection establishment has recovered, pacing ended");
 }
 
 /// Queued requests are counted once each, and one that cannot be sent before its deadline is found.
@@ -58,8 +70,8 @@
     admission.on_sent(at(500));
     let interval = Duration::from_nanos(100);
     for _ in 0..3 {
-        assert_eq!(admission.decide(at(10), true, false), Admission::Queued);
-        assert_eq!(admission.decide(at(20), true, true), Admission::Queued);
+        assert_eq!(admission.decide(at(10), AttemptKind::Retry, Admission::Admitted), Admission::Queued);
+        assert_eq!(admission.decide(at(20), AttemptKind::Retry, Admission::Queued), Admission::Queued);
     }
     assert_eq!(admission.queue_delay(interval), 3 * interval);
     assert!(
@@ -68,7 +80,7 @@
     );
     assert!(!admission.misses_deadline(at(500), interval, at(320)), "the interval is over: it may be sent");
     assert_eq!(admission.on_attempt_ended(Outcome::ConnectFailed, at(500), at(500)), None);
-    assert_eq!(admission.decide(at(500), true, true), Admission::Admitted);
-    admission.dequeue(true);
+    assert_eq!(admission.decide(at(500), AttemptKind::Retry, Admission::Queued), Admission::Admitted);
+    admission.dequeue(Admission::Queued);
     assert_eq!(admission.queue_delay(interval), interval, "one of three is left");
 }
--- a/src/resilience/retry_safety.rs
+++ b/src/resilience/retry_safety.rs
@@ -1,6 +1,6 @@
-//! Retry safety: the attempts of a request so far, and which repeats cannot run an effect twice.
+//! Retry safety: the attempts of a request so far, and which retries cannot run an effect twice.
 
-use crate::model::{DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
+use crate::model::{AttemptKind, DedupScope, Effect, Location, Outcome, RequestClass, ServerId};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
@@ -31,6 +31,15 @@
         self.count
     }
 
+    /// The kind of the next attempt, given that of the request's first one.
+    pub fn next_kind(&self, first: AttemptKind) -> AttemptKind {
+        if self.count > 0 {
+            AttemptKind::Retry
+        } else {
+            first
+        }
+    }
+
     /// When the last attempt was sent.
     pub fn last_sent_at(&self) -> MonotonicTime {
         self.last_sent_at
@@ -68,7 +77,7 @@
         }
     }
 
-    /// The last attempt never left this machine, and the server had no part in that: it is as if it had not been tried.
+    /// The last attempt never left this machine, for a reason that is not the server's: it does not count.
     fn withdraw(&mut self, server: ServerId) {
         self.count = self.count.saturating_sub(1);
         self.tried.pop_if(|tried| *tried == server);
@@ -94,7 +103,7 @@
         }
     }
 
-    /// When servers no longer discard a repeat of what may have run; none where nothing is discarded.
+    /// When servers no longer discard a retry of what may have run; none where nothing is discarded.
     pub fn dedup_window_end(&self, class: &RequestClass) -> Option<MonotonicTime> {
         let run = self.first_possible_run.filter(|_| class.effect == Effect::IdempotencyKey)?;
         Some(run.sent_at + class.dedup_window)
@@ -110,7 +119,7 @@
     }
 }
 
-/// Whether a server at `location` discards a repeat of what may have run at `first`. True for requests without an
+/// Whether a server at `location` discards a retry of what may have run at `first`. True for requests without an
 /// idempotency key, which [`AttemptHistory::may_retry`] decides.
 pub fn deduplicates(class: &RequestClass, first: Location, location: Location) -> bool {
     match (class.effect, class.dedup_scope) {
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -6,7 +6,7 @@
 use super::outlier::OutlierState;
 use super::recent_resets::RecentResets;
 use super::slow_start::ServerRamp;
-use crate::model::{Outcome, Settings};
+use crate::model::{ListKind, Outcome, Settings};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -40,14 +40,15 @@
 }
 
 impl ServerHealth {
-    /// A list contains the server: a cached one, or one from discovery. `restarted` tells that the list has another
-    /// start time than before.
-    pub fn on_listed(&mut self, cached: bool, restarted: bool) {
-        if restarted {
-            self.resets.clear();
-            self.outlier.reset();
-        }
-        self.outlier.on_listed(cached);
+    /// A list of this kind contains the server.
+    pub fn on_listed(&mut self, kind: ListKind) {
+        self.outlier.on_listed(kind);
+    }
+
+    /// The server's process has restarted: what was observed of the one before no longer counts.
+    pub fn on_restarted(&mut self) {
+        self.resets.clear();
+        self.outlier.reset();
     }
 
     /// Discovery has sent a list: the cached entries that it did not remove exist.
@@ -94,7 +95,7 @@
             Outcome::Reset if !self.outlier.is_unconfirmed() => {}
             Outcome::Cancelled | Outcome::NotSent | Outcome::LocalShortage | Outcome::Rejected => {}
             Outcome::Reset | Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed => {
-                self.outlier.on_failure(now, roll(), outcome == Outcome::Error);
+                self.outlier.on_failure(now, roll(), outcome);
             }
         }
     }
--- a/src/resilience/server_health/tests.rs
+++ b/src/resilience/server_health/tests.rs
@@ -1,5 +1,5 @@
 use super::{LatencyResponse, ServerHealth};
-use crate::model::{DedupScope, Effect, Outcome, RequestClass, Settings};
+use crate::model::{DedupScope, Effect, ListKind, Outcome, RequestClass, Settings};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
@@ -70,8 +70,9 @@
     let mut health = ServerHealth::default();
     health.on_connection_ended(now, Outcome::Reset, || u64::MAX);
     health.on_attempt_ended(now, Outcome::ConnectFailed, || u64::MAX);
-    health.on_listed(false, false);
+    health.on_listed(ListKind::Full);
     assert!(health.recent_resets(now) == 1.0 && !health.is_available(now));
-    health.on_listed(false, true);
+    health.on_restarted();
+    health.on_listed(ListKind::Full);
     assert!(health.recent_resets(now) == 0.0 && health.is_available(now));
 }
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -164,7 +164,7 @@
                 ActionDocument::SetTimer { after_ns: after.as_nanos_u64(), token }
             }
             Action::Subscribe => ActionDocument::Subscribe { on: true },
-            Action::Log(text) => ActionDocument::Log { text },
+            Action::Log(notice) => ActionDocument::Log { text: notice.to_string() },
         }
     }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use sparbank::model::{
     Action, Arrival, DedupScope, Discovery, Effect, Endpoint, Event, ListKind, Outcome, RequestClass,
-    RequestId, ServerId, Settings, Status,
+    RequestId, ServerId, Settings, Status, WeightBasis,
 };
 use sparbank::Balancer;
 use sparbank_time::MonotonicTime;
@@ -39,7 +39,7 @@
             class(Effect::NonIdempotent, DedupScope::All),
         ],
         discovery: Discovery::Pushed,
-        weight_by_work: false,
+        weight_basis: WeightBasis::Request,
         max_attempts: 3,
         may_cancel: true,
         max_retry_after: SECOND,
