--- a/src/bin/sparbank-simulator-adapter.rs
+++ b/src/bin/sparbank-simulator-adapter.rs
@@ -3,7 +3,6 @@
 #![forbid(unsafe_code)]
 
 use sparbank::simulator_adapter::{BatchError, Host};
-use std::fmt;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
@@ -18,20 +17,14 @@
 }
 
 /// Why the program stops before the end of its input.
+#[derive(Debug, thiserror::Error)]
 enum ServeError {
-    Read(io::Error),
-    Batch(BatchError),
-    Write(io::Error),
-}
-
-impl fmt::Display for ServeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ServeError::Read(error) => write!(f, "cannot read a batch: {error}"),
-            ServeError::Batch(error) => write!(f, "{error}"),
-            ServeError::Write(error) => write!(f, "cannot write a reply: {error}"),
-        }
-    }
+    #[error("cannot read a batch: {0}")]
+    Read(#[source] io::Error),
+    #[error(transparent)]
+    Batch(#[from] BatchError),
+    #[error("cannot write a reply: {0}")]
+    Write(#[source] io::Error),
 }
 
 /// Answers batches until the input ends. Blank lines are skipped.
@@ -46,7 +39,7 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let reply = host.handle_batch(&line).map_err(ServeError::Batch)?;
+        let reply = host.handle_batch(&line)?;
         output.write_all(reply.as_bytes()).map_err(ServeError::Write)?;
         output.flush().map_err(ServeError::Write)?;
     }
--- a/src/simulator_adapter/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -35,8 +35,7 @@
     /// A [`BatchError`] for the first event that cannot be handled. The events before it have been handled, without a
     /// reply, so the host is of no use afterwards.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
-        let text =
-            std::str::from_utf8(line).map_err(|error| BatchError::of_batch(EventError::NotUtf8(error)))?;
+        let text = std::str::from_utf8(line).map_err(BatchError::of_batch)?;
         let batch: BatchDocument = decode(text).map_err(BatchError::of_batch)?;
         let mut reply = ReplyDocument { frame: batch.frame, instances: Vec::new() };
         for instance_events in &batch.instances {
@@ -45,8 +44,7 @@
                 reply.instances.push(InstanceActions { instance, actions });
             }
         }
-        let reply =
-            serde_json::to_string(&reply).map_err(|error| BatchError::of_batch(EventError::Encode(error)))?;
+        let reply = serde_json::to_string(&reply).map_err(BatchError::of_batch)?;
         Ok(reply + "\n")
     }
 
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -23,7 +23,7 @@
 
 /// Decodes a document of the wire.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, EventError> {
-    json::parse(text).map_err(EventError::InvalidDocument)
+    Ok(json::parse(text)?)
 }
 
 /// A simulated node.
@@ -37,8 +37,7 @@
 impl Instance {
     /// Starts a node from its `INIT` event.
     pub fn start(init: InitDocument) -> Result<Instance, EventError> {
-        let balancer =
-            Balancer::new(init.seed, Settings::from(init.settings)).map_err(EventError::Settings)?;
+        let balancer = Balancer::new(init.seed, Settings::from(init.settings))?;
         Ok(Instance { balancer, server_ids: HashMap::new(), server_names: Vec::new() })
     }
 
--- a/src/simulator_adapter/panics.rs
+++ b/src/simulator_adapter/panics.rs
@@ -2,7 +2,6 @@
 
 use crate::model::Action;
 use std::cell::RefCell;
-use std::fmt;
 use std::panic::{self, AssertUnwindSafe};
 use std::sync::Once;
 
@@ -12,17 +11,10 @@
 }
 
 /// A panic in a decision: its message and its place in the source.
-#[derive(Debug, PartialEq, Eq)]
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
 pub struct DecisionPanic(String);
 
-impl fmt::Display for DecisionPanic {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl std::error::Error for DecisionPanic {}
-
 /// The actions of one decision, or its panic. The message is known once [`capture_panic_messages`] was called.
 pub fn catch_panic(decide: impl FnOnce(&mut Vec<Action>)) -> Result<Vec<Action>, DecisionPanic> {
     let mut actions = Vec::new();
