--- a/src/frontend/amqp/sending.rs
+++ b/src/frontend/amqp/sending.rs
@@ -6,6 +6,7 @@
 use super::servers::{AttemptResult, ClassQueue, SendingLink, Servers};
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
+use crate::rules::PeerStatus;
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
 use sparbank_time::DurationExt;
 
@@ -139,7 +140,11 @@
             AttemptStage::Queued => {
                 let server_ready = self.ctx.registry.entry(self.server).is_some_and(|entry| entry.is_ready());
                 // A client that comes back may still resume the delivery: its absence does not count here.
-                let permission = self.ctx.requests.may_send(self.ctx.now, request_id, false, server_ready);
+                let permission = self.ctx.requests.may_send(
+                    self.ctx.now,
+                    request_id,
+                    PeerStatus { client_gone: false, server_ready },
+                );
                 if let Err(refusal) = permission {
                     tracing::trace!(request = request_id.0, reason = %refusal, "attempt not sent");
                     return Turn::NotSent(request_id);
--- a/src/frontend/text/client_side.rs
+++ b/src/frontend/text/client_side.rs
@@ -8,7 +8,8 @@
 use crate::model::{Outcome, ServerId};
 use crate::net::{ConnectError, SocketOwner, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use crate::rules::{
-    check_close, may_start, CloseInputs, SendRefusal, StartInputs, StartRefusal, Violation, ViolationContext,
+    check_close, may_start, CloseInputs, PeerStatus, SendRefusal, StartInputs, StartRefusal, Violation,
+    ViolationContext,
 };
 use std::time::Duration;
 
@@ -203,7 +204,9 @@
         let client_gone = has_disconnected(ctx, client);
         let server_ready = session.server.is_some_and(|server| is_ready(ctx, server));
         match session.request_id {
-            Some(request_id) => ctx.requests.may_send(ctx.now, request_id, client_gone, server_ready),
+            Some(request_id) => {
+                ctx.requests.may_send(ctx.now, request_id, PeerStatus { client_gone, server_ready })
+            }
             // It is restored at the server that it had before the run, in whatever state that is.
             None if client_gone => Err(SendRefusal::ClientGone),
             None => Ok(()),
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -11,7 +11,7 @@
 use crate::frontend_id::FrontendId;
 use crate::model::{Action, Arrival, Event, Outcome, RequestId, ServerId, Settings, SettingsError};
 use crate::quota::QuotaAdmission;
-use crate::rules::{self, SendInputs, SendRefusal, Violation, ViolationContext, ViolationLog};
+use crate::rules::{self, PeerStatus, SendInputs, SendRefusal, Violation, ViolationContext, ViolationLog};
 use sparbank_time::MonotonicTime;
 
 /// The requests of this node, and the balancer that decides on them.
@@ -119,17 +119,11 @@
     ///
     /// # Errors
     /// Why not; the frontend then reports the attempt as [`Outcome::NotSent`].
-    pub fn may_send(
-        &self,
-        now: MonotonicTime,
-        id: RequestId,
-        client_gone: bool,
-        server_ready: bool,
-    ) -> Result<(), SendRefusal> {
+    pub fn may_send(&self, now: MonotonicTime, id: RequestId, peers: PeerStatus) -> Result<(), SendRefusal> {
         let attempt = self.ledger.open().get(id).and_then(Request::attempt_in_flight);
         let send_by = attempt.map_or(MonotonicTime::ZERO, |attempt| attempt.send_by);
         let is_current_attempt = attempt.is_some();
-        rules::may_send(&SendInputs { now, client_gone, server_ready, is_current_attempt, send_by })
+        rules::may_send(&SendInputs { now, peers, is_current_attempt, send_by })
     }
 
     /// The attempt in flight was accepted: its connection is established and the client has its answer.
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -1,24 +1,24 @@
-//! What must be true when a client's connection is closed.
+//! Whether a client's connection may be closed.
 
 use super::Violation;
 
-/// What is known of a client's connection that this node ends.
+/// The state of a client's connection that this node is about to close.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseInputs {
     /// Its request has been read.
     pub has_request: bool,
     /// The request's final answer has been written.
     pub is_answered: bool,
-    /// The request's session was established: its end needs `MOVE`, or the end of one side.
+    /// The request's session is established: it ends after a `MOVE`, or when the client or the server ends it.
     pub is_established: bool,
-    /// The client was told to come again, or one of the two sides had ended.
+    /// A `MOVE` was sent to the client, or the client or the server had ended the session.
     pub is_announced: bool,
 }
 
-/// Checks a close.
+/// Checks that a connection may be closed.
 ///
 /// # Errors
-/// The rule that it breaks.
+/// The rule that closing it now breaks.
 pub fn check_close(inputs: &CloseInputs) -> Result<(), Violation> {
     if inputs.has_request && !inputs.is_answered {
         return Err(Violation::ClosedUnanswered);
--- a/src/rules/retry.rs
+++ b/src/rules/retry.rs
@@ -3,9 +3,8 @@
 use crate::model::{RequestClass, Settings};
 use crate::resilience::AttemptHistory;
 use sparbank_time::MonotonicTime;
-use std::fmt;
 
-/// What is known of a request that waits for its next attempt.
+/// The state of a request that waits for its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInputs<'a> {
     /// The time.
@@ -16,34 +15,27 @@
     pub attempts: &'a AttemptHistory,
     /// The request's class.
     pub class: &'a RequestClass,
-    /// The request waits for admission, and its turn would come after its deadline.
+    /// The request is queued for admission, and would be admitted only after its deadline.
     pub misses_deadline: bool,
 }
 
-/// Why a request gets no further attempt: it has its final answer now.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Why a request gets no further attempt: its final answer follows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryRefusal {
-    /// The client's time is over.
+    /// The request's deadline has passed.
+    #[error("deadline-passed")]
     DeadlinePassed,
-    /// Its turn among the retries would come too late.
+    /// It is queued for admission, and would be admitted only after its deadline.
+    #[error("queue-too-slow")]
     QueueTooSlow,
     /// All attempts are used up.
+    #[error("attempts-used")]
     AttemptsUsed,
-    /// An earlier attempt may have run, and a repeat might run again.
+    /// An earlier attempt may have run, and its effect must not run twice.
+    #[error("may-have-run")]
     MayHaveRun,
 }
 
-impl fmt::Display for RetryRefusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            RetryRefusal::DeadlinePassed => "deadline-passed",
-            RetryRefusal::QueueTooSlow => "queue-too-slow",
-            RetryRefusal::AttemptsUsed => "attempts-used",
-            RetryRefusal::MayHaveRun => "may-have-run",
-        })
-    }
-}
-
 /// Whether the request may have one more attempt.
 ///
 /// # Errors
--- a/src/rules/start.rs
+++ b/src/rules/start.rs
@@ -1,47 +1,38 @@
-//! Whether a request that has been read is taken on.
+//! Whether a request that has been read may be started.
 
-use std::fmt;
-
-/// What is known when a client's request line is complete.
+/// The state of the node and the client when the client's request line is complete.
 #[derive(Clone, Copy, Debug)]
 pub struct StartInputs {
-    /// The process is about to end: what is forwarded now would not be answered from there.
+    /// The process is about to exit: it would not be there to forward the answer.
     pub is_closing: bool,
-    /// It is the connection of a client that was connected before the run, which is no placement.
+    /// The client restores a session that it had before this process started; no server is selected for it.
     pub is_restored: bool,
-    /// The client has sent more than its one line.
+    /// The client has sent more than the request line.
     pub has_more_input: bool,
     /// A request with this id is open here.
     pub is_duplicate_id: bool,
-    /// There is a descriptor for the connection to a server.
+    /// A descriptor is available for the connection to a server.
     pub has_descriptor: bool,
 }
 
 /// Why a request is answered without any attempt.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
-    /// Nothing may follow the line before the answer.
+    /// The client sent more than the request line before its answer.
+    #[error("more-input")]
     MoreInput,
-    /// Servers close on a second request with an open id.
+    /// A request with this id is open here: servers close the connection on a second one.
+    #[error("duplicate-id")]
     DuplicateId,
-    /// The process is about to end.
+    /// The process is about to exit.
+    #[error("closing")]
     Closing,
-    /// Descriptors run short.
+    /// No descriptor is available.
+    #[error("no-descriptor")]
     NoDescriptor,
 }
 
-impl fmt::Display for StartRefusal {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            StartRefusal::MoreInput => "more-input",
-            StartRefusal::DuplicateId => "duplicate-id",
-            StartRefusal::Closing => "closing",
-            StartRefusal::NoDescriptor => "no-descriptor",
-        })
-    }
-}
-
-/// Whether the request is taken on.
+/// Whether the request may be started.
 ///
 /// # Errors
 /// The first reason against it.
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Each question has one reason for "no" at a time, and the first one counts.
+//! Unit tests of the rules: each check gives the first reason against.
 
 use super::*;
 use crate::model::{DedupScope, Effect, Outcome, RequestClass, ServerId, Settings};
@@ -12,11 +12,12 @@
     MonotonicTime::ZERO + Duration::from_millis(ms)
 }
 
+const READY: PeerStatus = PeerStatus { client_gone: false, server_ready: true };
+
 fn send_inputs() -> SendInputs {
     SendInputs {
         now: MonotonicTime::from_nanos(10),
-        client_gone: false,
-        server_ready: true,
+        peers: READY,
         is_current_attempt: true,
         send_by: MonotonicTime::from_nanos(11),
     }
@@ -24,9 +25,9 @@
 
 #[rstest]
 #[case(send_inputs(), Ok(()))]
-#[case(SendInputs { client_gone: true, server_ready: false, ..send_inputs() }, Err(SendRefusal::ClientGone))]
+#[case(SendInputs { peers: PeerStatus { client_gone: true, server_ready: false }, ..send_inputs() }, Err(SendRefusal::ClientGone))]
 #[case(SendInputs { is_current_attempt: false, ..send_inputs() }, Err(SendRefusal::NotCurrent))]
-#[case(SendInputs { server_ready: false, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
+#[case(SendInputs { peers: PeerStatus { server_ready: false, ..READY }, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
 #[case(SendInputs { now: MonotonicTime::from_nanos(11), ..send_inputs() }, Err(SendRefusal::TooLate))]
 fn a_request_is_sent_for_a_client_that_waits_to_a_server_that_is_ready_in_time(
     #[case] inputs: SendInputs,
@@ -89,7 +90,7 @@
 #[rstest]
 #[case::at_once(0, 0, false, Ok(()))]
 #[case::deadline(1_200, 0, false, Err(RetryRefusal::DeadlinePassed))]
-#[case::turn(0, 0, true, Err(RetryRefusal::QueueTooSlow))]
+#[case::queue_too_slow(0, 0, true, Err(RetryRefusal::QueueTooSlow))]
 #[case::used(0, 3, false, Err(RetryRefusal::AttemptsUsed))]
 #[case::may_have_run(0, 1, false, Err(RetryRefusal::MayHaveRun))]
 fn a_request_is_repeated_in_time_and_where_nothing_may_run_twice(
--- a/src/rules/violation.rs
+++ b/src/rules/violation.rs
@@ -1,31 +1,22 @@
 //! Rules that were broken: counted, and logged with the ids that lead to the cause.
 
-use std::fmt;
-
-/// A rule that a node has broken. None is expected: each is a fault of the node.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// A rule that this node has broken. Each is a fault of this program.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A client's connection was closed with its request read and not answered.
+    #[error("closed-unanswered")]
     ClosedUnanswered,
     /// A client got a second final answer.
+    #[error("answered-twice")]
     AnsweredTwice,
-    /// An established connection was ended without `MOVE` while both sides were there.
+    /// An established session was ended without `MOVE` while its client and its server were connected.
+    #[error("cut-off")]
     CutOff,
     /// The process ended with requests or connections open.
+    #[error("open-at-exit")]
     OpenAtExit,
 }
 
-impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(match self {
-            Violation::ClosedUnanswered => "closed-unanswered",
-            Violation::AnsweredTwice => "answered-twice",
-            Violation::CutOff => "cut-off",
-            Violation::OpenAtExit => "open-at-exit",
-        })
-    }
-}
-
 /// What a violation is about, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationContext<'a> {
