--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -22,3 +22,29 @@
     let without_shares: Vec<TenantDocument> = quotas.into_iter().map(|quota| tenant((quota, 0.0))).collect();
     assert_eq!(quota_setups_per_second(&without_shares), quotas.iter().sum::<f64>());
 }
+
+/// A document with one class and nothing that may be left out.
+const SMALLEST: &str = r#"{"Profiles":[{"ObjectiveNs":1,"HardLimitNs":2,"Effect":"read_like"}],
+    "Limits":{"MaxAttempts":3},"Rules":{}}"#;
+
+fn document(text: &str) -> SettingsDocument {
+    crate::json::parse(text).expect("it is valid")
+}
+
+/// The simulator states a time limit for connections or none; a node on real sockets always has one.
+#[test]
+fn the_dial_timeout_defaults_to_none_for_the_balancer_and_to_250_ms_for_frontends() {
+    assert_eq!(Settings::from(document(SMALLEST)).dial_timeout, Duration::ZERO);
+    let named = SMALLEST.replace(r#""Effect""#, r#""Name":"a","Effect""#);
+    let settings = FrontendSettings::try_from(&document(&named)).expect("its class has a name");
+    assert_eq!(
+        (settings.dial_timeout, settings.class_names),
+        (Duration::from_millis(250), vec!["a".to_string()])
+    );
+}
+
+#[test]
+fn frontends_require_class_names() {
+    let error = FrontendSettings::try_from(&document(SMALLEST)).expect_err("its class has no name");
+    assert_eq!(error.to_string(), "field settings.Profiles[0]: missing field `Name`");
+}
--- a/src/resilience/retry_admission/tests.rs
+++ b/src/resilience/retry_admission/tests.rs
@@ -11,10 +11,9 @@
     MonotonicTime::from_nanos(nanos)
 }
 
-/// After a start one retry goes at a time; fast set-ups widen the window in a few steps, and slow or failed ones
-/// narrow it as fast.
+/// After a start one retry goes at a time; fast set-ups widen the window in a few steps.
 #[test]
-fn the_window_follows_how_fast_set_ups_succeed() {
+fn fast_set_ups_widen_the_window() {
     let mut admission = RetryAdmission::default();
     assert_eq!(admission.decide(at(0), AttemptKind::Retry, Admission::Admitted), Admission::Admitted);
     admission.on_sent(at(0));
@@ -40,6 +39,13 @@
         Admission::Queued,
         "eleven are in flight"
     );
+}
+
+/// A node whose window fast set-ups have widened. Failed attempts narrow it again, each of them once.
+#[test]
+fn failures_throttle_and_fast_set_ups_end_it() {
+    let mut admission = RetryAdmission::default();
+    (0..6).for_each(|_| assert_eq!(admission.on_established(FAST, OBJECTIVE), None));
     for (sent_at, now) in [(2, 10), (10, 11), (11, 12), (12, 13)] {
         assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(sent_at), at(now)), None);
         assert_eq!(admission.throttled_rate(), None);
@@ -53,6 +59,9 @@
     });
     assert_eq!(admission.throttled_rate(), Some(0.5));
     assert_eq!(admission.on_established(FAST, OBJECTIVE), None);
+    let slow = FAST + Duration::from_nanos(1);
+    assert_eq!(admission.on_established(slow, OBJECTIVE), None, "it narrows the window");
+    assert_eq!(admission.on_established(FAST, OBJECTIVE), None);
     assert_eq!(admission.on_established(FAST, OBJECTIVE), Some(Notice::PacingEnded));
     assert_eq!(admission.throttled_rate(), None);
 }
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,5 +1,6 @@
 //! The simulator's adapter, driven end to end over its standard input and output.
 
+use rstest::rstest;
 use serde_json::{json, Value};
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -200,47 +201,58 @@
 }
 
 #[test]
-fn invalid_input_is_reported_with_frame_instance_and_field() {
+fn an_invalid_batch_is_reported_with_frame_and_field() {
     assert_rejected(&["{not json".to_string()], &["batch"]);
     assert_rejected(&[json!({"TsNs": 1, "frame": 3}).to_string()], &["parts"]);
     assert_rejected(&[json!({"TsNs": "x", "frame": 3, "parts": []}).to_string()], &["TsNs"]);
     assert_rejected(&[batch(5, json!([{"in": [{"msg": "CRASH_NOW"}]}]))], &["frame 5", "field I"]);
-    let one = |event: Value| vec![batch(5, json!([{"I": 9, "in": [init(1), event]}]))];
-    assert_rejected(
-        &one(json!({"msg": "REQUEST", "GraceNs": 5, "Category": 0})),
-        &["frame 5", "instance 9", "REQUEST", "Txn"],
-    );
-    assert_rejected(
-        &one(json!({"msg": "REQUEST", "Txn": "x", "GraceNs": 5, "Category": 0})),
-        &["instance 9", "Txn"],
-    );
-    assert_rejected(
-        &one(json!({"msg": "RESPONSE", "Txn": 1, "Backend": "s", "Status": 100})),
-        &["RESPONSE", "Shot"],
-    );
-    assert_rejected(
-        &one(json!({"msg": "RESUMED", "Txn": 1, "Category": 0, "GraceNs": 1})),
-        &["RESUMED", "Backend"],
-    );
-    assert_rejected(&one(json!({"msg": "SURPRISE"})), &["SURPRISE", "field msg"]);
-    assert_rejected(&one(json!({"Txn": 1})), &["msg"]);
-    assert_rejected(&one(list_received("SAVED", 7)), &["MEMBERS", "Slot", "7"]);
-    let invalid_list =
-        json!({"msg": "CENSUS", "Slot": 0, "NodesList": [{"Backend": "s", "Status": "ASLEEP"}]});
-    assert_rejected(&one(invalid_list), &["CENSUS", "NodesList[0].Status"]);
     let never_started = vec![batch(5, json!([{"I": 2, "in": [{"msg": "VANISHED", "Txn": 1}]}]))];
     assert_rejected(&never_started, &["frame 5", "instance 2", "never started"]);
-    for (path, value, name) in [
-        ("/Profiles", json!([]), "classes"),
-        ("/Limits/MaxAttempts", json!(0), "max_attempts"),
-        ("/Rules/ColdNs", json!(-5), "ColdNs"),
-        ("/Profiles/0/Effect", json!("odd"), "Effect"),
-    ] {
-        let mut settings = settings();
-        *settings.pointer_mut(path).expect("a setting") = value;
-        let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
-        assert_rejected(&[batch(1, json!([{"I": 0, "in": [start]}]))], &["INIT", name]);
-    }
+}
+
+#[rstest]
+#[case(json!({"msg": "REQUEST", "GraceNs": 5, "Category": 0}), &["frame 5", "instance 9", "REQUEST", "Txn"])]
+#[case(json!({"msg": "REQUEST", "Txn": "x", "GraceNs": 5, "Category": 0}), &["instance 9", "Txn"])]
+#[case(json!({"msg": "RESPONSE", "Txn": 1, "Backend": "s", "Status": 100}), &["RESPONSE", "Shot"])]
+#[case(json!({"msg": "RESUMED", "Txn": 1, "Category": 0, "GraceNs": 1}), &["RESUMED", "Backend"])]
+#[case(json!({"msg": "SURPRISE"}), &["SURPRISE", "field msg"])]
+#[case(json!({"Txn": 1}), &["msg"])]
+#[case(list_received("SAVED", 7), &["MEMBERS", "Slot", "7"])]
+#[case(
+    json!({"msg": "CENSUS", "Slot": 0, "NodesList": [{"Backend": "s", "Status": "ASLEEP"}]}),
+    &["CENSUS", "NodesList[0].Status"]
+)]
+fn an_invalid_event_is_reported_with_instance_and_field(#[case] event: Value, #[case] names: &[&str]) {
+    assert_rejected(&[batch(5, json!([{"I": 9, "in": [init(1), event]}]))], names);
+}
+
+/// A batch that starts one instance with these settings.
+fn start_with(settings: Value) -> String {
+    let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
+    batch(1, json!([{"I": 0, "in": [start]}]))
+}
+
+#[rstest]
+#[case("/Profiles", json!([]), "classes")]
+#[case("/Limits/MaxAttempts", json!(0), "max_attempts")]
+#[case("/Rules/ColdNs", json!(-5), "ColdNs")]
+#[case("/Profiles/0/Effect", json!("odd"), "Effect")]
+fn an_invalid_setting_is_reported_with_its_name(
+    #[case] path: &str,
+    #[case] value: Value,
+    #[case] name: &str,
+) {
+    let mut settings = settings();
+    *settings.pointer_mut(path).expect("a setting") = value;
+    assert_rejected(&[start_with(settings)], &["INIT", name]);
+}
+
+/// Requests refer to classes by their index.
+#[test]
+fn classes_need_no_name() {
+    let mut settings = settings();
+    settings["Profiles"][0].as_object_mut().expect("a class").remove("Name");
+    assert_eq!(run_batches(&[start_with(settings)]), [json!({"frame": 1, "parts": []})]);
 }
 
 #[test]
