--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -35,8 +35,8 @@
     pub status: Status,
 }
 
-/// What an endpoint list tells of a server beside its state. The serialized form is handed over to other versions of
-/// this program: its names stay.
+/// What an endpoint list says of a server, apart from its state. A handover transfers the serialized form to other
+/// versions of this program: its names are fixed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServerAttributes {
     /// Hash of the server's name; the same at every node.
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -22,8 +22,8 @@
     Cancelled,
     /// Never sent.
     NotSent,
-    /// Never sent, for want of a descriptor, a port or memory on this machine: it says nothing of the server, and is no
-    /// attempt.
+    /// Never sent, because this machine lacks a descriptor, a port or memory. It does not count as an attempt, nor against
+    /// the server.
     LocalShortage,
 }
 
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,6 @@
-//! The model that all of the program shares: settings, endpoints, and the events and actions of the balancer.
+//! The types that the whole program shares: settings, endpoints, and the events and actions of the balancer.
 //!
-//! All instants are on the node's own monotonic clock. Nothing here decides anything.
+//! All instants are of the node's own monotonic clock. Nothing here decides anything.
 
 mod action;
 mod endpoint;
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 
-/// One server. Its serialized form is handed over to other versions of this program: its names stay.
+/// One server. A handover transfers the serialized form to other versions of this program: names are fixed.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Server {
     #[serde(flatten)]
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -1,4 +1,4 @@
-//! Which connections to migrate from a server: those of the least value for their load.
+//! The choice of connections to migrate from a server: those of the least value for their load.
 
 use crate::model::{RequestId, WeightBasis};
 use crate::random::unit_interval;
--- a/src/resilience/endpoint_subscription.rs
+++ b/src/resilience/endpoint_subscription.rs
@@ -13,7 +13,7 @@
     subscribed: bool,
     /// Polls since the last list from discovery.
     polls: u32,
-    /// The token of the last poll timer: earlier ones are void.
+    /// The token of the last poll timer; timers with earlier ones are ignored.
     timer: u64,
 }
 
@@ -38,7 +38,7 @@
         token == self.timer && !self.subscribed
     }
 
-    /// A list has come, or a poll has failed. True if an established subscription is lost.
+    /// A list has arrived, or a poll has failed. Returns whether an established subscription is lost.
     pub fn on_list(&mut self, kind: ListKind) -> bool {
         match kind {
             ListKind::Failed => std::mem::take(&mut self.subscribed),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The next poll after a list of this kind, if one is needed. Earlier polls that are scheduled become void.
+    /// The next poll after a list of this kind, if one is needed. It replaces one that is scheduled already.
     pub fn schedule_poll(&mut self, kind: ListKind, settings: &Settings) -> Option<ScheduledPoll> {
         if matches!(kind, ListKind::Full | ListKind::Incremental) {
             return None;
--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -1,7 +1,7 @@
 //! This node's share of the limits that all nodes of the fleet share, by the settings and by its own load.
 //!
-//! What is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a share of
-//! the fleet's limits that it derives from the settings.
+//! A rate that is harmless from one node is harmful from a hundred. Nodes do not coordinate here: each keeps to a share
+//! of the fleet's limits that it derives from the settings.
 
 use crate::model::Settings;
 use sparbank_time::DurationExt;
@@ -9,15 +9,15 @@
 
 const NANOS_PER_SECOND: f64 = 1e9;
 /// The fleet may make this multiple of the connection set-ups that the tenants' quotas allow: what all nodes share,
-/// such as the session ledger, takes eight times the usual rate.
+/// such as a session store, is built for eight times the usual rate.
 const MAX_SETUP_MULTIPLE: f64 = 8.0;
 /// The multiple is at least this, however many nodes there are.
 const MIN_SETUP_MULTIPLE: f64 = 4.0;
 /// The connections that fill all servers, as a multiple of the quotas: quotas grant less than the servers can take.
 const FULL_FLEET_MULTIPLE: f64 = 2.0;
-/// The longest interval between set-ups, an hour: settings come from outside, and callers double the interval.
+/// The longest interval between set-ups. It bounds what invalid settings lead to.
 const MAX_SETUP_INTERVAL: Duration = Duration::from_secs(3_600);
-/// A node's connections at one server where the settings do not tell.
+/// A node's connections at one server where the settings do not state the quotas.
 const DEFAULT_CONNECTIONS_PER_SERVER: f64 = 20.0;
 /// Clients wait at least this long, in seconds, in the estimate of the set-ups that idle nodes make at once.
 const MIN_CLIENT_WAIT_SECONDS: f64 = 0.1;
@@ -93,7 +93,7 @@
 }
 
 /// Connection set-ups per second that this many nodes may make together. Each idle node makes one at once, within the
-/// time that a client waits: that much of the rate is spent beforehand.
+/// time that a client waits: that much is subtracted from the rate.
 fn fleet_setup_rate(nodes: f64, quota_rate: f64, wait_seconds: f64) -> f64 {
     let spent = nodes / wait_seconds.max(MIN_CLIENT_WAIT_SECONDS);
     (MAX_SETUP_MULTIPLE * quota_rate - spent).max(MIN_SETUP_MULTIPLE * quota_rate)
--- a/src/resilience/latency_overload.rs
+++ b/src/resilience/latency_overload.rs
@@ -1,16 +1,16 @@
 //! Overload detection by message latency, for one server.
 //!
-//! A server that reports high latency gets nothing new until a report says that the overload is over or is overdue,
-//! and is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
+//! A server that reports high latency gets no new requests until a report says that the overload is over, or none arrives
+//! in time; it is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
 //! is to be migrated.
 
 use serde::{Deserialize, Serialize};
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// A report is valid this long unless another comes: they come once per [`REPORT_INTERVAL`].
+/// A report is valid for this long, unless another one replaces it.
 const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
-/// How far apart latency reports of one server are.
+/// The interval between the latency reports of one server.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// A server is overloaded above this fraction of the objective. Servers report from a third of the strictest
 /// objective on, and once more below it when the overload is over.
@@ -40,12 +40,12 @@
 pub struct MigrationDemand {
     /// The fraction of the server's connections to migrate.
     pub fraction: f64,
-    /// The report before this one was above the objective too: not a single stall.
+    /// The report before this one was above the objective too, so that this is not a single stall.
     pub is_confirmed: bool,
 }
 
 impl LatencyOverload {
-    /// Whether nothing new should be sent there now.
+    /// Whether the server gets no new requests now.
     pub fn is_overloaded(&self, now: MonotonicTime) -> bool {
         self.overloaded_until > now
     }
@@ -55,7 +55,7 @@
         self.recovering_until
     }
 
-    /// Records a report. Gives what to migrate if the latency is above the objective and not falling.
+    /// Records a report. Returns what to migrate if the latency is above the objective and not falling.
     pub fn on_report(
         &mut self,
         now: MonotonicTime,
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -1,4 +1,6 @@
-//! Mechanisms that the policy builds on, each with one job: no clock, no random numbers of their own, no I/O.
+//! Mechanisms that the policy uses: backoff, outlier detection, slow start, admission of retries, and others.
+//!
+//! Each is a leaf with one job. The caller passes the time and the random numbers; nothing here has I/O.
 
 mod backoff;
 mod connection_value;
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -13,9 +13,9 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The limit of an ejection starts here and doubles: about the time of one failure that is noticed.
+/// The limit of the first ejection; it doubles with each failure in a row.
 const EJECTION_BASE: Duration = Duration::from_secs(1);
-/// A confirmed endpoint is ejected no longer than this, so that a server that recovered unseen is tried again.
+/// A confirmed endpoint is ejected no longer than this, so that a server that has recovered is tried again.
 pub const EJECTION_CAP: Duration = Duration::from_secs(30);
 
 /// The outlier state of one endpoint.
@@ -35,7 +35,7 @@
         self.unconfirmed = kind == ListKind::Saved;
     }
 
-    /// The server's process has restarted: what was known of the one before is void.
+    /// The server's process has restarted: failures of the one before no longer count.
     pub fn reset(&mut self) {
         *self = OutlierState::default();
     }
--- a/src/resilience/recent_resets.rs
+++ b/src/resilience/recent_resets.rs
@@ -1,4 +1,4 @@
-//! How many established connections a server has reset lately. The count decays exponentially.
+//! The number of established connections that a server has reset lately. It decays exponentially.
 
 use serde::{Deserialize, Serialize};
 use sparbank_time::{DurationExt, MonotonicTime};
--- a/src/resilience/rendezvous.rs
+++ b/src/resilience/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Weighted rendezvous hashing: every node draws the same few servers from the same seed.
+//! Weighted rendezvous hashing: every node ranks the servers alike for the same seed.
 
 use crate::random::{mix64, unit_interval};
 
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -27,7 +27,7 @@
 /// Whether a request may be sent now.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent, or it has not asked yet.
+    /// It may be sent, or there was no decision on it yet.
     #[default]
     Admitted,
     /// It has to wait and is counted among those queued.
@@ -42,7 +42,7 @@
     queued: u32,
     /// While throttled, no retry is sent before this time.
     next_at: MonotonicTime,
-    /// When an attempt last failed: failures of attempts that were sent before that tell nothing new.
+    /// When an attempt last failed. Failures of attempts that were sent before then have the same cause.
     last_failure_at: MonotonicTime,
     throttled: bool,
 }
@@ -79,12 +79,12 @@
         self.throttled && now < self.next_at && now + self.queue_delay(interval) >= deadline
     }
 
-    /// How long it takes until all that are queued have been sent, at this pacing interval.
+    /// How long it takes at this pacing interval until all queued requests have been sent.
     pub fn queue_delay(&self, interval: Duration) -> Duration {
         interval.saturating_mul(self.queued)
     }
 
-    /// A request that may be queued, by the last decision on it, no longer waits.
+    /// A request no longer waits for admission, if it was queued by the last decision on it.
     pub fn dequeue(&mut self, previous: Admission) {
         if previous == Admission::Queued {
             self.queued = self.queued.saturating_sub(1);
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -1,6 +1,6 @@
-//! What a node has observed of one server's health: ejection, latency, resets, and when it last sent there.
+//! The health of one server as this node has observed it: ejection, latency, resets, and when it last sent there.
 //!
-//! The serialized form is handed over to other versions of this program: its names stay.
+//! A handover transfers the serialized form to other versions of this program: its names are fixed.
 
 use super::latency_overload::LatencyOverload;
 use super::outlier::OutlierState;
@@ -108,8 +108,8 @@
         }
     }
 
-    /// Records a latency report. The strictest objective of all classes counts. A single report above it may be a
-    /// stall: where health checks are possible, one decides.
+    /// Records a latency report, by the strictest objective of all classes. A single report above it may be due to a
+    /// stall: where health checks are possible, one decides whether to migrate.
     pub fn on_latency_report(
         &mut self,
         settings: &Settings,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The result of a health check. Gives the fraction of the connections to migrate.
+    /// The result of a health check. Returns the fraction of the connections to migrate.
     pub fn on_health_check(&mut self, utilization: Option<f64>) -> Option<f64> {
         let fraction = std::mem::take(&mut self.pending_migration);
         utilization.is_some_and(|utilization| utilization > 1.0).then_some(fraction)
--- a/src/resilience/slow_start.rs
+++ b/src/resilience/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: how many placements a server admits that is warming up, or that recovers from overload.
+//! Slow start: how many placements a server admits that is warming up or recovering from overload.
 //!
-//! Each node admits its own share of what fills the server, so that all nodes together fill it no faster than it can
-//! take. A server that is warming up is filled over its warm-up, one that was overloaded over [`RECOVERY_TIME`].
+//! Each node admits its own share of the connections that fill the server, so that all nodes together fill it no faster
+//! than it can take. A server that is warming up is filled over its warm-up, one that was overloaded over [`RECOVERY_TIME`].
 
 use crate::model::Settings;
 use sparbank_time::{DurationExt, MonotonicTime};
--- a/tests/policy_rules/deduplication.rs
+++ b/tests/policy_rules/deduplication.rs
@@ -1,6 +1,7 @@
 //! Rule 2: no effect runs twice.
 
-use crate::common::{attempted_server, requested_timer, serving_endpoints, settings, Node, MILLIS};
+use crate::common::{serving_endpoints, settings, MILLIS};
+use crate::node::{attempted_server, requested_timer, Node};
 use sparbank::model::{Action, Event, Outcome, RequestId, Settings};
 use std::time::Duration;
 
@@ -27,8 +28,8 @@
     }
 }
 
-/// A request is sent once its connection is established: a repeat whose connection may be established only after the
-/// window must not start inside it.
+/// A request is sent once its connection is established: a retry whose connection may be established only after the
+/// window must not start within it.
 #[test]
 fn a_retry_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
     let slow = Settings { dial_timeout: 250 * MILLIS, ..settings() };
--- a/tests/policy_rules/endpoint_list.rs
+++ b/tests/policy_rules/endpoint_list.rs
@@ -1,8 +1,7 @@
 //! Rule 3 (draining) and discovery polls.
 
-use crate::common::{
-    attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, LONG_AGO, MILLIS, SECOND,
-};
+use crate::common::{endpoint, serving_endpoints, settings, LONG_AGO, MILLIS, SECOND};
+use crate::node::{attempted_server, requested_timer, Node};
 use sparbank::model::{Action, Discovery, Event, ListKind, Settings, Status};
 
 #[test]
--- a/tests/policy_rules/final_answer.rs
+++ b/tests/policy_rules/final_answer.rs
@@ -1,8 +1,7 @@
 //! Rule 1: one final answer in time, and nothing after it.
 
-use crate::common::{
-    attempted_server, endpoint, requested_timer, serving_endpoints, settings, Node, LONG_AGO, SECOND,
-};
+use crate::common::{endpoint, serving_endpoints, settings, LONG_AGO, SECOND};
+use crate::node::{attempted_server, requested_timer, Node};
 use sparbank::model::{Action, Event, Outcome, RequestId, Status};
 use std::time::Duration;
 
@@ -49,7 +48,7 @@
     }
 }
 
-/// Found on the first standard days: a timer may elapse a rounding error early, and the request was lost.
+/// Regression: a timer may elapse early by a rounding error, and the request was lost.
 #[test]
 fn a_timer_that_elapses_early_is_not_lost() {
     let mut node = Node::new(1, settings(), vec![]);
--- a/tests/policy_rules/groups.rs
+++ b/tests/policy_rules/groups.rs
@@ -1,11 +1,12 @@
 //! Requests of a group gather at few servers.
 
-use crate::common::{arrival, attempted_server, large_fleet_settings, same_zone_endpoints, settings, Node};
+use crate::common::{arrival, settings};
+use crate::node::{attempted_server, large_fleet_settings, same_zone_endpoints, Node};
 use sparbank::model::{Arrival, Event, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Found on a day of the large fleet: a server pays for each group of which it serves any request, no node has
-/// enough connections to know where a group is, and in the end every server paid for every group.
+/// Regression: in a large fleet no node has enough connections to know where a group is, and in the end every server
+/// paid for every group. A server pays for each group of which it serves any request.
 #[test]
 fn nodes_that_see_little_gather_a_group_without_coordination() {
     let mut placed: BTreeMap<ServerId, usize> = BTreeMap::new();
@@ -36,8 +37,7 @@
     assert!(more.iter().any(|server| *server != groups[1]), "not without limit");
 }
 
-/// Found on the second deployment (3 nodes, 10 to 15 servers, each server pays 3 mean loads for each group that it
-/// serves): a node with many connections drew candidates by the request alone, and in the end every server paid for
+/// Regression (3 nodes, 10 to 15 servers, each server pays 3 mean loads for each group that it serves): a node with many connections drew candidates by the request alone, and in the end every server paid for
 /// the group. A group has the same candidates at every node, whatever connections the node has.
 #[test]
 fn a_group_keeps_to_its_own_few_servers_however_many_connections_a_node_has() {
--- a/tests/policy_rules/invalid_input.rs
+++ b/tests/policy_rules/invalid_input.rs
@@ -1,6 +1,7 @@
 //! Invalid settings, lists, clocks and ids.
 
-use crate::common::{arrival, attempted_server, endpoint, serving_endpoints, settings, Node, LONG_AGO};
+use crate::common::{arrival, endpoint, serving_endpoints, settings, LONG_AGO};
+use crate::node::{attempted_server, Node};
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings, Status};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
--- a/tests/policy_rules/large_fleet.rs
+++ b/tests/policy_rules/large_fleet.rs
@@ -1,17 +1,15 @@
-//! Many nodes, each of which sees little: pacing and spreading.
+//! A large fleet, in which each node has few connections: pacing and spreading.
 
-use crate::common::{
-    arrival, attempted_server, large_fleet_settings, same_zone_endpoints, serving_endpoints, Node, MILLIS,
-    SECOND,
-};
+use crate::common::{arrival, serving_endpoints, MILLIS, SECOND};
+use crate::node::{attempted_server, large_fleet_settings, same_zone_endpoints, Node};
 use sparbank::model::{Action, Arrival, Endpoint, Event, Outcome, ServerId};
 use sparbank_time::MonotonicTime;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-/// Runs one node until all its requests are over, where each attempt times out after `time_to_fail`. Gives the times
-/// at which attempts were started.
+/// Runs one node until all its requests are over, where each attempt times out after `time_to_fail`. Returns the
+/// times at which attempts were started.
 fn attempt_times(node: &mut Node, requests: Vec<Arrival>, time_to_fail: Duration) -> Vec<MonotonicTime> {
     let mut due: BinaryHeap<Reverse<(MonotonicTime, u64, u32)>> = BinaryHeap::new();
     let mut sent = Vec::new();
@@ -42,8 +40,8 @@
     sent
 }
 
-/// Found on a day of the large fleet: the clients of a lost zone reconnected to all nodes within 150 ms, each attempt
-/// timed out at what all servers share, and the retries of all nodes, few at each, added up to 130 per second there.
+/// Regression: the clients of a failed zone reconnected to all nodes within 150 ms, each attempt timed out at a store
+/// that all servers share, and the retries of all nodes, few at each, added up to 130 per second there.
 /// A reconnect waits one Full Jitter backoff and is admitted if no other is in flight at its node; a node that is
 /// throttled paces reconnects and retries by its share of the fleet's rate.
 #[test]
@@ -78,7 +76,7 @@
     }
 }
 
-/// Found on a day of the large fleet: with a connection or none at each server, all nodes took the largest servers
+/// Regression: with a connection or none at each server, all nodes took the largest servers
 /// of their zone, and the small ones got nothing.
 #[test]
 fn nodes_without_connections_spread_by_capacity() {
--- a/tests/policy_rules/large_fleet_slow_start.rs
+++ b/tests/policy_rules/large_fleet_slow_start.rs
@@ -1,13 +1,12 @@
-//! Many nodes, each of which sees little: servers that are warming up.
+//! A large fleet, in which each node has few connections: servers that are warming up.
 
-use crate::common::{
-    arrival, attempted_server, large_fleet_settings, same_zone_endpoints, Node, LONG_AGO, MILLIS, SECOND,
-};
+use crate::common::{arrival, LONG_AGO, MILLIS, SECOND};
+use crate::node::{attempted_server, large_fleet_settings, same_zone_endpoints, Node};
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, ServerId, Settings};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Found on a day of the large fleet: five of nine servers had just started and together got one connection per
+/// Regression: five of nine servers had just started and together got one connection per
 /// second, while the others reset what they were sent.
 #[test]
 fn servers_in_slow_start_get_what_they_admit_of_a_thin_fleet_and_no_more() {
@@ -42,7 +41,7 @@
     );
 }
 
-/// Found on a day of the standing test: the clients of two zones reconnected to all nodes at once, several to each,
+/// Regression: the clients of two zones reconnected to all nodes at once, several to each,
 /// and a server in slow start got 27 connections in 2 s, which overloaded it. Each request was weighed by the rate of
 /// arrivals until then, so the first ones of a burst brought it twice what it admits.
 #[test]
--- a/tests/policy_rules/main.rs
+++ b/tests/policy_rules/main.rs
@@ -1,4 +1,9 @@
-//! The four rules of the policy, each enforced by one node alone, and one regression test for each fault found.
+//! The four rules that each node keeps by itself, and a regression test for each fault that was found:
+//!
+//! 1. A request gets one final answer, before its deadline, and nothing after it.
+//! 2. No effect runs twice.
+//! 3. Nothing is sent to a server that is draining or was removed.
+//! 4. All nodes together do not overload a server that is warming up.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,6 +16,7 @@
 mod large_fleet;
 mod large_fleet_slow_start;
 mod migration;
+mod node;
 mod outliers;
 mod placement;
 mod retry_admission;
--- a/tests/policy_rules/migration.rs
+++ b/tests/policy_rules/migration.rs
@@ -1,6 +1,7 @@
 //! Servers whose messages are late: connections migrate, and the server is refilled slowly.
 
-use crate::common::{attempted_server, serving_endpoints, settings, Node, MILLIS, SECOND};
+use crate::common::{serving_endpoints, settings, MILLIS, SECOND};
+use crate::node::{attempted_server, Node};
 use sparbank::model::{Action, Event, RequestId, ServerId, Settings};
 
 /// A node with 100 established connections at two servers.
@@ -17,7 +18,7 @@
     actions.iter().filter(|a| matches!(a, Action::Migrate(_))).count()
 }
 
-/// Found on suva overload days: what migrated from one overloaded server overloaded the next one.
+/// Regression: what migrated from one overloaded server overloaded the next one.
 #[test]
 fn an_overloaded_server_migrates_connections_gets_nothing_new_and_is_refilled_slowly() {
     let mut node = node_with_fifty_connections_at_each_of_two(settings());
@@ -35,8 +36,8 @@
     assert!(refill <= 10, "{refill} of 100 at once to a server that was overloaded a second ago");
 }
 
-/// Found on the second deployment, whose servers stall for 120 to 390 ms every few seconds: each stall migrated some
-/// of the connections there. Where health checks are possible, one tells first whether the server is over capacity; a
+/// Regression: servers stalled for 120 to 390 ms every few seconds, and each stall migrated some of the connections
+/// there. Where health checks are possible, one tells first whether the server is over capacity; a
 /// second late report in a row migrates without one.
 #[test]
 fn a_late_server_is_health_checked_before_connections_migrate() {
@@ -68,7 +69,7 @@
     );
 }
 
-/// Found on port-louis incident i55645f: heavy connections of little weight stayed and delayed the light ones.
+/// Regression: connections of high load and little weight stayed, and delayed the others.
 #[test]
 fn connections_of_the_least_weight_for_their_load_migrate_first() {
     let mut node = Node::new(1, settings(), serving_endpoints(1));
--- a/tests/policy_rules/outliers.rs
+++ b/tests/policy_rules/outliers.rs
@@ -1,6 +1,7 @@
 //! Ejection of servers that fail, and of old entries of a cached list.
 
-use crate::common::{attempted_server, serving_endpoints, settings, Node, MILLIS, SECOND};
+use crate::common::{serving_endpoints, settings, MILLIS, SECOND};
+use crate::node::{attempted_server, Node};
 use sparbank::model::{Event, ListKind, Outcome, RequestId, ServerId};
 
 #[test]
@@ -47,8 +48,8 @@
     }
 }
 
-/// Found on a day of the second deployment, where no other list ever comes: one bad request that met an error at
-/// five servers had them ejected for up to 30 s each. A server that answers exists, whichever list contains it.
+/// Regression, where no list but the cached one ever arrives: one bad request that got an error from five servers had
+/// them ejected for up to 30 s each. A server that answers exists, whichever list contains it.
 #[test]
 fn an_unconfirmed_endpoint_that_answers_is_confirmed() {
     for seed in 0..40 {
--- a/tests/policy_rules/placement.rs
+++ b/tests/policy_rules/placement.rs
@@ -1,9 +1,7 @@
 //! Where attempts go: the first at once, retries after a backoff, to the least loaded of the candidates.
 
-use crate::common::{
-    arrival, attempted_server, endpoint, requested_timer, same_zone_endpoints, serving_endpoints, settings,
-    Node, LONG_AGO, MILLIS, SECOND,
-};
+use crate::common::{arrival, endpoint, serving_endpoints, settings, LONG_AGO, MILLIS, SECOND};
+use crate::node::{attempted_server, requested_timer, same_zone_endpoints, Node};
 use sparbank::model::{Arrival, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Status};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -40,7 +38,7 @@
     );
 }
 
-/// Found on a port-louis day at full size: the likely server of a rerouted connection was a draining one.
+/// Regression: the server that was guessed for a rerouted connection was a draining one.
 #[test]
 fn a_rerouted_connection_finds_its_server_but_never_a_draining_one_or_one_in_slow_start() {
     let rerouted = |id: u64, key: u64| Arrival { key: Some(key), rerouted: true, ..arrival(id, 0) };
@@ -78,8 +76,7 @@
     assert!((15..25).contains(&there), "{there} of 30");
 }
 
-/// Found on a day of the large fleet: a server that had reset its connections looked empty, was filled, and reset
-/// them again.
+/// Regression: a server that had reset its connections counted as empty, was filled, and reset them again.
 #[test]
 fn a_server_that_reset_connections_does_not_count_as_empty() {
     let mut node = Node::new(1, settings(), same_zone_endpoints(3));
--- a/tests/policy_rules/retry_admission.rs
+++ b/tests/policy_rules/retry_admission.rs
@@ -1,8 +1,7 @@
 //! Reconnects and retries wait for their admission; first attempts of new clients do not.
 
-use crate::common::{
-    arrival, attempted_server, requested_timer, serving_endpoints, settings, Node, MILLIS, SECOND,
-};
+use crate::common::{arrival, serving_endpoints, settings, MILLIS, SECOND};
+use crate::node::{attempted_server, requested_timer, Node};
 use sparbank::model::{Action, Arrival, Discovery, Event, ListKind, Outcome, RequestId, Settings};
 
 #[rstest::rstest]
@@ -15,7 +14,7 @@
     assert!(attempted_server(&node.elapse_timer(&actions)).is_some());
 }
 
-/// Eight set-ups are in flight when a zone is lost: the window narrows once for that, not eight times.
+/// Eight attempts are in flight when a zone fails: the window narrows once for that, not eight times.
 #[test]
 fn failures_of_attempts_sent_before_the_last_failure_do_not_narrow_the_window() {
     let admitted_after = |at_once: bool| {
@@ -55,7 +54,7 @@
     );
 }
 
-/// Found on suva days: hundreds of set-ups at once drown a store that all of them need.
+/// Regression: hundreds of connections, established at once, overload a store that all servers share.
 #[test]
 fn failures_in_a_row_pace_reconnects_and_no_new_client() {
     let mut node = Node::new(1, settings(), serving_endpoints(20));
--- a/tests/policy_rules/slow_start.rs
+++ b/tests/policy_rules/slow_start.rs
@@ -1,13 +1,14 @@
 //! Rule 4: all nodes together do not overload a server that is warming up.
 
-use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, MILLIS, SECOND};
+use crate::common::{endpoint, serving_endpoints, settings, MILLIS, SECOND};
+use crate::node::{attempted_server, Node};
 use sparbank::model::{Event, ListKind, ServerId, Status};
 use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Twenty nodes with `connections` each at warm servers meet `starting` servers, a second old, while clients
-/// reconnect. Gives the most attempts that one starting server was sent within one second.
+/// Twenty nodes with `connections` each at warm servers learn of `starting` servers, a second old, while clients
+/// reconnect. Returns the most attempts that one starting server was sent within one second.
 fn most_sent_to_one_server_within_a_second(
     warm: u32,
     starting: u32,
@@ -53,7 +54,7 @@
 /// first second: 22.
 const OVERLOAD_PER_SECOND: usize = 22;
 
-/// Found on port-louis days: accrued placements and queued requests met at one server in slow start.
+/// Regression: accrued placements and queued requests coincided at one server in slow start.
 #[test]
 fn nodes_together_do_not_overload_a_server_in_slow_start() {
     for (starting, overloaded) in [(1, false), (5, false), (10, false), (1, true), (5, true), (10, true)] {
--- a/tests/policy_rules/state_snapshot.rs
+++ b/tests/policy_rules/state_snapshot.rs
@@ -1,6 +1,7 @@
 //! The state that a handover transfers.
 
-use crate::common::{attempted_server, endpoint, serving_endpoints, settings, Node, LONG_AGO};
+use crate::common::{endpoint, serving_endpoints, settings, LONG_AGO};
+use crate::node::{attempted_server, Node};
 use sparbank::model::{Endpoint, Event, ListKind, Outcome, ServerId, Status};
 use sparbank_time::MonotonicTime;
 
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -1,4 +1,4 @@
-//! The surroundings of one node: clients, servers and timers. They check each action of the balancer.
+//! The environment of one node: clients, servers and timers. It checks each action of the balancer.
 
 use crate::common::{arrival, endpoint, serving_endpoints, settings, LONG_AGO, MILLIS, SECOND, START};
 use sparbank::model::{
@@ -236,7 +236,7 @@
         self.handle(Event::AttemptEnded { id: RequestId(id), server, outcome, done });
     }
 
-    /// One of the clients that fit, and the server of its last attempt.
+    /// One of the clients that match, and the server of its last attempt.
     fn choose_client(&self, choice: u64, fits: impl Fn(&Client) -> bool) -> Option<(u64, ServerId)> {
         let fitting: Vec<_> = self.clients.iter().filter(|(_, client)| fits(client)).collect();
         let (id, client) = fitting.get(choice as usize % fitting.len().max(1))?;
