--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -8,6 +8,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
+use crate::rules::PeerStatus;
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
 use sparbank_time::{DurationExt, MonotonicTime};
 
@@ -229,7 +230,11 @@
 ) -> Result<(), Outcome> {
     let is_server_ready = ctx.registry.entry(server).is_some_and(|entry| entry.is_ready());
     // A client that is gone may still come back and resume the delivery: its absence does not count here.
-    let permission = ctx.requests.may_send(ctx.now, chunk.request_id, false, is_server_ready);
+    let permission = ctx.requests.may_send(
+        ctx.now,
+        chunk.request_id,
+        PeerStatus { client_gone: false, server_ready: is_server_ready },
+    );
     if let Err(refusal) = permission {
         tracing::trace!(request = chunk.request_id.0, reason = %refusal, "attempt not sent");
         return Err(Outcome::NotSent);
--- a/src/frontend/text/attempt.rs
+++ b/src/frontend/text/attempt.rs
@@ -8,7 +8,7 @@
 use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::{ConnectError, SocketOwner, Token};
-use crate::rules::SendRefusal;
+use crate::rules::{PeerStatus, SendRefusal};
 use std::time::Duration;
 
 /// Starts an attempt of a request, unless its client has disconnected by now or the server takes no new requests.
@@ -80,7 +80,9 @@
     let client_gone = has_disconnected(ctx, client);
     let server_ready = session.server.is_some_and(|server| is_ready(ctx, server));
     match session.request_id {
-        Some(request_id) => ctx.requests.may_send(ctx.now, request_id, client_gone, server_ready),
+        Some(request_id) => {
+            ctx.requests.may_send(ctx.now, request_id, PeerStatus { client_gone, server_ready })
+        }
         // It is restored at the server that it had before the run, in whatever state that is.
         None if client_gone => Err(SendRefusal::ClientGone),
         None => Ok(()),
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -1,12 +1,12 @@
-//! What a node has observed of one server's health: ejection, latency, resets, and when it last sent there.
+//! The health of one server as this node has observed it: ejection, latency, resets, and when it last sent there.
 //!
-//! The serialized form is handed over to other versions of this program: its names stay.
+//! A handover transfers the serialized form to other versions of this program: its names are fixed.
 
 use super::latency_overload::LatencyOverload;
 use super::outlier::OutlierState;
 use super::recent_resets::RecentResets;
 use super::slow_start::ServerRamp;
-use crate::model::{Outcome, Settings};
+use crate::model::{ListKind, Outcome, Settings};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -40,14 +40,15 @@
 }
 
 impl ServerHealth {
-    /// A list contains the server: a cached one, or one from discovery. `restarted` tells that the list has another
-    /// start time than before.
-    pub fn on_listed(&mut self, cached: bool, restarted: bool) {
-        if restarted {
-            self.resets.clear();
-            self.outlier.reset();
-        }
-        self.outlier.on_listed(cached);
+    /// A list of this kind contains the server.
+    pub fn on_listed(&mut self, kind: ListKind) {
+        self.outlier.on_listed(kind);
+    }
+
+    /// The server's process has restarted: what was observed of the one before no longer counts.
+    pub fn on_restarted(&mut self) {
+        self.resets.clear();
+        self.outlier.reset();
     }
 
     /// Discovery has sent a list: the cached entries that it did not remove exist.
@@ -94,7 +95,7 @@
             Outcome::Reset if !self.outlier.is_unconfirmed() => {}
             Outcome::Cancelled | Outcome::NotSent | Outcome::LocalShortage | Outcome::Rejected => {}
             Outcome::Reset | Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed => {
-                self.outlier.on_failure(now, roll(), outcome == Outcome::Error);
+                self.outlier.on_failure(now, roll(), outcome);
             }
         }
     }
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Records a latency report. The strictest objective of all classes counts. A single report above it may be a
-    /// stall: where health checks are possible, one decides.
+    /// Records a latency report, by the strictest objective of all classes. A single report above it may be due to a
+    /// stall: where health checks are possible, one decides whether to migrate.
     pub fn on_latency_report(
         &mut self,
         settings: &Settings,
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The result of a health check. Gives the fraction of the connections to migrate.
+    /// The result of a health check. Returns the fraction of the connections to migrate.
     pub fn on_health_check(&mut self, utilization: Option<f64>) -> Option<f64> {
         let fraction = std::mem::take(&mut self.pending_migration);
         utilization.is_some_and(|utilization| utilization > 1.0).then_some(fraction)
