--- a/src/counters.rs
+++ b/src/counters.rs
@@ -34,15 +34,15 @@
     pub attempt_rejected: u64,
     /// Attempts without an answer in time.
     pub attempt_timeout: u64,
-    /// Attempts that found no connection, or whose request was not written completely.
+    /// Attempts whose connection was not established, or whose request was not written completely.
     pub attempt_connect_failed: u64,
     /// Attempts whose connection was lost after the request was written.
     pub attempt_reset: u64,
     /// Attempts that were cancelled.
     pub attempt_cancelled: u64,
-    /// Attempts of which nothing was sent: there was no route, or the request might not be sent any more.
+    /// Attempts of which nothing was sent: there was no route, or it was too late to send the request.
     pub attempt_not_sent: u64,
-    /// Attempts that this machine had no descriptor, port or memory for. They count as none for their request.
+    /// Attempts that this machine had no descriptor, port or memory for. They do not count as attempts of the request.
     pub attempt_local_shortage: u64,
     /// First lines or deliveries that could not be parsed.
     pub malformed: u64,
@@ -52,11 +52,11 @@
     pub capacity_rejected: u64,
     /// Health checks sent to servers (`STATS`), where the settings allow them.
     pub health_checks: u64,
-    /// Calls to discovery.
+    /// Polls of the discovery service.
     pub discovery_polls: u64,
-    /// Failed calls to discovery, and lost watches.
+    /// Failed polls of the discovery service, and lost watches.
     pub discovery_failures: u64,
-    /// Endpoint lists with a lower version than the last one, which bring no server back.
+    /// Endpoint lists with a lower version than the current one, which revive no server.
     pub stale_lists: u64,
     /// Handovers of this process: from its predecessor, or to its successor.
     pub handovers: u64,
@@ -68,17 +68,17 @@
     pub quota_rejected: u64,
     /// Established connections migrated because they exceeded the quotas.
     pub quota_migrated: u64,
-    /// Rules of the protocol that this node broke. None is expected: each has a log line `invariant-violated`.
+    /// Rules of the protocol that this node broke. None is expected: each is logged as "invariant violated".
     pub invariant_violations: u64,
     /// Pauses of the listeners because the system had no descriptor or no memory.
     pub accept_pauses: u64,
     /// Changes of the epoll set that the system refused and that were tried again.
     pub refused_watches: u64,
-    /// Connections that rested because a read or write found no kernel memory.
+    /// Connections that were paused because a read or write found no kernel memory.
     pub transfer_pauses: u64,
-    /// Connections that could not be started for want of a descriptor, a port or memory.
+    /// Outgoing connections that were not started because there was no descriptor, port or memory.
     pub failed_connects: u64,
-    /// Log lines that standard error did not take.
+    /// Log lines that were dropped because standard error would have blocked.
     pub log_lines_dropped: u64,
     /// Admin calls that started a drain.
     pub drains: u64,
--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -3,10 +3,10 @@
 //! Bytes are fed in as they arrive, cut anywhere; [`ChunkedDecoder::next_data`] is polled for the body's bytes.
 
 use serde::{Deserialize, Serialize};
-use std::fmt;
 use std::vec::Drain;
+use thiserror::Error;
 
-/// Longest response head, in bytes. A discovery service writes a few hundred.
+/// Longest response head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 /// Longest chunk-size line, extensions included, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
@@ -14,37 +14,28 @@
 /// Why a response cannot be decoded any further.
 ///
 /// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The response is complete.
+    #[error("ended")]
     Ended,
     /// The head is longer than [`MAX_HEAD_BYTES`].
+    #[error("response head too long")]
     HeadTooLong,
     /// The head is not that of an HTTP/1.x response.
+    #[error("response is not HTTP")]
     NotHttp,
     /// The status code is not 200.
+    #[error("HTTP status {0}")]
     Status(u16),
     /// The body is not in the chunked transfer coding.
+    #[error("response is not chunked")]
     NotChunked,
     /// A chunk size or the end of a chunk is malformed.
+    #[error("malformed chunk")]
     InvalidChunk,
 }
 
-impl fmt::Display for ResponseError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            ResponseError::Ended => write!(f, "ended"),
-            ResponseError::HeadTooLong => write!(f, "response head too long"),
-            ResponseError::NotHttp => write!(f, "response is not HTTP"),
-            ResponseError::Status(code) => write!(f, "HTTP status {code}"),
-            ResponseError::NotChunked => write!(f, "response is not chunked"),
-            ResponseError::InvalidChunk => write!(f, "malformed chunk"),
-        }
-    }
-}
-
-impl std::error::Error for ResponseError {}
-
 /// The element of the response that is decoded next. The handover carries its serde names, so they are fixed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 enum Stage {
@@ -87,8 +78,8 @@
     ///
     /// # Errors
     ///
-    /// [`ResponseError::Ended`] after the last chunk, the other variants for what is no chunked response with status
-    /// 200. The decoder is of no use afterwards.
+    /// [`ResponseError::Ended`] after the last chunk, the other variants for anything but a chunked response with status
+    /// 200. The decoder must not be used afterwards.
     pub fn next_data(&mut self) -> Result<Option<Drain<'_, u8>>, ResponseError> {
         loop {
             let next_stage = match self.stage {
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,11 +1,14 @@
-//! The discovery client: keeps one watch open and reports what it brings as events for the balancer.
+//! The discovery client: keeps one watch open and reports the lists that it yields as events for the balancer.
 
 use super::chunked::ResponseError;
-use super::document::EndpointListDocument;
+use super::document::{EndpointListDocument, ListScope};
 use super::registry::EndpointRegistry;
 use super::watch::{Received, WatchError, WatchState};
 use crate::model::{Event, ListKind};
-use crate::net::{BufferedConnection, ConnectError, ExportedConnection, SocketOwner, SocketReactor, Token};
+use crate::net::{
+    BufferedConnection, ConnectError, ExportedConnection, SocketEvent, SocketEventKind, SocketOwner,
+    SocketReactor, Token,
+};
 use sparbank_time::MonotonicTime;
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
@@ -20,6 +23,13 @@
     pub connection: BufferedConnection,
 }
 
+/// Whether the connection of the watch is usable.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ConnectionState {
+    Usable,
+    Failed,
+}
+
 struct Watch {
     token: Token,
     state: WatchState,
@@ -29,10 +39,10 @@
 pub struct DiscoveryClient {
     address: SocketAddr,
     watch: Option<Watch>,
-    /// No watch could be requested for want of a socket on this machine, which is no failure of the service.
+    /// No watch could be requested because this machine has no socket for it, which is no failure of the service.
     awaits_socket: bool,
     /// Watch requests sent so far.
-    pub watch_requests: u64,
+    watch_requests: u64,
 }
 
 impl DiscoveryClient {
@@ -46,6 +56,11 @@
         self.watch.is_some()
     }
 
+    /// Watch requests sent so far.
+    pub fn watch_requests(&self) -> u64 {
+        self.watch_requests
+    }
+
     /// Whether a watch is to be requested as soon as this machine has a socket for it.
     pub fn awaits_socket(&self) -> bool {
         self.awaits_socket
@@ -101,15 +116,29 @@
         self.subscribe(now, net, registry)
     }
 
-    /// Handles an event on a discovery socket. The result is the changes that it brought, in order. `is_broken` says
-    /// that the connection failed. A socket other than the current watch's is closed.
+    /// Handles an event at a discovery socket. The result is the changes that it yielded, in order. A socket other than
+    /// the current watch's is closed.
     pub fn on_socket_event(
+        &mut self,
+        now: MonotonicTime,
+        net: &mut SocketReactor,
+        registry: &mut EndpointRegistry,
+        event: SocketEvent,
+    ) -> Vec<Event> {
+        let connection = match event.kind {
+            SocketEventKind::Failed { .. } => ConnectionState::Failed,
+            _ => ConnectionState::Usable,
+        };
+        self.read(now, net, registry, event.token, connection)
+    }
+
+    fn read(
         &mut self,
         now: MonotonicTime,
         net: &mut SocketReactor,
         registry: &mut EndpointRegistry,
         token: Token,
-        is_broken: bool,
+        connection: ConnectionState,
     ) -> Vec<Event> {
         let Some(watch) = self.watch.as_mut().filter(|watch| watch.token == token) else {
             net.close(token);
@@ -117,7 +146,8 @@
         };
         let bytes = net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut received = watch.state.receive(now, &bytes);
-        if received.outcome.is_ok() && (is_broken || net.is_read_closed(token)) {
+        let has_ended = connection == ConnectionState::Failed || net.is_read_closed(token);
+        if received.outcome.is_ok() && has_ended {
             received.outcome = Err(WatchError::Response(ResponseError::Ended));
         }
         net.update_interest(token);
@@ -128,8 +158,8 @@
         events
     }
 
-    /// Reads what has already arrived on the watch, for use just before the watch is closed: a change that the service
-    /// wrote there counts as known to this node.
+    /// Reads what has already arrived on the watch: a change that the service has written there counts as known to this
+    /// node.
     pub fn read_pending(
         &mut self,
         now: MonotonicTime,
@@ -138,10 +168,10 @@
     ) -> Vec<Event> {
         let Some(token) = self.watch.as_ref().map(|watch| watch.token) else { return Vec::new() };
         net.read_available(token);
-        self.on_socket_event(now, net, registry, token, false)
+        self.read(now, net, registry, token, ConnectionState::Usable)
     }
 
-    /// Closes a watch that has fallen silent. The result is then the failure event.
+    /// Closes a watch that has become silent. The result is then the failure event.
     pub fn close_silent_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
         is_silent.then(|| self.lose_watch(net, WatchError::Silent))
@@ -158,8 +188,7 @@
         Some(TransferredWatch { socket, state, connection })
     }
 
-    /// Takes over the previous process's list and its watch, if it had one. What the watch brings next applies to
-    /// that list.
+    /// Takes over the previous process's list and its watch, if it had one. The watch continues from that list.
     pub fn take_over(
         &mut self,
         net: &mut SocketReactor,
@@ -167,7 +196,7 @@
         list: &EndpointListDocument,
         transferred: Option<TransferredWatch>,
     ) -> Event {
-        let endpoints = registry.apply(list, true);
+        let endpoints = registry.apply(list, ListScope::Complete);
         self.watch = transferred.and_then(|TransferredWatch { socket, state, connection }| {
             let token = net.import_connection(socket, connection, SocketOwner::Discovery).ok()?;
             Some(Watch { token, state })
@@ -190,7 +219,7 @@
     }
 }
 
-/// Applies the lists that a watch brought. The result is the changes.
+/// Applies the lists that a watch yielded. The result is the changes.
 fn apply_lists(registry: &mut EndpointRegistry, received: &Received) -> Vec<Event> {
     let mut events = Vec::new();
     if received.starts_unchanged && received.lists.is_empty() && registry.generation() > 0 {
@@ -199,7 +228,7 @@
     for list in &received.lists {
         let is_stale = list.generation < registry.generation();
         let kind = if list.is_complete && !is_stale { ListKind::Full } else { ListKind::Incremental };
-        events.push(Event::EndpointList(kind, registry.apply(list, list.is_complete)));
+        events.push(Event::EndpointList(kind, registry.apply(list, list.scope())));
     }
     events
 }
--- a/src/discovery/framing.rs
+++ b/src/discovery/framing.rs
@@ -1,36 +1,27 @@
-//! Cuts the body of a watch into JSON objects and empty lines, sans I/O.
+//! Divides the body of a watch into JSON objects and empty lines, sans I/O.
 //!
-//! An object may be written over several lines and cut anywhere. Only strings and brackets are followed here; the
-//! object itself is parsed once it is complete.
+//! An object may span several lines, and its bytes may arrive in pieces. Only strings and brackets are tracked here;
+//! the object itself is parsed once it is complete.
 
 use serde::{Deserialize, Serialize};
-use std::fmt;
+use thiserror::Error;
 
 /// Longest incomplete object, in bytes.
 const MAX_OBJECT_BYTES: usize = 1024 * 1024;
 
-/// Why the body cannot be cut into objects.
+/// Why the body cannot be divided into objects.
 ///
 /// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum FramingError {
-    /// An object was broken off: a line end inside a string, or an empty line inside an object.
+    /// An object was truncated: a line end inside a string, or an empty line inside an object.
+    #[error("malformed JSON")]
     Truncated,
     /// An object is longer than [`MAX_OBJECT_BYTES`].
+    #[error("object too long")]
     TooLong,
 }
 
-impl fmt::Display for FramingError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FramingError::Truncated => write!(f, "malformed JSON"),
-            FramingError::TooLong => write!(f, "object too long"),
-        }
-    }
-}
-
-impl std::error::Error for FramingError {}
-
 /// Position of a byte in a JSON text. The handover carries its serde names, so they are fixed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 struct Nesting {
@@ -52,7 +43,7 @@
             return Ok(false);
         }
         match byte {
-            // No service writes an empty line inside an object: the object was broken off.
+            // No service writes an empty line inside an object: the object was truncated.
             b'\n' if self.depth > 0 && self.line_is_blank => return Err(FramingError::Truncated),
             b'"' => self.in_string = true,
             b'{' | b'[' => self.depth += 1,
@@ -95,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// [`FramingError`] where an object is broken off or too long. The framer is of no use afterwards.
+    /// [`FramingError`] where an object is truncated or too long. The framer must not be used afterwards.
     pub fn push(
         &mut self,
         bytes: impl Iterator<Item = u8>,
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! [`DiscoveryClient`] keeps one HTTP/1.1 watch open. The bytes of its response go through [`chunked`] (the chunked
 //! transfer coding) and [`framing`] (one JSON object at a time) into an [`EndpointListDocument`], which
-//! [`EndpointRegistry::apply`] turns into the change that the balancer is notified of. Only [`client`] does I/O.
+//! [`EndpointRegistry::apply`] turns into the change that the balancer is notified of. [`wall_clock`] converts the
+//! times at which servers started. Only [`client`] does I/O. The node owns one client and one registry.
 
 mod chunked;
 mod client;
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -1,6 +1,6 @@
-//! The endpoint registry: what is known of each endpoint, under the id that the balancer knows it by.
+//! The endpoint registry: what is known of each endpoint, by the id under which the balancer knows it.
 
-use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument};
+use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument, ListScope};
 use super::wall_clock::WallClock;
 use crate::model::{Endpoint, Event, ListKind, ServerId, Status};
 use sparbank_time::{DurationExt, MonotonicTime, WallTime};
@@ -29,7 +29,7 @@
         self.document.address
     }
 
-    /// Whether it takes new connections.
+    /// Whether it accepts new connections.
     pub fn is_ready(&self) -> bool {
         self.document.lifecycle == EndpointLifecycle::Ready
     }
@@ -38,18 +38,18 @@
 /// All endpoints that the discovery service has ever named to this node.
 pub struct EndpointRegistry {
     zones: Vec<String>,
-    /// By which discovery says when servers started.
+    /// The clock on which discovery reports when servers started.
     wall_clock: WallClock,
-    /// The node's clock at the last look at the wall clock.
+    /// The node's clock when the wall clock was last read.
     now: MonotonicTime,
     generation: u64,
     /// By [`ServerId`]; an endpoint that is gone keeps its place.
     entries: Vec<RegistryEntry>,
     ids: HashMap<String, ServerId>,
-    /// Lists so far whose generation went back.
-    pub stale_lists: u64,
-    /// The generation from before discovery moved to another address, until that address has sent its first complete
-    /// list.
+    /// Lists so far with an older generation than the current one.
+    stale_lists: u64,
+    /// The generation of the previous source, after discovery has moved to another address and until that has sent its
+    /// first complete list.
     previous_generation: Option<u64>,
 }
 
@@ -68,13 +68,13 @@
         }
     }
 
-    /// Notices a step of the wall clock. Call it before each list, and now and then.
+    /// Detects a step of the wall clock. To be called before each list is applied, and periodically.
     pub fn observe_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
         self.wall_clock.observe(now, wall);
     }
 
-    /// The node's clock was set to another process's, which it goes on with.
+    /// Starts again with the clock of another process, which the node's clock now continues.
     pub fn reset_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
         self.wall_clock = WallClock::new(now, wall);
@@ -90,7 +90,12 @@
         self.ids.get(name).copied()
     }
 
-    /// The endpoints that take nothing new.
+    /// Lists so far with an older generation than the current one.
+    pub fn stale_lists(&self) -> u64 {
+        self.stale_lists
+    }
+
+    /// The endpoints that accept nothing new.
     pub fn not_ready(&self) -> Vec<ServerId> {
         let ids = (0..self.entries.len()).map(|index| ServerId(index as u32));
         ids.filter(|id| !self.entries[id.0 as usize].is_ready()).collect()
@@ -101,9 +106,9 @@
         self.generation
     }
 
-    /// Applies the list that the node saved before its start, which may be stale by now.
+    /// Applies the list of the node's configuration, which may be stale.
     pub fn restore(&mut self, list: &EndpointListDocument) -> Event {
-        Event::EndpointList(ListKind::Saved, self.apply(list, true))
+        Event::EndpointList(ListKind::Saved, self.apply(list, ListScope::Complete))
     }
 
     /// All that is known, as a complete list.
@@ -112,17 +117,18 @@
         EndpointListDocument { generation: self.generation, is_complete: true, endpoints }
     }
 
-    /// The next list comes from another source, whose generations may be lower than those so far.
+    /// Prepares for lists from another source, whose generations may be lower than those so far.
     pub fn expect_other_source(&mut self) {
         self.previous_generation = Some(self.generation.max(self.previous_generation.unwrap_or(0)));
         self.generation = 0;
     }
 
-    /// Applies a list. The result is what it changes. A list whose generation goes back removes nothing, and what has
-    /// stopped since is not revived by it.
-    pub fn apply(&mut self, list: &EndpointListDocument, is_complete: bool) -> Vec<Endpoint> {
-        // The first complete list from another source may be older than what the source before it reported: it sets
-        // the generation anew, and revives nothing either.
+    /// Applies a list, and returns the endpoints that it changes. A list with an older generation than the current one
+    /// removes nothing, and does not revive processes that are known to have stopped.
+    pub fn apply(&mut self, list: &EndpointListDocument, scope: ListScope) -> Vec<Endpoint> {
+        let is_complete = scope == ListScope::Complete;
+        // The first complete list from another source may be older than the last one of the previous source: it resets
+        // the generation, and revives nothing either.
         let previous_generation =
             if is_complete { self.previous_generation.take() } else { self.previous_generation };
         let is_older_than_previous = list.generation < previous_generation.unwrap_or(0);
@@ -171,8 +177,8 @@
         endpoint
     }
 
-    /// When a server's process started, on the node's clock. What was found out once stays, however the wall clock
-    /// steps; zero stays long ago.
+    /// When a server's process started, on the node's clock. It is computed once for each process: later steps of the
+    /// wall clock do not change it. Zero stays long ago.
     fn started_at(&self, server: ServerId, started_at_ms: u64) -> MonotonicTime {
         let known = self.entry(server).filter(|entry| entry.document.started_at_ms == started_at_ms);
         match known {
@@ -181,7 +187,7 @@
             None => {
                 let since_epoch = Duration::from_millis(started_at_ms);
                 let started_at = WallTime::from_unix_nanos(since_epoch.as_nanos_u64());
-                self.wall_clock.to_node_time(started_at, self.now).max(EARLIEST_START)
+                self.wall_clock.to_monotonic(started_at, self.now).max(EARLIEST_START)
             }
         }
     }
--- a/src/discovery/wall_clock/tests.rs
+++ b/src/discovery/wall_clock/tests.rs
@@ -22,7 +22,7 @@
 fn without_a_step_both_clocks_are_one(#[case] wall_time: WallTime, #[case] expected: MonotonicTime) {
     let mut clock = WallClock::new(START, wall(START));
     clock.observe(START + 10 * SECOND, wall(START + 10 * SECOND + Duration::from_millis(1)));
-    assert_eq!(clock.to_node_time(wall_time, START + 10 * SECOND), expected);
+    assert_eq!(clock.to_monotonic(wall_time, START + 10 * SECOND), expected);
 }
 
 #[rstest]
@@ -33,7 +33,7 @@
 fn a_step_forward_leaves_a_hole(#[case] wall_time: WallTime, #[case] expected: MonotonicTime) {
     let mut clock = WallClock::new(START, wall(START));
     clock.observe(START + 10 * SECOND, wall(START + HOUR + 10 * SECOND));
-    assert_eq!(clock.to_node_time(wall_time, START + 20 * SECOND), expected);
+    assert_eq!(clock.to_monotonic(wall_time, START + 20 * SECOND), expected);
 }
 
 #[rstest]
@@ -47,16 +47,16 @@
 ) {
     let mut clock = WallClock::new(START, wall(START));
     clock.observe(START + 10 * SECOND, wall(START - HOUR + 10 * SECOND));
-    assert_eq!(clock.to_node_time(wall_time, START + 20 * SECOND), expected);
+    assert_eq!(clock.to_monotonic(wall_time, START + 20 * SECOND), expected);
 }
 
 #[test]
 fn a_node_whose_clock_is_another_than_the_wall_clock_and_many_steps() {
     let mut clock = WallClock::new(START, wall(START + HOUR));
-    assert_eq!(clock.to_node_time(wall(START + HOUR - SECOND), START), START - SECOND);
+    assert_eq!(clock.to_monotonic(wall(START + HOUR - SECOND), START), START - SECOND);
     for step in 1..=100 {
         clock.observe(START + step * SECOND, wall(START + step * HOUR));
     }
-    assert_eq!(clock.stretches.len(), MAX_STRETCHES);
-    assert_eq!(clock.to_node_time(wall(START + 100 * HOUR), START + 100 * SECOND), START + 100 * SECOND);
+    assert_eq!(clock.segments.len(), MAX_SEGMENTS);
+    assert_eq!(clock.to_monotonic(wall(START + 100 * HOUR), START + 100 * SECOND), START + 100 * SECOND);
 }
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -6,67 +6,38 @@
 use crate::json;
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
-use std::fmt;
 use std::time::Duration;
+use thiserror::Error;
 
 /// A watch request without a byte of response for this long has failed.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A watch brings a line every 2 s and is lost without a byte for this long. A change counts as known to the node
-/// 6 s after the service wrote it, so the timeout and the next watch request have to fit into that.
+/// A watch is lost without a byte for this long; the service writes a line every 2 s. A change has to reach the node
+/// within 6 s, which include this timeout and the next watch request.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(4_200);
 /// A watch is lost without a complete object or empty line for this long, even if bytes arrive.
 const OBJECT_TIMEOUT: Duration = Duration::from_millis(5_200);
 /// A watch with more undecoded bytes than this is not handed over to another process.
 const MAX_TRANSFERRED_BYTES: usize = 8 * 1024;
 
-/// Why a watch was given up.
+/// Why a watch was lost.
 ///
 /// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum WatchError {
     /// The response cannot be decoded any further, or the connection ended.
-    Response(ResponseError),
+    #[error(transparent)]
+    Response(#[from] ResponseError),
     /// The body is no sequence of JSON objects.
-    Framing(FramingError),
+    #[error(transparent)]
+    Framing(#[from] FramingError),
     /// An object is no endpoint list.
+    #[error("malformed JSON")]
     InvalidDocument,
     /// Nothing has arrived for longer than the time limits allow.
+    #[error("silent")]
     Silent,
 }
 
-impl fmt::Display for WatchError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WatchError::Response(error) => error.fmt(f),
-            WatchError::Framing(error) => error.fmt(f),
-            WatchError::InvalidDocument => write!(f, "malformed JSON"),
-            WatchError::Silent => write!(f, "silent"),
-        }
-    }
-}
-
-impl std::error::Error for WatchError {
-    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        match self {
-            WatchError::Response(error) => Some(error),
-            WatchError::Framing(error) => Some(error),
-            WatchError::InvalidDocument | WatchError::Silent => None,
-        }
-    }
-}
-
-impl From<ResponseError> for WatchError {
-    fn from(error: ResponseError) -> WatchError {
-        WatchError::Response(error)
-    }
-}
-
-impl From<FramingError> for WatchError {
-    fn from(error: FramingError) -> WatchError {
-        WatchError::Framing(error)
-    }
-}
-
 /// Decodes the response to a watch request into the lines of its body.
 #[derive(Debug, Default, Deserialize, Serialize)]
 struct WatchDecoder {
@@ -107,13 +78,13 @@
     decoder: WatchDecoder,
 }
 
-/// What bytes of a watch brought.
+/// What bytes of a watch contained.
 pub struct Received {
     /// The lists, in the order of their arrival.
     pub lists: Vec<EndpointListDocument>,
-    /// The response began with an empty line: nothing has changed since the generation of the request.
+    /// The response began with an empty line: nothing has changed since the requested generation.
     pub starts_unchanged: bool,
-    /// Whether the watch goes on.
+    /// Whether the watch continues.
     pub outcome: Result<(), WatchError>,
 }
 
@@ -146,7 +117,7 @@
         received
     }
 
-    /// Whether the watch has fallen silent, or brings bytes that never complete an object.
+    /// Whether the watch has become silent, or yields bytes that never complete an object.
     pub fn is_silent(&self, now: MonotonicTime) -> bool {
         let is_unanswered = self.frame_count == 0 && self.last_byte_at == self.last_frame_at;
         let idle_timeout = if is_unanswered { RESPONSE_TIMEOUT } else { IDLE_TIMEOUT };
@@ -155,8 +126,8 @@
         is_idle || is_stuck
     }
 
-    /// Whether the state is small enough to be handed over: in the middle of a long list, the next process had
-    /// better request a watch of its own.
+    /// Whether the state is small enough to be handed over. In the middle of a long list, the next process requests a
+    /// watch of its own.
     pub fn is_transferable(&self) -> bool {
         self.decoder.buffered_bytes() <= MAX_TRANSFERRED_BYTES
     }
--- a/src/flow_export/ipfix.rs
+++ b/src/flow_export/ipfix.rs
@@ -1,4 +1,4 @@
-//! The IPFIX encoding (RFC 7011): messages, the one template, and its data records.
+//! The IPFIX encoding (RFC 7011): messages, the one template, and its data records. No I/O.
 
 use crate::requests::{FlowRecord, FlowResult};
 use sparbank_time::{DurationExt, MonotonicTime};
@@ -70,8 +70,8 @@
     pub export_time: MonotonicTime,
     /// The number of data records sent before this message.
     pub sequence: u32,
-    /// The observation domain, which tells nodes apart.
-    pub domain: u32,
+    /// The observation domain, which identifies the node.
+    pub observation_domain: u32,
 }
 
 /// A message with one set.
@@ -87,7 +87,7 @@
     out.extend(message_bytes.to_be_bytes());
     out.extend((since_epoch(header.export_time).as_secs() as u32).to_be_bytes());
     out.extend(header.sequence.to_be_bytes());
-    out.extend(header.domain.to_be_bytes());
+    out.extend(header.observation_domain.to_be_bytes());
     out.extend(set_id.to_be_bytes());
     out.extend(set_bytes.to_be_bytes());
     out.extend(records);
@@ -146,7 +146,7 @@
     }
 }
 
-/// How a flow ended, as collectors know it: these names are fixed by the operators' pages.
+/// How a flow ended. Collectors know these names, so they are fixed.
 fn result_name(result: FlowResult) -> &'static str {
     match result {
         FlowResult::Served => "served",
--- a/src/flow_export/ipfix/tests.rs
+++ b/src/flow_export/ipfix/tests.rs
@@ -38,7 +38,7 @@
 #[test]
 fn the_template_message_is_unchanged() {
     let export_time = MonotonicTime::from_nanos(1_764_654_446_123_456_789);
-    let header = MessageHeader { export_time, sequence: 7, domain: DOMAIN };
+    let header = MessageHeader { export_time, sequence: 7, observation_domain: DOMAIN };
     let message = encode_message(&header, SetKind::Template, &encode_template());
     let expected = concat!(
         "000a0040692e7d6e000000079b1f7f3a000200300100000a00940008009800080099000800880001000c0004000b0002",
@@ -58,8 +58,8 @@
     let server = "10.1.2.3:4567".parse().expect("an address");
     let record = encode_record(&flow(result), Some(server), "live-readings");
     let times = "00000001020304050000019add99f62b0000019add99f998";
-    let server_to_front = "0a01020311d7000000030d6c6976652d72656164696e67730474657874";
-    assert_eq!(hex(&record), format!("{times}{reason}{server_to_front}{name}"));
+    let server_to_frontend = "0a01020311d7000000030d6c6976652d72656164696e67730474657874";
+    assert_eq!(hex(&record), format!("{times}{reason}{server_to_frontend}{name}"));
 }
 
 #[test]
@@ -84,7 +84,7 @@
 #[test]
 fn a_data_message_is_unchanged() {
     let export_time = MonotonicTime::from_nanos(2_000_000_000);
-    let header = MessageHeader { export_time, sequence: u32::MAX, domain: 1 };
+    let header = MessageHeader { export_time, sequence: u32::MAX, observation_domain: 1 };
     let message = encode_message(&header, SetKind::Data, &encode_record(&unsent_flow(), None, ""));
     let expected = concat!(
         "000a004500000002ffffffff000000010100003500000000000000010000000000000000000000000000000205000000",
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -14,13 +14,13 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Over UDP the template has to be repeated, for collectors that start later or missed it.
+/// Over UDP the template is sent again after this time, for collectors that started later or missed it.
 const TEMPLATE_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
-/// The exporter.
+/// An exporter to one collector. The node owns it, and passes it the ended flows periodically.
 pub struct FlowExport {
     socket: UdpSocket,
-    domain: u32,
+    observation_domain: u32,
     /// The number of data records sent so far.
     sequence: u32,
     /// When the template was last sent.
@@ -28,16 +28,20 @@
 }
 
 impl FlowExport {
-    /// An exporter from the node's own address to this collector. The observation domain tells nodes apart.
+    /// An exporter from the node's own address to this collector. Each node has its own observation domain.
     ///
     /// # Errors
     ///
     /// The UDP socket cannot be opened or connected.
-    pub fn new(own: IpAddr, collector: SocketAddr, domain: u32) -> io::Result<FlowExport> {
-        let socket = UdpSocket::bind((own, 0))?;
+    pub fn new(
+        local_address: IpAddr,
+        collector: SocketAddr,
+        observation_domain: u32,
+    ) -> io::Result<FlowExport> {
+        let socket = UdpSocket::bind((local_address, 0))?;
         socket.connect(collector)?;
         socket.set_nonblocking(true)?;
-        Ok(FlowExport { socket, domain, sequence: 0, template_sent_at: None })
+        Ok(FlowExport { socket, observation_domain, sequence: 0, template_sent_at: None })
     }
 
     /// Sends flows that have ended, preceded by the template when that is due.
@@ -79,9 +83,14 @@
         }
     }
 
-    /// Sends one message with this many data records. An error is ignored: see the sequence number above.
+    /// Sends one message with this many data records. An error is ignored: the sequence number
+    /// tells the collector of lost records.
     fn send_message(&mut self, now: MonotonicTime, kind: SetKind, records: &[u8], count: u32) {
-        let header = MessageHeader { export_time: now, sequence: self.sequence, domain: self.domain };
+        let header = MessageHeader {
+            export_time: now,
+            sequence: self.sequence,
+            observation_domain: self.observation_domain,
+        };
         let message = ipfix::encode_message(&header, kind, records);
         let _ = self.socket.send(&message);
         self.sequence = self.sequence.wrapping_add(count);
--- a/src/node/endpoint_watch.rs
+++ b/src/node/endpoint_watch.rs
@@ -3,7 +3,7 @@
 use super::frontend_host::FrontendHost;
 use crate::discovery::{DiscoveryClient, TransferredWatch};
 use crate::model::{Event, ListKind};
-use crate::net::{SocketEvent, SocketEventKind, SocketReactor};
+use crate::net::{SocketEvent, SocketReactor};
 use sparbank_time::MonotonicTime;
 
 /// Owns the discovery client, and reports endpoint lists to the balancer and the frontends.
@@ -24,7 +24,7 @@
 
     /// Watch requests sent so far.
     pub(super) fn request_count(&self) -> u64 {
-        self.client.watch_requests
+        self.client.watch_requests()
     }
 
     /// Requests a watch, unless there is one.
@@ -67,10 +67,9 @@
 
     /// Handles an event at the socket of the watch.
     pub(super) fn on_socket_event(&mut self, host: &mut FrontendHost, event: SocketEvent) {
-        let is_broken = matches!(event.kind, SocketEventKind::Failed { .. });
         let now = host.state.observe_clocks();
         let (net, registry) = (&mut host.state.net, &mut host.state.registry);
-        let endpoint_events = self.client.on_socket_event(now, net, registry, event.token, is_broken);
+        let endpoint_events = self.client.on_socket_event(now, net, registry, event);
         for endpoint_event in endpoint_events {
             report_list(host, endpoint_event);
         }
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -66,7 +66,7 @@
     counters.failed_connects = shortages.failed_connects;
     counters.log_lines_dropped = log::dropped_lines();
     counters.discovery_polls = executor.endpoints.request_count();
-    counters.stale_lists = state.registry.stale_lists;
+    counters.stale_lists = state.registry.stale_lists();
     if let Some(calls) = admin.counts() {
         counters.admin_accepted = calls.succeeded;
         counters.admin_rejected = calls.failed;
