--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,14 +1,16 @@
-//! The command line: arguments in, exit code and printed line out.
+//! The command line: arguments to a command with typed options, and errors to one log line and an exit code.
 
 use crate::frontend::amqp::{add_user, Rights};
 use crate::frontend::OPTIONAL_FRONTENDS;
 use crate::log::{self, Verbosity};
-use crate::node::{Configuration, Options, PreparedNode};
-use crate::quota;
+use crate::node::{Configuration, ConfigurationError, Options, PrepareError, PreparedNode, ServeError};
+use crate::quota::{self, QuotaFileError};
 use lexopt::prelude::{Long, Short, Value, ValueExt};
-use std::fmt::Display;
+use std::error::Error;
+use std::io;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
+use thiserror::Error;
 
 const USAGE: &str = "\
 usage: sparbank serve|check-config [--amqp FILE] [--ipfix ADDRESS] [--fleet FILE] [--trace]
@@ -21,7 +23,7 @@
 /// Exit code for a wrong call or configuration.
 const EXIT_INVALID: u8 = 2;
 
-/// What the program was called for.
+/// A sub-command with its options.
 enum Command {
     Serve(Options),
     CheckConfig(Options),
@@ -31,7 +33,7 @@
     Help,
 }
 
-/// What the arguments of the program say.
+/// The parsed arguments of the program.
 struct Invocation {
     command: Command,
     verbosity: Verbosity,
@@ -43,19 +45,39 @@
     }
 }
 
-/// What is printed where a command failed, and the program's exit code.
-struct Failure {
-    message: String,
-    exit_code: u8,
+/// Why the program failed; logged as one line.
+#[derive(Debug, Error)]
+enum CliError {
+    #[error("{0}; {USAGE}")]
+    Arguments(#[from] lexopt::Error),
+    #[error(transparent)]
+    Prepare(#[from] PrepareError),
+    #[error(transparent)]
+    Configuration(#[from] ConfigurationError),
+    #[error(transparent)]
+    QuotaFile(#[from] QuotaFileError),
+    #[error("standard input: {0}")]
+    StandardInput(#[source] io::Error),
+    #[error("the password is missing on standard input")]
+    MissingPassword,
+    #[error("{0}")]
+    UsersFile(Box<dyn Error>),
+    #[error(transparent)]
+    Serve(#[from] ServeError),
 }
 
-impl Failure {
-    fn invalid(error: impl Display) -> Failure {
-        Failure { message: error.to_string(), exit_code: EXIT_INVALID }
-    }
-
-    fn serving_failed(error: impl Display) -> Failure {
-        Failure { message: error.to_string(), exit_code: EXIT_SERVING_FAILED }
+impl CliError {
+    fn exit_code(&self) -> u8 {
+        match self {
+            CliError::Serve(_) => EXIT_SERVING_FAILED,
+            CliError::Arguments(_)
+            | CliError::Prepare(_)
+            | CliError::Configuration(_)
+            | CliError::QuotaFile(_)
+            | CliError::StandardInput(_)
+            | CliError::MissingPassword
+            | CliError::UsersFile(_) => EXIT_INVALID,
+        }
     }
 }
 
@@ -63,20 +85,17 @@
 pub fn run() -> ExitCode {
     let invocation = parse_arguments(lexopt::Parser::from_env());
     log::init(invocation.as_ref().map(|invocation| invocation.verbosity).unwrap_or_default());
-    let result = match invocation {
-        Ok(Invocation { command, .. }) => execute(command),
-        Err(error) => Err(Failure::invalid(format!("{error}; {USAGE}"))),
-    };
+    let result = invocation.map_err(CliError::from).and_then(|invocation| execute(invocation.command));
     match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(failure) => {
-            tracing::error!("{}", failure.message);
-            ExitCode::from(failure.exit_code)
+        Err(error) => {
+            tracing::error!("{error}");
+            ExitCode::from(error.exit_code())
         }
     }
 }
 
-fn execute(command: Command) -> Result<(), Failure> {
+fn execute(command: Command) -> Result<(), CliError> {
     match command {
         Command::Serve(options) => serve(options),
         Command::CheckConfig(options) => check_config(&options),
@@ -93,41 +112,39 @@
     }
 }
 
-fn serve(options: Options) -> Result<(), Failure> {
-    let node = PreparedNode::prepare(options).map_err(Failure::invalid)?;
-    node.serve().map_err(Failure::serving_failed)
+fn serve(options: Options) -> Result<(), CliError> {
+    Ok(PreparedNode::prepare(options)?.serve()?)
 }
 
-fn check_config(options: &Options) -> Result<(), Failure> {
-    let configuration = Configuration::read(&options.frontend_files).map_err(Failure::invalid)?;
+fn check_config(options: &Options) -> Result<(), CliError> {
+    let configuration = Configuration::read(&options.frontend_files)?;
     println!("{}: the configuration is right", configuration.node.name);
     Ok(())
 }
 
-fn check_quota_file(file: &Path) -> Result<(), Failure> {
-    let plan = quota::read_plan(file).map_err(Failure::invalid)?;
+fn check_quota_file(file: &Path) -> Result<(), CliError> {
+    let plan = quota::read_plan(file)?;
     println!("{}: {} seats, {} budgets: right", file.display(), plan.members.len(), plan.quotas.len());
     Ok(())
 }
 
 /// Writes a user into the AMQP frontend's users' file; its password is the first line of standard input.
-fn add_amqp_user(users_file: &Path, name: &str, rights: Rights) -> Result<(), Failure> {
+fn add_amqp_user(users_file: &Path, name: &str, rights: Rights) -> Result<(), CliError> {
     let mut line = String::new();
-    let read = std::io::stdin().read_line(&mut line);
-    read.map_err(|error| Failure::invalid(format!("standard input: {error}")))?;
+    io::stdin().read_line(&mut line).map_err(CliError::StandardInput)?;
     let password = line.trim_end_matches(['\r', '\n']);
     if password.is_empty() {
-        return Err(Failure::invalid("the password is missing on standard input"));
+        return Err(CliError::MissingPassword);
     }
-    add_user(users_file, name, password, rights).map_err(Failure::invalid)
+    add_user(users_file, name, password, rights).map_err(|error| CliError::UsersFile(Box::new(error)))
 }
 
-/// The arguments, before the sub-command says which of them count.
+/// The arguments as they were read; the sub-command decides which of them apply.
 #[derive(Default)]
 struct Arguments {
     sub_command: Option<String>,
     options: Options,
-    /// What follows `amqp-user`.
+    /// The positional arguments of `amqp-user`.
     values: Vec<String>,
     rights: Rights,
     verbosity: Verbosity,
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The real node: see the README.
+//! The node: `README.md` says how to start it, and [`sparbank::cli`] parses its arguments.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -43,7 +43,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use configuration::Configuration;
+pub use configuration::{Configuration, ConfigurationError};
 pub use error::{PrepareError, ServeError};
 pub use options::Options;
 pub use prepared::PreparedNode;
