--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -64,7 +64,7 @@
 fn drain(host: &mut FrontendHost, drain_steps: &mut DrainSteps, now: MonotonicTime) -> Response {
     let established_connections = host.state.established_connections();
     if drain_steps.drain(host, now) {
-        host.state.requests.counters.drains += 1;
+        host.state.requests.counters_mut().drains += 1;
         tracing::info!(established_connections, "draining");
     }
     Response::new(200, format!("draining standing={established_connections}"))
@@ -75,7 +75,7 @@
     match host.state.lifecycle.resume() {
         Ok(was_draining) => {
             if was_draining {
-                host.state.requests.counters.resumes += 1;
+                host.state.requests.counters_mut().resumes += 1;
                 let established_connections = host.state.established_connections();
                 tracing::info!(established_connections, "drain ended, serving again");
                 host.for_each(|frontend, ctx| frontend.resume_serving(ctx));
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -35,7 +35,7 @@
             return;
         }
         tracing::info!(established_connections = state.established_connections(), "shutting down");
-        if let Some(quotas) = &mut state.requests.quotas {
+        if let Some(quotas) = state.requests.quotas_mut() {
             quotas.shut_down();
         }
         self.schedule(host);
@@ -46,7 +46,7 @@
         let state = &mut host.state;
         let (now, longest_deadline) = (state.now(), state.longest_deadline());
         state.lifecycle.hand_over(now, longest_deadline);
-        state.requests.counters.handovers += 1;
+        state.requests.counters_mut().handovers += 1;
         let established_connections = state.established_connections();
         tracing::info!(established_connections, "handover to successor started");
         self.schedule(host);
@@ -115,6 +115,6 @@
 pub(super) fn check_exit(host: &mut FrontendHost) {
     if !host.is_idle() {
         let open = host.state.established_connections();
-        host.state.requests.violations.record(Violation::OpenAtExit, ViolationContext::Exit { open });
+        host.state.requests.record_violation(Violation::OpenAtExit, ViolationContext::Exit { open });
     }
 }
--- a/src/node/endpoint_watch.rs
+++ b/src/node/endpoint_watch.rs
@@ -94,7 +94,7 @@
         tracing::trace!(?kind, entries = endpoints.len(), "endpoint list received");
     }
     if matches!(event, Event::EndpointList(ListKind::Failed, _)) {
-        host.state.requests.counters.discovery_failures += 1;
+        host.state.requests.counters_mut().discovery_failures += 1;
     }
     host.state.requests.push_event(event);
     let not_ready = host.state.registry.not_ready();
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -101,7 +101,7 @@
     if snapshot.is_drained {
         drain_steps.drain(host, host.state.now());
     }
-    host.state.requests.counters.handovers += 1;
+    host.state.requests.counters_mut().handovers += 1;
     limit_beside_predecessor(host, snapshot.open_descriptors);
     tracing::info!(
         drained = snapshot.is_drained,
--- a/src/node/quota_leases.rs
+++ b/src/node/quota_leases.rs
@@ -21,7 +21,7 @@
     /// Handles an event at a socket of the lease protocol.
     pub(super) fn on_socket_event(&mut self, state: &mut NodeState, event: SocketEvent) {
         let now = state.now();
-        if let (Some(transport), Some(quotas)) = (&mut self.transport, &mut state.requests.quotas) {
+        if let (Some(transport), Some(quotas)) = (&mut self.transport, state.requests.quotas_mut()) {
             transport.on_socket_event(now, &mut state.net, quotas, event);
         }
     }
@@ -31,7 +31,7 @@
         let state = &mut executor.host.state;
         let now = state.now();
         let Some(transport) = &mut self.transport else { return };
-        let Some(quotas) = &mut state.requests.quotas else { return };
+        let Some(quotas) = state.requests.quotas_mut() else { return };
         transport.exchange(now, &mut state.net, quotas);
         let commands = state.requests.migrate_over_quota(now);
         executor.execute_all(now, commands);
@@ -42,7 +42,7 @@
     /// Logs the lease, the counters of its protocol, and each quota.
     pub(super) fn log(&self, state: &NodeState) {
         let Some(transport) = &self.transport else { return };
-        let Some(quotas) = &state.requests.quotas else { return };
+        let Some(quotas) = state.requests.quotas() else { return };
         let counters = transport.counters();
         tracing::info!(
             lease_remaining_ms = quotas.lease_remaining(state.now()).as_millis_u64(),
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -23,15 +23,15 @@
     /// Exports the flows that have ended since the last call.
     pub(super) fn export(&mut self, state: &mut NodeState, now: MonotonicTime) {
         if let Some(export) = &mut self.export {
-            let flows = state.requests.ended_flows.take();
-            export.send(now, &flows, &state.registry, &state.config.site);
+            let flows = state.requests.take_flow_records();
+            export.send(now, &flows, &state.registry, &state.config.frontend_settings);
         }
     }
 }
 
 /// Emits the trace events of attempts since the last call; there are none unless tracing is enabled.
 pub(super) fn trace_attempts(state: &mut NodeState) {
-    for record in state.requests.attempt_trace.take() {
+    for record in state.requests.take_attempt_records() {
         let server = state.registry.entry(record.server).map_or("?", |entry| entry.name());
         let (request, after_ms) = (record.request_id.0, record.elapsed.as_millis_u64());
         match record.step {
@@ -46,7 +46,7 @@
 /// Logs the node's counters, then those of the lease protocol and those of the frontends.
 pub(super) fn log_counters(executor: &mut Executor, admin: &AdminCalls, leases: &QuotaLeases) {
     update_counters(executor, admin);
-    tracing::info!("{}", executor.host.state.requests.counters);
+    tracing::info!("{}", executor.host.state.requests.counters());
     leases.log(&executor.host.state);
     for line in executor.host.counter_lines() {
         tracing::info!("{line}");
@@ -56,8 +56,8 @@
 /// Brings the counters up to date that other parts of the node keep.
 fn update_counters(executor: &mut Executor, admin: &AdminCalls) {
     let state = &mut executor.host.state;
-    let violations = state.requests.violations.count();
-    let counters = &mut state.requests.counters;
+    let violations = state.requests.violation_count();
+    let counters = state.requests.counters_mut();
     counters.invariant_violations = violations;
     let shortages = state.net.shortages();
     counters.accept_pauses = shortages.accept_pauses;
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -107,13 +107,13 @@
     fn new(config: Config, net: SocketReactor) -> Result<Startup, ServeError> {
         let mut requests = RequestTable::new(config.seed, config.settings.clone())?;
         if tracing::enabled!(tracing::Level::TRACE) {
-            requests.attempt_trace.enable();
+            requests.enable_attempt_records();
         }
         let clock = Clock::new();
         let now = clock.now();
         // The wall clock has just set the node's clock: both show the same.
         let wall = WallTime::from_unix_nanos(now.as_nanos());
-        let registry = EndpointRegistry::new(config.site.zones.clone(), now, wall);
+        let registry = EndpointRegistry::new(config.frontend_settings.zone_names.clone(), now, wall);
         let discovery = DiscoveryClient::new(config.discovery);
         Ok(Startup { clock, config, net, requests, registry, discovery })
     }
@@ -162,8 +162,11 @@
     fn open_frontends(&mut self, frontend_configs: ParsedFrontendFiles) -> Result<Frontends, ServeError> {
         let mut frontends = Frontends::new();
         for (which, frontend_config) in frontend_configs {
-            let setup =
-                FrontendSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
+            let setup = FrontendSetup {
+                net: &mut self.net,
+                node_name: &self.config.name,
+                site: &self.config.frontend_settings,
+            };
             frontends.open(which, frontend_config, setup)?;
         }
         Ok(frontends)
@@ -175,7 +178,7 @@
         let domain = fnv1a(&self.config.name) as u32;
         let export = FlowExport::new(self.config.listen.ip(), collector, domain);
         let export = export.map_err(ServeError::FlowExport)?;
-        self.requests.ended_flows.enable();
+        self.requests.enable_flow_records();
         tracing::info!(%collector, observation_domain = domain, "IPFIX export enabled");
         Ok(Some(export))
     }
@@ -192,9 +195,9 @@
             .map_err(|source| ServeError::LeaseTransport { member, source })?;
         let grants_in_ms = transport.grant_delay(now).map(|delay| delay.as_millis_u64());
         tracing::info!(member, grants_in_ms, "fleet-wide quotas enabled");
-        let classes: Vec<String> = self.config.site.classes.iter().map(|class| class.name.clone()).collect();
+        let classes = &self.config.frontend_settings.class_names;
         let max_retry_after = self.config.settings.max_retry_after;
-        self.requests.quotas = Some(QuotaAdmission::new(membership, now, &classes, max_retry_after));
+        self.requests.enable_quotas(QuotaAdmission::new(membership, now, classes, max_retry_after));
         Ok(Some(transport))
     }
 
