--- a/src/cli.rs
+++ b/src/cli.rs
@@ -3,7 +3,7 @@
 use crate::frontend::amqp::{add_user, Rights};
 use crate::frontend::OPTIONAL_FRONTENDS;
 use crate::log::{self, Verbosity};
-use crate::node::{Configuration, ConfigurationError, Options, PrepareError, PreparedNode, ServeError};
+use crate::node::{self, Configuration, ConfigurationError, Options, PrepareError, PreparedNode, ServeError};
 use crate::quota::{self, QuotaFileError};
 use lexopt::prelude::{Long, Short, Value, ValueExt};
 use std::error::Error;
@@ -113,7 +113,8 @@
 }
 
 fn serve(options: Options) -> Result<(), CliError> {
-    Ok(PreparedNode::prepare(options)?.serve()?)
+    let prepared = PreparedNode::prepare(options)?;
+    Ok(node::serve(prepared)?)
 }
 
 fn check_config(options: &Options) -> Result<(), CliError> {
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,12 +1,15 @@
 //! What the links to the predecessor and to the successor share: reading the messages of the handover socket.
 
 use super::channel::{self, ChannelError};
+use super::event::HandoverEvent;
 use super::message::{Message, MessageError};
-use super::{HandoverEvent, CONNECTIONS_PER_ITERATION};
 use crate::net::{SocketReactor, Token};
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
+/// The most connections that are transferred in one iteration of the event loop.
+pub const CONNECTIONS_PER_ITERATION: usize = 32;
+
 /// Why the link to the other process ends.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -9,6 +9,7 @@
 //! the node has to do as [`HandoverEvent`]s.
 
 mod channel;
+mod event;
 mod link;
 mod listener;
 mod message;
@@ -20,6 +21,8 @@
 mod tests;
 
 pub use channel::socket_path;
+pub use event::{FrontendConnection, HandoverEvent};
+pub use link::CONNECTIONS_PER_ITERATION;
 pub use listener::{passed_listener, PassedListenerError};
 pub use snapshot::StateSnapshot;
 pub use state_request::{request_state, PredecessorState};
@@ -36,38 +39,6 @@
 
 /// Descriptors to reserve for the start of a successor.
 pub const SUCCESSOR_DESCRIPTORS: usize = 20;
-/// The most connections that are transferred in one iteration of the event loop.
-pub const CONNECTIONS_PER_ITERATION: usize = 32;
-
-/// A connection in transfer between two processes.
-pub struct FrontendConnection {
-    /// Name of the frontend that owns it.
-    pub frontend: String,
-    /// The connection.
-    pub connection: TransferredConnection,
-}
-
-/// What the node has to do for the handover.
-pub enum HandoverEvent {
-    /// A successor requests the state: answer with [`Handover::send_state`].
-    StateRequested,
-    /// The successor serves: accept nothing more, and transfer connections with [`Handover::transfer`].
-    SuccessorReady,
-    /// The successor is gone: accept clients again.
-    SuccessorLost {
-        /// Connections that were released for it and not sent: continue them here.
-        unsent: Vec<FrontendConnection>,
-    },
-    /// A connection of the predecessor has arrived.
-    ConnectionReceived {
-        /// The connection.
-        received: FrontendConnection,
-        /// Descriptors that the predecessor still has open.
-        predecessor_descriptors: usize,
-    },
-    /// The predecessor is gone.
-    PredecessorExited,
-}
 
 /// The handover socket and the links to the predecessor and the successor, on the event loop.
 pub struct Handover {
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,9 +1,9 @@
 //! The link to the predecessor: the role of a process that has requested a state and serves now.
 
 use super::channel;
+use super::event::{FrontendConnection, HandoverEvent};
 use super::link::{read_messages, LinkError, ReceivedMessages};
 use super::message::Message;
-use super::{FrontendConnection, HandoverEvent};
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::os::fd::OwnedFd;
 
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,9 +1,9 @@
 //! The link to the successor: the role of a process that serves and may be replaced.
 
 use super::channel::{self, ChannelError, FramedMessage};
+use super::event::{FrontendConnection, HandoverEvent};
 use super::link::{read_messages, LinkError, ReceivedMessages};
 use super::message::{Message, PROTOCOL_VERSION};
-use super::{FrontendConnection, HandoverEvent};
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -18,6 +18,7 @@
 #[cfg(test)]
 mod tests;
 
+pub use phases::Activity;
 pub use schedule::{MigrationStep, MIGRATION_STEP_INTERVAL};
 
 use phases::{Draining, HandedOver, Serving, ShuttingDown, WithoutSuccessor};
@@ -30,15 +31,6 @@
 #[error("the process shuts down")]
 pub struct ShuttingDownError;
 
-/// Whether anything is open at this process.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Activity {
-    /// No request, no client, and no connection that is still closing.
-    Idle,
-    /// Something is open.
-    Busy,
-}
-
 /// The lifecycle of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -2,7 +2,6 @@
 //! process that shuts down cannot resume, and one that serves has no drain to end.
 
 use super::schedule::MigrationSchedule;
-use super::Activity;
 use crate::model::MAX_STALL;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -28,6 +27,15 @@
     MigrationSchedule::until(now, now + DRAIN_DURATION)
 }
 
+/// Whether anything is open at this process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Activity {
+    /// No request, no client, and no connection that is still closing.
+    Idle,
+    /// Something is open.
+    Busy,
+}
+
 /// Clients are accepted, and stay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Serving(());
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,7 +1,7 @@
 //! The node: the process that serves clients on real sockets, in one thread.
 //!
-//! [`PreparedNode`] reads and checks the configuration; [`startup`] opens everything in a fixed order; then
-//! [`event_loop`] runs until the process exits. Sockets, timers and signals become events for the request table and the
+//! [`PreparedNode`] reads and checks the configuration; [`serve`] opens everything in a fixed order ([`startup`]) and
+//! runs the [`event_loop`] until the process exits. Sockets, timers and signals become events for the request table and the
 //! frontends; the request table lets the balancer decide and returns commands, which [`executor`] executes.
 //!
 //! Each part of the node's state has one owner, and the methods of an owner are in its file. Owners further down are
@@ -47,3 +47,4 @@
 pub use error::{PrepareError, ServeError};
 pub use options::Options;
 pub use prepared::PreparedNode;
+pub use startup::serve;
--- a/src/node/prepared.rs
+++ b/src/node/prepared.rs
@@ -3,7 +3,7 @@
 use super::configuration::Configuration;
 use super::shortage_retry::{is_shortage, retry_while_short};
 use super::signals::SignalPipes;
-use super::{startup, Options, PrepareError, ServeError};
+use super::{Options, PrepareError};
 use crate::frontend::FrontendFiles;
 use crate::handover;
 use crate::quota::{self, QuotaMembership};
@@ -51,12 +51,4 @@
             passed_listener,
         })
     }
-
-    /// Starts the node and serves until it has shut down.
-    ///
-    /// # Errors
-    /// Where a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
-    pub fn serve(self) -> Result<(), ServeError> {
-        startup::start(self)?.run()
-    }
 }
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -32,11 +32,19 @@
 use std::os::fd::OwnedFd;
 use std::path::Path;
 
+/// Starts a node and serves until it has shut down.
+///
+/// # Errors
+/// Where a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
+pub fn serve(prepared: PreparedNode) -> Result<(), ServeError> {
+    start(prepared)?.run()
+}
+
 /// Opens everything, and lets the balancer decide on the endpoints that are known from the start.
 ///
 /// # Errors
 /// Where a socket cannot be opened, or the balancer rejects the settings.
-pub(super) fn start(prepared: PreparedNode) -> Result<Node, ServeError> {
+fn start(prepared: PreparedNode) -> Result<Node, ServeError> {
     let Configuration { node: config, frontends: frontend_configs } = prepared.configuration;
     let reactor = || SocketReactor::new(config.max_descriptors);
     let mut net = retry_while_short(reactor, is_shortage).map_err(ServeError::Poll)?;
