--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -63,8 +63,8 @@
         Some(route) if route.method == method => ParsedHead::Call(route.call),
         Some(route) => ParsedHead::Rejected(Response::method_not_allowed(route.method)),
         None => {
-            let text = "known: GET /-/ready, POST /-/drain, POST /-/resume";
-            ParsedHead::Rejected(Response::new(404, text))
+            let calls = ROUTES.map(|route| format!("{} {}", route.method, route.path)).join(", ");
+            ParsedHead::Rejected(Response::new(404, format!("known: {calls}")))
         }
     }
 }
--- a/src/admin/request/tests.rs
+++ b/src/admin/request/tests.rs
@@ -53,3 +53,9 @@
         prop_assert!(!is_incomplete || bytes.len() < MAX_HEAD_BYTES);
     }
 }
+
+#[test]
+fn an_unknown_path_is_answered_with_the_known_calls() {
+    let ParsedHead::Rejected(response) = parse(b"GET / HTTP/1.1\r\n\r\n") else { panic!("no call") };
+    assert_eq!(response.text, "known: GET /-/ready, POST /-/drain, POST /-/resume");
+}
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The earliest start that can be told from "long ago".
+/// The earliest start that is not taken for "long ago".
 const EARLIEST_START: MonotonicTime = MonotonicTime::from_nanos(1);
 
 /// What is known of an endpoint.
--- a/src/node/executor.rs
+++ b/src/node/executor.rs
@@ -8,7 +8,7 @@
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// Owns all that a command of the request table can reach: the frontends, their state, and the endpoint watch.
+/// Owns everything that a command of the request table can reach: the frontends, their state, and the endpoint watch.
 pub(super) struct Executor {
     pub(super) host: FrontendHost,
     pub(super) endpoints: EndpointWatch,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Migrates an established connection: its client is told to reconnect.
+    /// Migrates an established connection: its client is notified to reconnect.
     pub(super) fn migrate_established(&mut self, now: MonotonicTime, request_id: RequestId) {
         let frontend = self.host.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
         if let Some(frontend) = frontend {
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -13,7 +13,7 @@
 }
 
 impl HandoverSteps {
-    /// Executes what these links ask for.
+    /// Executes the events of these links.
     pub(super) fn new(handover: Option<Handover>) -> HandoverSteps {
         HandoverSteps { handover }
     }
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -37,7 +37,7 @@
     Ok(OwnedFd::from(reader))
 }
 
-/// What a signal asks for.
+/// The request that a signal stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalRequest {
     /// SIGTERM or SIGINT: shut down gracefully.
@@ -69,7 +69,7 @@
         })
     }
 
-    /// Reads a readable socket. The result is what its signal, which may have arrived several times, asks for.
+    /// Reads a readable socket. The result is the request of its signal, which may have arrived several times.
     pub(super) fn receive(&self, net: &mut SocketReactor, token: Token) -> Option<SignalRequest> {
         if let Some(input) = net.input_buffer(token) {
             input.clear();
