--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,7 +1,7 @@
 //! The command line: arguments in, exit code and printed line out.
 
 use crate::frontend::amqp::{add_user, Rights};
-use crate::frontend::OPTIONAL_FRONTENDS;
+use crate::frontend::optional_frontend;
 use crate::log::{self, Verbosity};
 use crate::node::{Configuration, Options, PreparedNode};
 use crate::quota;
@@ -150,8 +150,7 @@
             Long(name) => {
                 let Some(frontend) = optional_frontend(name) else { return Err(argument.unexpected()) };
                 let file = PathBuf::from(parser.value()?);
-                arguments.options.frontend_files.retain(|(other, _)| *other != frontend);
-                arguments.options.frontend_files.push((frontend, file));
+                arguments.options.frontend_files.set(frontend, file);
             }
             Value(value) if arguments.sub_command.as_deref() == Some("amqp-user") => {
                 arguments.values.push(value.string()?);
@@ -187,8 +186,3 @@
         }
     }
 }
-
-/// The optional frontend that `--NAME` turns on, by its index into [`OPTIONAL_FRONTENDS`].
-fn optional_frontend(name: &str) -> Option<usize> {
-    OPTIONAL_FRONTENDS.iter().position(|frontend| frontend.name == name)
-}
--- a/src/frontend/frontends.rs
+++ b/src/frontend/frontends.rs
@@ -1,13 +1,17 @@
 //! The frontends that are on, by their ids.
 
 use super::api::{Frontend, TEXT_FRONTEND};
-use super::optional::{FrontendError, FrontendSetup, OptionalFrontend};
+use super::optional::{FrontendError, FrontendSetup, OptionalFrontend, ParsedFrontendFile};
 use super::{amqp, text};
 use crate::requests::FrontendId;
-use std::any::Any;
 
 /// All frontends beside the platform's own.
-pub const OPTIONAL_FRONTENDS: &[OptionalFrontend] = &[amqp::OPTIONAL_FRONTEND];
+const OPTIONAL_FRONTENDS: &[OptionalFrontend] = &[amqp::OPTIONAL_FRONTEND];
+
+/// The frontend that the option `--NAME` turns on.
+pub fn optional_frontend(name: &str) -> Option<&'static OptionalFrontend> {
+    OPTIONAL_FRONTENDS.iter().find(|frontend| frontend.name == name)
+}
 
 /// The frontends that are on, each at the index of its id.
 pub struct Frontends {
@@ -26,17 +30,15 @@
         Frontends { entries: vec![Entry { frontend, name: TEXT_FRONTEND.name }] }
     }
 
-    /// Opens an optional frontend, by its index into [`OPTIONAL_FRONTENDS`], and adds it.
-    pub fn open(
-        &mut self,
-        which: usize,
-        config: Box<dyn Any>,
-        setup: FrontendSetup,
-    ) -> Result<(), FrontendError> {
-        let optional = &OPTIONAL_FRONTENDS[which];
-        let id = FrontendId { index: self.entries.len() as u8, name: optional.name };
-        let frontend = (optional.open)(id, config, setup)?;
-        self.entries.push(Entry { frontend, name: optional.name });
+    /// Opens an optional frontend and adds it.
+    ///
+    /// # Errors
+    /// Where a listening socket cannot be opened.
+    pub fn open(&mut self, file: ParsedFrontendFile, setup: FrontendSetup) -> Result<(), FrontendError> {
+        let ParsedFrontendFile { frontend: OptionalFrontend { name, open, .. }, config } = file;
+        let id = FrontendId { index: self.entries.len() as u8, name };
+        let frontend = open(id, config, setup)?;
+        self.entries.push(Entry { frontend, name });
         Ok(())
     }
 
@@ -51,14 +53,10 @@
         self.entries.iter_mut().map(|entry| &mut entry.frontend)
     }
 
-    /// Applies a newer configuration to an optional frontend, by its index into [`OPTIONAL_FRONTENDS`]. Returns the fields
-    /// that need a restart.
-    pub fn reload(&mut self, which: usize, config: Box<dyn Any>) -> Vec<&'static str> {
-        let name = OPTIONAL_FRONTENDS[which].name;
-        match self.entries.iter_mut().find(|entry| entry.name == name) {
-            Some(entry) => entry.frontend.reload(config),
-            None => Vec::new(),
-        }
+    /// Applies a newer configuration to an optional frontend, if it is on. Returns the fields that need a restart.
+    pub fn reload(&mut self, file: ParsedFrontendFile) -> Vec<&'static str> {
+        let entry = self.entries.iter_mut().find(|entry| entry.name == file.frontend.name);
+        entry.map_or_else(Vec::new, |entry| entry.frontend.reload(file.config))
     }
 
     /// The id of the frontend with this name.
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -1,24 +1,13 @@
 //! Frontends that are off unless their configuration file is named on the command line.
 
-use super::api::Frontend;
+use super::api::{Frontend, FrontendConfig};
 use crate::config::SiteSettings;
 use crate::net::SocketReactor;
 use crate::requests::FrontendId;
-use std::any::Any;
 use std::error::Error;
-use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Configuration files of the optional frontends that are on: an index into [`OPTIONAL_FRONTENDS`](super::OPTIONAL_FRONTENDS) and a path.
-pub type FrontendFiles = Vec<(usize, PathBuf)>;
-
-/// Parsed configurations of optional frontends, each with its frontend's index into [`OPTIONAL_FRONTENDS`](super::OPTIONAL_FRONTENDS).
-pub type ParsedFrontendFiles = Vec<(usize, Box<dyn Any>)>;
-
-/// A parsed configuration file, of a type that its frontend knows.
-pub type FrontendConfig = Box<dyn Any>;
-
 /// Opens a frontend with its id and its configuration.
 pub type OpenFrontend =
     fn(FrontendId, FrontendConfig, FrontendSetup) -> Result<Box<dyn Frontend>, FrontendError>;
@@ -33,6 +22,45 @@
     pub open: OpenFrontend,
 }
 
+/// The configuration files of the optional frontends that are on, in the order in which they are opened.
+#[derive(Default)]
+pub struct FrontendFiles {
+    files: Vec<FrontendFile>,
+}
+
+struct FrontendFile {
+    frontend: &'static OptionalFrontend,
+    path: PathBuf,
+}
+
+impl FrontendFiles {
+    /// Turns a frontend on. Its file replaces one that was named for it before.
+    pub fn set(&mut self, frontend: &'static OptionalFrontend, path: PathBuf) {
+        self.files.retain(|file| file.frontend.name != frontend.name);
+        self.files.push(FrontendFile { frontend, path });
+    }
+
+    /// Reads and checks all files.
+    ///
+    /// # Errors
+    /// The first file that cannot be used, with the field that is wrong.
+    pub fn read(&self) -> Result<Vec<ParsedFrontendFile>, FrontendError> {
+        let read = |file: &FrontendFile| {
+            let config = (file.frontend.read)(&file.path)?;
+            Ok(ParsedFrontendFile { frontend: file.frontend, config })
+        };
+        self.files.iter().map(read).collect()
+    }
+}
+
+/// A configuration file that has been read and checked, with the frontend that it is for.
+pub struct ParsedFrontendFile {
+    /// The frontend.
+    pub frontend: &'static OptionalFrontend,
+    /// Its configuration.
+    pub config: FrontendConfig,
+}
+
 /// What a frontend is opened with, beside its id and its configuration.
 pub struct FrontendSetup<'a> {
     /// The sockets.
@@ -44,29 +72,24 @@
 }
 
 /// Why an optional frontend could not be configured or opened.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum FrontendError {
     /// Its configuration file is wrong; the text names the file and the field.
-    Config(Box<dyn Error>),
+    #[error("{0}")]
+    Config(#[source] Box<dyn Error>),
     /// The configuration was read for another frontend.
+    #[error("not this frontend's file")]
     WrongConfigType,
     /// A listening socket could not be opened.
+    #[error("{socket}: {error}")]
     Listen {
         /// The socket's name in the frontend's configuration.
         socket: &'static str,
         /// The error of the system.
+        #[source]
         error: io::Error,
     },
 }
 
-impl fmt::Display for FrontendError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrontendError::Config(error) => write!(f, "{error}"),
-            FrontendError::WrongConfigType => write!(f, "not this frontend's file"),
-            FrontendError::Listen { socket, error } => write!(f, "{socket}: {error}"),
-        }
-    }
-}
-
-impl Error for FrontendError {}
+#[cfg(test)]
+mod tests;
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -2,7 +2,7 @@
 //! by `check-config` and on SIGHUP.
 
 use crate::config::{Config, ConfigError};
-use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFiles, OPTIONAL_FRONTENDS};
+use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFile};
 use std::error::Error;
 use std::fmt;
 use std::io;
@@ -12,13 +12,13 @@
     /// The node's own.
     pub node: Config,
     /// The optional frontends' files, parsed.
-    pub frontends: ParsedFrontendFiles,
+    pub frontends: Vec<ParsedFrontendFile>,
 }
 
 impl Configuration {
     /// Reads the environment's configuration and the optional frontends' files.
     pub fn read(frontend_files: &FrontendFiles) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: Config::from_env()?, frontends: read_frontend_files(frontend_files)? })
+        Ok(Configuration { node: Config::from_env()?, frontends: frontend_files.read()? })
     }
 
     /// Reads all again for a running node: all of it is valid, or none of it is applied.
@@ -26,19 +26,10 @@
         running: &Config,
         frontend_files: &FrontendFiles,
     ) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: running.reread()?, frontends: read_frontend_files(frontend_files)? })
+        Ok(Configuration { node: running.reread()?, frontends: frontend_files.read()? })
     }
 }
 
-fn read_frontend_files(frontend_files: &FrontendFiles) -> Result<ParsedFrontendFiles, ConfigurationError> {
-    let mut parsed = ParsedFrontendFiles::new();
-    for (which, path) in frontend_files {
-        let file = (OPTIONAL_FRONTENDS[*which].read)(path)?;
-        parsed.push((*which, file));
-    }
-    Ok(parsed)
-}
-
 /// Why a configuration was refused: one line that names the file and the field.
 #[derive(Debug)]
 pub enum ConfigurationError {
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -16,8 +16,8 @@
         };
         let discovery_moved = new.node.discovery != self.state.config.discovery;
         let mut needs_restart = self.state.config.apply_reload(new.node);
-        for (which, file) in new.frontends {
-            needs_restart.extend(self.frontends.reload(which, file));
+        for file in new.frontends {
+            needs_restart.extend(self.frontends.reload(file));
         }
         // A predecessor that still runs reports its open descriptors again with its next connection.
         self.state.net.set_descriptor_limit(self.state.config.max_descriptors);
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -10,7 +10,7 @@
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
 use crate::frontend::{
-    FrontendFiles, FrontendSetup, Frontends, ParsedFrontendFiles, TimerEvent, TEXT_FRONTEND,
+    FrontendFiles, FrontendSetup, Frontends, ParsedFrontendFile, TimerEvent, TEXT_FRONTEND,
 };
 use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
 use crate::hash::fnv1a;
@@ -215,12 +215,12 @@
     fn open_optional_frontends(
         &mut self,
         frontends: &mut Frontends,
-        frontend_configs: ParsedFrontendFiles,
+        frontend_files: Vec<ParsedFrontendFile>,
     ) -> Result<(), ServeError> {
-        for (which, frontend_config) in frontend_configs {
+        for file in frontend_files {
             let setup =
                 FrontendSetup { net: &mut self.net, node_name: &self.config.name, site: &self.config.site };
-            frontends.open(which, frontend_config, setup)?;
+            frontends.open(file, setup)?;
         }
         Ok(())
     }
