--- a/src/frontend/tls/config.rs
+++ b/src/frontend/tls/config.rs
@@ -51,53 +51,27 @@
 }
 
 /// Why a file cannot be used.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum TlsFileError {
     /// It cannot be read, or is no PEM.
-    Pem(pem::Error),
+    #[error(transparent)]
+    Pem(#[from] pem::Error),
     /// It has no certificate.
+    #[error("no certificate in it")]
     NoCertificate,
     /// rustls rejects its content.
-    Rejected(rustls::Error),
+    #[error(transparent)]
+    Rejected(#[from] rustls::Error),
     /// No verifier of clients' certificates can be made of it.
-    Verifier(VerifierBuilderError),
-}
-
-impl fmt::Display for TlsFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            TlsFileError::Pem(error) => error.fmt(f),
-            TlsFileError::NoCertificate => f.write_str("no certificate in it"),
-            TlsFileError::Rejected(error) => error.fmt(f),
-            TlsFileError::Verifier(error) => error.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for TlsFileError {}
-
-impl From<pem::Error> for TlsFileError {
-    fn from(error: pem::Error) -> TlsFileError {
-        TlsFileError::Pem(error)
-    }
-}
-
-impl From<rustls::Error> for TlsFileError {
-    fn from(error: rustls::Error) -> TlsFileError {
-        TlsFileError::Rejected(error)
-    }
-}
-
-impl From<VerifierBuilderError> for TlsFileError {
-    fn from(error: VerifierBuilderError) -> TlsFileError {
-        TlsFileError::Verifier(error)
-    }
+    #[error(transparent)]
+    Verifier(#[from] VerifierBuilderError),
 }
 
 /// Why a [`TlsListenerConfig`] cannot be loaded.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum TlsConfigError {
     /// A file cannot be used.
+    #[error("field {parent_field}.{field}: {}: {error}", path.display())]
     File {
         /// The field that contains the [`TlsListenerConfig`].
         parent_field: String,
@@ -106,32 +80,20 @@
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
+        #[source]
         error: TlsFileError,
     },
     /// The cryptography does not support the protocol versions.
+    #[error("field {parent_field}: {error}")]
     ProtocolVersions {
         /// The field that contains the [`TlsListenerConfig`].
         parent_field: String,
         /// What rustls says.
+        #[source]
         error: rustls::Error,
     },
 }
 
-impl fmt::Display for TlsConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            TlsConfigError::File { parent_field, field, path, error } => {
-                write!(f, "field {parent_field}.{field}: {}: {error}", path.display())
-            }
-            TlsConfigError::ProtocolVersions { parent_field, error } => {
-                write!(f, "field {parent_field}: {error}")
-            }
-        }
-    }
-}
-
-impl std::error::Error for TlsConfigError {}
-
 impl TlsListenerConfig {
     /// Reads certificates and key, relative to `folder`. `parent_field` names the field that contains this
     /// configuration, for errors.
@@ -145,11 +107,10 @@
             path: path.to_path_buf(),
             error,
         };
-        let provider = Arc::new(rustls::crypto::ring::default_provider());
-        let builder =
-            ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions().map_err(
-                |error| TlsConfigError::ProtocolVersions { parent_field: parent_field.to_string(), error },
-            )?;
+        let builder = server_config_builder().map_err(|error| TlsConfigError::ProtocolVersions {
+            parent_field: parent_field.to_string(),
+            error,
+        })?;
         let builder = match &self.client_ca {
             None => builder.with_no_client_auth(),
             Some(path) => {
@@ -191,6 +152,12 @@
     }
 }
 
+/// A builder with the cryptography of ring and the protocol versions that rustls considers safe.
+fn server_config_builder() -> Result<ConfigBuilder<ServerConfig, WantsVerifier>, rustls::Error> {
+    let provider = Arc::new(rustls::crypto::ring::default_provider());
+    ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions()
+}
+
 /// The certificates in a PEM file, at least one.
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsFileError> {
     let certificates: Vec<_> = CertificateDer::pem_file_iter(path)?.collect::<Result<_, _>>()?;
--- a/src/frontend/tls/connection.rs
+++ b/src/frontend/tls/connection.rs
@@ -1,7 +1,6 @@
 //! One connection under TLS.
 
 use rustls::{ServerConfig, ServerConnection};
-use std::fmt;
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::Arc;
 
@@ -9,35 +8,14 @@
 const PLAINTEXT_CHUNK_BYTES: usize = 4096;
 
 /// Why a connection cannot go on.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum TlsError {
     /// The peer breaks the protocol, or no connection can be set up.
-    Protocol(rustls::Error),
+    #[error(transparent)]
+    Protocol(#[from] rustls::Error),
     /// The buffers within rustls failed.
-    Buffer(io::Error),
-}
-
-impl fmt::Display for TlsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            TlsError::Protocol(error) => error.fmt(f),
-            TlsError::Buffer(error) => error.fmt(f),
-        }
-    }
-}
-
-impl std::error::Error for TlsError {}
-
-impl From<rustls::Error> for TlsError {
-    fn from(error: rustls::Error) -> TlsError {
-        TlsError::Protocol(error)
-    }
-}
-
-impl From<io::Error> for TlsError {
-    fn from(error: io::Error) -> TlsError {
-        TlsError::Buffer(error)
-    }
+    #[error(transparent)]
+    Buffer(#[from] io::Error),
 }
 
 /// The server's side of one connection under TLS.
