--- a/src/frontend/text/attempt.rs
+++ b/src/frontend/text/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::client_input::{has_disconnected, on_client_event};
 use super::connection_event::ConnectionEvent;
-use super::session::{AttemptState, SessionState};
+use super::session::AttemptState;
 use super::session_end::{drop_attempt, on_attempt_end, ConnectionEnd};
 use super::sessions::Sessions;
 use crate::frontend::{FrontendContext, TimerEvent, TEXT_FRONTEND};
@@ -68,18 +68,17 @@
         return on_send_refused(sessions, ctx, client, refusal);
     }
     let Some(session) = sessions.get_mut(client) else { return };
-    let SessionState::Attempting(attempt) = &mut session.state else { return };
-    attempt.line_sent = true;
+    let Some(attempt) = session.mark_line_sent() else { return };
     let time_left = attempt.ends_at.saturating_duration_since(ctx.now);
-    ctx.net.send(attempt.server_connection, session.open.line_for_server(time_left).as_bytes());
+    ctx.net.send(attempt.server_connection, session.open().line_for_server(time_left).as_bytes());
 }
 
 fn check_send(sessions: &Sessions, ctx: &mut FrontendContext, client: Token) -> Result<(), SendRefusal> {
     let Some(session) = sessions.get(client) else { return Err(SendRefusal::NotCurrent) };
     ctx.net.read_available(client);
     let client_gone = has_disconnected(ctx, client);
-    let server_ready = session.server.is_some_and(|server| is_ready(ctx, server));
-    match session.request_id {
+    let server_ready = session.server().is_some_and(|server| is_ready(ctx, server));
+    match session.request_id() {
         Some(request_id) => ctx.requests.may_send(ctx.now, request_id, client_gone, server_ready),
         // It is restored at the server that it had before the run, in whatever state that is.
         None if client_gone => Err(SendRefusal::ClientGone),
@@ -131,7 +130,7 @@
         .filter(|(_, session)| {
             let attempt = session.attempt();
             let is_unsent = attempt.is_some_and(|attempt| !ctx.net.has_written(attempt.server_connection));
-            is_unsent && session.server.is_some_and(|server| servers.contains(&server))
+            is_unsent && session.server().is_some_and(|server| servers.contains(&server))
         })
         .map(|(client, _)| client)
         .collect();
--- a/src/frontend/text/client_input.rs
+++ b/src/frontend/text/client_input.rs
@@ -26,7 +26,7 @@
     if !has_input && event == ConnectionEvent::Ready && !ctx.net.is_read_closed(client) {
         return;
     }
-    if let Some(request_id) = session.request_id {
+    if let Some(request_id) = session.request_id() {
         ctx.requests.on_client_disconnected(ctx.now, request_id);
     }
     if has_input {
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -2,7 +2,7 @@
 
 use super::awaiting_clients::AwaitingClients;
 use super::request_line::{OpenRequest, RequestLine};
-use super::session::{arrival, EstablishedSession, Session, SessionEnding, SessionState};
+use super::session::{arrival, EstablishedSession, Session, SessionEnding};
 use super::session_end::finish_session;
 use super::sessions::Sessions;
 use crate::frontend::{FrontendContext, TransferredConnection, TEXT_FRONTEND};
@@ -121,11 +121,11 @@
     let established = session.established()?;
     let ExportedConnection { fd: server_fd, connection: server } =
         ctx.net.export_connection(established.server_connection)?;
-    let endpoint = session.server.and_then(|server| ctx.registry.entry(server))?;
+    let endpoint = session.server().and_then(|server| ctx.registry.entry(server))?;
     let established = TransferredEstablished {
-        request_line: session.open.line().to_string(),
+        request_line: session.open().line().to_string(),
         server_name: endpoint.name().to_string(),
-        started_at: session.request_id.and_then(|request_id| ctx.requests.hand_over(request_id))?,
+        started_at: session.request_id().and_then(|request_id| ctx.requests.hand_over(request_id))?,
         unanswered_since: established.unanswered_since,
         ending: established.ending,
         load: established.load,
@@ -133,7 +133,7 @@
         server,
     };
     // Its end is not announced here, since it goes on in the other process.
-    session.end_announced = true;
+    session.announce_end();
     finish_session(ctx, &session);
     transferred(&TransferredSession::Established(established), vec![client_fd, server_fd])
 }
@@ -199,13 +199,7 @@
         ending: transferred.ending,
         load: transferred.load,
     };
-    let session = Session {
-        request_id: Some(request_id),
-        server: Some(server),
-        state: SessionState::Established(established),
-        is_answered: true,
-        ..Session::new(open)
-    };
+    let session = Session::inherited(open, request_id, server, established);
     session.trace("inherited", ctx);
     sessions.insert(client, session);
     ImportedClient::Established { client, server_connection }
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -236,7 +236,7 @@
             return self.health_checks.close(ctx, token);
         }
         let Some(session) = self.sessions.get(token) else { return };
-        if session.request_id.is_none() {
+        if session.request_id().is_none() {
             answer_and_close(&mut self.sessions, ctx, token, b"ERR\r\n");
         } else if session.is_established() && ctx.net.is_read_closed(token) {
             end_session(&mut self.sessions, ctx, token, Outcome::Cancelled, ConnectionEnd::Orderly);
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -159,7 +159,7 @@
 
 fn place_request(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
     let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONTEND, arrival(&open));
-    let session = Session { request_id: Some(request_id), ..Session::new(open) };
+    let session = Session::of_request(open, request_id);
     session.trace("arrived", ctx);
     sessions.insert(token, session);
     on_client_event(sessions, ctx, token, ConnectionEvent::Ready);
@@ -170,7 +170,7 @@
     let Some(server) = ctx.registry.id_of(server_name) else {
         return reject_malformed(sessions, ctx, token);
     };
-    let timeout = sessions.get(token).map_or(Duration::ZERO, |session| session.open.time_left);
+    let timeout = sessions.get(token).map_or(Duration::ZERO, |session| session.open().time_left);
     let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
     ctx.wheel.schedule(answer_by, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
     if attempt::connect(sessions, ctx, token, server, timeout).is_err() {
--- a/src/frontend/text/server_events.rs
+++ b/src/frontend/text/server_events.rs
@@ -88,7 +88,7 @@
             if session.server_connection() != Some(server_connection) {
                 break;
             }
-            let server = session.server;
+            let server = session.server();
             let established = session.is_established();
             if established && ctx.net.pending_output_bytes(client) >= OUTPUT_HIGH_WATERMARK_BYTES {
                 return ControlFlow::Break(());
@@ -158,18 +158,17 @@
     /// The server has accepted the client: the session is established.
     fn on_accepted(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get(client) else { return };
-        match session.request_id {
+        match session.request_id() {
             Some(request_id) => ctx.requests.on_established(ctx.now, request_id),
             None => {
-                let Some(server) = session.server else { return };
-                let arrival = arrival(&session.open);
+                let Some(server) = session.server() else { return };
+                let arrival = arrival(session.open());
                 let request_id = ctx.requests.restore_established(ctx.now, TEXT_FRONTEND, arrival, server);
                 self.sessions.set_request(client, request_id);
             }
         }
         let Some(session) = self.sessions.get_mut(client) else { return };
         session.establish();
-        session.is_answered = true;
         session.trace("established", ctx);
         ctx.net.send(client, line);
         on_client_event(self.sessions, ctx, client, ConnectionEvent::Ready);
@@ -178,7 +177,7 @@
     /// Forwards a line of an established session and records what it says.
     fn forward_line(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(client) else { return };
-        let (server, request_id) = (session.server, session.request_id);
+        let (server, request_id) = (session.server(), session.request_id());
         let Some(established) = session.established_mut() else { return };
         let text = line.trim_ascii_end();
         established.ending = announced_ending(ctx, server, text);
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -4,6 +4,7 @@
 use crate::frontend::{FrontendContext, ANSWER_MARGIN};
 use crate::model::{Arrival, RequestId, ServerId};
 use crate::net::Token;
+use crate::rules::{CloseInputs, Violation};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -11,17 +12,17 @@
 /// A client with a request.
 pub(super) struct Session {
     /// The client's request line.
-    pub(super) open: OpenRequest,
+    open: OpenRequest,
     /// None while a connection from before the run is being restored: it becomes a request once its server has
     /// accepted it.
-    pub(super) request_id: Option<RequestId>,
+    request_id: Option<RequestId>,
     /// The server of the latest attempt.
-    pub(super) server: Option<ServerId>,
-    pub(super) state: SessionState,
+    server: Option<ServerId>,
+    state: SessionState,
     /// The client has its final answer.
-    pub(super) is_answered: bool,
+    is_answered: bool,
     /// The client of the established session was sent `MOVE`, or one of the two sides has ended.
-    pub(super) end_announced: bool,
+    end_announced: bool,
 }
 
 /// How far a session has got.
@@ -89,6 +90,49 @@
         }
     }
 
+    /// A session that is a request of the request table.
+    pub(super) fn of_request(open: OpenRequest, request_id: RequestId) -> Session {
+        Session { request_id: Some(request_id), ..Session::new(open) }
+    }
+
+    /// An established session of the process before this one.
+    pub(super) fn inherited(
+        open: OpenRequest,
+        request_id: RequestId,
+        server: ServerId,
+        established: EstablishedSession,
+    ) -> Session {
+        Session {
+            server: Some(server),
+            state: SessionState::Established(established),
+            is_answered: true,
+            ..Session::of_request(open, request_id)
+        }
+    }
+
+    // ---- State ---------------------------------------------------------------------------------
+
+    /// The client's request line.
+    pub(super) fn open(&self) -> &OpenRequest {
+        &self.open
+    }
+
+    /// The request, unless a connection from before the run is being restored: it becomes a request once its server has
+    /// accepted it.
+    pub(super) fn request_id(&self) -> Option<RequestId> {
+        self.request_id
+    }
+
+    /// The server of the latest attempt.
+    pub(super) fn server(&self) -> Option<ServerId> {
+        self.server
+    }
+
+    /// How far it has got.
+    pub(super) fn state(&self) -> &SessionState {
+        &self.state
+    }
+
     /// The number of its request in log events: 0 where it has none yet.
     pub(super) fn request_number(&self) -> u64 {
         self.request_id.map_or(0, |request_id| request_id.0)
@@ -132,8 +176,62 @@
         }
     }
 
-    /// The server has accepted the client.
+    /// What is checked when it is over.
+    pub(super) fn close_inputs(&self) -> CloseInputs {
+        CloseInputs {
+            has_request: true,
+            is_answered: self.is_answered,
+            is_established: self.is_established(),
+            is_announced: self.end_announced,
+        }
+    }
+
+    // ---- Steps ---------------------------------------------------------------------------------
+
+    /// The session has become a request of the request table.
+    pub(super) fn set_request(&mut self, request_id: RequestId) {
+        self.request_id = Some(request_id);
+    }
+
+    /// An attempt of its request has started.
+    pub(super) fn start_attempt(&mut self, server: ServerId, attempt: AttemptState) {
+        self.state = SessionState::Attempting(attempt);
+        self.server = Some(server);
+    }
+
+    /// The request line is sent now. Yields the attempt, if there is one.
+    pub(super) fn mark_line_sent(&mut self) -> Option<AttemptState> {
+        let SessionState::Attempting(attempt) = &mut self.state else { return None };
+        attempt.line_sent = true;
+        Some(*attempt)
+    }
+
+    /// The attempt, or the established connection, is over. Yields the state before.
+    pub(super) fn end_attempt(&mut self) -> SessionState {
+        std::mem::replace(&mut self.state, SessionState::AwaitingAttempt)
+    }
+
+    /// The client gets its final answer, or `MOVE` once its session is established.
+    ///
+    /// # Errors
+    /// Where it has had its final answer before.
+    pub(super) fn record_answer(&mut self) -> Result<(), Violation> {
+        if self.is_established() {
+            self.end_announced = true;
+        } else if std::mem::replace(&mut self.is_answered, true) {
+            return Err(Violation::AnsweredTwice);
+        }
+        Ok(())
+    }
+
+    /// The client knows of the end of its established session, or continues elsewhere.
+    pub(super) fn announce_end(&mut self) {
+        self.end_announced = true;
+    }
+
+    /// The server has accepted the client, which is its final answer.
     pub(super) fn establish(&mut self) {
+        self.is_answered = true;
         if let SessionState::Attempting(attempt) = self.state {
             self.state = SessionState::Established(EstablishedSession {
                 server_connection: attempt.server_connection,
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -5,7 +5,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId};
 use crate::net::Token;
-use crate::rules::{check_close, CloseInputs, Violation, ViolationContext};
+use crate::rules::{check_close, ViolationContext};
 
 /// How the connections of an established session end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 ) {
     record_answer(sessions, ctx, client);
     if let Some(session) = sessions.get(client) {
-        trace_answer(session.request_number(), &session.open.id, answer);
+        trace_answer(session.request_number(), &session.open().id, answer);
     }
     ctx.net.send(client, answer);
     remove_session(sessions, ctx, client);
@@ -54,11 +54,8 @@
 /// Records that a client gets its final answer, or `MOVE` once its session is established.
 fn record_answer(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     let Some(session) = sessions.get_mut(client) else { return };
-    if session.is_established() {
-        session.end_announced = true;
-    } else if std::mem::replace(&mut session.is_answered, true) {
-        let context = violation_context(session);
-        ctx.requests.violations.record(Violation::AnsweredTwice, context);
+    if let Err(violation) = session.record_answer() {
+        ctx.requests.violations.record(violation, violation_context(session));
     }
 }
 
@@ -73,7 +70,7 @@
     end: ConnectionEnd,
 ) {
     let Some(session) = sessions.get(client) else { return };
-    let request_id = session.request_id;
+    let request_id = session.request_id();
     if let Some(established) = session.established() {
         let ending = established.ending;
         if outcome == Outcome::Error {
@@ -144,10 +141,13 @@
     let Some(session) = sessions.get_mut(client) else { return };
     let server_connection = session.server_connection();
     let ending = session.established().map(|established| established.ending);
-    session.end_announced |= has_ended(ctx, client)
+    let is_announced = has_ended(ctx, client)
         || server_connection.is_none_or(|server_connection| has_ended(ctx, server_connection))
         || ending.is_some_and(|ending| ending != SessionEnding::Unannounced);
-    if let Some(request_id) = session.request_id {
+    if is_announced {
+        session.announce_end();
+    }
+    if let Some(request_id) = session.request_id() {
         ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
     }
     if end == ConnectionEnd::Reset {
@@ -165,7 +165,7 @@
 fn remove_session(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     if let Some(session) = sessions.remove(client) {
         finish_session(ctx, &session);
-        close_server_connection(ctx, &session.state);
+        close_server_connection(ctx, session.state());
     }
 }
 
@@ -182,17 +182,11 @@
 
 /// Checks that a session that is over was answered, and announced where it was established.
 fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
-    let inputs = CloseInputs {
-        has_request: true,
-        is_answered: session.is_answered,
-        is_established: session.is_established(),
-        is_announced: session.end_announced,
-    };
-    if let Err(violation) = check_close(&inputs) {
+    if let Err(violation) = check_close(&session.close_inputs()) {
         ctx.requests.violations.record(violation, violation_context(session));
     }
 }
 
 fn violation_context(session: &Session) -> ViolationContext<'_> {
-    ViolationContext::Request { request: session.request_number(), id: &session.open.id }
+    ViolationContext::Request { request: session.request_number(), id: &session.open().id }
 }
--- a/src/frontend/text/sessions.rs
+++ b/src/frontend/text/sessions.rs
@@ -71,8 +71,8 @@
 
     /// Adds a session, with its request and its connection to a server, if it has them.
     pub(super) fn insert(&mut self, client: Token, session: Session) {
-        self.open_ids.insert(session.open.id.clone());
-        if let Some(request_id) = session.request_id {
+        self.open_ids.insert(session.open().id.clone());
+        if let Some(request_id) = session.request_id() {
             self.clients.insert(request_id, client);
         }
         if let Some(server_connection) = session.server_connection() {
@@ -84,7 +84,7 @@
     /// The session has become a request of the request table.
     pub(super) fn set_request(&mut self, client: Token, request_id: RequestId) {
         if let Some(session) = self.by_client.get_mut(&client) {
-            session.request_id = Some(request_id);
+            session.set_request(request_id);
             self.clients.insert(request_id, client);
         }
     }
@@ -92,8 +92,7 @@
     /// An attempt of the session's request has started.
     pub(super) fn set_attempt(&mut self, client: Token, server: ServerId, attempt: AttemptState) {
         if let Some(session) = self.by_client.get_mut(&client) {
-            session.state = SessionState::Attempting(attempt);
-            session.server = Some(server);
+            session.start_attempt(server, attempt);
             self.clients_by_server_connection.insert(attempt.server_connection, client);
         }
     }
@@ -104,14 +103,14 @@
         if let Some(server_connection) = session.server_connection() {
             self.clients_by_server_connection.remove(&server_connection);
         }
-        Some(std::mem::replace(&mut session.state, SessionState::AwaitingAttempt))
+        Some(session.end_attempt())
     }
 
     /// Removes a session and all its names.
     pub(super) fn remove(&mut self, client: Token) -> Option<Session> {
         let session = self.by_client.remove(&client)?;
-        self.open_ids.remove(&session.open.id);
-        if let Some(request_id) = session.request_id {
+        self.open_ids.remove(&session.open().id);
+        if let Some(request_id) = session.request_id() {
             self.clients.remove(&request_id);
         }
         if let Some(server_connection) = session.server_connection() {
--- a/src/frontend/text/silent_servers.rs
+++ b/src/frontend/text/silent_servers.rs
@@ -19,7 +19,7 @@
         since.is_some_and(|since| now.saturating_duration_since(since) > SILENT_SERVER_TIMEOUT)
     };
     let silent = sessions.iter().filter(|(_, session)| is_silent(session));
-    let silent: Vec<RequestId> = silent.filter_map(|(_, session)| session.request_id).collect();
+    let silent: Vec<RequestId> = silent.filter_map(|(_, session)| session.request_id()).collect();
     for request_id in silent {
         tracing::trace!(request = request_id.0, "server is silent, migrating");
         ctx.requests.close_for_migration(now, request_id, Outcome::Reset);
