--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -74,7 +74,7 @@
         candidates: &mut EvictionCandidates,
         listener: Token,
     ) {
-        let Some(uses_reserve) = sockets.store.get(listener).map(|socket| socket.uses_reserve) else {
+        let Some(uses_reserve) = sockets.store.get(listener).map(|socket| socket.uses_reserve()) else {
             return;
         };
         let max_accepts = if uses_reserve { RESERVED_ACCEPTS_PER_ITERATION } else { ACCEPTS_PER_ITERATION };
@@ -135,7 +135,7 @@
     }
 
     fn watch_listeners(&self, store: &mut SocketStore, interest: Interest) {
-        for listener in store.tokens_where(|socket| socket.state == SocketState::Listening) {
+        for listener in store.tokens_where(|socket| socket.state() == SocketState::Listening) {
             let is_frontend = store.get(listener).is_some_and(Socket::is_frontend_listener);
             let suspended = !self.frontends_accept && is_frontend;
             store.change_interest(listener, if suspended { Interest::empty() } else { interest });
@@ -152,7 +152,7 @@
 ) {
     let Some(token) = insert_accepted(&mut sockets.store, fd, listener, owner) else { return };
     if let Some(socket) = sockets.store.get_mut(token) {
-        socket.awaiting_handshake = true;
+        socket.await_handshake();
     }
     // Connections accepted before it are evicted: this one has had no time to complete its handshake.
     candidates.reclaim_descriptors(sockets);
@@ -163,7 +163,7 @@
 fn add_on_reserve(sockets: &mut BufferedSockets, fd: OwnedFd, listener: Token, owner: SocketOwner) {
     let Some(token) = insert_accepted(&mut sockets.store, fd, listener, owner) else { return };
     if let Some(socket) = sockets.store.get_mut(token) {
-        socket.uses_reserve = true;
+        socket.use_reserve();
     }
     while let Some(idle) = sockets.store.descriptors_mut().reserve_mut().pop_excess() {
         sockets.store.emit(idle, SocketEventKind::Evicted);
@@ -184,6 +184,6 @@
     let _ = sockopt::set_tcp_nodelay(&fd, true);
     let token = store.insert(fd, owner, SocketState::Open).ok()?;
     store.emit(token, SocketEventKind::Accepted);
-    store.get_mut(token)?.listener = Some(listener);
+    store.get_mut(token)?.set_listener(listener);
     Some(token)
 }
--- a/src/net/buffered_sockets.rs
+++ b/src/net/buffered_sockets.rs
@@ -2,7 +2,7 @@
 
 use super::event::SocketEventKind;
 use super::slab::Token;
-use super::socket::{Socket, SocketState, WriteState};
+use super::socket::{Socket, SocketState};
 use super::socket_store::SocketStore;
 use super::system::read;
 use super::transfer_pause::{is_transfer_shortage, TransferPauses};
@@ -13,8 +13,6 @@
 
 /// One read takes at most this much.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// What the peer may still send to a closed connection: after that a reset tells it to stop.
-const LINGER_DISCARD_BYTES: usize = 1024 * 1024;
 /// One read of a closed connection takes at most this much.
 const LINGER_READ_BYTES: usize = 8 * 1024;
 
@@ -51,7 +49,7 @@
 
     /// Reads what has arrived by now at an established connection.
     pub(super) fn read_available(&mut self, token: Token) {
-        let readable = |socket: &Socket| socket.state == SocketState::Open && !socket.read_closed;
+        let readable = |socket: &Socket| socket.is_open() && !socket.is_read_closed();
         if self.store.get(token).is_some_and(readable) {
             self.read(token);
         }
@@ -78,8 +76,8 @@
 
     fn on_peer_ended(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        socket.read_closed = true;
-        if socket.is_lingering() && socket.write_state == WriteState::ShutDown {
+        socket.end_reading();
+        if socket.is_lingering() && socket.is_over() {
             return self.store.close(token);
         }
         self.store.emit(token, SocketEventKind::Readable);
@@ -87,9 +85,7 @@
 
     fn discard_input(&mut self, token: Token, count: usize) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        let SocketState::Lingering { discard_budget_bytes } = &mut socket.state else { return };
-        *discard_budget_bytes = discard_budget_bytes.saturating_sub(count);
-        if *discard_budget_bytes == 0 {
+        if socket.discard(count) {
             self.store.close(token);
         }
     }
@@ -97,7 +93,7 @@
     fn accept_input(&mut self, token: Token, count: usize) {
         let Some(socket) = self.store.get_mut(token) else { return };
         socket.buffers.append_input(&self.read_chunk[..count]);
-        if socket.uses_reserve {
+        if socket.uses_reserve() {
             self.store.descriptors_mut().reserve_mut().mark_active(token);
         }
         self.store.emit(token, SocketEventKind::Readable);
@@ -108,10 +104,10 @@
     /// Sends bytes: at once as far as the peer takes them, the rest as it drains.
     pub(super) fn send(&mut self, token: Token, bytes: &[u8]) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        if socket.write_state != WriteState::Open || socket.state == SocketState::Failed {
+        if !socket.accepts_output() {
             return;
         }
-        let written = if socket.state == SocketState::Open {
+        let written = if socket.is_open() {
             socket.buffers.write_or_buffer(&socket.fd, bytes)
         } else {
             socket.buffers.append_output(bytes);
@@ -126,7 +122,7 @@
 
     /// Writes what waits on a connection, as far as the peer takes it.
     pub(super) fn flush(&mut self, token: Token) {
-        let is_writable = |socket: &Socket| socket.state == SocketState::Open || socket.is_lingering();
+        let is_writable = |socket: &Socket| socket.is_open() || socket.is_lingering();
         if self.store.get(token).is_some_and(is_writable) {
             self.write(token);
             self.store.update_interest(token);
@@ -156,11 +152,10 @@
                 return false;
             }
         }
-        if socket.write_state == WriteState::ShutdownPending {
-            socket.write_state = WriteState::ShutDown;
+        if socket.take_due_shutdown() {
             // A failure means that the peer is gone already.
             let _ = rustix::net::shutdown(&socket.fd, Shutdown::Write);
-            if socket.is_lingering() && socket.read_closed {
+            if socket.is_lingering() && socket.is_read_closed() {
                 self.store.close(token);
                 return false;
             }
@@ -174,7 +169,7 @@
     fn pause(&mut self, token: Token) {
         let now = self.store.now();
         let Some(socket) = self.store.get_mut(token) else { return };
-        if !std::mem::replace(&mut socket.is_paused, true) {
+        if socket.pause() {
             self.pauses.start(now, token);
         }
         self.store.update_interest(token);
@@ -184,7 +179,7 @@
     pub(super) fn resume_paused(&mut self) {
         while let Some(token) = self.pauses.pop_over(self.store.now()) {
             if let Some(socket) = self.store.get_mut(token) {
-                socket.is_paused = false;
+                socket.resume();
             }
             self.store.update_interest(token);
         }
@@ -200,10 +195,8 @@
     /// Ends our direction of the connection once the output is written. The peer may go on sending.
     pub(super) fn shutdown_write(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        if socket.write_state == WriteState::Open {
-            socket.write_state = WriteState::ShutdownPending;
-        }
-        if socket.state == SocketState::Open {
+        socket.request_shutdown();
+        if socket.is_open() {
             self.write_output(token);
         }
         self.store.update_interest(token);
@@ -213,22 +206,15 @@
     /// established is closed at once.
     pub(super) fn close(&mut self, token: Token) -> Closing {
         let Some(socket) = self.store.get_mut(token) else { return Closing::Complete };
-        if matches!(socket.state, SocketState::Connecting | SocketState::Failed | SocketState::Raw) {
+        if matches!(socket.state(), SocketState::Connecting | SocketState::Failed | SocketState::Raw) {
             self.store.close(token);
             return Closing::Complete;
         }
-        if !socket.is_lingering() {
-            socket.state = SocketState::Lingering { discard_budget_bytes: LINGER_DISCARD_BYTES };
-        }
-        *socket.buffers.input_mut() = Vec::new();
-        if socket.write_state == WriteState::Open {
-            socket.write_state = WriteState::ShutdownPending;
-        }
-        let peer_ended = socket.read_closed;
+        socket.linger();
         self.write_output(token);
         match self.store.get(token) {
             None => Closing::Complete,
-            Some(socket) if peer_ended && socket.write_state == WriteState::ShutDown => {
+            Some(socket) if socket.is_over() => {
                 self.store.close(token);
                 Closing::Complete
             }
@@ -252,16 +238,16 @@
     /// line: what has arrived is read first.
     pub(super) fn fail(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        if socket.state == SocketState::Failed {
+        if socket.state() == SocketState::Failed {
             return;
         }
         if socket.is_lingering() {
             return self.store.close(token);
         }
-        let was_connected = socket.state != SocketState::Connecting;
+        let was_connected = socket.state() != SocketState::Connecting;
         let all_written = was_connected && socket.buffers.pending_output_bytes() == 0;
         socket.buffers.read_after_failure(&socket.fd, &mut self.read_chunk);
-        socket.state = SocketState::Failed;
+        socket.fail();
         self.store.unwatch(token);
         self.store.emit(token, SocketEventKind::Failed { all_written });
     }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -46,7 +46,7 @@
             return sockets.fail(token);
         }
         if flags.contains(Interest::OUT) {
-            socket.state = SocketState::Open;
+            socket.establish();
             self.established.push(token);
         }
     }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -5,7 +5,7 @@
 use super::deadlines::DeadlineQueue;
 use super::event::SocketEventKind;
 use super::slab::Token;
-use super::socket::{Socket, SocketState};
+use super::socket::Socket;
 use super::socket_store::SocketStore;
 use super::system;
 use sparbank_time::MonotonicTime;
@@ -62,7 +62,7 @@
 
     /// When the handshake of a connection must be complete, if it is not yet.
     pub(super) fn handshake_deadline(&self, store: &SocketStore, token: Token) -> Option<MonotonicTime> {
-        if !store.get(token)?.awaiting_handshake {
+        if !store.get(token)?.is_awaiting_handshake() {
             return None;
         }
         self.awaiting_handshake.deadline_of(token)
@@ -71,7 +71,7 @@
     /// Tells the owners of connections whose handshake has taken too long.
     pub(super) fn report_handshake_timeouts(&mut self, store: &mut SocketStore) {
         while let Some(token) = self.awaiting_handshake.pop_reached(store.now()) {
-            if store.get(token).is_some_and(|socket| socket.awaiting_handshake) {
+            if store.get(token).is_some_and(Socket::is_awaiting_handshake) {
                 store.emit(token, SocketEventKind::HandshakeTimeout);
             }
         }
@@ -116,18 +116,18 @@
 /// about to handle it, so the connection is not idle.
 fn has_unhandled_line(sockets: &mut BufferedSockets, token: Token) -> bool {
     let has_line = |socket: &Socket| socket.buffers.input().contains(&b'\n');
-    let awaiting_line = |socket: &Socket| socket.awaiting_handshake && !has_line(socket);
+    let awaiting_line = |socket: &Socket| socket.is_awaiting_handshake() && !has_line(socket);
     if sockets.store.get(token).is_some_and(awaiting_line) {
         sockets.read_available(token);
     }
-    sockets.store.get(token).is_some_and(|socket| socket.awaiting_handshake && has_line(socket))
+    sockets.store.get(token).is_some_and(|socket| socket.is_awaiting_handshake() && has_line(socket))
 }
 
 /// Closes a connection whose handshake is still incomplete, and tells its owner.
 fn evict_unless_complete(store: &mut SocketStore, token: Token) {
     let Some(socket) = store.get(token) else { return };
-    if socket.awaiting_handshake && socket.state == SocketState::Open {
-        if let Some(farewell) = socket.farewell {
+    if socket.is_awaiting_handshake() && socket.is_open() {
+        if let Some(farewell) = socket.farewell() {
             // As much as the peer takes at once: a request may be on its way that crosses the end.
             let _ = system::write(&socket.fd, farewell);
         }
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -98,7 +98,7 @@
 
     fn handle_readiness(&mut self, Readiness { token, flags }: Readiness) {
         let Some(socket) = self.sockets.store.get(token) else { return };
-        match socket.state {
+        match socket.state() {
             SocketState::Listening => {
                 self.acceptor.accept_ready(&mut self.sockets, &mut self.candidates, token);
             }
@@ -121,7 +121,7 @@
 
     fn transfer_bytes(&mut self, token: Token, flags: Interest) {
         let Some(socket) = self.sockets.store.get(token) else { return };
-        let hung_up = socket.read_closed && flags.contains(Interest::HUP);
+        let hung_up = socket.is_read_closed() && flags.contains(Interest::HUP);
         if flags.contains(Interest::IN) {
             self.sockets.read(token);
         } else if flags.contains(Interest::ERR) || hung_up {
@@ -190,7 +190,7 @@
     ) -> io::Result<SocketAddr> {
         let listener = self.listen_with_token(addr, owner)?;
         if let Some(socket) = self.sockets.store.get_mut(listener.token) {
-            socket.uses_reserve = true;
+            socket.use_reserve();
         }
         self.reserve_descriptors(max_connections);
         Ok(listener.addr)
@@ -240,7 +240,7 @@
     /// A peer has completed its handshake: its connection is no longer evicted for others.
     pub fn mark_handshake_complete(&mut self, token: Token) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
-            socket.awaiting_handshake = false;
+            socket.complete_handshake();
         }
     }
 
@@ -269,7 +269,7 @@
         let Some(socket) = self.sockets.store.get(token) else { return };
         let writable = if wanted { Interest::OUT } else { Interest::empty() };
         let interest = Interest::IN | writable;
-        if socket.state == SocketState::Raw && socket.watch.interest() != interest {
+        if socket.state() == SocketState::Raw && socket.watch.interest() != interest {
             self.sockets.store.change_interest(token, interest);
         }
     }
@@ -354,7 +354,7 @@
     /// an answer already.
     pub fn set_farewell(&mut self, token: Token, farewell: Option<&'static [u8]>) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
-            socket.farewell = farewell;
+            socket.set_farewell(farewell);
         }
     }
 
@@ -386,7 +386,9 @@
         let handshake_deadline = connection.handshake_deadline();
         if let Some(socket) = self.sockets.store.get_mut(token) {
             socket.buffers = connection.into_buffers();
-            socket.awaiting_handshake = handshake_deadline.is_some();
+            if handshake_deadline.is_some() {
+                socket.await_handshake();
+            }
         }
         if let Some(deadline) = handshake_deadline {
             self.candidates.await_handshake_until(deadline, token);
--- a/src/net/reactor/queries.rs
+++ b/src/net/reactor/queries.rs
@@ -11,12 +11,12 @@
 
     /// The descriptor of a raw socket.
     pub fn raw_descriptor(&self, token: Token) -> Option<&OwnedFd> {
-        self.socket(token).filter(|socket| socket.state == SocketState::Raw).map(|socket| &socket.fd)
+        self.socket(token).filter(|socket| socket.state() == SocketState::Raw).map(|socket| &socket.fd)
     }
 
     /// The listener that accepted a connection.
     pub fn accepting_listener(&self, token: Token) -> Option<Token> {
-        self.socket(token)?.listener
+        self.socket(token)?.listener()
     }
 
     /// The address of a connection's other end.
@@ -27,17 +27,17 @@
 
     /// Whether the connection failed; input that had arrived is still there.
     pub fn is_failed(&self, token: Token) -> bool {
-        self.socket(token).is_some_and(|socket| socket.state == SocketState::Failed)
+        self.socket(token).is_some_and(|socket| socket.state() == SocketState::Failed)
     }
 
     /// Whether the connection is not established yet.
     pub fn is_connecting(&self, token: Token) -> bool {
-        self.socket(token).is_some_and(|socket| socket.state == SocketState::Connecting)
+        self.socket(token).is_some_and(|socket| socket.state() == SocketState::Connecting)
     }
 
     /// Whether the peer has ended its sending; bytes may still wait in [`SocketReactor::input_buffer`].
     pub fn is_read_closed(&self, token: Token) -> bool {
-        self.socket(token).is_some_and(|socket| socket.read_closed)
+        self.socket(token).is_some_and(Socket::is_read_closed)
     }
 
     /// How many bytes wait to be written.
--- a/src/net/socket_store.rs
+++ b/src/net/socket_store.rs
@@ -98,7 +98,7 @@
 
     /// Closes a descriptor, which takes it out of the epoll set, and voids its token.
     pub(super) fn close(&mut self, token: Token) {
-        if self.sockets.remove(token).is_some_and(|socket| socket.uses_reserve) {
+        if self.sockets.remove(token).is_some_and(|socket| socket.uses_reserve()) {
             self.descriptors.reserve_mut().remove(token);
         }
     }
@@ -129,7 +129,7 @@
     pub(super) fn take_events_reserved_first(&mut self) -> Vec<SocketEvent> {
         let mut events = self.events.take();
         if !self.descriptors.reserve().is_unused() {
-            let uses_reserve = |token| self.sockets.get(token).is_some_and(|socket| socket.uses_reserve);
+            let uses_reserve = |token| self.sockets.get(token).is_some_and(|socket| socket.uses_reserve());
             events.sort_by_key(|event| !uses_reserve(event.token));
         }
         events
@@ -177,7 +177,7 @@
     /// Watches a socket for what its buffers allow.
     pub(super) fn update_interest(&mut self, token: Token) {
         let Some(socket) = self.sockets.get_mut(token) else { return };
-        if matches!(socket.state, SocketState::Failed | SocketState::Raw) {
+        if matches!(socket.state(), SocketState::Failed | SocketState::Raw) {
             return;
         }
         let interest = socket.wanted_interest();
