--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -74,7 +74,7 @@
 
 // ---- Export ------------------------------------------------------------------------------------
 
-/// The clients' connections that can go on in another process as they are, at most so many.
+/// The clients' connections that another process can continue as they are, at most this many.
 pub(super) fn transferable_connections(
     awaiting: &AwaitingClients,
     sessions: &Sessions,
@@ -132,7 +132,7 @@
         client,
         server,
     };
-    // Its end is not announced here, since it goes on in the other process.
+    // The client is sent nothing: its session continues in the other process.
     session.announce_end();
     finish_session(ctx, &session);
     transferred(&TransferredSession::Established(established), vec![client_fd, server_fd])
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -1,8 +1,8 @@
 //! Health checks of servers.
 //!
-//! Where the settings allow it, a connection to a server may begin with `STATS`, which the server answers `PONG`
-//! with its [load report](super::load_report), or `ERR`; the connection may go on so. Elsewhere a server answers
-//! `NO`.
+//! Where the settings allow it, a connection to a server may begin with `STATS`, which the server answers `PONG` with its
+//! [load report](super::load_report), or `ERR`; the connection may be used for further ones. Elsewhere a server
+//! answers `NO`.
 //!
 //! The node has one health-check connection a server at most and one check in flight on it at a time, so the
 //! descriptors that checks use are bounded by the servers in the endpoint registry.
@@ -130,7 +130,8 @@
         Some(token)
     }
 
-    /// Handles lines on a connection, each of which answers the check in flight on it, if any, and the connection's end.
+    /// Handles lines on a connection, each of which answers the check in flight on it, if any, and the connection's
+    /// end.
     pub(super) fn on_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
         while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -1,6 +1,7 @@
 //! The platform's protocol: lines of text over TCP.
 //!
-//! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
+//! A client's first line opens a request. The node connects to the server that the balancer has selected and sends it
+//! the line. Once the server has answered `UP`, lines pass both ways.
 //! Only complete lines go to a client, so that `MOVE` can always follow.
 //!
 //! [`TextFrontend`] owns the parts of the state and passes each event to the files that it concerns.
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -1,4 +1,4 @@
-//! A client's request line: read completely and checked before the requests module receives it.
+//! A client's request line: parsed and checked before the request table gets a request of it.
 
 use crate::config::SiteSettings;
 use crate::hash::fnv1a;
--- a/src/frontend/text/server_events.rs
+++ b/src/frontend/text/server_events.rs
@@ -60,8 +60,8 @@
         }
     }
 
-    /// A client may have read what it was sent: its server's lines, and the server's end behind them, go on where they
-    /// had stopped for it.
+    /// Resumes forwarding for a client that may have read what it was sent: handles its server's lines, and the
+    /// server's end behind them, that were left because the client was slow.
     pub(super) fn resume_lines(&mut self, ctx: &mut FrontendContext, client: Token) {
         let established = self.sessions.get(client).and_then(|session| session.established());
         let Some(server_connection) = established.map(|established| established.server_connection) else {
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -74,7 +74,7 @@
     if let Some(established) = session.established() {
         let ending = established.ending;
         if outcome == Outcome::Error {
-            // The server is there and cannot be used: the client goes on elsewhere.
+            // The server is there and cannot be used: the client is to reconnect.
             ctx.requests.on_attempt_ended(ctx.now, request_id.unwrap_or(RequestId(0)), outcome);
             return answer_and_close(sessions, ctx, client, b"MOVE\r\n");
         }
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -1,5 +1,5 @@
-//! The text frontend step by step on real sockets, with a clock that the test sets: what happens between two steps of one
-//! iteration of the event loop, as where the process is stalled there.
+//! The text frontend step by step on real sockets, with a clock that the test sets: what happens between two steps of
+//! one iteration of the event loop, as where the process is stalled there.
 
 use super::TextFrontend;
 use crate::config::Config;
--- a/src/frontend/tls/connection.rs
+++ b/src/frontend/tls/connection.rs
@@ -7,7 +7,7 @@
 /// One read of plaintext takes at most this much.
 const PLAINTEXT_CHUNK_BYTES: usize = 4096;
 
-/// Why a connection cannot go on.
+/// Why a connection cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
     /// The peer breaks the protocol, or no connection can be set up.
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -88,7 +88,7 @@
                 Err(Errno::AGAIN) => return,
                 // The system gives this process fewer descriptors than the configuration says.
                 Err(Errno::MFILE) if candidates.evict(sockets) => {}
-                // The system as such is short of something: an eviction here would not help.
+                // The machine is short of something: an eviction here would not help.
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     return self.pause(&mut sockets.store);
                 }
@@ -104,7 +104,7 @@
 
     // ---- Pauses --------------------------------------------------------------------------------
 
-    /// The listeners stay readable: watched, they would keep the loop from sleeping.
+    /// Stops watching the listeners for a while: they stay readable, which would keep the event loop from sleeping.
     fn pause(&mut self, store: &mut SocketStore) {
         self.paused_until = Some(store.now() + ACCEPT_PAUSE);
         self.pauses += 1;
@@ -180,7 +180,7 @@
     listener: Token,
     owner: SocketOwner,
 ) -> Option<Token> {
-    // Without it answers are late, no more.
+    // A failure delays small writes and breaks nothing.
     let _ = sockopt::set_tcp_nodelay(&fd, true);
     let token = store.insert(fd, owner, SocketState::Open).ok()?;
     store.emit(token, SocketEventKind::Accepted);
--- a/src/net/buffered_sockets.rs
+++ b/src/net/buffered_sockets.rs
@@ -228,7 +228,7 @@
     /// Closes the connection with a reset.
     pub(super) fn reset(&mut self, token: Token) {
         if let Some(socket) = self.store.get(token) {
-            // A failure here leaves an ordinary close, which is an end as well.
+            // Without it the connection ends with an ordinary close.
             let _ = sockopt::set_socket_linger(&socket.fd, Some(Duration::ZERO));
         }
         self.store.close(token);
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -59,7 +59,7 @@
             .collect()
     }
 
-    /// How many connections could not be started for want of a descriptor, a port or memory.
+    /// How many connections could not be started for lack of a descriptor, a port or memory.
     pub(super) fn shortages(&self) -> u64 {
         self.shortages
     }
@@ -78,7 +78,7 @@
             created => break created?,
         }
     };
-    // Without it lines are late, no more.
+    // A failure delays small writes and breaks nothing.
     let _ = sockopt::set_tcp_nodelay(&fd, true);
     match system::connect(&fd, addr) {
         // An interrupted call goes on in the background like any other.
--- a/src/net/connect_error.rs
+++ b/src/net/connect_error.rs
@@ -18,7 +18,7 @@
 }
 
 impl ConnectError {
-    /// What an attempt that needed the connection comes to.
+    /// The outcome of an attempt that needed the connection.
     pub fn outcome(self) -> Outcome {
         match self {
             ConnectError::Shortage(_) => Outcome::LocalShortage,
--- a/src/net/deadlines.rs
+++ b/src/net/deadlines.rs
@@ -11,7 +11,7 @@
 }
 
 impl SocketDeadline {
-    /// The socket, whose token may be void by now.
+    /// The socket, whose token may be invalid by now.
     pub(super) fn token(&self) -> Token {
         self.token
     }
--- a/src/net/epoll_set.rs
+++ b/src/net/epoll_set.rs
@@ -1,6 +1,6 @@
 //! Which sockets epoll watches, and for what.
 //!
-//! The system may refuse a change of the epoll set for want of memory. Such a change is remembered and repeated in each
+//! The system may refuse a change of the epoll set for lack of memory. Such a change is remembered and repeated in each
 //! iteration of the event loop until it succeeds: a socket that epoll does not know of would never be read again.
 
 use super::poller::{Poller, Readiness};
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,7 +1,8 @@
 //! Non-blocking sockets behind one epoll instance, and the timer wheel. Nothing here knows a protocol.
 //!
-//! [`SocketReactor`] owns every socket of the node. Owners address a socket by its [`Token`], hear of it by
-//! [`SocketEvent`]s from [`SocketReactor::poll`], and exchange bytes with it through bounded buffers.
+//! [`SocketReactor`] owns every socket of the node. Owners address a socket by its [`Token`], receive its
+//! [`SocketEvent`]s from [`SocketReactor::poll`], and exchange bytes with it through bounded buffers. The node has one
+//! reactor; the event loop polls it once in each iteration.
 //!
 //! The reactor is put together from parts that own their state; each imports only parts above it in this table.
 //!
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -34,7 +34,7 @@
     pub refused_watches: u64,
     /// Connections that were paused because a read or write found no kernel memory.
     pub transfer_pauses: u64,
-    /// Connections that could not be started for want of a descriptor, a port or memory.
+    /// Connections that could not be started for lack of a descriptor, a port or memory.
     pub failed_connects: u64,
 }
 
@@ -67,7 +67,7 @@
     /// Waits for at most `timeout` and yields what happened, events of connections on reserved descriptors first.
     ///
     /// # Errors
-    /// Where epoll itself fails; the node cannot go on.
+    /// Where epoll itself fails; the node cannot continue.
     pub fn poll(&mut self, now: MonotonicTime, timeout: Duration) -> io::Result<Vec<SocketEvent>> {
         self.sockets.store.set_now(now);
         self.candidates.end_expired_lingering(&mut self.sockets.store);
@@ -316,8 +316,8 @@
         self.sockets.shutdown_write(token);
     }
 
-    /// Closes the connection after its output is written, and waits a while for the peer's end; the token is void
-    /// for the owner. A connection that was not established is closed at once.
+    /// Closes the connection after its output is written, and waits a while for the peer's end. The owner's
+    /// token is no longer valid. A connection that was not established is closed at once.
     pub fn close(&mut self, token: Token) {
         self.candidates.close(&mut self.sockets, token);
     }
@@ -360,7 +360,7 @@
 
     // ---- Transfer to another process -----------------------------------------------------------
 
-    /// Takes a connection out, for another process to go on with. None where [`SocketReactor::can_transfer`] says
+    /// Takes a connection out, for another process to continue. None where [`SocketReactor::can_transfer`] says
     /// no.
     pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
         if !self.can_transfer(token) {
@@ -372,7 +372,7 @@
         Some(ExportedConnection { fd: socket.fd, connection })
     }
 
-    /// Goes on with a connection that another process exported.
+    /// Continues a connection that another process exported.
     ///
     /// # Errors
     /// Where it cannot be made non-blocking or watched.
--- a/src/net/reactor/queries.rs
+++ b/src/net/reactor/queries.rs
@@ -60,7 +60,7 @@
         self.socket(token).map_or(0, |socket| socket.buffers.output_position())
     }
 
-    /// Whether a connection can go on in another process: it is established, and neither side has ended its
+    /// Whether a connection can continue in another process: it is established, and neither side has ended its
     /// sending.
     pub fn can_transfer(&self, token: Token) -> bool {
         self.socket(token).is_some_and(Socket::can_transfer)
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes a value out and voids its token.
+    /// Takes a value out and invalidates its token.
     pub(super) fn remove(&mut self, token: Token) -> Option<T> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation != token.generation() {
@@ -94,7 +94,7 @@
         Some(value)
     }
 
-    /// The value of a token that is not void.
+    /// The value of a valid token.
     pub(super) fn get(&self, token: Token) -> Option<&T> {
         let slot = self.slots.get(token.index())?;
         slot.value.as_ref().filter(|_| slot.generation == token.generation())
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -63,7 +63,7 @@
     write_state: WriteState,
     /// The peer has ended its sending.
     read_closed: bool,
-    /// It is neither read nor written for a moment, for want of kernel memory.
+    /// It is neither read nor written for a moment, for lack of kernel memory.
     is_paused: bool,
     acceptance: Acceptance,
 }
--- a/src/net/socket_store.rs
+++ b/src/net/socket_store.rs
@@ -70,7 +70,7 @@
         })
     }
 
-    /// The socket of a token that is not void.
+    /// The socket of a valid token.
     pub(super) fn get(&self, token: Token) -> Option<&Socket> {
         self.sockets.get(token)
     }
@@ -96,14 +96,14 @@
         sockets.filter(|(_, socket)| applies(socket)).map(|(token, _)| token).collect()
     }
 
-    /// Closes a descriptor, which takes it out of the epoll set, and voids its token.
+    /// Closes a descriptor, which takes it out of the epoll set, and invalidates its token.
     pub(super) fn close(&mut self, token: Token) {
         if self.sockets.remove(token).is_some_and(|socket| socket.uses_reserve()) {
             self.descriptors.reserve_mut().remove(token);
         }
     }
 
-    /// Takes a socket out without closing its descriptor, and voids its token.
+    /// Takes a socket out without closing its descriptor, and invalidates its token.
     pub(super) fn remove(&mut self, token: Token) -> Option<Socket> {
         let socket = self.sockets.remove(token)?;
         // Another process has the socket open: closing ours would not take it out of the epoll set.
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -1,7 +1,8 @@
 //! The system calls of the reactor on its sockets, each in one place.
 //!
-//! In unit tests they fail as a test has arranged ([`faults`]). A list within the process was preferred to a preloaded
-//! library, which sees none of the calls that rustix makes itself, and to a tracer, which not every machine has.
+//! In unit tests they fail as a test has arranged (`system/faults.rs`). A list within the process was preferred to a
+//! preloaded library, which sees none of the calls that rustix makes itself, and to a tracer, which not every machine
+//! has.
 
 use super::slab::Token;
 use rustix::event::epoll;
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -1,7 +1,8 @@
 //! A timer wheel with coarse ticks.
 //!
-//! Timers cannot be cancelled: whoever scheduled one ignores it when it no longer matters. So scheduling takes
-//! constant time, and a timer costs no memory beside its own entry.
+//! The event loop owns one wheel and takes the expired items in each iteration. Timers cannot be cancelled: whoever
+//! scheduled one ignores it when it no longer matters. So scheduling takes constant time, and a timer costs no memory
+//! beside its own entry.
 
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -1,6 +1,6 @@
 //! Pauses of connections whose reads or writes find no kernel memory.
 //!
-//! The connection is sound: it is neither read nor written for a moment and then goes on. Without the pause a descriptor
+//! The connection is sound: it is neither read nor written for a moment and then continues. Without the pause a descriptor
 //! that is ready and cannot be served would keep the event loop from sleeping.
 
 use super::deadlines::DeadlineQueue;
@@ -12,7 +12,7 @@
 /// How long a connection is paused.
 const TRANSFER_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether a read or write failed for want of kernel memory, which passes.
+/// Whether a read or write failed for lack of kernel memory, which passes.
 pub(super) fn is_transfer_shortage(error: Errno) -> bool {
     matches!(error, Errno::NOBUFS | Errno::NOMEM)
 }
