--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -1,6 +1,7 @@
 //! The platform's protocol: lines of text over TCP.
 //!
-//! A client's first line opens a request. Once its server has said `UP`, lines pass both ways.
+//! A client's first line opens a request. The node connects to the server that the balancer has selected and sends it
+//! the line. Once the server has answered `UP`, lines pass both ways.
 //! Only complete lines go to a client, so that `MOVE` can always follow.
 //!
 //! [`TextFrontend`] owns the parts of the state and passes each event to the files that it concerns.
@@ -236,7 +237,7 @@
             return self.health_checks.close(ctx, token);
         }
         let Some(session) = self.sessions.get(token) else { return };
-        if session.request_id.is_none() {
+        if session.request_id().is_none() {
             answer_and_close(&mut self.sessions, ctx, token, b"ERR\r\n");
         } else if session.is_established() && ctx.net.is_read_closed(token) {
             end_session(&mut self.sessions, ctx, token, Outcome::Cancelled, ConnectionEnd::Orderly);
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -19,7 +19,7 @@
 use crate::config::Config;
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::frontend::{FrontendSetup, Frontends, ParsedFrontendFiles, TimerEvent, TEXT_FRONTEND};
+use crate::frontend::{FrontendSetup, Frontends, ParsedFrontendFile, TimerEvent, TEXT_FRONTEND};
 use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
 use crate::hash::fnv1a;
 use crate::lifecycle::Lifecycle;
@@ -167,15 +167,15 @@
     }
 
     /// The platform's own frontend, and the optional ones whose files are given.
-    fn open_frontends(&mut self, frontend_configs: ParsedFrontendFiles) -> Result<Frontends, ServeError> {
+    fn open_frontends(&mut self, frontend_files: Vec<ParsedFrontendFile>) -> Result<Frontends, ServeError> {
         let mut frontends = Frontends::new();
-        for (which, frontend_config) in frontend_configs {
+        for file in frontend_files {
             let setup = FrontendSetup {
                 net: &mut self.net,
                 node_name: &self.config.name,
                 site: &self.config.frontend_settings,
             };
-            frontends.open(which, frontend_config, setup)?;
+            frontends.open(file, setup)?;
         }
         Ok(frontends)
     }
