--- a/crates/amqp/src/codec/error.rs
+++ b/crates/amqp/src/codec/error.rs
@@ -1,44 +1,33 @@
 //! Errors of decoding.
 
-use std::fmt;
-
-/// Bytes that are not AMQP 1.0, or more of it than is taken.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+/// Octets that are not AMQP 1.0, or that exceed what this library accepts.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// A value ends before its time.
+    /// The octets end before a value does.
+    #[error("a value is cut short")]
     Short,
-    /// A constructor that the standard does not know.
+    /// A constructor that the standard does not define.
+    #[error("unknown constructor {0:#04x}")]
     Code(u8),
-    /// Text that is not UTF-8, a symbol that is not ASCII, or a character that is none.
+    /// Text that is not UTF-8, a symbol that is not ASCII, or a number that is no Unicode character.
+    #[error("text that cannot be read")]
     Text,
-    /// Values nested deeper, or more of them, than is taken.
+    /// Values are nested deeper, or there are more of them, than this library accepts.
+    #[error("nested too deep or too many values")]
     TooMuch,
-    /// A map with an odd count or with one key twice.
+    /// A map has an odd count of elements, or a key twice.
+    #[error("a map of an odd count or with a key twice")]
     Map,
-    /// A frame above the size that was agreed, or below its own header.
+    /// A frame is larger than what was agreed, or smaller than its own header.
+    #[error("a frame of the wrong size")]
     FrameSize,
-    /// A field that is missing or of the wrong type.
+    /// A field is missing or of the wrong type.
+    #[error("field {0} is missing or of the wrong type")]
     Field(&'static str),
-    /// A descriptor that means nothing here.
+    /// A descriptor that has no meaning here.
+    #[error("an unexpected descriptor")]
     Descriptor,
 }
 
-impl fmt::Display for DecodeError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            DecodeError::Short => write!(f, "a value is cut short"),
-            DecodeError::Code(code) => write!(f, "unknown constructor {code:#04x}"),
-            DecodeError::Text => write!(f, "text that cannot be read"),
-            DecodeError::TooMuch => write!(f, "nested too deep or too many values"),
-            DecodeError::Map => write!(f, "a map of an odd count or with a key twice"),
-            DecodeError::FrameSize => write!(f, "a frame of the wrong size"),
-            DecodeError::Field(name) => write!(f, "field {name} is missing or of the wrong type"),
-            DecodeError::Descriptor => write!(f, "an unexpected descriptor"),
-        }
-    }
-}
-
-impl std::error::Error for DecodeError {}
-
-/// What decoding gives.
+/// The result of decoding.
 pub type Result<T> = std::result::Result<T, DecodeError>;
--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -93,6 +93,39 @@
                 let descriptor = self.value_at(depth)?;
                 Value::Described(Box::new(descriptor), Box::new(self.value_at(depth)?))
             }
+            format_code::BINARY_8 | format_code::BINARY_32 => Value::Binary(self.variable(code)?.to_vec()),
+            format_code::STRING_8 | format_code::STRING_32 => {
+                Value::Text(text(self.variable(code)?)?.to_string())
+            }
+            format_code::SYMBOL_8 | format_code::SYMBOL_32 => {
+                Value::Symbol(symbol(self.variable(code)?)?.to_string())
+            }
+            format_code::LIST_0 => Value::List(Vec::new()),
+            format_code::LIST_8 | format_code::LIST_32 => {
+                let (mut body, count) = self.compound(code)?;
+                let items = (0..count).map(|_| body.value_at(depth)).collect::<Result<_>>()?;
+                self.finish_compound(&body)?;
+                Value::List(items)
+            }
+            format_code::MAP_8 | format_code::MAP_32 => {
+                let (mut body, count) = self.compound(code)?;
+                let pairs = map_pairs(&mut body, count, depth)?;
+                self.finish_compound(&body)?;
+                Value::Map(pairs)
+            }
+            format_code::ARRAY_8 | format_code::ARRAY_32 => {
+                let (mut body, count) = self.compound(code)?;
+                let items = body.array(count, depth)?;
+                self.finish_compound(&body)?;
+                Value::Array(items)
+            }
+            _ => self.fixed_width_value(code)?,
+        })
+    }
+
+    /// The value of a fixed width that has this format code.
+    fn fixed_width_value(&mut self, code: u8) -> Result<Value> {
+        Ok(match code {
             format_code::NULL => Value::Null,
             format_code::TRUE => Value::Bool(true),
             format_code::FALSE => Value::Bool(false),
@@ -123,38 +156,6 @@
             format_code::DECIMAL64 => Value::Decimal64(self.fixed()?),
             format_code::DECIMAL128 => Value::Decimal128(self.fixed()?),
             format_code::UUID => Value::Uuid(self.fixed()?),
-            format_code::BINARY_8 | format_code::BINARY_32 => Value::Binary(self.variable(code)?.to_vec()),
-            format_code::STRING_8 | format_code::STRING_32 => {
-                Value::Text(text(self.variable(code)?)?.to_string())
-            }
-            format_code::SYMBOL_8 | format_code::SYMBOL_32 => {
-                Value::Symbol(symbol(self.variable(code)?)?.to_string())
-            }
-            format_code::LIST_0 => Value::List(Vec::new()),
-            _ => self.compound_value(code, depth)?,
-        })
-    }
-
-    fn compound_value(&mut self, code: u8, depth: u32) -> Result<Value> {
-        Ok(match code {
-            format_code::LIST_8 | format_code::LIST_32 => {
-                let (mut body, count) = self.compound(code)?;
-                let items = (0..count).map(|_| body.value_at(depth)).collect::<Result<_>>()?;
-                self.finish_compound(&body)?;
-                Value::List(items)
-            }
-            format_code::MAP_8 | format_code::MAP_32 => {
-                let (mut body, count) = self.compound(code)?;
-                let pairs = map_pairs(&mut body, count, depth)?;
-                self.finish_compound(&body)?;
-                Value::Map(pairs)
-            }
-            format_code::ARRAY_8 | format_code::ARRAY_32 => {
-                let (mut body, count) = self.compound(code)?;
-                let items = body.array(count, depth)?;
-                self.finish_compound(&body)?;
-                Value::Array(items)
-            }
             _ => return Err(DecodeError::Code(code)),
         })
     }
@@ -293,6 +294,9 @@
 }
 
 /// Decodes the first value and moves past it.
+///
+/// # Errors
+/// The octets are no value, or one that is too large; then nothing is moved.
 pub fn decode(bytes: &mut &[u8]) -> Result<Value> {
     let mut reader = Reader::new(bytes);
     let value = reader.value()?;
--- a/crates/amqp/src/codec/writer.rs
+++ b/crates/amqp/src/codec/writer.rs
@@ -11,14 +11,8 @@
         Value::Bool(false) => out.push(format_code::FALSE),
         Value::Uint(n) => put_u32(out, *n),
         Value::Ulong(n) => put_u64(out, *n),
-        Value::Int(n) => match i8::try_from(*n) {
-            Ok(small) => out.extend([format_code::SMALL_INT, small as u8]),
-            Err(_) => put_fixed(out, format_code::INT, &n.to_be_bytes()),
-        },
-        Value::Long(n) => match i8::try_from(*n) {
-            Ok(small) => out.extend([format_code::SMALL_LONG, small as u8]),
-            Err(_) => put_fixed(out, format_code::LONG, &n.to_be_bytes()),
-        },
+        Value::Int(n) => put_i32(out, *n),
+        Value::Long(n) => put_i64(out, *n),
         Value::Binary(bytes) => put_variable(out, format_code::BINARY_8, bytes),
         Value::Text(text) => put_variable(out, format_code::STRING_8, text.as_bytes()),
         Value::Symbol(text) => put_variable(out, format_code::SYMBOL_8, text.as_bytes()),
@@ -26,21 +20,10 @@
         Value::List(items) => put_list(out, items),
         Value::Map(pairs) => {
             let start = open_compound(out, format_code::MAP_8);
-            for (key, value) in pairs {
-                encode(key, out);
-                encode(value, out);
-            }
+            encode_pairs(pairs, out);
             close_compound(out, start, pairs.len() * 2);
         }
-        Value::Array(items) => match items.first().map(constructor) {
-            Some(first) if items[1..].iter().any(|item| constructor(item) != first) => put_list(out, items),
-            first => {
-                let start = open_compound(out, format_code::ARRAY_8);
-                out.extend(first.unwrap_or(vec![format_code::NULL]));
-                items.iter().for_each(|item| put_element(out, item));
-                close_compound(out, start, items.len());
-            }
-        },
+        Value::Array(items) => put_array(out, items),
         Value::Described(descriptor, value) => {
             out.push(format_code::DESCRIBED);
             encode(descriptor, out);
@@ -59,6 +42,26 @@
     close_compound(out, start, items.len());
 }
 
+/// Writes an array, or a list if the elements differ in type.
+fn put_array(out: &mut Vec<u8>, items: &[Value]) {
+    match items.first().map(constructor) {
+        Some(first) if items[1..].iter().any(|item| constructor(item) != first) => put_list(out, items),
+        first => {
+            let start = open_compound(out, format_code::ARRAY_8);
+            out.extend(first.unwrap_or(vec![format_code::NULL]));
+            items.iter().for_each(|item| put_element(out, item));
+            close_compound(out, start, items.len());
+        }
+    }
+}
+
+fn encode_pairs(pairs: &[(Value, Value)], out: &mut Vec<u8>) {
+    for (key, value) in pairs {
+        encode(key, out);
+        encode(value, out);
+    }
+}
+
 /// The constructor for every value of this one's type, as an array's elements share it.
 fn constructor(value: &Value) -> Vec<u8> {
     vec![match value {
@@ -97,46 +100,18 @@
 
 /// A value without its constructor, in the form that [`constructor`] names.
 fn put_element(out: &mut Vec<u8>, value: &Value) {
-    let sized = |out: &mut Vec<u8>, bytes: &[u8]| {
-        out.extend((bytes.len() as u32).to_be_bytes());
-        out.extend(bytes);
-    };
-    let compound = |out: &mut Vec<u8>, count: usize, body: &[u8]| {
-        out.extend((body.len() as u32 + 4).to_be_bytes());
-        out.extend((count as u32).to_be_bytes());
-        out.extend(body);
-    };
     match value {
-        Value::Null => {}
-        Value::Bool(b) => out.push(u8::from(*b)),
-        Value::Ubyte(n) => out.push(*n),
-        Value::Ushort(n) => out.extend(n.to_be_bytes()),
-        Value::Uint(n) => out.extend(n.to_be_bytes()),
-        Value::Ulong(n) => out.extend(n.to_be_bytes()),
-        Value::Byte(n) => out.extend(n.to_be_bytes()),
-        Value::Short(n) => out.extend(n.to_be_bytes()),
-        Value::Int(n) => out.extend(n.to_be_bytes()),
-        Value::Long(n) | Value::Timestamp(n) => out.extend(n.to_be_bytes()),
-        Value::Float(n) => out.extend(n.to_be_bytes()),
-        Value::Double(n) => out.extend(n.to_be_bytes()),
-        Value::Decimal32(bytes) => out.extend(bytes),
-        Value::Decimal64(bytes) => out.extend(bytes),
-        Value::Decimal128(bytes) | Value::Uuid(bytes) => out.extend(bytes),
-        Value::Char(c) => out.extend((*c as u32).to_be_bytes()),
-        Value::Binary(bytes) => sized(out, bytes),
-        Value::Text(text) | Value::Symbol(text) => sized(out, text.as_bytes()),
+        Value::Binary(bytes) => put_variable_element(out, bytes),
+        Value::Text(text) | Value::Symbol(text) => put_variable_element(out, text.as_bytes()),
         Value::List(items) => {
             let mut body = Vec::new();
             items.iter().for_each(|item| encode(item, &mut body));
-            compound(out, items.len(), &body);
+            put_compound_element(out, items.len(), &body);
         }
         Value::Map(pairs) => {
             let mut body = Vec::new();
-            for (key, value) in pairs {
-                encode(key, &mut body);
-                encode(value, &mut body);
-            }
-            compound(out, pairs.len() * 2, &body);
+            encode_pairs(pairs, &mut body);
+            put_compound_element(out, pairs.len() * 2, &body);
         }
         Value::Array(items) => {
             // Elements that differ are the writer's mistake: here, with no room for a list, the first type
@@ -145,12 +120,56 @@
             let alike: Vec<&Value> = items.iter().filter(|item| constructor(item) == first).collect();
             let mut body = first;
             alike.iter().for_each(|item| put_element(&mut body, item));
-            compound(out, alike.len(), &body);
+            put_compound_element(out, alike.len(), &body);
         }
         Value::Described(_, inner) => put_element(out, inner),
+        fixed => put_fixed_element(out, fixed),
+    }
+}
+
+/// A value of a fixed width without its constructor.
+fn put_fixed_element(out: &mut Vec<u8>, value: &Value) {
+    match value {
+        Value::Bool(b) => out.push(u8::from(*b)),
+        Value::Ubyte(n) => out.push(*n),
+        Value::Ushort(n) => out.extend(n.to_be_bytes()),
+        Value::Uint(n) => out.extend(n.to_be_bytes()),
+        Value::Ulong(n) => out.extend(n.to_be_bytes()),
+        Value::Byte(n) => out.extend(n.to_be_bytes()),
+        Value::Short(n) => out.extend(n.to_be_bytes()),
+        Value::Int(n) => out.extend(n.to_be_bytes()),
+        Value::Long(n) | Value::Timestamp(n) => out.extend(n.to_be_bytes()),
+        Value::Float(n) => out.extend(n.to_be_bytes()),
+        Value::Double(n) => out.extend(n.to_be_bytes()),
+        Value::Decimal32(bytes) => out.extend(bytes),
+        Value::Decimal64(bytes) => out.extend(bytes),
+        Value::Decimal128(bytes) | Value::Uuid(bytes) => out.extend(bytes),
+        Value::Char(c) => out.extend((*c as u32).to_be_bytes()),
+        // Of no width, or written by `put_element`.
+        Value::Null
+        | Value::Binary(_)
+        | Value::Text(_)
+        | Value::Symbol(_)
+        | Value::List(_)
+        | Value::Map(_)
+        | Value::Array(_)
+        | Value::Described(..) => {}
     }
 }
 
+/// Octets with their size, as an array has them.
+fn put_variable_element(out: &mut Vec<u8>, bytes: &[u8]) {
+    out.extend((bytes.len() as u32).to_be_bytes());
+    out.extend(bytes);
+}
+
+/// The elements of a list, map or array with their size and count, as an array has them.
+fn put_compound_element(out: &mut Vec<u8>, count: usize, body: &[u8]) {
+    out.extend((body.len() as u32 + 4).to_be_bytes());
+    out.extend((count as u32).to_be_bytes());
+    out.extend(body);
+}
+
 /// Writes a value of a fixed width.
 pub fn put_fixed(out: &mut Vec<u8>, code: u8, bytes: &[u8]) {
     out.push(code);
@@ -175,6 +194,22 @@
     }
 }
 
+/// Writes an int in its shortest form.
+fn put_i32(out: &mut Vec<u8>, n: i32) {
+    match i8::try_from(n) {
+        Ok(small) => out.extend([format_code::SMALL_INT, small as u8]),
+        Err(_) => put_fixed(out, format_code::INT, &n.to_be_bytes()),
+    }
+}
+
+/// Writes a long in its shortest form.
+fn put_i64(out: &mut Vec<u8>, n: i64) {
+    match i8::try_from(n) {
+        Ok(small) => out.extend([format_code::SMALL_LONG, small as u8]),
+        Err(_) => put_fixed(out, format_code::LONG, &n.to_be_bytes()),
+    }
+}
+
 /// Writes a binary, text or symbol, whose narrow constructor is given.
 pub fn put_variable(out: &mut Vec<u8>, narrow: u8, bytes: &[u8]) {
     match u8::try_from(bytes.len()) {
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -66,36 +66,22 @@
         payload: &'a [u8],
     ) -> Result<IncomingTransfer<'a>, Violation> {
         let max_message_size = self.settings.max_message_size;
-        let max_unsettled = self.settings.max_unsettled;
         let Some(link) = self.link_mut(link_id) else {
             return Err(Violation::Fatal(fault(condition::UNATTACHED_HANDLE, "no link at this handle")));
         };
         let first = link.incomplete.is_none();
-        let mut delivery = match link.incomplete.take() {
-            Some(delivery) => delivery.continued_by(&transfer).map_err(Violation::Fatal)?,
-            None => link.start_delivery(&transfer)?,
-        };
-        delivery.settled |= transfer.settled == Some(true);
-        delivery.octets += payload.len() as u64;
-        if delivery.octets > max_message_size {
-            let description = format!("no message above {max_message_size} octets is taken");
-            return Err(Violation::Link(Error::new(condition::MESSAGE_SIZE_EXCEEDED, &description)));
-        }
+        let delivery = link.add_transfer(&transfer, payload.len(), max_message_size)?;
         let aborted = transfer.aborted == Some(true);
         let last = transfer.more != Some(true) || aborted;
         let IncompleteDelivery { id, tag, settled, .. } = delivery;
         if !last {
             link.incomplete = Some(delivery);
         }
-        let unsettled = link.unsettled;
-        if first && self.session(link_id.channel).is_some_and(|session| session.incoming.contains_key(&id)) {
-            return Err(Violation::Fatal(fault(condition::NOT_ALLOWED, "this delivery id is in use")));
+        if first {
+            self.check_delivery_id(link_id.channel, id)?;
         }
         if first && !aborted {
-            if unsettled >= max_unsettled {
-                let description = "too many unsettled deliveries";
-                return Err(Violation::Link(Error::new(condition::RESOURCE_LIMIT_EXCEEDED, description)));
-            }
+            self.check_unsettled(link_id)?;
             self.track_unsettled(link_id, Direction::Incoming, id, 0);
         }
         if aborted || (last && settled) {
@@ -107,6 +93,22 @@
         Ok(IncomingTransfer { id, tag, first, last, aborted, settled, resume, payload })
     }
 
+    fn check_delivery_id(&self, channel: u16, id: u32) -> Result<(), Violation> {
+        if self.session(channel).is_some_and(|session| session.incoming.contains_key(&id)) {
+            return Err(Violation::Fatal(fault(condition::NOT_ALLOWED, "this delivery id is in use")));
+        }
+        Ok(())
+    }
+
+    /// Checks that a further delivery may be unsettled on a link.
+    fn check_unsettled(&self, link: LinkId) -> Result<(), Violation> {
+        if self.unsettled(link) >= self.settings.max_unsettled {
+            let description = "too many unsettled deliveries";
+            return Err(Violation::Link(Error::new(condition::RESOURCE_LIMIT_EXCEEDED, description)));
+        }
+        Ok(())
+    }
+
     /// Sets a receiver's credit. A flow announces it where it changes.
     pub fn set_credit(&mut self, link_id: LinkId, credit: u32) {
         let max_unsettled = self.settings.max_unsettled;
@@ -141,6 +143,26 @@
 }
 
 impl Link {
+    /// Adds a transfer to the delivery that is being received, or starts one with it.
+    fn add_transfer(
+        &mut self,
+        transfer: &Transfer,
+        octets: usize,
+        max_message_size: u64,
+    ) -> Result<IncompleteDelivery, Violation> {
+        let mut delivery = match self.incomplete.take() {
+            Some(delivery) => delivery.continued_by(transfer).map_err(Violation::Fatal)?,
+            None => self.start_delivery(transfer)?,
+        };
+        delivery.settled |= transfer.settled == Some(true);
+        delivery.octets += octets as u64;
+        if delivery.octets > max_message_size {
+            let description = format!("no message above {max_message_size} octets is taken");
+            return Err(Violation::Link(Error::new(condition::MESSAGE_SIZE_EXCEEDED, &description)));
+        }
+        Ok(delivery)
+    }
+
     /// Starts a received delivery, which uses a credit.
     fn start_delivery(&mut self, transfer: &Transfer) -> Result<IncompleteDelivery, Violation> {
         let missing =
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -4,7 +4,6 @@
 use crate::composite::{Composite, Field, FieldReader, FieldWriter};
 use crate::primitives::Symbol;
 use crate::value::Value;
-use std::fmt;
 
 /// Standard error conditions (standard, sections 2.8.15 to 2.8.18 and 4.5.8), by their names there.
 #[allow(missing_docs)] // Each constant is the standard's own symbol.
@@ -35,7 +34,8 @@
 }
 
 /// Why this side ends a connection.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{condition}: {description}")]
 pub struct Fault {
     /// One of [`condition`].
     pub condition: &'static str,
@@ -48,14 +48,6 @@
     Fault { condition, description: description.into() }
 }
 
-impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.condition, self.description)
-    }
-}
-
-impl std::error::Error for Fault {}
-
 impl From<DecodeError> for Fault {
     fn from(error: DecodeError) -> Fault {
         let condition = match error {
