--- a/crates/amqp/src/codec/writer.rs
+++ b/crates/amqp/src/codec/writer.rs
@@ -225,7 +225,7 @@
     out.len()
 }
 
-/// Ends a compound: its size and count are written, wide where they need it.
+/// Ends a compound: its size and count are written, with four octets each if they need them.
 pub fn close_compound(out: &mut Vec<u8>, start: usize, count: usize) {
     let size = out.len() - start;
     if count < 256 && size < 255 {
--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -1,5 +1,5 @@
-//! Composite types: lists of fields under a descriptor (standard, section 1.4), read straight from their
-//! octets.
+//! Composite types: lists of fields under a descriptor (standard, section 1.4). They are read from their octets without a
+//! [`Value`](crate::Value) in between.
 
 use crate::codec::{close_compound, format_code, open_compound, put_u64, DecodeError, Reader, Result};
 
@@ -10,6 +10,9 @@
     /// Its symbolic descriptor.
     const NAME: &'static str;
     /// Reads the fields.
+    ///
+    /// # Errors
+    /// A field cannot be decoded, or a required one is missing.
     fn read_fields(fields: &mut FieldReader<'_>) -> Result<Self>;
     /// Writes the fields.
     fn write_fields(&self, out: &mut FieldWriter<'_>);
@@ -23,7 +26,7 @@
 }
 
 impl FieldReader<'_> {
-    /// The next field; none where it is null or left out.
+    /// The next field; none if it is null or left out.
     #[inline(always)]
     pub fn next<T: Field>(&mut self, name: &'static str) -> Result<Option<T>> {
         if self.remaining == 0 {
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -109,7 +109,7 @@
         Ok(())
     }
 
-    /// Sets a receiver's credit. A flow announces it where it changes.
+    /// Sets a receiver's credit. A flow announces it if it changes.
     pub fn set_credit(&mut self, link_id: LinkId, credit: u32) {
         let max_unsettled = self.settings.max_unsettled;
         let link = self.link_mut(link_id).filter(|link| link.phase == LinkPhase::Attached);
@@ -131,7 +131,7 @@
 }
 
 impl IncompleteDelivery {
-    /// The delivery, where a transfer continues it.
+    /// The delivery, if a transfer continues it.
     fn continued_by(self, transfer: &Transfer) -> Result<IncompleteDelivery, Fault> {
         let same_id = transfer.delivery_id.is_none_or(|id| id == self.id);
         let same_tag = transfer.delivery_tag.is_none_or(|tag| tag == self.tag);
--- a/crates/amqp/src/connection/input.rs
+++ b/crates/amqp/src/connection/input.rs
@@ -8,8 +8,12 @@
 use sparbank_time::MonotonicTime;
 
 impl Connection {
-    /// Processes input until something happens that the user has to know. None where more input is needed. After a fault
-    /// the user calls [`Connection::close`] with it and writes the remaining output.
+    /// Processes received octets, and moves `input` past them, until something happens that the user has to know. None if
+    /// more input is needed: the user calls again with what is left of `input` and the octets that follow.
+    ///
+    /// # Errors
+    /// The peer breaks the protocol or exceeds a bound of [`Settings`](super::Settings). The user calls
+    /// [`Connection::close`] with the fault and writes the remaining output.
     pub fn next_event<'a>(
         &mut self,
         now: MonotonicTime,
@@ -50,7 +54,7 @@
         }
     }
 
-    /// Processes a protocol header. False where it is incomplete.
+    /// Processes a protocol header. False if it is incomplete.
     fn process_header(&mut self, input: &mut &[u8]) -> Result<bool, Fault> {
         let Some((header, rest)) = input.split_first_chunk::<8>() else {
             // What can no longer become a header is answered at once (2.2).
@@ -133,7 +137,7 @@
     }
 }
 
-/// The next frame, which has to be of this type. None where it is incomplete.
+/// The next frame, which has to be of this type. None if it is incomplete.
 fn next_frame<'a>(input: &mut &'a [u8], max_size: u32, frame_type: u8) -> Result<Option<Frame<'a>>, Fault> {
     let frame = read_frame(input, max_size)?;
     if frame.as_ref().is_some_and(|frame| frame.frame_type != frame_type) {
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -17,7 +17,7 @@
 
 impl Connection {
     /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's answer is
-    /// [`Event::Attached`]. None where there are as many links as the peers allow.
+    /// [`Event::Attached`]. None if there are as many links as the peers allow.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
         if self.link_count >= self.settings.max_links {
             return None;
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,4 +1,9 @@
 //! A connection (standard, section 2.4) with its sessions and links, from either end.
+//!
+//! [`Connection`] is the library's state machine. Its user passes received octets to [`Connection::next_event`], answers
+//! the events, and writes what [`Connection::take_output`] returns. The methods are in a file for each part of the
+//! protocol: `handshake` (headers, SASL, open), `input` (frames), `sessions`, `links`, `incoming` and `outgoing`
+//! deliveries, and their `dispositions`.
 
 mod dispositions;
 mod event;
@@ -79,7 +84,7 @@
 }
 
 impl Connection {
-    /// The end that dials. Without credentials it starts with AMQP itself, not with SASL.
+    /// The end that opens the transport connection. Without credentials it starts with AMQP itself, not with SASL.
     pub fn dial(now: MonotonicTime, settings: Settings, credentials: Option<Credentials>) -> Connection {
         let uses_sasl = credentials.is_some();
         let auth = Auth::Client(credentials.map(sasl::Client::new));
@@ -94,8 +99,8 @@
         connection
     }
 
-    /// The end that is dialled. With mechanisms a peer has to authenticate by one of them; without, it may use SASL
-    /// ANONYMOUS or no SASL.
+    /// The end that accepts the transport connection. With mechanisms the peer has to authenticate by one of them; without,
+    /// it may use SASL ANONYMOUS or no SASL.
     pub fn accept(now: MonotonicTime, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
         Connection::new(now, settings, Auth::Server(offered.map(sasl::Server::new)))
     }
@@ -226,8 +231,11 @@
         self.session_mut(link.channel)?.link_mut(link.handle)
     }
 
-    /// Sends a heartbeat where the peer's idle timeout requires one. An error where the peer has exceeded this side's
-    /// (2.4.5).
+    /// Checks the idle timeouts (2.4.5): sends a heartbeat if the peer's requires one. To be called at
+    /// [`Connection::deadline`], or periodically.
+    ///
+    /// # Errors
+    /// The peer has sent nothing for longer than this side's idle timeout: the connection is to be closed.
     pub fn tick(&mut self, now: MonotonicTime) -> Result<(), Fault> {
         let idle_timeout = self.settings.idle_timeout;
         if !idle_timeout.is_zero() && now.saturating_duration_since(self.last_received) > idle_timeout {
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -59,7 +59,7 @@
         sent
     }
 
-    /// Takes a transfer off the session's window and, where it is its delivery's first, a credit. None where the link
+    /// Takes a transfer off the session's window and, if it is its delivery's first, a credit. None if the link
     /// cannot send now.
     fn start_transfer(&mut self, link_id: LinkId, delivery: &Outgoing, more: bool) -> Option<TransferFields> {
         let session = self.session_mut(link_id.channel)?;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Gives a sender's credit back where its receiver drains it and nothing is left to send (2.6.7).
+    /// Gives a sender's credit back if its receiver drains it and nothing is left to send (2.6.7).
     pub fn return_credit(&mut self, link_id: LinkId) {
         let link = self.link_mut(link_id).filter(|link| link.role == Role::Sender && link.drain);
         let Some(link) = link else { return };
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -7,7 +7,7 @@
 use crate::session::{Phase as SessionPhase, Session};
 
 impl Connection {
-    /// Begins a session. None where there are as many as the peers allow.
+    /// Begins a session. None if there are as many as the peers allow.
     pub fn begin(&mut self) -> Option<u16> {
         let session = Session::new(self.settings.incoming_window, self.settings.initial_id);
         let begin = session.begin(None, self.settings.handle_max);
@@ -54,7 +54,7 @@
         Ok(Event::Began { channel: own_channel })
     }
 
-    /// Adds a session at the first free channel. None where there are as many as the peers allow.
+    /// Adds a session at the first free channel. None if there are as many as the peers allow.
     fn add_session(&mut self, session: Session) -> Option<u16> {
         let free = self.sessions.iter().position(Option::is_none).unwrap_or(self.sessions.len());
         if free > self.channel_max() as usize {
--- a/crates/amqp/src/frame.rs
+++ b/crates/amqp/src/frame.rs
@@ -3,9 +3,9 @@
 use crate::codec::{DecodeError, Reader, Result};
 use crate::performative::Performative;
 
-/// The type byte of AMQP frames.
+/// The type octet of AMQP frames.
 pub const AMQP: u8 = 0;
-/// The type byte of SASL frames.
+/// The type octet of SASL frames.
 pub const SASL: u8 = 1;
 
 /// A frame. Its payload is borrowed from the input.
@@ -21,8 +21,11 @@
     pub payload: &'a [u8],
 }
 
-/// Reads the first frame and moves past it; none where it is incomplete. `max_frame_size` is the largest frame that was
+/// Reads the first frame and moves past it; none if it is incomplete. `max_frame_size` is the largest frame that was
 /// agreed, in octets.
+///
+/// # Errors
+/// The frame is larger, or its header or body cannot be decoded.
 pub fn read_frame<'a>(bytes: &mut &'a [u8], max_frame_size: u32) -> Result<Option<Frame<'a>>> {
     let all = *bytes;
     let Some((head, _)) = all.split_first_chunk::<8>() else { return Ok(None) };
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -42,7 +42,7 @@
     pub role: Role,
     pub phase: Phase,
     pub remote_handle: Option<u32>,
-    /// The largest message that the peer accepts, in octets; none where it announced no limit.
+    /// The largest message that the peer accepts, in octets; none if it announced no limit.
     pub remote_max_message_size: Option<u64>,
     pub delivery_count: u32,
     pub credit: u32,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// This side detaches the link. Gives the number of its unsettled deliveries.
+    /// This side detaches the link. Returns the number of its unsettled deliveries.
     pub fn start_closing(&mut self) -> u32 {
         self.phase = Phase::Closing;
         self.sending = None;
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -22,7 +22,7 @@
     pub const FOOTER: u64 = 0x78;
 }
 
-/// The places of fields in their lists.
+/// The indexes of fields in the lists of their sections.
 const TTL_FIELD: usize = 2;
 const TO_FIELD: usize = 2;
 const REPLY_TO_FIELD: usize = 4;
@@ -47,8 +47,11 @@
 }
 
 impl Head {
-    /// Reads the sections before the body. None where the bytes end before the body starts: more are needed, unless the
+    /// Reads the sections before the body. None if the bytes end before the body starts: more are needed, unless the
     /// message is complete.
+    ///
+    /// # Errors
+    /// A section cannot be decoded, is unknown, or is out of order.
     pub fn read(bytes: &[u8]) -> Result<Option<Head>> {
         let mut head = Head::default();
         let mut reader = Reader::new(bytes);
@@ -200,7 +203,7 @@
     }
 }
 
-/// A reader at a list's field, where there is one.
+/// A reader at a list's field, if there is one.
 fn read_field(bytes: &[u8], index: usize) -> Result<Option<Reader<'_>>> {
     let (mut reader, count) = read_list(bytes)?;
     if count <= index {
@@ -212,7 +215,7 @@
     Ok(Some(reader))
 }
 
-/// The pairs of a map that has been checked: the key where it is text, and a reader of the value.
+/// The pairs of a map that has been checked: the key if it is text, and a reader of the value.
 fn map_pairs(bytes: &[u8]) -> impl Iterator<Item = (Option<&str>, Reader<'_>)> {
     let mut map = Reader::new(bytes);
     let body = map.byte().and_then(|code| map.compound(code)).ok();
@@ -286,6 +289,9 @@
 
 impl<'a> Message<'a> {
     /// Checks that this is a message: every section is valid, in its order, and there is a body.
+    ///
+    /// # Errors
+    /// It is not.
     pub fn decode(bytes: &'a [u8]) -> Result<Message<'a>> {
         let head = Head::read(bytes)?.ok_or(DecodeError::Field("body"))?;
         check_body(&bytes[head.body..])?;
--- a/crates/amqp/src/performative.rs
+++ b/crates/amqp/src/performative.rs
@@ -50,9 +50,9 @@
     End 0x17 "amqp:end:list" { error: Box<Error> }
     /// Closes a connection (2.7.9).
     Close 0x18 "amqp:close:list" { error: Box<Error> }
-    /// The mechanisms a server offers (5.3.3.1).
+    /// The mechanisms that a server offers (5.3.3.1).
     SaslMechanisms 0x40 "amqp:sasl-mechanisms:list" { mechanisms: Value }
-    /// The mechanism a client picked (5.3.3.2).
+    /// The mechanism that a client has chosen (5.3.3.2).
     SaslInit 0x41 "amqp:sasl-init:list" { mechanism: Symbol, initial_response: Vec<u8>, hostname: String }
     /// A server's challenge (5.3.3.3).
     SaslChallenge 0x42 "amqp:sasl-challenge:list" { challenge: Vec<u8> }
@@ -81,6 +81,9 @@
 
         impl Performative {
             /// Reads the body at the start of a frame; the payload follows it.
+            ///
+            /// # Errors
+            /// The body is unknown, or a field cannot be decoded.
             #[inline(always)]
             pub fn read(reader: &mut Reader<'_>) -> Result<Performative> {
                 match read_descriptor(reader)? {
--- a/crates/amqp/src/sasl.rs
+++ b/crates/amqp/src/sasl.rs
@@ -209,7 +209,7 @@
         Ok(Step::Decide(request))
     }
 
-    /// The user's keys, or none and a salt to use instead. Gives the challenge to send.
+    /// The user's keys, or none and a salt to use instead. Returns the challenge to send.
     pub fn provide_keys(
         &mut self,
         keys: Option<SaltedKeys>,
@@ -225,7 +225,7 @@
         Some(SaslChallenge { challenge }.into())
     }
 
-    /// The decision. Gives the outcome to send.
+    /// The decision. Returns the outcome to send.
     pub fn finish(&mut self, is_authorized: bool) -> Option<Performative> {
         let stage = std::mem::replace(&mut self.stage, ServerStage::Over);
         let ServerStage::Decision(data) = stage else { return None };
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -146,7 +146,7 @@
         self.server_first.clone().into_bytes()
     }
 
-    /// Handles the client-final-message. Gives the server-final-message where its proof is valid.
+    /// Handles the client-final-message. Returns the server-final-message if its proof is valid.
     pub fn finish(&self, bytes: &[u8]) -> Option<Vec<u8>> {
         let text = std::str::from_utf8(bytes).ok()?;
         let (without_proof, proof) = text.rsplit_once(",p=")?;
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -93,7 +93,7 @@
         }
     }
 
-    /// This side's begin, which answers the peer's where `answer_to` is its channel.
+    /// This side's begin, which answers the peer's if `answer_to` is its channel.
     pub fn begin(&self, answer_to: Option<u16>, handle_max: u32) -> Begin {
         Begin {
             remote_channel: answer_to,
@@ -183,7 +183,7 @@
         free as u32
     }
 
-    /// Removes a link. Gives the keys of its unsettled deliveries.
+    /// Removes a link. Returns the keys of its unsettled deliveries.
     pub fn remove(&mut self, handle: u32) -> Vec<u64> {
         let Some(link) = self.links.get_mut(handle as usize).and_then(Option::take) else {
             return Vec::new();
@@ -194,7 +194,7 @@
         self.take_unsettled(handle, link.unsettled)
     }
 
-    /// Removes the `count` unsettled deliveries of a link. Gives their keys, in the order of the deliveries.
+    /// Removes the `count` unsettled deliveries of a link. Returns their keys, in the order of the deliveries.
     pub fn take_unsettled(&mut self, handle: u32, count: u32) -> Vec<u64> {
         if count == 0 {
             return Vec::new();
--- a/crates/amqp/src/value.rs
+++ b/crates/amqp/src/value.rs
@@ -3,25 +3,25 @@
 /// A value of any AMQP type (standard, section 1.6).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
-    /// Nothing.
+    /// The absence of a value.
     Null,
     /// True or false.
     Bool(bool),
-    /// 8 bits without a sign.
+    /// An unsigned 8-bit integer.
     Ubyte(u8),
-    /// 16 bits without a sign.
+    /// An unsigned 16-bit integer.
     Ushort(u16),
-    /// 32 bits without a sign.
+    /// An unsigned 32-bit integer.
     Uint(u32),
-    /// 64 bits without a sign.
+    /// An unsigned 64-bit integer.
     Ulong(u64),
-    /// 8 bits.
+    /// A signed 8-bit integer.
     Byte(i8),
-    /// 16 bits.
+    /// A signed 16-bit integer.
     Short(i16),
-    /// 32 bits.
+    /// A signed 32-bit integer.
     Int(i32),
-    /// 64 bits.
+    /// A signed 64-bit integer.
     Long(i64),
     /// IEEE 754 binary32.
     Float(f32),
@@ -35,19 +35,19 @@
     Decimal128([u8; 16]),
     /// A Unicode character.
     Char(char),
-    /// Milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     Timestamp(i64),
     /// An RFC 4122 identifier.
     Uuid([u8; 16]),
-    /// Bytes.
+    /// Octets.
     Binary(Vec<u8>),
     /// UTF-8 text.
     Text(String),
     /// A symbol: ASCII from a constrained domain.
     Symbol(String),
-    /// A sequence.
+    /// Values of any types, in their order.
     List(Vec<Value>),
-    /// Pairs in their order; keys that repeat are refused when decoded.
+    /// Pairs of key and value, in their order. Decoding rejects a map that has a key twice.
     Map(Vec<(Value, Value)>),
     /// Elements of one type. One whose elements differ in type is written as a list.
     Array(Vec<Value>),
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -99,7 +99,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum ServerEntry {
-    /// An address alone: SASL ANONYMOUS, or none where the server has no SASL.
+    /// An address alone: SASL ANONYMOUS, or none if the server has no SASL.
     Address(SocketAddr),
     /// An address with credentials.
     Full(FullServerEntry),
--- a/src/frontend/amqp/error.rs
+++ b/src/frontend/amqp/error.rs
@@ -4,7 +4,7 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a file of the AMQP frontend cannot be used. Printed in one line that names the file and, where there is one, the
+/// Why a file of the AMQP frontend cannot be used. Printed in one line that names the file and, if there is one, the
 /// field.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -178,7 +178,7 @@
         }
     }
 
-    /// A link is detached and not closed: it may be resumed. False where there is no capacity to remember it.
+    /// A link is detached and not closed: it may be resumed. False if there is no capacity to remember it.
     pub fn suspend(
         &mut self,
         limits: RecoveryLimits,
