--- /dev/null
+++ b/benches/amqp_node/generator.rs
@@ -0,0 +1,202 @@
+//! The load generator of one thread.
+
+use crate::load::{new_histogram, Load, Shared};
+use crate::peer::{settings, Peer, READ_BYTES, START};
+use crate::poller::Poller;
+use crate::CLASS;
+use hdrhistogram::Histogram;
+use sparbank_amqp::{
+    Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, State, Target, Terminus,
+};
+use std::net::TcpStream;
+use std::sync::atomic::Ordering;
+use std::time::{Duration, Instant};
+
+/// How long a thread waits for its sockets: without and with a rate.
+const POLL_TIMEOUT: Duration = Duration::from_millis(100);
+const PACED_POLL_TIMEOUT: Duration = Duration::from_millis(1);
+
+/// One client, with one link.
+struct Client {
+    peer: Peer,
+    link: Option<LinkId>,
+    in_flight: u64,
+}
+
+/// The clients of one thread.
+pub struct Generator<'a> {
+    load: &'a Load,
+    shared: &'a Shared,
+    poller: Poller,
+    clients: Vec<Client>,
+    progress: Progress,
+    pacer: Option<Pacer>,
+    buffer: Vec<u8>,
+}
+
+/// How far a thread has come.
+struct Progress {
+    started: Instant,
+    latency: Histogram<u64>,
+    attached_links: usize,
+    /// All links of all threads are attached.
+    has_begun: bool,
+    in_flight: u64,
+    has_sent_all: bool,
+}
+
+/// Spreads deliveries over the time.
+struct Pacer {
+    /// Deliveries a second.
+    rate: f64,
+    /// Deliveries that may be sent now.
+    allowance: f64,
+    /// When the allowance was last computed.
+    updated_at: Instant,
+    /// Rotates the client that is served first.
+    rotation: usize,
+}
+
+impl<'a> Generator<'a> {
+    /// Connects the clients.
+    pub fn connect(load: &'a Load, shared: &'a Shared) -> Generator<'a> {
+        let poller = Poller::new();
+        let clients = (0..load.connections).map(|index| Client::connect(load, &poller, index)).collect();
+        let now = Instant::now();
+        let pacer = load.rate.map(|rate| Pacer { rate, allowance: 0.0, updated_at: now, rotation: 0 });
+        let progress = Progress {
+            started: now,
+            latency: new_histogram(),
+            attached_links: 0,
+            has_begun: false,
+            in_flight: 0,
+            has_sent_all: false,
+        };
+        Generator { load, shared, poller, clients, progress, pacer, buffer: vec![0; READ_BYTES] }
+    }
+
+    /// Sends until no delivery is left and all are answered. Returns the latencies.
+    pub fn run(mut self) -> Histogram<u64> {
+        for client in &mut self.clients {
+            client.peer.write();
+        }
+        while !self.progress.has_sent_all || self.progress.in_flight > 0 {
+            for index in self.next_clients() {
+                self.serve(index);
+            }
+            self.progress.has_sent_all |= self.shared.unsent.load(Ordering::Relaxed) == 0;
+        }
+        self.progress.latency
+    }
+
+    /// Waits for sockets. Returns the clients to be served, in order: with a rate, all of them.
+    fn next_clients(&mut self) -> Vec<usize> {
+        let timeout = if self.pacer.is_some() { PACED_POLL_TIMEOUT } else { POLL_TIMEOUT };
+        let mut ready = self.poller.wait(timeout);
+        let count = self.clients.len();
+        if self.progress.attached_links == count && !self.progress.has_begun {
+            self.shared.all_attached.wait();
+            self.progress.has_begun = true;
+            if let Some(pacer) = &mut self.pacer {
+                pacer.updated_at = Instant::now();
+            }
+            ready = (0..count).collect();
+        }
+        let Some(pacer) = &mut self.pacer else { return ready };
+        pacer.update();
+        let rotation = pacer.rotation;
+        pacer.rotation += 1;
+        (0..count).map(|index| (index + rotation) % count).collect()
+    }
+
+    /// Reads a client's answers and sends what it may.
+    fn serve(&mut self, index: usize) {
+        let client = &mut self.clients[index];
+        loop {
+            let has_read = client.peer.read(&mut self.buffer);
+            assert!(!client.peer.is_closed, "the connection is over");
+            client.handle_events(&mut self.progress);
+            client.send(self.load, self.shared, &mut self.progress, self.pacer.as_mut());
+            client.peer.write();
+            if !has_read {
+                return;
+            }
+        }
+    }
+}
+
+impl Client {
+    fn connect(load: &Load, poller: &Poller, index: usize) -> Client {
+        let stream = TcpStream::connect(load.address).expect("it listens");
+        let conn = Connection::dial(START, settings(), Some(Credentials::Anonymous));
+        let peer = Peer::new(stream, conn);
+        poller.add(&peer.stream, index);
+        Client { peer, link: None, in_flight: 0 }
+    }
+
+    fn handle_events(&mut self, progress: &mut Progress) {
+        let Client { peer, link, in_flight } = self;
+        peer.handle_events(|conn, event| match event {
+            Event::Opened {} => drop(conn.begin()),
+            Event::Began { channel } => *link = attach(conn, channel, "l"),
+            Event::Credit { .. } => progress.attached_links += usize::from(!progress.has_begun),
+            Event::Settled { key, state, .. } => {
+                assert_eq!(state, Some(State::Accepted));
+                let latency = progress.now() - key;
+                progress.latency.record(latency.max(1)).expect("in range");
+                *in_flight -= 1;
+                progress.in_flight -= 1;
+            }
+            _ => {}
+        });
+    }
+
+    /// Sends as much as the credit, the bound on unanswered deliveries and the rate allow.
+    fn send(&mut self, load: &Load, shared: &Shared, progress: &mut Progress, mut pacer: Option<&mut Pacer>) {
+        let conn = &mut self.peer.conn;
+        let is_ready = |link: &LinkId| progress.has_begun && conn.is_attached(*link);
+        let Some(link) = self.link.filter(is_ready) else { return };
+        while self.in_flight < load.max_in_flight
+            && conn.can_send(link)
+            && pacer.as_ref().is_none_or(|pacer| pacer.allowance >= 1.0)
+        {
+            let take_one = |unsent: u64| unsent.checked_sub(1);
+            if shared.unsent.fetch_update(Ordering::Relaxed, Ordering::Relaxed, take_one).is_err() {
+                progress.has_sent_all = true;
+                return;
+            }
+            if let Some(pacer) = &mut pacer {
+                pacer.allowance -= 1.0;
+            }
+            let key = progress.now();
+            let delivery = Outgoing { key, tag: key.into(), settled: false };
+            let sent = conn.send(link, delivery, &load.message, true, usize::MAX);
+            assert!(sent.complete, "it fits into a frame");
+            self.in_flight += 1;
+            progress.in_flight += 1;
+        }
+    }
+}
+
+impl Progress {
+    /// Nanoseconds since the thread started.
+    fn now(&self) -> u64 {
+        self.started.elapsed().as_nanos() as u64
+    }
+}
+
+impl Pacer {
+    /// Adds the deliveries of the time that has passed.
+    fn update(&mut self) {
+        let now = Instant::now();
+        self.allowance += (now - self.updated_at).as_nanos() as f64 / 1e9 * self.rate;
+        self.updated_at = now;
+    }
+}
+
+/// Attaches a link on which deliveries for the class of the bench are sent.
+pub fn attach(conn: &mut Connection, channel: u16, name: &str) -> Option<LinkId> {
+    let target = Target { address: Some(CLASS.into()), ..Target::default() };
+    let target = Some(Terminus::Target(target));
+    conn.attach(channel, name, Role::Sender, Attach { target, ..Attach::default() })
+}
--- /dev/null
+++ b/benches/amqp_node/main.rs
@@ -0,0 +1,110 @@
+//! The AMQP frontend under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
+//! on loopback around the built program; the cost is the node's own CPU time, which the system counts.
+//!
+//! Prints CPU seconds per 100,000 deliveries of 256 octets at 1, 64 and 1,000 connections, per
+//! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
+//! latency that the same clients see at the servers directly, in the same run.
+
+#[path = "../../tests/support/mod.rs"]
+mod support;
+
+mod generator;
+mod load;
+mod memory;
+mod node;
+mod peer;
+mod poller;
+mod process;
+mod server;
+
+use hdrhistogram::Histogram;
+use load::Load;
+use node::Node;
+use std::net::{SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::Arc;
+use support::{listener, message};
+
+/// The traffic class of all deliveries.
+const CLASS: &str = "live-readings";
+const SERVERS: usize = 4;
+/// The numbers of clients whose costs are compared.
+const CONNECTIONS: [usize; 3] = [1, 64, 1000];
+/// Deliveries a second while the latency is measured.
+const LATENCY_RATE: f64 = 20_000.0;
+
+fn main() {
+    let is_quick = std::env::args().any(|argument| argument.eq_ignore_ascii_case("quick"));
+    let deliveries = if is_quick { 20_000 } else { 200_000 };
+    let stop = Arc::new(AtomicBool::new(false));
+    let servers = start_servers(&stop);
+    let server_address = servers[0].local_addr().expect("bound");
+    let node = Node::start(servers);
+    let message = message(60_000, "7f3a", &[7; 200]);
+    println!("{} octets a message, {SERVERS} servers", message.len());
+    let small =
+        Load { address: node.address, connections: 4, deliveries, message, max_in_flight: 64, rate: None };
+    Load { deliveries: deliveries / 10, ..small.clone() }.run(node.pid);
+    print_cost_of_deliveries(&node, &small);
+    print_cost_of_octets(&node, if is_quick { 1_000 } else { 8_000 });
+    print_latency(&node, server_address, &small);
+    drop(node);
+    memory::print_memory();
+    stop.store(true, Ordering::Relaxed);
+}
+
+fn start_servers(stop: &Arc<AtomicBool>) -> Vec<TcpListener> {
+    let servers: Vec<TcpListener> = (0..SERVERS).map(|_| listener()).collect();
+    for server in &servers {
+        let (server, stop) = (server.try_clone().expect("a second handle"), stop.clone());
+        std::thread::spawn(move || server::serve(server, stop));
+    }
+    servers
+}
+
+fn print_cost_of_deliveries(node: &Node, small: &Load) {
+    // The same number in flight at each client, and the same over all, however many there are.
+    let each = CONNECTIONS.map(|count| (count, 16));
+    let over_all = CONNECTIONS.map(|count| (count, (4096 / count as u64).clamp(1, 256)));
+    for (connections, max_in_flight) in each.into_iter().chain(over_all) {
+        let load = Load { connections, max_in_flight, ..small.clone() };
+        let run = load.run(node.pid);
+        let (deliveries, cpu) = (load.deliveries as f64, run.node_cpu_seconds);
+        println!(
+            "{connections:>5} connections, {max_in_flight:>3} in hand at each: {:.3} CPU s per 100,000 deliveries ({:.0} a CPU second), {:.0} a second",
+            cpu * 100_000.0 / deliveries,
+            deliveries / cpu,
+            deliveries / run.seconds
+        );
+    }
+}
+
+fn print_cost_of_octets(node: &Node, deliveries: u64) {
+    let message = message(60_000, "7f3a", &vec![7; 64 * 1024]);
+    let gigabytes = deliveries as f64 * message.len() as f64 / 1e9;
+    let load =
+        Load { address: node.address, connections: 64, deliveries, message, max_in_flight: 2, rate: None };
+    let run = load.run(node.pid);
+    println!(
+        "64 KiB messages: {:.2} CPU s per GB, {:.2} GB a second",
+        run.node_cpu_seconds / gigabytes,
+        gigabytes / run.seconds
+    );
+}
+
+fn print_latency(node: &Node, server_address: SocketAddr, small: &Load) {
+    let through_node =
+        Load { connections: 64, deliveries: small.deliveries / 4, rate: Some(LATENCY_RATE), ..small.clone() };
+    let direct = Load { address: server_address, ..through_node.clone() };
+    let through_node = through_node.run(node.pid).latency;
+    let direct = direct.run(node.pid).latency;
+    for quantile in [0.5, 0.99, 0.999] {
+        let milliseconds = |latency: &Histogram<u64>| latency.value_at_quantile(quantile) as f64 / 1e6;
+        println!(
+            "p{:<5} at {LATENCY_RATE:.0} a second: {:.2} ms through the node, {:.2} ms at a server directly",
+            quantile * 100.0,
+            milliseconds(&through_node),
+            milliseconds(&direct)
+        );
+    }
+}
--- /dev/null
+++ b/benches/amqp_node/node.rs
@@ -0,0 +1,30 @@
+//! The node under load: the built program with its AMQP frontend.
+
+use crate::support::Bench;
+use std::net::{SocketAddr, TcpListener};
+
+const AMQP_CONFIG: &str =
+    r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
+
+/// A running node.
+pub struct Node {
+    pub pid: u32,
+    /// Where AMQP clients connect.
+    pub address: SocketAddr,
+    /// Ends the process when it is dropped.
+    _bench: Bench,
+}
+
+impl Node {
+    /// Starts a node in front of these servers.
+    pub fn start(servers: Vec<TcpListener>) -> Node {
+        let bench = Bench::with_args(servers, Some(AMQP_CONFIG), &[], |settings| {
+            settings.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
+        });
+        Node {
+            pid: bench.process.child.id(),
+            address: bench.amqp.expect("the frontend is on"),
+            _bench: bench,
+        }
+    }
+}
