--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -1,15 +1,11 @@
 //! Protocol headers (2.2), SASL (standard, section 5.3) and open (2.7.1).
 
-use super::{
-    Auth, Connection, Event, PeerInfo, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, MIN_PEER_IDLE_TIMEOUT,
-    SASL_HEADER,
-};
+use super::{Auth, Connection, Event, PeerInfo, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, SASL_HEADER};
 use crate::error::{condition, fault, Fault};
 use crate::frame::{write_frame, AMQP};
 use crate::performative::{Open, Performative, SaslOutcome};
 use crate::sasl::{self, Mechanism, Step};
 use crate::scram::SaltedKeys;
-use std::time::Duration;
 
 /// The outcome code of a failed authentication (5.3.3.6).
 const SASL_CODE_AUTH: u8 = 1;
@@ -122,9 +118,7 @@
         }
         self.peer_max_frame_size = max_frame_size;
         self.peer_channel_max = open.channel_max.unwrap_or(u16::MAX);
-        let idle_timeout_ms = open.idle_time_out.filter(|timeout| *timeout > 0);
-        self.peer_idle_timeout =
-            idle_timeout_ms.map(|ms| Duration::from_millis(u64::from(ms)).max(MIN_PEER_IDLE_TIMEOUT));
+        self.idle.set_peer_timeout(open.idle_time_out);
         self.peer = PeerInfo {
             container,
             hostname: open.hostname,
--- a/crates/amqp/src/connection/input.rs
+++ b/crates/amqp/src/connection/input.rs
@@ -20,7 +20,7 @@
         input: &mut &'a [u8],
     ) -> Result<Option<Event<'a>>, Fault> {
         if !input.is_empty() {
-            self.last_received = now;
+            self.idle.on_received(now);
         }
         loop {
             if let Some(event) = self.events.pop_front() {
@@ -86,7 +86,7 @@
             }
             (_, Performative::Begin(begin)) => self.on_begin(channel, *begin).map(Some),
             (_, body) => {
-                let Some(own_channel) = self.by_remote_channel.get(&channel).copied() else {
+                let Some(own_channel) = self.sessions.at_remote_channel(channel) else {
                     return Err(fault(condition::ILLEGAL_STATE, "no such session"));
                 };
                 self.on_session_performative(own_channel, body, payload)
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -19,27 +19,25 @@
     /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's answer is
     /// [`Event::Attached`]. None if there are as many links as the peers allow.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
-        if self.link_count >= self.settings.max_links {
+        if self.sessions.link_count() >= self.settings.max_links {
             return None;
         }
         let handle_max = self.handle_max(channel);
-        let session = self.session_mut(channel);
-        let session = session.filter(|session| session.phase != SessionPhase::Ending)?;
+        self.session(channel).filter(|session| session.phase != SessionPhase::Ending)?;
         let mut link = Link::new(name.to_string(), role, LinkPhase::AttachSent);
         link.receiver_settles_second = attach.rcv_settle_mode == Some(1);
-        let handle = session.insert(link);
-        if handle > handle_max {
-            session.remove(handle);
+        let link_id = self.sessions.insert_link(channel, link)?;
+        if link_id.handle > handle_max {
+            self.sessions.remove_link(link_id);
             return None;
         }
-        self.link_count += 1;
         attach.name = Some(name.to_string());
-        attach.handle = Some(handle);
+        attach.handle = Some(link_id.handle);
         attach.role = Some(role == Role::Receiver);
         attach.initial_delivery_count = (role == Role::Sender).then_some(0);
         attach.max_message_size.get_or_insert(self.settings.max_message_size);
         self.send_performative(channel, attach);
-        Some(LinkId { channel, handle })
+        Some(link_id)
     }
 
     /// The peer's attach: it answers this side's, or requests a link.
@@ -91,14 +89,13 @@
     /// Adds a link that the peer requests.
     fn add_requested_link(&mut self, channel: u16, remote: RemoteAttach) {
         let max_links = self.settings.max_links;
-        let is_full = self.link_count >= max_links;
+        let is_full = self.sessions.link_count() >= max_links;
         let mut link = Link::new(remote.name, remote.role, LinkPhase::AttachReceived);
         link.on_attach(&remote.attach);
-        let Some(session) = self.session_mut(channel) else { return };
-        let handle = session.insert(link);
-        session.by_remote_handle.insert(remote.handle, handle);
-        self.link_count += 1;
-        let link = LinkId { channel, handle };
+        let Some(link) = self.sessions.insert_link(channel, link) else { return };
+        if let Some(session) = self.session_mut(channel) {
+            session.by_remote_handle.insert(remote.handle, link.handle);
+        }
         if is_full {
             let description = format!("no more than {max_links} links on a connection");
             self.refuse_link(link, Error::new(condition::RESOURCE_LIMIT_EXCEEDED, &description));
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -8,10 +8,12 @@
 mod dispositions;
 mod event;
 mod handshake;
+mod idle;
 mod incoming;
 mod input;
 mod links;
 mod outgoing;
+mod session_table;
 mod sessions;
 mod settings;
 
@@ -23,19 +25,17 @@
 use crate::link::{Link, Phase as LinkPhase};
 use crate::performative::{Close, Performative};
 use crate::sasl::{self, Credentials, Mechanism};
-use crate::session::{Map, Phase as SessionPhase, Session};
+use crate::session::{Phase as SessionPhase, Session};
 use dispositions::DispositionBatch;
+use idle::IdleTimer;
+use session_table::SessionTable;
 use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
-use std::time::Duration;
 
 const SASL_HEADER: &[u8; 8] = b"AMQP\x03\x01\x00\x00";
 const AMQP_HEADER: &[u8; 8] = b"AMQP\x00\x01\x00\x00";
 /// Every peer accepts frames of this size, in octets (2.4.1); SASL frames are no larger (5.3.1).
 const MIN_MAX_FRAME_SIZE: u32 = 512;
-/// The shortest idle timeout of a peer that is honoured: a user that calls [`Connection::tick`] every 0.2 s can do no
-/// better.
-const MIN_PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Stage {
@@ -67,15 +67,8 @@
     peer: PeerInfo,
     peer_max_frame_size: u32,
     peer_channel_max: u16,
-    peer_idle_timeout: Option<Duration>,
-    last_received: MonotonicTime,
-    last_sent: MonotonicTime,
-    /// By this side's channel.
-    sessions: Vec<Option<Session>>,
-    /// This side's channel, by the peer's.
-    by_remote_channel: Map<u16, u16>,
-    /// Links on all sessions together.
-    link_count: usize,
+    idle: IdleTimer,
+    sessions: SessionTable,
     /// Events that were not taken yet.
     events: VecDeque<Event<'static>>,
     /// A disposition that may still grow into a range.
@@ -106,6 +99,7 @@
     }
 
     fn new(now: MonotonicTime, settings: Settings, auth: Auth) -> Connection {
+        let idle = IdleTimer::new(now, settings.idle_timeout);
         Connection {
             settings,
             auth,
@@ -114,12 +108,8 @@
             peer: PeerInfo::default(),
             peer_max_frame_size: MIN_MAX_FRAME_SIZE,
             peer_channel_max: 0,
-            peer_idle_timeout: None,
-            last_received: now,
-            last_sent: now,
-            sessions: Vec::new(),
-            by_remote_channel: Map::default(),
-            link_count: 0,
+            idle,
+            sessions: SessionTable::default(),
             events: VecDeque::new(),
             batch: None,
             out: Vec::new(),
@@ -207,28 +197,24 @@
         if self.stage == Stage::Closed {
             return None;
         }
-        let idle_timeout = self.settings.idle_timeout;
-        let peer_timeout =
-            (!idle_timeout.is_zero()).then(|| self.last_received + idle_timeout + Duration::from_nanos(1));
-        let own_timeout = self.peer_idle_timeout.filter(|_| self.is_open());
-        let heartbeat = own_timeout.map(|timeout| self.last_sent + timeout / 2);
-        peer_timeout.into_iter().chain(heartbeat).min()
+        let heartbeat = self.idle.heartbeat_deadline().filter(|_| self.is_open());
+        self.idle.peer_deadline().into_iter().chain(heartbeat).min()
     }
 
     fn session(&self, channel: u16) -> Option<&Session> {
-        self.sessions.get(channel as usize)?.as_ref()
+        self.sessions.get(channel)
     }
 
     fn session_mut(&mut self, channel: u16) -> Option<&mut Session> {
-        self.sessions.get_mut(channel as usize)?.as_mut()
+        self.sessions.get_mut(channel)
     }
 
     fn link(&self, link: LinkId) -> Option<&Link> {
-        self.session(link.channel)?.link(link.handle)
+        self.sessions.link(link)
     }
 
     fn link_mut(&mut self, link: LinkId) -> Option<&mut Link> {
-        self.session_mut(link.channel)?.link_mut(link.handle)
+        self.sessions.link_mut(link)
     }
 
     /// Checks the idle timeouts (2.4.5): sends a heartbeat if the peer's requires one. To be called at
@@ -237,12 +223,10 @@
     /// # Errors
     /// The peer has sent nothing for longer than this side's idle timeout: the connection is to be closed.
     pub fn tick(&mut self, now: MonotonicTime) -> Result<(), Fault> {
-        let idle_timeout = self.settings.idle_timeout;
-        if !idle_timeout.is_zero() && now.saturating_duration_since(self.last_received) > idle_timeout {
+        if self.idle.is_peer_silent(now) {
             return Err(fault(condition::RESOURCE_LIMIT_EXCEEDED, "idle time-out"));
         }
-        let is_due = |timeout: Duration| now.saturating_duration_since(self.last_sent) >= timeout / 2;
-        if self.is_open() && self.peer_idle_timeout.is_some_and(is_due) && self.out.is_empty() {
+        if self.is_open() && self.idle.is_heartbeat_due(now) && self.out.is_empty() {
             write_frame(&mut self.out, AMQP, 0, None, &[]);
         }
         Ok(())
@@ -252,7 +236,7 @@
     pub fn take_output(&mut self, now: MonotonicTime) -> Vec<u8> {
         self.flush_batch();
         if !self.out.is_empty() {
-            self.last_sent = now;
+            self.idle.on_sent(now);
         }
         std::mem::take(&mut self.out)
     }
@@ -261,7 +245,7 @@
     pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
         self.flush_batch();
         if !self.out.is_empty() {
-            self.last_sent = now;
+            self.idle.on_sent(now);
             buffer.append(&mut self.out);
         }
     }
@@ -291,36 +275,16 @@
     /// Takes all unsettled deliveries, for a user whose transport is lost.
     pub fn abandon(&mut self) -> Vec<AbandonedDelivery> {
         self.events.clear();
-        let mut abandoned = Vec::new();
-        for channel in 0..self.sessions.len() as u16 {
-            let Some(session) = self.session_mut(channel) else { continue };
-            for handle in 0..session.links.len() as u32 {
-                let Some(role) = session.link(handle).map(|link| link.role) else { continue };
-                let link = LinkId { channel, handle };
-                let keys = session.remove(handle).into_iter();
-                abandoned.extend(keys.map(|key| AbandonedDelivery { link, role, key }));
-            }
-        }
-        self.link_count = 0;
-        abandoned
+        self.sessions.remove_all_links()
     }
 
     /// The links that are not being detached, in order.
     pub fn links(&self) -> Vec<LinkId> {
-        let mut links = Vec::new();
-        for (channel, session) in self.sessions.iter().enumerate() {
-            for (handle, link) in session.iter().flat_map(|session| session.links.iter().enumerate()) {
-                if link.as_ref().is_some_and(|link| link.phase != LinkPhase::Closing) {
-                    links.push(LinkId { channel: channel as u16, handle: handle as u32 });
-                }
-            }
-        }
-        links
+        self.sessions.open_links()
     }
 
     /// The channels of the sessions, in order.
     pub fn channels(&self) -> Vec<u16> {
-        let sessions = self.sessions.iter().enumerate();
-        sessions.filter_map(|(channel, session)| session.is_some().then_some(channel as u16)).collect()
+        self.sessions.channels()
     }
 }
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -18,7 +18,7 @@
 
     /// The peer's begin: it answers this side's, or begins a session.
     pub(super) fn on_begin(&mut self, channel: u16, begin: Begin) -> Result<Event<'static>, Fault> {
-        if channel > self.settings.channel_max || self.by_remote_channel.contains_key(&channel) {
+        if channel > self.settings.channel_max || self.sessions.at_remote_channel(channel).is_some() {
             return Err(fault(condition::FRAMING_ERROR, "this channel cannot be begun"));
         }
         if let Some(own_channel) = begin.remote_channel {
@@ -31,7 +31,7 @@
         let own_channel = self
             .add_session(session)
             .ok_or_else(|| fault(condition::RESOURCE_LIMIT_EXCEEDED, "too many sessions"))?;
-        self.by_remote_channel.insert(channel, own_channel);
+        self.sessions.bind_remote_channel(channel, own_channel);
         self.send_performative(own_channel, answer);
         Ok(Event::Began { channel: own_channel })
     }
@@ -50,21 +50,14 @@
             session.phase = SessionPhase::Ending;
         }
         session.remote_channel = Some(channel);
-        self.by_remote_channel.insert(channel, own_channel);
+        self.sessions.bind_remote_channel(channel, own_channel);
         Ok(Event::Began { channel: own_channel })
     }
 
-    /// Adds a session at the first free channel. None if there are as many as the peers allow.
+    /// Adds a session. None if there are as many as the peers allow.
     fn add_session(&mut self, session: Session) -> Option<u16> {
-        let free = self.sessions.iter().position(Option::is_none).unwrap_or(self.sessions.len());
-        if free > self.channel_max() as usize {
-            return None;
-        }
-        if free == self.sessions.len() {
-            self.sessions.push(None);
-        }
-        self.sessions[free] = Some(session);
-        Some(free as u16)
+        let channel_max = self.channel_max();
+        self.sessions.insert(session, channel_max)
     }
 
     /// Ends a session and detaches its links.
@@ -87,19 +80,10 @@
             self.remove_links(channel, error.as_deref());
             self.send_performative(channel, End::default());
         }
-        self.remove_session(channel);
+        self.sessions.remove(channel);
         (!is_ending).then_some(Event::Ended { channel })
     }
 
-    fn remove_session(&mut self, channel: u16) {
-        if let Some(session) = self.sessions.get_mut(channel as usize).and_then(Option::take) {
-            self.link_count -= session.links.iter().flatten().count();
-            if let Some(remote_channel) = session.remote_channel {
-                self.by_remote_channel.remove(&remote_channel);
-            }
-        }
-    }
-
     /// Removes all links of a session and reports it.
     fn remove_links(&mut self, channel: u16, error: Option<&Error>) {
         let handles = self.session(channel).map_or(0, |session| session.links.len() as u32);
@@ -117,9 +101,7 @@
     /// Removes a link. Its unsettled deliveries are reported as lost.
     pub(super) fn remove_link(&mut self, link: LinkId) {
         let Some(role) = self.link(link).map(|link| link.role) else { return };
-        let Some(session) = self.session_mut(link.channel) else { return };
-        let keys = session.remove(link.handle).into_iter();
-        self.link_count -= 1;
+        let keys = self.sessions.remove_link(link).into_iter();
         self.events.extend(keys.map(|key| Event::DeliveryLost { link, role, key }));
     }
 
