--- a/crates/amqp/tests/pair/main.rs
+++ b/crates/amqp/tests/pair.rs
@@ -1,7 +1,9 @@
 //! Two connections against each other, in memory: whatever the order and the pieces, credit and windows
 //! hold and every delivery ends once.
 
+#[path = "pair/delivery_model.rs"]
 mod delivery_model;
+#[path = "pair/pair.rs"]
 mod pair;
 
 use delivery_model::{step, DeliveryModel};
