--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -19,6 +19,16 @@
     state: Option<State>,
 }
 
+/// What this side says of one delivery.
+pub(super) struct OutgoingDisposition {
+    /// This side's role.
+    pub role: Role,
+    /// The delivery's number in its session.
+    pub id: u32,
+    pub settled: bool,
+    pub state: Option<State>,
+}
+
 impl Connection {
     /// Records an unsettled delivery with its session.
     pub(super) fn track_unsettled(&mut self, link: LinkId, direction: Direction, id: u32, key: u64) {
@@ -65,7 +75,9 @@
         if !settles_second {
             self.remove_unsettled(channel, Direction::Incoming, id);
         }
-        self.send_disposition(channel, Role::Receiver, id, !settles_second, Some(state));
+        let settled = !settles_second;
+        let disposition = OutgoingDisposition { role: Role::Receiver, id, settled, state: Some(state) };
+        self.send_disposition(channel, disposition);
     }
 
     /// The peer's disposition.
@@ -117,7 +129,9 @@
                 link.abort = Some(id);
             }
             if !settled {
-                self.send_disposition(channel, Role::Sender, id, true, state.clone());
+                let state = state.clone();
+                let disposition = OutgoingDisposition { role: Role::Sender, id, settled: true, state };
+                self.send_disposition(channel, disposition);
             }
             self.events.push_back(Event::Settled {
                 link: link_id,
@@ -130,14 +144,8 @@
     }
 
     /// Sends a disposition, or adds it to the batch.
-    pub(super) fn send_disposition(
-        &mut self,
-        channel: u16,
-        role: Role,
-        id: u32,
-        settled: bool,
-        state: Option<State>,
-    ) {
+    pub(super) fn send_disposition(&mut self, channel: u16, disposition: OutgoingDisposition) {
+        let OutgoingDisposition { role, id, settled, state } = disposition;
         if let Some(batch) = &mut self.batch {
             let is_next = batch.last.wrapping_add(1) == id && (batch.channel, batch.role) == (channel, role);
             if is_next && batch.settled == settled && batch.state == state {
--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -28,6 +28,33 @@
     pub settled: bool,
 }
 
+/// How a link is detached (2.6.4 to 2.6.6).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum LinkEnd {
+    /// It is closed: nothing of it remains.
+    Closed,
+    /// It is suspended and may be resumed.
+    Suspended,
+}
+
+impl LinkEnd {
+    /// What the `closed` field of a detach says.
+    pub(super) fn from_field(closed: Option<bool>) -> LinkEnd {
+        match closed {
+            Some(true) => LinkEnd::Closed,
+            Some(false) | None => LinkEnd::Suspended,
+        }
+    }
+
+    /// The `closed` field of a detach.
+    pub(super) fn to_field(self) -> Option<bool> {
+        match self {
+            LinkEnd::Closed => Some(true),
+            LinkEnd::Suspended => None,
+        }
+    }
+}
+
 /// A transfer that was received: a delivery or a piece of one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingTransfer<'a> {
@@ -142,8 +169,8 @@
     Detached {
         /// The link.
         link: LinkId,
-        /// It is closed; otherwise it is suspended and may be resumed.
-        closed: bool,
+        /// Whether it may be resumed.
+        end: LinkEnd,
         /// The peer's reason.
         error: Option<Box<Error>>,
     },
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -1,6 +1,6 @@
 //! Deliveries that are received (2.6.14), and the receiver's credit (2.6.7).
 
-use super::{Connection, Event, IncomingTransfer, LinkId};
+use super::{Connection, Event, IncomingTransfer, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{IncompleteDelivery, Link, Phase as LinkPhase, Role};
 use crate::performative::Transfer;
@@ -35,8 +35,8 @@
             Ok(transfer) => Ok(Some(Event::Transfer { link: link_id, transfer })),
             Err(Violation::Fatal(fault)) => Err(fault),
             Err(Violation::Link(error)) => {
-                self.detach(link_id, true, Some(Box::new(error)));
-                self.events.push_back(Event::Detached { link: link_id, closed: true, error: None });
+                self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
+                self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Closed, error: None });
                 Ok(None)
             }
         }
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -1,6 +1,6 @@
 //! Links: attach and detach (2.6.3 to 2.6.6).
 
-use super::{Connection, Event, LinkId};
+use super::{Connection, Event, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{Link, Phase as LinkPhase, Role};
 use crate::performative::{Attach, Detach};
@@ -66,8 +66,8 @@
         if phase != LinkPhase::Closing {
             // The newer link wins (2.6.1).
             let error = Error::new(condition::STOLEN, "the link was attached again");
-            self.detach(link_id, false, Some(Box::new(error)));
-            self.events.push_back(Event::Detached { link: link_id, closed: false, error: None });
+            self.detach(link_id, LinkEnd::Suspended, Some(Box::new(error)));
+            self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Suspended, error: None });
         }
         self.add_requested_link(channel, remote);
         Ok(None)
@@ -133,12 +133,11 @@
             ..Attach::default()
         };
         self.send_performative(link_id.channel, attach);
-        self.detach(link_id, true, Some(Box::new(error)));
+        self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
     }
 
-    /// Detaches a link: it is closed, or may be resumed. Its unsettled deliveries are reported as
-    /// [`Event::DeliveryLost`].
-    pub fn detach(&mut self, link_id: LinkId, closed: bool, error: Option<Box<Error>>) {
+    /// Detaches a link. Its unsettled deliveries are reported as [`Event::DeliveryLost`].
+    pub fn detach(&mut self, link_id: LinkId, end: LinkEnd, error: Option<Box<Error>>) {
         let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::Closing);
         let Some(link) = link else { return };
         let role = link.role;
@@ -148,7 +147,7 @@
             self.events.extend(keys.map(|key| Event::DeliveryLost { link: link_id, role, key }));
         }
         let handle = Some(link_id.handle);
-        self.send_performative(link_id.channel, Detach { handle, closed: closed.then_some(true), error });
+        self.send_performative(link_id.channel, Detach { handle, closed: end.to_field(), error });
     }
 
     /// The peer's detach.
@@ -157,15 +156,15 @@
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
         let link_id = self.link_at_remote_handle(channel, handle)?;
         let is_closing = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::Closing);
-        let closed = detach.closed == Some(true);
+        let end = LinkEnd::from_field(detach.closed);
         if !is_closing {
             let handle = Some(link_id.handle);
-            let answer = Detach { handle, closed: closed.then_some(true), error: None };
+            let answer = Detach { handle, closed: end.to_field(), error: None };
             self.send_performative(channel, answer);
         }
         self.remove_link(link_id);
         if !is_closing {
-            self.events.push_back(Event::Detached { link: link_id, closed, error: detach.error });
+            self.events.push_back(Event::Detached { link: link_id, end, error: detach.error });
         }
         Ok(())
     }
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -17,7 +17,7 @@
 mod sessions;
 mod settings;
 
-pub use event::{AbandonedDelivery, Event, IncomingTransfer, LinkId, Outgoing, PeerInfo};
+pub use event::{AbandonedDelivery, Event, IncomingTransfer, LinkEnd, LinkId, Outgoing, PeerInfo};
 pub use settings::Settings;
 
 use crate::error::{condition, fault, Error, Fault};
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -1,5 +1,6 @@
 //! Deliveries that are sent (2.6.14), and the sender's credit (2.6.7).
 
+use super::dispositions::OutgoingDisposition;
 use super::{Connection, LinkId, Outgoing, Stage};
 use crate::codec::{format_code, put_u32, put_variable};
 use crate::frame::{write_frame_with, AMQP};
@@ -112,7 +113,8 @@
     /// Settles a delivery that was sent completely: no event reports its state any more.
     pub fn settle_outgoing(&mut self, link: LinkId, id: u32) {
         if self.remove_unsettled(link.channel, Direction::Outgoing, id).is_some() {
-            self.send_disposition(link.channel, Role::Sender, id, true, None);
+            let disposition = OutgoingDisposition { role: Role::Sender, id, settled: true, state: None };
+            self.send_disposition(link.channel, disposition);
         }
     }
 
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -1,6 +1,6 @@
 //! Sessions: begin, end and flow (2.5).
 
-use super::{Connection, Event, LinkId};
+use super::{Connection, Event, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{Phase as LinkPhase, Role};
 use crate::performative::{Begin, End, Flow};
@@ -93,7 +93,7 @@
             self.remove_link(link);
             if phase != LinkPhase::Closing {
                 let error = error.cloned().map(Box::new);
-                self.events.push_back(Event::Detached { link, closed: false, error });
+                self.events.push_back(Event::Detached { link, end: LinkEnd::Suspended, error });
             }
         }
     }
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -51,7 +51,7 @@
 pub use codec::{decode, encode, DecodeError};
 pub use composite::Composite;
 pub use connection::{
-    AbandonedDelivery, Connection, Event, IncomingTransfer, LinkId, Outgoing, PeerInfo, Settings,
+    AbandonedDelivery, Connection, Event, IncomingTransfer, LinkEnd, LinkId, Outgoing, PeerInfo, Settings,
 };
 pub use error::{condition, fault, Error, Fault};
 pub use frame::{read_frame, write_frame, write_frame_with, Frame, AMQP, SASL};
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use sparbank_amqp::{
     condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach,
-    Disposition, End, Error, Event, Flow, Head, Mechanism, Message, Open, Outgoing, Performative, Role,
-    SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer,
-    Value, AMQP, SASL,
+    Disposition, End, Error, Event, Flow, Head, LinkEnd, Mechanism, Message, Open, Outgoing, Performative,
+    Role, SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus,
+    Transfer, Value, AMQP, SASL,
 };
 use sparbank_time::MonotonicTime;
 
@@ -182,7 +182,7 @@
             conn.return_credit(link);
         }
         (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
-        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
+        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, LinkEnd::Closed, None),
         (Event::Began { channel }, Answer::Accept) => {
             conn.attach(channel, "ours", Role::Sender, Attach::default());
         }
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -11,8 +11,8 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sparbank_amqp::{
-    condition, read_frame, write_frame, Attach, Connection, Credentials, Error, Event, LinkId, Mechanism,
-    Pbkdf2, Performative, Role, SaltedKeys, SaslRequest, Settings, State, Tag, Transfer, AMQP,
+    condition, read_frame, write_frame, Attach, Connection, Credentials, Error, Event, LinkEnd, LinkId,
+    Mechanism, Pbkdf2, Performative, Role, SaltedKeys, SaslRequest, Settings, State, Tag, Transfer, AMQP,
 };
 use sparbank_time::MonotonicTime;
 
@@ -70,7 +70,7 @@
         for key in 0..5u64 {
             pair.ends[0].send(ours, out(key, key == 3), &[7; 100], true, 1 << 16);
         }
-        pair.ends[0].detach(ours, true, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
+        pair.ends[0].detach(ours, LinkEnd::Closed, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
         pair.ends[0].close(None);
         let mut bytes = pair.ends[0].take_output(MonotonicTime::ZERO);
         let at = at % bytes.len();
--- a/crates/amqp/tests/pair/pair.rs
+++ b/crates/amqp/tests/pair/pair.rs
@@ -40,7 +40,7 @@
         Event::Settled { link, id, key, state } => Event::Settled { link, id, key, state },
         Event::SettledBySender { link, key } => Event::SettledBySender { link, key },
         Event::DeliveryLost { link, role, key } => Event::DeliveryLost { link, role, key },
-        Event::Detached { link, closed, error } => Event::Detached { link, closed, error },
+        Event::Detached { link, end, error } => Event::Detached { link, end, error },
         Event::Closed { error } => Event::Closed { error },
     }
 }
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -5,7 +5,7 @@
 use super::clients::{ClientLink, Flushed};
 use super::connection_link::ConnectionLink;
 use super::delivery_requests::transfers::TransferHandler;
-use super::delivery_requests::{DeliveryRequests, LinkEnd};
+use super::delivery_requests::DeliveryRequests;
 use super::forwarding::Forwarding;
 use super::info::FrontendInfo;
 use super::peers::Peers;
@@ -201,10 +201,7 @@
                     client.add_detached_request(RequestId(key));
                 }
             }
-            Event::Detached { link, closed, .. } => {
-                let end = if closed { LinkEnd::Closed } else { LinkEnd::Suspended };
-                self.links().on_detached(at(link), end);
-            }
+            Event::Detached { link, end, .. } => self.links().on_detached(at(link), end),
             _ => {}
         }
     }
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -5,7 +5,7 @@
 use super::class_names::AddressField;
 use super::clients::{ClientLink, IncompleteDelivery, SendingLink};
 use super::connection_link::ConnectionLink;
-use super::delivery_requests::{DeliveryRequests, DetachedLink, LinkEnd};
+use super::delivery_requests::{DeliveryRequests, DetachedLink};
 use super::forwarding::Forwarding;
 use super::info::FrontendInfo;
 use super::nonce::nonce;
@@ -14,7 +14,7 @@
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use crate::frontend::FrontendContext;
 use crate::model::RequestId;
-use sparbank_amqp::{condition, Attach, Error, Role, Source, State, Target, Terminus, Value};
+use sparbank_amqp::{condition, Attach, Error, LinkEnd, Role, Source, State, Target, Terminus, Value};
 use std::rc::Rc;
 use std::time::Duration;
 
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -29,7 +29,8 @@
     /// The address where AMQP clients connect; port 0 lets the system pick one.
     pub listen: SocketAddr,
     /// The largest frame accepted, in octets.
-    pub max_frame: u32,
+    #[serde(rename = "max_frame")]
+    pub max_frame_bytes: u32,
     /// The highest channel: sessions on a connection, less one.
     pub channel_max: u16,
     /// The highest handle of a session.
@@ -37,16 +38,18 @@
     /// The most links on one connection.
     pub max_links: usize,
     /// The session's incoming window, in frames.
-    pub window: u32,
+    #[serde(rename = "window")]
+    pub incoming_window_frames: u32,
     /// The most deliveries on one link that neither side has settled.
     #[serde(rename = "unsettled")]
     pub max_unsettled: u32,
-    /// The credit of a link, where nothing is short.
+    /// The credit of a link, while memory is not short.
     pub credit: u32,
     /// The credit of all links of one subscriber together.
     pub subscriber_credit: u32,
     /// The largest message accepted, in octets.
-    pub max_message: u64,
+    #[serde(rename = "max_message")]
+    pub max_message_bytes: u64,
     /// Messages up to this size, in octets, are buffered until they are answered, so that they can be retried. Of
     /// larger ones, what was sent is discarded.
     #[serde(rename = "keep")]
@@ -109,7 +112,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FullServerEntry {
-    /// The address; the one in discovery where it is absent.
+    /// The address; if absent, the one in discovery.
     #[serde(default)]
     pub address: Option<SocketAddr>,
     /// The user to authenticate as.
@@ -127,7 +130,7 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sasl {
-    /// PLAIN where there is a user, ANONYMOUS otherwise.
+    /// PLAIN if there is a user, ANONYMOUS otherwise.
     #[default]
     Plain,
     /// SCRAM-SHA-256.
@@ -162,15 +165,15 @@
     fn default() -> AmqpConfig {
         AmqpConfig {
             listen: SocketAddr::from(([127, 0, 0, 1], 5672)),
-            max_frame: 16 * 1024,
+            max_frame_bytes: 16 * 1024,
             channel_max: 15,
             handle_max: 255,
             max_links: 256,
-            window: 256,
+            incoming_window_frames: 256,
             max_unsettled: 1024,
             credit: 64,
             subscriber_credit: 65_536,
-            max_message: 1024 * 1024,
+            max_message_bytes: 1024 * 1024,
             max_retryable_bytes: 64 * 1024,
             max_buffered_bytes: 8 * 1024 * 1024,
             max_connections_per_address: 1024,
@@ -215,13 +218,17 @@
     /// Checks the fields' values; `path` is the file, for errors.
     fn check(&self, path: &Path) -> Result<(), FileError> {
         let wrong = |field: &str, problem: &str| Err(FileError::field(path, field, problem));
-        if self.max_frame < MIN_MAX_FRAME_BYTES {
+        if self.max_frame_bytes < MIN_MAX_FRAME_BYTES {
             return wrong("max_frame", "at least 512");
         }
-        if self.max_frame > MAX_MAX_FRAME_BYTES {
+        if self.max_frame_bytes > MAX_MAX_FRAME_BYTES {
             return wrong("max_frame", "at most 1048576: a frame is held whole");
         }
-        if self.window == 0 || self.credit == 0 || self.max_unsettled == 0 || self.max_links == 0 {
+        if self.incoming_window_frames == 0
+            || self.credit == 0
+            || self.max_unsettled == 0
+            || self.max_links == 0
+        {
             return wrong("window, credit, unsettled, max_links", "at least 1");
         }
         if self.max_server_links_per_class == 0 || self.max_server_connections == 0 {
@@ -235,7 +242,7 @@
 
     /// The octets of input that a connection buffers: a frame, and the start of the next.
     pub fn read_ahead_bytes(&self) -> usize {
-        self.max_frame as usize + READ_AHEAD_BEYOND_FRAME_BYTES
+        self.max_frame_bytes as usize + READ_AHEAD_BEYOND_FRAME_BYTES
     }
 
     /// The limits of clients' connections.
@@ -243,13 +250,13 @@
         Settings {
             container: container.to_string(),
             hostname: None,
-            max_frame_size: self.max_frame,
+            max_frame_size: self.max_frame_bytes,
             channel_max: self.channel_max,
             handle_max: self.handle_max,
             max_links: self.max_links,
-            incoming_window: self.window,
+            incoming_window: self.incoming_window_frames,
             max_unsettled: self.max_unsettled,
-            max_message_size: self.max_message,
+            max_message_size: self.max_message_bytes,
             idle_timeout: Duration::from_millis(u64::from(self.client_idle_ms)),
             initial_id: 0,
         }
--- a/src/frontend/amqp/config/tests.rs
+++ b/src/frontend/amqp/config/tests.rs
@@ -24,9 +24,9 @@
 fn a_file_with_the_keys_of_version_00677b7_is_read_alike() {
     let config = AmqpConfig::read(&fixture("amqp.json")).expect("sound");
     assert_eq!(config.listen, SocketAddr::from(([127, 0, 0, 1], 5672)));
-    assert_eq!((config.max_frame, config.channel_max, config.handle_max), (8192, 3, 63));
-    assert_eq!((config.max_links, config.window, config.max_unsettled), (32, 128, 512));
-    assert_eq!((config.credit, config.subscriber_credit, config.max_message), (16, 1024, 262_144));
+    assert_eq!((config.max_frame_bytes, config.channel_max, config.handle_max), (8192, 3, 63));
+    assert_eq!((config.max_links, config.incoming_window_frames, config.max_unsettled), (32, 128, 512));
+    assert_eq!((config.credit, config.subscriber_credit, config.max_message_bytes), (16, 1024, 262_144));
     assert_eq!((config.max_retryable_bytes, config.max_buffered_bytes), (32_768, 1_048_576));
     assert_eq!((config.max_connections_per_address, config.client_idle_ms), (64, 20_000));
     assert_eq!(config.server_idle_ms, 9000, "region_idle_ms");
@@ -77,7 +77,7 @@
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("deploy/amqp.json");
     let config = AmqpConfig::read(&path).expect("sound");
     assert_eq!(
-        (config.max_frame, config.max_buffered_bytes, config.client_idle_ms),
+        (config.max_frame_bytes, config.max_buffered_bytes, config.client_idle_ms),
         (16_384, 8_388_608, 10_000)
     );
     assert!(config.servers.is_empty());
--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -16,7 +16,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
-use sparbank_amqp::{AbandonedDelivery, Role, State, Tag};
+use sparbank_amqp::{AbandonedDelivery, LinkEnd, Role, State, Tag};
 use std::time::Duration;
 
 /// The requests that are deliveries of clients.
@@ -58,15 +58,6 @@
     pub requests: Vec<RequestId>,
 }
 
-/// How a link ends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkEnd {
-    /// It is over.
-    Closed,
-    /// It may be resumed.
-    Suspended,
-}
-
 impl DeliveryRequests {
     /// Figures for the counter line.
     pub fn counters(&self) -> DeliveryCounters {
--- a/src/frontend/amqp/forwarding/mod.rs
+++ b/src/frontend/amqp/forwarding/mod.rs
@@ -18,7 +18,7 @@
 use crate::net::Token;
 use forwarder::Forwarder;
 use outcome::{detached_outcome, refused_attach_outcome};
-use sparbank_amqp::{condition, Attach, Error, IncomingTransfer, Role, State, Target, Terminus};
+use sparbank_amqp::{condition, Attach, Error, IncomingTransfer, LinkEnd, Role, State, Target, Terminus};
 use table::ForwarderTable;
 
 /// All forwarders.
@@ -216,7 +216,7 @@
                 self.aborted += 1;
                 client.conn.abort(link.id);
             }
-            client.conn.detach(link.id, true, error.map(Box::new));
+            client.conn.detach(link.id, LinkEnd::Closed, error.map(Box::new));
         }
         peers.clients.mark_dirty(link.token);
     }
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -1,5 +1,5 @@
 //! The AMQP 1.0 frontend. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
-//! is a request that is established once its server sends. The protocol itself is `sparbank-amqp`'s.
+//! is a request that is established once its server attaches. The protocol itself is `sparbank-amqp`'s.
 //!
 //! [`AmqpFrontend`] is what the event loop calls. It owns the parts below and lends them to whoever handles a call:
 //!
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -27,7 +27,7 @@
 use link_placement::LinkPlacer;
 use sending::{DeliverySender, MAX_UNWRITTEN_BYTES};
 use server::{ClassQueue, Server, WaitingForwarder};
-use sparbank_amqp::Attach;
+use sparbank_amqp::{Attach, LinkEnd};
 
 /// What a lost connection leaves behind.
 #[derive(Default)]
@@ -134,7 +134,7 @@
             let Some(connection) = self.connections.get_mut(*token) else { continue };
             if let Some(link) = connection.link_of_forwarder(forwarder) {
                 connection.remove_link(link);
-                connection.conn.detach(link, true, None);
+                connection.conn.detach(link, LinkEnd::Closed, None);
                 is_attached = true;
             }
         }
@@ -148,7 +148,7 @@
     pub fn detach_source(&mut self, link: ConnectionLink) {
         if let Some(connection) = self.connections.get_mut(link.token) {
             connection.remove_link(link.id);
-            connection.conn.detach(link.id, true, None);
+            connection.conn.detach(link.id, LinkEnd::Closed, None);
         }
         self.mark_connection_dirty(link.token);
     }
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -125,7 +125,7 @@
         self.identities.get(user).cloned()
     }
 
-    /// The identity of anonymous clients, where they may connect.
+    /// The identity of anonymous clients, if they may connect.
     pub fn anonymous(&self) -> Option<Rc<Identity>> {
         self.anonymous.clone()
     }
