--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -48,7 +48,7 @@
         match event.kind {
             SocketEventKind::Accepted => return self.accept(token),
             SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
-                self.ctx.requests.counters.idle_closed += 1;
+                self.ctx.requests.counters_mut().idle_closed += 1;
                 self.ctx.net.close(token);
                 return self.on_gone(token);
             }
@@ -62,7 +62,7 @@
     fn accept(&mut self, token: Token) {
         let net = &mut *self.ctx.net;
         if net.is_short_of_descriptors() && !net.reclaim_descriptors() {
-            self.ctx.requests.counters.capacity_rejected += 1;
+            self.ctx.requests.counters_mut().capacity_rejected += 1;
             return self.ctx.net.close(token);
         }
         let tls_listener = self.info.tls_listener;
@@ -85,7 +85,7 @@
         let address = net.peer_addr(token).map(|peer| peer.ip());
         let max_per_address = config.max_connections_per_address;
         if self.peers.clients.insert(token, conn, tls, address, max_per_address).is_err() {
-            self.ctx.requests.counters.capacity_rejected += 1;
+            self.ctx.requests.counters_mut().capacity_rejected += 1;
             self.ctx.net.close(token);
         }
     }
@@ -162,7 +162,7 @@
     /// Closes a connection whose client breaks the protocol.
     fn close_on_fault(&mut self, token: Token, fault: Fault) {
         let Some(client) = self.peers.clients.get(token) else { return };
-        self.ctx.requests.counters.malformed += 1;
+        self.ctx.requests.counters_mut().malformed += 1;
         tracing::warn!(
             condition = %fault.condition,
             description = %fault.description,
--- a/src/frontend/amqp/delivery_requests/transfers.rs
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -171,9 +171,9 @@
     /// Settles a delivery that did not become a request.
     fn settle_at_once(&mut self, received: ReceivedTransfer<'_, '_>, state: State) {
         if matches!(state, State::Rejected(_)) {
-            self.ctx.requests.counters.malformed += 1;
+            self.ctx.requests.counters_mut().malformed += 1;
         } else {
-            self.ctx.requests.counters.capacity_rejected += 1;
+            self.ctx.requests.counters_mut().capacity_rejected += 1;
         }
         if let Some(client) = self.peers.clients.get(received.link.token) {
             client.conn.settle(received.link.id.channel, received.transfer.id, state);
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -101,7 +101,7 @@
         };
         let tls_address = tls_listener.as_ref().map(|listener| tracing::field::display(listener.addr));
         tracing::info!(listen = %address, tls_listen = tls_address, "AMQP frontend ready");
-        let classes = ClassNames::new(site.classes.iter().map(|class| class.name.clone()).collect());
+        let classes = ClassNames::new(site.class_names.clone());
         let servers = Servers::new(id, node_name, classes.clone());
         let tls_listener = tls_listener.map(|listener| listener.token);
         let info = FrontendInfo { id, container: node_name.to_string(), classes, tls_listener };
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -175,10 +175,7 @@
         let conn = Connection::dial(ctx.now, config.server_settings(&self.container), credentials);
         let connection = ServerConnection { conn, server, links: FastHashMap::default() };
         self.by_token.insert(token, connection);
-        ctx.wheel.schedule(
-            ctx.now + ctx.site.limits.dial_timeout_ns,
-            TimerEvent::ConnectTimeout(self.frontend, token),
-        );
+        ctx.wheel.schedule(ctx.now + ctx.site.dial_timeout, TimerEvent::ConnectTimeout(self.frontend, token));
         self.write_pending(ctx, token);
         Ok(token)
     }
