--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -1,6 +1,6 @@
 //! Links: attach and detach (2.6.3 to 2.6.6).
 
-use super::{Connection, Event, LinkId};
+use super::{Connection, Event, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{Link, Phase as LinkPhase, Role};
 use crate::performative::{Attach, Detach};
@@ -17,29 +17,27 @@
 
 impl Connection {
     /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's answer is
-    /// [`Event::Attached`]. None where there are as many links as the peers allow.
+    /// [`Event::Attached`]. None if there are as many links as the peers allow.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
-        if self.link_count >= self.settings.max_links {
+        if self.sessions.link_count() >= self.settings.max_links {
             return None;
         }
         let handle_max = self.handle_max(channel);
-        let session = self.session_mut(channel);
-        let session = session.filter(|session| session.phase != SessionPhase::Ending)?;
+        self.session(channel).filter(|session| session.phase != SessionPhase::Ending)?;
         let mut link = Link::new(name.to_string(), role, LinkPhase::AttachSent);
         link.receiver_settles_second = attach.rcv_settle_mode == Some(1);
-        let handle = session.insert(link);
-        if handle > handle_max {
-            session.remove(handle);
+        let link_id = self.sessions.insert_link(channel, link)?;
+        if link_id.handle > handle_max {
+            self.sessions.remove_link(link_id);
             return None;
         }
-        self.link_count += 1;
         attach.name = Some(name.to_string());
-        attach.handle = Some(handle);
+        attach.handle = Some(link_id.handle);
         attach.role = Some(role == Role::Receiver);
         attach.initial_delivery_count = (role == Role::Sender).then_some(0);
         attach.max_message_size.get_or_insert(self.settings.max_message_size);
         self.send_performative(channel, attach);
-        Some(LinkId { channel, handle })
+        Some(link_id)
     }
 
     /// The peer's attach: it answers this side's, or requests a link.
@@ -68,8 +66,8 @@
         if phase != LinkPhase::Closing {
             // The newer link wins (2.6.1).
             let error = Error::new(condition::STOLEN, "the link was attached again");
-            self.detach(link_id, false, Some(Box::new(error)));
-            self.events.push_back(Event::Detached { link: link_id, closed: false, error: None });
+            self.detach(link_id, LinkEnd::Suspended, Some(Box::new(error)));
+            self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Suspended, error: None });
         }
         self.add_requested_link(channel, remote);
         Ok(None)
@@ -91,14 +89,13 @@
     /// Adds a link that the peer requests.
     fn add_requested_link(&mut self, channel: u16, remote: RemoteAttach) {
         let max_links = self.settings.max_links;
-        let is_full = self.link_count >= max_links;
+        let is_full = self.sessions.link_count() >= max_links;
         let mut link = Link::new(remote.name, remote.role, LinkPhase::AttachReceived);
         link.on_attach(&remote.attach);
-        let Some(session) = self.session_mut(channel) else { return };
-        let handle = session.insert(link);
-        session.by_remote_handle.insert(remote.handle, handle);
-        self.link_count += 1;
-        let link = LinkId { channel, handle };
+        let Some(link) = self.sessions.insert_link(channel, link) else { return };
+        if let Some(session) = self.session_mut(channel) {
+            session.by_remote_handle.insert(remote.handle, link.handle);
+        }
         if is_full {
             let description = format!("no more than {max_links} links on a connection");
             self.refuse_link(link, Error::new(condition::RESOURCE_LIMIT_EXCEEDED, &description));
@@ -136,12 +133,11 @@
             ..Attach::default()
         };
         self.send_performative(link_id.channel, attach);
-        self.detach(link_id, true, Some(Box::new(error)));
+        self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
     }
 
-    /// Detaches a link: it is closed, or may be resumed. Its unsettled deliveries are reported as
-    /// [`Event::DeliveryLost`].
-    pub fn detach(&mut self, link_id: LinkId, closed: bool, error: Option<Box<Error>>) {
+    /// Detaches a link. Its unsettled deliveries are reported as [`Event::DeliveryLost`].
+    pub fn detach(&mut self, link_id: LinkId, end: LinkEnd, error: Option<Box<Error>>) {
         let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::Closing);
         let Some(link) = link else { return };
         let role = link.role;
@@ -151,7 +147,7 @@
             self.events.extend(keys.map(|key| Event::DeliveryLost { link: link_id, role, key }));
         }
         let handle = Some(link_id.handle);
-        self.send_performative(link_id.channel, Detach { handle, closed: closed.then_some(true), error });
+        self.send_performative(link_id.channel, Detach { handle, closed: end.to_field(), error });
     }
 
     /// The peer's detach.
@@ -160,15 +156,15 @@
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
         let link_id = self.link_at_remote_handle(channel, handle)?;
         let is_closing = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::Closing);
-        let closed = detach.closed == Some(true);
+        let end = LinkEnd::from_field(detach.closed);
         if !is_closing {
             let handle = Some(link_id.handle);
-            let answer = Detach { handle, closed: closed.then_some(true), error: None };
+            let answer = Detach { handle, closed: end.to_field(), error: None };
             self.send_performative(channel, answer);
         }
         self.remove_link(link_id);
         if !is_closing {
-            self.events.push_back(Event::Detached { link: link_id, closed, error: detach.error });
+            self.events.push_back(Event::Detached { link: link_id, end, error: detach.error });
         }
         Ok(())
     }
