--- a/benches/amqp_node.rs
+++ b/benches/amqp_node.rs
@@ -5,14 +5,12 @@
 //! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
 //! latency that the same clients see at the servers directly, in the same run.
 
-#[path = "../tests/support/mod.rs"]
-mod support;
-
 use hdrhistogram::Histogram;
 use rustix::event::epoll;
 use sparbank_amqp::{
     Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus,
 };
+use sparbank_test_support::{listener, message, Bench};
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -20,7 +18,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Barrier};
 use std::time::{Duration, Instant};
-use support::{listener, message, Bench};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 const SERVERS: usize = 4;
@@ -317,7 +317,7 @@
 
 fn node(servers: Vec<TcpListener>) -> Bench {
     let on = r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
-    Bench::with_args(servers, Some(on), &[], |text| {
+    Bench::with_args(PROGRAM, servers, Some(on), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
     })
 }
@@ -333,7 +333,7 @@
         std::thread::spawn(move || server(copy, stop));
     }
     let bench = node(servers);
-    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("the frontend is on"));
+    let (pid, addr) = (bench.process.id(), bench.amqp.expect("the frontend is on"));
     let small = message(60_000, "7f3a", &[7; 200]);
     println!("{} octets a message, {SERVERS} servers", small.len());
     clients(pid, addr, 4, items / 10, &small, 64, None);
@@ -376,7 +376,7 @@
 /// 1,000 connections with 4 links each.
 fn memory() {
     let bench = node(vec![listener()]);
-    let (pid, addr) = (bench.process.child.id(), bench.amqp.expect("on"));
+    let (pid, addr) = (bench.process.id(), bench.amqp.expect("on"));
     let before = resident_mb(pid);
     let mut ends = Vec::new();
     for _ in 0..1000 {
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -99,7 +99,7 @@
 impl LeaseModel {
     fn new(fault: Fault, members: &[u16], max_requests: [usize; 2]) -> LeaseModel {
         let plan = plan();
-        plan.validate().unwrap();
+        plan.validate().expect("the plan is valid");
         LeaseModel { plan, fault, max_ticks: 2, max_requests, max_log_entries: 4, members: members.to_vec() }
     }
 
--- a/crates/quota/tests/schedules/fleet.rs
+++ b/crates/quota/tests/schedules/fleet.rs
@@ -32,7 +32,7 @@
             Quota { burst: u64::from(MEMBERS), ..retries },
         ],
     };
-    plan.validate().unwrap();
+    plan.validate().expect("the plan is valid");
     plan
 }
 
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -46,6 +46,9 @@
 }
 
 /// Plays one schedule to its end, on this thread alone.
+///
+/// # Panics
+/// The peers of the nodes cannot be set up.
 pub fn run(options: &Options, schedule: &Schedule) -> Report {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, world::play(options, schedule))
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -114,6 +114,9 @@
     }
 
     /// Starts a process of a node; clients come once it has answered.
+    ///
+    /// # Panics
+    /// The program cannot be started, or its files cannot be written.
     pub async fn start(&self, number: usize) {
         let node = &self.nodes[number];
         node.starts.set(node.starts.get() + 1);
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -82,6 +82,9 @@
 
 impl Servers {
     /// Starts so many servers.
+    ///
+    /// # Panics
+    /// The system has no free port.
     pub async fn start(checker: &Rc<RefCell<Checker>>, count: usize) -> Servers {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
--- a/tests/support/amqp.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -1,21 +1,27 @@
-//! AMQP stand-ins: a client or a server that says what a test has it say, frame by frame.
+//! One end of an AMQP connection, which a test plays frame by frame: a client, or a server.
 
-use super::Peer;
+use crate::peer::Peer;
 use sparbank_amqp as amqp;
 use sparbank_amqp::{Attach, Performative, Source, State, Target, Terminus, Value};
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
 /// One end of an AMQP connection, past its handshake, with one session on channel 0.
+#[derive(Debug)]
 pub struct AmqpPeer {
+    /// The connection.
     pub peer: Peer,
     bytes: Vec<u8>,
 }
 
-/// What comes next.
-pub enum Next {
+/// What is read next.
+#[derive(Debug)]
+pub enum NextFrame {
+    /// An empty frame.
     Heartbeat,
+    /// A frame with its payload.
     Body(Box<Performative>, Vec<u8>),
+    /// The connection has ended.
     Ended,
 }
 
@@ -24,7 +30,7 @@
 macro_rules! until {
     ($peer:expr, $kind:ident) => {
         loop {
-            if let (sparbank_amqp::Performative::$kind(body), payload) = $peer.next() {
+            if let ($crate::amqp::Performative::$kind(body), payload) = $peer.next_body() {
                 break (body, payload);
             }
         }
@@ -138,6 +144,7 @@
         self
     }
 
+    /// Begins a session, or accepts the one of this channel, with room for this many frames.
     pub fn begin(&mut self, remote_channel: Option<u16>, window: u32) {
         let (next_outgoing_id, outgoing_window) = (Some(0), Some(100));
         let incoming_window = Some(window);
@@ -151,6 +158,7 @@
         self.put(begin);
     }
 
+    /// Sends a performative on the first channel.
     pub fn put(&mut self, body: impl Into<Performative>) {
         self.put_kind(amqp::AMQP, body.into(), &[]);
     }
@@ -168,37 +176,43 @@
         AmqpPeer { peer: Peer::new(stream), bytes: Vec::new() }
     }
 
+    /// Sends a frame of this type with a payload on the first channel.
     pub fn put_kind(&mut self, kind: u8, body: Performative, payload: &[u8]) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, kind, 0, Some(&body), payload);
         self.peer.stream.write_all(&out).expect("written");
     }
 
-    pub fn frame(&mut self) -> Next {
+    /// Reads the next frame.
+    pub fn frame(&mut self) -> NextFrame {
         loop {
             let mut left = &self.bytes[..];
             if let Some(frame) = amqp::read_frame(&mut left, u32::MAX).expect("a sound frame") {
                 let (body, payload) = (frame.body, frame.payload.to_vec());
                 let taken = self.bytes.len() - left.len();
                 self.bytes.drain(..taken);
-                return body.map_or(Next::Heartbeat, |body| Next::Body(Box::new(body), payload));
+                return body.map_or(NextFrame::Heartbeat, |body| NextFrame::Body(Box::new(body), payload));
             }
             let mut chunk = [0; 4096];
             // A connection that ends, closed or lost, ends the stand-in.
             let count = self.peer.reader.read(&mut chunk).unwrap_or(0);
             if count == 0 {
-                return Next::Ended;
+                return NextFrame::Ended;
             }
             self.bytes.extend(&chunk[..count]);
         }
     }
 
-    pub fn next(&mut self) -> (Performative, Vec<u8>) {
+    /// Reads the next frame that is not empty.
+    ///
+    /// # Panics
+    /// The connection ends.
+    pub fn next_body(&mut self) -> (Performative, Vec<u8>) {
         loop {
             match self.frame() {
-                Next::Body(body, payload) => return (*body, payload),
-                Next::Heartbeat => {}
-                Next::Ended => panic!("the connection ended"),
+                NextFrame::Body(body, payload) => return (*body, payload),
+                NextFrame::Heartbeat => {}
+                NextFrame::Ended => panic!("the connection ended"),
             }
         }
     }
@@ -213,7 +227,7 @@
             amqp::Attach { name, handle, role, target, initial_delivery_count: count, ..Default::default() };
         self.put(attach);
         loop {
-            match self.next().0 {
+            match self.next_body().0 {
                 Performative::Flow(flow) => return Ok(flow.link_credit.expect("credit")),
                 Performative::Detach(detach) => return Err(detach),
                 _ => {}
@@ -320,29 +334,3 @@
         self.put(amqp::Disposition { role, first, settled, state: Some(state), ..Default::default() });
     }
 }
-
-/// A message for the node of this name, with a time to live and a place for replies.
-pub fn addressed(to: &str, reply_to: Option<&str>, ttl: u32, body: &[u8]) -> Vec<u8> {
-    let mut out = Vec::new();
-    let header = vec![Value::Bool(false), Value::Null, Value::Uint(ttl)];
-    amqp::encode(&Value::composite(0x70, header), &mut out);
-    let reply = reply_to.map_or(Value::Null, Value::text);
-    amqp::encode(
-        &Value::composite(0x73, vec![Value::Null, Value::Null, Value::text(to), Value::Null, reply]),
-        &mut out,
-    );
-    amqp::encode(&Value::described(0x75, Value::Binary(body.to_vec())), &mut out);
-    out
-}
-
-/// A message with a time to live and a key.
-pub fn message(ttl: u32, key: &str, body: &[u8]) -> Vec<u8> {
-    let section = |code: u64, value: Value| Value::Described(Box::new(Value::Ulong(code)), Box::new(value));
-    let mut out = Vec::new();
-    let header = vec![Value::Bool(true), Value::Null, Value::Uint(ttl)];
-    amqp::encode(&section(0x70, Value::List(header)), &mut out);
-    let key = (Value::Text("key".into()), Value::Text(key.into()));
-    amqp::encode(&section(0x74, Value::Map(vec![key])), &mut out);
-    amqp::encode(&section(0x75, Value::Binary(body.to_vec())), &mut out);
-    out
-}
--- a/tests/support/bench.rs
+++ b/crates/test-support/src/bench.rs
@@ -1,8 +1,12 @@
 //! The test bench: one node with its discovery and its servers.
 
-use super::node_config::{config, instance, open_line, temp_file};
-use super::node_process::{log_field, NodeProcess, StartOptions};
-use super::peer::{accept_any, listener, try_accept, Peer};
+use crate::listeners::{accept_any, listener, try_accept};
+use crate::log::{counter_value, log_field};
+use crate::node_config::{config, instance, open_line, temp_file};
+use crate::peer::Peer;
+use crate::process::{NodeProcess, StartOptions};
+use crate::watch_protocol::{chunk, list_json, ListKind, WATCH_RESPONSE_HEAD};
+use rustix::process::Signal;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -12,13 +16,18 @@
 
 /// A node with its discovery and its servers.
 pub struct Bench {
+    /// The newest process of the node.
     pub process: NodeProcess,
     start_options: StartOptions,
+    /// Where the node listens for clients of the text protocol.
     pub addr: SocketAddr,
+    /// Where its AMQP frontend listens, if it is on.
     pub amqp: Option<SocketAddr>,
     /// The AMQP frontend's log line about its listeners.
     pub amqp_line: String,
+    /// Where the node finds discovery.
     pub discovery: TcpListener,
+    /// The listeners of its servers.
     pub servers: Vec<TcpListener>,
     /// The version of the endpoint list.
     pub generation: u64,
@@ -30,27 +39,29 @@
     // ---- Starting ------------------------------------------------------------------------------
 
     /// Starts a node that knows this many servers and speaks text only.
-    pub fn start(servers: usize) -> Bench {
-        Bench::with((0..servers).map(|_| listener()).collect(), None)
+    pub fn start(program: &str, servers: usize) -> Bench {
+        Bench::with(program, (0..servers).map(|_| listener()).collect(), None)
     }
 
     /// Starts a node; the AMQP frontend is on where its settings are given.
-    pub fn with(servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
-        Bench::with_args(servers, amqp, &[], str::to_string)
+    pub fn with(program: &str, servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
+        Bench::with_args(program, servers, amqp, &[], str::to_string)
     }
 
     /// Starts a node with further arguments and an edited configuration.
     pub fn with_args(
+        program: &str,
         servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
         edit: fn(&str) -> String,
     ) -> Bench {
-        Bench::with_env(servers, amqp, args, edit, &[])
+        Bench::with_env(program, servers, amqp, args, edit, &[])
     }
 
     /// The same, in an environment with these variables.
     pub fn with_env(
+        program: &str,
         servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
@@ -66,7 +77,7 @@
             .collect();
         let config = edit(&config(discovery_addr, &instances.join(","), NODE_SOCKETS));
         let config_path = temp_file("node.json", &config);
-        let start_options = start_options(amqp, args, env);
+        let start_options = start_options(program, amqp, args, env);
         let mut process = start_options.spawn(&config_path);
         let addr = listen_addr(&process.wait_for_log("node started"));
         let amqp_line = amqp.map(|_| process.wait_for_log("AMQP frontend ready"));
@@ -102,7 +113,7 @@
         let mut watch = Peer::accept(&self.discovery);
         assert!(watch.read_line().starts_with("GET /registry/instances?watch=1&from="));
         while !watch.read_line().is_empty() {}
-        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        watch.send(WATCH_RESPONSE_HEAD);
         watch
     }
 
@@ -115,14 +126,12 @@
     /// Sends a change that brings this entry.
     pub fn send_endpoint(&mut self, watch: &mut Peer, entry: &str) {
         self.generation += 1;
-        self.send_endpoints(watch, false, entry);
+        self.send_endpoints(watch, ListKind::Incremental, entry);
     }
 
     /// Sends a list of these entries, at the present version.
-    pub fn send_endpoints(&mut self, watch: &mut Peer, reset: bool, entries: &str) {
-        let generation = self.generation;
-        let list = format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{entries}]}}"#) + "\n";
-        watch.send(&format!("{:x}\r\n{list}\r\n", list.len()));
+    pub fn send_endpoints(&mut self, watch: &mut Peer, kind: ListKind, entries: &str) {
+        watch.send(&chunk(&list_json(self.generation, kind, entries)));
     }
 
     /// Discovery is at another address from now on, and the node reloads its configuration.
@@ -144,10 +153,11 @@
     /// The same, and sends SIGHUP.
     pub fn reconfigure(&mut self, edit: impl FnOnce(&str) -> String) {
         self.rewrite_config(edit);
-        self.signal("-HUP");
+        self.signal(Signal::HUP);
     }
 
-    pub fn signal(&self, signal: &str) {
+    /// Sends a signal to the process.
+    pub fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
@@ -156,6 +166,7 @@
         self.process.pause();
     }
 
+    /// Lets the process go on after [`Bench::pause`].
     pub fn resume(&self) {
         self.process.resume();
     }
@@ -187,7 +198,7 @@
 
     /// Makes the node log its counters; yields their line.
     fn counters_line(&mut self) -> String {
-        self.signal("-USR1");
+        self.signal(Signal::USR1);
         self.wait_for_log("counters")
     }
 
@@ -212,7 +223,7 @@
 
     /// Stops the node; yields the line of its last counters.
     pub fn stop(mut self) -> String {
-        self.signal("-TERM");
+        self.signal(Signal::TERM);
         let counters = self.wait_for_log("counters");
         self.process.expect_success();
         counters
@@ -243,26 +254,15 @@
     assert_eq!(client.read_line(), "UP r1");
 }
 
-/// The value of a counter in a line of counters.
-pub fn counter_value(line: &str, name: &str) -> u64 {
-    log_field(line, name).parse().unwrap_or_else(|error| panic!("{name} in {line}: {error}"))
-}
-
-/// The values of several counters in a line of counters.
-pub fn counter_values<const COUNT: usize>(line: &str, names: [&str; COUNT]) -> [u64; COUNT] {
-    names.map(|name| counter_value(line, name))
-}
-
-fn start_options(amqp: Option<&str>, args: &[&str], env: &[(&str, &str)]) -> StartOptions {
-    let mut options = StartOptions::default();
-    options.args.push("serve".to_string());
+fn start_options(program: &str, amqp: Option<&str>, args: &[&str], env: &[(&str, &str)]) -> StartOptions {
+    let mut all_args = vec!["serve".to_string()];
     if let Some(text) = amqp {
         let path = temp_file("amqp.json", text);
-        options.args.extend(["--amqp", path.to_str().expect("a path")].map(str::to_string));
+        all_args.extend(["--amqp", path.to_str().expect("a path")].map(str::to_string));
     }
-    options.args.extend(args.iter().map(|arg| arg.to_string()));
-    options.env.extend(env.iter().map(|(name, value)| (name.to_string(), value.to_string())));
-    options
+    all_args.extend(args.iter().map(|arg| arg.to_string()));
+    let env = env.iter().map(|(name, value)| (name.to_string(), value.to_string()));
+    StartOptions { program: program.to_string(), args: all_args, env: env.collect() }
 }
 
 fn local_addr(listener: &TcpListener) -> SocketAddr {
--- a/tests/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -15,8 +15,11 @@
 /// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Answer {
+    /// It was served.
     Up,
+    /// It was rejected.
     Busy,
+    /// It failed.
     Failed,
     /// The connection ended without an answer.
     ConnectionEnded,
@@ -36,13 +39,21 @@
 /// Counts of one second of the run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondCounts {
+    /// Requests that clients sent.
     pub requests: u32,
+    /// Requests that were served.
     pub up: u32,
+    /// Requests that were rejected.
     pub busy: u32,
+    /// Requests that failed.
     pub failed: u32,
+    /// Connections that servers began to set up.
     pub setups: u32,
+    /// Polls of discovery.
     pub polls: u32,
+    /// Attempts at servers that were warming up.
     pub attempts_at_warming_up: u32,
+    /// Attempts at servers that were dead.
     pub attempts_at_dead: u32,
 }
 
@@ -73,8 +84,11 @@
 /// An attempt as a server sees it.
 #[derive(Clone, Copy)]
 pub struct ObservedAttempt {
+    /// The server.
     pub server: usize,
+    /// Whether it is warming up.
     pub is_warming_up: bool,
+    /// Whether its process is gone.
     pub is_dead: bool,
 }
 
@@ -93,6 +107,7 @@
 }
 
 impl Auditor {
+    /// An auditor of so many nodes, none of which is up.
     pub fn new(nodes: usize) -> Auditor {
         let now = Instant::now();
         Auditor {
@@ -130,14 +145,17 @@
         self.established.max(0) as usize
     }
 
+    /// A client has its connection.
     pub fn on_connection_established(&mut self) {
         self.established += 1;
     }
 
+    /// A client has lost or closed its connection.
     pub fn on_connection_closed(&mut self) {
         self.established -= 1;
     }
 
+    /// Notes a fault; recovery is measured from it.
     pub fn record_fault(&mut self, what: &str) {
         self.timeline.record_fault(what);
     }
@@ -160,10 +178,12 @@
         self.nodes[node].incarnation
     }
 
+    /// Discovery has received a poll.
     pub fn on_poll(&mut self) {
         self.timeline.current_second().polls += 1;
     }
 
+    /// A server begins to set a connection up.
     pub fn on_setup(&mut self) {
         self.timeline.current_second().setups += 1;
     }
--- a/tests/cluster/clients.rs
+++ b/crates/test-support/src/cluster/clients.rs
@@ -3,6 +3,7 @@
 
 use super::auditor::Answer;
 use super::Shared;
+use crate::loopback::answers_ping;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
@@ -26,8 +27,6 @@
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// The clients begin within this time.
 const START_SPREAD_MS: u64 = 4_000;
-/// A node's health check that takes longer than this has failed.
-const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the load balancer checks a node that was down.
 const DOWN_CHECK_INTERVAL_MS: u64 = 100;
 /// Shortest and longest lifetime of a connection, in milliseconds.
@@ -40,32 +39,25 @@
     is_up: Cell<bool>,
 }
 
-/// All clients of a run.
-pub struct Clients {
-    targets: Rc<Vec<Target>>,
-}
-
-impl Clients {
-    pub async fn start(shared: &Shared, addresses: Vec<SocketAddr>, seed: u64) -> Clients {
-        let target = |address| Target { address, is_up: Cell::new(false) };
-        let targets: Rc<Vec<Target>> = Rc::new(addresses.into_iter().map(target).collect());
-        for node in 0..targets.len() {
-            spawn_local(check_health(shared.clone(), targets.clone(), node));
-        }
-        for number in 0..shared.config.clients {
-            let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            let client = Client {
-                shared: shared.clone(),
-                targets: targets.clone(),
-                number,
-                rng,
-                request_count: 0,
-                is_reconnect: false,
-                retries: 0,
-            };
-            spawn_local(client.run());
-        }
-        Clients { targets }
+/// Starts all clients of a run, and the health checks of the load balancer. They run as long as the runtime does.
+pub fn start_clients(shared: &Shared, addresses: Vec<SocketAddr>, seed: u64) {
+    let target = |address| Target { address, is_up: Cell::new(false) };
+    let targets: Rc<Vec<Target>> = Rc::new(addresses.into_iter().map(target).collect());
+    for node in 0..targets.len() {
+        spawn_local(check_health(shared.clone(), targets.clone(), node));
+    }
+    for number in 0..shared.config.clients {
+        let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let client = Client {
+            shared: shared.clone(),
+            targets: targets.clone(),
+            number,
+            rng,
+            request_count: 0,
+            is_reconnect: false,
+            retries: 0,
+        };
+        spawn_local(client.run());
     }
 }
 
@@ -73,21 +65,13 @@
 async fn check_health(shared: Shared, targets: Rc<Vec<Target>>, node: usize) {
     loop {
         let target = &targets[node];
-        target.is_up.set(timeout(HEALTH_CHECK_TIMEOUT, ping(target.address)).await.unwrap_or(false));
+        target.is_up.set(answers_ping(target.address).await);
         let interval_ms =
             if target.is_up.get() { shared.config.node_check_interval_ms } else { DOWN_CHECK_INTERVAL_MS };
         sleep(Duration::from_millis(interval_ms)).await;
     }
 }
 
-async fn ping(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return false };
-    let mut line = String::new();
-    stream.write_all(b"PING\r\n").await.is_ok()
-        && BufReader::new(&mut stream).read_line(&mut line).await.is_ok()
-        && line.trim() == "PONG"
-}
-
 /// How a request and its connection ended.
 enum RequestEnd {
     /// No node accepted it.
--- a/tests/cluster/config.rs
+++ b/crates/test-support/src/cluster/config.rs
@@ -6,7 +6,9 @@
 /// Figures of the simulated peers.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
+    /// Processes under test.
     pub nodes: usize,
+    /// Servers at the start of a run.
     pub servers: usize,
     /// Clients that want an established connection, all the time.
     pub clients: usize,
@@ -31,7 +33,9 @@
 /// A quota on the established connections of all nodes together.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionQuota {
+    /// Connections of all nodes together.
     pub total: usize,
+    /// The duration of a lease.
     pub lease_ms: u64,
     /// Time after the end of a lease until its connections count as closed.
     pub clear_ms: u64,
--- a/tests/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -2,16 +2,17 @@
 //!
 //! Each node has an address of its own here, so the auditor knows which node was notified of what, and when.
 
-use super::links::reset_on_drop;
 use super::servers::Servers;
 use super::Shared;
+use crate::loopback::reset_on_drop;
+use crate::watch_protocol::{chunk, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -19,6 +20,7 @@
 /// How discovery behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryMode {
+    /// It answers polls and serves watches.
     Healthy,
     /// Polls are reset, and watches end.
     Unreachable,
@@ -54,6 +56,7 @@
 }
 
 impl Discovery {
+    /// Starts discovery for all nodes of a run.
     pub async fn start(shared: &Shared, servers: &Servers, seed: u64) -> Discovery {
         let queue = Rc::new(PollQueue {
             mode: Cell::new(DiscoveryMode::Healthy),
@@ -81,6 +84,7 @@
         self.addresses[node]
     }
 
+    /// Discovery behaves like this from now on.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.queue.mode.set(mode);
     }
@@ -99,10 +103,10 @@
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
-        let Some(generation) = read_request(&mut stream).await else { return };
+        let Some(generation) = read_watch_request(&mut stream).await else { return };
         self.shared.auditor.borrow_mut().on_poll();
         if !self.is_admitted().await {
-            let _ = stream.get_mut().write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+            let _ = stream.get_mut().write_all(REJECTION.as_bytes()).await;
             return;
         }
         if self.queue.mode.get() == DiscoveryMode::Unreachable {
@@ -137,8 +141,7 @@
 
     async fn serve_watch(&self, mut stream: TcpStream, from_generation: u64) {
         let incarnation = self.shared.auditor.borrow().incarnation(self.node);
-        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if stream.write_all(head.as_bytes()).await.is_err() {
+        if stream.write_all(WATCH_RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
         let mut sent_generation = from_generation;
@@ -176,29 +179,9 @@
                 }
             };
             last_write = Instant::now();
-            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-            if stream.write_all(chunk.as_bytes()).await.is_err() {
+            if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 }
-
-/// The generation from which a watch request wants changes; none where the connection ends before.
-async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<u64> {
-    let mut line = String::new();
-    let mut generation = 0;
-    loop {
-        line.clear();
-        match stream.read_line(&mut line).await {
-            Ok(count) if count > 2 => {
-                if let Some((_, rest)) = line.split_once("from=") {
-                    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-                    generation = digits.parse().unwrap_or(0);
-                }
-            }
-            Ok(2) => return Some(generation),
-            _ => return None,
-        }
-    }
-}
--- a/tests/cluster/links.rs
+++ b/crates/test-support/src/cluster/links.rs
@@ -1,5 +1,6 @@
 //! A TCP proxy on one link: it forwards, blocks (both ways or one), delays and resets, and heals.
 
+use crate::loopback::reset_on_drop;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,6 +33,7 @@
 
 /// One link, with its own address.
 pub struct Link {
+    /// Where the side that connects finds it.
     pub address: SocketAddr,
     mode: Rc<Cell<LinkMode>>,
 }
@@ -58,6 +60,7 @@
         Link { address, mode }
     }
 
+    /// The link behaves like this from now on.
     pub fn set_mode(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
@@ -117,8 +120,3 @@
         sleep(MODE_CHECK_INTERVAL).await;
     }
 }
-
-/// The connection is reset, rather than ended in order, once it is dropped.
-pub fn reset_on_drop(stream: &TcpStream) {
-    let _ = rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO));
-}
--- a/tests/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -1,10 +1,9 @@
-//! A multi-process test harness: nodes of the built program on loopback, and simulated peers round them (discovery,
+//! A multi-process test harness: nodes of the program under test on loopback, and simulated peers round them (discovery,
 //! servers, the session ledger and clients), all of those in one thread and from one seed.
 //!
 //! A run is judged by the peers' own clocks and records ([`auditor::Auditor`]), never by what a node logs. A script
 //! injects the faults. The same seed gives the same script, the same population and the same random draws of every
 //! peer. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` set what a test plays.
-#![allow(dead_code, reason = "each test that includes this module uses some of it")]
 
 pub mod auditor;
 pub mod clients;
@@ -16,8 +15,9 @@
 pub mod servers;
 pub mod summary;
 
+use crate::loopback::{AddressBlock, AddressRange};
 use auditor::{Auditor, Summary};
-use clients::Clients;
+use clients::start_clients;
 pub use config::{ClusterConfig, ConnectionQuota};
 use discovery::{Discovery, DiscoveryMode};
 use ledger::Ledger;
@@ -27,9 +27,7 @@
 use rand_pcg::Pcg64Mcg;
 use servers::Servers;
 use std::cell::RefCell;
-use std::net::SocketAddr;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
@@ -47,48 +45,36 @@
 /// What all simulated peers share.
 #[derive(Clone)]
 pub struct Shared {
+    /// What the peers saw.
     pub auditor: Rc<RefCell<Auditor>>,
+    /// The figures of the cluster.
     pub config: Rc<ClusterConfig>,
 }
 
 /// A running cluster.
 pub struct Cluster {
+    /// What all simulated peers share.
     pub shared: Shared,
+    /// The processes under test.
     pub nodes: Nodes,
+    /// Discovery, for all nodes.
     pub discovery: Discovery,
+    /// All servers.
     pub servers: Servers,
+    /// The random numbers of the script.
     pub rng: Pcg64Mcg,
+    /// The seed of all random numbers.
     pub seed: u64,
-    clients: Clients,
     /// The links from clients to nodes, by node.
     pub client_links: Vec<Link>,
     /// The links from nodes to discovery, by node.
     pub discovery_links: Vec<Link>,
 }
 
-/// Addresses of this run's own, in 127.0.0.0/8: by process and by run, so that tests do not collide.
-pub struct Addresses {
-    base: u32,
-}
-
-impl Addresses {
-    fn new() -> Addresses {
-        static RUNS: AtomicU32 = AtomicU32::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let own = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % 16_000;
-        Addresses { base: 0x7f10_0000 + own * 256 }
-    }
-
-    /// The address of a node.
-    pub fn of_node(&self, node: usize, port: u16) -> SocketAddr {
-        SocketAddr::from((std::net::Ipv4Addr::from(self.base + 1 + node as u32), port))
-    }
-}
-
 impl Cluster {
     /// Starts all nodes and clients, and waits until the cluster is in service.
     pub async fn start(seed: u64, config: ClusterConfig, program: &str) -> Cluster {
-        let addresses = Addresses::new();
+        let addresses = AddressBlock::of_new_run(AddressRange::Cluster);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let auditor = Rc::new(RefCell::new(Auditor::new(config.nodes)));
         let shared = Shared { auditor, config: Rc::new(config) };
@@ -108,9 +94,9 @@
             nodes.start(node, &servers.complete_list_json());
         }
         let node_addresses = client_links.iter().map(|link| link.address).collect();
-        let clients = Clients::start(&shared, node_addresses, rng.random()).await;
+        start_clients(&shared, node_addresses, rng.random());
         let mut cluster =
-            Cluster { shared, nodes, discovery, servers, rng, seed, clients, client_links, discovery_links };
+            Cluster { shared, nodes, discovery, servers, rng, seed, client_links, discovery_links };
         cluster.wait_until_in_service().await;
         cluster
     }
@@ -230,7 +216,9 @@
 
 /// What a test plays.
 pub struct TestPlan {
+    /// The seeds of its runs.
     pub seeds: Vec<u64>,
+    /// The nodes of each run.
     pub nodes: usize,
 }
 
@@ -247,11 +235,6 @@
     }
 }
 
-/// The program under test.
-pub fn program_under_test() -> &'static str {
-    env!("CARGO_BIN_EXE_sparbank")
-}
-
 /// Plays a script to its end, on this thread alone.
 pub fn block_on<F: std::future::Future>(script: F) -> F::Output {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
--- a/tests/cluster/nodes.rs
+++ b/crates/test-support/src/cluster/nodes.rs
@@ -1,11 +1,13 @@
 //! The processes under test: started, killed, stopped and continued, each by its own process id alone.
 
-use super::{Addresses, ConnectionQuota, Shared};
-use rustix::process::{kill_process, Pid, Signal};
+use super::{ConnectionQuota, Shared};
+use crate::loopback::AddressBlock;
+use crate::process::{configure_node, ChildProcess};
+use rustix::process::Signal;
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 
 /// Port at which a node listens to other nodes.
 const QUOTA_PORT: u16 = 7100;
@@ -16,7 +18,7 @@
     address: SocketAddr,
     discovery: SocketAddr,
     config_file: PathBuf,
-    child: Option<Child>,
+    child: Option<ChildProcess>,
     starts: u64,
 }
 
@@ -38,7 +40,7 @@
     /// The nodes of a run, none of them started. `discovery_addresses` is by node.
     pub fn new(
         shared: &Shared,
-        addresses: &Addresses,
+        addresses: &AddressBlock,
         discovery_addresses: Vec<SocketAddr>,
         program: &str,
         seed: u64,
@@ -68,11 +70,8 @@
         );
         std::fs::write(&node.config_file, config).expect("a configuration");
         let mut command = Command::new(&self.program);
-        command.arg("serve").env("NODE_CONFIG", &node.config_file);
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
-        for name in ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"] {
-            command.env_remove(name);
-        }
+        command.arg("serve").stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
+        configure_node(&mut command, &node.config_file);
         if let Some(quota) = self.shared.config.quota {
             let file = node.quota_file();
             std::fs::write(&file, quota_json(&members, quota)).expect("a quota file");
@@ -81,7 +80,7 @@
         if let Ok(folder) = std::env::var("FLEET_LOGS") {
             write_log(&mut command, Path::new(&folder), number, node.starts);
         }
-        node.child = Some(command.spawn().expect("the program starts"));
+        node.child = Some(ChildProcess::spawn(&mut command));
         self.shared.auditor.borrow_mut().on_node_up(number);
     }
 
@@ -96,8 +95,7 @@
 
     fn signal(&self, number: usize, signal: Signal) {
         if let Some(child) = &self.nodes.borrow()[number].child {
-            let pid = Pid::from_child(child);
-            kill_process(pid, signal).expect("a child that was not waited for");
+            child.signal(signal).expect("a child that was not waited for");
         }
     }
 
@@ -110,8 +108,7 @@
     pub fn kill(&self, number: usize) {
         if let Some(mut child) = self.nodes.borrow_mut()[number].child.take() {
             self.shared.auditor.borrow_mut().on_node_down(number);
-            let _ = child.kill();
-            let _ = child.wait();
+            child.kill();
         }
     }
 
@@ -123,9 +120,7 @@
     /// Whether a node has ended by itself, after [`Nodes::terminate`].
     pub fn has_ended(&self, number: usize) -> bool {
         let node = &mut self.nodes.borrow_mut()[number];
-        let has_exited =
-            node.child.as_mut().is_some_and(|child| child.try_wait().is_ok_and(|status| status.is_some()));
-        if has_exited {
+        if node.child.as_mut().is_some_and(|child| child.try_wait().is_some()) {
             node.child = None;
             self.shared.auditor.borrow_mut().on_node_down(number);
         }
@@ -147,10 +142,7 @@
     /// Ends all nodes and removes their files.
     pub fn kill_all(&self) {
         for node in self.nodes.borrow_mut().iter_mut() {
-            if let Some(mut child) = node.child.take() {
-                let _ = child.kill();
-                let _ = child.wait();
-            }
+            node.child = None;
             let _ = std::fs::remove_file(&node.config_file);
             let _ = std::fs::remove_file(node.quota_file());
         }
--- a/tests/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -6,8 +6,9 @@
 
 use super::auditor::ObservedAttempt;
 use super::ledger::Ledger;
-use super::links::reset_on_drop;
 use super::Shared;
+use crate::loopback::reset_on_drop;
+use crate::watch_protocol::{endpoint_json, list_json, ListKind};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,14 +33,18 @@
 /// What the endpoint list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
+    /// It takes requests.
     Ready,
+    /// It takes nothing new.
     Draining,
+    /// The list leaves it out.
     Removed,
 }
 
 /// What a server does with connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
+    /// It serves.
     Healthy,
     /// Its process is gone; each attempt is counted and reset.
     Dead,
@@ -48,7 +53,7 @@
 }
 
 struct Server {
-    name: String,
+    number: usize,
     address: SocketAddr,
     status: Status,
     health: Health,
@@ -79,16 +84,14 @@
             Status::Draining => "draining",
             Status::Removed => "gone",
         };
-        format!(
-            r#"{{"instanceId":"{}","hostPort":"{}","zone":"a","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{}}}"#,
-            self.name, self.address, self.started_at_ms
-        )
+        endpoint_json(self.number, self.address, lifecycle, self.started_at_ms)
     }
 }
 
 /// A server that a list names.
 #[derive(Clone, Copy, Debug)]
 pub struct NamedEndpoint {
+    /// Its number.
     pub server: usize,
     /// Whether it takes anything new.
     pub is_ready: bool,
@@ -97,8 +100,11 @@
 /// A list as a watch writes it.
 #[derive(Clone)]
 pub struct EndpointList {
+    /// Its version.
     pub generation: u64,
+    /// Whether it names all servers, or those that have changed.
     pub is_complete: bool,
+    /// The servers that it names.
     pub endpoints: Vec<NamedEndpoint>,
     /// JSON of each endpoint.
     documents: Vec<String>,
@@ -110,18 +116,17 @@
         EndpointList { generation, is_complete, endpoints, documents: Vec::new() }
     }
 
+    /// The list as it is written.
     pub fn json(&self) -> String {
-        let documents = self.documents.join(",");
-        format!(
-            r#"{{"generation":{},"reset":{},"instances":[{documents}]}}"#,
-            self.generation, self.is_complete
-        )
+        let kind = if self.is_complete { ListKind::Complete } else { ListKind::Incremental };
+        list_json(self.generation, kind, &self.documents.join(","))
     }
 }
 
 /// Open connections at all servers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionPeak {
+    /// The most that were open at once.
     pub max_open: usize,
     /// How often they were counted: at each new one.
     pub counted: u64,
@@ -177,7 +182,7 @@
             state.generation += u64::from(is_warming_up);
             let generation = state.generation;
             state.servers.push(Server {
-                name: format!("s-{number}"),
+                number,
                 address,
                 status: Status::Ready,
                 health: Health::Healthy,
@@ -221,6 +226,7 @@
         self.state.borrow_mut().saved_list = Some(list);
     }
 
+    /// The list that was saved last.
     pub fn saved_list(&self) -> Option<EndpointList> {
         self.state.borrow().saved_list.clone()
     }
@@ -296,7 +302,11 @@
             }
             let is_overloaded =
                 server.overloaded_since.is_some_and(|since| since.elapsed() >= OVERLOAD_AFTER);
-            self.shared.auditor.borrow_mut().on_slow_start_load(&server.name, load, is_overloaded);
+            self.shared.auditor.borrow_mut().on_slow_start_load(
+                &format!("s-{}", server.number),
+                load,
+                is_overloaded,
+            );
         }
     }
 
--- a/tests/cluster/summary.rs
+++ b/crates/test-support/src/cluster/summary.rs
@@ -38,7 +38,9 @@
     pub max_slow_start_load: f64,
     /// Attempts seen at servers: each was checked.
     pub attempts: u64,
+    /// Requests that clients sent.
     pub requests: u64,
+    /// Of these, served ones.
     pub up: u64,
     /// The run second by second, and its figures.
     pub timeline: String,
@@ -46,9 +48,13 @@
 
 /// How a cluster recovered from its faults.
 pub struct Recovery {
+    /// See [`Summary::recovery_from_last_fault`].
     pub from_last_fault: Option<Duration>,
+    /// The same from the first fault.
     pub from_first_fault: Option<Duration>,
+    /// Connections established before the first fault.
     pub established_before: i64,
+    /// The fewest connections established after the first fault.
     pub min_established: i64,
 }
 
@@ -67,6 +73,7 @@
 }
 
 impl Timeline {
+    /// A run that began at this time.
     pub fn new(started_at: Instant) -> Timeline {
         Timeline { started_at, seconds: Vec::new(), samples: Vec::new(), faults: Vec::new() }
     }
@@ -95,6 +102,7 @@
         self.samples.resize(wanted.max(self.samples.len()), established);
     }
 
+    /// Notes a fault that begins now.
     pub fn record_fault(&mut self, what: &str) {
         self.faults.push(Fault { at: Instant::now(), what: what.to_string() });
     }
--- a/tests/support/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -1,5 +1,6 @@
 //! Configurations of a node, and request lines of its classes.
 
+use crate::watch_protocol::endpoint_json;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -20,10 +21,8 @@
 }
 
 /// A server's entry in the endpoint list.
-pub fn instance(at: usize, addr: SocketAddr, lifecycle: &str) -> String {
-    format!(
-        r#"{{"instanceId":"s-{at}","hostPort":"{addr}","zone":"a","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
-    )
+pub fn instance(server: usize, address: SocketAddr, lifecycle: &str) -> String {
+    endpoint_json(server, address, lifecycle, 0)
 }
 
 /// Writes a file that only this test uses; yields its path.
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -1,19 +1,21 @@
 //! The admin API over loopback: calls, drain and resume.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{
+    config, counter_value, established_client, listener, log_field, node_command, temp_file, Bench, Peer,
+    Signal,
+};
 use std::net::SocketAddr;
 use std::process::Output;
 use std::time::Duration;
-use support::{
-    config, counter_value, established_client, listener, log_field, node_command, temp_file, Bench, Peer,
-};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// A node with an admin API, and its address.
 fn node(servers: usize) -> (Bench, SocketAddr) {
     let servers = (0..servers).map(|_| listener()).collect();
-    let mut bench = Bench::with_args(servers, None, &[], |text| {
+    let mut bench = Bench::with_args(PROGRAM, servers, None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
     let line = bench.wait_for_log("admin API ready");
@@ -118,21 +120,21 @@
 fn calls_during_shutdown_get_its_status() {
     let (mut bench, at) = node(1);
     let (mut client, _task) = established_client(&bench, 1);
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
     assert_eq!(call(at, "POST /-/resume").0, 409);
     assert_eq!(call(at, "GET /-/ready").0, 503);
     assert_eq!(call(at, "POST /-/drain").0, 200);
     assert_eq!(ping(&bench), "BUSY");
     assert_eq!(client.read_line(), "MOVE");
-    assert!(bench.process.child.wait().expect("it ends").success());
+    assert!(bench.process.wait().success());
 }
 
 /// The output of a node that does not start with this address of the admin API.
 fn start_with_address(address: &str) -> Output {
     let text = config(listener().local_addr().expect("an address"), "", 256)
         .replace(r#""listen":"#, &format!(r#""operator":"{address}","listen":"#));
-    node_command(&["serve"], &temp_file("node.json", &text)).output().expect("it ends")
+    node_command(PROGRAM, &["serve"], &temp_file("node.json", &text)).output().expect("it ends")
 }
 
 #[rstest]
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,13 +1,16 @@
 //! Stories over loopback for the AMQP frontend, against stand-in clients and servers.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{condition, Detach, Message, Performative, State, Tag, Transfer, Value};
+use sparbank_test_support::{
+    accept_any, counter_value, instance, listener, message, until, AmqpPeer, Bench, NextFrame, Peer, Signal,
+};
 use std::collections::VecDeque;
 use std::net::TcpListener;
 use std::sync::{Arc, Mutex};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
@@ -17,7 +20,7 @@
 }
 
 fn bench(servers: usize) -> Bench {
-    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 /// A client with a link to this class.
@@ -219,12 +222,12 @@
 fn heartbeats_keep_the_clients_idle_time_out() {
     let bench = bench(1);
     let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), Some(400));
-    assert!(matches!(client.frame(), Next::Heartbeat), "an empty frame");
+    assert!(matches!(client.frame(), NextFrame::Heartbeat), "an empty frame");
 }
 
 #[rstest]
 fn a_message_too_large_detaches_its_link_and_the_connection_goes_on() {
-    let bench = Bench::with(vec![listener()], Some(r#"{"listen":"127.0.0.1:0","max_message":100}"#));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0","max_message":100}"#));
     let mut client = client(&bench, CLASS);
     client.deliver(0, &message(1200, "7f3a", &[0; 200]));
     client.deliver(1, &message(1200, "7f3a", b"sent before the detach came"));
@@ -269,7 +272,7 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
     // Its credit is taken back first.
     while until!(client, Flow).0.link_credit != Some(0) {}
@@ -277,7 +280,7 @@
     assert_eq!(answer(&mut client), State::Accepted);
     let error = until!(client, Close).0.error.expect("why");
     assert_eq!(error.condition, condition::CONNECTION_FORCED);
-    assert!(bench.process.child.wait().expect("it ends").success());
+    assert!(bench.process.wait().success());
 }
 
 /// How attempts go, in turn, at whichever server they come to.
@@ -306,7 +309,7 @@
 fn amqp_server(task: Peer, script: &Script) {
     let mut server = AmqpPeer::server(task, 100, 4096);
     server.link(100, 100);
-    while let Next::Body(body, _) = server.frame() {
+    while let NextFrame::Body(body, _) = server.frame() {
         if let Performative::Transfer(transfer) = *body {
             let state = match next(script) {
                 Act::Serve => State::Accepted,
@@ -345,7 +348,7 @@
     let copies: Vec<TcpListener> = servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     serve(copies, text_server);
     serve(amqp, amqp_server);
-    let mut bench = Bench::with(servers, Some(&file));
+    let mut bench = Bench::with(PROGRAM, servers, Some(&file));
     let mut client = client(&bench, CLASS);
     let mut counted = Vec::new();
     for text in [true, false] {
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -1,15 +1,19 @@
 //! Stories of who may come in: users, passwords, classes.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{condition, Connection, Credentials, Event, SaslRequest, Settings, State, Transfer};
+use sparbank_test_support::{
+    config, counter_value, listener, message, node_command, temp_file, until, AmqpPeer, Bench, NextFrame,
+    Peer,
+};
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 
@@ -20,7 +24,7 @@
     for class in classes {
         args.extend(["--class", class]);
     }
-    let mut child = node_command(&args, &path).stdin(Stdio::piped()).spawn().expect("it starts");
+    let mut child = node_command(PROGRAM, &args, &path).stdin(Stdio::piped()).spawn().expect("it starts");
     let mut stdin = child.stdin.take().expect("its input");
     stdin.write_all(format!("{password}\n").as_bytes()).expect("written");
     drop(stdin);
@@ -35,7 +39,7 @@
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users.to_str().expect("a path")
     );
-    Bench::with(vec![listener()], Some(&on))
+    Bench::with(PROGRAM, vec![listener()], Some(&on))
 }
 
 /// Comes in by SCRAM-SHA-256 with the library's own client; whether it is let in.
@@ -141,7 +145,7 @@
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users("anna", "wind", &[]).to_str().expect("a path")
     );
-    let bench = Bench::with_args(vec![listener()], Some(&on), &[], |text| {
+    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(&on), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
     let addr = bench.amqp.expect("on");
@@ -166,7 +170,7 @@
     std::thread::spawn(move || {
         let mut server = AmqpPeer::server(Peer::accept(&listener), 1000, 65536);
         server.link(1000, 1000);
-        while let Next::Body(body, _) = server.frame() {
+        while let NextFrame::Body(body, _) = server.frame() {
             if let sparbank_amqp::Performative::Transfer(Transfer { delivery_id: Some(id), .. }) = *body {
                 server.settle(id, State::Accepted);
             }
@@ -192,7 +196,7 @@
     let amqp = temp_file("amqp.json", &format!(r#"{{"users":{path:?}}}"#));
     let node = temp_file("node.json", &config(listener().local_addr().expect("bound"), "", 256));
     let args = ["check-config", "--amqp", amqp.to_str().expect("a path")];
-    let output = node_command(&args, &node).output().expect("it runs");
+    let output = node_command(PROGRAM, &args, &node).output().expect("it runs");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).expect("text");
     assert!(text.contains(names) && text.lines().count() == 1, "{text}");
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -1,7 +1,5 @@
 //! A public client library against the node, as client and as server.
 
-mod support;
-
 use fe2o3_amqp::acceptor::{
     ConnectionAcceptor, LinkAcceptor, LinkEndpoint, SaslAnonymousMechanism, SessionAcceptor,
 };
@@ -10,9 +8,12 @@
 use fe2o3_amqp::types::primitives::Value;
 use fe2o3_amqp::{Connection, Receiver, Sender, Session};
 use rstest::rstest;
+use sparbank_test_support::{listener, node_command, temp_file, Bench};
 use std::net::TcpListener;
 use std::time::Duration;
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
@@ -77,7 +78,7 @@
 #[case::a_server_with_sasl(true)]
 #[case::a_server_without(false)]
 fn the_library_sends_receives_and_comes_again(#[case] sasl: bool) {
-    let mut bench = Bench::with(vec![listener()], Some(ON));
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(ON));
     let addr = bench.amqp.expect("on");
     let copy = bench.servers[0].try_clone().expect("a second handle");
     let runtime = runtime();
@@ -122,7 +123,7 @@
 #[case::wrong("rain", false)]
 fn the_library_makes_itself_known_by_plain(#[case] password: &str, #[case] good: bool) {
     let users = temp_file("users.json", r#"{"users":{}}"#);
-    let mut child = node_command(&["amqp-user", users.to_str().expect("a path"), "anna"], &users)
+    let mut child = node_command(PROGRAM, &["amqp-user", users.to_str().expect("a path"), "anna"], &users)
         .stdin(std::process::Stdio::piped())
         .spawn()
         .expect("it starts");
@@ -134,7 +135,7 @@
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users.to_str().expect("a path")
     );
-    let bench = Bench::with(vec![listener()], Some(&on));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(&on));
     let url = format!("amqp://{}", bench.amqp.expect("on"));
     runtime().block_on(within(async {
         let (username, password) = ("anna".to_string(), password.to_string());
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -1,20 +1,21 @@
 //! Sentences of the standard (OASIS AMQP 1.0) that bind this node, each driven through real sockets.
 //! `docs/AMQP-CONFORMANCE.md` lists them all with their sections; here are those that no story shows.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{
     condition, encode, Attach, Begin, Close, Composite, Detach, Disposition, End, Flow, Open, Performative,
     State, Target, Terminus, Transfer, Value,
 };
-use support::*;
+use sparbank_test_support::{listener, message, until, AmqpPeer, Bench, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
 fn bench(on: &str) -> Bench {
-    Bench::with(vec![listener()], Some(on))
+    Bench::with(PROGRAM, vec![listener()], Some(on))
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -1,20 +1,23 @@
 //! Stories of clients that receive: a receiving link is a standing connection, and the rules of
 //! standing connections hold for it.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{
     condition, Attach, Detach, Flow, Performative, Source, State, Tag, Terminus, Transfer, Value,
 };
+use sparbank_test_support::{
+    accept_any, addressed, counter_value, listener, message, until, AmqpPeer, Bench, NextFrame, Peer, Signal,
+};
 use std::time::{Duration, Instant};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
 fn bench(servers: usize) -> Bench {
-    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
@@ -115,7 +118,7 @@
         let listener = listener.try_clone().expect("a second handle");
         std::thread::spawn(move || {
             let mut server = AmqpPeer::server(Peer::accept(&listener), 100, 65536);
-            while let Next::Body(body, _) = server.frame() {
+            while let NextFrame::Body(body, _) = server.frame() {
                 if let Performative::Attach(attach) = *body {
                     let handle = attach.handle;
                     let name = attach.name;
@@ -213,7 +216,7 @@
     };
     server.put_kind(0, half.into(), b"half");
     until!(client, Transfer);
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     assert_eq!(until!(client, Transfer).0.aborted, Some(true), "not in the middle of a delivery");
     let error = until!(client, Detach).0.error.expect("why");
     assert_eq!(error.condition, condition::DETACH_FORCED);
@@ -226,9 +229,9 @@
 #[rstest]
 fn when_the_node_leaves_clients_are_redirected_where_the_settings_say_so() {
     let to = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
-    let bench = Bench::with(vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{to}}}"#)));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{to}}}"#)));
     let mut client = client(&bench);
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     let error = until!(client, Close).0.error.expect("why");
     assert_eq!(error.condition, condition::CONNECTION_REDIRECT);
     let info = error.info.expect("info");
@@ -325,7 +328,7 @@
     server.settle(request.delivery_id.expect("an id"), State::Accepted);
     let (mut replied, mut answered) = (false, false);
     while !(replied && answered) {
-        match client.next() {
+        match client.next_body() {
             (Performative::Transfer(transfer), payload) => {
                 assert!(payload.ends_with(b"reply"));
                 client.settle(transfer.delivery_id.expect("an id"), State::Accepted);
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -1,16 +1,17 @@
 //! Links that are resumed (standard, section 2.6.13): a settled delivery is not run again, a running one goes on, and
 //! one of unknown fate is answered so.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{Attach, Detach, State, Tag, Target, Terminus, Transfer, Value};
-use support::*;
+use sparbank_test_support::{counter_value, listener, message, until, AmqpPeer, Bench, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 
 fn bench(on: &str) -> Bench {
-    Bench::with(vec![listener()], Some(on))
+    Bench::with(PROGRAM, vec![listener()], Some(on))
 }
 
 /// Attaches a link that may be resumed for so many seconds, with the client's unsettled map.
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -1,20 +1,23 @@
 //! Stories of clients that send: sizes, settlement, credit, and servers that misbehave.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{
     condition, Attach, Detach, Disposition, Flow, Performative, Source, State, Tag, Target, Terminus,
     Transfer,
 };
+use sparbank_test_support::{
+    accept_any, addressed, counter_value, listener, message, until, AmqpPeer, Bench, Peer,
+};
 use std::time::{Duration, Instant};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
 fn bench(servers: usize) -> Bench {
-    Bench::with((0..servers).map(|_| listener()).collect(), Some(ON))
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
 }
 
 fn client(bench: &Bench) -> AmqpPeer {
@@ -128,7 +131,7 @@
 #[rstest]
 fn a_large_message_is_streamed_and_never_buffered_completely() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
-    let mut bench = Bench::with(vec![listener()], Some(on));
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
     let mut client = client(&bench);
     let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
     let sent = message(60_000, "7f3a", &body);
@@ -151,7 +154,7 @@
 fn a_large_message_that_fails_half_way_is_tried_elsewhere_only_if_all_of_it_is_still_here() {
     for (keep, tried) in [(1_000_000, 2), (10_000, 1)] {
         let on = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
-        let bench = Bench::with((0..2).map(|_| listener()).collect(), Some(&on));
+        let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&on));
         let mut client = client(&bench);
         deliver_in_transfers(&mut client, 0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
         let (at, peer) = accept_any(&bench.servers);
@@ -266,7 +269,7 @@
 
 #[rstest]
 fn one_credit_is_shared_by_a_hundred_clients_in_turns() {
-    let bench = Bench::with_args(vec![listener()], Some(ON), &[], |text| {
+    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(ON), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| client(&bench)).collect();
@@ -514,7 +517,7 @@
 #[rstest]
 fn links_sessions_and_connections_are_bounded_by_their_settings() {
     let on = r#"{"listen":"127.0.0.1:0","max_links":3,"channel_max":1,"peer_connections":2}"#;
-    let bench = Bench::with(vec![listener()], Some(on));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(on));
     let addr = bench.amqp.expect("on");
     let mut client = AmqpPeer::client(addr, None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
@@ -575,7 +578,7 @@
 #[rstest]
 fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
-    let mut bench = Bench::with(vec![listener()], Some(on));
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
     let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
     let writing: Vec<_> = clients
@@ -591,7 +594,7 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
     let (mut completed, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
     while completed < 3 {
-        match server.next() {
+        match server.next_body() {
             (Performative::Attach(attach), _) => {
                 let (name, handle, target) = (attach.name, attach.handle, attach.target);
                 server.put(Attach { name, handle, role: Some(true), target, ..Default::default() });
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -1,10 +1,11 @@
 //! Size: 10,000 links on 100 connections, within the memory of the smallest node.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{Attach, State, Target, Terminus};
-use support::*;
+use sparbank_test_support::{counter_value, listener, message, until, AmqpPeer, Bench, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 
@@ -17,7 +18,7 @@
 
 #[rstest]
 fn ten_thousand_links_on_a_hundred_connections_fit_and_serve() {
-    let bench = Bench::with(vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
     let addr = bench.amqp.expect("the frontend is on");
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| AmqpPeer::client(addr, None)).collect();
     for client in &mut clients {
@@ -36,7 +37,7 @@
             assert!(until!(client, Flow).0.link_credit > Some(0));
         }
     }
-    let resident_mb = resident(bench.process.child.id());
+    let resident_mb = resident(bench.process.id());
     assert!(resident_mb < 32.0, "{resident_mb:.1} MB for 10,000 links");
     println!("{resident_mb:.1} MB resident with 10,000 links");
     // The last link of each connection carries a delivery.
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -1,19 +1,20 @@
 //! Stories of TLS: by rustls from both ends, with certificates made for the test.
 
-mod support;
-
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use rstest::{fixture, rstest};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
 use sparbank_amqp::{Connection, Credentials, Event, Settings};
+use sparbank_test_support::{listener, log_field, node_command, temp_file, AmqpPeer, Bench, Peer, Signal};
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// An authority, and what it signed.
 struct Keys {
@@ -69,7 +70,7 @@
         at("ca.pem")
     );
     let on = format!(r#"{{"listen":"127.0.0.1:0","tls":{tls}{more}}}"#);
-    let bench = Bench::with(vec![listener()], Some(&on));
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(&on));
     let addr = log_field(&bench.amqp_line, "tls_listen").parse().expect("an address");
     (bench, addr)
 }
@@ -126,7 +127,7 @@
 
 fn users(keys: &Keys) -> String {
     let path = keys.folder.join("users.json");
-    let mut child = node_command(&["amqp-user", path.to_str().expect("a path"), "anna.test"], &path)
+    let mut child = node_command(PROGRAM, &["amqp-user", path.to_str().expect("a path"), "anna.test"], &path)
         .stdin(std::process::Stdio::piped())
         .spawn()
         .expect("it starts");
@@ -160,7 +161,7 @@
     let (mut bench, addr) = bench(&keys.folder, "");
     let mut old = open(&keys, addr, "node.test", None, Credentials::Anonymous).expect("the first name");
     keys.renew("renewed.test");
-    bench.signal("-HUP");
+    bench.signal(Signal::HUP);
     bench.wait_for_log("configuration reloaded");
     assert!(open(&keys, addr, "renewed.test", None, Credentials::Anonymous).is_ok());
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_err());
@@ -173,7 +174,7 @@
 fn a_certificate_that_is_wrong_changes_nothing_and_is_named(keys: Keys) {
     let (mut bench, addr) = bench(&keys.folder, "");
     std::fs::write(keys.folder.join("node.pem"), "not a certificate").expect("written");
-    bench.signal("-HUP");
+    bench.signal(Signal::HUP);
     let line = bench.wait_for_log("configuration reload rejected");
     assert!(line.contains("field tls.certificate"), "{line}");
     assert!(open(&keys, addr, "node.test", None, Credentials::Anonymous).is_ok());
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -1,14 +1,15 @@
 //! Races of attempts, and floods, forced over loopback: one attempt in flight, one final answer, and never a second
 //! copy of a request that may have run.
 
-mod support;
-
 use rstest::rstest;
-use std::io::Write;
-use std::time::Duration;
-use support::{
+use sparbank_test_support::{
     accept_any, counter_value, counter_values, established_client, listener, open_line, Bench, Peer,
 };
+use std::io::Write;
+use std::time::Duration;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// Requests of this class are idempotent.
 const IDEMPOTENT: &str = "live-readings";
@@ -34,7 +35,7 @@
     #[case] never_ran: bool,
     #[values(IDEMPOTENT, NON_IDEMPOTENT)] class: &str,
 ) {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut client = bench.connect_client(&request_line(class));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
@@ -58,7 +59,7 @@
 /// `UP` in pieces, and a second answer behind it: the first is the answer, the second a line like any other.
 #[rstest]
 fn up_in_pieces_is_one_answer() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
@@ -75,7 +76,7 @@
 /// deadline.
 #[rstest]
 fn an_answer_without_an_end_times_out() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
@@ -89,7 +90,7 @@
 /// The answer and the attempt's time-out meet in one iteration of the event loop: the answer counts, once.
 #[rstest]
 fn an_answer_in_the_iteration_of_the_attempt_timeout_counts() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&request_line(IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
@@ -107,7 +108,7 @@
 #[case::requests(|number| format!("{}\r\n", open_line(number)))]
 #[case::noise(|number| format!("GET /{number} HTTP/1.1\r\n"))]
 fn a_hundred_commands_in_one_write_get_one_failed_answer(#[case] command: fn(u64) -> String) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
     let commands: String = (0..100).map(command).collect();
     client.send(&commands);
@@ -124,13 +125,13 @@
 /// client with a request is served, and the node never exceeds its limit.
 #[rstest]
 fn idle_clients_do_not_take_the_watch_descriptor() {
-    let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], with_few_sockets);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], with_few_sockets);
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
     let open_descriptors =
-        || std::fs::read_dir(format!("/proc/{}/fd", bench.process.child.id())).expect("listed").count();
+        || std::fs::read_dir(format!("/proc/{}/fd", bench.process.id())).expect("listed").count();
     let descriptors = open_descriptors();
     assert!(descriptors <= FEW_SOCKETS, "{descriptors} descriptors");
     let mut watch = bench.accept_watch();
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,12 +1,13 @@
 //! Races between a client's disconnect, or a close by the node, and other events. The node is stopped (SIGSTOP) while
 //! the events happen, so that it handles them in one iteration of its event loop.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{accept_any, listener, open_line, Bench, FullBacklogServer, Peer};
 use std::net::Shutdown;
 use std::time::Duration;
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// How a client disconnects.
 #[derive(Clone, Copy)]
@@ -47,7 +48,7 @@
 #[case::fin(Disconnect::Fin)]
 #[case::rst(Disconnect::Rst)]
 fn client_closed_before_its_request_is_read_starts_no_attempt(#[case] how: Disconnect) {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut client = Peer::connect(bench.addr);
     bench.pause();
     client.send(&open_line(1)).send("\r\n");
@@ -66,7 +67,7 @@
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
     #[values(true, false)] fails_first: bool,
 ) {
-    let mut bench = Bench::start(3);
+    let mut bench = Bench::start(PROGRAM, 3);
     let client = bench.connect_client(&open_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
@@ -89,7 +90,7 @@
 fn client_closed_during_a_retry_backoff_gets_no_retry(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let client = bench.connect_client(&open_line(1));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
@@ -116,9 +117,9 @@
 fn client_closed_as_the_server_connection_is_established_sends_no_request(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
-    let mut full_server = FullBacklogServer::new();
+    let mut full_server = FullBacklogServer::start();
     let server = full_server.listener.try_clone().expect("a second handle");
-    let mut bench = Bench::with_args(vec![server], None, &["--trace"], long_timeouts);
+    let mut bench = Bench::with_args(PROGRAM, vec![server], None, &["--trace"], long_timeouts);
     let client = bench.connect_client(&open_line_with_long_deadline(1));
     bench.wait_for_log("client arrived");
     wait_for_kernel();
@@ -134,9 +135,9 @@
 /// The server's drain is announced together with the establishment of the connection to it.
 #[rstest]
 fn drain_as_the_server_connection_is_established_redirects_the_attempt() {
-    let mut full_server = FullBacklogServer::new();
+    let mut full_server = FullBacklogServer::start();
     let server = full_server.listener.try_clone().expect("a second handle");
-    let mut bench = Bench::with_args(vec![server, listener()], None, &["--trace"], long_timeouts);
+    let mut bench = Bench::with_args(PROGRAM, vec![server, listener()], None, &["--trace"], long_timeouts);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 1, "gone");
     bench.wait_for_log("endpoint list received kind=Incremental");
@@ -160,7 +161,7 @@
 /// node reads is served, and one that arrives later finds its answer already sent.
 #[rstest]
 fn request_racing_with_an_idle_close_is_answered() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let (mut early, mut late) = (Peer::connect(bench.addr), Peer::connect(bench.addr));
     // Both have been accepted, since a later connection has its answer.
     let mut third = bench.connect_client("PING");
@@ -184,7 +185,7 @@
 fn client_closed_within_its_request_line_is_no_request(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
     client.send("OPEN 1 1 c=live");
     let _client = disconnect(client, how);
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,16 +1,17 @@
 //! The wall clock steps by an hour under a running node, forward or back. Spans of time go on as they were, and servers
 //! that start afterwards are taken for what they are. A preloaded library steps the clock of the node alone.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{
+    accept_any, established_client, instance, listener, open_line, temp_file, Bench, HandoverFolder,
+    HandoverNode, Peer, Signal,
+};
 use std::path::PathBuf;
 use std::process::Command;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use support::{
-    accept_any, established_client, instance, listener, open_line, temp_file, Bench, HandoverFolder,
-    HandoverNode, Peer,
-};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const HOUR: i64 = 3_600;
 /// Requests that arrive at once. Each has one first attempt.
@@ -60,7 +61,7 @@
 
     fn start_node(&self, servers: usize, edit: fn(&str) -> String) -> Bench {
         let env = self.env();
-        Bench::with_env((0..servers).map(|_| listener()).collect(), None, &["--trace"], edit, &env)
+        Bench::with_env(PROGRAM, (0..servers).map(|_| listener()).collect(), None, &["--trace"], edit, &env)
     }
 }
 
@@ -143,12 +144,12 @@
 #[rstest]
 fn a_watch_that_was_handed_over_is_found_silent_after_a_step(#[values(-HOUR, HOUR)] step: i64) {
     let clock = WallClock::new();
-    let mut node = HandoverNode::start_with_env(&HandoverFolder::new(), None, &clock.env());
+    let mut node = HandoverNode::start_with_env(PROGRAM, &HandoverFolder::create(), None, &clock.env());
     let mut watch = node.bench.accept_watch();
     watch.send("1\r\n\n\r\n");
     clock.step(step);
     let mut predecessor = node.start_successor();
-    predecessor.signal("-TERM");
+    predecessor.signal(Signal::TERM);
     predecessor.expect_success();
     let handed_over_at = Instant::now();
     node.bench.accept_watch();
--- a/tests/configuration_errors.rs
+++ b/tests/configuration_errors.rs
@@ -1,9 +1,10 @@
 //! Configurations that the node rejects at its start.
 
-mod support;
-
 use rstest::rstest;
-use support::{config, node_command, temp_file};
+use sparbank_test_support::{config, node_command, temp_file};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 #[rstest]
 #[case::not_json("{", "EOF")]
@@ -15,7 +16,7 @@
 )]
 fn a_wrong_configuration_is_one_line_and_exit_2(#[case] text: &str, #[case] expected: &str) {
     let path = temp_file("wrong.json", text);
-    let output = node_command(&["serve"], &path).output().expect("it runs");
+    let output = node_command(PROGRAM, &["serve"], &path).output().expect("it runs");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -1,11 +1,12 @@
 //! Other deployments' settings: serving, retrying, rejecting and draining with other request classes, names, effects,
 //! deadlines and kinds of discovery; and many processes that start at once while discovery is unavailable.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{accept_any, listener, open_line, Bench, Peer};
 use std::time::{Duration, Instant};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const NANOS_PER_MILLISECOND: u64 = 1_000_000;
 
@@ -89,7 +90,7 @@
     #[case] edit: fn(&str) -> String,
     #[case] classes: std::ops::Range<usize>,
 ) {
-    let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], edit);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], edit);
     let watch = bench.accept_watch();
     for class in classes.clone() {
         serve_after_a_retry(&bench, class);
@@ -155,7 +156,7 @@
 /// A class that is not in the settings makes a request malformed.
 #[rstest]
 fn unknown_class_is_a_malformed_request() {
-    let mut bench = Bench::with_args(vec![listener()], None, &[], sixteen_classes_polled);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], sixteen_classes_polled);
     let mut client = bench.connect_client(&open_line(1));
     assert_eq!(client.read_to_end(), "ERR\r\n");
     bench.assert_no_attempts();
@@ -168,7 +169,7 @@
     let starts: Vec<_> = (0..24)
         .map(|_| {
             std::thread::spawn(move || {
-                let bench = Bench::start(1);
+                let bench = Bench::start(PROGRAM, 1);
                 assert_eq!(bench.connect_client("PING").read_line(), "PONG");
                 (started_at.elapsed(), bench)
             })
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -1,12 +1,13 @@
 //! Races of the endpoint list, forced over loopback: the node acts on every change that discovery has written to its
 //! watch, whatever else happens at that moment.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{accept_any, instance, listener, open_line, Bench, ListKind, Peer};
 use std::ops::Range;
 use std::time::{Duration, Instant};
-use support::{accept_any, instance, listener, open_line, Bench, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// Pushed lists wait at the machine's agent: a node without a watch would never be notified of a drain.
 #[rstest]
@@ -16,14 +17,14 @@
         text.replace(r#""Discovery":"ask""#, r#""Discovery":"push""#)
             .replace(r#""AskWithinNs":1600000000,"#, "")
     };
-    let mut bench = Bench::with_args(vec![listener(), listener()], None, &[], pushed);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], pushed);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
     // The node reopens the watch that was reset, and the drain is known by then.
     let mut watch = bench.accept_watch();
     all_clients_connect_to_server_1(&bench, 0..6);
-    bench.send_endpoints(&mut watch, false, "");
+    bench.send_endpoints(&mut watch, ListKind::Incremental, "");
 }
 
 /// Nothing new goes to server 0, which drains: each of these clients is connected to server 1.
@@ -48,7 +49,7 @@
 #[case::in_one_chunk(usize::MAX)]
 #[case::byte_by_byte(1)]
 fn an_indented_object_is_one_list(#[case] chunk_bytes: usize) {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     let entry = instance(0, bench.servers[0].local_addr().expect("an address"), "draining");
     let text = format!(
@@ -69,7 +70,7 @@
 #[case::empty_line_follows("{\"generation\":2,\"inst\n\n")]
 #[case::line_end_inside_a_string("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
 fn a_truncated_object_ends_the_watch(#[case] text: &str) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut watch = bench.accept_watch();
     send_chunk(&mut watch, text);
     assert!(bench.wait_for_log("endpoint watch lost").ends_with("error=malformed JSON"));
@@ -79,7 +80,7 @@
 /// While nothing changes, discovery writes an empty line every 2 s and nothing else: such a watch is healthy.
 #[rstest]
 fn a_watch_with_empty_lines_only_stays_open() {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     send_chunk(&mut watch, "\n");
     std::thread::sleep(Duration::from_millis(2_600));
@@ -94,7 +95,7 @@
 #[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
 fn a_silent_watch_is_reopened_within_six_seconds(#[case] text: &str) {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     let silent_since = Instant::now();
     if !text.is_empty() {
@@ -112,7 +113,7 @@
 /// new address is silent: the change counts.
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
     bench.pause();
@@ -127,7 +128,7 @@
 /// The new address answers with a list that is older than the last change from the old one: it revives nothing.
 #[rstest]
 fn a_stale_list_from_another_address_revives_nothing() {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
     bench.update_lifecycle(&mut old_watch, 0, "draining");
@@ -137,7 +138,7 @@
     let mut watch = bench.accept_watch();
     let address = |server: usize| bench.servers[server].local_addr().expect("an address");
     let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
-    bench.send_endpoints(&mut watch, true, &entries);
+    bench.send_endpoints(&mut watch, ListKind::Complete, &entries);
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
     all_clients_connect_to_server_1(&bench, 0..6);
--- a/tests/fleet_file.rs
+++ b/tests/fleet_file.rs
@@ -5,6 +5,9 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicU32, Ordering};
 
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
+
 const CONFIG: &str = r#"{"name":"node-9","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":SOCKETS},
         "known":{"generation":1,"reset":true,"instances":[]},"settings":{"Profiles":[{"Effect":"read_like",
         "HardLimitNs":1200000000,"Name":"live-readings","ObjectiveNs":300000000,"Worth":2.0}],"Discovery":"ask",
@@ -30,9 +33,8 @@
 
 fn check(text: &str) -> Checked {
     let file = write_temporary(text);
-    let program = env!("CARGO_BIN_EXE_sparbank");
     let result =
-        Command::new(program).args(["check-config", "--fleet"]).arg(&file).output().expect("it runs");
+        Command::new(PROGRAM).args(["check-config", "--fleet"]).arg(&file).output().expect("it runs");
     std::fs::remove_file(&file).expect("it is there");
     let output = String::from_utf8_lossy(&[result.stdout, result.stderr].concat()).into_owned();
     Checked { exit_code: result.status.code(), output }
@@ -71,7 +73,7 @@
 fn unsupported_plan_is_rejected_at_start(#[case] valid: &str, #[case] invalid: &str, #[case] error: &str) {
     let file = write_temporary(&include_str!("../deploy/fleet.json").replace(valid, invalid));
     let config = write_temporary(&CONFIG.replace("SOCKETS", "5"));
-    let mut serve = Command::new(env!("CARGO_BIN_EXE_sparbank"));
+    let mut serve = Command::new(PROGRAM);
     let result =
         serve.args(["serve", "--fleet"]).arg(&file).env("NODE_CONFIG", &config).output().expect("it runs");
     let output = String::from_utf8_lossy(&result.stderr).into_owned();
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -1,12 +1,13 @@
 //! A fleet-wide quota of connections, leased to the nodes by one grantor: several processes, faults between them, and an
 //! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` play others.
 
-mod cluster;
-
-use cluster::{block_on, program_under_test, Cluster, ClusterConfig, ConnectionQuota, TestPlan};
+use sparbank_test_support::cluster::{block_on, Cluster, ClusterConfig, ConnectionQuota, TestPlan};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
+
 const LEASE_MS: u64 = 1500;
 /// Enough for connections of the dead, whose sockets their kernel closes.
 const SHORT_CLEAR_MS: u64 = 500;
@@ -54,7 +55,7 @@
         let config = config(nodes, clear_ms);
         let total = total(&config);
         let peak = block_on(async {
-            let mut cluster = Cluster::start(seed, config, program_under_test()).await;
+            let mut cluster = Cluster::start(seed, config, PROGRAM).await;
             script(&mut cluster).await;
             let peak = cluster.servers.connection_peak();
             cluster.finish().await;
--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -4,16 +4,17 @@
 //! `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` play others than those named here; `FLEET_LOGS=folder` writes the nodes'
 //! logs there, and `FLEET_LINES=1` prints each run second by second.
 
-mod cluster;
-
-use cluster::auditor::Summary;
-use cluster::discovery::DiscoveryMode;
-use cluster::links::LinkMode;
-use cluster::servers::{Health, Status};
-use cluster::{block_on, program_under_test, Cluster, ClusterConfig, TestPlan};
 use rstest::rstest;
+use sparbank_test_support::cluster::auditor::Summary;
+use sparbank_test_support::cluster::discovery::DiscoveryMode;
+use sparbank_test_support::cluster::links::LinkMode;
+use sparbank_test_support::cluster::servers::{Health, Status};
+use sparbank_test_support::cluster::{block_on, Cluster, ClusterConfig, TestPlan};
 use std::time::Duration;
 
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
+
 /// Set-ups in a second at the ledger, over what it serves.
 const MAX_SETUP_OVERLOAD: f64 = 2.0;
 /// Attempts of one process at an endpoint that is gone.
@@ -68,7 +69,7 @@
 /// Plays a scenario on each seed. The script gets the complete list from before it.
 fn play(scenario: &str, nodes: usize, script: impl AsyncFn(&mut Cluster, String)) {
     let plan = TestPlan::from_env_or(&[1], nodes);
-    let program = std::env::var("FLEET_PROGRAM").unwrap_or(program_under_test().to_string());
+    let program = std::env::var("FLEET_PROGRAM").unwrap_or(PROGRAM.to_string());
     for seed in plan.seeds {
         let config = ClusterConfig::for_nodes(plan.nodes);
         let summary = block_on(async {
@@ -256,7 +257,7 @@
 fn time_to_recovery() {
     let plan = TestPlan::from_env_or(&[1, 2, 3, 4, 5, 6, 7, 8, 9, 10], 12);
     let before = std::env::var("FLEET_BEFORE").ok();
-    let versions = [("now", Some(program_under_test().to_string())), ("before", before)];
+    let versions = [("now", Some(PROGRAM.to_string())), ("before", before)];
     let config = ClusterConfig::for_nodes(plan.nodes);
     for fraction in [0.7, 1.0] {
         for (version, program) in &versions {
@@ -289,9 +290,9 @@
 mod auditor_self_tests {
     //! Each check is shown to fail: the fault is put in, and the auditor must report it.
 
-    use super::cluster::auditor::{Answer, Auditor, ObservedAttempt};
-    use super::cluster::servers::{EndpointList, NamedEndpoint};
-    use super::cluster::ClusterConfig;
+    use sparbank_test_support::cluster::auditor::{Answer, Auditor, ObservedAttempt};
+    use sparbank_test_support::cluster::servers::{EndpointList, NamedEndpoint};
+    use sparbank_test_support::cluster::ClusterConfig;
     use std::thread::sleep;
     use std::time::Duration;
 
--- a/tests/forwarding_races.rs
+++ b/tests/forwarding_races.rs
@@ -1,10 +1,11 @@
 //! Races of forwarding with backpressure: what waits because one side was slow goes on as soon as it is not.
 
-mod support;
-
+use sparbank_test_support::{counter_value, established_client, Bench};
 use std::io::Write;
 use std::time::Duration;
-use support::{counter_value, established_client, Bench};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// More than the node and the kernel buffer between a server and a client that does not read.
 const BURST_LINES: usize = 400_000;
@@ -17,7 +18,7 @@
 /// line and the end, although the server sends nothing more that would wake the node.
 #[test]
 fn a_client_that_stalls_in_a_burst_gets_all_lines_and_the_end() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     let mut sender = attempt.stream.try_clone().expect("a second handle");
     drop(attempt);
@@ -36,7 +37,7 @@
 /// A server that sends what is no line any more cannot be used: its client goes on elsewhere, and is not cut off.
 #[test]
 fn the_client_of_a_server_whose_line_has_no_end_is_migrated() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let (mut client, mut attempt) = established_client(&bench, 1);
     attempt.send("M 1\r\n").send(&"x".repeat(5_000));
     assert_eq!([client.read_line(), client.read_line()], ["M 1", "MOVE"]);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,15 +1,16 @@
 //! Handover between two processes of a node (hot restart), over loopback: the platform passes the listening socket, and
 //! the successor continues the connections of its predecessor.
 
-mod support;
-
 use rstest::rstest;
-use std::net::TcpStream;
-use std::process::Stdio;
-use support::{
+use sparbank_test_support::{
     config, counter_value, established_client, listen_for_handover, listener, node_command, open_line,
-    temp_file, HandoverFolder, HandoverNode, HandoverPeer, Peer,
+    temp_file, HandoverFolder, HandoverNode, HandoverPeer, Peer, Signal,
 };
+use std::net::TcpStream;
+use std::process::Stdio;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 // Messages of the handover socket.
 const STATE_REQUEST: &str = r#"{"Take":{"version":1,"name":"n1"}}"#;
@@ -26,7 +27,7 @@
 
 #[rstest]
 fn established_connections_and_the_watch_continue_in_the_successor() {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let mut watch = node.bench.accept_watch();
     let (mut client, mut server) = established_client(&node.bench, 1);
     exchange_lines(&mut client, &mut server, "M 1 x");
@@ -66,22 +67,22 @@
 
 #[rstest]
 fn a_request_in_flight_is_answered_and_then_transferred() {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let mut client = node.bench.connect_client(&open_line(1));
     let mut server = Peer::accept(&node.bench.servers[0]);
     server.read_line();
     let mut predecessor = node.start_successor();
     server.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
-    predecessor.signal("-TERM");
+    predecessor.signal(Signal::TERM);
     assert_eq!(counter_value(&predecessor.wait_for_log("counters"), "handed_over"), 1);
-    assert!(predecessor.child.wait().expect("it ends").success());
+    assert!(predecessor.wait().success());
     exchange_lines(&mut client, &mut server, "M 1 x");
 }
 
 #[rstest]
 fn two_handovers_in_a_row_transfer_connections_and_the_drain() {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let (mut client, mut server) = established_client(&node.bench, 1);
     node.replace();
     node.replace();
@@ -96,11 +97,11 @@
 /// It fails at its configuration, before it requests the state.
 #[rstest]
 fn a_successor_that_does_not_start_changes_nothing() {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let (mut client, mut server) = established_client(&node.bench, 1);
     node.bench.rewrite_config(|_| "{".to_string());
     let mut failed = node.bench.spawn_duplicate();
-    assert_eq!(failed.child.wait().expect("it ends").code(), Some(2));
+    assert_eq!(failed.wait().code(), Some(2));
     exchange_lines(&mut client, &mut server, "M 1 x");
     let _second = established_client(&node.bench, 2);
     assert_eq!(node.bench.counter("handovers"), 0);
@@ -111,7 +112,7 @@
 #[case::before_ready(false)]
 #[case::after_ready(true)]
 fn a_successor_that_exits_leaves_the_predecessor_serving(#[case] serves: bool) {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let watch = node.bench.accept_watch();
     let (mut client, mut server) = established_client(&node.bench, 1);
     let successor = HandoverPeer::connect(&node.socket);
@@ -141,7 +142,7 @@
 #[case::not_a_message("what")]
 #[case::unexpected_message(r#"{"State":{"piece":""}}"#)]
 fn a_peer_that_breaks_the_protocol_is_disconnected(#[case] message: &str) {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let (mut client, mut server) = established_client(&node.bench, 1);
     let peer = HandoverPeer::connect(&node.socket);
     peer.send(message);
@@ -157,13 +158,13 @@
 #[case::a_file(false)]
 #[case::a_closed_socket(true)]
 fn a_leftover_at_the_handover_socket_is_replaced(#[case] is_socket: bool) {
-    let folder = HandoverFolder::new();
+    let folder = HandoverFolder::create();
     if is_socket {
         drop(listen_for_handover(&folder.socket));
     } else {
         std::fs::write(&folder.socket, "what").expect("a file");
     }
-    let mut node = HandoverNode::start_in(&folder, None);
+    let mut node = HandoverNode::start_in(PROGRAM, &folder, None);
     let (mut client, mut server) = established_client(&node.bench, 1);
     node.replace();
     exchange_lines(&mut client, &mut server, "M 1 x");
@@ -172,7 +173,7 @@
 /// The process that listens at the handover socket sends half a state.
 #[rstest]
 fn an_unreadable_state_starts_the_process_without_a_predecessor() {
-    let folder = HandoverFolder::new();
+    let folder = HandoverFolder::create();
     let listener = listen_for_handover(&folder.socket);
     let predecessor = std::thread::spawn(move || {
         let successor = HandoverPeer::accept(&listener);
@@ -181,7 +182,7 @@
         successor.send(STATE_COMPLETE);
         successor.receive()
     });
-    let node = HandoverNode::start_in(&folder, None);
+    let node = HandoverNode::start_in(PROGRAM, &folder, None);
     let _established = established_client(&node.bench, 1);
     assert_eq!(predecessor.join().expect("it has sent all"), "", "the link ends");
 }
@@ -189,21 +190,21 @@
 /// SIGTERM precedes the successor: established connections still reach it, and no line is lost.
 #[rstest]
 fn a_successor_after_sigterm_receives_established_connections() {
-    let mut node = HandoverNode::start();
+    let mut node = HandoverNode::start(PROGRAM);
     let (mut client, mut server) = established_client(&node.bench, 1);
-    node.bench.signal("-TERM");
+    node.bench.signal(Signal::TERM);
     node.bench.wait_for_log("shutting down");
     let mut predecessor = node.start_successor();
     assert_eq!(counter_value(&predecessor.wait_for_log("counters"), "handed_over"), 1);
-    assert!(predecessor.child.wait().expect("it ends").success());
+    assert!(predecessor.wait().success());
     exchange_lines(&mut client, &mut server, "M 1 x");
 }
 
 /// AMQP connections are not transferred: their clients reconnect, where the successor listens.
 #[rstest]
 fn the_successor_inherits_the_amqp_listener() {
-    let folder = HandoverFolder::new();
-    let mut node = HandoverNode::start_in(&folder, Some(r#"{"listen":"127.0.0.1:0"}"#));
+    let folder = HandoverFolder::create();
+    let mut node = HandoverNode::start_in(PROGRAM, &folder, Some(r#"{"listen":"127.0.0.1:0"}"#));
     let amqp = node.bench.amqp.expect("it is on");
     node.replace();
     assert!(TcpStream::connect(amqp).is_ok());
@@ -215,7 +216,7 @@
 #[case::no_socket("0")]
 fn an_invalid_passed_descriptor_is_named_in_the_error(#[case] number: &str) {
     let text = config(listener().local_addr().expect("an address"), "", 256);
-    let mut command = node_command(&["serve"], &temp_file("node.json", &text));
+    let mut command = node_command(PROGRAM, &["serve"], &temp_file("node.json", &text));
     command.env("NODE_PASSED_SOCKET", number).stdin(Stdio::null());
     let output = command.output().expect("it ends");
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -3,16 +3,20 @@
 //!
 //! Only what belongs to the moment and the machine of the recording is replaced: times, and the addresses of servers.
 
-mod support;
-
 use base64::prelude::{Engine, BASE64_STANDARD};
 use rstest::rstest;
 use serde_json::Value;
+use sparbank_test_support::{
+    accept_any, counter_value, listen_for_handover, listener, HandoverFolder, HandoverNode, HandoverPeer,
+    Peer, Signal,
+};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::path::PathBuf;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use support::{accept_any, listen_for_handover, listener, HandoverFolder, HandoverNode, HandoverPeer, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// Times in the recording are within this of the time of the capture, in nanoseconds.
 const RECORDING_SPAN_NANOS: u64 = 3_600_000_000_000;
@@ -126,7 +130,7 @@
 
 /// Starts a process as the successor of the recorded one.
 fn start_successor(recording: &Recording, edit: impl Fn(&str) -> String) -> Successor {
-    let folder = HandoverFolder::new();
+    let folder = HandoverFolder::create();
     let (state, _) = recording.state_and_connections();
     let amqp_listener = listener();
     amqp_listener.set_nonblocking(true).expect("non-blocking");
@@ -152,7 +156,7 @@
         messages.push((text, descriptor));
     }
     let predecessor = play_state(listen_for_handover(&folder.socket), messages);
-    let node = HandoverNode::start_in(&folder, amqp_settings.as_deref());
+    let node = HandoverNode::start_in(PROGRAM, &folder, amqp_settings.as_deref());
     let link = predecessor.join().expect("the state was sent");
     Successor { node, link, watch, amqp }
 }
@@ -293,8 +297,8 @@
     let recording = Recording::read("drained");
     let mut successor = start_successor(&recording, str::to_string);
     assert_eq!(Peer::connect(successor.node.bench.addr).send("PING\r\n").read_line(), "BUSY");
-    successor.node.bench.signal("-TERM");
+    successor.node.bench.signal(Signal::TERM);
     let counters = successor.node.bench.wait_for_log("counters");
-    assert_eq!(support::counter_value(&counters, "handovers"), 1);
+    assert_eq!(counter_value(&counters, "handovers"), 1);
     successor.watch.drain_until_closed(Duration::from_secs(10));
 }
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,8 +1,9 @@
 //! The log: a reader that stands still delays no client.
 
-mod support;
+use sparbank_test_support::{listener, open_line, Bench, Peer};
 
-use support::{listener, open_line, Bench, Peer};
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// Requests at a time; the node may hold 256 sockets.
 const BATCH: u64 = 150;
@@ -13,7 +14,7 @@
 #[test]
 fn a_log_that_nobody_reads_delays_no_answer() {
     let servers = vec![listener()];
-    let bench = Bench::with_args(servers, None, &["--trace"], |text| {
+    let bench = Bench::with_args(PROGRAM, servers, None, &["--trace"], |text| {
         text.replace(r#""lifecycle":"ready""#, r#""lifecycle":"draining""#)
     });
     for batch in 0..BATCHES {
--- a/tests/mixed.rs
+++ b/tests/mixed.rs
@@ -4,12 +4,11 @@
 //!
 //! Five seconds in CI. Longer: `MIXED_SECONDS=60 cargo test --release --test mixed -- --nocapture`.
 
-mod support;
-
 use rstest::rstest;
 use sparbank_amqp::{
     Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus, Value,
 };
+use sparbank_test_support::{listener, Bench, ListKind};
 use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -17,7 +16,9 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicU8, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
-use support::*;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const SERVERS: usize = 6;
 const CLIENTS: usize = 8;
@@ -388,8 +389,9 @@
         server.clone().serve(amqp, amqp_server);
         servers.push(server);
     }
-    let mut bench =
-        Bench::with_args(texts, Some(&on), &[], |text| text.replace(r#""sockets":256"#, r#""sockets":900"#));
+    let mut bench = Bench::with_args(PROGRAM, texts, Some(&on), &[], |text| {
+        text.replace(r#""sockets":256"#, r#""sockets":900"#)
+    });
     let (text_addr, amqp_addr) = (bench.addr, bench.amqp.expect("on"));
     let mut watch = bench.accept_watch();
     let until = Instant::now() + Duration::from_secs(seconds);
@@ -429,7 +431,7 @@
             }
         }
         if step.is_multiple_of(5) {
-            bench.send_endpoints(&mut watch, false, "");
+            bench.send_endpoints(&mut watch, ListKind::Incremental, "");
         }
     }
     let seen: Vec<Seen> = hands
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,9 +1,12 @@
 //! SIGHUP over loopback: the configuration is reloaded while the node serves.
 
-mod support;
-
 use rstest::rstest;
-use support::{accept_any, counter_value, instance, listener, open_line, Bench, Peer};
+use sparbank_test_support::{
+    accept_any, counter_value, instance, listener, open_line, Bench, ListKind, Peer,
+};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
@@ -21,7 +24,7 @@
 #[case::draining("draining")]
 #[case::missing("")]
 fn the_watch_moves_and_its_first_list_replaces_the_known_one(#[case] lifecycle: &str) {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let _old = bench.accept_watch();
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -38,7 +41,7 @@
     if !lifecycle.is_empty() {
         entries.push(instance(0, address(0), lifecycle));
     }
-    bench.send_endpoints(&mut watch, true, &entries.join(","));
+    bench.send_endpoints(&mut watch, ListKind::Complete, &entries.join(","));
     // The watch ends after the list, so that its loss shows that the list was handled.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
@@ -53,7 +56,7 @@
 
 #[rstest]
 fn a_new_address_that_fails_is_polled_again_and_known_servers_stay() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
@@ -76,7 +79,7 @@
 #[case::a_field_with_an_invalid_value(|text: &str| text.replace("read_like", "odd"), "field settings.Profiles[0].Effect")]
 #[case::no_discovery(|text: &str| text.replace("\"discovery\"", "\"elsewhere\""), "discovery")]
 fn an_invalid_file_changes_nothing(#[case] edit: fn(&str) -> String, #[case] expected: &str) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
     let refusal = bench.wait_for_log("configuration reload rejected");
@@ -92,7 +95,7 @@
 #[rstest]
 fn what_needs_a_restart_is_named_and_the_rest_is_applied() {
     let amqp = r#"{"listen":"127.0.0.1:0"}"#;
-    let mut bench = Bench::with(vec![listener()], Some(amqp));
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(amqp));
     let _watch = bench.accept_watch();
     bench.reconfigure(|text| {
         // Of 20 descriptors none is left for a client.
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -1,11 +1,14 @@
 //! Races of a shutdown, forced over loopback: each accepted request gets one final answer, and the node exits by itself
 //! in time. Where the order matters the node is paused while things happen.
 
-mod support;
-
 use rstest::rstest;
+use sparbank_test_support::{
+    accept_any, counter_value, established_client, listener, log_field, open_line, Bench, Peer, Signal,
+};
 use std::time::{Duration, Instant};
-use support::{accept_any, counter_value, established_client, listener, log_field, open_line, Bench, Peer};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s here.
 const SIGKILL_AFTER: Duration = Duration::from_millis(1_900);
@@ -19,7 +22,7 @@
 /// The node exits by itself before SIGKILL. Its last counters are the result.
 fn expect_exit(mut bench: Bench, sigterm_at: Instant) -> String {
     let counters = bench.wait_for_log("counters");
-    assert!(bench.process.child.wait().expect("it ends").success(), "exit 0");
+    assert!(bench.process.wait().success(), "exit 0");
     assert!(sigterm_at.elapsed() < SIGKILL_AFTER, "{:?} after SIGTERM", sigterm_at.elapsed());
     counters
 }
@@ -43,7 +46,7 @@
 fn a_request_arriving_at_sigterm_is_served_and_migrated(
     #[values(Arrival::HalfALine, Arrival::Unread, Arrival::Queued)] arrival: Arrival,
 ) {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let line = format!("{}\r\n", open_line(1));
     let mut early = Peer::connect(bench.addr);
     if let Arrival::HalfALine = arrival {
@@ -60,7 +63,7 @@
         }
         Arrival::Queued => Peer::connect(bench.addr),
     };
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     let sigterm_at = Instant::now();
     bench.resume();
     match arrival {
@@ -92,14 +95,14 @@
     #[values(Server::Answers, Server::Hangs, Server::Rejects)] server: Server,
     #[values(1, 2)] sigterms: u32,
 ) {
-    let bench = Bench::start(2);
+    let bench = Bench::start(PROGRAM, 2);
     let mut client = bench.connect_client(&open_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     if let Server::Rejects = server {
         attempt.send("BUSY\r\n");
     }
-    (0..sigterms).for_each(|_| bench.signal("-TERM"));
+    (0..sigterms).for_each(|_| bench.signal(Signal::TERM));
     let sigterm_at = Instant::now();
     if let Server::Answers = server {
         attempt.send("UP r1\r\n");
@@ -127,15 +130,15 @@
 /// migrated all the same.
 #[rstest]
 fn sighup_beside_sigterm_changes_nothing(#[values(true, false)] before: bool) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     bench.pause();
     if before {
-        bench.signal("-HUP");
+        bench.signal(Signal::HUP);
     }
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     if !before {
-        bench.signal("-HUP");
+        bench.signal(Signal::HUP);
     }
     let sigterm_at = Instant::now();
     bench.resume();
@@ -149,10 +152,10 @@
 /// process ends before SIGKILL all the same.
 #[test]
 fn a_node_that_is_stalled_at_sigterm_exits_before_sigkill() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let _hung = bench.servers[0].try_clone().expect("a second handle");
     bench.pause();
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     let sigterm_at = Instant::now();
     std::thread::sleep(MAX_STALL);
     bench.resume();
@@ -166,7 +169,7 @@
 /// that instant, on a new connection or on one that rests, gets its final answer.
 #[rstest]
 fn a_request_arriving_as_a_drained_node_exits_is_answered(#[values(true, false)] is_connected: bool) {
-    let mut bench = Bench::with_args(vec![listener()], None, &[], |text| {
+    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
     let line = bench.wait_for_log("admin API ready");
@@ -177,23 +180,23 @@
     let resting = is_connected.then(|| Peer::connect(bench.addr));
     assert_eq!(bench.connect_client("PING").read_line(), "BUSY", "it is drained");
     bench.pause();
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     let mut client = resting.unwrap_or_else(|| Peer::connect(bench.addr));
     client.send(&open_line(1)).send("\r\n");
     bench.resume();
     let answer = client.read_line();
     assert!(answer == "BUSY" || answer == "ERR", "{answer:?}");
     drop(client);
-    assert!(bench.process.child.wait().expect("it ends").success(), "exit 0");
+    assert!(bench.process.wait().success(), "exit 0");
 }
 
 /// Idle connections are answered and closed before the process exits; what they send from then on is not forwarded.
 #[rstest]
 fn idle_connections_are_closed_before_the_process_exits() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut idle: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
     assert_eq!(bench.connect_client("PING").read_line(), "PONG");
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     let sigterm_at = Instant::now();
     for (number, client) in idle.iter_mut().enumerate() {
         assert_eq!(client.read_line(), "BUSY");
--- a/tests/startup_races.rs
+++ b/tests/startup_races.rs
@@ -1,14 +1,15 @@
 //! Races of the start-up: signals that arrive before the node serves.
 
-mod support;
-
 use rstest::rstest;
 use rustix::fs::{mknodat, FileType, Mode, CWD};
-use rustix::process::{prlimit, Pid, Resource, Rlimit};
+use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit};
+use sparbank_test_support::{config, is_log_of, listener, node_command, temp_file, Signal};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Stdio};
 use std::time::Duration;
-use support::{config, is_log_of, listener, node_command, temp_file};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// The process gets no descriptors for this long.
 const SHORTAGE: Duration = Duration::from_millis(700);
@@ -16,23 +17,21 @@
 /// A signal arrives while the process reads its configuration: SIGHUP and SIGUSR1 do not end it, and SIGTERM lets it end
 /// in order. The configuration is a FIFO, which holds the process up until the test has sent the signal.
 #[rstest]
-#[case::reload("-HUP", "configuration reloaded")]
-#[case::counters("-USR1", "counters")]
-#[case::shutdown("-TERM", "node stopped")]
-fn a_signal_during_start_up_does_not_kill_the_process(#[case] signal: &str, #[case] message: &str) {
+#[case::reload(Signal::HUP, "configuration reloaded")]
+#[case::counters(Signal::USR1, "counters")]
+#[case::shutdown(Signal::TERM, "node stopped")]
+fn a_signal_during_start_up_does_not_kill_the_process(#[case] signal: Signal, #[case] message: &str) {
     let discovery = listener();
     let text = config(discovery.local_addr().expect("an address"), "", 256);
     let path = temp_file("node.json", "");
     std::fs::remove_file(&path).expect("it was there");
     mknodat(CWD, &path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a FIFO");
-    let mut child = node_command(&["serve"], &path).spawn().expect("the node starts");
+    let mut child = node_command(PROGRAM, &["serve"], &path).spawn().expect("the node starts");
     // This waits until the process has opened the FIFO to read.
     let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("the process reads it");
     std::fs::remove_file(&path).expect("the FIFO");
     std::fs::write(&path, &text).expect("what a reload reads");
-    let pid = child.id().to_string();
-    let sent = Command::new("kill").args([signal, &pid]).status();
-    assert!(sent.expect("kill runs").success());
+    kill_process(Pid::from_child(&child), signal).expect("it has not ended");
     fifo.write_all(text.as_bytes()).expect("the process still reads");
     drop(fifo);
     let log = BufReader::new(child.stderr.take().expect("its log"));
@@ -52,7 +51,7 @@
     let text = config(discovery.local_addr().expect("an address"), "", 256);
     let path = temp_file("node.json", &text);
     let mut command = Command::new("sh");
-    command.args(["-c", "ulimit -S -n 4; exec \"$0\" serve"]).arg(env!("CARGO_BIN_EXE_sparbank"));
+    command.args(["-c", "ulimit -S -n 4; exec \"$0\" serve"]).arg(PROGRAM);
     let mut child = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).spawn().expect("it starts");
     std::thread::sleep(SHORTAGE);
     let limit = Rlimit { current: Some(64), maximum: Some(1024) };
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -1,14 +1,15 @@
 //! The platform's text protocol over loopback: one test for each failure met or guarded against.
 
-mod support;
-
 use rstest::rstest;
-use std::net::TcpListener;
-use std::time::Duration;
-use support::{
+use sparbank_test_support::{
     accept_any, counter_value, counter_values, establish, established_client, is_log_of, listener, open_line,
-    refusing_port, try_accept, Bench, FullBacklogServer, Peer,
+    refusing_port, try_accept, Bench, FullBacklogServer, Peer, Signal,
 };
+use std::net::TcpListener;
+use std::time::Duration;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
@@ -19,14 +20,14 @@
 
 /// A server whose backlog is full: connections to it are never established.
 fn full_backlog() -> TcpListener {
-    FullBacklogServer::new().into_listener()
+    FullBacklogServer::start().into_listener()
 }
 
 // ---- Forwarding --------------------------------------------------------------------------------
 
 #[rstest]
 fn lines_are_forwarded_unchanged_and_the_end_propagates() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     let request_line = attempt.read_line();
@@ -52,7 +53,7 @@
 fn every_load_line_is_a_load() {
     let with_latencies =
         |text: &str| text.replace(r#""FamilyInfo":{"#, r#""FamilyInfo":{"TellsDelay":true,"#);
-    let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], with_latencies);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], with_latencies);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     attempt.read_line();
@@ -74,7 +75,7 @@
 #[case::report("BYE inflight=7,queue=2,util=0.61\r\n")]
 #[case::malformed_report("BYE inflight\r\n")]
 fn a_bye_with_a_report_completes_the_service(#[case] bye: &str) {
-    let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], str::to_string);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], str::to_string);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     establish(&mut client, &mut attempt);
@@ -90,7 +91,7 @@
 
 #[rstest]
 fn the_client_of_a_server_that_stops_answering_is_migrated() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let (mut client, mut server) = established_client(&bench, 0x9b1f);
     client.send("M 1 x\r\n");
     assert_eq!([server.read_line(), client.read_line()], ["M 1 x", "MOVE"]);
@@ -106,7 +107,7 @@
 #[case::full("BUSY\r\n")]
 #[case::garbage("\u{1}what\r\n")]
 fn a_failed_attempt_is_retried_at_another_server(#[case] answer: &str) {
-    let bench = Bench::start(2);
+    let bench = Bench::start(PROGRAM, 2);
     let mut client = bench.connect_client(OPEN);
     let (first, mut failing) = accept_attempt(&bench);
     failing.read_line();
@@ -123,7 +124,7 @@
 #[case::refused(refusing_port())]
 #[case::never_established(full_backlog())]
 fn an_attempt_at_an_unreachable_server_never_ran(#[case] unreachable: TcpListener) {
-    let mut bench = Bench::with(vec![unreachable, listener()], None);
+    let mut bench = Bench::with(PROGRAM, vec![unreachable, listener()], None);
     for key in 0..6 {
         let mut client = bench.connect_client(&open_line(key));
         let mut attempt = Peer::accept(&bench.servers[1]);
@@ -135,7 +136,7 @@
 
 #[rstest]
 fn where_all_servers_reject_the_answer_is_busy_with_retry_after_at_once() {
-    let bench = Bench::start(3);
+    let bench = Bench::start(PROGRAM, 3);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     for _ in 0..3 {
         let (_, mut attempt) = accept_attempt(&bench);
@@ -150,7 +151,7 @@
 
 #[rstest]
 fn a_server_that_never_answers_does_not_cost_the_client_its_answer() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=400"));
     let (_, mut hung) = accept_attempt(&bench);
     hung.read_line();
@@ -181,7 +182,7 @@
 #[case::too_long(&"x".repeat(5000))]
 #[case::no_text("\u{0}\u{1}")]
 fn a_malformed_line_gets_one_failed_answer(#[case] line: &str) {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(line);
     assert_eq!(client.read_line(), "ERR");
     client.expect_closed();
@@ -190,7 +191,7 @@
 
 #[rstest]
 fn the_id_of_an_open_request_is_rejected_and_that_request_goes_on() {
-    let bench = Bench::start(2);
+    let bench = Bench::start(PROGRAM, 2);
     let (mut client, mut server) = established_client(&bench, 0x9b1f);
     assert_eq!(bench.connect_client(OPEN).read_line(), "ERR");
     client.send("M 1 x\r\n");
@@ -207,7 +208,7 @@
 #[case::at_once("M 1 x\r\n", "")]
 #[case::later("", "OPEN 8 9 c=live-readings,d=100\r\n")]
 fn a_second_line_before_up_is_an_error(#[case] with_request: &str, #[case] after_request: &str) {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
     client.send(&format!("{OPEN}\r\n{with_request}"));
     if !after_request.is_empty() {
@@ -223,7 +224,7 @@
 
 #[rstest]
 fn a_client_from_before_the_run_goes_to_its_server_and_is_no_placement() {
-    let mut bench = Bench::start(3);
+    let mut bench = Bench::start(PROGRAM, 3);
     let mut client = bench.connect_client("PING");
     assert_eq!(client.read_line(), "PONG");
     client.send(&format!("{OPEN},at=s-2\r\n"));
@@ -240,7 +241,7 @@
 
 #[rstest]
 fn a_draining_server_gets_no_attempts_and_an_ended_watch_is_opened_again() {
-    let mut bench = Bench::start(2);
+    let mut bench = Bench::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     // The watch ends after the change, so that its loss shows that the change was handled.
@@ -259,7 +260,8 @@
     // With a minute to connect in, only the drain can end the attempt.
     let long_connect_timeout =
         |text: &str| text.replace(r#""DialTimeoutNs":250000000"#, r#""DialTimeoutNs":60000000000"#);
-    let mut bench = Bench::with_args(vec![full_backlog(), listener()], None, &[], long_connect_timeout);
+    let mut bench =
+        Bench::with_args(PROGRAM, vec![full_backlog(), listener()], None, &[], long_connect_timeout);
     let mut watch = bench.accept_watch();
     // Until the first server is selected, the other accepts its clients.
     let mut key = 0;
@@ -281,7 +283,7 @@
 #[case::no_json("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{]\n\r\n")]
 #[case::unavailable("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")]
 fn a_wrong_answer_of_discovery_is_a_failed_list(#[case] answer: &str) {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut call = Peer::accept(&bench.discovery);
     call.send(answer);
     bench.wait_for_log("endpoint watch lost");
@@ -294,9 +296,9 @@
 
 #[rstest]
 fn sigterm_answers_late_requests_and_migrates_established_clients() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let (mut first, _first_server) = established_client(&bench, 0x9b1f);
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
     let mut second = bench.connect_client(&open_line(2));
     let (_, mut attempt) = accept_attempt(&bench);
@@ -312,11 +314,11 @@
 /// SIGKILL comes 0.7 s after the longest deadline: a request that no server answers is answered before it.
 #[rstest]
 fn sigterm_leaves_no_request_without_an_answer() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     let (_, mut hung) = accept_attempt(&bench);
     hung.read_line();
-    bench.signal("-TERM");
+    bench.signal(Signal::TERM);
     assert_eq!(client.read_line(), "ERR");
     hung.expect_closed();
     client.expect_closed();
--- a/tests/text_overload.rs
+++ b/tests/text_overload.rs
@@ -1,15 +1,15 @@
 //! The text frontend under overload: idle clients, endless lines, and a shortage of descriptors.
 
-mod support;
-
 use rstest::rstest;
-use rustix::process::{prlimit, Pid, Resource, Rlimit};
-use std::io::Write;
-use std::time::{Duration, Instant};
-use support::{
+use sparbank_test_support::{
     accept_any, counter_value, counter_values, establish, established_client, listener, open_line, Bench,
     Peer,
 };
+use std::io::Write;
+use std::time::{Duration, Instant};
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// The limit on descriptors above which a test does not go.
 const MAX_DESCRIPTORS: u64 = 1024;
@@ -21,15 +21,13 @@
 
 /// Changes how many descriptors the system gives the node.
 fn limit_descriptors(bench: &Bench, descriptors: u64) {
-    let limit = Rlimit { current: Some(descriptors), maximum: Some(MAX_DESCRIPTORS) };
-    let pid = Pid::from_child(&bench.process.child);
-    prlimit(Some(pid), Resource::Nofile, limit).expect("a limit");
+    bench.process.limit_descriptors(descriptors, MAX_DESCRIPTORS);
 }
 
 /// Closed connections and idle clients are evicted for a request, the oldest first.
 #[rstest]
 fn idle_clients_are_evicted_for_a_request() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     // The node may hold 256 sockets and reserves some for established connections.
     let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
     let _established = established_client(&bench, 0x9b1f);
@@ -47,7 +45,7 @@
 #[case::half_a_line("OPEN 1 2 c=live-re", "BUSY")]
 #[case::only_pings("PING\r\n", "PONG")]
 fn a_client_without_a_request_line_is_closed(#[case] sent: &str, #[case] answer: &str) {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
     client.send(sent);
     let sent_at = Instant::now();
@@ -61,7 +59,7 @@
 #[rstest]
 fn a_line_without_an_end_is_answered_while_it_is_sent() {
     const CHUNKS: usize = 960;
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
     let mut sender = client.stream.try_clone().expect("a second handle");
     let sending = std::thread::spawn(move || {
@@ -75,7 +73,7 @@
 
 #[rstest]
 fn idle_clients_are_evicted_where_the_system_gives_fewer_descriptors_than_configured() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     limit_descriptors(&bench, 32);
     let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
     established_client(&bench, 0x9b1f);
@@ -84,7 +82,7 @@
 
 #[rstest]
 fn accepting_pauses_where_the_system_has_no_descriptors_and_resumes() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     limit_descriptors(&bench, 4);
     let mut client = bench.connect_client(&open_line(0x9b1f));
     bench.wait_for_log("accepting paused, no descriptor available");
@@ -97,7 +95,7 @@
 /// request waits, uses up none of its attempts, and is served once there are descriptors.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_the_server() {
-    let mut bench = Bench::with_args(vec![listener()], None, &["--trace"], |text| {
+    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], |text| {
         text.replace(r#""HardLimitNs":1200000000"#, r#""HardLimitNs":9000000000"#)
     });
     let mut client = bench.connect_client("PING");
@@ -114,7 +112,7 @@
 /// The watch cannot be opened again while the process gets no descriptor: discovery has not failed, so nothing backs off.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_discovery() {
-    let mut bench = Bench::start(1);
+    let mut bench = Bench::start(PROGRAM, 1);
     let watch = bench.accept_watch();
     assert_eq!(bench.counter("discovery_failures"), 0);
     limit_descriptors(&bench, 4);
@@ -129,7 +127,7 @@
 /// A client that is evicted for a descriptor has its answer, as a request that crosses the end has: it may be on its way.
 #[test]
 fn an_evicted_client_has_its_answer() {
-    let bench = Bench::start(1);
+    let bench = Bench::start(PROGRAM, 1);
     let mut half_a_line = Peer::connect(bench.addr);
     half_a_line.send("OPEN 9b1f 7f3a c=li");
     let mut resting = Peer::connect(bench.addr);
