--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -2,9 +2,10 @@
 
 use crate::checker::{Answer, Checker, Class, DEADLINE};
 use crate::node::Nodes;
-use crate::server::{reset_on_drop, Servers, SessionEnd};
+use crate::server::{Servers, SessionEnd};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,12 +1,17 @@
-//! Simulated discovery. Each node has two addresses of its own here, so that what was told to whom is known.
+//! Simulated discovery. Each node has two addresses of its own here, so that it is known which of them was notified of what.
 
 use crate::checker::Checker;
-use crate::server::{reset_on_drop, Servers};
+use crate::server::Servers;
+use sparbank_test_support::loopback::reset_on_drop;
+use sparbank_test_support::watch_protocol::{
+    chunk, endpoint_json, list_json, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD,
+};
+use sparbank_test_support::ListKind;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -14,7 +19,9 @@
 /// While nothing changes, an empty line this often shows that a watch is alive.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// A change counts as told so long after discovery had it and could be reached.
+/// How much of a list is written at a time in [`Mode::Pieces`].
+const PIECE_BYTES: usize = 7;
+/// Nodes count as notified of a change so long after discovery had it and could be reached.
 const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
 
 /// What discovery does.
@@ -26,15 +33,23 @@
     Down,
     /// It answers 503.
     Rejects,
-    /// It serves watches byte by byte.
+    /// It serves watches a few bytes at a time.
     Pieces,
 }
 
+/// What the list says of a server.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct ServerEntry {
+    is_ready: bool,
+    /// The generation of its last change.
+    generation: u64,
+}
+
 struct State {
     mode: Cell<Mode>,
     generation: Cell<u64>,
-    /// By server: whether it is ready, and the generation of the change.
-    ready: RefCell<Vec<(bool, u64)>>,
+    /// By server.
+    entries: RefCell<Vec<ServerEntry>>,
     /// Watches opened before this one are silent.
     silent_before: Cell<u64>,
     /// Watches opened before this one are reset.
@@ -60,7 +75,7 @@
         let state = State {
             mode: Cell::new(Mode::Serves),
             generation: Cell::new(1),
-            ready: RefCell::new(vec![(true, 1); servers.len()]),
+            entries: RefCell::new(vec![ServerEntry { is_ready: true, generation: 1 }; servers.len()]),
             silent_before: Cell::new(0),
             reset_before: Cell::new(0),
             last_watch: Cell::new(0),
@@ -125,13 +140,13 @@
     pub fn set_ready(&self, server: usize, is_ready: bool) {
         let generation = self.state.generation.get() + 1;
         self.state.generation.set(generation);
-        self.state.ready.borrow_mut()[server] = (is_ready, generation);
+        self.state.entries.borrow_mut()[server] = ServerEntry { is_ready, generation };
         if !is_ready {
             spawn_local(self.clone().count_as_notified(server, generation));
         }
     }
 
-    /// A drain counts as told to all nodes once discovery could be reached for long enough, whether it arrived or not.
+    /// All nodes count as notified of a drain once discovery could be reached for long enough, whether the change arrived or not.
     async fn count_as_notified(self, server: usize, generation: u64) {
         let changed_at = Instant::now();
         loop {
@@ -142,7 +157,7 @@
             }
             sleep_until((Instant::now() + CHECK_INTERVAL).max(notified_at)).await;
         }
-        if self.state.ready.borrow()[server] != (false, generation) {
+        if self.state.entries.borrow()[server] != (ServerEntry { is_ready: false, generation }) {
             return;
         }
         let mut checker = self.checker.borrow_mut();
@@ -154,37 +169,31 @@
 
     /// The complete list as it is now.
     pub fn complete_list(&self) -> String {
-        self.list_since(0, true)
+        self.list_since(0, ListKind::Complete)
     }
 
-    fn list_since(&self, generation: u64, is_complete: bool) -> String {
-        let ready = self.state.ready.borrow();
-        let changed = ready.iter().enumerate().filter(|(_, entry)| is_complete || entry.1 > generation);
-        let document = |(server, (is_ready, _)): (usize, &(bool, u64))| {
-            let lifecycle = if *is_ready { "ready" } else { "draining" };
-            let address = self.servers.address(server);
-            format!(
-                r#"{{"instanceId":"s-{server}","hostPort":"{address}","zone":"a","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
-            )
+    fn list_since(&self, generation: u64, kind: ListKind) -> String {
+        let entries = self.state.entries.borrow();
+        let is_named = |entry: &ServerEntry| kind == ListKind::Complete || entry.generation > generation;
+        let named = entries.iter().enumerate().filter(|(_, entry)| is_named(entry));
+        let document = |(server, entry): (usize, &ServerEntry)| {
+            let lifecycle = if entry.is_ready { "ready" } else { "draining" };
+            endpoint_json(server, self.servers.address(server), lifecycle, 0)
         };
-        let documents: Vec<String> = changed.map(document).collect();
-        let generation = self.state.generation.get();
-        format!(
-            r#"{{"generation":{generation},"reset":{is_complete},"instances":[{}]}}"#,
-            documents.join(",")
-        )
+        let documents: Vec<String> = named.map(document).collect();
+        list_json(self.state.generation.get(), kind, &documents.join(","))
     }
 
     async fn serve(self, node: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let incarnation = self.checker.borrow().incarnation(node);
         let mut stream = BufReader::new(stream);
-        let Some(from) = read_request(&mut stream).await else { return };
+        let Some(from) = read_watch_request(&mut stream).await else { return };
         let mut stream = stream.into_inner();
         match self.state.mode.get() {
             Mode::Down => reset_on_drop(&stream),
             Mode::Rejects => {
-                let _ = stream.write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+                let _ = stream.write_all(REJECTION.as_bytes()).await;
             }
             Mode::Serves | Mode::Pieces => self.serve_watch(node, incarnation, from, stream).await,
         }
@@ -193,7 +202,7 @@
     async fn serve_watch(&self, node: usize, incarnation: u64, from: u64, mut stream: TcpStream) {
         let watch = self.state.last_watch.get() + 1;
         self.state.last_watch.set(watch);
-        if stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.is_err() {
+        if stream.write_all(WATCH_RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
         let mut sent = from;
@@ -213,16 +222,16 @@
                 sleep(CHECK_INTERVAL).await;
                 continue;
             }
-            let ready = self.state.ready.borrow().clone();
-            let line = if generation == sent { String::new() } else { self.list_since(sent, sent == 0) };
+            let entries = self.state.entries.borrow().clone();
+            let kind = if sent == 0 { ListKind::Complete } else { ListKind::Incremental };
+            let line = if generation == sent { String::new() } else { self.list_since(sent, kind) };
             if self.write_chunk(&mut stream, &line).await.is_err() {
                 return;
             }
             let mut checker = self.checker.borrow_mut();
-            for (server, (is_ready, changed)) in ready.iter().enumerate().filter(|(_, entry)| entry.1 > sent)
-            {
-                if *changed <= generation {
-                    checker.on_notified(node, incarnation, server, *is_ready);
+            for (server, entry) in entries.iter().enumerate() {
+                if entry.generation > sent && entry.generation <= generation {
+                    checker.on_notified(node, incarnation, server, entry.is_ready);
                 }
             }
             sent = generation;
@@ -231,33 +240,14 @@
     }
 
     async fn write_chunk(&self, stream: &mut TcpStream, line: &str) -> std::io::Result<()> {
-        let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+        let chunk = chunk(line);
         if self.state.mode.get() != Mode::Pieces {
             return stream.write_all(chunk.as_bytes()).await;
         }
-        for byte in chunk.as_bytes().chunks(7) {
-            stream.write_all(byte).await?;
+        for piece in chunk.as_bytes().chunks(PIECE_BYTES) {
+            stream.write_all(piece).await?;
             tokio::task::yield_now().await;
         }
         Ok(())
     }
 }
-
-/// The generation from which a watch request wants changes; none where the connection ends before.
-async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<u64> {
-    let mut line = String::new();
-    let mut generation = 0;
-    loop {
-        line.clear();
-        match stream.read_line(&mut line).await {
-            Ok(count) if count > 2 => {
-                if let Some((_, rest)) = line.split_once("from=") {
-                    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-                    generation = digits.parse().unwrap_or(0);
-                }
-            }
-            Ok(2) => return Some(generation),
-            _ => return None,
-        }
-    }
-}
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,25 +1,28 @@
-//! The processes under test: started, signalled and judged by their exits.
+//! The processes under test: started, signalled, and checked for how they end.
 
 use crate::checker::{Checker, DEADLINE, DEDUP_WINDOW};
 use crate::discovery::Discovery;
 use crate::Options;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
+use sparbank_test_support::loopback::{answers_ping, AddressBlock, AddressRange};
+use sparbank_test_support::{configure_node, ChildProcess, Signal};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// Descriptors that a node may hold.
 const DESCRIPTORS: u64 = 256;
+/// The limit on descriptors above which it is not raised.
+const MAX_DESCRIPTORS: u64 = 4_096;
+/// Descriptors of a node that gets no new one, and what it gets beyond [`DESCRIPTORS`] otherwise.
+const STARVED_DESCRIPTORS: u64 = 4;
+const SPARE_DESCRIPTORS: u64 = 64;
 /// A node is ready within this.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// SIGKILL follows SIGTERM after the longest deadline and this.
@@ -28,9 +31,6 @@
 const ARRIVALS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// Where nodes listen.
 const NODE_PORT: u16 = 8080;
-const FIRST_ADDRESS: u32 = 0x7f50_0000;
-const ADDRESS_BLOCKS: u32 = 16_000;
-const ADDRESSES_PER_BLOCK: u32 = 256;
 /// The shell that starts a node has its trap within this.
 const SHELL_TIME: Duration = Duration::from_millis(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -39,7 +39,7 @@
 
 struct Node {
     address: SocketAddr,
-    child: RefCell<Option<Child>>,
+    child: RefCell<Option<ChildProcess>>,
     is_accepting: Cell<bool>,
     /// A restart is under way.
     is_restarting: Cell<bool>,
@@ -61,10 +61,9 @@
 impl Nodes {
     /// The nodes of a run, none of them started.
     pub fn new(options: &Options, checker: &Rc<RefCell<Checker>>, discovery: &Discovery, seed: u64) -> Nodes {
-        static RUNS: AtomicU32 = AtomicU32::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
+        let addresses = AddressBlock::of_new_run(AddressRange::Soak);
         let node = |number| Node {
-            address: own_address(run, number),
+            address: addresses.of_node(number, NODE_PORT),
             child: RefCell::new(None),
             is_accepting: Cell::new(false),
             is_restarting: Cell::new(false),
@@ -127,12 +126,9 @@
         // As the deploy file has it: a SIGHUP before the program has its handlers must not end it.
         let mut command = Command::new("sh");
         command.args(["-c", "trap '' HUP; exec \"$0\" serve --trace"]).arg(&self.options.program);
-        command.env("NODE_CONFIG", self.file(number, "config.json"));
+        configure_node(&mut command, &self.file(number, "config.json"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        for name in ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"] {
-            command.env_remove(name);
-        }
-        *node.child.borrow_mut() = Some(command.spawn().expect("the program starts"));
+        *node.child.borrow_mut() = Some(ChildProcess::spawn(&mut command));
         let started_at = Instant::now();
         node.started_at.set(started_at);
         while !answers_ping(node.address).await {
@@ -172,7 +168,7 @@
 
     fn signal(&self, number: usize, signal: Signal) {
         if let Some(child) = &*self.nodes[number].child.borrow() {
-            let _ = kill_process(Pid::from_child(child), signal);
+            let _ = child.signal(signal);
         }
     }
 
@@ -219,7 +215,7 @@
     /// Whether a node's process has ended by itself. Its exit has to be in order.
     fn has_exited(&self, number: usize) -> bool {
         let mut child = self.nodes[number].child.borrow_mut();
-        let Some(status) = child.as_mut().and_then(|child| child.try_wait().ok().flatten()) else {
+        let Some(status) = child.as_mut().and_then(ChildProcess::try_wait) else {
             return child.is_none();
         };
         *child = None;
@@ -229,7 +225,7 @@
         true
     }
 
-    /// Reports a node that has ended although nobody told it to.
+    /// Reports a node that has ended without a signal.
     pub fn check_running(&self) {
         for number in 0..self.len() {
             if !self.nodes[number].is_restarting.get() && self.has_exited(number) {
@@ -265,25 +261,21 @@
 
     /// A node gets no new descriptor for a while.
     pub async fn starve_of_descriptors(&self, number: usize, span: Duration) {
-        self.limit_descriptors(number, 4);
+        self.limit_descriptors(number, STARVED_DESCRIPTORS);
         sleep(span).await;
-        self.limit_descriptors(number, DESCRIPTORS + 64);
+        self.limit_descriptors(number, DESCRIPTORS + SPARE_DESCRIPTORS);
     }
 
     fn limit_descriptors(&self, number: usize, limit: u64) {
         if let Some(child) = &*self.nodes[number].child.borrow() {
-            let limit = Rlimit { current: Some(limit), maximum: Some(4_096) };
-            let _ = prlimit(Some(Pid::from_child(child)), Resource::Nofile, limit);
+            let _ = child.limit_descriptors(limit, MAX_DESCRIPTORS);
         }
     }
 
     /// Ends all nodes, and reports what their logs say of broken rules.
     pub fn finish(&self) {
         for number in 0..self.len() {
-            if let Some(mut child) = self.nodes[number].child.borrow_mut().take() {
-                let _ = child.kill();
-                let _ = child.wait();
-            }
+            drop(self.nodes[number].child.borrow_mut().take());
             for start in 1..=self.nodes[number].starts.get() {
                 let log =
                     std::fs::read_to_string(self.file(number, &format!("{start}.log"))).unwrap_or_default();
@@ -308,21 +300,3 @@
         }
     }
 }
-
-/// An address in 127.0.0.0/8 of this run's own: by process, run and node, so that runs beside each other do not collide.
-fn own_address(run: u32, node: usize) -> SocketAddr {
-    let own = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % ADDRESS_BLOCKS;
-    let address = FIRST_ADDRESS + own * ADDRESSES_PER_BLOCK + 1 + node as u32;
-    SocketAddr::from((Ipv4Addr::from(address), NODE_PORT))
-}
-
-async fn answers_ping(address: SocketAddr) -> bool {
-    let ping = async {
-        let mut stream = TcpStream::connect(address).await.ok()?;
-        stream.write_all(b"PING\r\n").await.ok()?;
-        let mut line = String::new();
-        BufReader::new(&mut stream).read_line(&mut line).await.ok()?;
-        (line.trim() == "PONG").then_some(())
-    };
-    timeout(Duration::from_millis(500), ping).await.ok().flatten().is_some()
-}
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,7 +1,7 @@
 //! Simulated servers: they answer request lines as their mode says, and echo the lines of established sessions.
 
 use crate::checker::Checker;
-use rustix::net::sockopt::set_socket_linger;
+use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -263,8 +263,3 @@
     reset_on_drop(write.as_ref());
     drop((read, write));
 }
-
-/// The connection is reset, rather than ended in order, once it is dropped.
-pub fn reset_on_drop(stream: &TcpStream) {
-    let _ = set_socket_linger(stream, Some(Duration::ZERO));
-}
--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -25,7 +25,7 @@
     Ended,
 }
 
-/// Reads frames until one of this kind comes.
+/// Reads frames until one is this performative; yields its body and payload.
 #[macro_export]
 macro_rules! until {
     ($peer:expr, $kind:ident) => {
@@ -38,7 +38,7 @@
 }
 
 impl AmqpPeer {
-    fn shake(peer: Peer, header: &[u8; 8]) -> AmqpPeer {
+    fn handshake(peer: Peer, header: &[u8; 8]) -> AmqpPeer {
         let mut this = AmqpPeer { peer, bytes: Vec::new() };
         this.header(header);
         this
@@ -51,7 +51,7 @@
         assert_eq!(&theirs, header);
     }
 
-    /// A client of the node's.
+    /// A client of the node, with one session.
     pub fn client(addr: SocketAddr, idle_ms: Option<u32>) -> AmqpPeer {
         let mut this = AmqpPeer::opened(addr, "client", idle_ms);
         this.begin(None, 100);
@@ -59,18 +59,20 @@
         this
     }
 
-    /// A client of the node's that calls itself this, without a session.
+    /// A client of the node with this container id, without a session.
     pub fn opened(addr: SocketAddr, container: &str, idle_ms: Option<u32>) -> AmqpPeer {
-        let mut this = AmqpPeer::known(addr, "ANONYMOUS", b"").expect("the unnamed may come in");
+        let mut this = AmqpPeer::known(addr, "ANONYMOUS", b"").expect("anonymous clients are accepted");
         this.open(container, idle_ms, u32::MAX);
         until!(this, Open);
         this
     }
 
-    /// A client that has made itself known by this mechanism, up to the AMQP header; the outcome's code
-    /// where it is refused.
+    /// A client that has authenticated itself by this mechanism, up to the AMQP header.
+    ///
+    /// # Errors
+    /// The code of the SASL outcome, where the node rejects it.
     pub fn known(addr: SocketAddr, mechanism: &str, response: &[u8]) -> Result<AmqpPeer, u8> {
-        let mut this = AmqpPeer::shake(Peer::connect(addr), b"AMQP\x03\x01\x00\x00");
+        let mut this = AmqpPeer::handshake(Peer::connect(addr), b"AMQP\x03\x01\x00\x00");
         until!(this, SaslMechanisms);
         let mechanism = Some(amqp::Symbol(mechanism.into()));
         let initial_response = Some(response.to_vec());
@@ -84,16 +86,16 @@
         Ok(this)
     }
 
-    /// Says open.
+    /// Sends an open.
     pub fn open(&mut self, container: &str, idle_ms: Option<u32>, max_frame: u32) {
         let container_id = Some(container.to_string());
         let max_frame_size = Some(max_frame);
         self.put(amqp::Open { container_id, idle_time_out: idle_ms, max_frame_size, ..Default::default() });
     }
 
-    /// A server that a server's node connects to. It takes this many frames ahead.
+    /// A server that the node has connected to, with room for this many frames.
     pub fn server(peer: Peer, window: u32, max_frame: u32) -> AmqpPeer {
-        let mut this = AmqpPeer::shake(peer, b"AMQP\x03\x01\x00\x00");
+        let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Array(vec![Value::Symbol("ANONYMOUS".into())]));
         this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
         until!(this, SaslInit);
@@ -102,7 +104,7 @@
         this.serve(window, max_frame)
     }
 
-    /// A server without SASL: it says so to the first connection and is met on the next.
+    /// A server without SASL: it answers so on the first connection, and the node opens another one.
     pub fn server_without_sasl(listener: &std::net::TcpListener, window: u32) -> AmqpPeer {
         let mut first = Peer::accept(listener);
         let mut theirs = [0; 8];
@@ -110,12 +112,12 @@
         assert_eq!(&theirs, b"AMQP\x03\x01\x00\x00");
         first.stream.write_all(b"AMQP\x00\x01\x00\x00").expect("written");
         drop(first);
-        AmqpPeer::shake(Peer::accept(listener), b"AMQP\x00\x01\x00\x00").serve(window, 4096)
+        AmqpPeer::handshake(Peer::accept(listener), b"AMQP\x00\x01\x00\x00").serve(window, 4096)
     }
 
-    /// A server that takes one session with one link on a connection.
+    /// A server that allows one session with one link on a connection.
     pub fn narrow_server(peer: Peer) -> AmqpPeer {
-        let mut this = AmqpPeer::shake(peer, b"AMQP\x03\x01\x00\x00");
+        let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Symbol("ANONYMOUS".into()));
         this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
         until!(this, SaslInit);
@@ -163,7 +165,7 @@
         self.put_kind(amqp::AMQP, body.into(), &[]);
     }
 
-    /// On another channel than the first.
+    /// Sends a performative on this channel.
     pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
@@ -194,7 +196,6 @@
                 return body.map_or(NextFrame::Heartbeat, |body| NextFrame::Body(Box::new(body), payload));
             }
             let mut chunk = [0; 4096];
-            // A connection that ends, closed or lost, ends the stand-in.
             let count = self.peer.reader.read(&mut chunk).unwrap_or(0);
             if count == 0 {
                 return NextFrame::Ended;
@@ -217,7 +218,10 @@
         }
     }
 
-    /// Attaches a sending link to this address and waits for credit or a detach.
+    /// Attaches a sending link to this address and waits for its credit.
+    ///
+    /// # Errors
+    /// The node detaches the link.
     pub fn attach(&mut self, address: &str) -> Result<u32, amqp::Detach> {
         let address = Some(address.to_string());
         let target = Some(Terminus::Target(Target { address, ..Default::default() }));
@@ -235,7 +239,10 @@
         }
     }
 
-    /// Attaches a receiving link from this source and gives what the node answers.
+    /// Attaches a receiving link from this source; yields the node's own attach.
+    ///
+    /// # Errors
+    /// The node detaches the link.
     pub fn receive(&mut self, handle: u32, source: Source) -> Result<Attach, amqp::Detach> {
         let (name, role) = (Some(format!("from-{handle}")), Some(true));
         let (source, target) = (Some(source), Some(Terminus::Target(Target::default())));
@@ -248,7 +255,7 @@
         Err(until!(self, Detach).0)
     }
 
-    /// Grants credit on a link of the client's own.
+    /// Grants credit on a receiving link of this client.
     pub fn grant(&mut self, handle: u32, count: u32, credit: u32) {
         self.put(amqp::Flow {
             next_incoming_id: Some(0),
@@ -262,7 +269,7 @@
         });
     }
 
-    /// Grants credit on a link, with room for all that may come.
+    /// Grants credit on a receiving link of this client, with room for any number of frames.
     pub fn grant_wide(&mut self, handle: u32, credit: u32) {
         self.put(amqp::Flow {
             next_incoming_id: Some(0),
@@ -328,7 +335,7 @@
         });
     }
 
-    /// Settles a delivery of the node's with this state.
+    /// Settles a delivery of the node with this state.
     pub fn settle(&mut self, id: u32, state: State) {
         let (role, first, settled) = (Some(true), Some(id), Some(true));
         self.put(amqp::Disposition { role, first, settled, state: Some(state), ..Default::default() });
--- a/crates/test-support/src/cluster/config.rs
+++ b/crates/test-support/src/cluster/config.rs
@@ -20,7 +20,7 @@
     pub mean_connection_ms: u64,
     /// A client whose connection was reset reconnects after a random time in this range.
     pub reconnect_delay_ms: Range<u64>,
-    /// The load balancer in front of the nodes notices a dead node this late.
+    /// How often the load balancer before the nodes checks them.
     pub node_check_interval_ms: u64,
     /// Polls a second that discovery answers.
     pub discovery_polls_per_second: f64,
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -115,7 +115,7 @@
         self.serve_watch(stream.into_inner(), generation).await;
     }
 
-    /// Waits for the poll's turn; false where it is rejected.
+    /// Waits until the poll is at the head of the queue; false where it is rejected.
     async fn is_admitted(&self) -> bool {
         let queue = &self.queue;
         let config = &self.shared.config;
--- a/crates/test-support/src/listeners.rs
+++ b/crates/test-support/src/listeners.rs
@@ -1,4 +1,4 @@
-//! Listeners that tests accept connections at, and servers that refuse them or leave them waiting.
+//! Listeners at which tests accept connections, and servers that refuse them or let them wait.
 
 use crate::peer::{Peer, IO_TIMEOUT};
 use rustix::net::{bind, socket, AddressFamily, SocketType};
