--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,10 +1,11 @@
 //! Simulated clients: ordinary ones, and such as leave early, flood, rest or stop in the middle of a line.
 
-use crate::checker::{Answer, Checker, Class, DEADLINE};
 use crate::node::Nodes;
+use crate::request::{class_name, DEADLINE};
 use crate::server::{Servers, SessionEnd};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use sparbank_test_support::invariants::{Answer, InvariantChecker, RetrySafety, Rule, SentRequest};
 use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -33,6 +34,10 @@
 /// A client that stalls does not read for this long.
 const STALL: Duration = Duration::from_millis(600);
 
+/// What is drawn from for each request.
+const SAFETIES: [RetrySafety; 4] =
+    [RetrySafety::Idempotent, RetrySafety::Idempotent, RetrySafety::Keyed, RetrySafety::NonIdempotent];
+
 /// What the clients do besides ordinary requests.
 #[derive(Default)]
 pub struct Behaviour {
@@ -51,7 +56,7 @@
 /// One client, which sends request after request.
 pub struct Client {
     /// The checker.
-    pub checker: Rc<RefCell<Checker>>,
+    pub checker: Rc<RefCell<InvariantChecker>>,
     /// The nodes that it is spread over.
     pub nodes: Nodes,
     /// The servers, which know how sessions were ended.
@@ -67,7 +72,7 @@
 impl Client {
     /// A client with this number.
     pub fn new(
-        checker: &Rc<RefCell<Checker>>,
+        checker: &Rc<RefCell<InvariantChecker>>,
         nodes: &Nodes,
         servers: &Servers,
         behaviour: &Rc<Behaviour>,
@@ -123,19 +128,21 @@
         let mut checker = self.checker.borrow_mut();
         let allowed = BAD_CLIENT_TIMEOUT + self.nodes.stalled(node) + checker.lateness();
         if waited > allowed && !checker.is_excused(node, incarnation) {
-            checker
-                .report("bad-client", format!("node {node} left {:?} open for {waited:?}", text.get(..20)));
+            checker.report(
+                Rule::BadClient,
+                format!("node {node} left {:?} open for {waited:?}", text.get(..20)),
+            );
         }
     }
 
     async fn request(&mut self, node: usize, incarnation: u64, stream: TcpStream) {
         self.requests += 1;
         let id = format!("{:x}", (self.number << 24) | self.requests);
-        let class = [Class::Live, Class::Live, Class::Keyed, Class::Once][self.rng.random_range(0..4)];
+        let safety = SAFETIES[self.rng.random_range(0..SAFETIES.len())];
         let line = format!(
             "OPEN {id} {:x} c={},t=acme,d={},g=5c{:x}\r\n",
             self.number,
-            class.name(),
+            class_name(safety),
             DEADLINE.as_millis(),
             self.number
         );
@@ -144,7 +151,7 @@
             return;
         }
         let sent_at = Instant::now();
-        self.checker.borrow_mut().on_request(&id, node, incarnation, class, &line);
+        self.checker.borrow_mut().on_request(SentRequest { id: &id, node, incarnation, safety, line: &line });
         let mut read = BufReader::new(read);
         let leaves = if self.behaviour.leave.get() { OFTEN } else { SELDOM };
         if self.rng.random_bool(leaves) {
@@ -170,7 +177,7 @@
             .await
             .is_ok_and(|more| more.is_ok_and(|count| count > 0))
         {
-            self.checker.borrow_mut().report("second-answer", format!("{id} got {text:?}"));
+            self.checker.borrow_mut().report(Rule::SecondAnswer, format!("{id} got {text:?}"));
         }
     }
 
@@ -237,8 +244,10 @@
         }
         let allowed = self.nodes.stalled(node) + checker.lateness();
         if lines.last_at.elapsed() > SILENT_TIMEOUT + allowed {
-            checker
-                .report("silent", format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()));
+            checker.report(
+                Rule::SilentServer,
+                format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()),
+            );
         }
         let ended_at = self.servers.ended_at(id);
         let limit = END_TIMEOUT + LINE_TIMEOUT + STALL + allowed;
@@ -246,7 +255,10 @@
             ended_at.filter(|at| at.elapsed() > limit && lines.last_at.elapsed() > LINE_TIMEOUT)
         {
             let elapsed = ended_at.elapsed();
-            checker.report("held", format!("{id} at node {node}: its server ended {elapsed:?} ago"));
+            checker.report(
+                Rule::SessionEndDelayed,
+                format!("{id} at node {node}: its server ended {elapsed:?} ago"),
+            );
         }
     }
 
@@ -258,14 +270,16 @@
         }
         let Some(ended) = self.servers.ended_session(id) else {
             let last = &lines.last;
-            return checker
-                .report("cut-off", format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"));
+            return checker.report(
+                Rule::CutOff,
+                format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"),
+            );
         };
         let is_short = ended.end != SessionEnd::Reset && (lines.burst < ended.lines || lines.last != "BYE");
         if is_short {
             let (got, sent) = (lines.burst, ended.lines);
             checker.report(
-                "cut-off",
+                Rule::CutOff,
                 format!("{id} at node {node} got {got} of {sent} lines, last {:?}", lines.last),
             );
         }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Simulated discovery. Each node has two addresses of its own here, so that it is known which of them was notified of what.
 
-use crate::checker::Checker;
 use crate::server::Servers;
+use sparbank_test_support::invariants::{InvariantChecker, ServerNotice};
 use sparbank_test_support::loopback::reset_on_drop;
 use sparbank_test_support::watch_protocol::{
     chunk, endpoint_json, list_json, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD,
@@ -62,7 +62,7 @@
 /// Discovery, for all nodes.
 #[derive(Clone)]
 pub struct Discovery {
-    checker: Rc<RefCell<Checker>>,
+    checker: Rc<RefCell<InvariantChecker>>,
     servers: Servers,
     state: Rc<State>,
     /// By node, the address in use and the other one.
@@ -71,7 +71,11 @@
 
 impl Discovery {
     /// Starts discovery for so many nodes.
-    pub async fn start(checker: &Rc<RefCell<Checker>>, servers: &Servers, nodes: usize) -> Discovery {
+    pub async fn start(
+        checker: &Rc<RefCell<InvariantChecker>>,
+        servers: &Servers,
+        nodes: usize,
+    ) -> Discovery {
         let state = State {
             mode: Cell::new(Mode::Serves),
             generation: Cell::new(1),
@@ -163,7 +167,7 @@
         let mut checker = self.checker.borrow_mut();
         for node in 0..self.addresses.borrow().len() {
             let incarnation = checker.incarnation(node);
-            checker.on_notified(node, incarnation, server, false);
+            checker.on_notified(node, incarnation, server, ServerNotice::Stop);
         }
     }
 
@@ -231,7 +235,8 @@
             let mut checker = self.checker.borrow_mut();
             for (server, entry) in entries.iter().enumerate() {
                 if entry.generation > sent && entry.generation <= generation {
-                    checker.on_notified(node, incarnation, server, entry.is_ready);
+                    let notice = if entry.is_ready { ServerNotice::Ready } else { ServerNotice::Stop };
+                    checker.on_notified(node, incarnation, server, notice);
                 }
             }
             sent = generation;
--- a/crates/soak/src/world.rs
+++ b/crates/soak/src/environment.rs
@@ -1,14 +1,15 @@
-//! One run: all peers and nodes, and the faults of a schedule at their times.
+//! The environment of one run: all peers and nodes, and the faults of a schedule at their times.
 
-use crate::checker::Checker;
 use crate::client::{Behaviour, Client};
 use crate::discovery::{self, Discovery};
 use crate::node::Nodes;
+use crate::request::LIMITS;
 use crate::schedule::{Fault, PlannedFault, Schedule};
 use crate::server::{Mode, Servers, SessionEnd};
 use crate::{Options, Report};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use sparbank_test_support::invariants::InvariantChecker;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,25 +27,24 @@
 const FAULT_MS: std::ops::Range<u64> = 150..1_600;
 /// A shortage of descriptors lasts for a moment: within the time that an answer may be late.
 const SHORTAGE_MS: u64 = 400;
-/// A drain that no watch tells lasts until it counts as told, and some time more.
-const UNTOLD_DRAIN: Duration = Duration::from_millis(5_500);
+/// A drain that no watch announces lasts until the nodes count as notified, and some time more.
+const UNANNOUNCED_DRAIN: Duration = Duration::from_millis(5_500);
 /// After the last fault the run goes on for this long, and the clients then stop for as long.
 const QUIET: Duration = Duration::from_millis(2_500);
 
-struct World {
-    checker: Rc<RefCell<Checker>>,
+/// All peers and nodes of a run.
+struct TestEnvironment {
+    checker: Rc<RefCell<InvariantChecker>>,
     servers: Servers,
     discovery: Discovery,
     nodes: Nodes,
     behaviour: Rc<Behaviour>,
     rng: RefCell<Pcg64Mcg>,
-    /// Faults of one kind that last.
-    lasting: Cell<usize>,
 }
 
-/// Plays a schedule.
-pub async fn play(options: &Options, schedule: &Schedule) -> Report {
-    let checker = Rc::new(RefCell::new(Checker::new(options.nodes)));
+/// Runs a schedule to its end.
+pub async fn run(options: &Options, schedule: &Schedule) -> Report {
+    let checker = Rc::new(RefCell::new(InvariantChecker::new(options.nodes, LIMITS)));
     let ticking = checker.clone();
     spawn_local(async move {
         loop {
@@ -64,28 +64,28 @@
         spawn_local(client.run());
     }
     let rng = RefCell::new(Pcg64Mcg::seed_from_u64(schedule.seed));
-    let world = Rc::new(World { checker, servers, discovery, nodes, behaviour, rng, lasting: Cell::new(0) });
-    world.clone().play_faults(schedule).await;
+    let environment = Rc::new(TestEnvironment { checker, servers, discovery, nodes, behaviour, rng });
+    environment.clone().inject_all(schedule).await;
     sleep(QUIET).await;
-    world.behaviour.stopped.set(true);
+    environment.behaviour.stopped.set(true);
     sleep(QUIET).await;
-    world.nodes.check_running();
-    world.nodes.finish();
-    let checker = world.checker.borrow();
+    environment.nodes.check_running();
+    environment.nodes.finish();
+    let checker = environment.checker.borrow();
     if checker.violations().is_empty() {
-        world.nodes.remove_files();
+        environment.nodes.remove_files();
     }
     Report {
         seed: schedule.seed,
         schedule: schedule.clone(),
         violations: checker.violations().to_vec(),
-        requests: checker.sent,
-        served: checker.served,
+        requests: checker.sent_requests(),
+        served: checker.served_requests(),
     }
 }
 
-impl World {
-    async fn play_faults(self: Rc<World>, schedule: &Schedule) {
+impl TestEnvironment {
+    async fn inject_all(self: Rc<TestEnvironment>, schedule: &Schedule) {
         let start = Instant::now();
         for PlannedFault { at_ms, fault, target } in &schedule.faults {
             sleep_until(start + Duration::from_millis(*at_ms)).await;
@@ -96,9 +96,8 @@
         sleep_until(start + Duration::from_millis(schedule.end_ms())).await;
     }
 
-    async fn inject(self: Rc<World>, fault: Fault, target: u64, duration: Duration) {
+    async fn inject(self: Rc<TestEnvironment>, fault: Fault, target: u64, duration: Duration) {
         let node = target as usize % self.nodes.len();
-        self.lasting.set(self.lasting.get() + 1);
         match fault {
             Fault::Terminate => self.nodes.terminate_and_restart(node).await,
             Fault::Kill => self.nodes.kill_and_restart(node).await,
@@ -116,8 +115,8 @@
             Fault::Drain => self.drain_server(target, duration).await,
             Fault::SilentWatches => {
                 self.discovery.silence_watches();
-                // A silence without news is none.
-                self.drain_server(target, UNTOLD_DRAIN).await;
+                // Silent watches matter only where there is a change.
+                self.drain_server(target, UNANNOUNCED_DRAIN).await;
             }
             Fault::ResetWatches => self.discovery.reset_watches(),
             Fault::DiscoveryDown => self.set_discovery(discovery::Mode::Down, duration).await,
@@ -137,7 +136,6 @@
             Fault::ClientsIdle => Self::set_clients(&self.behaviour.idle, duration).await,
             Fault::ClientsHalfLine => Self::set_clients(&self.behaviour.half_line, duration).await,
         }
-        self.lasting.set(self.lasting.get() - 1);
     }
 
     /// The servers that a fault hits: about half of them.
@@ -158,7 +156,7 @@
     async fn drain_server(&self, target: u64, duration: Duration) {
         let server = target as usize % SERVERS;
         self.discovery.set_ready(server, false);
-        // Long enough for a drain that no watch tells.
+        // Long enough for a drain that no watch announces.
         sleep(duration + Duration::from_secs(2)).await;
         self.discovery.set_ready(server, true);
     }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Plays many seeds of the soak test: `sparbank-soak --program FILE --seeds 1..40 [--cells 8] [--nodes 4] [--minimize]`.
+//! Runs many seeds of the soak test: `sparbank-soak --program FILE --seeds 1..40 [--cells 8] [--nodes 4] [--minimize]`.
 
 use lexopt::prelude::{Long, ValueExt};
 use sparbank_soak::{minimize, run, Options, Report, Schedule};
@@ -21,7 +21,7 @@
 
 fn main() -> ExitCode {
     match parse_arguments() {
-        Ok(arguments) => play(&arguments),
+        Ok(arguments) => run_all(&arguments),
         Err(error) => {
             eprintln!("{error}; {USAGE}");
             ExitCode::from(2)
@@ -60,7 +60,7 @@
     Ok(parse(from)?..parse(to)?)
 }
 
-fn play(arguments: &Arguments) -> ExitCode {
+fn run_all(arguments: &Arguments) -> ExitCode {
     let seeds = Mutex::new(arguments.seeds.clone().collect::<VecDeque<u64>>());
     let reports = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,10 +1,11 @@
 //! The processes under test: started, signalled, and checked for how they end.
 
-use crate::checker::{Checker, DEADLINE, DEDUP_WINDOW};
 use crate::discovery::Discovery;
+use crate::request::{class_name, DEADLINE, DEDUP_WINDOW};
 use crate::Options;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
+use sparbank_test_support::invariants::{InvariantChecker, RetrySafety, Rule};
 use sparbank_test_support::loopback::{answers_ping, AddressBlock, AddressRange};
 use sparbank_test_support::{configure_node, ChildProcess, Signal};
 use std::cell::{Cell, RefCell};
@@ -52,7 +53,7 @@
 #[derive(Clone)]
 pub struct Nodes {
     options: Rc<Options>,
-    checker: Rc<RefCell<Checker>>,
+    checker: Rc<RefCell<InvariantChecker>>,
     discovery: Discovery,
     nodes: Rc<Vec<Node>>,
     seed: u64,
@@ -60,7 +61,12 @@
 
 impl Nodes {
     /// The nodes of a run, none of them started.
-    pub fn new(options: &Options, checker: &Rc<RefCell<Checker>>, discovery: &Discovery, seed: u64) -> Nodes {
+    pub fn new(
+        options: &Options,
+        checker: &Rc<RefCell<InvariantChecker>>,
+        discovery: &Discovery,
+        seed: u64,
+    ) -> Nodes {
         let addresses = AddressBlock::of_new_run(AddressRange::Soak);
         let node = |number| Node {
             address: addresses.of_node(number, NODE_PORT),
@@ -133,7 +139,7 @@
         node.started_at.set(started_at);
         while !answers_ping(node.address).await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.checker.borrow_mut().report("ready", format!("node {number} is not ready"));
+                return self.checker.borrow_mut().report(Rule::Ready, format!("node {number} is not ready"));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -142,15 +148,19 @@
 
     /// Writes a node's configuration as it is now.
     fn write_config(&self, number: usize) {
-        let class = |name: &str, effect: &str| {
+        let class = |safety: RetrySafety, effect: &str| {
+            let name = class_name(safety);
             format!(
                 r#"{{"Effect":"{effect}","DedupScope":"all","WindowNs":{},"HardLimitNs":{},"Name":"{name}","ObjectiveNs":300000000,"Worth":2.0}}"#,
                 DEDUP_WINDOW.as_nanos(),
                 DEADLINE.as_nanos()
             )
         };
-        let classes =
-            [class("live", "read_like"), class("keyed", "idempotency_key"), class("once", "non_idempotent")];
+        let classes = [
+            class(RetrySafety::Idempotent, "read_like"),
+            class(RetrySafety::Keyed, "idempotency_key"),
+            class(RetrySafety::NonIdempotent, "non_idempotent"),
+        ];
         let config = format!(
             r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":{DESCRIPTORS}}},"known":{},
             "settings":{{"Profiles":[{}],"Discovery":"ask","Zones":["a"],"Instances":{},
@@ -187,7 +197,7 @@
             let stalled = self.checker.borrow().stalled_since(number, sent_at);
             let limit = DEADLINE + KILL_DELAY + stalled + self.checker.borrow().lateness();
             if sent_at.elapsed() > limit && !std::mem::replace(&mut is_late, true) {
-                self.checker.borrow_mut().report("exit", format!("node {number} runs on after SIGTERM"));
+                self.checker.borrow_mut().report(Rule::Exit, format!("node {number} runs on after SIGTERM"));
                 self.signal(number, Signal::KILL);
             }
             sleep(POLL_INTERVAL).await;
@@ -220,7 +230,7 @@
         };
         *child = None;
         if !status.success() {
-            self.checker.borrow_mut().report("crash", format!("node {number} ended with {status}"));
+            self.checker.borrow_mut().report(Rule::Crash, format!("node {number} ended with {status}"));
         }
         true
     }
@@ -229,7 +239,7 @@
     pub fn check_running(&self) {
         for number in 0..self.len() {
             if !self.nodes[number].is_restarting.get() && self.has_exited(number) {
-                self.checker.borrow_mut().report("crash", format!("node {number} is gone"));
+                self.checker.borrow_mut().report(Rule::Crash, format!("node {number} is gone"));
                 self.nodes[number].is_restarting.set(true);
                 self.nodes[number].is_accepting.set(false);
             }
@@ -284,7 +294,7 @@
                 for line in broken {
                     self.checker
                         .borrow_mut()
-                        .report("own-report", format!("node {number} start {start}: {line}"));
+                        .report(Rule::OwnReport, format!("node {number} start {start}: {line}"));
                 }
             }
         }
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Schedules of faults. A seed is a schedule: it is written out before it is played.
+//! Schedules of faults. A seed is a schedule: it is written out before it is run.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -15,7 +15,7 @@
     ShortStall,
     /// A node is stopped for a second.
     LongStall,
-    /// Discovery moves, and the nodes are told by SIGHUP.
+    /// Discovery moves, and the nodes are notified by SIGHUP.
     MoveDiscovery,
     /// SIGHUP without a change.
     Reload,
@@ -108,7 +108,7 @@
 /// A fault at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlannedFault {
-    /// Milliseconds from the start of the play.
+    /// Milliseconds from the start of the run.
     pub at_ms: u64,
     /// What happens.
     pub fault: Fault,
@@ -126,7 +126,7 @@
 }
 
 impl Schedule {
-    /// The schedule of a seed. Consecutive seeds play all ordered pairs before one is repeated.
+    /// The schedule of a seed. Consecutive seeds cover all ordered pairs before one is repeated.
     pub fn for_seed(seed: u64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut faults = Vec::new();
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,6 +1,6 @@
 //! Simulated servers: they answer request lines as their mode says, and echo the lines of established sessions.
 
-use crate::checker::Checker;
+use sparbank_test_support::invariants::InvariantChecker;
 use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
 /// All servers of a run.
 #[derive(Clone)]
 pub struct Servers {
-    checker: Rc<RefCell<Checker>>,
+    checker: Rc<RefCell<InvariantChecker>>,
     servers: Rc<Vec<Server>>,
     /// Sessions that their servers have ended, by request.
     ended: Rc<RefCell<HashMap<String, EndedSession>>>,
@@ -85,7 +85,7 @@
     ///
     /// # Panics
     /// The system has no free port.
-    pub async fn start(checker: &Rc<RefCell<Checker>>, count: usize) -> Servers {
+    pub async fn start(checker: &Rc<RefCell<InvariantChecker>>, count: usize) -> Servers {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..count {
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -1,41 +1,39 @@
 //! What the simulated peers saw, by their own clocks, and the invariants that follow from it.
 //!
-//! Invariants: an accepted request gets one final answer in its time; no request has two attempts in flight at once; a
+//! Invariants ([`crate::invariants`]): an accepted request gets one final answer in its time; no request has two attempts in flight at once; a
 //! node sends nothing new to a server once it was notified that the server drains or is gone; no server that is warming
 //! up is overloaded. What a killed or stopped node owed is excused. How late the harness's own thread was is measured,
 //! and time limits are longer by that.
 
+use super::clients::ANSWER_TIMEOUT;
 use super::servers::EndpointList;
 pub use super::summary::Summary;
 use super::summary::Timeline;
 use super::ClusterConfig;
-use std::collections::HashMap;
+use crate::invariants::{Answer, InvariantChecker, Limits, RetrySafety, Rule, SentRequest, ServerNotice};
+use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
 /// How a request ended at its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
-    /// It was served.
-    Up,
-    /// It was rejected.
-    Busy,
-    /// It failed.
-    Failed,
+pub enum Outcome {
+    /// With its final answer.
+    Answered(Answer),
     /// The connection ended without an answer.
     ConnectionEnded,
     /// No answer arrived in its time and long after it.
     TimedOut,
 }
 
-/// A node may use a server for so long after it was notified to stop: 250 ms by the settings, and 50 ms for the sockets.
-const STOP_SENDING_WITHIN: Duration = Duration::from_millis(300);
-/// A server notices a connection's end a little after the node has ended it.
-const ATTEMPT_OVERLAP: Duration = Duration::from_millis(100);
 /// A tick that is later than this is counted as lateness of the harness's thread.
 const MIN_LATENESS: Duration = Duration::from_millis(20);
-/// After the thread was late, what it reads for this long may be older than it seems.
-const LATENESS_LASTS: Duration = Duration::from_secs(3);
-
+/// The time limits of a run.
+const LIMITS: Limits = Limits {
+    answer_within: ANSWER_TIMEOUT,
+    // No request of a cluster has an idempotency key.
+    dedup_window: Duration::ZERO,
+    min_lateness: MIN_LATENESS,
+};
 /// Counts of one second of the run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SecondCounts {
@@ -57,28 +55,14 @@
     pub attempts_at_dead: u32,
 }
 
-#[derive(Default)]
-struct NodeRecord {
-    is_up: bool,
-    /// Rises with each start, stop and continuation.
-    incarnation: u64,
-    changed_at: Option<Instant>,
-    /// By server: when this process was notified to send it nothing new.
-    stop_notices: HashMap<usize, Instant>,
-    /// By server: attempts at one that is dead.
-    attempts_at_dead: HashMap<usize, u32>,
-}
-
-struct AttemptRecord {
-    server: usize,
-    since: Instant,
-}
-
-struct RequestRecord {
-    node: usize,
-    incarnation: u64,
-    sent_at: Instant,
-    in_flight: Option<AttemptRecord>,
+impl SecondCounts {
+    fn count(&mut self, answer: Answer) {
+        match answer {
+            Answer::Up => self.up += 1,
+            Answer::Busy => self.busy += 1,
+            Answer::Failed => self.failed += 1,
+        }
+    }
 }
 
 /// An attempt as a server sees it.
@@ -95,12 +79,12 @@
 /// The auditor of one run.
 pub struct Auditor {
     timeline: Timeline,
+    checker: InvariantChecker,
     established: i64,
-    nodes: Vec<NodeRecord>,
-    requests: HashMap<String, RequestRecord>,
-    violations: Vec<String>,
-    late_ticks: Vec<(Instant, Duration)>,
-    last_tick: Instant,
+    /// By node and server: attempts of the node's newest process at a server that is dead.
+    attempts_at_dead: Vec<HashMap<usize, u32>>,
+    /// The names of servers that were overloaded while they were warming up.
+    overloaded: HashSet<String>,
     attempts: u64,
     max_attempts_at_dead_server: u32,
     max_slow_start_load: f64,
@@ -109,15 +93,12 @@
 impl Auditor {
     /// An auditor of so many nodes, none of which is up.
     pub fn new(nodes: usize) -> Auditor {
-        let now = Instant::now();
         Auditor {
-            timeline: Timeline::new(now),
+            timeline: Timeline::new(Instant::now()),
+            checker: InvariantChecker::new(nodes, LIMITS),
             established: 0,
-            nodes: (0..nodes).map(|_| NodeRecord::default()).collect(),
-            requests: HashMap::new(),
-            violations: Vec::new(),
-            late_ticks: Vec::new(),
-            last_tick: now,
+            attempts_at_dead: vec![HashMap::new(); nodes],
+            overloaded: HashSet::new(),
             attempts: 0,
             max_attempts_at_dead_server: 0,
             max_slow_start_load: 0.0,
@@ -126,20 +107,10 @@
 
     /// Called at this interval: samples the established connections, and notes how late the call comes.
     pub fn tick(&mut self, interval: Duration) {
-        let lateness = self.last_tick.elapsed().saturating_sub(interval);
-        self.last_tick = Instant::now();
-        if lateness > MIN_LATENESS {
-            self.late_ticks.push((self.last_tick, lateness));
-        }
+        self.checker.tick(interval);
         self.timeline.sample(self.established);
     }
 
-    /// How late this thread has been of late.
-    fn lateness(&self) -> Duration {
-        let recent = self.late_ticks.iter().rev().take_while(|(at, _)| at.elapsed() < LATENESS_LASTS);
-        recent.map(|(_, lateness)| *lateness).max().unwrap_or_default() + self.last_tick.elapsed()
-    }
-
     /// Connections that are established now.
     pub fn established(&self) -> usize {
         self.established.max(0) as usize
@@ -162,20 +133,18 @@
 
     /// A node was started or goes on.
     pub fn on_node_up(&mut self, node: usize) {
-        let node = &mut self.nodes[node];
-        node.change_state(true);
-        node.stop_notices.clear();
-        node.attempts_at_dead.clear();
+        self.checker.on_start(node);
+        self.attempts_at_dead[node].clear();
     }
 
     /// A node was killed or stopped.
     pub fn on_node_down(&mut self, node: usize) {
-        self.nodes[node].change_state(false);
+        self.checker.on_suspend(node);
     }
 
     /// A number that is another one after each start, stop and continuation of a node.
     pub fn incarnation(&self, node: usize) -> u64 {
-        self.nodes[node].incarnation
+        self.checker.incarnation(node)
     }
 
     /// Discovery has received a poll.
@@ -190,121 +159,70 @@
 
     /// A list was written to the watch of a node's incarnation: what a complete list leaves out is gone.
     pub fn on_list_sent(&mut self, node: usize, incarnation: u64, list: &EndpointList) {
-        let node = &mut self.nodes[node];
-        if node.incarnation != incarnation {
-            return;
-        }
-        let now = Instant::now();
+        let mut notify = |server, notice| self.checker.on_notified(node, incarnation, server, notice);
         for endpoint in &list.endpoints {
-            if endpoint.is_ready {
-                node.stop_notices.remove(&endpoint.server);
-            } else {
-                node.stop_notices.entry(endpoint.server).or_insert(now);
-            }
+            notify(endpoint.server, if endpoint.is_ready { ServerNotice::Ready } else { ServerNotice::Stop });
         }
         if list.is_complete {
             let last = list.endpoints.iter().map(|endpoint| endpoint.server).max().unwrap_or(0);
-            for server in 0..=last {
-                if !list.endpoints.iter().any(|endpoint| endpoint.server == server) {
-                    node.stop_notices.entry(server).or_insert(now);
-                }
-            }
+            let is_named = |server: &usize| list.endpoints.iter().any(|endpoint| endpoint.server == *server);
+            (0..=last)
+                .filter(|server| !is_named(server))
+                .for_each(|server| notify(server, ServerNotice::Stop));
         }
     }
 
-    /// A client has sent a request to a node.
-    pub fn on_request(&mut self, id: &str, node: usize) {
+    /// A client sends a request to a node.
+    pub fn on_request(&mut self, id: &str, node: usize, line: &str) {
         self.timeline.current_second().requests += 1;
-        let incarnation = self.nodes[node].incarnation;
-        let request = RequestRecord { node, incarnation, sent_at: Instant::now(), in_flight: None };
-        self.requests.insert(id.to_string(), request);
+        let incarnation = self.checker.incarnation(node);
+        let safety = RetrySafety::Idempotent;
+        self.checker.on_request(SentRequest { id, node, incarnation, safety, line });
     }
 
-    /// A client's request has ended.
-    pub fn on_answer(&mut self, id: &str, answer: Answer) {
+    /// A client's request has ended, so long after it was sent. A connection that ended before the node made any attempt
+    /// is excused: a listener that is not there yet resets it.
+    pub fn on_outcome(&mut self, id: &str, outcome: Outcome, waited: Duration) {
         let second = self.timeline.current_second();
-        match answer {
-            Answer::Up => second.up += 1,
-            Answer::Busy => second.busy += 1,
-            Answer::Failed => second.failed += 1,
-            Answer::ConnectionEnded | Answer::TimedOut => {}
-        }
-        let Some(request) = self.requests.get(id) else { return };
-        if self.is_lost(request, answer) {
-            let node = request.node;
-            let elapsed_ms = request.sent_at.elapsed().as_millis();
-            self.violations
-                .push(format!("lost: request {id} at node {node} had {answer:?} after {elapsed_ms} ms"));
-        }
-        if answer != Answer::Up {
-            self.requests.remove(id);
-        }
-    }
-
-    /// Whether a request should have had another answer. What was at a process that is gone, or was stopped since, is
-    /// excused. So is a connection that ended before the node made any attempt: a listener that is not there yet
-    /// resets it.
-    fn is_lost(&self, request: &RequestRecord, answer: Answer) -> bool {
-        let node = &self.nodes[request.node];
-        let is_same_incarnation = node.incarnation == request.incarnation;
-        match answer {
-            Answer::ConnectionEnded => is_same_incarnation && node.is_up && request.in_flight.is_some(),
-            Answer::TimedOut => is_same_incarnation && node.is_up,
-            Answer::Up | Answer::Busy | Answer::Failed => false,
+        match outcome {
+            Outcome::Answered(answer) => {
+                second.count(answer);
+                self.checker.on_answer(id, answer, waited);
+            }
+            Outcome::ConnectionEnded if self.checker.has_open_attempt(id) => {
+                self.checker.on_no_answer(id, "the connection ended");
+            }
+            Outcome::ConnectionEnded => {}
+            Outcome::TimedOut => self.checker.on_no_answer(id, "no answer in its time"),
         }
     }
 
     /// A node's line has reached a server.
-    pub fn on_attempt(&mut self, id: &str, attempt: ObservedAttempt) {
+    pub fn on_attempt(&mut self, id: &str, attempt: ObservedAttempt, line: &str) {
         self.attempts += 1;
         let second = self.timeline.current_second();
         second.attempts_at_warming_up += u32::from(attempt.is_warming_up);
         second.attempts_at_dead += u32::from(attempt.is_dead);
-        let server = attempt.server;
-        let lateness = self.lateness();
-        let Some(request) = self.requests.get_mut(id) else { return };
-        let in_flight = AttemptRecord { server, since: Instant::now() };
-        if let Some(other) = request.in_flight.replace(in_flight) {
-            if other.server != server && other.since.elapsed() > ATTEMPT_OVERLAP + lateness {
-                let other = other.server;
-                self.violations.push(format!("dup: request {id} is out at servers {other} and {server}"));
-            }
-        }
-        let node = &mut self.nodes[request.node];
-        if node.incarnation != request.incarnation {
-            return;
-        }
-        if attempt.is_dead {
-            let count = node.attempts_at_dead.entry(server).or_default();
+        self.checker.on_attempt(id, attempt.server, line);
+        if let Some(node) = self.checker.serving_node(id).filter(|_| attempt.is_dead) {
+            let count = self.attempts_at_dead[node].entry(attempt.server).or_default();
             *count += 1;
             self.max_attempts_at_dead_server = self.max_attempts_at_dead_server.max(*count);
         }
-        let Some(notified_at) = node.stop_notice(server) else { return };
-        if notified_at.elapsed() > STOP_SENDING_WITHIN + lateness {
-            let elapsed_ms = notified_at.elapsed().as_millis();
-            let node = request.node;
-            self.violations.push(format!(
-                "stale: node {node} sent {id} to server {server} {elapsed_ms} ms after it was told to stop"
-            ));
-        }
     }
 
     /// A server notices that an attempt is over.
     pub fn on_attempt_ended(&mut self, id: &str, server: usize) {
-        if let Some(request) = self.requests.get_mut(id) {
-            if request.in_flight.as_ref().is_some_and(|attempt| attempt.server == server) {
-                request.in_flight = None;
-            }
-        }
+        self.checker.on_attempt_ended(id, server);
     }
 
     /// Load of a server that is warming up, over what it can serve; `is_overloaded` after it was over that for too
     /// long.
     pub fn on_slow_start_load(&mut self, name: &str, load: f64, is_overloaded: bool) {
         self.max_slow_start_load = self.max_slow_start_load.max(load);
-        let violation = format!("failback: server {name} is overloaded while it warms up");
-        if is_overloaded && !self.violations.contains(&violation) {
-            self.violations.push(violation);
+        if is_overloaded && self.overloaded.insert(name.to_string()) {
+            let detail = format!("server {name} is overloaded while it warms up");
+            self.checker.report(Rule::SlowStartOverload, detail);
         }
     }
 
@@ -319,7 +237,7 @@
         let since_fault = self.timeline.seconds_since_first_fault();
         let seconds = self.timeline.seconds();
         Summary {
-            violations: self.violations.clone(),
+            violations: self.checker.violations().to_vec(),
             recovery_from_last_fault: recovery.from_last_fault,
             recovery_from_first_fault: recovery.from_first_fault,
             established_before: recovery.established_before,
@@ -336,16 +254,5 @@
     }
 }
 
-impl NodeRecord {
-    fn change_state(&mut self, is_up: bool) {
-        self.is_up = is_up;
-        self.changed_at = Some(Instant::now());
-        self.incarnation += 1;
-    }
-
-    /// When this process was notified to send a server nothing new, at the earliest at its start.
-    fn stop_notice(&self, server: usize) -> Option<Instant> {
-        let notified_at = *self.stop_notices.get(&server)?;
-        Some(self.changed_at.map_or(notified_at, |changed_at| changed_at.max(notified_at)))
-    }
-}
+#[cfg(test)]
+mod tests;
--- a/crates/test-support/src/cluster/clients.rs
+++ b/crates/test-support/src/cluster/clients.rs
@@ -1,8 +1,9 @@
 //! Simulated clients that want an established connection all the time, and the load balancer that spreads them over
 //! the nodes.
 
-use super::auditor::Answer;
+use super::auditor::Outcome;
 use super::Shared;
+use crate::invariants::Answer;
 use crate::loopback::answers_ping;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -20,7 +21,9 @@
 pub const REQUEST_TIMEOUT_MS: u64 = 1_200;
 /// A request without an answer this long after its time-out is lost: half a second by the rules, and what slow cores
 /// add.
-const LOST_AFTER: Duration = Duration::from_millis(1_500);
+const LOST_AFTER_MS: u64 = 1_500;
+/// How long a client waits for an answer, however late.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(REQUEST_TIMEOUT_MS + LOST_AFTER_MS);
 /// Requests in a row, the first one included, before a client starts anew.
 const MAX_ATTEMPTS: u32 = 4;
 /// How often a client sends a line on its established connection.
@@ -150,18 +153,20 @@
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
-        self.shared.auditor.borrow_mut().on_request(id, node);
+        self.shared.auditor.borrow_mut().on_request(id, node, line);
+        let sent_at = Instant::now();
         let is_sent = write.write_all(line.as_bytes()).await.is_ok();
         let mut text = String::new();
-        let answer = if is_sent { read_answer(&mut read, &mut text).await } else { Answer::ConnectionEnded };
-        self.shared.auditor.borrow_mut().on_answer(id, answer);
-        match answer {
-            Answer::Up => self.use_connection(read, write).await,
-            Answer::Busy => {
+        let outcome =
+            if is_sent { read_answer(&mut read, &mut text).await } else { Outcome::ConnectionEnded };
+        self.shared.auditor.borrow_mut().on_outcome(id, outcome, sent_at.elapsed());
+        match outcome {
+            Outcome::Answered(Answer::Up) => self.use_connection(read, write).await,
+            Outcome::Answered(Answer::Busy) => {
                 RequestEnd::Rejected(text.trim().split(' ').nth(1).and_then(|ms| ms.parse().ok()))
             }
-            Answer::ConnectionEnded => RequestEnd::NotAccepted,
-            Answer::Failed | Answer::TimedOut => RequestEnd::Rejected(None),
+            Outcome::ConnectionEnded => RequestEnd::NotAccepted,
+            Outcome::Answered(Answer::Failed) | Outcome::TimedOut => RequestEnd::Rejected(None),
         }
     }
 
@@ -199,16 +204,15 @@
 }
 
 /// Waits for the final answer to a request; whether a connection may end without one is up to the auditor.
-async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Answer {
-    let limit = Duration::from_millis(REQUEST_TIMEOUT_MS) + LOST_AFTER;
-    match timeout(limit, read.read_line(text)).await {
-        Err(_) => Answer::TimedOut,
+async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Outcome {
+    match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
+        Err(_) => Outcome::TimedOut,
         Ok(Ok(count)) if count > 0 => match text.trim().split(' ').next() {
-            Some("UP") => Answer::Up,
-            Some("BUSY") => Answer::Busy,
-            _ => Answer::Failed,
+            Some("UP") => Outcome::Answered(Answer::Up),
+            Some("BUSY") => Outcome::Answered(Answer::Busy),
+            _ => Outcome::Answered(Answer::Failed),
         },
-        Ok(_) => Answer::ConnectionEnded,
+        Ok(_) => Outcome::ConnectionEnded,
     }
 }
 
--- a/crates/test-support/src/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! A multi-process test harness: nodes of the program under test on loopback, and simulated peers round them (discovery,
 //! servers, the session ledger and clients), all of those in one thread and from one seed.
 //!
-//! A run is judged by the peers' own clocks and records ([`auditor::Auditor`]), never by what a node logs. A script
+//! A run is checked by the peers' own clocks and records ([`auditor::Auditor`]), never by what a node logs. A script
 //! injects the faults. The same seed gives the same script, the same population and the same random draws of every
 //! peer. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` set what a test plays.
 
@@ -184,7 +184,8 @@
     pub async fn finish(mut self) -> Summary {
         let summary = self.shared.auditor.borrow_mut().summarize(&self.shared.config);
         if !summary.violations.is_empty() {
-            self.fail(&summary.violations.join("; "));
+            let violations: Vec<String> = summary.violations.iter().map(ToString::to_string).collect();
+            self.fail(&violations.join("; "));
         }
         self.nodes.kill_all();
         summary
--- a/crates/test-support/src/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -325,7 +325,7 @@
             (server.health, server.slow_start_factor() < 1.0, is_full)
         };
         let attempt = ObservedAttempt { server: number, is_warming_up, is_dead: health == Health::Dead };
-        self.shared.auditor.borrow_mut().on_attempt(&id, attempt);
+        self.shared.auditor.borrow_mut().on_attempt(&id, attempt, &line);
         let guard = AttemptGuard { servers: &self, number, id: &id, is_counted: Cell::new(false) };
         match health {
             Health::Dead => reset_on_drop(write.as_ref()),
--- a/crates/test-support/src/cluster/summary.rs
+++ b/crates/test-support/src/cluster/summary.rs
@@ -1,6 +1,7 @@
 //! The course of a run by seconds, and its summary.
 
 use super::auditor::SecondCounts;
+use crate::invariants::Violation;
 use std::fmt;
 use std::time::{Duration, Instant};
 
@@ -17,8 +18,8 @@
 /// The result of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// The invariants that were violated, each with its place.
-    pub violations: Vec<String>,
+    /// The invariants that were violated.
+    pub violations: Vec<Violation>,
     /// From the last fault to the first moment from which 95% of the connections from before the first fault are
     /// established for 5 s.
     pub recovery_from_last_fault: Option<Duration>,
--- /dev/null
+++ b/crates/test-support/src/invariants/tests.rs
@@ -0,0 +1,108 @@
+//! Each check is shown to fail: the fault is put in, and the checker must report it.
+
+use super::*;
+use std::thread::sleep;
+
+const DEADLINE: Duration = Duration::from_millis(1_000);
+const DEDUP_WINDOW: Duration = Duration::from_millis(600);
+const LIMITS: Limits = Limits {
+    answer_within: Duration::from_millis(1_550),
+    dedup_window: DEDUP_WINDOW,
+    min_lateness: Duration::from_millis(10),
+};
+const LINE: &str = "OPEN a 1 c=once,t=acme,d=1000,g=5c\r\n";
+
+fn checker(safety: RetrySafety) -> InvariantChecker {
+    let mut checker = InvariantChecker::new(1, LIMITS);
+    checker.on_start(0);
+    checker.on_request(SentRequest { id: "a", node: 0, incarnation: 1, safety, line: LINE });
+    checker
+}
+
+fn rules(checker: &InvariantChecker) -> Vec<Rule> {
+    checker.violations().iter().map(|violation| violation.rule).collect()
+}
+
+fn wait(checker: &mut InvariantChecker, span: Duration) {
+    sleep(span);
+    checker.tick(span);
+    checker.lateness.reset();
+}
+
+#[test]
+fn a_request_without_an_answer_is_reported_and_a_killed_node_is_excused() {
+    let mut checker = checker(RetrySafety::Idempotent);
+    checker.on_no_answer("a", "the connection ended");
+    assert_eq!(rules(&checker), [Rule::Lost]);
+    checker.on_kill(0);
+    checker.on_no_answer("a", "the connection ended");
+    assert_eq!(rules(&checker), [Rule::Lost]);
+}
+
+#[test]
+fn an_answer_that_is_late_is_reported() {
+    let mut checker = checker(RetrySafety::Idempotent);
+    checker.on_answer("a", Answer::Busy, DEADLINE);
+    checker.on_answer("a", Answer::Busy, DEADLINE + Duration::from_secs(1));
+    assert_eq!(rules(&checker), [Rule::Lost]);
+}
+
+#[test]
+fn an_attempt_for_a_client_that_has_gone_is_reported() {
+    let mut checker = checker(RetrySafety::Idempotent);
+    checker.on_client_gone("a");
+    wait(&mut checker, 3 * DISCONNECT_GRACE);
+    checker.on_attempt("a", 0, LINE);
+    assert_eq!(rules(&checker), [Rule::ClientGone]);
+}
+
+#[test]
+fn an_attempt_at_a_server_that_drains_is_reported_until_it_returns() {
+    let mut checker = checker(RetrySafety::Idempotent);
+    checker.on_notified(0, 1, 3, ServerNotice::Stop);
+    wait(&mut checker, DRAIN_GRACE + REORDERING_SLACK);
+    checker.on_attempt("a", 3, LINE);
+    checker.on_attempt_ended("a", 3);
+    checker.on_notified(0, 1, 3, ServerNotice::Ready);
+    checker.on_attempt("a", 3, LINE);
+    assert_eq!(rules(&checker), [Rule::Drain]);
+}
+
+#[test]
+fn a_second_attempt_is_reported_where_the_first_may_have_run() {
+    let mut once = checker(RetrySafety::NonIdempotent);
+    once.on_attempt("a", 0, LINE);
+    once.on_attempt_rejected("a", 0);
+    once.on_attempt_ended("a", 0);
+    once.on_attempt("a", 1, LINE);
+    assert_eq!(rules(&once), [], "the first has not run");
+    once.on_attempt_ended("a", 1);
+    once.on_attempt("a", 2, LINE);
+    assert_eq!(rules(&once), [Rule::Duplicate]);
+}
+
+#[test]
+fn a_retry_after_its_window_and_one_beside_another_are_reported() {
+    let mut keyed = checker(RetrySafety::Keyed);
+    keyed.on_attempt("a", 0, LINE);
+    keyed.on_attempt_ended("a", 0);
+    wait(&mut keyed, DEDUP_WINDOW + REORDERING_SLACK);
+    keyed.on_attempt("a", 1, LINE);
+    assert_eq!(rules(&keyed), [Rule::Duplicate]);
+    let mut live = checker(RetrySafety::Idempotent);
+    live.on_attempt("a", 0, LINE);
+    wait(&mut live, 2 * REORDERING_SLACK);
+    live.on_attempt("a", 1, LINE);
+    assert_eq!(rules(&live), [Rule::Duplicate]);
+}
+
+#[test]
+fn a_changed_line_is_reported() {
+    let mut checker = checker(RetrySafety::Idempotent);
+    checker.on_attempt("a", 0, "OPEN a 1 c=once,t=acme,d=431,g=5c\r\n");
+    assert_eq!(rules(&checker), []);
+    checker.on_attempt_ended("a", 0);
+    checker.on_attempt("a", 1, "OPEN a 1 c=once,t=acme,d=431\r\n");
+    checker.on_attempt("b", 1, LINE);
+    assert_eq!(rules(&checker), [Rule::Line, Rule::Line]);
+}
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -3,7 +3,7 @@
 //! Integration tests of one node use a [`Bench`]: the node's process, a discovery and servers that the test plays itself,
 //! step by step, over blocking sockets ([`Peer`], [`AmqpPeer`]). Tests of many nodes under load use a
 //! [`Cluster`](cluster::Cluster), whose simulated peers act on their own. The soak test (`crates/soak`) has peers of its
-//! own and uses the parts that are not tied to either.
+//! own and uses the parts that are not tied to either. Both are judged by the same [`invariants`].
 //!
 //! The path of the program under test is an argument everywhere: only Cargo knows it, and tells it to integration tests
 //! and benchmarks alone (`env!("CARGO_BIN_EXE_sparbank")`).
@@ -19,6 +19,7 @@
 pub mod cluster;
 mod handover_node;
 mod handover_peer;
+pub mod invariants;
 mod listeners;
 mod log;
 pub mod loopback;
--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -1,6 +1,6 @@
 //! Recovery of a fleet after most of its nodes restart at once, without any communication between them.
 //!
-//! Each test starts several processes of the program, injects its faults, and is judged by the harness's auditor.
+//! Each test starts several processes of the program, injects its faults, and is checked by the harness's auditor.
 //! `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` play others than those named here; `FLEET_LOGS=folder` writes the nodes'
 //! logs there, and `FLEET_LINES=1` prints each run second by second.
 
@@ -274,7 +274,8 @@
         summaries.iter().map(|summary| summary.recovery_from_last_fault.unwrap_or(NOT_RECOVERED)).collect();
     times.sort_unstable();
     let peak = summaries.iter().map(|summary| summary.peak_setups).max().unwrap_or(0);
-    let violations: Vec<&String> = summaries.iter().flat_map(|summary| &summary.violations).collect();
+    let violations: Vec<String> =
+        summaries.iter().flat_map(|summary| &summary.violations).map(ToString::to_string).collect();
     println!(
         "{} nodes, {fraction} killed, {version}: median {:?} worst {:?} of {}, least {:.1} s, peak {peak} \
          set-ups a second of {:.1} that the ledger serves, violations {violations:?}",
@@ -286,87 +287,3 @@
         config.ledger_setups_per_second,
     );
 }
-
-mod auditor_self_tests {
-    //! Each check is shown to fail: the fault is put in, and the auditor must report it.
-
-    use sparbank_test_support::cluster::auditor::{Answer, Auditor, ObservedAttempt};
-    use sparbank_test_support::cluster::servers::{EndpointList, NamedEndpoint};
-    use sparbank_test_support::cluster::ClusterConfig;
-    use std::thread::sleep;
-    use std::time::Duration;
-
-    fn auditor_of_two_nodes() -> Auditor {
-        let mut auditor = Auditor::new(2);
-        auditor.on_node_up(0);
-        auditor.on_node_up(1);
-        auditor
-    }
-
-    fn violations(auditor: Auditor) -> String {
-        auditor.summarize(&ClusterConfig::for_nodes(2)).violations.join("; ")
-    }
-
-    fn attempt_at(server: usize) -> ObservedAttempt {
-        ObservedAttempt { server, is_warming_up: false, is_dead: false }
-    }
-
-    #[test]
-    fn a_lost_request_is_reported_and_a_killed_node_is_excused() {
-        let mut auditor = auditor_of_two_nodes();
-        for (id, node) in [("a", 0), ("b", 1)] {
-            auditor.on_request(id, node);
-        }
-        auditor.on_node_down(1);
-        auditor.on_answer("a", Answer::TimedOut);
-        auditor.on_answer("b", Answer::TimedOut);
-        let reported = violations(auditor);
-        assert!(
-            reported.starts_with("lost: request a at node 0") && !reported.contains("request b"),
-            "{reported}"
-        );
-    }
-
-    #[test]
-    fn two_concurrent_attempts_are_reported() {
-        let mut auditor = auditor_of_two_nodes();
-        auditor.on_request("a", 0);
-        auditor.on_attempt("a", attempt_at(1));
-        sleep(Duration::from_millis(150));
-        auditor.tick(Duration::from_millis(150));
-        auditor.on_attempt("a", attempt_at(2));
-        let reported = violations(auditor);
-        assert!(reported.starts_with("dup: request a is out at servers 1 and 2"), "{reported}");
-    }
-
-    #[test]
-    fn an_attempt_at_a_server_that_the_node_was_notified_to_stop_using_is_reported() {
-        for is_complete in [false, true] {
-            let mut auditor = auditor_of_two_nodes();
-            let endpoint = if is_complete {
-                NamedEndpoint { server: 2, is_ready: true }
-            } else {
-                NamedEndpoint { server: 1, is_ready: false }
-            };
-            let incarnation = auditor.incarnation(0);
-            auditor.on_list_sent(0, incarnation, &EndpointList::naming(7, is_complete, vec![endpoint]));
-            sleep(Duration::from_millis(400));
-            auditor.tick(Duration::from_millis(400));
-            for (id, node) in [("a", 0), ("b", 1)] {
-                auditor.on_request(id, node);
-                auditor.on_attempt(id, attempt_at(1));
-            }
-            let reported = violations(auditor);
-            assert!(reported.starts_with("stale: node 0 sent a to server 1"), "{reported}");
-            assert!(!reported.contains("node 1"), "nobody notified the other node: {reported}");
-        }
-    }
-
-    #[test]
-    fn an_overloaded_server_in_slow_start_is_reported() {
-        let mut auditor = auditor_of_two_nodes();
-        auditor.on_slow_start_load("s-1", 1.2, false);
-        auditor.on_slow_start_load("s-1", 1.4, true);
-        assert_eq!(violations(auditor), "failback: server s-1 is overloaded while it warms up");
-    }
-}
--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,5 +1,5 @@
 //! A few runs of the soak test (`crates/soak`) beside each other: nodes of the built program under overlapping faults,
-//! judged from the wire. `SOAK_SEEDS=1..9` plays others; `sparbank-soak` plays many.
+//! checked from the wire. `SOAK_SEEDS=1..9` runs others; `sparbank-soak` runs many.
 
 use sparbank_soak::{run, Options, Schedule};
 use std::ops::Range;
@@ -24,8 +24,8 @@
     };
     let reports: Vec<_> = std::thread::scope(|scope| {
         let options = &options;
-        let play = |seed| scope.spawn(move || run(options, &Schedule::for_seed(seed)));
-        let runs: Vec<_> = seeds().map(play).collect();
+        let start = |seed| scope.spawn(move || run(options, &Schedule::for_seed(seed)));
+        let runs: Vec<_> = seeds().map(start).collect();
         runs.into_iter().map(|run| run.join().expect("a run")).collect()
     });
     for report in &reports {
