--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -14,6 +14,15 @@
     bytes: Vec<u8>,
 }
 
+/// A message with the id of its delivery.
+#[derive(Debug)]
+pub struct ReceivedMessage {
+    /// The id that the sender gave the delivery.
+    pub delivery_id: u32,
+    /// The encoded message.
+    pub bytes: Vec<u8>,
+}
+
 /// What is read next.
 #[derive(Debug)]
 pub enum NextFrame {
@@ -313,6 +322,39 @@
         self.put_kind(amqp::AMQP, transfer.into(), message);
     }
 
+    /// Sends a delivery in transfers of this size.
+    pub fn deliver_in_transfers(&mut self, id: u32, message: &[u8], transfer_bytes: usize) {
+        let count = message.len().div_ceil(transfer_bytes);
+        for (index, piece) in message.chunks(transfer_bytes).enumerate() {
+            let transfer = amqp::Transfer {
+                handle: Some(0),
+                delivery_id: Some(id),
+                delivery_tag: amqp::Tag::new(&id.to_be_bytes()),
+                more: Some(index + 1 < count),
+                ..Default::default()
+            };
+            self.put_kind(amqp::AMQP, transfer.into(), piece);
+        }
+    }
+
+    /// Reads the next complete message, put together from its transfers.
+    pub fn receive_message(&mut self) -> ReceivedMessage {
+        let (mut delivery_id, mut bytes) = (None, Vec::new());
+        loop {
+            let (transfer, payload) = until!(self, Transfer);
+            delivery_id = delivery_id.or(transfer.delivery_id);
+            bytes.extend(payload);
+            if transfer.more != Some(true) {
+                return ReceivedMessage { delivery_id: delivery_id.expect("an id"), bytes };
+            }
+        }
+    }
+
+    /// Reads the state of the next disposition.
+    pub fn receive_answer(&mut self) -> State {
+        until!(self, Disposition).0.state.expect("a state")
+    }
+
     /// Accepts the node's link and gives it credit, and room for this many frames.
     pub fn link(&mut self, credit: u32, window: u32) {
         let (attach, _) = until!(self, Attach);
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod watch_protocol;
 
 pub use amqp_messages::{addressed, message};
-pub use amqp_peer::{AmqpPeer, NextFrame};
+pub use amqp_peer::{AmqpPeer, NextFrame, ReceivedMessage};
 pub use bench::{establish, established_client, Bench};
 pub use handover_node::{HandoverFolder, HandoverNode};
 pub use handover_peer::{listen_for_handover, HandoverPeer};
--- /dev/null
+++ b/tests/amqp_conformance_page.rs
@@ -0,0 +1,28 @@
+//! The page of the AMQP conformance suite (`docs/AMQP-CONFORMANCE.md`) against the tests.
+
+use rstest::rstest;
+
+/// Every test that the page of the conformance suite names is there.
+#[rstest]
+fn the_page_names_tests_that_exist() {
+    let root = env!("CARGO_MANIFEST_DIR");
+    let page = std::fs::read_to_string(format!("{root}/docs/AMQP-CONFORMANCE.md")).expect("the page");
+    let mut sources = String::new();
+    for folder in ["tests", "crates/amqp/tests", "crates/amqp/src"] {
+        for entry in std::fs::read_dir(format!("{root}/{folder}")).expect("a folder") {
+            let path = entry.expect("an entry").path();
+            if path.extension().is_some_and(|e| e == "rs") {
+                sources += &std::fs::read_to_string(path).expect("a file");
+            }
+        }
+    }
+    let mut rows = 0;
+    for line in page.lines().filter(|line| line.starts_with("| ") && !line.starts_with("| §")) {
+        let last = line.trim_end_matches(" |").rsplit("| ").next().expect("a column");
+        for name in last.split(", ").filter_map(|name| name.strip_prefix('`')?.strip_suffix('`')) {
+            assert!(sources.contains(&format!("fn {name}(")), "{name} is no test");
+            rows += 1;
+        }
+    }
+    assert!(rows > 40, "{rows}");
+}
--- /dev/null
+++ b/tests/amqp_large_messages.rs
@@ -0,0 +1,254 @@
+//! Messages of many frames from clients to servers: streaming, buffers, aborts, and the delay of others.
+
+use rstest::rstest;
+use sparbank_amqp::{Attach, Flow, Performative, State, Tag, Transfer};
+use sparbank_test_support::{
+    accept_any, counter_value, listener, message, until, AmqpPeer, Bench, Peer, ReceivedMessage,
+};
+use std::time::Duration;
+
+/// The program under test.
+const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
+
+const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const CLASS: &str = "live-readings";
+
+fn bench(servers: usize) -> Bench {
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
+}
+
+fn client(bench: &Bench) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
+    assert!(client.attach(CLASS).expect("the class is known") > 0);
+    client
+}
+
+/// Regression: frames above 8 KiB were never taken, and the link hung without a word.
+#[rstest]
+#[case::just_above_the_read_ahead_of_text(8_193)]
+#[case::as_large_as_agreed(16_300)]
+fn a_frame_of_any_agreed_size_is_taken(#[case] size: usize) {
+    let bench = bench(1);
+    let mut client = client(&bench);
+    client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
+    server.link(10, 100);
+    let ReceivedMessage { delivery_id: id, bytes } = server.receive_message();
+    assert!(bytes.len() > size);
+    server.settle(id, State::Accepted);
+    assert_eq!(client.receive_answer(), State::Accepted);
+}
+
+#[rstest]
+fn a_large_message_is_streamed_and_never_buffered_completely() {
+    let on = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
+    let mut client = client(&bench);
+    let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
+    let sent = message(60_000, "7f3a", &body);
+    // The client writes from a thread of its own: the node reads on only as the server does.
+    let mut writer = client.try_clone();
+    let copy = sent.clone();
+    let writing = std::thread::spawn(move || writer.deliver_in_transfers(0, &copy, 12_000));
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 10_000, 16_384);
+    server.link(10, 10_000);
+    let ReceivedMessage { delivery_id: id, bytes } = server.receive_message();
+    writing.join().expect("all written");
+    assert!(bytes.ends_with(&body), "the body is unchanged");
+    server.settle(id, State::Accepted);
+    assert_eq!(client.receive_answer(), State::Accepted);
+    let buffered = counter_value(&bench.frontend_counters("amqp"), "max_buffered_bytes");
+    assert!(buffered < 350_000, "{buffered} octets were buffered");
+}
+
+#[rstest]
+fn a_large_message_that_fails_half_way_is_tried_elsewhere_only_if_all_of_it_is_still_here() {
+    for (keep, tried) in [(1_000_000, 2), (10_000, 1)] {
+        let on = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
+        let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&on));
+        let mut client = client(&bench);
+        client.deliver_in_transfers(0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
+        let (at, peer) = accept_any(&bench.servers);
+        let mut server = AmqpPeer::server(peer, 40, 4096);
+        server.link(10, 40);
+        for _ in 0..40 {
+            until!(server, Transfer);
+        }
+        drop(server);
+        if tried == 2 {
+            let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 1000, 65536);
+            other.link(10, 1000);
+            let id = other.receive_message().delivery_id;
+            other.settle(id, State::Accepted);
+            assert_eq!(client.receive_answer(), State::Accepted);
+        } else {
+            assert!(matches!(client.receive_answer(), State::Modified { failed: true, .. }));
+        }
+        let counters = bench.stop();
+        assert_eq!(
+            [counter_value(&counters, "sent"), counter_value(&counters, "attempt_connect_failed")],
+            [tried, 1]
+        );
+        assert_eq!(
+            counter_value(&counters, "requests"),
+            counter_value(&counters, "served") + counter_value(&counters, "failed")
+        );
+    }
+}
+
+#[rstest]
+#[case::by_going_away(false)]
+#[case::by_an_abort(true)]
+fn a_client_that_stops_mid_message_has_it_aborted_at_the_server(#[case] abort: bool) {
+    let mut bench = bench(1);
+    let mut client = client(&bench);
+    let sent = message(60_000, "7f3a", &[7; 60_000]);
+    let (handle, delivery_id) = (Some(0), Some(0));
+    let first = Transfer {
+        handle,
+        delivery_id,
+        delivery_tag: Tag::new(b"t"),
+        more: Some(true),
+        ..Default::default()
+    };
+    client.put_kind(0, first.into(), &sent[..12_000]);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
+    server.link(10, 100);
+    until!(server, Transfer);
+    if abort {
+        client.put(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
+    } else {
+        drop(client);
+    }
+    while until!(server, Transfer).0.aborted != Some(true) {}
+    assert_eq!([bench.counter("client_disconnected"), bench.counter("served")], [1, 0]);
+}
+
+#[rstest]
+fn a_server_that_answers_before_the_last_frame_is_believed_and_the_rest_is_not_sent() {
+    let bench = bench(1);
+    let mut client = client(&bench);
+    let sent = message(60_000, "7f3a", &[7; 40_000]);
+    let (handle, delivery_id) = (Some(0), Some(0));
+    let tag = Tag::new(b"t");
+    let first = Transfer { handle, delivery_id, delivery_tag: tag, more: Some(true), ..Default::default() };
+    client.put_kind(0, first.into(), &sent[..12_000]);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65_536);
+    server.link(10, 100);
+    let (transfer, _) = until!(server, Transfer);
+    server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
+    assert_eq!(client.receive_answer(), State::Accepted);
+    // What still comes of it belongs to no request; the link goes on.
+    let rest = Transfer { handle, delivery_id, more: Some(false), ..Default::default() };
+    client.put_kind(0, rest.into(), &sent[12_000..20_000]);
+    client.deliver(1, &message(60_000, "7f3a", b"next"));
+    while until!(server, Transfer).0.delivery_id == transfer.delivery_id {}
+    server.settle(1, State::Accepted);
+    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(counter_value(&bench.stop(), "requests"), 2);
+}
+
+#[rstest]
+fn a_window_of_one_and_frames_of_512_octets_carry_a_message_of_any_size() {
+    let bench = bench(1);
+    let mut client = client(&bench);
+    let sent = message(60_000, "7f3a", &[9; 20_000]);
+    client.deliver_in_transfers(0, &sent, 5000);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1, 512);
+    server.link(10, 1);
+    let (mut frames, mut size, mut id) = (0u32, 0, None);
+    loop {
+        let (transfer, payload) = until!(server, Transfer);
+        id = id.or(transfer.delivery_id);
+        size += payload.len();
+        frames += 1;
+        if transfer.more != Some(true) {
+            break;
+        }
+        server.put(Flow {
+            next_incoming_id: Some(frames),
+            incoming_window: Some(1),
+            next_outgoing_id: Some(0),
+            outgoing_window: Some(1),
+            ..Default::default()
+        });
+    }
+    assert!(size > 20_000 && frames > 40);
+    server.settle(id.expect("an id"), State::Accepted);
+    assert_eq!(client.receive_answer(), State::Accepted);
+}
+
+#[rstest]
+fn a_long_message_delays_its_own_link_and_no_other_client() {
+    let bench = bench(1);
+    let mut slow = client(&bench);
+    let sent = message(60_000, "7f3a", &[7; 30_000]);
+    let first = Transfer {
+        handle: Some(0),
+        delivery_id: Some(0),
+        delivery_tag: Tag::new(b"t"),
+        more: Some(true),
+        ..Default::default()
+    };
+    slow.put_kind(0, first.into(), &sent[..12_000]);
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
+    server.link(10, 100);
+    until!(server, Transfer);
+    // The rest of it does not come. Another client's delivery opens a lane of its own.
+    let mut quick = client(&bench);
+    quick.deliver(0, &message(60_000, "7f3b", b"quick"));
+    let (attach, _) = until!(server, Attach);
+    let (name, target) = (attach.name, attach.target);
+    server.put(Attach { name, handle: Some(8), role: Some(true), target, ..Default::default() });
+    server.grant(8, 0, 10);
+    let id = server.receive_message().delivery_id;
+    server.settle(id, State::Accepted);
+    assert_eq!(quick.receive_answer(), State::Accepted);
+}
+
+/// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
+#[rstest]
+fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
+    let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
+    let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
+    let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
+    let writing: Vec<_> = clients
+        .into_iter()
+        .map(|mut client| {
+            let sent = sent.clone();
+            std::thread::spawn(move || {
+                client.deliver_in_transfers(0, &sent, 12_000);
+                client.receive_answer()
+            })
+        })
+        .collect();
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
+    let (mut completed, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
+    while completed < 3 {
+        match server.next_body() {
+            (Performative::Attach(attach), _) => {
+                let (name, handle, target) = (attach.name, attach.handle, attach.target);
+                server.put(Attach { name, handle, role: Some(true), target, ..Default::default() });
+                server.grant_wide(handle.expect("a handle"), 10);
+            }
+            (Performative::Transfer(transfer), payload) => {
+                std::thread::sleep(Duration::from_millis(3));
+                let size = sizes.entry(transfer.handle.expect("a handle")).or_default();
+                *size += payload.len();
+                if transfer.more != Some(true) {
+                    assert!(*size > 1024 * 1024, "{size}");
+                    *size = 0;
+                    server.settle(completed, State::Accepted);
+                    completed += 1;
+                }
+            }
+            _ => {}
+        }
+    }
+    for hand in writing {
+        assert_eq!(hand.join().expect("a client's thread"), State::Accepted);
+    }
+    let buffered = counter_value(&bench.frontend_counters("amqp"), "max_buffered_bytes");
+    assert!(buffered < 450_000, "{buffered} octets were buffered");
+}
--- /dev/null
+++ b/tests/mixed/servers.rs
@@ -0,0 +1,265 @@
+//! Servers of both protocols that can be killed, hung and drained.
+
+use crate::attempts::{AttemptId, AttemptLog};
+use sparbank_amqp::{Attach, Connection, Event, LinkId, Settings, State};
+use sparbank_time::MonotonicTime;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{Shutdown, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+
+/// The time of each call of the protocol library: no timeout is on, so that it is not looked at.
+const START: MonotonicTime = MonotonicTime::ZERO;
+/// How long a server waits for input before it looks at its mode.
+const READ_TIMEOUT: Duration = Duration::from_millis(20);
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Connections that are kept to reset them when their server is killed.
+const MAX_OPEN_CONNECTIONS: usize = 500;
+/// How often an AMQP peer sends a heartbeat.
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// The credit of an AMQP link, and the one below which it is raised to that again.
+const LINK_CREDIT: u32 = 100;
+const MIN_LINK_CREDIT: u32 = 50;
+
+/// What a server does.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Mode {
+    Up,
+    /// It reads and never answers.
+    Hung,
+    /// It closes all connections.
+    Dead,
+}
+
+struct ServerState {
+    mode: Mode,
+    draining_since: Option<Instant>,
+    /// Handles of open connections, to close them when the server is killed.
+    connections: Vec<TcpStream>,
+}
+
+/// A server.
+pub struct Server {
+    state: Mutex<ServerState>,
+    attempts: Arc<AttemptLog>,
+    is_over: Arc<AtomicBool>,
+}
+
+impl Server {
+    /// A server that is up. It ends its connections once the test is over.
+    pub fn new(attempts: Arc<AttemptLog>, is_over: Arc<AtomicBool>) -> Server {
+        let state = ServerState { mode: Mode::Up, draining_since: None, connections: Vec::new() };
+        Server { state: Mutex::new(state), attempts, is_over }
+    }
+
+    fn state(&self) -> MutexGuard<'_, ServerState> {
+        self.state.lock().expect("no thread failed")
+    }
+
+    pub fn mode(&self) -> Mode {
+        self.state().mode
+    }
+
+    /// The server behaves like this from now on.
+    pub fn set_mode(&self, mode: Mode) {
+        let mut state = self.state();
+        state.mode = mode;
+        if mode == Mode::Dead {
+            for stream in state.connections.drain(..) {
+                let _ = stream.shutdown(Shutdown::Both);
+            }
+        }
+    }
+
+    pub fn is_draining(&self) -> bool {
+        self.state().draining_since.is_some()
+    }
+
+    /// The node has been notified that the server drains.
+    pub fn on_drain_announced(&self) {
+        self.state().draining_since = Some(Instant::now());
+    }
+
+    /// The node is about to be notified that the server takes requests again.
+    pub fn end_drain(&self) {
+        self.state().draining_since = None;
+    }
+
+    fn is_over(&self) -> bool {
+        self.is_over.load(Ordering::Relaxed)
+    }
+
+    fn begin_attempt(&self, item: u64) -> AttemptId {
+        let draining_since = self.state().draining_since;
+        self.attempts.begin(item, draining_since)
+    }
+
+    fn track_connection(&self, stream: &TcpStream) {
+        let Ok(copy) = stream.try_clone() else { return };
+        let connections = &mut self.state().connections;
+        connections.push(copy);
+        if connections.len() > MAX_OPEN_CONNECTIONS {
+            connections.drain(..MAX_OPEN_CONNECTIONS / 2);
+        }
+    }
+
+    /// Serves the connections to a listener, in threads of their own, as this function does.
+    pub fn serve(self: Arc<Server>, listener: TcpListener, serve_connection: fn(&Server, TcpStream)) {
+        std::thread::spawn(move || {
+            for stream in listener.incoming() {
+                let Ok(stream) = stream else { continue };
+                if self.is_over() {
+                    return;
+                }
+                if self.mode() == Mode::Dead {
+                    continue;
+                }
+                let _ = stream.set_read_timeout(Some(READ_TIMEOUT));
+                self.track_connection(&stream);
+                let server = self.clone();
+                std::thread::spawn(move || {
+                    let copy = stream.try_clone();
+                    serve_connection(&server, stream);
+                    // The tracked handle would keep the connection open.
+                    let _ = copy.map(|stream| stream.shutdown(Shutdown::Both));
+                });
+            }
+        });
+    }
+}
+
+/// The connection has ended.
+pub struct Ended;
+
+/// Reads what has arrived.
+pub fn read_available(stream: &mut TcpStream, input: &mut Vec<u8>) -> Result<(), Ended> {
+    let mut chunk = [0; READ_CHUNK_BYTES];
+    match stream.read(&mut chunk) {
+        Ok(0) => Err(Ended),
+        Ok(count) => {
+            input.extend(&chunk[..count]);
+            Ok(())
+        }
+        Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => Ok(()),
+        Err(_) => Err(Ended),
+    }
+}
+
+/// A connection of the text protocol: one request, which is served and ended.
+pub fn serve_text(server: &Server, mut stream: TcpStream) {
+    let mut input = Vec::new();
+    while !input.contains(&b'\n') {
+        if server.is_over() || read_available(&mut stream, &mut input).is_err() {
+            return;
+        }
+    }
+    let line = String::from_utf8_lossy(&input).to_string();
+    let item = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok()).expect("an id");
+    let attempt = server.begin_attempt(item);
+    while server.mode() == Mode::Hung {
+        if read_available(&mut stream, &mut input).is_err() {
+            return server.attempts.end_unserved(attempt);
+        }
+    }
+    let is_answered = stream.write_all(b"UP r\r\nBYE\r\n").is_ok() && server.mode() != Mode::Dead;
+    if is_answered {
+        server.attempts.end_served(attempt);
+    } else {
+        server.attempts.end_unserved(attempt);
+    }
+}
+
+/// A delivery that is not settled.
+struct UnsettledDelivery {
+    link: LinkId,
+    id: u32,
+    attempt: AttemptId,
+}
+
+/// A connection of AMQP.
+struct AmqpSession<'a> {
+    server: &'a Server,
+    connection: Connection,
+    unsettled: Vec<UnsettledDelivery>,
+}
+
+impl AmqpSession<'_> {
+    fn on_event(&mut self, event: Event<'_>) {
+        match event {
+            Event::SaslRequest(_) => self.connection.finish_sasl(true),
+            Event::AttachRequested { link, attach, .. } => {
+                let answer = Attach { target: attach.target, ..Attach::default() };
+                self.connection.accept_link(link, answer);
+                self.connection.set_credit(link, LINK_CREDIT);
+            }
+            Event::Transfer { link, transfer } if transfer.last && !transfer.aborted => {
+                self.on_delivery(link, transfer.id, transfer.payload);
+            }
+            // The node waits no longer.
+            Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
+                for delivery in self.unsettled.extract_if(.., |delivery| delivery.attempt.item == key) {
+                    self.server.attempts.end_unserved(delivery.attempt);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn on_delivery(&mut self, link: LinkId, id: u32, payload: &[u8]) {
+        let head = sparbank_amqp::Head::read(payload).expect("well-formed").expect("complete");
+        let item = head.property(payload, "item").expect("an item").parse().expect("a number");
+        self.connection.set_delivery_key(link.channel, id, item);
+        let attempt = self.server.begin_attempt(item);
+        self.unsettled.push(UnsettledDelivery { link, id, attempt });
+        if self.connection.credit(link) < MIN_LINK_CREDIT {
+            self.connection.set_credit(link, LINK_CREDIT);
+        }
+    }
+
+    fn accept_all(&mut self) {
+        for UnsettledDelivery { link, id, attempt } in self.unsettled.drain(..) {
+            self.connection.settle(link.channel, id, State::Accepted);
+            self.server.attempts.end_served(attempt);
+        }
+    }
+
+    fn run(&mut self, mut stream: TcpStream) -> Result<(), Ended> {
+        let mut input = Vec::new();
+        let mut last_heartbeat = Instant::now();
+        loop {
+            if self.server.is_over() || self.server.mode() == Mode::Dead {
+                return Err(Ended);
+            }
+            read_available(&mut stream, &mut input)?;
+            let bytes = std::mem::take(&mut input);
+            let mut left = &bytes[..];
+            while let Some(event) =
+                self.connection.next_event(START, &mut left).expect("the node keeps to the standard")
+            {
+                self.on_event(event);
+            }
+            input = left.to_vec();
+            if self.server.mode() != Mode::Hung {
+                self.accept_all();
+            }
+            let mut output = self.connection.take_output(START);
+            if last_heartbeat.elapsed() > HEARTBEAT_INTERVAL {
+                last_heartbeat = Instant::now();
+                sparbank_amqp::write_frame(&mut output, sparbank_amqp::AMQP, 0, None, &[]);
+            }
+            stream.write_all(&output).map_err(|_| Ended)?;
+        }
+    }
+}
+
+/// A connection of AMQP: deliveries are accepted as they arrive.
+pub fn serve_amqp(server: &Server, stream: TcpStream) {
+    let settings = Settings { idle_timeout: Duration::ZERO, ..Settings::default() };
+    let connection = Connection::accept(START, settings, None);
+    let mut session = AmqpSession { server, connection, unsettled: Vec::new() };
+    let _ = session.run(stream);
+    for delivery in &session.unsettled {
+        server.attempts.end_unserved(delivery.attempt);
+    }
+}
