--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -2,8 +2,8 @@
 
 use super::{Quota, QuotaPlan};
 use std::collections::BTreeSet;
-use std::fmt;
 use std::ops::RangeInclusive;
+use thiserror::Error;
 
 // The memory and the time of a division grow with the product of members and quotas.
 const MAX_MEMBERS: usize = 4096;
@@ -16,7 +16,8 @@
 const MAX_FLOOR_PERCENT: u64 = 90;
 
 /// An invalid field of a plan.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+#[error("{field}: {problem}")]
 pub struct PlanError {
     /// The path of the field, as in `budgets[2].burst`.
     pub field: String,
@@ -25,69 +26,52 @@
 }
 
 /// What is wrong with the value of a field.
-#[derive(Clone, Debug, PartialEq, Eq)]
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PlanProblem {
     /// A name is empty.
+    #[error("is empty")]
     Empty,
     /// The value is used by an earlier element of the same list.
+    #[error("is there twice")]
     Duplicate,
     /// A list is empty or has more elements than this.
+    #[error("1 to {max} are needed")]
     LengthOutOfRange {
         /// The most elements that are allowed.
         max: usize,
     },
     /// The number of grantors is not one, three or five.
+    #[error("one, three or five are needed")]
     GrantorCount,
     /// A grantor is not a member.
+    #[error("no member is named {name:?}")]
     UnknownMember {
         /// The name that is no member's.
         name: String,
     },
     /// The lease is shorter or longer than allowed.
+    #[error("{LEASE_RANGE_MS:?} is allowed")]
     LeaseOutOfRange,
     /// The value is larger than allowed.
+    #[error("at most {max} is allowed")]
     TooLarge {
         /// The largest value that is allowed.
         max: u64,
     },
     /// The total is zero or larger than allowed.
+    #[error("1 to {MAX_TOTAL} is allowed")]
     TotalOutOfRange,
     /// A level has a burst.
+    #[error("connections have none")]
     BurstOfLevel,
     /// A rate has a burst that does not give one event to each member, or one that is larger than any total.
+    #[error("one for each member is needed, {members} at least")]
     BurstOutOfRange {
         /// The number of members.
         members: usize,
     },
 }
 
-impl fmt::Display for PlanProblem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            PlanProblem::Empty => write!(f, "is empty"),
-            PlanProblem::Duplicate => write!(f, "is there twice"),
-            PlanProblem::LengthOutOfRange { max } => write!(f, "1 to {max} are needed"),
-            PlanProblem::GrantorCount => write!(f, "one, three or five are needed"),
-            PlanProblem::UnknownMember { name } => write!(f, "no member is named {name:?}"),
-            PlanProblem::LeaseOutOfRange => write!(f, "{LEASE_RANGE_MS:?} is allowed"),
-            PlanProblem::TooLarge { max } => write!(f, "at most {max} is allowed"),
-            PlanProblem::TotalOutOfRange => write!(f, "1 to {MAX_TOTAL} is allowed"),
-            PlanProblem::BurstOfLevel => write!(f, "connections have none"),
-            PlanProblem::BurstOutOfRange { members } => {
-                write!(f, "one for each member is needed, {members} at least")
-            }
-        }
-    }
-}
-
-impl fmt::Display for PlanError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.field, self.problem)
-    }
-}
-
-impl std::error::Error for PlanError {}
-
 fn ensure(condition: bool, field: impl Into<String>, problem: PlanProblem) -> Result<(), PlanError> {
     if condition {
         Ok(())
--- a/src/quota/file.rs
+++ b/src/quota/file.rs
@@ -2,9 +2,9 @@
 
 use sparbank_quota::{PlanError, QuotaPlan, Resource};
 use std::error::Error;
-use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 
 /// A grantor reserves a socket for each member; at least as many have to be left for everything else.
 const SOCKETS_PER_MEMBER: usize = 2;
@@ -19,87 +19,46 @@
 }
 
 /// A quota file that cannot be used. It is displayed as one line that names the file and the field.
-#[derive(Debug)]
+#[derive(Debug, Error)]
+#[error("{}: {problem}", path.display())]
 pub struct QuotaFileError {
     path: PathBuf,
+    #[source]
     problem: QuotaFileProblem,
 }
 
-#[derive(Debug)]
+#[derive(Debug, Error)]
 enum QuotaFileProblem {
-    Unreadable(io::Error),
+    #[error("{0}")]
+    Unreadable(#[from] io::Error),
     /// Not JSON, or a field of another type or name; the message names the field.
-    Undecodable(Box<dyn Error + Send + Sync>),
-    Invalid(PlanError),
+    #[error("{0}")]
+    Undecodable(#[source] Box<dyn Error + Send + Sync>),
+    #[error("field {0}")]
+    Invalid(#[from] PlanError),
     /// Valid, but not supported by `serve` so far.
+    #[error("field {0}: is not served yet")]
     Unsupported(UnsupportedField),
-    NotAMember {
-        name: String,
-    },
-    TooFewSockets {
-        members: usize,
-        sockets: usize,
-    },
+    #[error("field members: none is named {name:?}, as this node is")]
+    NotAMember { name: String },
+    #[error(
+        "field members: a grantor of {members} needs limits.sockets of {} at least, not {sockets}",
+        SOCKETS_PER_MEMBER * members
+    )]
+    TooFewSockets { members: usize, sockets: usize },
 }
 
-/// What a plan may say but `serve` does not support so far.
-#[derive(Debug)]
+/// A field, or its value, that a plan may have but `serve` does not support so far.
+#[derive(Debug, Error)]
 enum UnsupportedField {
+    #[error("grantors: more than one")]
     SeveralGrantors,
+    #[error("budgets[{quota}].subscriber")]
     Subscriber { quota: usize },
+    #[error("budgets[{quota}].limits: lists")]
     DiscoveryCalls { quota: usize },
 }
 
-impl fmt::Display for UnsupportedField {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            UnsupportedField::SeveralGrantors => write!(f, "grantors: more than one"),
-            UnsupportedField::Subscriber { quota } => write!(f, "budgets[{quota}].subscriber"),
-            UnsupportedField::DiscoveryCalls { quota } => write!(f, "budgets[{quota}].limits: lists"),
-        }
-    }
-}
-
-impl fmt::Display for QuotaFileProblem {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            QuotaFileProblem::Unreadable(error) => write!(f, "{error}"),
-            QuotaFileProblem::Undecodable(error) => write!(f, "{error}"),
-            QuotaFileProblem::Invalid(error) => write!(f, "field {error}"),
-            QuotaFileProblem::Unsupported(field) => write!(f, "field {field}: is not served yet"),
-            QuotaFileProblem::NotAMember { name } => {
-                write!(f, "field members: none is named {name:?}, as this node is")
-            }
-            QuotaFileProblem::TooFewSockets { members, sockets } => {
-                let needed = SOCKETS_PER_MEMBER * members;
-                write!(
-                    f,
-                    "field members: a grantor of {members} needs limits.sockets of {needed} at least, not {sockets}"
-                )
-            }
-        }
-    }
-}
-
-impl fmt::Display for QuotaFileError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.path.display(), self.problem)
-    }
-}
-
-impl Error for QuotaFileError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match &self.problem {
-            QuotaFileProblem::Unreadable(error) => Some(error),
-            QuotaFileProblem::Undecodable(error) => Some(error.as_ref()),
-            QuotaFileProblem::Invalid(error) => Some(error),
-            QuotaFileProblem::Unsupported(_)
-            | QuotaFileProblem::NotAMember { .. }
-            | QuotaFileProblem::TooFewSockets { .. } => None,
-        }
-    }
-}
-
 /// Reads and validates a quota file.
 ///
 /// # Errors
@@ -110,10 +69,10 @@
 }
 
 fn decode_plan(path: &Path) -> Result<QuotaPlan, QuotaFileProblem> {
-    let text = std::fs::read_to_string(path).map_err(QuotaFileProblem::Unreadable)?;
+    let text = std::fs::read_to_string(path)?;
     let plan: QuotaPlan =
         crate::json::parse(&text).map_err(|error| QuotaFileProblem::Undecodable(error.into()))?;
-    plan.validate().map_err(QuotaFileProblem::Invalid)?;
+    plan.validate()?;
     Ok(plan)
 }
 
