--- a/benches/amqp_node/main.rs
+++ b/benches/amqp_node/main.rs
@@ -5,9 +5,6 @@
 //! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
 //! latency that the same clients see at the servers directly, in the same run.
 
-#[path = "../../tests/support/mod.rs"]
-mod support;
-
 mod generator;
 mod load;
 mod memory;
@@ -20,10 +17,10 @@
 use hdrhistogram::Histogram;
 use load::Load;
 use node::Node;
+use sparbank_test_support::{listener, message};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
-use support::{listener, message};
 
 /// The traffic class of all deliveries.
 const CLASS: &str = "live-readings";
--- a/benches/amqp_node/memory.rs
+++ b/benches/amqp_node/memory.rs
@@ -4,8 +4,8 @@
 use crate::node::Node;
 use crate::peer::{settings, Peer, START};
 use crate::process::resident_mb;
-use crate::support::listener;
 use sparbank_amqp::{Connection, Credentials, Event};
+use sparbank_test_support::listener;
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,7 +1,7 @@
 //! Simulated servers: they answer request lines as their mode says, and echo the lines of established sessions.
 
-use crate::checker::Checker;
-use rustix::net::sockopt::set_socket_linger;
+use sparbank_test_support::invariants::InvariantChecker;
+use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
 /// All servers of a run.
 #[derive(Clone)]
 pub struct Servers {
-    checker: Rc<RefCell<Checker>>,
+    checker: Rc<RefCell<InvariantChecker>>,
     servers: Rc<Vec<Server>>,
     /// Sessions that their servers have ended, by request.
     ended: Rc<RefCell<HashMap<String, EndedSession>>>,
@@ -82,7 +82,10 @@
 
 impl Servers {
     /// Starts so many servers.
-    pub async fn start(checker: &Rc<RefCell<Checker>>, count: usize) -> Servers {
+    ///
+    /// # Panics
+    /// The system has no free port.
+    pub async fn start(checker: &Rc<RefCell<InvariantChecker>>, count: usize) -> Servers {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..count {
@@ -260,8 +263,3 @@
     reset_on_drop(write.as_ref());
     drop((read, write));
 }
-
-/// The connection is reset, rather than ended in order, once it is dropped.
-pub fn reset_on_drop(stream: &TcpStream) {
-    let _ = set_socket_linger(stream, Some(Duration::ZERO));
-}
