--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -174,6 +174,13 @@
         self.put_kind(amqp::AMQP, body.into(), &[]);
     }
 
+    /// Sends an empty frame, which keeps the connection from the node's idle timeout (2.4.5).
+    pub fn send_heartbeat(&mut self) {
+        let mut out = Vec::new();
+        amqp::write_frame(&mut out, amqp::AMQP, 0, None, &[]);
+        self.peer.stream.write_all(&out).expect("written");
+    }
+
     /// Sends a performative on this channel.
     pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -234,6 +234,7 @@
             }
             (Performative::Transfer(transfer), payload) => {
                 std::thread::sleep(Duration::from_millis(3));
+                server.send_heartbeat();
                 let size = sizes.entry(transfer.handle.expect("a handle")).or_default();
                 *size += payload.len();
                 if transfer.more != Some(true) {
