--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -150,6 +150,24 @@
         })
     }
 
+    /// A request of this id, for tests of data structures that hold requests.
+    #[cfg(test)]
+    pub(super) fn for_tests(id: &str) -> OpenRequest {
+        OpenRequest {
+            id: id.to_string(),
+            line: format!("OPEN {id} 1 c=c"),
+            deadline_value: None,
+            class: 0,
+            time_left: Duration::from_secs(1),
+            key: 1,
+            group: None,
+            reconnect: false,
+            client_retry: false,
+            load_hint: None,
+            resumed_at: None,
+        }
+    }
+
     /// The line as received, without its end.
     pub(super) fn line(&self) -> &str {
         &self.line
--- a/src/frontend/text/sessions.rs
+++ b/src/frontend/text/sessions.rs
@@ -119,3 +119,6 @@
         Some(session)
     }
 }
+
+#[cfg(test)]
+mod tests;
