--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -1,5 +1,6 @@
 //! Deliveries that are sent (2.6.14), and the sender's credit (2.6.7).
 
+use super::dispositions::OutgoingDisposition;
 use super::{Connection, LinkId, Outgoing, Stage};
 use crate::codec::{format_code, put_u32, put_variable};
 use crate::frame::{write_frame_with, AMQP};
@@ -59,7 +60,7 @@
         sent
     }
 
-    /// Takes a transfer off the session's window and, where it is its delivery's first, a credit. None where the link
+    /// Takes a transfer off the session's window and, if it is its delivery's first, a credit. None if the link
     /// cannot send now.
     fn start_transfer(&mut self, link_id: LinkId, delivery: &Outgoing, more: bool) -> Option<TransferFields> {
         let session = self.session_mut(link_id.channel)?;
@@ -112,7 +113,8 @@
     /// Settles a delivery that was sent completely: no event reports its state any more.
     pub fn settle_outgoing(&mut self, link: LinkId, id: u32) {
         if self.remove_unsettled(link.channel, Direction::Outgoing, id).is_some() {
-            self.send_disposition(link.channel, Role::Sender, id, true, None);
+            let disposition = OutgoingDisposition { role: Role::Sender, id, settled: true, state: None };
+            self.send_disposition(link.channel, disposition);
         }
     }
 
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Gives a sender's credit back where its receiver drains it and nothing is left to send (2.6.7).
+    /// Gives a sender's credit back if its receiver drains it and nothing is left to send (2.6.7).
     pub fn return_credit(&mut self, link_id: LinkId) {
         let link = self.link_mut(link_id).filter(|link| link.role == Role::Sender && link.drain);
         let Some(link) = link else { return };
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use sparbank_amqp::{
     condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach,
-    Disposition, End, Error, Event, Flow, Head, Mechanism, Message, Open, Outgoing, Performative, Role,
-    SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus, Transfer,
-    Value, AMQP, SASL,
+    Disposition, End, Error, Event, Flow, Head, LinkEnd, Mechanism, Message, Open, Outgoing, Performative,
+    Role, SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus,
+    Transfer, Value, AMQP, SASL,
 };
 use sparbank_time::MonotonicTime;
 
@@ -182,7 +182,7 @@
             conn.return_credit(link);
         }
         (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
-        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, true, None),
+        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, LinkEnd::Closed, None),
         (Event::Began { channel }, Answer::Accept) => {
             conn.attach(channel, "ours", Role::Sender, Attach::default());
         }
@@ -203,7 +203,7 @@
 /// Plays frames against one end; checks its bounds after each.
 fn play(mut conn: Connection, frames: Vec<(u16, Performative, usize)>, answers: &[Answer]) {
     let settings = BOUNDS();
-    let mut turn = 0;
+    let mut answered = 0;
     for (channel, body, size) in frames {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, AMQP, channel % 4, Some(&body), &vec![7; size]);
@@ -219,8 +219,8 @@
                     return;
                 }
             };
-            turn += 1;
-            let answer = answers[turn % answers.len()];
+            answered += 1;
+            let answer = answers[answered % answers.len()];
             respond(&mut conn, event, answer);
             check_bounds(&conn, &settings);
         }
--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,7 +1,8 @@
-//! The admin API: operators' calls over HTTP/1.1, one to a connection, on the event loop.
+//! The admin API: calls over HTTP/1.1, one on each connection.
 //!
-//! Callers have reserved descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a
-//! further caller closes the one that has been idle longest. The event loop executes the calls.
+//! [`AdminServer`] reads calls and writes responses on the event loop; the node executes the calls. Callers have reserved
+//! descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a further caller evicts
+//! the one that has been idle longest.
 
 mod request;
 mod response;
@@ -18,14 +19,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Callers at a time; each has a reserved descriptor.
+/// Connections at a time; each has a reserved descriptor.
 const MAX_CALLERS: usize = 8;
-/// A call that is not complete after this is answered as such. Operators expect the answer to a complete one within
-/// 1 s.
+/// A call that is not complete after this time is answered with an error.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The server of the admin API.
 pub struct AdminServer {
+    /// The address that the listener is bound to.
+    address: SocketAddr,
     /// Callers whose call has not been answered yet.
     callers: HashSet<Token>,
     counts: CallCounts,
@@ -43,11 +45,18 @@
 }
 
 impl AdminServer {
-    /// Listens at an address; also gives the address that the socket is bound to.
-    pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<(AdminServer, SocketAddr)> {
-        let bound = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
-        let server = AdminServer { callers: HashSet::new(), counts: CallCounts::default() };
-        Ok((server, bound))
+    /// Listens at an address.
+    ///
+    /// # Errors
+    /// Where the address cannot be listened on.
+    pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<AdminServer> {
+        let address = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
+        Ok(AdminServer { address, callers: HashSet::new(), counts: CallCounts::default() })
+    }
+
+    /// The address that it listens on.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
     /// Handles an event at one of the server's sockets. A call that is complete now is to be answered with
@@ -100,7 +109,7 @@
         None
     }
 
-    /// The time for a call is over.
+    /// Answers a call that is not complete at its time-out.
     pub fn on_timeout(&mut self, net: &mut SocketReactor, token: Token) {
         if self.callers.contains(&token) {
             self.respond(net, token, &Response::new(408, "no whole call came"));
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -122,7 +122,7 @@
                 ctx.net.set_farewell(token, Some(FAREWELL));
             }
             SocketEventKind::Evicted => {
-                ctx.requests.counters.idle_closed += 1;
+                ctx.requests.counters_mut().idle_closed += 1;
                 self.awaiting.remove(token);
             }
             SocketEventKind::HandshakeTimeout => {
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -66,7 +66,7 @@
     ctx.net.read_available(token);
     on_input(awaiting, sessions, ctx, token);
     if let Some(pings) = awaiting.remove(token) {
-        ctx.requests.counters.idle_closed += 1;
+        ctx.requests.counters_mut().idle_closed += 1;
         // A client that has sent a PING has its answer.
         if pings == 0 {
             ctx.net.send(token, b"BUSY\r\n");
@@ -82,7 +82,7 @@
 }
 
 fn reject_malformed_line(awaiting: &mut AwaitingClients, ctx: &mut FrontendContext, token: Token) {
-    ctx.requests.counters.malformed += 1;
+    ctx.requests.counters_mut().malformed += 1;
     answer_without_session(awaiting, ctx, token, b"ERR\r\n");
 }
 
@@ -151,7 +151,7 @@
         StartRefusal::MoreInput | StartRefusal::DuplicateId => reject_malformed_line(awaiting, ctx, token),
         StartRefusal::Closing => answer_without_session(awaiting, ctx, token, b"BUSY\r\n"),
         StartRefusal::NoDescriptor => {
-            ctx.requests.counters.capacity_rejected += 1;
+            ctx.requests.counters_mut().capacity_rejected += 1;
             answer_without_session(awaiting, ctx, token, b"BUSY 500\r\n");
         }
     }
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -37,7 +37,7 @@
 
 /// The same for a line that no server could use.
 pub(super) fn reject_malformed(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
-    ctx.requests.counters.malformed += 1;
+    ctx.requests.counters_mut().malformed += 1;
     answer_and_close(sessions, ctx, client, b"ERR\r\n");
 }
 
@@ -55,7 +55,7 @@
 fn record_answer(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     let Some(session) = sessions.get_mut(client) else { return };
     if let Err(violation) = session.record_answer() {
-        ctx.requests.violations.record(violation, violation_context(session));
+        ctx.requests.record_violation(violation, violation_context(session));
     }
 }
 
@@ -183,7 +183,7 @@
 /// Checks that a session that is over was answered, and announced where it was established.
 fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
     if let Err(violation) = check_close(&session.close_inputs()) {
-        ctx.requests.violations.record(violation, violation_context(session));
+        ctx.requests.record_violation(violation, violation_context(session));
     }
 }
 
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -1,4 +1,6 @@
-//! Mechanisms that the policy builds on, each with one job: no clock, no random numbers of their own, no I/O.
+//! Mechanisms that the policy uses: backoff, outlier detection, slow start, admission of retries, and others.
+//!
+//! Each is a leaf with one job. The caller passes the time and the random numbers; nothing here has I/O.
 
 mod backoff;
 mod connection_value;
@@ -21,7 +23,7 @@
 pub use fleet_limits::FleetLimits;
 pub use in_flight::InFlight;
 pub use rendezvous::{rendezvous_rank, LowestRanks, Ranked};
-pub use retry_admission::{Admission, RetryAdmission, ThrottleChange};
+pub use retry_admission::{Admission, RetryAdmission};
 pub use retry_safety::{deduplicates, AttemptHistory, PossibleRun};
 pub use server_health::{LatencyResponse, ServerHealth};
 pub use slow_start::{FillTarget, ServerRamp, SlowStart};
