--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -15,14 +15,17 @@
 const ABANDON_BEFORE_END: Duration = Duration::from_millis(250);
 
 /// What is to be done in one migration step.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MigrationStep {
-    /// Whether migration has started; nothing is to be done before.
-    pub started: bool,
-    /// The number of established clients to migrate now.
-    pub migrations: usize,
-    /// Requests that began before this time and still wait get their final answer now.
-    pub abandon_before: Option<MonotonicTime>,
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MigrationStep {
+    /// It is too early: migrated clients would come back.
+    NotStarted,
+    /// Clients are migrated.
+    Migrate {
+        /// The number of established clients to migrate now.
+        clients: usize,
+        /// Requests that arrived before this time and still wait get their final answer now.
+        abandon_before: Option<MonotonicTime>,
+    },
 }
 
 /// The times of one migration of all clients.
@@ -71,13 +74,12 @@
 
     fn step(&self, now: MonotonicTime, established: usize, abandon_before: MonotonicTime) -> MigrationStep {
         if now < self.start {
-            return MigrationStep::default();
+            return MigrationStep::NotStarted;
         }
         let remaining = self.migrated_by.saturating_duration_since(now);
         let later_steps = remaining.as_nanos_u64() / MIGRATION_STEP_INTERVAL.as_nanos_u64();
-        MigrationStep {
-            started: true,
-            migrations: established.div_ceil(later_steps as usize + 1),
+        MigrationStep::Migrate {
+            clients: established.div_ceil(later_steps as usize + 1),
             abandon_before: (now >= self.abandon_at).then_some(abandon_before),
         }
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -14,14 +14,22 @@
     MonotonicTime::ZERO + since_origin
 }
 
+/// The number of clients that a step migrates.
+fn migrations(step: MigrationStep) -> usize {
+    match step {
+        MigrationStep::NotStarted => 0,
+        MigrationStep::Migrate { clients, .. } => clients,
+    }
+}
+
 /// Runs the steps from a time on, and gives the time until the last client was migrated.
 fn time_to_migrate(lifecycle: &Lifecycle, from: MonotonicTime, mut established: usize) -> Duration {
     let mut now = from;
     while established > 0 {
         now += MIGRATION_STEP_INTERVAL;
         let step = lifecycle.migration_step(now, established).expect("clients are migrated");
-        assert!(step.migrations <= established && now < from + 10 * SECOND);
-        established -= step.migrations;
+        assert!(migrations(step) <= established && now < from + 10 * SECOND);
+        established -= migrations(step);
     }
     now.saturating_duration_since(from)
 }
@@ -37,22 +45,18 @@
     assert!(lifecycle.drain(at(SECOND)) && !lifecycle.accepts_clients());
     assert_eq!(
         lifecycle.migration_step(at(SECOND + 299 * MILLISECOND), established),
-        Some(MigrationStep::default()),
+        Some(MigrationStep::NotStarted),
         "migrated clients would come back"
     );
     let took = time_to_migrate(&lifecycle, at(SECOND), established);
     assert!(took <= 3_600 * MILLISECOND, "{took:?}");
-    let half = lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step").migrations;
+    let half = migrations(lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step"));
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
     assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process stays");
     // A client that is established later is migrated at the next step.
     assert_eq!(
         lifecycle.migration_step(at(60 * SECOND), 7),
-        Some(MigrationStep {
-            started: true,
-            migrations: 7,
-            abandon_before: Some(at(SECOND + 3_600 * MILLISECOND))
-        })
+        Some(MigrationStep::Migrate { clients: 7, abandon_before: Some(at(SECOND + 3_600 * MILLISECOND)) })
     );
 }
 
@@ -69,7 +73,7 @@
     assert!(lifecycle.drain(at(10 * SECOND)));
     assert_eq!(
         lifecycle.migration_step(at(10 * SECOND), 9),
-        Some(MigrationStep::default()),
+        Some(MigrationStep::NotStarted),
         "a new drain has its own schedule"
     );
 }
@@ -139,7 +143,10 @@
     assert!(time_to_migrate(&lifecycle, at(SECOND), 500) <= kill - 400 * MILLISECOND);
     let abandon_before = |ms: u32| {
         let now = at(SECOND + kill - ms * MILLISECOND);
-        lifecycle.migration_step(now, 0).expect("a step").abandon_before
+        match lifecycle.migration_step(now, 0).expect("a step") {
+            MigrationStep::Migrate { abandon_before, .. } => abandon_before,
+            MigrationStep::NotStarted => panic!("it has started"),
+        }
     };
     assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(MonotonicTime::MAX)));
     let exit_by = at(SECOND + kill - 200 * MILLISECOND);
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -6,7 +6,7 @@
 use super::executor::Executor;
 use super::frontend_host::FrontendHost;
 use crate::frontend::TimerEvent;
-use crate::lifecycle::{self, Activity};
+use crate::lifecycle::{self, Activity, MigrationStep};
 use crate::rules::{Violation, ViolationContext};
 use sparbank_time::MonotonicTime;
 
@@ -68,15 +68,15 @@
             self.is_scheduled = false;
             return;
         };
-        if step.started {
+        if let MigrationStep::Migrate { clients, abandon_before } = step {
             executor.host.for_each(|frontend, ctx| frontend.on_drain_step(ctx));
-        }
-        if let Some(abandon_before) = step.abandon_before {
-            let commands = executor.host.state.requests.fail_unanswered(now, abandon_before);
-            executor.execute_all(now, commands);
-        }
-        for request_id in established.into_iter().take(step.migrations) {
-            executor.migrate_established(now, request_id);
+            if let Some(abandon_before) = abandon_before {
+                let commands = executor.host.state.requests.fail_unanswered(now, abandon_before);
+                executor.execute_all(now, commands);
+            }
+            for request_id in established.into_iter().take(clients) {
+                executor.migrate_established(now, request_id);
+            }
         }
         let next_step_at = now + lifecycle::MIGRATION_STEP_INTERVAL;
         executor.host.state.wheel.schedule(next_step_at, TimerEvent::DrainStep);
