--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -6,15 +6,11 @@
 use super::request::{Phase, Request, Requests};
 use super::selection::Selection;
 use super::server::{Server, ServerSet};
-use crate::model::{
-    Action, Arrival, AttemptKind, Endpoint, Event, ListKind, Notice, Outcome, RequestId, ServerId, Settings,
-    SettingsError,
-};
+use crate::model::{Action, Arrival, AttemptKind, Endpoint, Event, ListKind, Notice, Outcome};
+use crate::model::{RequestId, ServerId, Settings, SettingsError};
 use crate::random::{mix64, uniform_duration_up_to, Rng};
-use crate::resilience::{
-    request_backoff_limit, Admission, EndpointSubscription, FillTarget, FleetLimits, RetryAdmission,
-    SlowStart,
-};
+use crate::resilience::{request_backoff_limit, Admission, EndpointSubscription, FillTarget, FleetLimits};
+use crate::resilience::{RetryAdmission, SlowStart};
 use crate::rules::{self, RetryInputs, RetryRefusal};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -39,6 +35,8 @@
 
 impl Balancer {
     /// Starts an instance without servers. The seed determines all its random decisions.
+    /// # Errors
+    /// The first setting that is out of its range.
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
         settings.validate()?;
         Ok(Balancer {
@@ -64,13 +62,15 @@
         self.settings = settings;
     }
 
-    /// What this node knows of the servers, as JSON, for the process that replaces this one.
+    /// What this node has observed of the servers, as JSON, for the process that replaces this one.
     pub fn state_snapshot(&self) -> String {
         serde_json::to_string(&(self.last_selection_at, self.servers.snapshot())).unwrap_or_default()
     }
 
-    /// Takes over a snapshot, once the servers are listed and before any connection is resumed. Servers that
-    /// are not listed are ignored. On an error nothing changes.
+    /// Restores a snapshot, once the servers are listed and before any connection is resumed. Servers that
+    /// are not listed are ignored.
+    /// # Errors
+    /// The snapshot cannot be decoded; nothing has changed.
     pub fn restore_state(&mut self, snapshot: &str) -> Result<(), serde_json::Error> {
         let servers: Vec<Server>;
         (self.last_selection_at, servers) = serde_json::from_str(snapshot)?;
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Takes one event that happened at `now`, and appends what is to be done.
+    /// Handles one event that happened at `now`, and appends the actions that follow.
     pub fn handle(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         self.actions.clear();
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -327,6 +327,11 @@
 
     // ---- Accounting ----------------------------------------------------------------------------------
 
+    /// Counts since the start of the process.
+    pub fn counters(&self) -> &Counters {
+        self.ledger.counters()
+    }
+
     /// Counts since the start of the process. The node and its frontends add what they count themselves.
     pub fn counters_mut(&mut self) -> &mut Counters {
         self.ledger.counters_mut()
