--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -230,11 +230,8 @@
 ) -> Result<(), Outcome> {
     let is_server_ready = ctx.registry.entry(server).is_some_and(|entry| entry.is_ready());
     // A client that is gone may still come back and resume the delivery: its absence does not count here.
-    let permission = ctx.requests.may_send(
-        ctx.now,
-        chunk.request_id,
-        PeerStatus { client_gone: false, server_ready: is_server_ready },
-    );
+    let peers = PeerStatus { client_gone: false, server_ready: is_server_ready };
+    let permission = ctx.requests.may_send(ctx.now, chunk.request_id, peers);
     if let Err(refusal) = permission {
         tracing::trace!(request = chunk.request_id.0, reason = %refusal, "attempt not sent");
         return Err(Outcome::NotSent);
