--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -158,15 +158,10 @@
             return self.leave(&id, read, write).await;
         }
         let mut text = String::new();
-        let answer = match timeout(ANSWER_TIMEOUT, read.read_line(&mut text)).await {
-            Err(_) => return self.checker.borrow_mut().on_no_answer(&id, "no answer in 4.5 s"),
-            Ok(Ok(count)) if count > 0 && text.ends_with('\n') => match text.split([' ', '\r']).next() {
-                Some("UP") => Answer::Up,
-                Some("BUSY") => Answer::Busy,
-                _ => Answer::Failed,
-            },
-            Ok(ended) => {
-                let what = format!("the connection ended: {ended:?} {text:?} after {:?}", sent_at.elapsed());
+        let answer = match read_answer(&mut read, &mut text).await {
+            Ok(answer) => answer,
+            Err(what) => {
+                let what = format!("{what} after {:?}", sent_at.elapsed());
                 return self.checker.borrow_mut().on_no_answer(&id, &what);
             }
         };
@@ -286,6 +281,19 @@
     }
 }
 
+/// Reads a final answer; what happened instead, where none arrives.
+async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Result<Answer, String> {
+    match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
+        Err(_) => Err("no answer".to_string()),
+        Ok(Ok(count)) if count > 0 && text.ends_with('\n') => Ok(match text.split([' ', '\r']).next() {
+            Some("UP") => Answer::Up,
+            Some("BUSY") => Answer::Busy,
+            _ => Answer::Failed,
+        }),
+        Ok(ended) => Err(format!("the connection ended: {ended:?} {text:?}")),
+    }
+}
+
 /// What a session has received.
 struct Lines {
     /// What has come of the next line. A `read_line` that is given up loses it; `read_until` does not.
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -26,7 +26,7 @@
 /// How long a fault lasts, unless it is over at once.
 const FAULT_MS: std::ops::Range<u64> = 150..1_600;
 /// A shortage of descriptors lasts for a moment: within the time that an answer may be late.
-const SHORTAGE_MS: u64 = 400;
+const MAX_SHORTAGE: Duration = Duration::from_millis(400);
 /// A drain that no watch announces lasts until the nodes count as notified, and some time more.
 const UNANNOUNCED_DRAIN: Duration = Duration::from_millis(5_500);
 /// After the last fault the run goes on for this long, and the clients then stop for as long.
@@ -109,8 +109,7 @@
             }
             Fault::Reload => self.nodes.reload(),
             Fault::DescriptorShortage => {
-                let moment = duration.min(Duration::from_millis(SHORTAGE_MS));
-                self.nodes.starve_of_descriptors(node, moment).await;
+                self.nodes.starve_of_descriptors(node, duration.min(MAX_SHORTAGE)).await;
             }
             Fault::Drain => self.drain_server(target, duration).await,
             Fault::SilentWatches => {
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -6,7 +6,7 @@
 //! and time limits are longer by that.
 
 use super::clients::ANSWER_TIMEOUT;
-use super::servers::EndpointList;
+use super::endpoint_list::EndpointList;
 pub use super::summary::Summary;
 use super::summary::Timeline;
 use super::ClusterConfig;
--- a/crates/test-support/src/cluster/auditor/tests.rs
+++ b/crates/test-support/src/cluster/auditor/tests.rs
@@ -2,7 +2,7 @@
 
 use super::{Auditor, ObservedAttempt, Outcome};
 use crate::cluster::clients::ANSWER_TIMEOUT;
-use crate::cluster::servers::{EndpointList, NamedEndpoint};
+use crate::cluster::endpoint_list::{EndpointList, NamedEndpoint};
 use crate::cluster::ClusterConfig;
 use crate::invariants::{Rule, Violation};
 use std::thread::sleep;
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -90,6 +90,15 @@
     }
 }
 
+/// What a watch has been sent so far.
+struct WatchProgress {
+    /// The incarnation of the node's process that opened the watch.
+    incarnation: u64,
+    sent_generation: u64,
+    needs_complete_list: bool,
+    last_write: Instant,
+}
+
 /// Discovery as one node sees it.
 #[derive(Clone)]
 struct NodeService {
@@ -144,9 +153,12 @@
         if stream.write_all(WATCH_RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
-        let mut sent_generation = from_generation;
-        let mut needs_complete_list = from_generation == 0;
-        let mut last_write = Instant::now() - HEARTBEAT_INTERVAL;
+        let mut progress = WatchProgress {
+            incarnation,
+            sent_generation: from_generation,
+            needs_complete_list: from_generation == 0,
+            last_write: Instant::now() - HEARTBEAT_INTERVAL,
+        };
         loop {
             if self.queue.mode.get() == DiscoveryMode::Unreachable {
                 return reset_on_drop(&stream);
@@ -155,33 +167,35 @@
             if matches!(stream.try_read(&mut [0; 16]), Ok(0)) {
                 return;
             }
-            let is_stale = self.queue.mode.get() == DiscoveryMode::Stale;
-            let list = if is_stale {
-                self.servers.saved_list()
-            } else {
-                self.servers.changes_since(sent_generation, needs_complete_list, CHANGE_DELAY)
+            let Some(line) = self.next_line(&mut progress) else {
+                sleep(CHANGE_CHECK_INTERVAL).await;
+                continue;
             };
-            let is_heartbeat_due = last_write.elapsed() >= HEARTBEAT_INTERVAL;
-            let line = match list {
-                Some(list) if !is_stale || needs_complete_list || is_heartbeat_due => {
-                    sent_generation = list.generation;
-                    needs_complete_list = false;
-                    // A stale list changes nothing: it notifies nobody.
-                    if !is_stale {
-                        self.shared.auditor.borrow_mut().on_list_sent(self.node, incarnation, &list);
-                    }
-                    list.json()
-                }
-                _ if is_heartbeat_due => String::new(),
-                _ => {
-                    sleep(CHANGE_CHECK_INTERVAL).await;
-                    continue;
-                }
-            };
-            last_write = Instant::now();
+            progress.last_write = Instant::now();
             if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
+    /// What a watch is sent now, if anything: a list, or an empty line as a heartbeat.
+    fn next_line(&self, progress: &mut WatchProgress) -> Option<String> {
+        let is_stale = self.queue.mode.get() == DiscoveryMode::Stale;
+        let list = if is_stale {
+            self.servers.saved_list()
+        } else {
+            self.servers.changes_since(progress.sent_generation, progress.needs_complete_list, CHANGE_DELAY)
+        };
+        let is_heartbeat_due = progress.last_write.elapsed() >= HEARTBEAT_INTERVAL;
+        let is_list_due = !is_stale || progress.needs_complete_list || is_heartbeat_due;
+        let Some(list) = list.filter(|_| is_list_due) else {
+            return is_heartbeat_due.then(String::new);
+        };
+        progress.sent_generation = list.generation;
+        progress.needs_complete_list = false;
+        // A stale list changes nothing: it notifies nobody.
+        if !is_stale {
+            self.shared.auditor.borrow_mut().on_list_sent(self.node, progress.incarnation, &list);
+        }
+        Some(list.json())
+    }
 }
--- a/crates/test-support/src/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -9,6 +9,7 @@
 pub mod clients;
 pub mod config;
 pub mod discovery;
+pub mod endpoint_list;
 pub mod ledger;
 pub mod links;
 pub mod nodes;
--- a/crates/test-support/src/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -5,10 +5,11 @@
 //! violation.
 
 use super::auditor::ObservedAttempt;
+use super::endpoint_list::{EndpointList, NamedEndpoint};
 use super::ledger::Ledger;
 use super::Shared;
 use crate::loopback::reset_on_drop;
-use crate::watch_protocol::{endpoint_json, list_json, ListKind};
+use crate::watch_protocol::endpoint_json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -88,41 +89,6 @@
     }
 }
 
-/// A server that a list names.
-#[derive(Clone, Copy, Debug)]
-pub struct NamedEndpoint {
-    /// Its number.
-    pub server: usize,
-    /// Whether it takes anything new.
-    pub is_ready: bool,
-}
-
-/// A list as a watch writes it.
-#[derive(Clone)]
-pub struct EndpointList {
-    /// Its version.
-    pub generation: u64,
-    /// Whether it names all servers, or those that have changed.
-    pub is_complete: bool,
-    /// The servers that it names.
-    pub endpoints: Vec<NamedEndpoint>,
-    /// JSON of each endpoint.
-    documents: Vec<String>,
-}
-
-impl EndpointList {
-    /// One without documents, for the auditor.
-    pub fn naming(generation: u64, is_complete: bool, endpoints: Vec<NamedEndpoint>) -> EndpointList {
-        EndpointList { generation, is_complete, endpoints, documents: Vec::new() }
-    }
-
-    /// The list as it is written.
-    pub fn json(&self) -> String {
-        let kind = if self.is_complete { ListKind::Complete } else { ListKind::Incremental };
-        list_json(self.generation, kind, &self.documents.join(","))
-    }
-}
-
 /// Open connections at all servers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionPeak {
@@ -278,8 +244,7 @@
                 if is_complete { server.status != Status::Removed } else { server.generation > generation };
             if is_visible(&server) && is_named {
                 let is_ready = server.status == Status::Ready;
-                list.endpoints.push(NamedEndpoint { server: number, is_ready });
-                list.documents.push(server.json());
+                list.push(NamedEndpoint { server: number, is_ready }, server.json());
             }
         }
         Some(list)
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -324,6 +324,18 @@
 /// They count at their own times, whichever frontend is at work.
 const DISCOVERY_COUNTERS: [&str; 3] = ["discovery_polls", "discovery_failures", "stale_lists"];
 
+/// Serves all connections to these listeners by one script.
+fn serve_script(listeners: Vec<TcpListener>, script: &Script, serve_connection: fn(Peer, &Script)) {
+    for listener in listeners {
+        let script = script.clone();
+        std::thread::spawn(move || loop {
+            let peer = Peer::accept(&listener);
+            let script = script.clone();
+            std::thread::spawn(move || serve_connection(peer, &script));
+        });
+    }
+}
+
 #[rstest]
 fn the_two_frontends_account_alike_side_by_side() {
     use Act::*;
@@ -335,19 +347,9 @@
     let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
     let places: Vec<String> = amqp.iter().enumerate().map(place).collect();
     let file = format!(r#"{{"listen":"127.0.0.1:0","servers":{{{}}}}}"#, places.join(","));
-    let serve = |listeners: Vec<TcpListener>, server: fn(Peer, &Script)| {
-        for listener in listeners {
-            let script = script.clone();
-            std::thread::spawn(move || loop {
-                let task = Peer::accept(&listener);
-                let script = script.clone();
-                std::thread::spawn(move || server(task, &script));
-            });
-        }
-    };
     let copies: Vec<TcpListener> = servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
-    serve(copies, text_server);
-    serve(amqp, amqp_server);
+    serve_script(copies, &script, text_server);
+    serve_script(amqp, &script, amqp_server);
     let mut bench = Bench::with(PROGRAM, servers, Some(&file));
     let mut client = client(&bench, CLASS);
     let mut counted = Vec::new();
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -8,7 +8,7 @@
 };
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
-use std::net::{SocketAddr, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::process::Stdio;
 use std::time::{Duration, Instant};
 
@@ -138,6 +138,19 @@
     assert!(client.attach(CLASS).expect("its class") > 0);
 }
 
+/// Starts a server that accepts all deliveries of one connection.
+fn accept_all_deliveries(listener: TcpListener) {
+    std::thread::spawn(move || {
+        let mut server = AmqpPeer::server(Peer::accept(&listener), 1000, 65536);
+        server.link(1000, 1000);
+        while let NextFrame::Body(body, _) = server.frame() {
+            if let sparbank_amqp::Performative::Transfer(Transfer { delivery_id: Some(id), .. }) = *body {
+                server.settle(id, State::Accepted);
+            }
+        }
+    });
+}
+
 /// A hundred guesses at once are felt by nobody who is in.
 #[rstest]
 fn guessers_do_not_slow_the_usual_clients() {
@@ -166,16 +179,7 @@
     for guesser in &mut guessers {
         guesser.stream.write_all(&bytes).expect("written");
     }
-    let listener = bench.servers[0].try_clone().expect("a second handle");
-    std::thread::spawn(move || {
-        let mut server = AmqpPeer::server(Peer::accept(&listener), 1000, 65536);
-        server.link(1000, 1000);
-        while let NextFrame::Body(body, _) = server.frame() {
-            if let sparbank_amqp::Performative::Transfer(Transfer { delivery_id: Some(id), .. }) = *body {
-                server.settle(id, State::Accepted);
-            }
-        }
-    });
+    accept_all_deliveries(bench.servers[0].try_clone().expect("a second handle"));
     for id in 0..20 {
         client.deliver(id, &message(1000, "7f3a", b"reading"));
         assert_eq!(until!(client, Disposition).0.state, Some(State::Accepted), "within its second");
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -5,6 +5,7 @@
 use sparbank_test_support::{
     accept_any, counter_value, listener, message, until, AmqpPeer, Bench, Peer, ReceivedMessage,
 };
+use std::collections::HashMap;
 use std::time::Duration;
 
 /// The program under test.
@@ -206,26 +207,10 @@
     assert_eq!(quick.receive_answer(), State::Accepted);
 }
 
-/// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
-#[rstest]
-fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
-    let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
-    let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
-    let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
-    let writing: Vec<_> = clients
-        .into_iter()
-        .map(|mut client| {
-            let sent = sent.clone();
-            std::thread::spawn(move || {
-                client.deliver_in_transfers(0, &sent, 12_000);
-                client.receive_answer()
-            })
-        })
-        .collect();
-    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
-    let (mut completed, mut sizes) = (0, std::collections::HashMap::<u32, usize>::new());
-    while completed < 3 {
+/// A server accepts all links, and so many messages of more than 1 MiB, while it pauses after each frame.
+fn receive_slowly(server: &mut AmqpPeer, messages: u32) {
+    let (mut completed, mut sizes) = (0, HashMap::<u32, usize>::new());
+    while completed < messages {
         match server.next_body() {
             (Performative::Attach(attach), _) => {
                 let (name, handle, target) = (attach.name, attach.handle, attach.target);
@@ -246,8 +231,29 @@
             _ => {}
         }
     }
-    for hand in writing {
-        assert_eq!(hand.join().expect("a client's thread"), State::Accepted);
+}
+
+/// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
+#[rstest]
+fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
+    let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
+    let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
+    let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
+    let writing: Vec<_> = clients
+        .into_iter()
+        .map(|mut client| {
+            let sent = sent.clone();
+            std::thread::spawn(move || {
+                client.deliver_in_transfers(0, &sent, 12_000);
+                client.receive_answer()
+            })
+        })
+        .collect();
+    let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100_000, 16_384);
+    receive_slowly(&mut server, 3);
+    for client in writing {
+        assert_eq!(client.join().expect("a client's thread"), State::Accepted);
     }
     let buffered = counter_value(&bench.frontend_counters("amqp"), "max_buffered_bytes");
     assert!(buffered < 450_000, "{buffered} octets were buffered");
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -291,6 +291,39 @@
     assert_eq!((flow.delivery_count, flow.link_credit), (Some(5), Some(0)));
 }
 
+/// A server's link for replies to this address.
+fn reply_link(handle: u32, address: &str) -> Attach {
+    let target = sparbank_amqp::Target { address: Some(address.into()), ..Default::default() };
+    Attach {
+        name: Some(format!("reply-{handle}")),
+        handle: Some(handle),
+        role: Some(false),
+        source: Some(Source::default()),
+        target: Some(Terminus::Target(target)),
+        initial_delivery_count: Some(0),
+        ..Default::default()
+    }
+}
+
+/// The client gets a reply that ends like this, which it accepts, and the answer to its own request, in either order.
+fn expect_reply_and_answer(client: &mut AmqpPeer, reply: &[u8]) {
+    let (mut is_replied, mut is_answered) = (false, false);
+    while !(is_replied && is_answered) {
+        match client.next_body() {
+            (Performative::Transfer(transfer), payload) => {
+                assert!(payload.ends_with(reply));
+                client.settle(transfer.delivery_id.expect("an id"), State::Accepted);
+                is_replied = true;
+            }
+            (Performative::Disposition(disposition), _) => {
+                assert_eq!(disposition.state, Some(State::Accepted));
+                is_answered = true;
+            }
+            _ => {}
+        }
+    }
+}
+
 #[rstest]
 fn replies_come_to_a_dynamic_node_from_whichever_server_has_the_request() {
     let mut bench = bench(1);
@@ -307,40 +340,14 @@
     let head = sparbank_amqp::Head::read(&payload).expect("sound").expect("whole");
     assert_eq!(head.reply_to.as_deref(), Some(address.as_str()));
     // The server answers on a link of its own.
-    let target = |address: &str| {
-        Some(Terminus::Target(sparbank_amqp::Target { address: Some(address.into()), ..Default::default() }))
-    };
-    let attach = |handle: u32, address: &str| Attach {
-        name: Some(format!("reply-{handle}")),
-        handle: Some(handle),
-        role: Some(false),
-        source: Some(Source::default()),
-        target: target(address),
-        initial_delivery_count: Some(0),
-        ..Default::default()
-    };
-    server.put(attach(9, "reply/1/guessed"));
+    server.put(reply_link(9, "reply/1/guessed"));
     until!(server, Attach);
     assert_eq!(until!(server, Detach).0.error.expect("why").condition, condition::NOT_FOUND);
-    server.put(attach(10, &address));
+    server.put(reply_link(10, &address));
     assert!(until!(server, Flow).0.link_credit > Some(0));
     server.send(10, 0, &message(60_000, "k", b"reply"));
     server.settle(request.delivery_id.expect("an id"), State::Accepted);
-    let (mut replied, mut answered) = (false, false);
-    while !(replied && answered) {
-        match client.next_body() {
-            (Performative::Transfer(transfer), payload) => {
-                assert!(payload.ends_with(b"reply"));
-                client.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-                replied = true;
-            }
-            (Performative::Disposition(d), _) => {
-                assert_eq!(d.state, Some(State::Accepted));
-                answered = true;
-            }
-            _ => {}
-        }
-    }
+    expect_reply_and_answer(&mut client, b"reply");
     let (d, _) = until!(server, Disposition);
     assert_eq!((d.first, d.state), (Some(0), Some(State::Accepted)));
     assert_eq!([bench.counter("requests"), bench.counter("served")], [1, 1]);
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -83,6 +83,18 @@
     client: Option<&str>,
     credentials: Credentials,
 ) -> Result<StreamOwned<ClientConnection, TcpStream>, String> {
+    let config = client_config(keys, client);
+    let name = ServerName::try_from(name.to_string()).expect("a name");
+    let conn = ClientConnection::new(Arc::new(config), name).expect("a client");
+    let stream = TcpStream::connect(addr).expect("it listens");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
+    let mut stream = StreamOwned::new(conn, stream);
+    open_amqp(&mut stream, credentials)?;
+    Ok(stream)
+}
+
+/// The client's side of TLS, with the certificate of this client if one is named.
+fn client_config(keys: &Keys, client: Option<&str>) -> ClientConfig {
     let mut roots = RootCertStore::empty();
     roots.add(keys.authority.der().clone()).expect("a root");
     let provider = Arc::new(rustls::crypto::ring::default_provider());
@@ -90,18 +102,20 @@
         .with_safe_default_protocol_versions()
         .expect("versions")
         .with_root_certificates(roots);
-    let config = match client {
+    match client {
         None => builder.with_no_client_auth(),
         Some(name) => {
             let (cert, key, ..) = keys.sign(name);
             builder.with_client_auth_cert(vec![cert], key).expect("a pair")
         }
-    };
-    let name = ServerName::try_from(name.to_string()).expect("a name");
-    let conn = ClientConnection::new(Arc::new(config), name).expect("a client");
-    let stream = TcpStream::connect(addr).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
-    let mut stream = StreamOwned::new(conn, stream);
+    }
+}
+
+/// Opens an AMQP connection on a stream under TLS; the reason where it cannot.
+fn open_amqp(
+    stream: &mut StreamOwned<ClientConnection, TcpStream>,
+    credentials: Credentials,
+) -> Result<(), String> {
     let mut amqp = Connection::dial(MonotonicTime::ZERO, Settings::default(), Some(credentials));
     let mut input = Vec::new();
     loop {
@@ -117,7 +131,7 @@
             amqp.next_event(MonotonicTime::ZERO, &mut left).map_err(|e| e.condition.to_string())?
         {
             if matches!(event, Event::Opened {}) {
-                return Ok(stream);
+                return Ok(());
             }
         }
         let taken = input.len() - left.len();
