--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -4,13 +4,13 @@
 use crate::model::{Discovery, Settings};
 use std::time::Duration;
 
-/// A node counts as notified of a change 6 s after discovery had it and could be reached, whatever the settings
-/// allow after a failed poll. A poll that times out after 2 s, this delay and the next poll's answer fit into that.
+/// A node has to know of a change within 6 s of the time at which discovery knew it and could be reached. A poll that
+/// times out after 2 s, this delay and the answer to the next poll fit into that.
 const MAX_POLL_DELAY: Duration = Duration::from_millis(2_500);
-/// The same for the first poll after a watch that was open: that it fell silent was found out after 4.2 s, at the next
-/// tick (0.2 s), perhaps by a process that was stalled (0.15 s), and the poll has to be answered too.
+/// The same for the first poll after a watch that was open. A silent watch is detected after 4.2 s, at the next tick
+/// (0.2 s) of a process that may be stalled (0.15 s); this delay and the answer to the poll fit into the rest of 6 s.
 const MAX_FIRST_POLL_DELAY: Duration = Duration::from_millis(1_250);
-/// Polls of the machine's own agent cost nothing: the delay only bounds the rate at which a dead agent is polled.
+/// Polls of this machine's own agent are cheap: the delay bounds the rate at which an agent that has failed is polled.
 const AGENT_BASE_DELAY: Duration = Duration::from_millis(10);
 const AGENT_MAX_DELAY: Duration = Duration::from_millis(200);
 /// The first delay is [`Settings::poll_within`] divided by this.
--- a/src/simulator_adapter/incoming.rs
+++ b/src/simulator_adapter/incoming.rs
@@ -127,7 +127,7 @@
     }
 }
 
-/// `REQUEST` and `RESUMED`: a client's request, and a connection that already runs through an instance at its start.
+/// `REQUEST` and `RESUMED`: a client's request, and a connection that was established before an instance started.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RequestDocument {
@@ -183,7 +183,7 @@
     pub wait_time_ns: u64,
 }
 
-/// Topic of an `UPDATE_OF` event: load of an open connection, in microseconds of work a second.
+/// Topic of an `UPDATE_OF` event: load of an established connection, in microseconds of work per second.
 pub const TOPIC_LOAD: u32 = 1;
 /// Topic of an `UPDATE_OF` event: latency of messages at a server, in milliseconds.
 pub const TOPIC_LATENCY: u32 = 2;
@@ -219,20 +219,26 @@
     pub done: bool,
 }
 
-/// Status of an attempt or a health check that succeeded.
+/// Statuses of an attempt, and of a health check.
 const STATUS_OK: u32 = 100;
+const STATUS_REJECTED: u32 = 302;
+const STATUS_TIMEOUT: u32 = 303;
+const STATUS_CONNECT_FAILED: u32 = 304;
+const STATUS_RESET: u32 = 305;
+const STATUS_CANCELLED: u32 = 306;
+const STATUS_NOT_SENT: u32 = 307;
 
 impl AttemptEndedDocument {
     /// How the attempt ended; a status that is not known counts as an error.
     pub fn outcome(&self) -> Outcome {
         match self.status {
             STATUS_OK => Outcome::Ok,
-            302 => Outcome::Rejected,
-            303 => Outcome::Timeout,
-            304 => Outcome::ConnectFailed,
-            305 => Outcome::Reset,
-            306 => Outcome::Cancelled,
-            307 => Outcome::NotSent,
+            STATUS_REJECTED => Outcome::Rejected,
+            STATUS_TIMEOUT => Outcome::Timeout,
+            STATUS_CONNECT_FAILED => Outcome::ConnectFailed,
+            STATUS_RESET => Outcome::Reset,
+            STATUS_CANCELLED => Outcome::Cancelled,
+            STATUS_NOT_SENT => Outcome::NotSent,
             _ => Outcome::Error,
         }
     }
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -18,10 +18,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+const NANOS_PER_MICROSECOND: f64 = 1e3;
+const NANOS_PER_MILLISECOND: f64 = 1e6;
+
 /// Endpoint lists by the slot in which the simulator stored them.
 pub type ListsBySlot = HashMap<usize, EndpointListDocument>;
 
 /// Decodes a document of the wire.
+///
+/// # Errors
+/// The field at fault and what is wrong with it.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, EventError> {
     Ok(json::parse(text)?)
 }
@@ -36,13 +42,18 @@
 
 impl Instance {
     /// Starts a node from its `INIT` event.
+    ///
+    /// # Errors
+    /// The first setting that is out of its range.
     pub fn start(init: InitDocument) -> Result<Instance, EventError> {
         let balancer = Balancer::new(init.seed, Settings::from(init.settings))?;
         Ok(Instance { balancer, server_ids: HashMap::new(), server_names: Vec::new() })
     }
 
-    /// Decodes an event for the balancer, by its name. The result is none for an event that the balancer has no use
-    /// for.
+    /// Decodes an event for the balancer, by its name; none for an event that the balancer ignores.
+    ///
+    /// # Errors
+    /// The event is unknown, or its document or the list that it refers to is invalid.
     pub fn decode_event(
         &mut self,
         name: &str,
@@ -68,7 +79,10 @@
         Ok(Some(event))
     }
 
-    /// Lets the balancer handle an event; the result is its actions as they go on the wire.
+    /// Lets the balancer handle an event. Returns its actions as they are sent to the simulator.
+    ///
+    /// # Errors
+    /// The balancer panicked.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Result<Vec<ActionDocument>, DecisionPanic> {
         let actions = catch_panic(|actions| self.balancer.handle(now, event, actions))?;
         Ok(actions.into_iter().map(|action| self.action_document(action)).collect())
@@ -118,11 +132,11 @@
         let server = self.server_id(&document.server);
         match document.topic {
             TOPIC_LOAD => {
-                let cost = Duration::from_nanos((document.level * 1e3) as u64);
+                let cost = Duration::from_nanos((document.level * NANOS_PER_MICROSECOND) as u64);
                 Some(Event::LoadReport { id: RequestId(document.request_id), cost })
             }
             TOPIC_LATENCY => {
-                let latency = Duration::from_nanos((document.level * 1e6) as u64);
+                let latency = Duration::from_nanos((document.level * NANOS_PER_MILLISECOND) as u64);
                 Some(Event::LatencyReport { server, latency })
             }
             _ => None,
--- a/src/simulator_adapter/mod.rs
+++ b/src/simulator_adapter/mod.rs
@@ -1,4 +1,5 @@
-//! The adapter for the simulator's wire: batches of events in, replies with actions out, one JSON line each.
+//! Lets the operators' simulator drive balancers over standard input and output: batches of events in, replies with
+//! actions out, one JSON line each.
 //!
 //! [`Host::handle_batch`] decodes a batch (`incoming`), lets each `instance` translate its events for its own
 //! [`Balancer`](crate::Balancer), and encodes the actions (`outgoing`). Nothing is decided here. The simulator fixes
--- a/src/simulator_adapter/outgoing.rs
+++ b/src/simulator_adapter/outgoing.rs
@@ -55,7 +55,7 @@
         #[serde(rename = "Txn")]
         request_id: u64,
     },
-    /// Migrate an open connection: its client is to reconnect.
+    /// Migrate an established connection: its client is to reconnect.
     #[serde(rename = "GO_AWAY")]
     Migrate {
         #[serde(rename = "Txn")]
