--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,16 +1,23 @@
 //! A connection (standard, section 2.4) with its sessions and links, from either end.
+//!
+//! [`Connection`] is the library's state machine. Its user passes received octets to [`Connection::next_event`], answers
+//! the events, and writes what [`Connection::take_output`] returns. The methods are in a file for each part of the
+//! protocol: `handshake` (headers, SASL, open), `input` (frames), `sessions`, `links`, `incoming` and `outgoing`
+//! deliveries, and their `dispositions`.
 
 mod dispositions;
 mod event;
 mod handshake;
+mod idle;
 mod incoming;
 mod input;
 mod links;
 mod outgoing;
+mod session_table;
 mod sessions;
 mod settings;
 
-pub use event::{AbandonedDelivery, Event, IncomingTransfer, LinkId, Outgoing, PeerInfo};
+pub use event::{AbandonedDelivery, Event, IncomingTransfer, LinkEnd, LinkId, Outgoing, PeerInfo};
 pub use settings::Settings;
 
 use crate::error::{condition, fault, Error, Fault};
@@ -18,19 +25,17 @@
 use crate::link::{Link, Phase as LinkPhase};
 use crate::performative::{Close, Performative};
 use crate::sasl::{self, Credentials, Mechanism};
-use crate::session::{Map, Phase as SessionPhase, Session};
+use crate::session::{Phase as SessionPhase, Session};
 use dispositions::DispositionBatch;
+use idle::IdleTimer;
+use session_table::SessionTable;
 use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
-use std::time::Duration;
 
 const SASL_HEADER: &[u8; 8] = b"AMQP\x03\x01\x00\x00";
 const AMQP_HEADER: &[u8; 8] = b"AMQP\x00\x01\x00\x00";
 /// Every peer accepts frames of this size, in octets (2.4.1); SASL frames are no larger (5.3.1).
 const MIN_MAX_FRAME_SIZE: u32 = 512;
-/// The shortest idle timeout of a peer that is honoured: a user that calls [`Connection::tick`] every 0.2 s can do no
-/// better.
-const MIN_PEER_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Stage {
@@ -62,15 +67,8 @@
     peer: PeerInfo,
     peer_max_frame_size: u32,
     peer_channel_max: u16,
-    peer_idle_timeout: Option<Duration>,
-    last_received: MonotonicTime,
-    last_sent: MonotonicTime,
-    /// By this side's channel.
-    sessions: Vec<Option<Session>>,
-    /// This side's channel, by the peer's.
-    by_remote_channel: Map<u16, u16>,
-    /// Links on all sessions together.
-    link_count: usize,
+    idle: IdleTimer,
+    sessions: SessionTable,
     /// Events that were not taken yet.
     events: VecDeque<Event<'static>>,
     /// A disposition that may still grow into a range.
@@ -79,7 +77,7 @@
 }
 
 impl Connection {
-    /// The end that dials. Without credentials it starts with AMQP itself, not with SASL.
+    /// The end that opens the transport connection. Without credentials it starts with AMQP itself, not with SASL.
     pub fn dial(now: MonotonicTime, settings: Settings, credentials: Option<Credentials>) -> Connection {
         let uses_sasl = credentials.is_some();
         let auth = Auth::Client(credentials.map(sasl::Client::new));
@@ -94,13 +92,14 @@
         connection
     }
 
-    /// The end that is dialled. With mechanisms a peer has to authenticate by one of them; without, it may use SASL
-    /// ANONYMOUS or no SASL.
+    /// The end that accepts the transport connection. With mechanisms the peer has to authenticate by one of them; without,
+    /// it may use SASL ANONYMOUS or no SASL.
     pub fn accept(now: MonotonicTime, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
         Connection::new(now, settings, Auth::Server(offered.map(sasl::Server::new)))
     }
 
     fn new(now: MonotonicTime, settings: Settings, auth: Auth) -> Connection {
+        let idle = IdleTimer::new(now, settings.idle_timeout);
         Connection {
             settings,
             auth,
@@ -109,12 +108,8 @@
             peer: PeerInfo::default(),
             peer_max_frame_size: MIN_MAX_FRAME_SIZE,
             peer_channel_max: 0,
-            peer_idle_timeout: None,
-            last_received: now,
-            last_sent: now,
-            sessions: Vec::new(),
-            by_remote_channel: Map::default(),
-            link_count: 0,
+            idle,
+            sessions: SessionTable::default(),
             events: VecDeque::new(),
             batch: None,
             out: Vec::new(),
@@ -202,39 +197,36 @@
         if self.stage == Stage::Closed {
             return None;
         }
-        let idle_timeout = self.settings.idle_timeout;
-        let peer_timeout =
-            (!idle_timeout.is_zero()).then(|| self.last_received + idle_timeout + Duration::from_nanos(1));
-        let own_timeout = self.peer_idle_timeout.filter(|_| self.is_open());
-        let heartbeat = own_timeout.map(|timeout| self.last_sent + timeout / 2);
-        peer_timeout.into_iter().chain(heartbeat).min()
+        let heartbeat = self.idle.heartbeat_deadline().filter(|_| self.is_open());
+        self.idle.peer_deadline().into_iter().chain(heartbeat).min()
     }
 
     fn session(&self, channel: u16) -> Option<&Session> {
-        self.sessions.get(channel as usize)?.as_ref()
+        self.sessions.get(channel)
     }
 
     fn session_mut(&mut self, channel: u16) -> Option<&mut Session> {
-        self.sessions.get_mut(channel as usize)?.as_mut()
+        self.sessions.get_mut(channel)
     }
 
     fn link(&self, link: LinkId) -> Option<&Link> {
-        self.session(link.channel)?.link(link.handle)
+        self.sessions.link(link)
     }
 
     fn link_mut(&mut self, link: LinkId) -> Option<&mut Link> {
-        self.session_mut(link.channel)?.link_mut(link.handle)
+        self.sessions.link_mut(link)
     }
 
-    /// Sends a heartbeat where the peer's idle timeout requires one. An error where the peer has exceeded this side's
-    /// (2.4.5).
+    /// Checks the idle timeouts (2.4.5): sends a heartbeat if the peer's requires one. To be called at
+    /// [`Connection::deadline`], or periodically.
+    ///
+    /// # Errors
+    /// The peer has sent nothing for longer than this side's idle timeout: the connection is to be closed.
     pub fn tick(&mut self, now: MonotonicTime) -> Result<(), Fault> {
-        let idle_timeout = self.settings.idle_timeout;
-        if !idle_timeout.is_zero() && now.saturating_duration_since(self.last_received) > idle_timeout {
+        if self.idle.is_peer_silent(now) {
             return Err(fault(condition::RESOURCE_LIMIT_EXCEEDED, "idle time-out"));
         }
-        let is_due = |timeout: Duration| now.saturating_duration_since(self.last_sent) >= timeout / 2;
-        if self.is_open() && self.peer_idle_timeout.is_some_and(is_due) && self.out.is_empty() {
+        if self.is_open() && self.idle.is_heartbeat_due(now) && self.out.is_empty() {
             write_frame(&mut self.out, AMQP, 0, None, &[]);
         }
         Ok(())
@@ -244,7 +236,7 @@
     pub fn take_output(&mut self, now: MonotonicTime) -> Vec<u8> {
         self.flush_batch();
         if !self.out.is_empty() {
-            self.last_sent = now;
+            self.idle.on_sent(now);
         }
         std::mem::take(&mut self.out)
     }
@@ -253,7 +245,7 @@
     pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
         self.flush_batch();
         if !self.out.is_empty() {
-            self.last_sent = now;
+            self.idle.on_sent(now);
             buffer.append(&mut self.out);
         }
     }
@@ -283,36 +275,16 @@
     /// Takes all unsettled deliveries, for a user whose transport is lost.
     pub fn abandon(&mut self) -> Vec<AbandonedDelivery> {
         self.events.clear();
-        let mut abandoned = Vec::new();
-        for channel in 0..self.sessions.len() as u16 {
-            let Some(session) = self.session_mut(channel) else { continue };
-            for handle in 0..session.links.len() as u32 {
-                let Some(role) = session.link(handle).map(|link| link.role) else { continue };
-                let link = LinkId { channel, handle };
-                let keys = session.remove(handle).into_iter();
-                abandoned.extend(keys.map(|key| AbandonedDelivery { link, role, key }));
-            }
-        }
-        self.link_count = 0;
-        abandoned
+        self.sessions.remove_all_links()
     }
 
     /// The links that are not being detached, in order.
     pub fn links(&self) -> Vec<LinkId> {
-        let mut links = Vec::new();
-        for (channel, session) in self.sessions.iter().enumerate() {
-            for (handle, link) in session.iter().flat_map(|session| session.links.iter().enumerate()) {
-                if link.as_ref().is_some_and(|link| link.phase != LinkPhase::Closing) {
-                    links.push(LinkId { channel: channel as u16, handle: handle as u32 });
-                }
-            }
-        }
-        links
+        self.sessions.open_links()
     }
 
     /// The channels of the sessions, in order.
     pub fn channels(&self) -> Vec<u16> {
-        let sessions = self.sessions.iter().enumerate();
-        sessions.filter_map(|(channel, session)| session.is_some().then_some(channel as u16)).collect()
+        self.sessions.channels()
     }
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,10 +1,12 @@
 //! Simulated clients: ordinary ones, and such as leave early, flood, rest or stop in the middle of a line.
 
-use crate::checker::{Answer, Checker, Class, DEADLINE};
 use crate::node::Nodes;
-use crate::server::{reset_on_drop, Servers, SessionEnd};
+use crate::request::{class_name, DEADLINE};
+use crate::server::{Servers, SessionEnd};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use sparbank_test_support::invariants::{Answer, InvariantChecker, RetrySafety, Rule, SentRequest};
+use sparbank_test_support::loopback::reset_on_drop;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -32,6 +34,10 @@
 /// A client that stalls does not read for this long.
 const STALL: Duration = Duration::from_millis(600);
 
+/// What is drawn from for each request.
+const SAFETIES: [RetrySafety; 4] =
+    [RetrySafety::Idempotent, RetrySafety::Idempotent, RetrySafety::Keyed, RetrySafety::NonIdempotent];
+
 /// What the clients do besides ordinary requests.
 #[derive(Default)]
 pub struct Behaviour {
@@ -50,7 +56,7 @@
 /// One client, which sends request after request.
 pub struct Client {
     /// The checker.
-    pub checker: Rc<RefCell<Checker>>,
+    pub checker: Rc<RefCell<InvariantChecker>>,
     /// The nodes that it is spread over.
     pub nodes: Nodes,
     /// The servers, which know how sessions were ended.
@@ -66,7 +72,7 @@
 impl Client {
     /// A client with this number.
     pub fn new(
-        checker: &Rc<RefCell<Checker>>,
+        checker: &Rc<RefCell<InvariantChecker>>,
         nodes: &Nodes,
         servers: &Servers,
         behaviour: &Rc<Behaviour>,
@@ -122,19 +128,21 @@
         let mut checker = self.checker.borrow_mut();
         let allowed = BAD_CLIENT_TIMEOUT + self.nodes.stalled(node) + checker.lateness();
         if waited > allowed && !checker.is_excused(node, incarnation) {
-            checker
-                .report("bad-client", format!("node {node} left {:?} open for {waited:?}", text.get(..20)));
+            checker.report(
+                Rule::BadClient,
+                format!("node {node} left {:?} open for {waited:?}", text.get(..20)),
+            );
         }
     }
 
     async fn request(&mut self, node: usize, incarnation: u64, stream: TcpStream) {
         self.requests += 1;
         let id = format!("{:x}", (self.number << 24) | self.requests);
-        let class = [Class::Live, Class::Live, Class::Keyed, Class::Once][self.rng.random_range(0..4)];
+        let safety = SAFETIES[self.rng.random_range(0..SAFETIES.len())];
         let line = format!(
             "OPEN {id} {:x} c={},t=acme,d={},g=5c{:x}\r\n",
             self.number,
-            class.name(),
+            class_name(safety),
             DEADLINE.as_millis(),
             self.number
         );
@@ -143,22 +151,17 @@
             return;
         }
         let sent_at = Instant::now();
-        self.checker.borrow_mut().on_request(&id, node, incarnation, class, &line);
+        self.checker.borrow_mut().on_request(SentRequest { id: &id, node, incarnation, safety, line: &line });
         let mut read = BufReader::new(read);
         let leaves = if self.behaviour.leave.get() { OFTEN } else { SELDOM };
         if self.rng.random_bool(leaves) {
             return self.leave(&id, read, write).await;
         }
         let mut text = String::new();
-        let answer = match timeout(ANSWER_TIMEOUT, read.read_line(&mut text)).await {
-            Err(_) => return self.checker.borrow_mut().on_no_answer(&id, "no answer in 4.5 s"),
-            Ok(Ok(count)) if count > 0 && text.ends_with('\n') => match text.split([' ', '\r']).next() {
-                Some("UP") => Answer::Up,
-                Some("BUSY") => Answer::Busy,
-                _ => Answer::Failed,
-            },
-            Ok(ended) => {
-                let what = format!("the connection ended: {ended:?} {text:?} after {:?}", sent_at.elapsed());
+        let answer = match read_answer(&mut read, &mut text).await {
+            Ok(answer) => answer,
+            Err(what) => {
+                let what = format!("{what} after {:?}", sent_at.elapsed());
                 return self.checker.borrow_mut().on_no_answer(&id, &what);
             }
         };
@@ -169,7 +172,7 @@
             .await
             .is_ok_and(|more| more.is_ok_and(|count| count > 0))
         {
-            self.checker.borrow_mut().report("second-answer", format!("{id} got {text:?}"));
+            self.checker.borrow_mut().report(Rule::SecondAnswer, format!("{id} got {text:?}"));
         }
     }
 
@@ -236,8 +239,10 @@
         }
         let allowed = self.nodes.stalled(node) + checker.lateness();
         if lines.last_at.elapsed() > SILENT_TIMEOUT + allowed {
-            checker
-                .report("silent", format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()));
+            checker.report(
+                Rule::SilentServer,
+                format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()),
+            );
         }
         let ended_at = self.servers.ended_at(id);
         let limit = END_TIMEOUT + LINE_TIMEOUT + STALL + allowed;
@@ -245,7 +250,10 @@
             ended_at.filter(|at| at.elapsed() > limit && lines.last_at.elapsed() > LINE_TIMEOUT)
         {
             let elapsed = ended_at.elapsed();
-            checker.report("held", format!("{id} at node {node}: its server ended {elapsed:?} ago"));
+            checker.report(
+                Rule::SessionEndDelayed,
+                format!("{id} at node {node}: its server ended {elapsed:?} ago"),
+            );
         }
     }
 
@@ -257,20 +265,35 @@
         }
         let Some(ended) = self.servers.ended_session(id) else {
             let last = &lines.last;
-            return checker
-                .report("cut-off", format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"));
+            return checker.report(
+                Rule::CutOff,
+                format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"),
+            );
         };
         let is_short = ended.end != SessionEnd::Reset && (lines.burst < ended.lines || lines.last != "BYE");
         if is_short {
             let (got, sent) = (lines.burst, ended.lines);
             checker.report(
-                "cut-off",
+                Rule::CutOff,
                 format!("{id} at node {node} got {got} of {sent} lines, last {:?}", lines.last),
             );
         }
     }
 }
 
+/// Reads a final answer; what happened instead, where none arrives.
+async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Result<Answer, String> {
+    match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
+        Err(_) => Err("no answer".to_string()),
+        Ok(Ok(count)) if count > 0 && text.ends_with('\n') => Ok(match text.split([' ', '\r']).next() {
+            Some("UP") => Answer::Up,
+            Some("BUSY") => Answer::Busy,
+            _ => Answer::Failed,
+        }),
+        Ok(ended) => Err(format!("the connection ended: {ended:?} {text:?}")),
+    }
+}
+
 /// What a session has received.
 struct Lines {
     /// What has come of the next line. A `read_line` that is given up loses it; `read_until` does not.
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,25 +1,29 @@
-//! The processes under test: started, signalled and judged by their exits.
+//! The processes under test: started, signalled, and checked for how they end.
 
-use crate::checker::{Checker, DEADLINE, DEDUP_WINDOW};
 use crate::discovery::Discovery;
+use crate::request::{class_name, DEADLINE, DEDUP_WINDOW};
 use crate::Options;
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
-use rustix::process::{kill_process, prlimit, Pid, Resource, Rlimit, Signal};
+use sparbank_test_support::invariants::{InvariantChecker, RetrySafety, Rule};
+use sparbank_test_support::loopback::{answers_ping, AddressBlock, AddressRange};
+use sparbank_test_support::{configure_node, ChildProcess, Signal};
 use std::cell::{Cell, RefCell};
 use std::fs::File;
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
-use tokio::net::TcpStream;
-use tokio::time::{sleep, timeout, Instant};
+use tokio::time::{sleep, Instant};
 
 /// Descriptors that a node may hold.
 const DESCRIPTORS: u64 = 256;
+/// The limit on descriptors above which it is not raised.
+const MAX_DESCRIPTORS: u64 = 4_096;
+/// Descriptors of a node that gets no new one, and what it gets beyond [`DESCRIPTORS`] otherwise.
+const STARVED_DESCRIPTORS: u64 = 4;
+const SPARE_DESCRIPTORS: u64 = 64;
 /// A node is ready within this.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
 /// SIGKILL follows SIGTERM after the longest deadline and this.
@@ -28,9 +32,6 @@
 const ARRIVALS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 /// Where nodes listen.
 const NODE_PORT: u16 = 8080;
-const FIRST_ADDRESS: u32 = 0x7f50_0000;
-const ADDRESS_BLOCKS: u32 = 16_000;
-const ADDRESSES_PER_BLOCK: u32 = 256;
 /// The shell that starts a node has its trap within this.
 const SHELL_TIME: Duration = Duration::from_millis(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -39,7 +40,7 @@
 
 struct Node {
     address: SocketAddr,
-    child: RefCell<Option<Child>>,
+    child: RefCell<Option<ChildProcess>>,
     is_accepting: Cell<bool>,
     /// A restart is under way.
     is_restarting: Cell<bool>,
@@ -52,7 +53,7 @@
 #[derive(Clone)]
 pub struct Nodes {
     options: Rc<Options>,
-    checker: Rc<RefCell<Checker>>,
+    checker: Rc<RefCell<InvariantChecker>>,
     discovery: Discovery,
     nodes: Rc<Vec<Node>>,
     seed: u64,
@@ -60,11 +61,15 @@
 
 impl Nodes {
     /// The nodes of a run, none of them started.
-    pub fn new(options: &Options, checker: &Rc<RefCell<Checker>>, discovery: &Discovery, seed: u64) -> Nodes {
-        static RUNS: AtomicU32 = AtomicU32::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
+    pub fn new(
+        options: &Options,
+        checker: &Rc<RefCell<InvariantChecker>>,
+        discovery: &Discovery,
+        seed: u64,
+    ) -> Nodes {
+        let addresses = AddressBlock::of_new_run(AddressRange::Soak);
         let node = |number| Node {
-            address: own_address(run, number),
+            address: addresses.of_node(number, NODE_PORT),
             child: RefCell::new(None),
             is_accepting: Cell::new(false),
             is_restarting: Cell::new(false),
@@ -114,6 +119,9 @@
     }
 
     /// Starts a process of a node; clients come once it has answered.
+    ///
+    /// # Panics
+    /// The program cannot be started, or its files cannot be written.
     pub async fn start(&self, number: usize) {
         let node = &self.nodes[number];
         node.starts.set(node.starts.get() + 1);
@@ -124,17 +132,14 @@
         // As the deploy file has it: a SIGHUP before the program has its handlers must not end it.
         let mut command = Command::new("sh");
         command.args(["-c", "trap '' HUP; exec \"$0\" serve --trace"]).arg(&self.options.program);
-        command.env("NODE_CONFIG", self.file(number, "config.json"));
+        configure_node(&mut command, &self.file(number, "config.json"));
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
-        for name in ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"] {
-            command.env_remove(name);
-        }
-        *node.child.borrow_mut() = Some(command.spawn().expect("the program starts"));
+        *node.child.borrow_mut() = Some(ChildProcess::spawn(&mut command));
         let started_at = Instant::now();
         node.started_at.set(started_at);
         while !answers_ping(node.address).await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.checker.borrow_mut().report("ready", format!("node {number} is not ready"));
+                return self.checker.borrow_mut().report(Rule::Ready, format!("node {number} is not ready"));
             }
             sleep(POLL_INTERVAL).await;
         }
@@ -143,15 +148,19 @@
 
     /// Writes a node's configuration as it is now.
     fn write_config(&self, number: usize) {
-        let class = |name: &str, effect: &str| {
+        let class = |safety: RetrySafety, effect: &str| {
+            let name = class_name(safety);
             format!(
                 r#"{{"Effect":"{effect}","DedupScope":"all","WindowNs":{},"HardLimitNs":{},"Name":"{name}","ObjectiveNs":300000000,"Worth":2.0}}"#,
                 DEDUP_WINDOW.as_nanos(),
                 DEADLINE.as_nanos()
             )
         };
-        let classes =
-            [class("live", "read_like"), class("keyed", "idempotency_key"), class("once", "non_idempotent")];
+        let classes = [
+            class(RetrySafety::Idempotent, "read_like"),
+            class(RetrySafety::Keyed, "idempotency_key"),
+            class(RetrySafety::NonIdempotent, "non_idempotent"),
+        ];
         let config = format!(
             r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"{:x}","limits":{{"sockets":{DESCRIPTORS}}},"known":{},
             "settings":{{"Profiles":[{}],"Discovery":"ask","Zones":["a"],"Instances":{},
@@ -169,7 +178,7 @@
 
     fn signal(&self, number: usize, signal: Signal) {
         if let Some(child) = &*self.nodes[number].child.borrow() {
-            let _ = kill_process(Pid::from_child(child), signal);
+            let _ = child.signal(signal);
         }
     }
 
@@ -188,7 +197,7 @@
             let stalled = self.checker.borrow().stalled_since(number, sent_at);
             let limit = DEADLINE + KILL_DELAY + stalled + self.checker.borrow().lateness();
             if sent_at.elapsed() > limit && !std::mem::replace(&mut is_late, true) {
-                self.checker.borrow_mut().report("exit", format!("node {number} runs on after SIGTERM"));
+                self.checker.borrow_mut().report(Rule::Exit, format!("node {number} runs on after SIGTERM"));
                 self.signal(number, Signal::KILL);
             }
             sleep(POLL_INTERVAL).await;
@@ -216,21 +225,21 @@
     /// Whether a node's process has ended by itself. Its exit has to be in order.
     fn has_exited(&self, number: usize) -> bool {
         let mut child = self.nodes[number].child.borrow_mut();
-        let Some(status) = child.as_mut().and_then(|child| child.try_wait().ok().flatten()) else {
+        let Some(status) = child.as_mut().and_then(ChildProcess::try_wait) else {
             return child.is_none();
         };
         *child = None;
         if !status.success() {
-            self.checker.borrow_mut().report("crash", format!("node {number} ended with {status}"));
+            self.checker.borrow_mut().report(Rule::Crash, format!("node {number} ended with {status}"));
         }
         true
     }
 
-    /// Reports a node that has ended although nobody told it to.
+    /// Reports a node that has ended without a signal.
     pub fn check_running(&self) {
         for number in 0..self.len() {
             if !self.nodes[number].is_restarting.get() && self.has_exited(number) {
-                self.checker.borrow_mut().report("crash", format!("node {number} is gone"));
+                self.checker.borrow_mut().report(Rule::Crash, format!("node {number} is gone"));
                 self.nodes[number].is_restarting.set(true);
                 self.nodes[number].is_accepting.set(false);
             }
@@ -262,25 +271,21 @@
 
     /// A node gets no new descriptor for a while.
     pub async fn starve_of_descriptors(&self, number: usize, span: Duration) {
-        self.limit_descriptors(number, 4);
+        self.limit_descriptors(number, STARVED_DESCRIPTORS);
         sleep(span).await;
-        self.limit_descriptors(number, DESCRIPTORS + 64);
+        self.limit_descriptors(number, DESCRIPTORS + SPARE_DESCRIPTORS);
     }
 
     fn limit_descriptors(&self, number: usize, limit: u64) {
         if let Some(child) = &*self.nodes[number].child.borrow() {
-            let limit = Rlimit { current: Some(limit), maximum: Some(4_096) };
-            let _ = prlimit(Some(Pid::from_child(child)), Resource::Nofile, limit);
+            let _ = child.limit_descriptors(limit, MAX_DESCRIPTORS);
         }
     }
 
     /// Ends all nodes, and reports what their logs say of broken rules.
     pub fn finish(&self) {
         for number in 0..self.len() {
-            if let Some(mut child) = self.nodes[number].child.borrow_mut().take() {
-                let _ = child.kill();
-                let _ = child.wait();
-            }
+            drop(self.nodes[number].child.borrow_mut().take());
             for start in 1..=self.nodes[number].starts.get() {
                 let log =
                     std::fs::read_to_string(self.file(number, &format!("{start}.log"))).unwrap_or_default();
@@ -289,7 +294,7 @@
                 for line in broken {
                     self.checker
                         .borrow_mut()
-                        .report("own-report", format!("node {number} start {start}: {line}"));
+                        .report(Rule::OwnReport, format!("node {number} start {start}: {line}"));
                 }
             }
         }
@@ -305,21 +310,3 @@
         }
     }
 }
-
-/// An address in 127.0.0.0/8 of this run's own: by process, run and node, so that runs beside each other do not collide.
-fn own_address(run: u32, node: usize) -> SocketAddr {
-    let own = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % ADDRESS_BLOCKS;
-    let address = FIRST_ADDRESS + own * ADDRESSES_PER_BLOCK + 1 + node as u32;
-    SocketAddr::from((Ipv4Addr::from(address), NODE_PORT))
-}
-
-async fn answers_ping(address: SocketAddr) -> bool {
-    let ping = async {
-        let mut stream = TcpStream::connect(address).await.ok()?;
-        stream.write_all(b"PING\r\n").await.ok()?;
-        let mut line = String::new();
-        BufReader::new(&mut stream).read_line(&mut line).await.ok()?;
-        (line.trim() == "PONG").then_some(())
-    };
-    timeout(Duration::from_millis(500), ping).await.ok().flatten().is_some()
-}
--- a/tests/cluster/clients.rs
+++ b/crates/test-support/src/cluster/clients.rs
@@ -1,8 +1,10 @@
 //! Simulated clients that want an established connection all the time, and the load balancer that spreads them over
 //! the nodes.
 
-use super::auditor::Answer;
+use super::auditor::Outcome;
 use super::Shared;
+use crate::invariants::Answer;
+use crate::loopback::answers_ping;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::Cell;
@@ -19,15 +21,15 @@
 pub const REQUEST_TIMEOUT_MS: u64 = 1_200;
 /// A request without an answer this long after its time-out is lost: half a second by the rules, and what slow cores
 /// add.
-const LOST_AFTER: Duration = Duration::from_millis(1_500);
+const LOST_AFTER_MS: u64 = 1_500;
+/// How long a client waits for an answer, however late.
+pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(REQUEST_TIMEOUT_MS + LOST_AFTER_MS);
 /// Requests in a row, the first one included, before a client starts anew.
 const MAX_ATTEMPTS: u32 = 4;
 /// How often a client sends a line on its established connection.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
 /// The clients begin within this time.
 const START_SPREAD_MS: u64 = 4_000;
-/// A node's health check that takes longer than this has failed.
-const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the load balancer checks a node that was down.
 const DOWN_CHECK_INTERVAL_MS: u64 = 100;
 /// Shortest and longest lifetime of a connection, in milliseconds.
@@ -40,32 +42,25 @@
     is_up: Cell<bool>,
 }
 
-/// All clients of a run.
-pub struct Clients {
-    targets: Rc<Vec<Target>>,
-}
-
-impl Clients {
-    pub async fn start(shared: &Shared, addresses: Vec<SocketAddr>, seed: u64) -> Clients {
-        let target = |address| Target { address, is_up: Cell::new(false) };
-        let targets: Rc<Vec<Target>> = Rc::new(addresses.into_iter().map(target).collect());
-        for node in 0..targets.len() {
-            spawn_local(check_health(shared.clone(), targets.clone(), node));
-        }
-        for number in 0..shared.config.clients {
-            let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-            let client = Client {
-                shared: shared.clone(),
-                targets: targets.clone(),
-                number,
-                rng,
-                request_count: 0,
-                is_reconnect: false,
-                retries: 0,
-            };
-            spawn_local(client.run());
-        }
-        Clients { targets }
+/// Starts all clients of a run, and the health checks of the load balancer. They run as long as the runtime does.
+pub fn start_clients(shared: &Shared, addresses: Vec<SocketAddr>, seed: u64) {
+    let target = |address| Target { address, is_up: Cell::new(false) };
+    let targets: Rc<Vec<Target>> = Rc::new(addresses.into_iter().map(target).collect());
+    for node in 0..targets.len() {
+        spawn_local(check_health(shared.clone(), targets.clone(), node));
+    }
+    for number in 0..shared.config.clients {
+        let rng = Pcg64Mcg::seed_from_u64(seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+        let client = Client {
+            shared: shared.clone(),
+            targets: targets.clone(),
+            number,
+            rng,
+            request_count: 0,
+            is_reconnect: false,
+            retries: 0,
+        };
+        spawn_local(client.run());
     }
 }
 
@@ -73,21 +68,13 @@
 async fn check_health(shared: Shared, targets: Rc<Vec<Target>>, node: usize) {
     loop {
         let target = &targets[node];
-        target.is_up.set(timeout(HEALTH_CHECK_TIMEOUT, ping(target.address)).await.unwrap_or(false));
+        target.is_up.set(answers_ping(target.address).await);
         let interval_ms =
             if target.is_up.get() { shared.config.node_check_interval_ms } else { DOWN_CHECK_INTERVAL_MS };
         sleep(Duration::from_millis(interval_ms)).await;
     }
 }
 
-async fn ping(address: SocketAddr) -> bool {
-    let Ok(mut stream) = TcpStream::connect(address).await else { return false };
-    let mut line = String::new();
-    stream.write_all(b"PING\r\n").await.is_ok()
-        && BufReader::new(&mut stream).read_line(&mut line).await.is_ok()
-        && line.trim() == "PONG"
-}
-
 /// How a request and its connection ended.
 enum RequestEnd {
     /// No node accepted it.
@@ -166,18 +153,20 @@
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let mut read = BufReader::new(read);
-        self.shared.auditor.borrow_mut().on_request(id, node);
+        self.shared.auditor.borrow_mut().on_request(id, node, line);
+        let sent_at = Instant::now();
         let is_sent = write.write_all(line.as_bytes()).await.is_ok();
         let mut text = String::new();
-        let answer = if is_sent { read_answer(&mut read, &mut text).await } else { Answer::ConnectionEnded };
-        self.shared.auditor.borrow_mut().on_answer(id, answer);
-        match answer {
-            Answer::Up => self.use_connection(read, write).await,
-            Answer::Busy => {
+        let outcome =
+            if is_sent { read_answer(&mut read, &mut text).await } else { Outcome::ConnectionEnded };
+        self.shared.auditor.borrow_mut().on_outcome(id, outcome, sent_at.elapsed());
+        match outcome {
+            Outcome::Answered(Answer::Up) => self.use_connection(read, write).await,
+            Outcome::Answered(Answer::Busy) => {
                 RequestEnd::Rejected(text.trim().split(' ').nth(1).and_then(|ms| ms.parse().ok()))
             }
-            Answer::ConnectionEnded => RequestEnd::NotAccepted,
-            Answer::Failed | Answer::TimedOut => RequestEnd::Rejected(None),
+            Outcome::ConnectionEnded => RequestEnd::NotAccepted,
+            Outcome::Answered(Answer::Failed) | Outcome::TimedOut => RequestEnd::Rejected(None),
         }
     }
 
@@ -215,16 +204,15 @@
 }
 
 /// Waits for the final answer to a request; whether a connection may end without one is up to the auditor.
-async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Answer {
-    let limit = Duration::from_millis(REQUEST_TIMEOUT_MS) + LOST_AFTER;
-    match timeout(limit, read.read_line(text)).await {
-        Err(_) => Answer::TimedOut,
+async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Outcome {
+    match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
+        Err(_) => Outcome::TimedOut,
         Ok(Ok(count)) if count > 0 => match text.trim().split(' ').next() {
-            Some("UP") => Answer::Up,
-            Some("BUSY") => Answer::Busy,
-            _ => Answer::Failed,
+            Some("UP") => Outcome::Answered(Answer::Up),
+            Some("BUSY") => Outcome::Answered(Answer::Busy),
+            _ => Outcome::Answered(Answer::Failed),
         },
-        Ok(_) => Answer::ConnectionEnded,
+        Ok(_) => Outcome::ConnectionEnded,
     }
 }
 
--- a/tests/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -2,16 +2,17 @@
 //!
 //! Each node has an address of its own here, so the auditor knows which node was notified of what, and when.
 
-use super::links::reset_on_drop;
 use super::servers::Servers;
 use super::Shared;
+use crate::loopback::reset_on_drop;
+use crate::watch_protocol::{chunk, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
+use tokio::io::{AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
@@ -19,6 +20,7 @@
 /// How discovery behaves.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryMode {
+    /// It answers polls and serves watches.
     Healthy,
     /// Polls are reset, and watches end.
     Unreachable,
@@ -54,6 +56,7 @@
 }
 
 impl Discovery {
+    /// Starts discovery for all nodes of a run.
     pub async fn start(shared: &Shared, servers: &Servers, seed: u64) -> Discovery {
         let queue = Rc::new(PollQueue {
             mode: Cell::new(DiscoveryMode::Healthy),
@@ -81,11 +84,21 @@
         self.addresses[node]
     }
 
+    /// Discovery behaves like this from now on.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.queue.mode.set(mode);
     }
 }
 
+/// What a watch has been sent so far.
+struct WatchProgress {
+    /// The incarnation of the node's process that opened the watch.
+    incarnation: u64,
+    sent_generation: u64,
+    needs_complete_list: bool,
+    last_write: Instant,
+}
+
 /// Discovery as one node sees it.
 #[derive(Clone)]
 struct NodeService {
@@ -99,10 +112,10 @@
     async fn serve(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let mut stream = BufReader::new(stream);
-        let Some(generation) = read_request(&mut stream).await else { return };
+        let Some(generation) = read_watch_request(&mut stream).await else { return };
         self.shared.auditor.borrow_mut().on_poll();
         if !self.is_admitted().await {
-            let _ = stream.get_mut().write_all(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+            let _ = stream.get_mut().write_all(REJECTION.as_bytes()).await;
             return;
         }
         if self.queue.mode.get() == DiscoveryMode::Unreachable {
@@ -111,7 +124,7 @@
         self.serve_watch(stream.into_inner(), generation).await;
     }
 
-    /// Waits for the poll's turn; false where it is rejected.
+    /// Waits until the poll is at the head of the queue; false where it is rejected.
     async fn is_admitted(&self) -> bool {
         let queue = &self.queue;
         let config = &self.shared.config;
@@ -137,13 +150,15 @@
 
     async fn serve_watch(&self, mut stream: TcpStream, from_generation: u64) {
         let incarnation = self.shared.auditor.borrow().incarnation(self.node);
-        let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        if stream.write_all(head.as_bytes()).await.is_err() {
+        if stream.write_all(WATCH_RESPONSE_HEAD.as_bytes()).await.is_err() {
             return;
         }
-        let mut sent_generation = from_generation;
-        let mut needs_complete_list = from_generation == 0;
-        let mut last_write = Instant::now() - HEARTBEAT_INTERVAL;
+        let mut progress = WatchProgress {
+            incarnation,
+            sent_generation: from_generation,
+            needs_complete_list: from_generation == 0,
+            last_write: Instant::now() - HEARTBEAT_INTERVAL,
+        };
         loop {
             if self.queue.mode.get() == DiscoveryMode::Unreachable {
                 return reset_on_drop(&stream);
@@ -152,53 +167,35 @@
             if matches!(stream.try_read(&mut [0; 16]), Ok(0)) {
                 return;
             }
-            let is_stale = self.queue.mode.get() == DiscoveryMode::Stale;
-            let list = if is_stale {
-                self.servers.saved_list()
-            } else {
-                self.servers.changes_since(sent_generation, needs_complete_list, CHANGE_DELAY)
-            };
-            let is_heartbeat_due = last_write.elapsed() >= HEARTBEAT_INTERVAL;
-            let line = match list {
-                Some(list) if !is_stale || needs_complete_list || is_heartbeat_due => {
-                    sent_generation = list.generation;
-                    needs_complete_list = false;
-                    // A stale list changes nothing: it notifies nobody.
-                    if !is_stale {
-                        self.shared.auditor.borrow_mut().on_list_sent(self.node, incarnation, &list);
-                    }
-                    list.json()
-                }
-                _ if is_heartbeat_due => String::new(),
-                _ => {
-                    sleep(CHANGE_CHECK_INTERVAL).await;
-                    continue;
-                }
+            let Some(line) = self.next_line(&mut progress) else {
+                sleep(CHANGE_CHECK_INTERVAL).await;
+                continue;
             };
-            last_write = Instant::now();
-            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
-            if stream.write_all(chunk.as_bytes()).await.is_err() {
+            progress.last_write = Instant::now();
+            if stream.write_all(chunk(&line).as_bytes()).await.is_err() {
                 return;
             }
         }
     }
-}
-
-/// The generation from which a watch request wants changes; none where the connection ends before.
-async fn read_request(stream: &mut BufReader<TcpStream>) -> Option<u64> {
-    let mut line = String::new();
-    let mut generation = 0;
-    loop {
-        line.clear();
-        match stream.read_line(&mut line).await {
-            Ok(count) if count > 2 => {
-                if let Some((_, rest)) = line.split_once("from=") {
-                    let digits: String = rest.chars().take_while(char::is_ascii_digit).collect();
-                    generation = digits.parse().unwrap_or(0);
-                }
-            }
-            Ok(2) => return Some(generation),
-            _ => return None,
+    /// What a watch is sent now, if anything: a list, or an empty line as a heartbeat.
+    fn next_line(&self, progress: &mut WatchProgress) -> Option<String> {
+        let is_stale = self.queue.mode.get() == DiscoveryMode::Stale;
+        let list = if is_stale {
+            self.servers.saved_list()
+        } else {
+            self.servers.changes_since(progress.sent_generation, progress.needs_complete_list, CHANGE_DELAY)
+        };
+        let is_heartbeat_due = progress.last_write.elapsed() >= HEARTBEAT_INTERVAL;
+        let is_list_due = !is_stale || progress.needs_complete_list || is_heartbeat_due;
+        let Some(list) = list.filter(|_| is_list_due) else {
+            return is_heartbeat_due.then(String::new);
+        };
+        progress.sent_generation = list.generation;
+        progress.needs_complete_list = false;
+        // A stale list changes nothing: it notifies nobody.
+        if !is_stale {
+            self.shared.auditor.borrow_mut().on_list_sent(self.node, progress.incarnation, &list);
         }
+        Some(list.json())
     }
 }
--- a/tests/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -5,9 +5,11 @@
 //! violation.
 
 use super::auditor::ObservedAttempt;
+use super::endpoint_list::{EndpointList, NamedEndpoint};
 use super::ledger::Ledger;
-use super::links::reset_on_drop;
 use super::Shared;
+use crate::loopback::reset_on_drop;
+use crate::watch_protocol::endpoint_json;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,14 +34,18 @@
 /// What the endpoint list says of a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
+    /// It takes requests.
     Ready,
+    /// It takes nothing new.
     Draining,
+    /// The list leaves it out.
     Removed,
 }
 
 /// What a server does with connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
+    /// It serves.
     Healthy,
     /// Its process is gone; each attempt is counted and reset.
     Dead,
@@ -48,7 +54,7 @@
 }
 
 struct Server {
-    name: String,
+    number: usize,
     address: SocketAddr,
     status: Status,
     health: Health,
@@ -79,49 +85,14 @@
             Status::Draining => "draining",
             Status::Removed => "gone",
         };
-        format!(
-            r#"{{"instanceId":"{}","hostPort":"{}","zone":"a","cell":0,"lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":{}}}"#,
-            self.name, self.address, self.started_at_ms
-        )
-    }
-}
-
-/// A server that a list names.
-#[derive(Clone, Copy, Debug)]
-pub struct NamedEndpoint {
-    pub server: usize,
-    /// Whether it takes anything new.
-    pub is_ready: bool,
-}
-
-/// A list as a watch writes it.
-#[derive(Clone)]
-pub struct EndpointList {
-    pub generation: u64,
-    pub is_complete: bool,
-    pub endpoints: Vec<NamedEndpoint>,
-    /// JSON of each endpoint.
-    documents: Vec<String>,
-}
-
-impl EndpointList {
-    /// One without documents, for the auditor.
-    pub fn naming(generation: u64, is_complete: bool, endpoints: Vec<NamedEndpoint>) -> EndpointList {
-        EndpointList { generation, is_complete, endpoints, documents: Vec::new() }
-    }
-
-    pub fn json(&self) -> String {
-        let documents = self.documents.join(",");
-        format!(
-            r#"{{"generation":{},"reset":{},"instances":[{documents}]}}"#,
-            self.generation, self.is_complete
-        )
+        endpoint_json(self.number, self.address, lifecycle, self.started_at_ms)
     }
 }
 
 /// Open connections at all servers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionPeak {
+    /// The most that were open at once.
     pub max_open: usize,
     /// How often they were counted: at each new one.
     pub counted: u64,
@@ -177,7 +148,7 @@
             state.generation += u64::from(is_warming_up);
             let generation = state.generation;
             state.servers.push(Server {
-                name: format!("s-{number}"),
+                number,
                 address,
                 status: Status::Ready,
                 health: Health::Healthy,
@@ -221,6 +192,7 @@
         self.state.borrow_mut().saved_list = Some(list);
     }
 
+    /// The list that was saved last.
     pub fn saved_list(&self) -> Option<EndpointList> {
         self.state.borrow().saved_list.clone()
     }
@@ -272,8 +244,7 @@
                 if is_complete { server.status != Status::Removed } else { server.generation > generation };
             if is_visible(&server) && is_named {
                 let is_ready = server.status == Status::Ready;
-                list.endpoints.push(NamedEndpoint { server: number, is_ready });
-                list.documents.push(server.json());
+                list.push(NamedEndpoint { server: number, is_ready }, server.json());
             }
         }
         Some(list)
@@ -296,7 +267,11 @@
             }
             let is_overloaded =
                 server.overloaded_since.is_some_and(|since| since.elapsed() >= OVERLOAD_AFTER);
-            self.shared.auditor.borrow_mut().on_slow_start_load(&server.name, load, is_overloaded);
+            self.shared.auditor.borrow_mut().on_slow_start_load(
+                &format!("s-{}", server.number),
+                load,
+                is_overloaded,
+            );
         }
     }
 
@@ -315,7 +290,7 @@
             (server.health, server.slow_start_factor() < 1.0, is_full)
         };
         let attempt = ObservedAttempt { server: number, is_warming_up, is_dead: health == Health::Dead };
-        self.shared.auditor.borrow_mut().on_attempt(&id, attempt);
+        self.shared.auditor.borrow_mut().on_attempt(&id, attempt, &line);
         let guard = AttemptGuard { servers: &self, number, id: &id, is_counted: Cell::new(false) };
         match health {
             Health::Dead => reset_on_drop(write.as_ref()),
--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -2,7 +2,7 @@
 //! by `check-config` and on SIGHUP.
 
 use crate::config::{Config, ConfigError};
-use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFiles, OPTIONAL_FRONTENDS};
+use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFile};
 use std::io;
 use thiserror::Error;
 
@@ -11,7 +11,7 @@
     /// The node's own.
     pub node: Config,
     /// The optional frontends' files, parsed.
-    pub frontends: ParsedFrontendFiles,
+    pub frontends: Vec<ParsedFrontendFile>,
 }
 
 impl Configuration {
@@ -20,7 +20,7 @@
     /// # Errors
     /// Where any of them cannot be read, or is invalid.
     pub fn read(frontend_files: &FrontendFiles) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: Config::from_env()?, frontends: read_frontend_files(frontend_files)? })
+        Ok(Configuration { node: Config::from_env()?, frontends: frontend_files.read()? })
     }
 
     /// Reads everything again for a running node.
@@ -31,19 +31,10 @@
         running: &Config,
         frontend_files: &FrontendFiles,
     ) -> Result<Configuration, ConfigurationError> {
-        Ok(Configuration { node: running.reread()?, frontends: read_frontend_files(frontend_files)? })
+        Ok(Configuration { node: running.reread()?, frontends: frontend_files.read()? })
     }
 }
 
-fn read_frontend_files(frontend_files: &FrontendFiles) -> Result<ParsedFrontendFiles, ConfigurationError> {
-    let mut parsed = ParsedFrontendFiles::new();
-    for (which, path) in frontend_files {
-        let file = (OPTIONAL_FRONTENDS[*which].read)(path)?;
-        parsed.push((*which, file));
-    }
-    Ok(parsed)
-}
-
 /// Why a configuration is invalid: one line that names the file and the field.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
--- a/src/node/frontend_host.rs
+++ b/src/node/frontend_host.rs
@@ -1,9 +1,8 @@
 //! The frontends together with the state that they work on.
 
 use super::state::NodeState;
-use crate::frontend::{Frontend, FrontendContext, Frontends, TransferredConnection};
+use crate::frontend::{Frontend, FrontendContext, Frontends, ParsedFrontendFile, TransferredConnection};
 use crate::requests::FrontendId;
-use std::any::Any;
 
 /// Owns the frontends and calls them, each time with a context of the shared state.
 pub(super) struct FrontendHost {
@@ -43,8 +42,8 @@
     }
 
     /// Applies a newer configuration file to an optional frontend. Returns the fields that need a restart.
-    pub(super) fn reload(&mut self, which: usize, file: Box<dyn Any>) -> Vec<&'static str> {
-        self.frontends.reload(which, file)
+    pub(super) fn reload(&mut self, file: ParsedFrontendFile) -> Vec<&'static str> {
+        self.frontends.reload(file)
     }
 
     /// Whether there is neither an open request nor a client.
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -16,8 +16,8 @@
 fn apply(executor: &mut Executor, new: Configuration) {
     let discovery_moved = new.node.discovery != executor.host.state.config.discovery;
     let mut needs_restart = executor.host.state.config.apply_reload(new.node);
-    for (which, file) in new.frontends {
-        needs_restart.extend(executor.host.reload(which, file));
+    for file in new.frontends {
+        needs_restart.extend(executor.host.reload(file));
     }
     let state = &mut executor.host.state;
     // A predecessor that still runs reports its open descriptors again with its next connection.
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -19,7 +19,7 @@
 use crate::config::Config;
 use crate::discovery::{DiscoveryClient, EndpointRegistry};
 use crate::flow_export::FlowExport;
-use crate::frontend::{FrontendSetup, Frontends, ParsedFrontendFiles, TimerEvent, TEXT_FRONTEND};
+use crate::frontend::{FrontendSetup, Frontends, ParsedFrontendFile, TimerEvent, TEXT_FRONTEND};
 use crate::handover::{self, Handover, PredecessorState, StateSnapshot};
 use crate::hash::fnv1a;
 use crate::lifecycle::Lifecycle;
@@ -32,11 +32,19 @@
 use std::os::fd::OwnedFd;
 use std::path::Path;
 
+/// Starts a node and serves until it has shut down.
+///
+/// # Errors
+/// Where a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
+pub fn serve(prepared: PreparedNode) -> Result<(), ServeError> {
+    start(prepared)?.run()
+}
+
 /// Opens everything, and lets the balancer decide on the endpoints that are known from the start.
 ///
 /// # Errors
 /// Where a socket cannot be opened, or the balancer rejects the settings.
-pub(super) fn start(prepared: PreparedNode) -> Result<Node, ServeError> {
+fn start(prepared: PreparedNode) -> Result<Node, ServeError> {
     let Configuration { node: config, frontends: frontend_configs } = prepared.configuration;
     let reactor = || SocketReactor::new(config.max_descriptors);
     let mut net = retry_while_short(reactor, is_shortage).map_err(ServeError::Poll)?;
@@ -159,15 +167,15 @@
     }
 
     /// The platform's own frontend, and the optional ones whose files are given.
-    fn open_frontends(&mut self, frontend_configs: ParsedFrontendFiles) -> Result<Frontends, ServeError> {
+    fn open_frontends(&mut self, frontend_files: Vec<ParsedFrontendFile>) -> Result<Frontends, ServeError> {
         let mut frontends = Frontends::new();
-        for (which, frontend_config) in frontend_configs {
+        for file in frontend_files {
             let setup = FrontendSetup {
                 net: &mut self.net,
                 node_name: &self.config.name,
                 site: &self.config.frontend_settings,
             };
-            frontends.open(which, frontend_config, setup)?;
+            frontends.open(file, setup)?;
         }
         Ok(frontends)
     }
