--- a/crates/amqp/src/connection/idle.rs
+++ b/crates/amqp/src/connection/idle.rs
@@ -63,3 +63,6 @@
         self.peer_timeout.map(|timeout| self.last_sent + timeout / 2)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/frontend/amqp/class_names.rs
+++ b/src/frontend/amqp/class_names.rs
@@ -74,3 +74,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
