--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -1,5 +1,5 @@
-//! The messages that a process of version 00677b7 sent to its successor, played to a running process: it continues
-//! the connections and the watch. `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
+//! The messages that processes of versions 00677b7 and fd894e1 sent to their successors, played to a running process: it
+//! continues the connections and the watch. `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
 //!
 //! Only what belongs to the moment and the machine of the recording is replaced: times, and the addresses of servers.
 
@@ -35,9 +35,9 @@
 }
 
 impl Recording {
-    fn read(name: &str) -> Recording {
-        let fixtures = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/handover-00677b7");
-        let folder = fixtures.join(name);
+    fn read(version: &str, name: &str) -> Recording {
+        let fixtures = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
+        let folder = fixtures.join(format!("handover-{version}")).join(name);
         let manifest = std::fs::read_to_string(folder.join("MANIFEST.txt")).expect("a manifest");
         let captured_at = manifest.lines().find_map(|line| line.strip_prefix("captured_at_ns "));
         let messages = manifest.lines().filter_map(|line| line.strip_prefix("message "));
@@ -195,8 +195,8 @@
 }
 
 #[rstest]
-fn recorded_connections_continue_where_they_were() {
-    let recording = Recording::read("established");
+fn recorded_connections_continue_where_they_were(#[values("00677b7", "fd894e1")] version: &str) {
+    let recording = Recording::read(version, "established");
     let mut successor = start_successor(&recording, str::to_string);
     let [mut idle, mut half_a_line, mut unanswered, mut moved, mut buffered, ..] =
         transfer_all(&recording, &successor.link);
@@ -234,8 +234,8 @@
 }
 
 #[rstest]
-fn recorded_connections_without_a_request_are_served() {
-    let recording = Recording::read("established");
+fn recorded_connections_without_a_request_are_served(#[values("00677b7", "fd894e1")] version: &str) {
+    let recording = Recording::read(version, "established");
     let servers: Vec<TcpListener> = (0..3).map(|_| listener()).collect();
     let endpoints = recording.endpoints();
     let edit = |text: &str| {
@@ -261,8 +261,8 @@
 
 /// The recording ends in the middle of an object, 85 octets before the end of its chunk.
 #[rstest]
-fn the_recorded_watch_continues_in_the_middle_of_an_object() {
-    let recording = Recording::read("established");
+fn the_recorded_watch_continues_in_the_middle_of_an_object(#[values("00677b7", "fd894e1")] version: &str) {
+    let recording = Recording::read(version, "established");
     let address = recording.endpoints()[2]["hostPort"].as_str().expect("an address").to_string();
     let mut successor = start_successor(&recording, str::to_string);
     let object = |generation: u64| {
@@ -283,8 +283,8 @@
 
 /// The node calls the listener by the recorded address; the socket itself is this test's, and is answered at.
 #[rstest]
-fn the_recorded_listener_is_inherited() {
-    let successor = start_successor(&Recording::read("established"), str::to_string);
+fn the_recorded_listener_is_inherited(#[values("00677b7", "fd894e1")] version: &str) {
+    let successor = start_successor(&Recording::read(version, "established"), str::to_string);
     let mut client = Peer::connect(successor.amqp);
     client.send("AMQP\0\u{1}\0\0");
     let mut header = [0; 8];
@@ -293,8 +293,8 @@
 }
 
 #[rstest]
-fn a_recorded_drain_goes_on() {
-    let recording = Recording::read("drained");
+fn a_recorded_drain_goes_on(#[values("00677b7", "fd894e1")] version: &str) {
+    let recording = Recording::read(version, "drained");
     let mut successor = start_successor(&recording, str::to_string);
     assert_eq!(Peer::connect(successor.node.bench.addr).send("PING\r\n").read_line(), "BUSY");
     successor.node.bench.signal(Signal::TERM);
