--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -10,7 +10,8 @@
 //! - the floor of each member is set aside once and never granted to anybody.
 //!
 //! The lease table has no clock: it is a state machine that several grantors can replicate through a log. Nothing
-//! in this crate does I/O; the caller passes the time in, in nanoseconds of its own steady clock.
+//! in this crate does I/O; the caller passes the time in, as a
+//! [`MonotonicTime`](sparbank_time::MonotonicTime) of its own clock: times of two nodes are never compared.
 
 mod admission;
 mod division;
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -1,4 +1,4 @@
-//! The quota plan: what the admin writes in the quota file, and the values derived from it.
+//! The quota plan: what an operator writes in the quota file, and the values derived from it.
 
 mod validation;
 
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -1,4 +1,4 @@
-//! That the bound is not kept by idleness: how much of a level is in use under demand above the total, and how soon
+//! The bound does not leave the total unused: how much of a level is in use under demand above the total, and how soon
 //! again after nodes shut down or were killed, in virtual time, beside an even static division. Twelve nodes, messages
 //! take 5 ms, the grantor applies its log every 50 ms, connections live 1 s on average. `QUOTA_SEEDS` sets the seeds.
 
@@ -23,7 +23,7 @@
 /// The only quota of the plan, a level.
 const CONNECTIONS: usize = 0;
 
-const PLAY_MS: u64 = 40_000;
+const RUN_MS: u64 = 40_000;
 const EVENT_AT_MS: u64 = 20_000;
 /// How long after the event a node that shuts down ends its connections.
 const SHUTDOWN_MS: u64 = 1_000;
@@ -226,14 +226,14 @@
     max_established: u64,
 }
 
-fn play(seed: u64, division: Division, first_node_weight: f64, event: Event) -> Outcome {
+fn run(seed: u64, division: Division, first_node_weight: f64, event: Event) -> Outcome {
     let mut fleet = Fleet::new(seed, division, first_node_weight, event);
     let recovery_from_ms = event.ends_at_ms();
     let mut used_before = 0;
     let mut recovery_ms = None;
     let mut max_established = 0;
     let mut recovered_since_ms = 0;
-    for now_ms in 0..PLAY_MS {
+    for now_ms in 0..RUN_MS {
         fleet.step(now_ms);
         let established = fleet.established();
         max_established = max_established.max(established);
@@ -265,10 +265,10 @@
     Spread { least: values[0], median: values[values.len() / 2], greatest: values[values.len() - 1] }
 }
 
-/// Plays all seeds; none may exceed the total.
-fn play_all(seeds: &[u64], division: Division, first_node_weight: f64, event: Event) -> Vec<Outcome> {
+/// Runs all seeds; none may exceed the total.
+fn run_all(seeds: &[u64], division: Division, first_node_weight: f64, event: Event) -> Vec<Outcome> {
     let outcomes: Vec<Outcome> =
-        seeds.iter().map(|seed| play(*seed, division, first_node_weight, event)).collect();
+        seeds.iter().map(|seed| run(*seed, division, first_node_weight, event)).collect();
     assert!(!outcomes.is_empty(), "no seeds");
     assert!(outcomes.iter().all(|outcome| outcome.max_established <= TOTAL));
     outcomes
@@ -276,7 +276,7 @@
 
 fn total_is_used(seeds: &[u64], first_node_weight: f64, least_use: f64) {
     for division in [Division::Leases, Division::Static, Division::SharedPool] {
-        let outcomes = play_all(seeds, division, first_node_weight, Event::None);
+        let outcomes = run_all(seeds, division, first_node_weight, Event::None);
         let Spread { least, median, .. } = spread(outcomes.iter().map(|o| o.use_before).collect());
         println!(
             "{division:?}, one node at {first_node_weight} times: {median:.3} of the total in use (least {least:.3})"
@@ -287,7 +287,7 @@
 
 /// The longest recovery of all seeds, in milliseconds.
 fn longest_recovery_ms(seeds: &[u64], division: Division, event: Event) -> f64 {
-    let outcomes = play_all(seeds, division, 1.0, event);
+    let outcomes = run_all(seeds, division, 1.0, event);
     let recovery_ms = |outcome: &Outcome| outcome.recovery_ms.map_or(f64::INFINITY, |ms| ms as f64);
     let Spread { median, greatest, .. } = spread(outcomes.iter().map(recovery_ms).collect());
     println!("{event:?}, {division:?}: nine tenths again after {median:.0} ms (worst {greatest:.0})");
--- a/crates/quota/tests/schedules/fleet.rs
+++ b/crates/quota/tests/schedules/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet that is played: its plan and its nodes.
+//! The simulated fleet: its plan and its nodes.
 
 use crate::support::plan::{members, quota};
 use sparbank_quota::{LeaseHolder, Quota, QuotaPlan, Resource};
--- a/crates/quota/tests/schedules/main.rs
+++ b/crates/quota/tests/schedules/main.rs
@@ -1,11 +1,11 @@
 //! Long random schedules in virtual time: nodes that start, shut down, are killed, stopped and continued, with clocks
 //! that drift apart; messages lost, delayed, duplicated and reordered; grantors that lead in turn, lag, and restart
 //! with empty lease tables. An auditor counts what was really opened and spent. `QUOTA_SEEDS` and `QUOTA_STEPS` set what
-//! is played.
+//! is run.
 
 mod auditor;
 mod fleet;
-mod world;
+mod simulation;
 
 #[path = "../support"]
 mod support {
@@ -14,9 +14,9 @@
 }
 
 use auditor::Breach;
+use simulation::{Fault, Simulation};
 use std::fmt;
 use support::seeds::seeds_from_env;
-use world::{Fault, World};
 
 /// A breach, and where in which schedule it happened.
 #[derive(Debug)]
@@ -32,12 +32,12 @@
     }
 }
 
-fn play(seed: u64, fault: Fault, steps: u64) -> Result<World, FoundBreach> {
-    let mut world = World::new(seed, fault);
+fn run(seed: u64, fault: Fault, steps: u64) -> Result<Simulation, FoundBreach> {
+    let mut simulation = Simulation::new(seed, fault);
     for step in 0..steps {
-        world.step().map_err(|breach| FoundBreach { seed, step, breach })?;
+        simulation.step().map_err(|breach| FoundBreach { seed, step, breach })?;
     }
-    Ok(world)
+    Ok(simulation)
 }
 
 fn steps_from_env() -> u64 {
@@ -52,10 +52,10 @@
     let mut setups = 0;
     let mut seconds = 0.0;
     for seed in seeds_from_env() {
-        let world = play(seed, Fault::None, steps).unwrap_or_else(|found| panic!("{found}"));
-        checks += world.auditor().checks();
-        setups += world.auditor().setups();
-        seconds += world.now().as_nanos() as f64 / fleet::NANOS_PER_SECOND;
+        let simulation = run(seed, Fault::None, steps).unwrap_or_else(|found| panic!("{found}"));
+        checks += simulation.auditor().checks();
+        setups += simulation.auditor().setups();
+        seconds += simulation.now().as_nanos() as f64 / fleet::NANOS_PER_SECOND;
     }
     println!("{checks} checks, 0 breaches; {:.1} set-ups a second of 100", setups as f64 / seconds);
     assert!(setups as f64 > seconds * 10.0, "nothing was granted");
@@ -68,7 +68,7 @@
 #[case(Fault::StaleGrantAccepted)]
 #[case(Fault::StaleClock)]
 fn auditor_detects_injected_fault(#[case] fault: Fault) {
-    let found = (1..=40).find_map(|seed| play(seed, fault, 100_000).err());
+    let found = (1..=40).find_map(|seed| run(seed, fault, 100_000).err());
     println!("{fault:?}: {found:?}");
     assert!(found.is_some(), "{fault:?} was not detected");
 }
--- a/crates/quota/tests/schedules/world.rs
+++ b/crates/quota/tests/schedules/simulation.rs
@@ -1,4 +1,4 @@
-//! The world in virtual time: what happens to the nodes, the messages and the grantors, drawn from one seed.
+//! The simulation in virtual time: what happens to the nodes, the messages and the grantors, drawn from one seed.
 
 use crate::auditor::{Auditor, Breach};
 use crate::fleet::{plan, Node, CONNECTIONS, GRANTORS, MEMBERS, QUOTAS, RETRIES, SETUPS};
@@ -48,7 +48,7 @@
     applied: usize,
 }
 
-pub struct World {
+pub struct Simulation {
     rng: StdRng,
     fault: Fault,
     plan: QuotaPlan,
@@ -64,12 +64,12 @@
     auditor: Auditor,
 }
 
-impl World {
-    pub fn new(seed: u64, fault: Fault) -> World {
+impl Simulation {
+    pub fn new(seed: u64, fault: Fault) -> Simulation {
         let plan = plan();
         let grantor = Grantor::new(LeaseTable::new(plan.clone()), MonotonicTime::ZERO);
         let replica = || Replica { grantor: grantor.clone(), applied: 0 };
-        World {
+        Simulation {
             rng: StdRng::seed_from_u64(seed),
             fault,
             now: MonotonicTime::ZERO,
--- a/crates/quota/tests/support/seeds.rs
+++ b/crates/quota/tests/support/seeds.rs
@@ -1,4 +1,4 @@
-//! The seeds that a test plays.
+//! The seeds that a test runs.
 
 /// One to ten, or those of `QUOTA_SEEDS`, as in `1,2,3`.
 pub fn seeds_from_env() -> Vec<u64> {
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Simulated clients: ordinary ones, and such as leave early, flood, rest or stop in the middle of a line.
+//! Simulated clients: ordinary ones, and such as disconnect early, flood, rest or stop in the middle of a line.
 
 use crate::node::Nodes;
 use crate::request::{class_name, DEADLINE};
@@ -21,16 +21,16 @@
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_050);
 /// A server's end reaches its client within this.
 const END_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A line is held back no longer than this.
+/// A line is delayed no longer than this.
 const LINE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A silent server is left within this.
+/// The client of a silent server is migrated within this.
 const SILENT_TIMEOUT: Duration = Duration::from_millis(7_000);
 const LINE_INTERVAL: Duration = Duration::from_millis(250);
 /// The longest session.
 const MAX_SESSION_MS: u64 = 2_500;
-/// How often clients leave while their requests wait, where that is the fault played and otherwise.
-const OFTEN: f64 = 0.7;
-const SELDOM: f64 = 0.15;
+/// How often clients disconnect while their requests wait, where that is the fault and otherwise.
+const FAULT_DISCONNECT_PROBABILITY: f64 = 0.7;
+const DISCONNECT_PROBABILITY: f64 = 0.15;
 /// A client that stalls does not read for this long.
 const STALL: Duration = Duration::from_millis(600);
 
@@ -41,8 +41,8 @@
 /// What the clients do besides ordinary requests.
 #[derive(Default)]
 pub struct Behaviour {
-    /// They leave while their requests wait.
-    pub leave: Cell<bool>,
+    /// They disconnect while their requests wait.
+    pub disconnect: Cell<bool>,
     /// They send many lines at once.
     pub flood: Cell<bool>,
     /// They rest.
@@ -153,9 +153,10 @@
         let sent_at = Instant::now();
         self.checker.borrow_mut().on_request(SentRequest { id: &id, node, incarnation, safety, line: &line });
         let mut read = BufReader::new(read);
-        let leaves = if self.behaviour.leave.get() { OFTEN } else { SELDOM };
-        if self.rng.random_bool(leaves) {
-            return self.leave(&id, read, write).await;
+        let is_fault = self.behaviour.disconnect.get();
+        let probability = if is_fault { FAULT_DISCONNECT_PROBABILITY } else { DISCONNECT_PROBABILITY };
+        if self.rng.random_bool(probability) {
+            return self.disconnect(&id, read, write).await;
         }
         let mut text = String::new();
         let answer = match read_answer(&mut read, &mut text).await {
@@ -167,7 +168,7 @@
         };
         self.checker.borrow_mut().on_answer(&id, answer, sent_at.elapsed());
         if answer == Answer::Up {
-            self.hold_session(node, incarnation, &id, read, write).await;
+            self.use_session(node, incarnation, &id, read, write).await;
         } else if timeout(ANSWER_TIMEOUT, read.read_line(&mut text))
             .await
             .is_ok_and(|more| more.is_ok_and(|count| count > 0))
@@ -188,8 +189,8 @@
         write.write_all(&line.as_bytes()[cut..]).await.is_ok()
     }
 
-    /// Leaves after a while, with an end or a reset.
-    async fn leave(&mut self, id: &str, read: BufReader<OwnedReadHalf>, write: OwnedWriteHalf) {
+    /// Disconnects after a while, with an end or a reset.
+    async fn disconnect(&mut self, id: &str, read: BufReader<OwnedReadHalf>, write: OwnedWriteHalf) {
         sleep(Duration::from_millis(self.rng.random_range(0..400))).await;
         if self.rng.random_bool(0.5) {
             reset_on_drop(write.as_ref());
@@ -199,7 +200,7 @@
     }
 
     /// Uses an established session until its lifetime is over or it is ended from the other side.
-    async fn hold_session(
+    async fn use_session(
         &mut self,
         node: usize,
         incarnation: u64,
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -130,7 +130,7 @@
             Fault::SessionsEnd => self.end_sessions(target, SessionEnd::Orderly),
             Fault::SessionsReset => self.end_sessions(target, SessionEnd::Reset),
             Fault::SessionsBurst => self.end_sessions(target, SessionEnd::Burst),
-            Fault::ClientsLeave => Self::set_clients(&self.behaviour.leave, duration).await,
+            Fault::ClientsDisconnect => Self::set_clients(&self.behaviour.disconnect, duration).await,
             Fault::ClientsFlood => Self::set_clients(&self.behaviour.flood, duration).await,
             Fault::ClientsIdle => Self::set_clients(&self.behaviour.idle, duration).await,
             Fault::ClientsHalfLine => Self::set_clients(&self.behaviour.half_line, duration).await,
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -4,7 +4,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
 
-/// A fault, or an operator's step that meets one.
+/// A fault, or an administrative step beside one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// SIGTERM to a node, and a new process after its end.
@@ -51,8 +51,8 @@
     SessionsReset,
     /// Half of the servers send their sessions a burst and end them.
     SessionsBurst,
-    /// Clients leave while their requests wait.
-    ClientsLeave,
+    /// Clients disconnect while their requests wait.
+    ClientsDisconnect,
     /// Clients send much more than one line.
     ClientsFlood,
     /// Clients connect and rest.
@@ -85,7 +85,7 @@
     Fault::SessionsEnd,
     Fault::SessionsReset,
     Fault::SessionsBurst,
-    Fault::ClientsLeave,
+    Fault::ClientsDisconnect,
     Fault::ClientsFlood,
     Fault::ClientsIdle,
     Fault::ClientsHalfLine,
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -37,8 +37,8 @@
     d.state.expect("a state")
 }
 
-/// Whether an answer is a refusal, which says when to come again.
-fn is_refusal(state: &State) -> bool {
+/// Whether an answer is a rejection with the time after which to retry.
+fn is_rejection(state: &State) -> bool {
     let State::Modified { failed: false, annotations: Some(notes), .. } = state else { return false };
     matches!(notes.get("retry-after"), Some(Value::Uint(_)))
 }
@@ -93,7 +93,7 @@
     let (transfer, _) = until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), with);
     let state = answer(&mut client);
-    assert_eq!((has_failed(&state), is_refusal(&state)), (may_have_run, !may_have_run));
+    assert_eq!((has_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
     assert_eq!(counter_value(&bench.stop(), counter), 1);
 }
 
@@ -111,7 +111,7 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(u32::from(credit) * 10, 100);
     let state = answer(&mut client);
-    assert_eq!((has_failed(&state), is_refusal(&state)), (may_have_run, !may_have_run));
+    assert_eq!((has_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
     assert!(counter_value(&bench.stop(), counter) >= 1);
 }
 
@@ -214,7 +214,7 @@
     // Nor does a delivery reach a server after its time.
     assert!(client.attach(CLASS).expect("again") > 0);
     client.deliver(2, &message(0, "7f3a", b"late"));
-    assert!(is_refusal(&answer(&mut client)));
+    assert!(is_rejection(&answer(&mut client)));
     assert_eq!(bench.counter("sent"), 1);
 }
 
@@ -283,7 +283,7 @@
     assert!(bench.process.wait().success());
 }
 
-/// How attempts go, in turn, at whichever server they come to.
+/// What happens to attempts, one after another, at whichever server they reach.
 #[derive(Clone, Copy, PartialEq)]
 enum Act {
     Serve,
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -1,4 +1,4 @@
-//! Stories of who may come in: users, passwords, classes.
+//! Authentication and authorization of AMQP clients: users, passwords, classes.
 
 use rstest::rstest;
 use sparbank_amqp::{condition, Connection, Credentials, Event, SaslRequest, Settings, State, Transfer};
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -32,7 +32,7 @@
             } else {
                 builder.build().accept(stream).await
             };
-            // Without SASL the node's first connection ends here, and it comes again.
+            // Without SASL the node's first connection ends here, and it connects again.
             let Ok(mut connection) = connection else { return };
             while let Ok(mut session) = SessionAcceptor::new().accept(&mut connection).await {
                 tokio::spawn(async move {
@@ -114,7 +114,7 @@
         connection.close().await.expect("closed");
     }));
     let counters = bench.counters();
-    // Eight deliveries and one standing connection, each of them run once.
+    // Eight deliveries and one established connection, each of them run once.
     assert_eq!([counters["requests"], counters["sent"], counters["served"]], [9, 9, 9]);
 }
 
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -1,5 +1,5 @@
 //! Sentences of the standard (OASIS AMQP 1.0) that bind this node, each driven through real sockets.
-//! `docs/AMQP-CONFORMANCE.md` lists them all with their sections; here are those that no story shows.
+//! `docs/AMQP-CONFORMANCE.md` lists them all with their sections; here are those that no other test shows.
 
 use rstest::rstest;
 use sparbank_amqp::{
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -1,5 +1,5 @@
-//! Stories of clients that receive: a receiving link is a standing connection, and the rules of
-//! standing connections hold for it.
+//! Clients that receive: a receiving link is an established connection, and the rules of established connections hold
+//! for it.
 
 use rstest::rstest;
 use sparbank_amqp::{
@@ -36,7 +36,7 @@
 }
 
 /// A client with an established link from a server, which sends at handle 7.
-fn standing(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
+fn established_link(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
     let mut client = client(bench);
     attach_receiver(&mut client, 0);
     let (at, peer) = accept_any(&bench.servers);
@@ -49,7 +49,7 @@
 #[rstest]
 fn deliveries_flow_by_the_clients_credit_and_settlements_flow_back() {
     let bench = bench(1);
-    let (mut client, _, mut server) = standing(&bench);
+    let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 3);
     let (flow, _) = until!(server, Flow);
     assert_eq!((flow.handle.is_some(), flow.link_credit), (true, Some(3)));
@@ -80,7 +80,7 @@
 #[rstest]
 fn a_delivery_in_parts_and_an_abort_pass_through() {
     let bench = bench(1);
-    let (mut client, _, mut server) = standing(&bench);
+    let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
     until!(server, Flow);
     let transfer = |id: u32, more: bool, aborted: bool| Transfer {
@@ -165,14 +165,14 @@
 #[rstest]
 fn a_killed_server_is_passed_on_within_a_second_and_a_silent_one_within_seven() {
     let mut bench = bench(1);
-    let (mut client, _, server) = standing(&bench);
+    let (mut client, _, server) = established_link(&bench);
     let killed = Instant::now();
     drop(server);
     let (detach, _) = until!(client, Detach);
     assert_eq!(detach.error.expect("why").condition, condition::DETACH_FORCED);
     assert!(killed.elapsed() < Duration::from_secs(1));
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    // It comes again; this time the server says nothing more, not even a heartbeat.
+    // It attaches again; this time the server sends nothing more, not even a heartbeat.
     attach_receiver(&mut client, 0);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.source(7);
@@ -188,22 +188,22 @@
 #[case::sent_away(Some(condition::DETACH_FORCED), Some(condition::DETACH_FORCED))]
 #[case::broken(Some(condition::INTERNAL_ERROR), Some(condition::INTERNAL_ERROR))]
 fn what_the_server_ends_ends_the_same_way_at_the_client(
-    #[case] says: Option<&str>,
-    #[case] hears: Option<&str>,
+    #[case] sent: Option<&str>,
+    #[case] expected: Option<&str>,
 ) {
     let mut bench = bench(1);
-    let (mut client, _, mut server) = standing(&bench);
-    let error = says.map(|condition| Box::new(sparbank_amqp::Error::new(condition, "why")));
+    let (mut client, _, mut server) = established_link(&bench);
+    let error = sent.map(|condition| Box::new(sparbank_amqp::Error::new(condition, "why")));
     server.put(Detach { handle: Some(7), closed: Some(true), error });
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.as_ref().map(|e| e.condition.as_str()), hears);
+    assert_eq!(detach.error.as_ref().map(|e| e.condition.as_str()), expected);
     assert_eq!([bench.counter("served"), bench.counter("ended")], [1, 1]);
 }
 
 #[rstest]
 fn sigterm_sends_clients_away_between_two_deliveries() {
     let mut bench = bench(1);
-    let (mut client, _, mut server) = standing(&bench);
+    let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
     until!(server, Flow);
     // Half a delivery is out when the node leaves.
@@ -242,7 +242,7 @@
 #[rstest]
 fn a_slow_client_slows_only_itself() {
     let bench = bench(1);
-    let (mut slow, _, mut server) = standing(&bench);
+    let (mut slow, _, mut server) = established_link(&bench);
     let mut quick = client(&bench);
     attach_receiver(&mut quick, 0);
     server.source(8);
@@ -273,7 +273,7 @@
 #[rstest]
 fn a_drain_by_the_client_gives_its_credit_back() {
     let bench = bench(1);
-    let (mut client, _, mut server) = standing(&bench);
+    let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 5);
     until!(server, Flow);
     client.put(Flow {
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -1,4 +1,4 @@
-//! Stories of TLS: by rustls from both ends, with certificates made for the test.
+//! AMQP under TLS: by rustls from both ends, with certificates made for the test.
 
 use rcgen::{BasicConstraints, CertificateParams, CertifiedIssuer, IsCa, KeyPair};
 use rstest::{fixture, rstest};
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -17,7 +17,7 @@
 /// Requests that arrive at once. Each has one first attempt.
 const BURST: usize = 40;
 /// What a server that has just started may get of a burst.
-const MAX_AT_COLD_SERVER: usize = 6;
+const MAX_AT_WARMING_UP_SERVER: usize = 6;
 /// What a warm one of two servers gets of a burst at least.
 const MIN_AT_WARM_SERVER: usize = 8;
 /// A watch that was alive a moment ago is silent for at least this long before it is given up.
@@ -72,8 +72,8 @@
     }
 }
 
-/// Tells the node that a server has started now, on a wall clock that is off by so many seconds.
-fn tell_start(bench: &mut Bench, watch: &mut Peer, server: usize, seconds: i64) {
+/// Notifies the node that a server has started now, on a wall clock that is off by so many seconds.
+fn announce_start(bench: &mut Bench, watch: &mut Peer, server: usize, seconds: i64) {
     let address = bench.servers[server].local_addr().expect("an address");
     let started = format!(r#""startedAtMs":{}"#, WallClock::now_ms(seconds));
     let entry = instance(server, address, "ready").replace(r#""startedAtMs":0"#, &started);
@@ -81,30 +81,30 @@
     bench.wait_for_log("endpoint list received kind=Incremental");
 }
 
-/// Sends a burst of requests; yields how many of the first attempts came to this server.
+/// Sends a burst of requests; yields how many of the first attempts reached this server.
 fn attempts_of_a_burst_at(bench: &Bench, server: usize) -> usize {
     let _clients: Vec<Peer> =
         (0..BURST).map(|number| bench.connect_client(&open_line(number as u64))).collect();
-    let mut held = Vec::new();
+    let mut attempts = Vec::new();
     let mut count = 0;
     for _ in 0..BURST {
         let (index, attempt) = accept_any(&bench.servers);
         count += usize::from(index == server);
-        held.push(attempt);
+        attempts.push(attempt);
     }
     count
 }
 
-/// A server that starts after the step is cold, however far the clock went.
+/// A server that starts after the step is warming up, however far the clock went.
 #[rstest]
 fn a_server_that_starts_after_a_step_is_in_slow_start(#[values(-HOUR, HOUR, -5, 5)] step: i64) {
     let clock = WallClock::new();
     let mut bench = clock.start_node(2, str::to_string);
     let mut watch = bench.accept_watch();
     clock.step(step);
-    tell_start(&mut bench, &mut watch, 1, step);
+    announce_start(&mut bench, &mut watch, 1, step);
     let count = attempts_of_a_burst_at(&bench, 1);
-    assert!(count <= MAX_AT_COLD_SERVER, "{count} of {BURST} at a server that has just started");
+    assert!(count <= MAX_AT_WARMING_UP_SERVER, "{count} of {BURST} at a server that has just started");
 }
 
 /// Its slow start is over after its time, and not when the clock has caught up.
@@ -115,7 +115,7 @@
         clock.start_node(2, |text| text.replace(r#""ColdNs":23000000000"#, r#""ColdNs":500000000"#));
     let mut watch = bench.accept_watch();
     clock.step(HOUR);
-    tell_start(&mut bench, &mut watch, 1, HOUR);
+    announce_start(&mut bench, &mut watch, 1, HOUR);
     std::thread::sleep(Duration::from_secs(1));
     let count = attempts_of_a_burst_at(&bench, 1);
     assert!(count >= MIN_AT_WARM_SERVER, "{count} of {BURST} at a server that is warm");
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -1,5 +1,5 @@
 //! A fleet-wide quota of connections, leased to the nodes by one grantor: several processes, faults between them, and an
-//! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` play others.
+//! auditor that counts open connections at the servers. `FLEET_SEEDS` and `FLEET_NODES` run others.
 
 use sparbank_test_support::cluster::{block_on, Cluster, ClusterConfig, ConnectionQuota, TestPlan};
 use std::time::Duration;
@@ -11,7 +11,7 @@
 const LEASE_MS: u64 = 1500;
 /// Enough for connections of the dead, whose sockets their kernel closes.
 const SHORT_CLEAR_MS: u64 = 500;
-/// Longer than the stops of the stories: a stopped process keeps its connections.
+/// Longer than the stops of the scenarios: a stopped process keeps its connections.
 const LONG_CLEAR_MS: u64 = 8000;
 /// How long the quota may take to be used again: a lease and the time after it in which connections are cleared, and the
 /// time that the clients take to reconnect.
@@ -47,8 +47,8 @@
     }
 }
 
-/// Plays a script with each seed.
-fn play(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) -> Vec<Audit> {
+/// Runs a script with each seed.
+fn run(scenario: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) -> Vec<Audit> {
     let TestPlan { seeds, nodes } = TestPlan::from_env_or(&[1], 12);
     let mut audits = Vec::new();
     for seed in seeds {
@@ -63,7 +63,7 @@
         });
         let max_open = peak.max_open;
         println!(
-            "{story} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={}",
+            "{scenario} seed={seed} nodes={nodes} total={total} max_open={max_open} instants={}",
             peak.counted
         );
         audits.push(Audit { max_open, total });
@@ -71,10 +71,10 @@
     audits
 }
 
-/// Plays a script with each seed; the total is never exceeded.
-fn play_within_total(story: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) {
-    let audits = play(story, clear_ms, script);
-    assert!(!audits.iter().any(Audit::exceeds_total), "{story}: {audits:?}");
+/// Runs a script with each seed; the total is never exceeded.
+fn run_within_total(scenario: &str, clear_ms: u64, script: impl AsyncFn(&mut Cluster)) {
+    let audits = run(scenario, clear_ms, script);
+    assert!(!audits.iter().any(Audit::exceeds_total), "{scenario}: {audits:?}");
 }
 
 /// Waits until nine tenths of the quota are in use.
@@ -86,7 +86,7 @@
 
 #[test]
 fn killed_and_restarted_holders_never_exceed_the_total() {
-    play_within_total("holders killed", SHORT_CLEAR_MS, async |cluster| {
+    run_within_total("holders killed", SHORT_CLEAR_MS, async |cluster| {
         until_quota_is_used(cluster, "the quota is in use").await;
         let killed: Vec<usize> = (1..=cluster.shared.config.nodes / 3).collect();
         cluster.kill(&killed);
@@ -102,7 +102,7 @@
 /// expired.
 #[test]
 fn restarted_grantor_without_lease_table_never_exceeds_the_total() {
-    play_within_total("the grantor killed", SHORT_CLEAR_MS, async |cluster| {
+    run_within_total("the grantor killed", SHORT_CLEAR_MS, async |cluster| {
         until_quota_is_used(cluster, "the quota is in use").await;
         cluster.kill(&[0]);
         cluster.run_for_millis(300).await;
@@ -125,7 +125,7 @@
 /// connections, while it restarts.
 #[test]
 fn grantor_restart_while_holders_are_stopped_never_exceeds_the_total() {
-    play_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |cluster| {
+    run_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |cluster| {
         until_quota_is_used(cluster, "the quota is in use").await;
         let nodes = cluster.shared.config.nodes;
         let stopped: Vec<usize> = (nodes / 3..nodes).collect();
@@ -155,16 +155,16 @@
         cluster.nodes.resume(2);
         cluster.run_for_secs(3).await;
     };
-    play_within_total("holders stopped", LONG_CLEAR_MS, stop_two_nodes);
+    run_within_total("holders stopped", LONG_CLEAR_MS, stop_two_nodes);
     // The auditor detects it if the file says that such connections are gone at once, and they are not.
-    let audits = play("holders stopped, cleared too soon", 0, stop_two_nodes);
+    let audits = run("holders stopped, cleared too soon", 0, stop_two_nodes);
     assert!(audits.iter().any(Audit::exceeds_total), "not detected: {audits:?}");
 }
 
 /// A frame that cannot be decoded ends its connection to the grantor, and leases are granted as before.
 #[test]
 fn undecodable_frames_end_their_connection_to_the_grantor() {
-    play_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |cluster| {
+    run_within_total("undecodable frames at the grantor", SHORT_CLEAR_MS, async |cluster| {
         until_quota_is_used(cluster, "the quota is in use").await;
         let other_version = [0, 0, 0, 2, 9, 0];
         let longer_than_any = [0xff; 8];
