--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -1,6 +1,6 @@
 //! Deliveries that are received (2.6.14), and the receiver's credit (2.6.7).
 
-use super::{Connection, Event, IncomingTransfer, LinkId};
+use super::{Connection, Event, IncomingTransfer, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{IncompleteDelivery, Link, Phase as LinkPhase, Role};
 use crate::performative::Transfer;
@@ -35,8 +35,8 @@
             Ok(transfer) => Ok(Some(Event::Transfer { link: link_id, transfer })),
             Err(Violation::Fatal(fault)) => Err(fault),
             Err(Violation::Link(error)) => {
-                self.detach(link_id, true, Some(Box::new(error)));
-                self.events.push_back(Event::Detached { link: link_id, closed: true, error: None });
+                self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
+                self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Closed, error: None });
                 Ok(None)
             }
         }
@@ -66,36 +66,22 @@
         payload: &'a [u8],
     ) -> Result<IncomingTransfer<'a>, Violation> {
         let max_message_size = self.settings.max_message_size;
-        let max_unsettled = self.settings.max_unsettled;
         let Some(link) = self.link_mut(link_id) else {
             return Err(Violation::Fatal(fault(condition::UNATTACHED_HANDLE, "no link at this handle")));
         };
         let first = link.incomplete.is_none();
-        let mut delivery = match link.incomplete.take() {
-            Some(delivery) => delivery.continued_by(&transfer).map_err(Violation::Fatal)?,
-            None => link.start_delivery(&transfer)?,
-        };
-        delivery.settled |= transfer.settled == Some(true);
-        delivery.octets += payload.len() as u64;
-        if delivery.octets > max_message_size {
-            let description = format!("no message above {max_message_size} octets is taken");
-            return Err(Violation::Link(Error::new(condition::MESSAGE_SIZE_EXCEEDED, &description)));
-        }
+        let delivery = link.add_transfer(&transfer, payload.len(), max_message_size)?;
         let aborted = transfer.aborted == Some(true);
         let last = transfer.more != Some(true) || aborted;
         let IncompleteDelivery { id, tag, settled, .. } = delivery;
         if !last {
             link.incomplete = Some(delivery);
         }
-        let unsettled = link.unsettled;
-        if first && self.session(link_id.channel).is_some_and(|session| session.incoming.contains_key(&id)) {
-            return Err(Violation::Fatal(fault(condition::NOT_ALLOWED, "this delivery id is in use")));
+        if first {
+            self.check_delivery_id(link_id.channel, id)?;
         }
         if first && !aborted {
-            if unsettled >= max_unsettled {
-                let description = "too many unsettled deliveries";
-                return Err(Violation::Link(Error::new(condition::RESOURCE_LIMIT_EXCEEDED, description)));
-            }
+            self.check_unsettled(link_id)?;
             self.track_unsettled(link_id, Direction::Incoming, id, 0);
         }
         if aborted || (last && settled) {
@@ -107,7 +93,23 @@
         Ok(IncomingTransfer { id, tag, first, last, aborted, settled, resume, payload })
     }
 
-    /// Sets a receiver's credit. A flow announces it where it changes.
+    fn check_delivery_id(&self, channel: u16, id: u32) -> Result<(), Violation> {
+        if self.session(channel).is_some_and(|session| session.incoming.contains_key(&id)) {
+            return Err(Violation::Fatal(fault(condition::NOT_ALLOWED, "this delivery id is in use")));
+        }
+        Ok(())
+    }
+
+    /// Checks that a further delivery may be unsettled on a link.
+    fn check_unsettled(&self, link: LinkId) -> Result<(), Violation> {
+        if self.unsettled(link) >= self.settings.max_unsettled {
+            let description = "too many unsettled deliveries";
+            return Err(Violation::Link(Error::new(condition::RESOURCE_LIMIT_EXCEEDED, description)));
+        }
+        Ok(())
+    }
+
+    /// Sets a receiver's credit. A flow announces it if it changes.
     pub fn set_credit(&mut self, link_id: LinkId, credit: u32) {
         let max_unsettled = self.settings.max_unsettled;
         let link = self.link_mut(link_id).filter(|link| link.phase == LinkPhase::Attached);
@@ -129,7 +131,7 @@
 }
 
 impl IncompleteDelivery {
-    /// The delivery, where a transfer continues it.
+    /// The delivery, if a transfer continues it.
     fn continued_by(self, transfer: &Transfer) -> Result<IncompleteDelivery, Fault> {
         let same_id = transfer.delivery_id.is_none_or(|id| id == self.id);
         let same_tag = transfer.delivery_tag.is_none_or(|tag| tag == self.tag);
@@ -141,6 +143,26 @@
 }
 
 impl Link {
+    /// Adds a transfer to the delivery that is being received, or starts one with it.
+    fn add_transfer(
+        &mut self,
+        transfer: &Transfer,
+        octets: usize,
+        max_message_size: u64,
+    ) -> Result<IncompleteDelivery, Violation> {
+        let mut delivery = match self.incomplete.take() {
+            Some(delivery) => delivery.continued_by(transfer).map_err(Violation::Fatal)?,
+            None => self.start_delivery(transfer)?,
+        };
+        delivery.settled |= transfer.settled == Some(true);
+        delivery.octets += octets as u64;
+        if delivery.octets > max_message_size {
+            let description = format!("no message above {max_message_size} octets is taken");
+            return Err(Violation::Link(Error::new(condition::MESSAGE_SIZE_EXCEEDED, &description)));
+        }
+        Ok(delivery)
+    }
+
     /// Starts a received delivery, which uses a credit.
     fn start_delivery(&mut self, transfer: &Transfer) -> Result<IncompleteDelivery, Violation> {
         let missing =
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -125,16 +125,17 @@
     /// # Panics
     /// The process ends before it logs such a line.
     pub fn wait_for_any_log(&mut self, messages: &[&str]) -> String {
-        let mut line = String::new();
+        let mut skipped = String::new();
         loop {
-            line.clear();
-            assert!(
-                self.log.read_line(&mut line).expect("a log line") > 0,
-                "the log ended before {messages:?}"
-            );
+            let mut line = String::new();
+            if self.log.read_line(&mut line).expect("a log line") == 0 {
+                let status = self.process.wait();
+                panic!("the log ended before {messages:?}, with {status}, after:\n{skipped}");
+            }
             if messages.iter().any(|message| is_log_of(&line, message)) {
                 return line.trim_end().to_string();
             }
+            skipped.push_str(&line);
         }
     }
 
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -1,4 +1,4 @@
-//! When established clients are migrated: evenly in steps, between a start and an end.
+//! When established clients are migrated: in even steps, between a start and an end.
 
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
@@ -15,14 +15,17 @@
 const ABANDON_BEFORE_END: Duration = Duration::from_millis(250);
 
 /// What is to be done in one migration step.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct MigrationStep {
-    /// Whether migration has started; nothing is to be done before.
-    pub started: bool,
-    /// The number of established clients to migrate now.
-    pub migrations: usize,
-    /// Requests that began before this time and still wait get their final answer now.
-    pub abandon_before: Option<MonotonicTime>,
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum MigrationStep {
+    /// It is too early: migrated clients would come back.
+    NotStarted,
+    /// Clients are migrated.
+    Migrate {
+        /// The number of established clients to migrate now.
+        clients: usize,
+        /// Requests that arrived before this time and still wait get their final answer now.
+        abandon_before: Option<MonotonicTime>,
+    },
 }
 
 /// The times of one migration of all clients.
@@ -44,7 +47,7 @@
         }
     }
 
-    /// Both schedules hold: of each time the earlier one.
+    /// The schedule that keeps both: the earlier one of each time.
     pub(super) fn or_earlier(self, other: MigrationSchedule) -> MigrationSchedule {
         MigrationSchedule {
             start: self.start.min(other.start),
@@ -58,26 +61,25 @@
         now >= self.migrated_by
     }
 
-    /// The step of a node that goes on after the drain. It still serves whoever comes late and migrates it then, so
-    /// only requests from before the end of the migration are abandoned.
+    /// The step of a node that stays after the drain. It still serves clients that arrive late, and migrates them at the
+    /// next step, so only requests from before the end of the migration are abandoned.
     pub(super) fn step_of_drain(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, self.migrated_by)
     }
 
-    /// The step of a process that ends: nothing that waits can be served later.
+    /// The step of a process that exits: a request that waits cannot be served later.
     pub(super) fn step_before_exit(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, MonotonicTime::MAX)
     }
 
     fn step(&self, now: MonotonicTime, established: usize, abandon_before: MonotonicTime) -> MigrationStep {
         if now < self.start {
-            return MigrationStep::default();
+            return MigrationStep::NotStarted;
         }
         let remaining = self.migrated_by.saturating_duration_since(now);
         let later_steps = remaining.as_nanos_u64() / MIGRATION_STEP_INTERVAL.as_nanos_u64();
-        MigrationStep {
-            started: true,
-            migrations: established.div_ceil(later_steps as usize + 1),
+        MigrationStep::Migrate {
+            clients: established.div_ceil(later_steps as usize + 1),
             abandon_before: (now >= self.abandon_at).then_some(abandon_before),
         }
     }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,6 +1,6 @@
 //! The times of drain, shutdown and handover, and their crossings.
 
-use super::{Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
+use super::{Activity, Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
 use rstest::rstest;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
@@ -14,14 +14,22 @@
     MonotonicTime::ZERO + since_origin
 }
 
+/// The number of clients that a step migrates.
+fn migrations(step: MigrationStep) -> usize {
+    match step {
+        MigrationStep::NotStarted => 0,
+        MigrationStep::Migrate { clients, .. } => clients,
+    }
+}
+
 /// Runs the steps from a time on, and gives the time until the last client was migrated.
 fn time_to_migrate(lifecycle: &Lifecycle, from: MonotonicTime, mut established: usize) -> Duration {
     let mut now = from;
     while established > 0 {
         now += MIGRATION_STEP_INTERVAL;
         let step = lifecycle.migration_step(now, established).expect("clients are migrated");
-        assert!(step.migrations <= established && now < from + 10 * SECOND);
-        established -= step.migrations;
+        assert!(migrations(step) <= established && now < from + 10 * SECOND);
+        established -= migrations(step);
     }
     now.saturating_duration_since(from)
 }
@@ -37,22 +45,18 @@
     assert!(lifecycle.drain(at(SECOND)) && !lifecycle.accepts_clients());
     assert_eq!(
         lifecycle.migration_step(at(SECOND + 299 * MILLISECOND), established),
-        Some(MigrationStep::default()),
+        Some(MigrationStep::NotStarted),
         "migrated clients would come back"
     );
     let took = time_to_migrate(&lifecycle, at(SECOND), established);
     assert!(took <= 3_600 * MILLISECOND, "{took:?}");
-    let half = lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step").migrations;
+    let half = migrations(lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step"));
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
-    assert!(!lifecycle.should_exit(at(100 * SECOND), true), "a drained process stays");
+    assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process stays");
     // A client that is established later is migrated at the next step.
     assert_eq!(
         lifecycle.migration_step(at(60 * SECOND), 7),
-        Some(MigrationStep {
-            started: true,
-            migrations: 7,
-            abandon_before: Some(at(SECOND + 3_600 * MILLISECOND))
-        })
+        Some(MigrationStep::Migrate { clients: 7, abandon_before: Some(at(SECOND + 3_600 * MILLISECOND)) })
     );
 }
 
@@ -69,7 +73,7 @@
     assert!(lifecycle.drain(at(10 * SECOND)));
     assert_eq!(
         lifecycle.migration_step(at(10 * SECOND), 9),
-        Some(MigrationStep::default()),
+        Some(MigrationStep::NotStarted),
         "a new drain has its own schedule"
     );
 }
@@ -92,11 +96,11 @@
     }
     assert!(!lifecycle.shut_down(sigterm + NANOSECOND, Duration::ZERO) && !lifecycle.accepts_clients());
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
-    assert!(!lifecycle.should_exit(migrated_by - NANOSECOND, true));
-    assert!(lifecycle.should_exit(migrated_by.max(sigterm), true));
+    assert!(!lifecycle.should_exit(migrated_by - NANOSECOND, Activity::Idle));
+    assert!(lifecycle.should_exit(migrated_by.max(sigterm), Activity::Idle));
     assert!(
-        !lifecycle.should_exit(sigterm + 1_699 * MILLISECOND, false)
-            && lifecycle.should_exit(sigterm + 1_700 * MILLISECOND, false)
+        !lifecycle.should_exit(sigterm + 1_699 * MILLISECOND, Activity::Busy)
+            && lifecycle.should_exit(sigterm + 1_700 * MILLISECOND, Activity::Busy)
     );
 }
 
@@ -113,18 +117,21 @@
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
     // What cannot be transferred is migrated, and the process waits for SIGTERM for a bounded time.
     assert!(time_to_migrate(&lifecycle, at(2 * SECOND), 100) <= 1_500 * MILLISECOND);
-    assert!(!lifecycle.should_exit(at(11 * SECOND), true) && lifecycle.should_exit(at(12 * SECOND), true));
+    assert!(
+        !lifecycle.should_exit(at(11 * SECOND), Activity::Idle)
+            && lifecycle.should_exit(at(12 * SECOND), Activity::Idle)
+    );
     let mut alone = lifecycle;
     alone.successor_lost(at(3 * SECOND));
     assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
-    assert!(!alone.should_exit(at(60 * SECOND), true));
+    assert!(!alone.should_exit(at(60 * SECOND), Activity::Idle));
     assert!(lifecycle.shut_down(at(3 * SECOND), 1_200 * MILLISECOND));
-    assert!(lifecycle.should_exit(at(3 * SECOND), true), "nothing new comes");
-    assert!(!lifecycle.should_exit(at(4 * SECOND), false));
-    assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), false));
+    assert!(lifecycle.should_exit(at(3 * SECOND), Activity::Idle), "nothing new comes");
+    assert!(!lifecycle.should_exit(at(4 * SECOND), Activity::Busy));
+    assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), Activity::Busy));
     // The successor dies after SIGTERM: what comes until the end is served here again.
     lifecycle.successor_lost(at(3_100 * MILLISECOND));
-    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), true));
+    assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), Activity::Idle));
 }
 
 #[rstest]
@@ -136,9 +143,15 @@
     assert!(time_to_migrate(&lifecycle, at(SECOND), 500) <= kill - 400 * MILLISECOND);
     let abandon_before = |ms: u32| {
         let now = at(SECOND + kill - ms * MILLISECOND);
-        lifecycle.migration_step(now, 0).expect("a step").abandon_before
+        match lifecycle.migration_step(now, 0).expect("a step") {
+            MigrationStep::Migrate { abandon_before, .. } => abandon_before,
+            MigrationStep::NotStarted => panic!("it has started"),
+        }
     };
     assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(MonotonicTime::MAX)));
     let exit_by = at(SECOND + kill - 200 * MILLISECOND);
-    assert!(!lifecycle.should_exit(exit_by - NANOSECOND, false) && lifecycle.should_exit(exit_by, false));
+    assert!(
+        !lifecycle.should_exit(exit_by - NANOSECOND, Activity::Busy)
+            && lifecycle.should_exit(exit_by, Activity::Busy)
+    );
 }
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -219,6 +219,7 @@
             }
             (Performative::Transfer(transfer), payload) => {
                 std::thread::sleep(Duration::from_millis(3));
+                server.send_heartbeat();
                 let size = sizes.entry(transfer.handle.expect("a handle")).or_default();
                 *size += payload.len();
                 if transfer.more != Some(true) {
