--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -50,7 +50,7 @@
         now: MonotonicTime,
         flows: &[FlowRecord],
         registry: &EndpointRegistry,
-        site: &FrontendSettings,
+        settings: &FrontendSettings,
     ) {
         if flows.is_empty() {
             return;
@@ -61,7 +61,7 @@
         for flow in flows {
             let endpoint = flow.server.and_then(|server| registry.entry(server));
             let address = endpoint.map(|endpoint| endpoint.address());
-            let class = site.class_names.get(flow.class).map_or("", String::as_str);
+            let class = settings.class_names.get(flow.class).map_or("", String::as_str);
             let record = ipfix::encode_record(flow, address, class);
             if records.len() + record.len() > ipfix::MAX_RECORDS_BYTES {
                 self.send_message(now, SetKind::Data, &records, count);
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -88,7 +88,7 @@
         config: AmqpConfig,
         setup: FrontendSetup,
     ) -> Result<Box<dyn Frontend>, FrontendError> {
-        let FrontendSetup { net, node_name, site } = setup;
+        let FrontendSetup { net, node_name, settings } = setup;
         let address = net
             .listen(config.listen, SocketOwner::Frontend(id))
             .map_err(|error| FrontendError::Listen { socket: "amqp listen", error })?;
@@ -101,7 +101,7 @@
         };
         let tls_address = tls_listener.as_ref().map(|listener| tracing::field::display(listener.addr));
         tracing::info!(listen = %address, tls_listen = tls_address, "AMQP frontend ready");
-        let classes = ClassNames::new(site.class_names.clone());
+        let classes = ClassNames::new(settings.class_names.clone());
         let servers = Servers::new(id, node_name, classes.clone());
         let tls_listener = tls_listener.map(|listener| listener.token);
         let info = FrontendInfo { id, container: node_name.to_string(), classes, tls_listener };
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -175,7 +175,8 @@
         let conn = Connection::dial(ctx.now, config.server_settings(&self.container), credentials);
         let connection = ServerConnection { conn, server, links: FastHashMap::default() };
         self.by_token.insert(token, connection);
-        ctx.wheel.schedule(ctx.now + ctx.site.dial_timeout, TimerEvent::ConnectTimeout(self.frontend, token));
+        ctx.wheel
+            .schedule(ctx.now + ctx.settings.dial_timeout, TimerEvent::ConnectTimeout(self.frontend, token));
         self.write_pending(ctx, token);
         Ok(token)
     }
--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -31,7 +31,7 @@
     /// Timers; each comes back as the [`TimerEvent`] that was put in.
     pub wheel: &'a mut TimerWheel<TimerEvent>,
     /// The settings that frontends need and the balancer does not.
-    pub site: &'a FrontendSettings,
+    pub settings: &'a FrontendSettings,
     /// The request classes, in the order of the settings.
     pub classes: &'a [RequestClass],
     /// Whether the load balancer in front of the nodes should send clients here.
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -68,7 +68,7 @@
     /// The node's name.
     pub node_name: &'a str,
     /// The settings that frontends need.
-    pub site: &'a FrontendSettings,
+    pub settings: &'a FrontendSettings,
 }
 
 /// Why an optional frontend could not be configured or opened.
--- a/src/frontend/text/attempt.rs
+++ b/src/frontend/text/attempt.rs
@@ -55,7 +55,7 @@
     let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
     let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
     let server_connection = connecting.map_err(ConnectError::outcome)?;
-    let connect_by = ctx.now + ctx.site.dial_timeout;
+    let connect_by = ctx.now + ctx.settings.dial_timeout;
     ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
     let attempt = AttemptState { server_connection, ends_at: ctx.now + timeout, line_sent: false };
     sessions.set_attempt(client, server, attempt);
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -206,7 +206,7 @@
 }
 
 fn parse_open(ctx: &FrontendContext, line: &str) -> Option<OpenRequest> {
-    match RequestLine::parse(line.as_bytes(), ctx.site, ctx.classes) {
+    match RequestLine::parse(line.as_bytes(), ctx.settings, ctx.classes) {
         Some(RequestLine::Open(open)) => Some(open),
         Some(RequestLine::Ping) | None => None,
     }
--- a/src/frontend/text/latency.rs
+++ b/src/frontend/text/latency.rs
@@ -44,7 +44,7 @@
 
     /// Reports latencies to the balancer, where the settings say that it uses them and the next reports are due.
     pub(super) fn report(&mut self, ctx: &mut FrontendContext) {
-        if !ctx.site.reports_message_latency || !self.begin_report(ctx.now) {
+        if !ctx.settings.reports_message_latency || !self.begin_report(ctx.now) {
             return;
         }
         let objectives = ctx.classes.iter().filter_map(|class| class.message_latency_objective);
--- a/src/frontend/text/load_report.rs
+++ b/src/frontend/text/load_report.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LoadReportError {
     /// The answer is none that a health check has: not `PONG`, `ERR` or `NO`.
-    #[error("no answer to a probe")]
+    #[error("neither PONG, ERR nor NO")]
     NotAnAnswer,
     /// A pair without `=`, or without a name.
     #[error("a pair without a name or '='")]
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -55,7 +55,7 @@
     /// Parses a line with its end. None is a line that no server could use: the node answers it itself, at once.
     pub(super) fn parse(
         line: &[u8],
-        site: &FrontendSettings,
+        settings: &FrontendSettings,
         classes: &[RequestClass],
     ) -> Option<RequestLine> {
         let text = std::str::from_utf8(line).ok()?;
@@ -67,7 +67,7 @@
         if text.chars().any(char::is_control) {
             return None;
         }
-        OpenRequest::parse(text, site, classes).map(RequestLine::Open)
+        OpenRequest::parse(text, settings, classes).map(RequestLine::Open)
     }
 }
 
@@ -86,21 +86,21 @@
 
 impl OpenFields {
     /// Parses the list of pairs, which begins at this offset of the line.
-    fn parse(list: &str, list_offset: usize, site: &FrontendSettings) -> Option<OpenFields> {
+    fn parse(list: &str, list_offset: usize, settings: &FrontendSettings) -> Option<OpenFields> {
         let mut fields = OpenFields::default();
         let mut pair_offset = list_offset;
         for pair in list.split(',') {
-            fields.set(pair, pair_offset, site)?;
+            fields.set(pair, pair_offset, settings)?;
             pair_offset += pair.len() + 1;
         }
         Some(fields)
     }
 
-    fn set(&mut self, pair: &str, pair_offset: usize, site: &FrontendSettings) -> Option<()> {
+    fn set(&mut self, pair: &str, pair_offset: usize, settings: &FrontendSettings) -> Option<()> {
         let (name, value) = pair.split_once('=')?;
         match name {
             "c" if self.class.is_none() => {
-                self.class = Some(site.class_names.iter().position(|name| name == value)?);
+                self.class = Some(settings.class_names.iter().position(|name| name == value)?);
             }
             "d" if self.deadline_ms.is_none() => {
                 self.deadline_ms = Some(parse_milliseconds(value)?);
@@ -120,7 +120,7 @@
 }
 
 impl OpenRequest {
-    fn parse(line: &str, site: &FrontendSettings, classes: &[RequestClass]) -> Option<OpenRequest> {
+    fn parse(line: &str, settings: &FrontendSettings, classes: &[RequestClass]) -> Option<OpenRequest> {
         let mut words = line.split(' ');
         let verb = words.next()?;
         let id = words.next()?;
@@ -129,7 +129,7 @@
         if verb != "OPEN" || !is_valid_id(id) || !is_valid_id(key) || words.next().is_some() {
             return None;
         }
-        let fields = OpenFields::parse(list, line.len() - list.len(), site)?;
+        let fields = OpenFields::parse(list, line.len() - list.len(), settings)?;
         let class = fields.class?;
         let is_placement = fields.resumed_at.is_none();
         if is_placement && fields.deadline_ms.is_some_and(|ms| ms > MAX_DEADLINE_MS) {
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -32,7 +32,7 @@
             LineRead::TooLong => return reject_malformed_line(awaiting, ctx, token),
             LineRead::Complete(line) => line,
         };
-        match RequestLine::parse(&line, ctx.site, ctx.classes) {
+        match RequestLine::parse(&line, ctx.settings, ctx.classes) {
             Some(RequestLine::Ping) => {
                 if awaiting.count_ping(token).is_err() {
                     return reject_malformed_line(awaiting, ctx, token);
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -96,7 +96,7 @@
             requests: &mut self.requests,
             registry: &self.registry,
             wheel: &mut self.wheel,
-            site: &self.config.frontend_settings,
+            settings: &self.config.frontend_settings,
             classes: &self.config.settings.classes,
             accepts_clients: true,
             shutting_down: false,
--- a/src/node/executor.rs
+++ b/src/node/executor.rs
@@ -63,7 +63,7 @@
             }
             Command::SetTimer { after, token } => self.set_timer(now, after, token),
             Command::Subscribe => self.endpoints.subscribe(&mut self.host, now),
-            Command::Log(text) => tracing::info!("{text}"),
+            Command::Log(notice) => tracing::info!("{notice}"),
         }
     }
 
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -173,7 +173,7 @@
             let setup = FrontendSetup {
                 net: &mut self.net,
                 node_name: &self.config.name,
-                site: &self.config.frontend_settings,
+                settings: &self.config.frontend_settings,
             };
             frontends.open(file, setup)?;
         }
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -46,7 +46,7 @@
             requests: &mut self.requests,
             registry: &self.registry,
             wheel: &mut self.wheel,
-            site: &self.config.frontend_settings,
+            settings: &self.config.frontend_settings,
             classes: &self.config.settings.classes,
             accepts_clients: self.lifecycle.accepts_clients(),
             shutting_down: self.lifecycle.is_closing(now),
