--- a/crates/time/src/duration.rs
+++ b/crates/time/src/duration.rs
@@ -13,14 +13,17 @@
 }
 
 impl DurationExt for Duration {
+    #[inline]
     fn as_nanos_u64(&self) -> u64 {
         u64::try_from(self.as_nanos()).unwrap_or(u64::MAX)
     }
 
+    #[inline]
     fn as_millis_u64(&self) -> u64 {
         u64::try_from(self.as_millis()).unwrap_or(u64::MAX)
     }
 
+    #[inline]
     fn as_nanos_f64(&self) -> f64 {
         self.as_nanos_u64() as f64
     }
--- a/crates/time/src/monotonic.rs
+++ b/crates/time/src/monotonic.rs
@@ -19,16 +19,19 @@
     pub const MAX: MonotonicTime = MonotonicTime(u64::MAX);
 
     /// The instant this many nanoseconds after the origin.
+    #[inline]
     pub const fn from_nanos(nanos: u64) -> MonotonicTime {
         MonotonicTime(nanos)
     }
 
     /// Nanoseconds since the origin.
+    #[inline]
     pub const fn as_nanos(self) -> u64 {
         self.0
     }
 
     /// The time that has passed since `earlier`; zero if that instant is later.
+    #[inline]
     pub const fn saturating_duration_since(self, earlier: MonotonicTime) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
     }
@@ -37,12 +40,14 @@
 impl Add<Duration> for MonotonicTime {
     type Output = MonotonicTime;
 
+    #[inline]
     fn add(self, duration: Duration) -> MonotonicTime {
         MonotonicTime(self.0.saturating_add(duration.as_nanos_u64()))
     }
 }
 
 impl AddAssign<Duration> for MonotonicTime {
+    #[inline]
     fn add_assign(&mut self, duration: Duration) {
         *self = *self + duration;
     }
@@ -51,6 +56,7 @@
 impl Sub<Duration> for MonotonicTime {
     type Output = MonotonicTime;
 
+    #[inline]
     fn sub(self, duration: Duration) -> MonotonicTime {
         MonotonicTime(self.0.saturating_sub(duration.as_nanos_u64()))
     }
--- a/crates/time/src/wall.rs
+++ b/crates/time/src/wall.rs
@@ -11,11 +11,13 @@
 
 impl WallTime {
     /// The instant this many nanoseconds after the Unix epoch.
+    #[inline]
     pub const fn from_unix_nanos(nanos: u64) -> WallTime {
         WallTime(nanos)
     }
 
     /// Nanoseconds since the Unix epoch.
+    #[inline]
     pub const fn as_unix_nanos(self) -> u64 {
         self.0
     }
