--- a/crates/test-support/src/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -4,6 +4,8 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicU32, Ordering};
+use std::sync::OnceLock;
+use std::time::{SystemTime, UNIX_EPOCH};
 
 /// A request line whose id and key are this number: the node rejects the id of an open request. Each number has a
 /// group of its own, since the requests of a group are placed on the same few servers.
@@ -27,9 +29,18 @@
 
 /// Writes a file that only this test uses; yields its path.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
-    static FILE_COUNT: AtomicU32 = AtomicU32::new(0);
-    let number = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
-    let path = std::env::temp_dir().join(format!("sparbank-{}-{number}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!("sparbank-{}-{name}", unique_number()));
     std::fs::write(&path, text).expect("a file");
     path
 }
+
+/// A number that no other file of this machine's tests has. The process id alone is not enough: ids are used again, and
+/// an earlier process may have left its files behind.
+fn unique_number() -> String {
+    static FILE_COUNT: AtomicU32 = AtomicU32::new(0);
+    static STARTED_AT: OnceLock<u128> = OnceLock::new();
+    let since_epoch = || SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_nanos();
+    let started_at = STARTED_AT.get_or_init(since_epoch);
+    let file = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
+    format!("{}-{started_at:x}-{file}", std::process::id())
+}
