--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -1,24 +1,24 @@
-//! Commands of the request table to the node.
+//! Commands that the request table issues to the node.
 
 use crate::frontend_id::FrontendId;
 use crate::model::{Notice, RequestId, ServerId};
 use std::time::Duration;
 
-/// A command that the node carries out.
+/// A command for the node to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
-    /// Start the only attempt of a request.
+    /// Start an attempt of a request that has no other attempt in flight.
     StartAttempt {
         /// The request's frontend.
         frontend: FrontendId,
         /// The request.
         request_id: RequestId,
-        /// The server to send it to.
+        /// The server to send the request to.
         server: ServerId,
-        /// How long the attempt may take.
+        /// The attempt fails if it has not succeeded after this time.
         timeout: Duration,
     },
-    /// Cancel the attempt of a request.
+    /// Cancel the attempt in flight of a request.
     CancelAttempt {
         /// The request's frontend.
         frontend: FrontendId,
@@ -48,17 +48,17 @@
         /// The request.
         request_id: RequestId,
     },
-    /// Request a server's load report; an [`Event::HealthCheckResult`](crate::model::Event::HealthCheckResult)
-    /// answers it.
+    /// Check a server's load once; the result is an
+    /// [`Event::HealthCheckResult`](crate::model::Event::HealthCheckResult).
     HealthCheck {
         /// The server.
         server: ServerId,
     },
-    /// Push an [`Event::Timer`](crate::model::Event::Timer) with this token.
+    /// Push an [`Event::Timer`](crate::model::Event::Timer) with this token after a delay.
     SetTimer {
         /// The delay from now.
         after: Duration,
-        /// Returned as it is.
+        /// Returned unchanged in the event.
         token: u64,
     },
     /// Start a watch on the endpoint registry.
--- a/src/requests/ledger.rs
+++ b/src/requests/ledger.rs
@@ -1,12 +1,13 @@
-//! The open requests and the accounting of them: counters, quotas, and records of flows and attempts.
+//! The open requests and their accounting: counters, quota usage, flow records and attempt records.
 //!
-//! Each method makes one transition of a request and accounts for it. Nothing here knows of the balancer.
+//! Each method performs one state transition of a request and accounts for it. This module does not depend on the
+//! balancer.
 
 use super::open_requests::{Attempt, OpenRequests, Request, RequestState};
 use super::quota_usage::{QuotaDecision, QuotaRejection, QuotaUsage};
 use super::records::{AttemptRecord, AttemptStep, FlowRecord, FlowResult, Records};
 use super::transition::{
-    AttemptPlan, EndedAttempt, EndedRequest, EstablishedAttempt, MigratedConnection, NotStarted,
+    AttemptPlan, AttemptRefusal, EndedAttempt, EndedRequest, EstablishedAttempt, MigratedConnection,
     ReleasedConnection, StartedAttempt,
 };
 use crate::counters::Counters;
@@ -15,11 +16,11 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The open requests and the accounting of them.
+/// The open requests and their accounting.
 #[derive(Default)]
 pub struct RequestLedger {
     open: OpenRequests,
-    quotas: QuotaUsage,
+    quota_usage: QuotaUsage,
     records: Records,
     counters: Counters,
 }
@@ -30,33 +31,33 @@
         &self.open
     }
 
-    /// The use of the quotas.
-    pub fn quotas(&self) -> &QuotaUsage {
-        &self.quotas
+    /// The quota usage of the requests.
+    pub fn quota_usage(&self) -> &QuotaUsage {
+        &self.quota_usage
     }
 
-    /// The use of the quotas.
-    pub fn quotas_mut(&mut self) -> &mut QuotaUsage {
-        &mut self.quotas
+    /// Mutable access to the quota usage.
+    pub fn quota_usage_mut(&mut self) -> &mut QuotaUsage {
+        &mut self.quota_usage
     }
 
-    /// The records of flows and attempts.
+    /// Mutable access to the flow records and attempt records.
     pub fn records_mut(&mut self) -> &mut Records {
         &mut self.records
     }
 
-    /// Counts since the start of the process.
+    /// The counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The counts, for what is counted elsewhere.
+    /// Mutable access to the counters, for events that are counted outside the ledger.
     pub fn counters_mut(&mut self) -> &mut Counters {
         &mut self.counters
     }
 
-    /// Adds a request that arrives. Its id is also written into the arrival. Returns it, and whether the quotas admit it:
-    /// a rejected request stays open until [`RequestLedger::reject_over_quota`].
+    /// Adds a request that has arrived and writes its new id into `arrival`. Returns whether the quotas admit it; a
+    /// rejected request stays open until [`RequestLedger::reject_over_quota`].
     pub fn insert_arrival(
         &mut self,
         now: MonotonicTime,
@@ -64,19 +65,19 @@
         arrival: &mut Arrival,
     ) -> QuotaDecision {
         self.counters.requests += 1;
-        let request_id = self.open.insert(now, frontend, arrival, RequestState::NoAttempt);
-        let decision = self.quotas.admit_request(now, arrival.class);
+        let request_id = self.open.insert(now, frontend, arrival, RequestState::AwaitingAttempt);
+        let decision = self.quota_usage.admit_request(now, arrival.class);
         match decision {
             QuotaDecision::Unlimited => {}
-            QuotaDecision::Counted => self.open.mark_quota_used(request_id),
+            QuotaDecision::Counted => self.open.mark_uses_quota(request_id),
             QuotaDecision::Rejected(retry_after) => {
-                self.quotas.push_rejection(QuotaRejection { request_id, retry_after });
+                self.quota_usage.push_rejection(QuotaRejection { request_id, retry_after });
             }
         }
         decision
     }
 
-    /// Adds a request whose connection is established already. Its id is also written into the arrival.
+    /// Adds a request whose connection is already established. Its id is also written into `arrival`.
     pub fn insert_established(
         &mut self,
         now: MonotonicTime,
@@ -85,58 +86,58 @@
         server: ServerId,
     ) -> RequestId {
         let id = self.open.insert(now, frontend, arrival, RequestState::Established(server));
-        if self.quotas.adopt_connection(arrival.class) {
-            self.open.mark_quota_used(id);
+        if self.quota_usage.adopt_connection(arrival.class) {
+            self.open.mark_uses_quota(id);
         }
         id
     }
 
-    /// Sets when a request arrived, where another process received it.
+    /// Sets the arrival time of a request that another process received.
     pub fn set_started_at(&mut self, id: RequestId, started_at: MonotonicTime) {
         if let Some(request) = self.open.get_mut(id) {
             request.started_at = started_at;
         }
     }
 
-    /// Starts an attempt of a request that waits for one.
+    /// Starts an attempt of a request that is waiting for one.
     ///
     /// # Errors
-    /// The reason against it.
+    /// Why the attempt cannot be started.
     pub fn start_attempt(
         &mut self,
         now: MonotonicTime,
         id: RequestId,
         plan: AttemptPlan,
-    ) -> Result<StartedAttempt, NotStarted> {
-        let waiting = self.open.get_mut(id).filter(|request| request.state == RequestState::NoAttempt);
-        let request = waiting.ok_or(NotStarted::NotWaiting)?;
+    ) -> Result<StartedAttempt, AttemptRefusal> {
+        let waiting = self.open.get_mut(id).filter(|request| request.state == RequestState::AwaitingAttempt);
+        let request = waiting.ok_or(AttemptRefusal::NotAwaitingAttempt)?;
         let is_retry = request.attempts > 0;
-        if is_retry && !self.quotas.admits_retry(now, request.class) {
+        if is_retry && !self.quota_usage.admits_retry(now, request.class) {
             self.counters.quota_rejected += 1;
-            return Err(NotStarted::OverQuota);
+            return Err(AttemptRefusal::OverQuota);
         }
         request.attempts += 1;
         let AttemptPlan { server, timeout, send_by } = plan;
-        let attempt = Attempt { server, sent_at: now, number: request.attempts, send_by };
+        let attempt = Attempt { server, started_at: now, number: request.attempts, send_by };
         request.state = RequestState::InFlight(attempt);
         self.counters.sent += 1;
         let timeout = timeout.min(request.deadline.saturating_duration_since(now));
         Ok(StartedAttempt { frontend: request.frontend, timeout })
     }
 
-    /// The attempt in flight was accepted by its server.
+    /// Marks the attempt in flight as accepted by its server. Returns `None` if no attempt is in flight.
     pub fn establish(&mut self, now: MonotonicTime, id: RequestId) -> Option<EstablishedAttempt> {
         let request = self.open.get_mut(id)?;
         let attempt = request.attempt_in_flight()?;
         request.state = RequestState::Established(attempt.server);
         self.counters.established += 1;
         self.counters.served += 1;
-        let setup_time = now.saturating_duration_since(attempt.sent_at);
-        self.trace_attempt(id, attempt.server, AttemptStep::Established, setup_time);
+        let setup_time = now.saturating_duration_since(attempt.started_at);
+        self.record_attempt_step(id, attempt.server, AttemptStep::Established, setup_time);
         Some(EstablishedAttempt { server: attempt.server, setup_time })
     }
 
-    /// The attempt in flight, or the connection that it established, has ended.
+    /// Ends the attempt in flight, or the connection that it established. Returns `None` if there is neither.
     pub fn end_attempt(
         &mut self,
         now: MonotonicTime,
@@ -145,14 +146,14 @@
     ) -> Option<EndedAttempt> {
         let request = self.open.get_mut(id)?;
         match request.state {
-            RequestState::NoAttempt => None,
+            RequestState::AwaitingAttempt => None,
             RequestState::InFlight(attempt) => {
-                request.state = RequestState::NoAttempt;
+                request.state = RequestState::AwaitingAttempt;
                 Some(self.end_in_flight(now, id, attempt, outcome))
             }
             RequestState::Established(server) => {
                 let elapsed = now.saturating_duration_since(request.started_at);
-                self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
+                self.record_attempt_step(id, server, AttemptStep::Ended(outcome), elapsed);
                 self.close_served(now, id, server, outcome);
                 Some(EndedAttempt { server, is_final: true })
             }
@@ -169,10 +170,10 @@
         let server = attempt.server;
         let is_final = outcome == Outcome::Ok;
         self.counters.count_attempt(outcome);
-        let elapsed = now.saturating_duration_since(attempt.sent_at);
-        self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
+        let elapsed = now.saturating_duration_since(attempt.started_at);
+        self.record_attempt_step(id, server, AttemptStep::Ended(outcome), elapsed);
         if is_final {
-            // Served to its end in one step: it was never reported as established.
+            // The request was served and ended in one step, so `establish` was never called for it.
             self.counters.established += 1;
             self.counters.served += 1;
             self.close_served(now, id, server, outcome);
@@ -180,7 +181,7 @@
         EndedAttempt { server, is_final }
     }
 
-    /// The attempt in flight has ended, and its request fails with it. Returns the attempt's server.
+    /// Ends the attempt in flight and fails its request. Returns the attempt's server.
     pub fn fail_with_attempt(
         &mut self,
         now: MonotonicTime,
@@ -194,11 +195,12 @@
         Some(server)
     }
 
-    /// The client disconnected; an attempt in flight has been cancelled. Returns the state that the request had.
+    /// Closes a request whose client has disconnected. The caller has already cancelled any attempt in flight. Returns
+    /// the request's previous state.
     pub fn disconnect_client(&mut self, now: MonotonicTime, id: RequestId) -> Option<RequestState> {
         let state = self.open.get(id)?.state;
         match state {
-            RequestState::NoAttempt => {
+            RequestState::AwaitingAttempt => {
                 self.counters.client_disconnected += 1;
                 self.close(now, id, None, FlowResult::ClientDisconnected);
             }
@@ -212,7 +214,7 @@
         Some(state)
     }
 
-    /// Closes an established connection that its client is to open anew.
+    /// Closes an established connection so that its client reconnects.
     pub fn migrate(
         &mut self,
         now: MonotonicTime,
@@ -224,27 +226,28 @@
         let migrated = MigratedConnection { frontend: request.frontend, server };
         let elapsed = now.saturating_duration_since(request.started_at);
         self.counters.migrated += 1;
-        self.trace_attempt(id, server, AttemptStep::Ended(outcome), elapsed);
+        self.record_attempt_step(id, server, AttemptStep::Ended(outcome), elapsed);
         self.close(now, id, Some(server), FlowResult::Migrated);
         Some(migrated)
     }
 
-    /// The established connections that exceed the quotas, the newest first.
+    /// The established connections that exceed the quotas, newest first.
     pub fn connections_over_quota(&mut self, now: MonotonicTime) -> Vec<RequestId> {
-        self.quotas.connections_over_quota(now, &self.open)
+        self.quota_usage.connections_over_quota(now, &self.open)
     }
 
-    /// Removes an established connection that another process continues. It leaves no flow record: that process
-    /// records the whole flow.
+    /// Removes an established connection that is handed over to another process. No flow record is written here, since
+    /// that process records the whole flow.
     pub fn hand_over(&mut self, id: RequestId) -> Option<ReleasedConnection> {
         let RequestState::Established(server) = self.open.get(id)?.state else { return None };
         let request = self.open.remove(id)?;
-        self.quotas.release(&request);
+        self.quota_usage.release(&request);
         self.counters.handed_over += 1;
         Some(ReleasedConnection { server, started_at: request.started_at })
     }
 
-    /// Fails a request that has no answer yet, whatever its state.
+    /// Fails an unanswered request, whether or not an attempt is in flight. Returns its frontend and its previous
+    /// state.
     pub fn fail_unanswered(&mut self, now: MonotonicTime, id: RequestId) -> Option<EndedRequest> {
         let request = self.open.get(id)?;
         let ended = EndedRequest { frontend: request.frontend, state: request.state };
@@ -256,16 +259,16 @@
         Some(ended)
     }
 
-    /// Fails a request that waits for an attempt. Returns its frontend.
+    /// Fails a request that is waiting for an attempt. Returns its frontend.
     pub fn fail(&mut self, now: MonotonicTime, id: RequestId) -> Option<FrontendId> {
-        let request = self.close_waiting(now, id, FlowResult::Failed)?;
+        let request = self.close_awaiting_attempt(now, id, FlowResult::Failed)?;
         self.counters.failed += 1;
         Some(request.frontend)
     }
 
-    /// Rejects a request that waits for an attempt. Returns its frontend.
+    /// Rejects a request that is waiting for an attempt. Returns its frontend.
     pub fn reject(&mut self, now: MonotonicTime, id: RequestId) -> Option<FrontendId> {
-        let request = self.close_waiting(now, id, FlowResult::Rejected)?;
+        let request = self.close_awaiting_attempt(now, id, FlowResult::Rejected)?;
         self.counters.rejected += 1;
         self.counters.rejected_unsent += u64::from(request.attempts == 0);
         Some(request.frontend)
@@ -279,12 +282,17 @@
     }
 
     /// Closes a request that has no attempt in flight and no answer yet.
-    fn close_waiting(&mut self, now: MonotonicTime, id: RequestId, result: FlowResult) -> Option<Request> {
-        self.open.get(id).filter(|request| request.state == RequestState::NoAttempt)?;
+    fn close_awaiting_attempt(
+        &mut self,
+        now: MonotonicTime,
+        id: RequestId,
+        result: FlowResult,
+    ) -> Option<Request> {
+        self.open.get(id).filter(|request| request.state == RequestState::AwaitingAttempt)?;
         self.close(now, id, None, result)
     }
 
-    /// Closes a request that was served, after its connection ended with this outcome.
+    /// Closes a served request whose connection ended with this outcome.
     fn close_served(&mut self, now: MonotonicTime, id: RequestId, server: ServerId, outcome: Outcome) {
         let result = match outcome {
             Outcome::Ok | Outcome::Cancelled => FlowResult::Served,
@@ -302,7 +310,7 @@
         result: FlowResult,
     ) -> Option<Request> {
         let request = self.open.remove(id)?;
-        self.quotas.release(&request);
+        self.quota_usage.release(&request);
         self.records.push_flow(FlowRecord {
             request_id: id,
             frontend: request.frontend,
@@ -316,7 +324,7 @@
         Some(request)
     }
 
-    fn trace_attempt(
+    fn record_attempt_step(
         &mut self,
         request_id: RequestId,
         server: ServerId,
--- a/src/requests/mod.rs
+++ b/src/requests/mod.rs
@@ -1,12 +1,13 @@
 //! Requests and their attempts, independent of any protocol.
 //!
-//! Frontends report to the [`RequestTable`] what happened; the events wait until [`RequestTable::decide`] passes them to
-//! the balancer in one go and returns its actions as [`Command`]s. A request is in the table only while it may still be
-//! answered or ended, and its state has at most one attempt: a second final answer finds no request, and a second
-//! attempt is not started.
+//! Frontends report what happened to the [`RequestTable`], which queues the reports as events. [`RequestTable::decide`]
+//! passes the queued events to the balancer in one batch and returns the resulting actions as [`Command`]s. A request
+//! is in the table only until it has ended, and its state holds at most one attempt. Therefore a second final answer
+//! finds no request, and a second concurrent attempt cannot be started.
 //!
-//! The table's state has two owners: `decision_queue` has the balancer and the events that it has not seen yet, `ledger`
-//! the open requests and the accounting of them (`open_requests`, `quota_usage`, `records`, and the node's counters).
+//! The table's state is split in two: `decision_queue` holds the balancer and the events that it has not processed yet;
+//! `ledger` holds the open requests and their accounting (`open_requests`, `quota_usage`, `records`, and the node's
+//! counters).
 
 mod command;
 mod decision_queue;
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -1,4 +1,4 @@
-//! The requests that may still be answered or ended, by their ids.
+//! The requests that have not ended yet, indexed by id.
 
 use crate::frontend_id::FrontendId;
 use crate::model::{Arrival, RequestId, ServerId};
@@ -9,77 +9,77 @@
 /// An attempt that has no outcome yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Attempt {
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// When it was sent.
-    pub sent_at: MonotonicTime,
-    /// Its number within the request, from one.
+    /// When the attempt was started.
+    pub started_at: MonotonicTime,
+    /// The attempt's number within its request, starting at one.
     pub number: u32,
-    /// The request is not to be written to the server from this time on.
+    /// The request must not be written to the server at or after this time.
     pub send_by: MonotonicTime,
 }
 
 /// The state of a request between its arrival and its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestState {
-    /// It waits for its first attempt or a retry.
-    NoAttempt,
+    /// Waiting for its first attempt or a retry.
+    AwaitingAttempt,
     /// One attempt is in flight.
     InFlight(Attempt),
-    /// Its connection is established at this server.
+    /// The connection is established at this server.
     Established(ServerId),
 }
 
-/// A request that may still be answered or ended.
+/// A request that has not ended yet.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The frontend through which it arrived.
+    /// The frontend through which the request arrived.
     pub frontend: FrontendId,
-    /// Its class, an index into the settings' classes.
+    /// The request's class, an index into [`Settings::classes`](crate::model::Settings::classes).
     pub class: usize,
-    /// When it arrived.
+    /// When the request arrived.
     pub started_at: MonotonicTime,
-    /// When its client stops waiting.
+    /// When the client stops waiting for an answer.
     pub deadline: MonotonicTime,
-    /// The number of attempts so far.
+    /// The number of attempts started so far.
     pub attempts: u32,
-    /// Its state.
+    /// The current state.
     pub state: RequestState,
-    /// Whether it counts against the quotas until it ends.
+    /// Whether the request counts against the quotas until it ends.
     pub uses_quota: bool,
 }
 
 impl Request {
-    /// Its attempt, while one is in flight.
+    /// The attempt in flight, if there is one.
     pub fn attempt_in_flight(&self) -> Option<Attempt> {
         match self.state {
             RequestState::InFlight(attempt) => Some(attempt),
-            RequestState::NoAttempt | RequestState::Established(_) => None,
+            RequestState::AwaitingAttempt | RequestState::Established(_) => None,
         }
     }
 
-    /// Whether its connection is established.
+    /// Whether the request's connection is established.
     pub fn is_established(&self) -> bool {
         matches!(self.state, RequestState::Established(_))
     }
 }
 
-/// An established connection that the process before this one handed over.
+/// An established connection handed over by this process's predecessor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HandedOverConnection {
-    /// The frontend through which its request arrived.
+    /// The frontend through which the request arrived.
     pub frontend: FrontendId,
-    /// The request that opened it.
+    /// The request that opened the connection.
     pub arrival: Arrival,
-    /// Its server.
+    /// The server of the connection.
     pub server: ServerId,
-    /// When its request arrived, on the node's clock.
+    /// When the request arrived, on this node's clock.
     pub started_at: MonotonicTime,
-    /// Its last load report: work per second.
+    /// The load in its last load report: work time per second.
     pub load: Option<Duration>,
 }
 
-/// All open requests. Ids are assigned here, in the order of arrival, and never reused.
+/// All open requests. Assigns request ids in order of arrival; ids are never reused.
 #[derive(Default)]
 pub struct OpenRequests {
     by_id: HashMap<RequestId, Request, foldhash::fast::RandomState>,
@@ -87,7 +87,7 @@
 }
 
 impl OpenRequests {
-    /// Adds a request and assigns its id, which is also written into the arrival.
+    /// Adds a request and assigns its id, which is also written into `arrival`.
     pub fn insert(
         &mut self,
         now: MonotonicTime,
@@ -110,24 +110,24 @@
         arrival.id
     }
 
-    /// The request with this id, while it is open.
+    /// The request with this id, if it is open.
     pub fn get(&self, id: RequestId) -> Option<&Request> {
         self.by_id.get(&id)
     }
 
-    /// The request with this id, while it is open.
+    /// Mutable access to the request with this id, if it is open.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut Request> {
         self.by_id.get_mut(&id)
     }
 
-    /// The request counts against the quotas until it ends.
-    pub fn mark_quota_used(&mut self, id: RequestId) {
+    /// Marks a request as counted against the quotas until it ends.
+    pub fn mark_uses_quota(&mut self, id: RequestId) {
         if let Some(request) = self.by_id.get_mut(&id) {
             request.uses_quota = true;
         }
     }
 
-    /// Takes a request out.
+    /// Removes a request and returns it, if it was open.
     pub fn remove(&mut self, id: RequestId) -> Option<Request> {
         self.by_id.remove(&id)
     }
@@ -137,9 +137,9 @@
         self.by_id.is_empty()
     }
 
-    /// The ids of the requests that match, oldest first.
-    pub fn ids_oldest_first(&self, matches: impl Fn(&Request) -> bool) -> Vec<RequestId> {
-        let matching = self.by_id.iter().filter(|(_, request)| matches(request));
+    /// The ids of the requests that satisfy `predicate`, oldest first.
+    pub fn ids_oldest_first(&self, predicate: impl Fn(&Request) -> bool) -> Vec<RequestId> {
+        let matching = self.by_id.iter().filter(|(_, request)| predicate(request));
         let mut ids: Vec<RequestId> = matching.map(|(id, _)| *id).collect();
         ids.sort_unstable();
         ids
--- a/src/requests/quota_usage.rs
+++ b/src/requests/quota_usage.rs
@@ -1,4 +1,4 @@
-//! How requests count against the fleet-wide quotas at this node.
+//! Counting of this node's requests against the fleet-wide quotas.
 
 use super::open_requests::{OpenRequests, Request};
 use crate::model::RequestId;
@@ -6,27 +6,27 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// A request that the quotas rejected on arrival and that has no final answer yet.
+/// A request that was rejected by the quotas on arrival and has no final answer yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRejection {
     /// The request.
     pub request_id: RequestId,
-    /// How long its client should wait before it retries.
+    /// How long the client should wait before it retries.
     pub retry_after: Duration,
 }
 
-/// Whether a new request counts against the quotas.
+/// The decision of the quotas on a new request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaDecision {
     /// The fleet has no quotas.
     Unlimited,
-    /// It is admitted, and counts until it ends.
+    /// The request is admitted and counts against the quotas until it ends.
     Counted,
-    /// It is rejected.
+    /// The request is rejected; its client should retry after this time.
     Rejected(Duration),
 }
 
-/// The quotas, where the fleet has any, and the requests that they rejected.
+/// The quota admission of this node, if the fleet has quotas, and the rejected requests that await their answer.
 #[derive(Default)]
 pub struct QuotaUsage {
     admission: Option<QuotaAdmission>,
@@ -34,22 +34,22 @@
 }
 
 impl QuotaUsage {
-    /// Counts requests against these quotas from now on.
+    /// Enables quotas: from now on, requests are counted against them.
     pub fn enable(&mut self, admission: QuotaAdmission) {
         self.admission = Some(admission);
     }
 
-    /// The quotas, where the fleet has any.
+    /// The quota admission, if the fleet has quotas.
     pub fn admission(&self) -> Option<&QuotaAdmission> {
         self.admission.as_ref()
     }
 
-    /// The quotas, where the fleet has any.
+    /// Mutable access to the quota admission, if the fleet has quotas.
     pub fn admission_mut(&mut self) -> Option<&mut QuotaAdmission> {
         self.admission.as_mut()
     }
 
-    /// Decides on a new request of this class.
+    /// Decides whether a new request of this class is admitted.
     pub fn admit_request(&mut self, now: MonotonicTime, class: usize) -> QuotaDecision {
         let Some(admission) = &mut self.admission else { return QuotaDecision::Unlimited };
         match admission.admit_request(now, class) {
@@ -58,26 +58,26 @@
         }
     }
 
-    /// Whether a request of this class may have a further attempt.
+    /// Whether a retry of a request of this class is admitted; if so, it is counted.
     pub fn admits_retry(&mut self, now: MonotonicTime, class: usize) -> bool {
         self.admission.as_mut().is_none_or(|admission| admission.admit_retry(now, class).is_ok())
     }
 
-    /// Counts a connection that was established before this process took it on. Returns whether there are quotas.
+    /// Counts a connection that was established before this process took it over. Returns whether the fleet has quotas.
     pub fn adopt_connection(&mut self, class: usize) -> bool {
         let Some(admission) = &mut self.admission else { return false };
         admission.adopt_connection(class);
         true
     }
 
-    /// A request has ended.
+    /// Releases what an ended request counted against the quotas.
     pub fn release(&mut self, request: &Request) {
         if let Some(admission) = self.admission.as_mut().filter(|_| request.uses_quota) {
             admission.release(request.class);
         }
     }
 
-    /// The established connections that exceed the quotas, the newest first.
+    /// The established connections that exceed the quotas, newest first.
     pub fn connections_over_quota(&mut self, now: MonotonicTime, requests: &OpenRequests) -> Vec<RequestId> {
         let Some(admission) = self.admission.as_mut() else { return Vec::new() };
         if !admission.has_excess(now) {
@@ -90,17 +90,17 @@
         newest.into_iter().zip(is_excess).filter_map(|(id, is_excess)| is_excess.then_some(id)).collect()
     }
 
-    /// Keeps a rejected request until it is answered.
+    /// Queues a rejected request for its answer.
     pub fn push_rejection(&mut self, rejection: QuotaRejection) {
         self.rejections.push(rejection);
     }
 
-    /// Whether rejected requests have no answer yet.
+    /// Whether any rejected request awaits its answer.
     pub fn has_rejections(&self) -> bool {
         !self.rejections.is_empty()
     }
 
-    /// Takes the rejected requests, to be answered now.
+    /// Removes and returns the rejected requests, which the caller has to answer.
     pub fn take_rejections(&mut self) -> Vec<QuotaRejection> {
         std::mem::take(&mut self.rejections)
     }
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -1,11 +1,11 @@
-//! Records of ended flows and of attempts, gathered for an export or a trace.
+//! Records of ended flows and of attempts, collected for flow export and for the attempt trace.
 
 use crate::frontend_id::FrontendId;
 use crate::model::{Outcome, RequestId, ServerId};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The records of flows and of attempts. Each kind is gathered once it is enabled.
+/// Collects flow records and attempt records. Each kind is collected only after it has been enabled.
 #[derive(Default)]
 pub struct Records {
     flows: RecordBuffer<FlowRecord>,
@@ -13,38 +13,38 @@
 }
 
 impl Records {
-    /// Gathers records of flows from now on.
+    /// Enables the collection of flow records.
     pub fn enable_flows(&mut self) {
         self.flows.enable();
     }
 
-    /// Adds a flow that ended, if records of flows are enabled.
+    /// Adds the record of an ended flow, if flow records are enabled.
     pub fn push_flow(&mut self, record: FlowRecord) {
         self.flows.push(record);
     }
 
-    /// Takes the records of flows that were gathered, oldest first.
+    /// Removes and returns the collected flow records, oldest first.
     pub fn take_flows(&mut self) -> Vec<FlowRecord> {
         self.flows.take()
     }
 
-    /// Gathers records of attempts from now on.
+    /// Enables the collection of attempt records.
     pub fn enable_attempts(&mut self) {
         self.attempts.enable();
     }
 
-    /// Adds a step of an attempt, if records of attempts are enabled.
+    /// Adds the record of one step of an attempt, if attempt records are enabled.
     pub fn push_attempt(&mut self, record: AttemptRecord) {
         self.attempts.push(record);
     }
 
-    /// Takes the records of attempts that were gathered, oldest first.
+    /// Removes and returns the collected attempt records, oldest first.
     pub fn take_attempts(&mut self) -> Vec<AttemptRecord> {
         self.attempts.take()
     }
 }
 
-/// Records gathered until they are taken; `None` while disabled.
+/// Records collected until [`RecordBuffer::take`]; `None` while disabled.
 struct RecordBuffer<T>(Option<Vec<T>>);
 
 impl<T> Default for RecordBuffer<T> {
@@ -69,45 +69,45 @@
     }
 }
 
-/// A flow that ended: a request from its arrival to its final answer or the end of its connection.
+/// An ended flow: a request from its arrival to its final answer or to the end of its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowRecord {
     /// The request.
     pub request_id: RequestId,
-    /// The frontend through which it arrived.
+    /// The frontend through which the request arrived.
     pub frontend: FrontendId,
-    /// Its class, an index into the settings' classes.
+    /// The request's class, an index into [`Settings::classes`](crate::model::Settings::classes).
     pub class: usize,
     /// The server of its last attempt, unless the request ended between two attempts.
     pub server: Option<ServerId>,
-    /// When it arrived.
+    /// When the request arrived.
     pub started_at: MonotonicTime,
-    /// When it ended.
+    /// When the flow ended.
     pub ended_at: MonotonicTime,
-    /// The number of attempts sent.
+    /// The number of attempts started.
     pub attempts: u32,
-    /// How it ended.
+    /// How the flow ended.
     pub result: FlowResult,
 }
 
 /// How a flow ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowResult {
-    /// It was served, and the client or the server ended it.
+    /// Served, then ended by the client or the server.
     Served,
-    /// It was rejected.
+    /// Rejected.
     Rejected,
-    /// It failed.
+    /// Failed.
     Failed,
     /// The client disconnected before the final answer.
     ClientDisconnected,
-    /// This node closed it for its client to reconnect.
+    /// This node closed the established connection so that the client reconnects.
     Migrated,
-    /// Its established connection was lost.
+    /// The established connection was lost.
     Broken,
 }
 
-/// A step of an attempt, for the trace.
+/// One step of an attempt, for the attempt trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
     /// The request.
@@ -116,15 +116,15 @@
     pub server: ServerId,
     /// What happened.
     pub step: AttemptStep,
-    /// Since the attempt was sent; for the end of an established connection, since the request arrived.
+    /// Time since the attempt was started; for the end of an established connection, time since the request arrived.
     pub elapsed: Duration,
 }
 
 /// What happened to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
-    /// Its connection was established.
+    /// The attempt's connection was established.
     Established,
-    /// It ended, or the connection that it established did.
+    /// The attempt, or the connection that it established, ended with this outcome.
     Ended(Outcome),
 }
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -1,4 +1,5 @@
-//! The request table: takes reports about requests, has the balancer decide on them, and gives commands to the node.
+//! The request table: receives reports about requests, lets the balancer decide on them, and issues commands to the
+//! node.
 
 use super::command::Command;
 use super::decision_queue::DecisionQueue;
@@ -6,7 +7,7 @@
 use super::open_requests::{HandedOverConnection, Request, RequestState};
 use super::quota_usage::{QuotaDecision, QuotaRejection};
 use super::records::{AttemptRecord, FlowRecord};
-use super::transition::{AttemptPlan, NotStarted};
+use super::transition::{AttemptPlan, AttemptRefusal};
 use crate::counters::Counters;
 use crate::frontend_id::FrontendId;
 use crate::model::{Action, Arrival, Event, Outcome, RequestId, ServerId, Settings, SettingsError};
@@ -14,7 +15,7 @@
 use crate::rules::{self, PeerStatus, SendInputs, SendRefusal, Violation, ViolationContext, ViolationLog};
 use sparbank_time::MonotonicTime;
 
-/// The requests of this node, and the balancer that decides on them.
+/// The requests of this node and the balancer that decides on them.
 pub struct RequestTable {
     decisions: DecisionQueue,
     ledger: RequestLedger,
@@ -22,10 +23,10 @@
 }
 
 impl RequestTable {
-    /// An empty table. The seed determines the balancer's random draws.
+    /// Creates an empty table. The seed determines the balancer's random draws.
     ///
     /// # Errors
-    /// The field of the settings that cannot be right.
+    /// The first setting that is invalid.
     pub fn new(seed: u64, settings: Settings) -> Result<RequestTable, SettingsError> {
         Ok(RequestTable {
             decisions: DecisionQueue::new(seed, settings)?,
@@ -34,28 +35,28 @@
         })
     }
 
-    /// Applies newer settings, which have the same classes at the same indexes.
+    /// Applies updated settings, which must have the same classes at the same indexes.
     pub fn update_settings(&mut self, settings: Settings) {
         self.decisions.balancer_mut().update_settings(settings);
     }
 
-    /// A snapshot of the balancer's state as JSON, for the process that replaces this one.
+    /// A snapshot of the balancer's state as JSON, for this process's successor.
     pub fn state_snapshot(&self) -> String {
         self.decisions.balancer().state_snapshot()
     }
 
-    /// Restores a [`RequestTable::state_snapshot`] of the process that this one replaces. Call it once the balancer
-    /// has that process's endpoint list, and before any connection is established.
+    /// Restores the [`RequestTable::state_snapshot`] of this process's predecessor. Call it after the balancer has
+    /// received the predecessor's endpoint list and before any connection is established.
     ///
     /// # Errors
-    /// The snapshot is not the JSON that it should be.
+    /// The snapshot is not valid JSON or does not have the expected structure.
     pub fn restore_state(&mut self, snapshot: &str) -> Result<(), serde_json::Error> {
         self.decisions.balancer_mut().restore_state(snapshot)
     }
 
-    // ---- Reports of the frontends -----------------------------------------------------------------
+    // ---- Frontend reports -------------------------------------------------------------------------
 
-    /// A request arrived. Returns the id assigned to it.
+    /// Reports the arrival of a request. Returns the id assigned to it.
     pub fn on_request(
         &mut self,
         now: MonotonicTime,
@@ -70,7 +71,8 @@
         request_id
     }
 
-    /// A connection from before this node's start is established again, without a selection of its server.
+    /// Adds a connection that was established before this node started and has been restored at its server, without
+    /// server selection.
     pub fn restore_established(
         &mut self,
         now: MonotonicTime,
@@ -82,7 +84,7 @@
         self.insert_established(now, frontend, arrival, server)
     }
 
-    /// Continues an established connection of the process before this one.
+    /// Adds an established connection that the predecessor has handed over.
     pub fn receive_handed_over(&mut self, now: MonotonicTime, connection: HandedOverConnection) -> RequestId {
         let HandedOverConnection { frontend, arrival, server, started_at, load } = connection;
         self.ledger.counters_mut().inherited += 1;
@@ -106,19 +108,20 @@
         id
     }
 
-    /// Hands an established connection over to the process that replaces this one, without a flow record: that
-    /// process records the whole flow. Returns when the request arrived; `None` if it is not established.
+    /// Removes an established connection that is handed over to the successor. No flow record is written here, since
+    /// the successor records the whole flow. Returns when the request arrived, or `None` if its connection is not
+    /// established.
     pub fn hand_over(&mut self, id: RequestId) -> Option<MonotonicTime> {
         let released = self.ledger.hand_over(id)?;
         self.decisions.push_last_attempt_ended(id, released.server, Outcome::Cancelled);
         Some(released.started_at)
     }
 
-    /// Whether the attempt in flight may be written to its server now. A frontend asks right before the first byte, with
-    /// what its sockets say at that moment.
+    /// Checks whether the attempt in flight may be written to its server now. A frontend calls this right before it
+    /// writes the first byte, with the state of its sockets at that moment.
     ///
     /// # Errors
-    /// Why not; the frontend then reports the attempt as [`Outcome::NotSent`].
+    /// The reason against sending; the frontend then reports the attempt as [`Outcome::NotSent`].
     pub fn may_send(&self, now: MonotonicTime, id: RequestId, peers: PeerStatus) -> Result<(), SendRefusal> {
         let attempt = self.ledger.open().get(id).and_then(Request::attempt_in_flight);
         let send_by = attempt.map_or(MonotonicTime::ZERO, |attempt| attempt.send_by);
@@ -126,7 +129,7 @@
         rules::may_send(&SendInputs { now, peers, is_current_attempt, send_by })
     }
 
-    /// The attempt in flight was accepted: its connection is established and the client has its answer.
+    /// Reports that the attempt in flight was accepted: its connection is established and the client has its answer.
     pub fn on_established(&mut self, now: MonotonicTime, id: RequestId) {
         if let Some(attempt) = self.ledger.establish(now, id) {
             let (server, setup_time) = (attempt.server, attempt.setup_time);
@@ -134,8 +137,8 @@
         }
     }
 
-    /// The attempt in flight, or the connection that it established, has ended. Returns whether that was the
-    /// final answer.
+    /// Reports that the attempt in flight, or the connection that it established, has ended. Returns whether the
+    /// request has ended with it.
     pub fn on_attempt_ended(&mut self, now: MonotonicTime, id: RequestId, outcome: Outcome) -> bool {
         let Some(ended) = self.ledger.end_attempt(now, id, outcome) else { return false };
         let (server, done) = (ended.server, ended.is_final);
@@ -143,8 +146,8 @@
         done
     }
 
-    /// The attempt in flight has ended and cannot be repeated, since its frontend no longer has the bytes to send.
-    /// Returns whether a final answer, failed, is still due to the client.
+    /// Reports that the attempt in flight has ended and cannot be retried, since its frontend no longer has the bytes
+    /// to send. Returns whether the frontend still has to send the final answer "failed".
     pub fn on_unrepeatable_attempt_ended(
         &mut self,
         now: MonotonicTime,
@@ -157,11 +160,11 @@
         true
     }
 
-    /// The client disconnected. The frontend has already cancelled the attempt, if one was in flight.
+    /// Reports that the client has disconnected. The frontend has already cancelled any attempt in flight.
     pub fn on_client_disconnected(&mut self, now: MonotonicTime, id: RequestId) {
         let Some(state) = self.ledger.disconnect_client(now, id) else { return };
         match state {
-            RequestState::NoAttempt => self.decisions.push(Event::ClientDisconnected(id)),
+            RequestState::AwaitingAttempt => self.decisions.push(Event::ClientDisconnected(id)),
             RequestState::InFlight(attempt) => {
                 self.decisions.push(Event::ClientDisconnected(id));
                 self.decisions.push_last_attempt_ended(id, attempt.server, Outcome::Cancelled);
@@ -172,15 +175,15 @@
         }
     }
 
-    /// Any other event for the balancer: reports, endpoint lists, timers.
+    /// Queues any other event for the balancer: load reports, endpoint lists, timers.
     pub fn push_event(&mut self, event: Event) {
         self.decisions.push(event);
     }
 
-    // ---- What the node ends by itself --------------------------------------------------------------
+    // ---- Migrations and failures initiated by the node --------------------------------------------
 
-    /// Closes an established connection that the node migrates, during a drain or because its server is silent.
-    /// Returns the frontend that has to notify the client; `None` if it is not established.
+    /// Closes an established connection that the node migrates, either during a drain or because its server has stopped
+    /// responding. Returns the frontend that has to notify the client, or `None` if the connection is not established.
     pub fn close_for_migration(
         &mut self,
         now: MonotonicTime,
@@ -192,7 +195,7 @@
         Some(migrated.frontend)
     }
 
-    /// Closes the established connections that exceed the quotas, the newest first.
+    /// Migrates the established connections that exceed the quotas, newest first.
     pub fn migrate_over_quota(&mut self, now: MonotonicTime) -> Vec<Command> {
         let mut commands = Vec::new();
         for request_id in self.ledger.connections_over_quota(now) {
@@ -204,7 +207,8 @@
         commands
     }
 
-    /// The node drains or shuts down: requests that arrived before `before` and have no answer yet fail.
+    /// Fails the requests that arrived before `before` and have no answer yet. Called while the node drains or shuts
+    /// down.
     pub fn fail_unanswered(&mut self, now: MonotonicTime, before: MonotonicTime) -> Vec<Command> {
         let is_due = |request: &Request| !request.is_established() && request.started_at < before;
         let mut commands = Vec::new();
@@ -223,12 +227,12 @@
 
     // ---- Decisions -----------------------------------------------------------------------------------
 
-    /// Whether there is anything for [`RequestTable::decide`].
+    /// Whether [`RequestTable::decide`] has anything to process.
     pub fn has_pending_events(&self) -> bool {
-        self.decisions.has_pending_events() || self.ledger.quotas().has_rejections()
+        self.decisions.has_pending_events() || self.ledger.quota_usage().has_rejections()
     }
 
-    /// Passes all pending events to the balancer and returns the commands that follow, in order.
+    /// Passes all pending events to the balancer and returns the resulting commands in execution order.
     pub fn decide(&mut self, now: MonotonicTime) -> Vec<Command> {
         let mut commands = self.answer_quota_rejections(now);
         let mut actions = Vec::new();
@@ -243,7 +247,7 @@
 
     fn answer_quota_rejections(&mut self, now: MonotonicTime) -> Vec<Command> {
         let mut commands = Vec::new();
-        for QuotaRejection { request_id, retry_after } in self.ledger.quotas_mut().take_rejections() {
+        for QuotaRejection { request_id, retry_after } in self.ledger.quota_usage_mut().take_rejections() {
             if let Some(frontend) = self.ledger.reject_over_quota(now, request_id) {
                 commands.push(Command::Reject { frontend, request_id, retry_after });
             }
@@ -251,7 +255,7 @@
         commands
     }
 
-    /// Applies an action of the balancer. None where it is out of date or has no command.
+    /// Applies an action of the balancer. Returns `None` if the action is out of date or needs no command.
     fn apply(&mut self, now: MonotonicTime, action: Action) -> Option<Command> {
         match action {
             Action::StartAttempt { id, server, timeout, send_by } => {
@@ -289,11 +293,11 @@
                 let (frontend, timeout) = (started.frontend, started.timeout);
                 Some(Command::StartAttempt { frontend, request_id: id, server, timeout })
             }
-            Err(NotStarted::NotWaiting) => {
+            Err(AttemptRefusal::NotAwaitingAttempt) => {
                 self.decisions.push_last_attempt_ended(id, server, Outcome::NotSent);
                 None
             }
-            Err(NotStarted::OverQuota) => {
+            Err(AttemptRefusal::OverQuota) => {
                 let outcome = Outcome::Rejected;
                 self.decisions.push(Event::AttemptEnded { id, server, outcome, done: false });
                 None
@@ -303,19 +307,19 @@
 
     // ---- Queries -------------------------------------------------------------------------------------
 
-    /// The frontend of a request whose attempt with this number is still in flight, for the attempt's time-out.
+    /// The frontend of a request if its attempt with this number is still in flight. Used by the attempt's time-out.
     pub fn frontend_of_attempt(&self, id: RequestId, number: u32) -> Option<FrontendId> {
         let request = self.ledger.open().get(id)?;
         let is_in_flight = request.attempt_in_flight().is_some_and(|attempt| attempt.number == number);
         is_in_flight.then_some(request.frontend)
     }
 
-    /// The number of a request's latest attempt, for its time-out; zero if it had none.
+    /// The number of a request's latest attempt, or zero if it has had none. Used to set the attempt's time-out.
     pub fn attempt_number(&self, id: RequestId) -> u32 {
         self.ledger.open().get(id).map_or(0, |request| request.attempts)
     }
 
-    /// The requests with an established connection, oldest first.
+    /// The ids of the requests with an established connection, oldest first.
     pub fn established(&self) -> Vec<RequestId> {
         self.ledger.open().ids_oldest_first(Request::is_established)
     }
@@ -327,57 +331,57 @@
 
     // ---- Accounting ----------------------------------------------------------------------------------
 
-    /// Counts since the start of the process.
+    /// The counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         self.ledger.counters()
     }
 
-    /// Counts since the start of the process. The node and its frontends add what they count themselves.
+    /// Mutable access to the counters, for events that the node and its frontends count themselves.
     pub fn counters_mut(&mut self) -> &mut Counters {
         self.ledger.counters_mut()
     }
 
-    /// Counts requests against these quotas from now on.
+    /// Enables quotas: from now on, requests are counted against them.
     pub fn enable_quotas(&mut self, admission: QuotaAdmission) {
-        self.ledger.quotas_mut().enable(admission);
+        self.ledger.quota_usage_mut().enable(admission);
     }
 
-    /// The quotas that bound what this node admits, where the fleet has any.
+    /// The quota admission of this node, if the fleet has quotas.
     pub fn quotas(&self) -> Option<&QuotaAdmission> {
-        self.ledger.quotas().admission()
+        self.ledger.quota_usage().admission()
     }
 
-    /// The quotas, for the exchange of leases.
+    /// Mutable access to the quota admission, for the exchange of leases.
     pub fn quotas_mut(&mut self) -> Option<&mut QuotaAdmission> {
-        self.ledger.quotas_mut().admission_mut()
+        self.ledger.quota_usage_mut().admission_mut()
     }
 
-    /// Records the flows that end from now on.
+    /// Enables flow records for the flows that end from now on.
     pub fn enable_flow_records(&mut self) {
         self.ledger.records_mut().enable_flows();
     }
 
-    /// Takes the records of the flows that have ended, oldest first.
+    /// Removes and returns the collected flow records, oldest first.
     pub fn take_flow_records(&mut self) -> Vec<FlowRecord> {
         self.ledger.records_mut().take_flows()
     }
 
-    /// Records the steps of attempts from now on.
+    /// Enables attempt records for the steps of attempts from now on.
     pub fn enable_attempt_records(&mut self) {
         self.ledger.records_mut().enable_attempts();
     }
 
-    /// Takes the records of attempts, oldest first.
+    /// Removes and returns the collected attempt records, oldest first.
     pub fn take_attempt_records(&mut self) -> Vec<AttemptRecord> {
         self.ledger.records_mut().take_attempts()
     }
 
-    /// Counts and logs a rule that was broken, which is a fault of this program.
+    /// Counts and logs the violation of a protocol rule. A violation is always a bug in this program.
     pub fn record_violation(&mut self, violation: Violation, context: ViolationContext<'_>) {
         self.violations.record(violation, context);
     }
 
-    /// The number of violations so far.
+    /// The number of rule violations so far.
     pub fn violation_count(&self) -> u64 {
         self.violations.count()
     }
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -1,4 +1,4 @@
-//! The states of a request, with the balancer on two servers.
+//! State transitions of requests, with a balancer that knows two servers.
 
 use super::*;
 use crate::model::{
@@ -10,7 +10,7 @@
 
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
-/// When the requests of most tests arrive.
+/// The arrival time of the requests in most tests.
 const START: MonotonicTime = MonotonicTime::from_nanos(1_000_000_000);
 const FRONTEND: FrontendId = FrontendId { index: 0, name: "text" };
 const SERVER: ServerId = ServerId(0);
@@ -67,8 +67,8 @@
     }
 }
 
-/// A table whose balancer knows two servers, with flow records and the attempt trace enabled.
-fn two_server_requests() -> RequestTable {
+/// A table whose balancer knows two servers, with flow records and attempt records enabled.
+fn table_with_two_servers() -> RequestTable {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
     requests.enable_flow_records();
     requests.enable_attempt_records();
@@ -77,31 +77,31 @@
     requests
 }
 
-/// The server of the attempt that a new request's first decision starts.
+/// Adds a request and has its first attempt started. Returns the request and the attempt's server.
 fn start_request(requests: &mut RequestTable, now: MonotonicTime) -> (RequestId, ServerId) {
     let id = requests.on_request(now, FRONTEND, arrival());
     match requests.decide(now)[..] {
         [Command::StartAttempt { request_id, server, frontend: FRONTEND, .. }] if request_id == id => {
             (id, server)
         }
-        ref other => panic!("one attempt is started, not {other:?}"),
+        ref other => panic!("expected one attempt to be started, got {other:?}"),
     }
 }
 
-fn results(requests: &mut RequestTable) -> Vec<FlowResult> {
+fn take_flow_results(requests: &mut RequestTable) -> Vec<FlowResult> {
     requests.take_flow_records().into_iter().map(|flow| flow.result).collect()
 }
 
 #[test]
-fn established_request_is_served_to_its_end() {
-    let mut requests = two_server_requests();
+fn established_request_is_served_until_it_ends() {
+    let mut requests = table_with_two_servers();
     let (id, server) = start_request(&mut requests, START);
     requests.on_established(START + MILLISECOND, id);
     assert_eq!(requests.established(), [id]);
     assert!(requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Ok));
     assert!(requests.is_idle());
     let flows = requests.take_flow_records();
-    let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
+    let [flow] = &flows[..] else { panic!("expected one ended flow, got {flows:?}") };
     assert_eq!((flow.server, flow.result, flow.attempts), (Some(server), FlowResult::Served, 1));
     assert_eq!((flow.started_at, flow.ended_at), (START, START + 2 * SECOND));
     let counters = requests.counters_mut();
@@ -110,8 +110,8 @@
 }
 
 #[test]
-fn attempt_trace_has_each_step_with_its_time() {
-    let mut requests = two_server_requests();
+fn attempt_records_have_each_step_with_its_elapsed_time() {
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     requests.on_established(START + MILLISECOND, id);
     requests.on_attempt_ended(START + 2 * SECOND, id, Outcome::Reset);
@@ -119,58 +119,55 @@
     let expected =
         [(AttemptStep::Established, MILLISECOND), (AttemptStep::Ended(Outcome::Reset), 2 * SECOND)];
     assert_eq!(steps, expected);
-    assert_eq!(results(&mut requests), [FlowResult::Broken]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Broken]);
 }
 
 #[test]
 fn request_answered_in_one_step_is_served() {
-    let mut requests = two_server_requests();
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     assert!(requests.on_attempt_ended(START + SECOND, id, Outcome::Ok));
     assert_eq!(
         [requests.counters_mut().established, requests.counters_mut().served, requests.counters_mut().ended],
         [1, 1, 1]
     );
-    assert_eq!(results(&mut requests), [FlowResult::Served]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Served]);
 }
 
 #[test]
-fn failed_attempt_is_no_final_answer() {
-    let mut requests = two_server_requests();
+fn failed_attempt_is_not_a_final_answer() {
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     assert!(!requests.on_attempt_ended(START, id, Outcome::ConnectFailed));
     assert!(!requests.is_idle());
-    assert!(
-        !requests.on_attempt_ended(START, id, Outcome::ConnectFailed),
-        "no attempt is in flight any more"
-    );
+    assert!(!requests.on_attempt_ended(START, id, Outcome::ConnectFailed), "no attempt is in flight anymore");
     assert_eq!(requests.counters_mut().attempt_connect_failed, 1);
 }
 
 #[test]
 fn second_final_answer_finds_no_request() {
-    let mut requests = two_server_requests();
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     requests.on_client_disconnected(START, id);
     requests.on_client_disconnected(START, id);
     assert!(!requests.on_attempt_ended(START, id, Outcome::Ok));
     assert_eq!((requests.counters_mut().client_disconnected, requests.counters_mut().served), (1, 0));
-    assert_eq!(results(&mut requests), [FlowResult::ClientDisconnected]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::ClientDisconnected]);
 }
 
 #[test]
-fn client_that_disconnects_once_established_was_served() {
-    let mut requests = two_server_requests();
+fn request_counts_as_served_if_the_client_disconnects_after_establishment() {
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     requests.on_established(START, id);
     requests.on_client_disconnected(START + SECOND, id);
     assert_eq!((requests.counters_mut().client_disconnected, requests.counters_mut().ended), (0, 1));
-    assert_eq!(results(&mut requests), [FlowResult::Served]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Served]);
 }
 
 #[test]
-fn time_out_of_an_earlier_attempt_finds_no_frontend() {
-    let mut requests = two_server_requests();
+fn timeout_of_an_earlier_attempt_finds_no_frontend() {
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     let first = requests.attempt_number(id);
     assert_eq!((first, requests.frontend_of_attempt(id, first)), (1, Some(FRONTEND)));
@@ -180,20 +177,20 @@
 }
 
 #[test]
-fn unrepeatable_attempt_fails_its_request_once() {
-    let mut requests = two_server_requests();
+fn attempt_that_cannot_be_retried_fails_its_request_once() {
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     assert!(requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
     assert!(!requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
     let commands = requests.decide(START);
     assert!(!commands.iter().any(|command| matches!(command, Command::StartAttempt { .. })), "{commands:?}");
     assert_eq!((requests.counters_mut().failed, requests.counters_mut().attempt_reset), (1, 1));
-    assert_eq!(results(&mut requests), [FlowResult::Failed]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Failed]);
 }
 
 #[test]
-fn unanswered_requests_fail_and_established_ones_stay() {
-    let mut requests = two_server_requests();
+fn unanswered_requests_fail_and_established_connections_stay() {
+    let mut requests = table_with_two_servers();
     let (established, _) = start_request(&mut requests, START);
     requests.on_established(START, established);
     let (in_flight, _) = start_request(&mut requests, START);
@@ -209,32 +206,32 @@
     assert_eq!(requests.established(), [established]);
     assert_eq!(requests.frontend_of_attempt(late, 0), None);
     assert!(!requests.is_idle(), "the late request is still open");
-    assert_eq!(results(&mut requests), [FlowResult::Failed, FlowResult::Failed]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Failed, FlowResult::Failed]);
 }
 
 #[test]
 fn only_an_established_connection_is_migrated() {
-    let mut requests = two_server_requests();
+    let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
     assert_eq!(requests.close_for_migration(START, id, Outcome::Cancelled), None);
     requests.on_established(START, id);
     assert_eq!(requests.close_for_migration(START + SECOND, id, Outcome::Cancelled), Some(FRONTEND));
     assert!(requests.is_idle());
     assert_eq!(requests.counters_mut().migrated, 1);
-    assert_eq!(results(&mut requests), [FlowResult::Migrated]);
+    assert_eq!(take_flow_results(&mut requests), [FlowResult::Migrated]);
 }
 
 #[test]
 fn handed_over_connection_is_recorded_by_the_process_that_receives_it() {
-    let mut predecessor = two_server_requests();
+    let mut predecessor = table_with_two_servers();
     let (id, _) = start_request(&mut predecessor, START);
-    assert_eq!(predecessor.hand_over(id), None, "it is not established yet");
+    assert_eq!(predecessor.hand_over(id), None, "the connection is not established yet");
     predecessor.on_established(START, id);
-    let started_at = predecessor.hand_over(id).expect("it is established");
+    let started_at = predecessor.hand_over(id).expect("the connection is established");
     assert!(predecessor.is_idle());
-    assert_eq!(results(&mut predecessor), []);
+    assert_eq!(take_flow_results(&mut predecessor), []);
 
-    let mut successor = two_server_requests();
+    let mut successor = table_with_two_servers();
     let connection = HandedOverConnection {
         frontend: FRONTEND,
         arrival: arrival(),
@@ -245,13 +242,13 @@
     let id = successor.receive_handed_over(START + 4 * SECOND, connection);
     successor.on_attempt_ended(START + 5 * SECOND, id, Outcome::Ok);
     let flows = successor.take_flow_records();
-    let [flow] = &flows[..] else { panic!("one flow has ended: {flows:?}") };
+    let [flow] = &flows[..] else { panic!("expected one ended flow, got {flows:?}") };
     assert_eq!((flow.started_at, flow.server), (START, Some(SERVER)));
     assert_eq!((predecessor.counters_mut().handed_over, successor.counters_mut().inherited), (1, 1));
 }
 
 #[test]
-fn disabled_record_buffer_gathers_nothing() {
+fn disabled_records_are_not_collected() {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
     let id = requests.restore_established(START, FRONTEND, arrival(), SERVER);
     requests.on_attempt_ended(START + SECOND, id, Outcome::Ok);
--- a/src/requests/transition.rs
+++ b/src/requests/transition.rs
@@ -1,4 +1,4 @@
-//! The inputs and results of the transitions of a request that the ledger makes.
+//! Inputs and results of the state transitions that the ledger performs on requests.
 
 use super::open_requests::RequestState;
 use crate::frontend_id::FrontendId;
@@ -6,31 +6,31 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// An attempt as the balancer wants it.
+/// An attempt that the balancer has decided to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptPlan {
-    /// Its server.
+    /// The server to send the request to.
     pub server: ServerId,
     /// The attempt fails if it has not succeeded after this time.
     pub timeout: Duration,
-    /// The request is not to be written to the server from this time on.
+    /// The request must not be written to the server at or after this time.
     pub send_by: MonotonicTime,
 }
 
-/// An attempt that was started.
+/// An attempt that has been started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
     /// The request's frontend.
     pub frontend: FrontendId,
-    /// The time that it has: no longer than the request's client waits.
+    /// The attempt's time-out, limited to the time left until the request's deadline.
     pub timeout: Duration,
 }
 
-/// Why an attempt was not started.
+/// Why an attempt cannot be started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotStarted {
-    /// The request waits for no attempt any more.
-    NotWaiting,
+pub enum AttemptRefusal {
+    /// The request has ended, or is not waiting for an attempt.
+    NotAwaitingAttempt,
     /// The quotas do not admit a retry now.
     OverQuota,
 }
@@ -38,44 +38,44 @@
 /// An attempt whose connection has been established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EstablishedAttempt {
-    /// Its server.
+    /// The server of the connection.
     pub server: ServerId,
-    /// Time since it was sent.
+    /// Time since the attempt was started.
     pub setup_time: Duration,
 }
 
-/// An attempt, or the connection that it established, that has ended.
+/// An attempt that has ended, or whose established connection has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedAttempt {
-    /// Its server.
+    /// The server of the attempt.
     pub server: ServerId,
-    /// The request has ended with it.
+    /// Whether the request has ended too.
     pub is_final: bool,
 }
 
-/// An established connection that has been handed over.
+/// An established connection that has been released to the successor process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReleasedConnection {
-    /// Its server.
+    /// The server of the connection.
     pub server: ServerId,
-    /// When its request arrived.
+    /// When the request arrived.
     pub started_at: MonotonicTime,
 }
 
-/// An established connection that its client is to open anew.
+/// A connection that has been closed so that its client reconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MigratedConnection {
     /// The request's frontend.
     pub frontend: FrontendId,
-    /// Its server.
+    /// The server of the connection.
     pub server: ServerId,
 }
 
-/// A request that this node has ended, with the state that it had.
+/// A request that this node has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedRequest {
-    /// Its frontend.
+    /// The request's frontend.
     pub frontend: FrontendId,
-    /// Its state until then.
+    /// The request's state before it ended.
     pub state: RequestState,
 }
