--- a/src/quota/admission.rs
+++ b/src/quota/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of this node's requests against its allotments of the fleet-wide quotas.
+//! Admission of this node's requests within its allotments of the fleet-wide quotas.
 
 use super::QuotaMembership;
 use sparbank_quota::{
@@ -8,19 +8,20 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The lease holder of this node, and the quotas that apply to the requests of each class.
+/// This node's lease holder and the quotas that apply to the requests of each class.
 pub struct QuotaAdmission {
     plan: QuotaPlan,
     holder: LeaseHolder,
     controller: AdmissionController,
-    /// By class.
+    /// The quota scope of each class.
     scopes: Vec<QuotaScope>,
-    /// The largest Retry-After that clients are given.
+    /// The upper bound of the Retry-After that is sent to clients.
     max_retry_after: Duration,
 }
 
 impl QuotaAdmission {
-    /// Starts on the floors of the member alone. The start time identifies this incarnation of the member.
+    /// Creates the admission without a lease: until the first grant, only the member's floors are available. The start
+    /// time identifies this incarnation of the member.
     pub fn new(
         membership: QuotaMembership,
         now: MonotonicTime,
@@ -29,7 +30,7 @@
     ) -> QuotaAdmission {
         let QuotaMembership { plan, member } = membership;
         let id = HolderId { member: member as u16, incarnation: now.as_nanos() };
-        // The requests do not name a subscriber.
+        // Requests carry no subscriber, so the empty subscriber is the only one.
         let controller = AdmissionController::new(&plan, &[String::new()], classes);
         let scopes = classes.iter().map(|class| controller.scope("", class)).collect();
         let holder = LeaseHolder::new(id, plan.clone(), now);
@@ -45,7 +46,7 @@
         self.admit(now, class, AttemptKind::First)
     }
 
-    /// Admits a further attempt of an admitted request.
+    /// Admits a retry of an admitted request.
     ///
     /// # Errors
     ///
@@ -59,7 +60,7 @@
         admitted.map_err(|rejection: Rejection| rejection.retry_after.min(self.max_retry_after))
     }
 
-    /// An admitted request, or an adopted connection, has ended.
+    /// Releases the quotas that an admitted request or an adopted connection of this class held until its end.
     pub fn release(&mut self, class: usize) {
         self.controller.release(&mut self.holder, self.scopes[class]);
     }
@@ -69,51 +70,51 @@
         self.controller.adopt_connection(&mut self.holder, self.scopes[class]);
     }
 
-    /// Whether more connections are in use than some level allows this node.
+    /// Whether the established connections exceed any connection quota of this node.
     pub fn has_excess(&mut self, now: MonotonicTime) -> bool {
         (0..self.plan.quotas.len()).any(|quota| self.holder.excess(now, quota) > 0)
     }
 
-    /// Selects the established connections that have to end because they exceed a level. The connections are given by
-    /// class, newest first; the result has an element for each of them.
+    /// Selects the established connections that have to be closed because they exceed a connection quota. `classes` is
+    /// the class of each connection, newest first; the result has one element per connection.
     pub fn select_excess(&mut self, now: MonotonicTime, classes: impl Iterator<Item = usize>) -> Vec<bool> {
         let quotas = 0..self.plan.quotas.len();
         let mut excess: Vec<u64> = quotas.map(|quota| self.holder.excess(now, quota)).collect();
-        let mut has_to_end = |class: usize| {
-            let levels = self.controller.levels(self.scopes[class]);
-            let exceeds = levels.iter().any(|level| excess[*level] > 0);
+        let mut exceeds_quota = |class: usize| {
+            let connection_quotas = self.controller.levels(self.scopes[class]);
+            let exceeds = connection_quotas.iter().any(|quota| excess[*quota] > 0);
             if exceeds {
-                for level in levels {
-                    excess[*level] = excess[*level].saturating_sub(1);
+                for quota in connection_quotas {
+                    excess[*quota] = excess[*quota].saturating_sub(1);
                 }
             }
             exceeds
         };
-        classes.map(&mut has_to_end).collect()
+        classes.map(&mut exceeds_quota).collect()
     }
 
-    /// The next lease request, if it is due; it has to be sent at once.
+    /// Creates the next lease request if it is due. The caller has to send it immediately.
     pub fn poll_lease_request(&mut self, now: MonotonicTime) -> Option<LeaseRequest> {
         let is_due = self.holder.next_request_at() <= now;
         is_due.then(|| self.holder.create_request(now))
     }
 
-    /// Handles a grant that arrived; false if it is ignored.
+    /// Applies a received grant. Returns false if the grant is ignored.
     pub fn on_lease_grant(&mut self, now: MonotonicTime, grant: &LeaseGrant) -> bool {
         self.holder.on_grant(now, grant)
     }
 
-    /// The node shuts down: its allotments are given back as they fall out of use.
+    /// Starts the shutdown: allotments are returned to the grantor as they are no longer used.
     pub fn shut_down(&mut self) {
         self.holder.shut_down();
     }
 
-    /// How long the lease is still valid; zero while the node lives on its floors.
+    /// The remaining validity of the lease; zero while the node has no lease and is limited to its floors.
     pub fn lease_remaining(&self, now: MonotonicTime) -> Duration {
         self.holder.lease_remaining(now)
     }
 
-    /// The name and the state of each quota, for log lines.
+    /// The name and the status of each quota, for log lines.
     pub fn statuses(&self) -> impl Iterator<Item = (&str, QuotaStatus)> {
         let quotas = self.plan.quotas.iter().enumerate();
         quotas.map(|(index, quota)| (quota.name.as_str(), self.holder.status(index)))
--- a/src/quota/file.rs
+++ b/src/quota/file.rs
@@ -1,4 +1,4 @@
-//! The quota file: reading it, and finding this node among its members.
+//! Reads the quota file and finds this node among its members.
 
 use sparbank_quota::{PlanError, QuotaPlan, Resource};
 use std::error::Error;
@@ -6,19 +6,19 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A grantor reserves a socket for each member; at least as many have to be left for everything else.
+/// A grantor reserves one socket for each member, and must have at least as many left for everything else.
 const SOCKETS_PER_MEMBER: usize = 2;
 
-/// A valid plan, and the place of this node in it.
+/// A valid plan and this node's position in it.
 #[derive(Debug)]
 pub struct QuotaMembership {
-    /// The plan of the fleet.
+    /// The fleet's quota plan.
     pub plan: QuotaPlan,
-    /// The index of this node among the members.
+    /// The index of this node in the plan's members.
     pub member: usize,
 }
 
-/// A quota file that cannot be used. It is displayed as one line that names the file and the field.
+/// An invalid or unreadable quota file. Displays as one line that names the file and the field.
 #[derive(Debug, Error)]
 #[error("{}: {problem}", path.display())]
 pub struct QuotaFileError {
@@ -31,15 +31,15 @@
 enum QuotaFileProblem {
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// Not JSON, or a field of another type or name; the message names the field.
+    /// Not JSON, or a field with an unknown name or the wrong type; the message names the field.
     #[error("{0}")]
-    Undecodable(#[source] Box<dyn Error + Send + Sync>),
+    Malformed(#[source] Box<dyn Error + Send + Sync>),
     #[error("field {0}")]
     Invalid(#[from] PlanError),
-    /// Valid, but not supported by `serve` so far.
+    /// Valid, but not yet supported by `serve`.
     #[error("field {0}: is not served yet")]
     Unsupported(UnsupportedField),
-    #[error("field members: none is named {name:?}, as this node is")]
+    #[error("field members: none is named {name:?}, the name of this node")]
     NotAMember { name: String },
     #[error(
         "field members: a grantor of {members} needs limits.sockets of {} at least, not {sockets}",
@@ -48,11 +48,11 @@
     TooFewSockets { members: usize, sockets: usize },
 }
 
-/// A field, or its value, that a plan may have but `serve` does not support so far.
+/// A field, or a value of it, that is valid in a plan but not yet supported by `serve`.
 #[derive(Debug, Error)]
 enum UnsupportedField {
     #[error("grantors: more than one")]
-    SeveralGrantors,
+    MultipleGrantors,
     #[error("budgets[{quota}].subscriber")]
     Subscriber { quota: usize },
     #[error("budgets[{quota}].limits: lists")]
@@ -63,26 +63,26 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read or decoded, or a field is invalid.
+/// The file cannot be read or parsed, or a field is invalid.
 pub fn read_plan(path: &Path) -> Result<QuotaPlan, QuotaFileError> {
-    decode_plan(path).map_err(|problem| QuotaFileError { path: path.to_path_buf(), problem })
+    parse_plan_file(path).map_err(|problem| QuotaFileError { path: path.to_path_buf(), problem })
 }
 
-fn decode_plan(path: &Path) -> Result<QuotaPlan, QuotaFileProblem> {
+fn parse_plan_file(path: &Path) -> Result<QuotaPlan, QuotaFileProblem> {
     let text = std::fs::read_to_string(path)?;
     let plan: QuotaPlan =
-        crate::json::parse(&text).map_err(|error| QuotaFileProblem::Undecodable(error.into()))?;
+        crate::json::parse(&text).map_err(|error| QuotaFileProblem::Malformed(error.into()))?;
     plan.validate()?;
     Ok(plan)
 }
 
-/// Reads the plan for a node of this name with this many sockets, and finds its member. A plan that `serve` does not
-/// support so far is an error, so that nothing of it is half applied.
+/// Reads the plan and finds the member for the node with this name. `sockets` is the limit on the node's sockets. A
+/// plan with fields that `serve` does not support yet is an error, so that no plan is applied in part.
 ///
 /// # Errors
 ///
-/// Those of [`read_plan`]; the plan is not supported, names no such member, or makes this node a grantor of more
-/// members than its sockets suffice for.
+/// Those of [`read_plan`]. Also if the plan is not supported, has no member with this name, or makes this node the
+/// grantor of more members than it has sockets for.
 pub fn load_membership(path: &Path, name: &str, sockets: usize) -> Result<QuotaMembership, QuotaFileError> {
     let plan = read_plan(path)?;
     let member = find_member(&plan, name, sockets)
@@ -107,7 +107,7 @@
 
 fn unsupported_field(plan: &QuotaPlan) -> Option<UnsupportedField> {
     if plan.grantors.len() > 1 {
-        return Some(UnsupportedField::SeveralGrantors);
+        return Some(UnsupportedField::MultipleGrantors);
     }
     for (index, quota) in plan.quotas.iter().enumerate() {
         if quota.subscriber.is_some() {
--- a/src/quota/mod.rs
+++ b/src/quota/mod.rs
@@ -1,4 +1,4 @@
-//! The fleet-wide quotas at this node: the quota file (`--fleet`, `docs/QUOTAS.md`), the admission of requests, and the
+//! Fleet-wide quotas at this node: the quota file (`--fleet`, see `docs/QUOTAS.md`), the admission of requests, and the
 //! transport of the lease protocol.
 
 mod admission;
--- a/src/quota/transport/frame.rs
+++ b/src/quota/transport/frame.rs
@@ -1,17 +1,17 @@
-//! The frames of the lease protocol: four bytes of length (big endian), one byte of version, and a message in postcard.
-//! The length counts the version and the message.
+//! Frames of the lease protocol: a four-byte length (big endian), a version byte, and a message encoded with postcard.
+//! The length covers the version and the message.
 
 use serde::{Deserialize, Serialize};
 use sparbank_quota::{LeaseGrant, LeaseRequest};
 
 const PROTOCOL_VERSION: u8 = 1;
 const LENGTH_BYTES: usize = 4;
-/// A bound on the version and the fields of a message whose size does not depend on the plan.
+/// Upper bound on the encoded size of the version and of the message fields that do not depend on the number of quotas.
 const MAX_FIXED_BYTES: usize = 64;
-/// A message has two numbers for each quota, of ten bytes at most.
+/// A message has two integers for each quota, each encoded in at most ten bytes.
 const MAX_BYTES_PER_QUOTA: usize = 20;
 
-/// A message of the lease protocol. The order of the variants is the wire format.
+/// A message of the lease protocol. The order of the variants is part of the wire format.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum Message {
     /// From a holder to the grantor.
@@ -20,14 +20,14 @@
     Grant(LeaseGrant),
 }
 
-/// A frame that is longer than any message of the plan, of another version, or no message.
+/// A frame with an invalid length, another protocol version, or a body that is not a valid message.
 #[derive(Debug, PartialEq)]
 pub(super) struct UndecodableFrame;
 
-/// The bounds on frames, which follow from the number of quotas.
+/// Bounds on the size of frames, derived from the number of quotas in the plan.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FrameLimits {
-    /// The largest value of the length field.
+    /// The largest valid value of the length field.
     max_length: usize,
 }
 
@@ -36,13 +36,13 @@
         FrameLimits { max_length: MAX_FIXED_BYTES + MAX_BYTES_PER_QUOTA * quotas }
     }
 
-    /// The size of the longest frame, with its length field.
+    /// The size of the longest valid frame, including its length field.
     pub(super) fn max_frame_bytes(self) -> usize {
         LENGTH_BYTES + self.max_length
     }
 }
 
-/// A message as a frame; None if it cannot be encoded.
+/// Encodes a message as a frame. Returns `None` if the message cannot be encoded.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
     let body = postcard::to_stdvec(message).ok()?;
     let length = (body.len() + 1) as u32;
@@ -52,7 +52,7 @@
     Some(frame)
 }
 
-/// Takes one complete frame off the input; None while there is none yet.
+/// Decodes one frame and removes it from the input. Returns `None` while the input has no complete frame.
 pub(super) fn decode(input: &mut Vec<u8>, limits: FrameLimits) -> Result<Option<Message>, UndecodableFrame> {
     let Some(length) = input.first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
--- a/src/quota/transport/frame/tests.rs
+++ b/src/quota/transport/frame/tests.rs
@@ -1,4 +1,4 @@
-//! Frames: completeness, bounds, version, and the bytes that nodes of version 00677b7 write.
+//! Frames: incomplete input, size limits, protocol version, and compatibility with nodes built from commit 00677b7.
 
 use super::{
     decode, encode, FrameLimits, Message, UndecodableFrame, LENGTH_BYTES, MAX_BYTES_PER_QUOTA,
@@ -20,11 +20,11 @@
 }
 
 fn encoded(message: Message) -> Vec<u8> {
-    encode(&message).expect("it is encoded")
+    encode(&message).expect("the message can be encoded")
 }
 
 #[test]
-fn incomplete_frames_stay_in_the_input() {
+fn incomplete_frames_remain_in_the_input() {
     let frame = encoded(Message::Request(request()));
     for length in 0..frame.len() {
         let mut input = frame[..length].to_vec();
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn frame_longer_than_any_of_the_plan_is_rejected() {
+fn frame_above_the_length_limit_is_rejected() {
     let mut frame = encoded(Message::Request(request()));
     let body_bytes = frame.len() - LENGTH_BYTES - 1;
     assert!(decode(&mut frame, FrameLimits { max_length: body_bytes }).is_err());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn limits_admit_the_longest_message_of_the_plan() {
+fn longest_message_is_within_the_limits() {
     const QUOTAS: usize = 7;
     let longest = LeaseRequest {
         holder: HolderId { member: u16::MAX, incarnation: u64::MAX },
@@ -77,9 +77,10 @@
     assert_eq!(decode(&mut vec![0, 0, 0, 2, PROTOCOL_VERSION, 99], LIMITS), Err(UndecodableFrame));
 }
 
-/// Nodes of version 00677b7 wrote these frames: they are read, and the same bytes are written.
+/// These frames were written by nodes built from commit 00677b7. They must be decoded, and encoding the same messages
+/// must give the same bytes.
 #[test]
-fn frames_of_version_00677b7_are_read_and_written() {
+fn frames_of_commit_00677b7_are_decoded_and_encoded_identically() {
     const REQUEST: &[u8] = &[
         0, 0, 0, 49, 1, 0, 172, 2, 149, 154, 151, 236, 227, 159, 231, 203, 23, 240, 162, 4, 239, 155, 175,
         205, 248, 172, 209, 145, 1, 4, 0, 127, 128, 1, 128, 128, 1, 4, 1, 2, 172, 2, 255, 255, 255, 255, 255,
--- a/src/quota/transport/grantor_service.rs
+++ b/src/quota/transport/grantor_service.rs
@@ -1,4 +1,4 @@
-//! The grantor at this node: it collects lease requests and answers them together, once per exchange interval.
+//! The grantor on this node: collects lease requests and answers them in one batch per exchange interval.
 
 use crate::net::Token;
 use sparbank_quota::{Grantor, HolderId, LeaseGrant, LeaseRequest, LeaseTable, LogEntry, QuotaPlan};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Where a lease request came from, and where its grant goes.
+/// The sender of a lease request, to which the grant is returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Requester {
-    /// Another node, by its connection.
+    /// Another node, identified by its connection.
     Remote(Token),
     /// This node.
     Local,
@@ -20,27 +20,27 @@
     request: LeaseRequest,
 }
 
-/// A grant and the requester that it goes to.
+/// A grant and the requester to send it to.
 pub(super) struct Reply {
     pub(super) requester: Requester,
     pub(super) grant: LeaseGrant,
 }
 
-/// What was applied at once.
+/// The result of [`GrantorService::apply_pending`].
 #[derive(Default)]
 pub(super) struct AppliedBatch {
-    pub(super) expiries: usize,
-    pub(super) requests: usize,
+    pub(super) expired_leases: usize,
+    pub(super) applied_requests: usize,
     pub(super) replies: Vec<Reply>,
 }
 
-/// The only grantor of a fleet. It keeps its lease table in memory.
+/// The only grantor of a fleet. The lease table is kept in memory only.
 pub(super) struct GrantorService {
     grantor: Grantor,
-    /// An earlier incarnation may have granted leases that this one does not know; it grants nothing until all of them
-    /// have expired.
+    /// When this grantor starts to grant leases. An earlier incarnation may have granted leases that are not in this
+    /// lease table, so nothing is granted until all of those have certainly expired.
     grants_from: MonotonicTime,
-    /// The newest request of each holder since the last batch.
+    /// The newest request of each holder since the previous batch.
     pending: BTreeMap<HolderId, PendingRequest>,
 }
 
@@ -51,18 +51,18 @@
         GrantorService { grantor, grants_from, pending: BTreeMap::new() }
     }
 
-    /// How long this grantor still waits before it grants.
+    /// The time until this grantor starts to grant leases; zero once it does.
     pub(super) fn grant_delay(&self, now: MonotonicTime) -> Duration {
         self.grants_from.saturating_duration_since(now)
     }
 
-    /// Whether a request is of this grantor's plan.
+    /// Whether a request was made for the same plan layout as this grantor's.
     pub(super) fn matches_layout(&self, request: &LeaseRequest) -> bool {
         self.grantor.lease_table().matches_layout(request)
     }
 
-    /// Queues a request for the next batch, if it is its holder's newest. No more holders are queued than the lease
-    /// table tracks.
+    /// Queues a request for the next batch if it is the newest of its holder. The number of queued holders is limited
+    /// to the number that the lease table tracks.
     pub(super) fn enqueue(&mut self, requester: Requester, request: LeaseRequest) {
         let members = self.grantor.lease_table().plan().members.len();
         let max_pending = LeaseTable::MAX_INCARNATIONS_PER_MEMBER * members;
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Applies the queued requests and the leases that have expired. Until the grantor grants, requests are dropped.
+    /// Reclaims the expired leases, applies the queued requests, and returns the grants. Requests are dropped until the
+    /// grantor starts to grant.
     pub(super) fn apply_pending(&mut self, now: MonotonicTime) -> AppliedBatch {
         let pending = std::mem::take(&mut self.pending);
         if now < self.grants_from {
@@ -97,8 +98,8 @@
             Some(Reply { requester, grant })
         };
         AppliedBatch {
-            expiries: entry.expiries.len(),
-            requests: entry.requests.len(),
+            expired_leases: entry.expiries.len(),
+            applied_requests: entry.requests.len(),
             replies: grants.into_iter().filter_map(reply).collect(),
         }
     }
