--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -1,31 +1,33 @@
-//! Admission: which quotas an attempt counts against. They are looked up once for each subscriber and class, and
-//! acquired all or none.
+//! Admission of attempts against all quotas that apply to them, acquired atomically. The quotas that apply to a
+//! subscriber and class are determined once.
 
 use crate::lease_holder::{LeaseHolder, Rejection};
 use crate::plan::{QuotaPlan, Resource};
 use sparbank_time::MonotonicTime;
 use std::collections::HashMap;
 
-/// The kinds of attempts, which count against different quotas.
+/// The kinds of attempts. They count against different quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptKind {
-    /// The first attempt of a request: a set-up, and a connection that may be established.
+    /// The first attempt of a request, which counts as a set-up and as a connection.
     First,
-    /// A further attempt of an admitted request: a set-up and a retry.
+    /// A further attempt of an admitted request, which counts as a set-up and as a retry.
     Retry,
 }
 
-/// The requests of one subscriber and class, for [`AdmissionController`].
+/// A set of requests to which the same quotas apply, as returned by [`AdmissionController::scope`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaScope(usize);
 
-/// Admits attempts against the quotas of a [`LeaseHolder`]. Admission neither allocates nor compares names.
+/// Admits attempts against the quotas of a [`LeaseHolder`]. Admitting an attempt neither allocates memory nor compares
+/// names.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
-    /// The distinct sets of quotas: scopes to which the same quotas apply share one.
+    /// The distinct sets of quotas, indexed by scope. Pairs of subscriber and class to which the same quotas apply share
+    /// a scope.
     quota_sets: Vec<QuotaSet>,
     scopes: HashMap<ScopeKey, QuotaScope>,
-    /// The scope of requests whose subscriber or class is not known.
+    /// The scope of requests whose subscriber or class is unknown.
     default_scope: QuotaScope,
 }
 
@@ -40,26 +42,27 @@
 struct QuotaSet {
     first_attempt: Vec<usize>,
     retry: Vec<usize>,
-    connection: Vec<usize>,
+    levels: Vec<usize>,
 }
 
 impl AdmissionController {
-    /// A controller for the requests of these subscribers and classes. Its size is bounded by the settings: one
-    /// entry for each pair, and as many sets of quotas as differ.
+    /// Creates a controller for the requests of these subscribers and classes. Its size is bounded by the settings: it
+    /// has one entry for each pair of them, and each distinct set of quotas once.
     pub fn new(plan: &QuotaPlan, subscribers: &[String], classes: &[String]) -> AdmissionController {
-        let mut quota_sets = QuotaSets::default();
-        let default_scope = quota_sets.scope_of(QuotaSet::new(plan, "", ""));
+        let mut quota_sets = QuotaSetInterner::default();
+        let default_scope = quota_sets.intern(QuotaSet::new(plan, "", ""));
         let mut scopes = HashMap::new();
         for subscriber in subscribers {
             for class in classes {
-                let scope = quota_sets.scope_of(QuotaSet::new(plan, subscriber, class));
+                let scope = quota_sets.intern(QuotaSet::new(plan, subscriber, class));
                 scopes.insert(ScopeKey { subscriber: subscriber.clone(), class: class.clone() }, scope);
             }
         }
         AdmissionController { quota_sets: quota_sets.distinct, scopes, default_scope }
     }
 
-    /// The scope of the requests of a subscriber and a class, looked up when a session begins.
+    /// The scope of the requests of a subscriber and class. It allocates memory, so callers look it up once and keep
+    /// the result.
     pub fn scope(&self, subscriber: &str, class: &str) -> QuotaScope {
         let key = ScopeKey { subscriber: subscriber.to_string(), class: class.to_string() };
         self.scopes.get(&key).copied().unwrap_or(self.default_scope)
@@ -69,7 +72,7 @@
     ///
     /// # Errors
     ///
-    /// The quota that is exhausted, and when to retry; then nothing is acquired.
+    /// The exhausted quota and the time to wait before a retry. In this case nothing is acquired.
     pub fn admit(
         &self,
         holder: &mut LeaseHolder,
@@ -84,31 +87,31 @@
         }
     }
 
-    /// Releases the levels of an admitted request when it, or its connection, has ended.
+    /// Releases the levels of an admitted request when the request or its connection has ended.
     pub fn release(&self, holder: &mut LeaseHolder, scope: QuotaScope) {
         holder.release(self.levels(scope));
     }
 
-    /// Counts an established connection that was admitted by another process.
+    /// Counts an established connection that another process admitted.
     pub fn adopt_connection(&self, holder: &mut LeaseHolder, scope: QuotaScope) {
         holder.adopt(self.levels(scope));
     }
 
-    /// The levels in which the connections of a scope count, as indices in the plan.
+    /// The levels against which the connections of a scope count, as indices in the plan.
     pub fn levels(&self, scope: QuotaScope) -> &[usize] {
-        &self.quota_sets[scope.0].connection
+        &self.quota_sets[scope.0].levels
     }
 }
 
-/// Collects the distinct sets of quotas.
+/// Assigns one scope to each distinct set of quotas.
 #[derive(Default)]
-struct QuotaSets {
+struct QuotaSetInterner {
     distinct: Vec<QuotaSet>,
     scopes: HashMap<QuotaSet, QuotaScope>,
 }
 
-impl QuotaSets {
-    fn scope_of(&mut self, quotas: QuotaSet) -> QuotaScope {
+impl QuotaSetInterner {
+    fn intern(&mut self, quotas: QuotaSet) -> QuotaScope {
         if let Some(known) = self.scopes.get(&quotas) {
             return *known;
         }
@@ -132,7 +135,7 @@
         QuotaSet {
             first_attempt: applicable(&[Resource::Connections, Resource::Setups]),
             retry: applicable(&[Resource::Setups, Resource::Retries]),
-            connection: applicable(&[Resource::Connections]),
+            levels: applicable(&[Resource::Connections]),
         }
     }
 }
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -1,9 +1,9 @@
-//! Division of a quota by demand: weighted max-min fairness.
+//! Division of a quota by demand with weighted max-min fairness.
 
-/// The largest number of units that is divided; larger ones count as this, so that the product of units and weight
-/// fits in 64 bits. The largest total of a plan is below it.
+/// Larger numbers of units are clamped to this value, so that the product of units and weight fits in 64 bits. The
+/// largest total of a plan is below it.
 const MAX_UNITS: u64 = 1 << 42;
-/// The largest weight; larger ones count as this.
+/// Larger weights are clamped to this value.
 const MAX_WEIGHT: u64 = 1 << 20;
 
 /// The demand of one claimant.
@@ -11,7 +11,7 @@
 pub(crate) struct Demand {
     /// The units that the claimant wants.
     pub(crate) wanted: u64,
-    /// The claimant's weight against the others, at least one.
+    /// The claimant's weight relative to the others, at least one.
     pub(crate) weight: u64,
 }
 
@@ -20,18 +20,18 @@
         self.weight.clamp(1, MAX_WEIGHT)
     }
 
-    /// The claimant's demand in proportion to its weight.
+    /// The claimant's demand divided by its weight, scaled by [`MAX_WEIGHT`].
     fn relative_demand(self) -> u64 {
         (self.wanted.min(MAX_UNITS) * MAX_WEIGHT) / self.effective_weight()
     }
 }
 
-/// Divides a total by weighted max-min fairness: no claimant gets less than it wants while another gets more in
-/// proportion to its weight. The units that nobody wants are divided by weight too, so that a claimant whose demand
-/// grows next has some at hand. The shares are in the order of the demands and add up to at most the total.
+/// Divides a total with weighted max-min fairness: no claimant gets less than it wants while another gets more in
+/// proportion to its weight. Units that exceed all demand are divided by weight as well, so that claimants have spare
+/// units when their demand grows. The shares are in the order of the demands and add up to at most the total.
 pub(crate) fn divide_by_demand(total: u64, demands: &[Demand]) -> Vec<u64> {
     let mut shares = vec![0; demands.len()];
-    // The claimants with the least demand come first: what they do not want is left for the others.
+    // Claimants with the least demand come first, so that the others share the units that these leave unused.
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_unstable_by_key(|&claimant| (demands[claimant].relative_demand(), claimant));
     let total_weight: u64 = demands.iter().map(|demand| demand.effective_weight()).sum();
--- a/crates/quota/src/division/tests.rs
+++ b/crates/quota/src/division/tests.rs
@@ -1,4 +1,4 @@
-//! Weighted max-min division: fixed cases and properties.
+//! Tests of the weighted max-min division: fixed cases and properties.
 
 use super::{divide_by_demand, Demand};
 use proptest::prelude::{prop_assert, proptest};
@@ -23,7 +23,8 @@
 }
 
 proptest! {
-    /// The shares never exceed the total; with demand above it, less than one unit per claimant is left over.
+    /// The shares add up to at most the total, and to at least the total less one unit per claimant. If the total
+    /// covers all demand, each claimant gets what it wants.
     #[test]
     fn shares_never_exceed_the_total(
         total in 0..1u64 << 40,
@@ -33,10 +34,10 @@
         let shares = divide_by_demand(total, &demands);
         let sum: u64 = shares.iter().sum();
         prop_assert!(sum <= total);
-        prop_assert!(total - sum <= demands.len() as u64);
+        prop_assert!(total - sum <= demands.len() as u64, "units that rounding leaves over");
         let wanted: u64 = demands.iter().map(|demand| demand.wanted).sum();
         for (share, demand) in shares.iter().zip(&demands) {
-            prop_assert!(wanted > total || *share >= demand.wanted, "all demand can be met");
+            prop_assert!(wanted > total || *share >= demand.wanted, "the total covers all demand");
         }
     }
 }
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -1,4 +1,4 @@
-//! When a grantor may reclaim allotments: the only step of granting that needs a clock.
+//! Decides when a grantor may reclaim allotments, the only part of granting that needs a clock.
 
 use crate::lease_table::LeaseTable;
 use crate::protocol::{HolderId, LeaseExpiry, LeaseGrant, LogEntry};
@@ -6,18 +6,19 @@
 use std::collections::BTreeMap;
 
 /// A lease table, and the time on the grantor's own clock at which it applied the newest request of each holder. The
-/// leading grantor proposes what [`Grantor::expired_leases`] gives; all grantors apply what was agreed.
+/// leading grantor proposes the expiries that [`Grantor::expired_leases`] returns; all grantors apply the committed log
+/// entries.
 ///
-/// A request was sent before any grantor applied it, so a lease counted from its application ends later than the
-/// holder's own. That is true of every grantor, also of one that applied it long after the others; so a new leader
-/// needs no state of the previous one.
+/// A holder sends its request before any grantor applies it, so a lease measured from when the request was applied ends
+/// after the lease that the holder measures. This holds for every grantor, including one that applied the request long
+/// after the others. A new leader therefore needs no state from the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grantor {
     lease_table: LeaseTable,
     applied: BTreeMap<HolderId, AppliedRequest>,
 }
 
-/// The newest request of a holder, as one grantor's clock saw it.
+/// The newest applied request of a holder, timed by this grantor's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct AppliedRequest {
     applied_at: MonotonicTime,
@@ -32,7 +33,7 @@
 }
 
 impl Grantor {
-    /// A grantor that starts now with this lease table: empty, or copied from another grantor.
+    /// Creates a grantor that starts now, with an empty lease table or one copied from another grantor.
     pub fn new(lease_table: LeaseTable, now: MonotonicTime) -> Grantor {
         let applied = lease_table.holders().map(|holder| (holder, AppliedRequest::new(now))).collect();
         Grantor { lease_table, applied }
@@ -43,7 +44,7 @@
         &self.lease_table
     }
 
-    /// Applies a log entry and gives the grants for its requests.
+    /// Applies a log entry and returns the grants for its requests.
     pub fn apply(&mut self, now: MonotonicTime, entry: &LogEntry) -> Vec<LeaseGrant> {
         let sequence_before = |holder| (holder, self.lease_table.sequence(holder));
         let before: Vec<_> = entry.requests.iter().map(|request| sequence_before(request.holder)).collect();
@@ -62,7 +63,7 @@
         grants
     }
 
-    /// The leases that have expired by now and whose allotments are to be reclaimed.
+    /// The leases that have expired and whose allotments can be reclaimed.
     pub fn expired_leases(&self, now: MonotonicTime) -> Vec<LeaseExpiry> {
         let plan = self.lease_table.plan();
         let rates_after = plan.lease_expired_after();
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -1,4 +1,4 @@
-//! The lease holder: what one node may use now, what it requests, and what it gives back.
+//! The lease holder: what one node may use, what it requests and what it returns.
 
 use crate::plan::QuotaPlan;
 use crate::protocol::{HolderId, LeaseGrant, LeaseRequest};
@@ -6,29 +6,29 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// How often a holder renews its lease in the time of one.
+/// How often a holder renews its lease per lease duration.
 const LEASE_RENEWALS_PER_TERM: u32 = 3;
-/// How often it does while attempts are rejected or the node shuts down.
+/// How often it does so while attempts are rejected or the node is shutting down.
 const URGENT_LEASE_RENEWALS_PER_TERM: u32 = 12;
 
-/// An attempt that exceeds a quota.
+/// The rejection of an attempt that exceeds a quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rejection {
-    /// The index in the plan of the quota that is exhausted.
+    /// The index of the exhausted quota in the plan.
     pub quota: usize,
     /// How long the attempt should wait before it is retried.
     pub retry_after: Duration,
 }
 
-/// The allotments of one node. It fails safe: without grants it comes down to its floors.
+/// The allotments of one node and their use. It fails safe: without grants, the node may use only its floors.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     id: HolderId,
     plan: QuotaPlan,
     layout: u64,
-    /// One for each quota of the plan.
+    /// One element per quota of the plan.
     usage: Vec<QuotaUsage>,
-    /// The number of the newest request; zero before the first.
+    /// The number of the newest request; zero before the first one.
     sequence: u64,
     requested_at: MonotonicTime,
     awaits_grant: bool,
@@ -39,7 +39,7 @@
 }
 
 impl LeaseHolder {
-    /// A holder with the floors of its member and without a lease.
+    /// Creates a holder without a lease, which may use only the floors of its member.
     pub fn new(id: HolderId, plan: QuotaPlan, now: MonotonicTime) -> LeaseHolder {
         let usage = (0..plan.quotas.len()).map(|quota| QuotaUsage::new(&plan, quota, now)).collect();
         LeaseHolder {
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Acquires one unit of use (a connection or an event) of each of these quotas, given as indices in the plan.
+    /// Acquires one connection or event of each of these quotas, given as indices in the plan.
     ///
     /// # Errors
     ///
-    /// The first quota that is exhausted; then nothing is acquired.
+    /// The first exhausted quota. In this case nothing is acquired.
     pub fn acquire(&mut self, now: MonotonicTime, quotas: &[usize]) -> Result<(), Rejection> {
         self.expire_lease(now);
         for quota in quotas {
@@ -83,34 +83,34 @@
         Rejection { quota, retry_after }
     }
 
-    /// Releases the levels among these quotas: a connection that was acquired or adopted has ended.
+    /// Releases the levels among these quotas when a connection that was acquired or adopted has ended.
     pub fn release(&mut self, quotas: &[usize]) {
         for quota in quotas {
             self.usage[*quota].release();
         }
     }
 
-    /// Counts an established connection that was not acquired here in the levels among these quotas, whether there
-    /// is capacity or not.
+    /// Counts an established connection that was not acquired here against the levels among these quotas, even if they
+    /// are exhausted.
     pub fn adopt(&mut self, quotas: &[usize]) {
         for quota in quotas {
             self.usage[*quota].adopt();
         }
     }
 
-    /// How many connections of a level exceed what this node may use, and have to end.
+    /// The number of connections that exceed what this node may use of a level and have to end.
     pub fn excess(&mut self, now: MonotonicTime, quota: usize) -> u64 {
         self.advance(now);
         self.usage[quota].excess()
     }
 
-    /// The units of a quota that this node may use now, floor and allotment.
+    /// The units of a quota that this node may use now: floor and allotment.
     pub fn allowed_units(&mut self, now: MonotonicTime, quota: usize) -> u64 {
         self.advance(now);
         self.usage[quota].allowed_units()
     }
 
-    /// When the next lease request is due: sooner while attempts are rejected or the node shuts down.
+    /// When the next lease request is due; sooner while attempts are rejected or the node is shutting down.
     pub fn next_request_at(&self) -> MonotonicTime {
         if self.sequence == 0 {
             return self.requested_at;
@@ -120,16 +120,17 @@
         self.requested_at + self.plan.lease_duration() / renewals
     }
 
-    /// The next lease request, to be sent at once: from now on this node uses no more than the request retains.
+    /// Creates the next lease request, which has to be sent immediately. From now on this node uses no more than the
+    /// units that the request retains.
     pub fn create_request(&mut self, now: MonotonicTime) -> LeaseRequest {
         self.advance(now);
         let since_last_request =
             now.saturating_duration_since(self.requested_at).max(Duration::from_nanos(1));
-        let gives_back = self.is_shutting_down || self.fenced;
+        let returns_allotment = self.is_shutting_down || self.fenced;
         for usage in &mut self.usage {
-            usage.update_wanted(since_last_request, gives_back);
-            usage.lower_allotment(gives_back);
-            usage.clip_bucket();
+            usage.update_wanted(since_last_request, returns_allotment);
+            usage.lower_allotment(returns_allotment);
+            usage.clamp_tokens();
         }
         self.sequence += 1;
         self.requested_at = now;
@@ -144,14 +145,14 @@
         }
     }
 
-    /// Accepts a grant; false if it is ignored, since it is for an older request, arrived before, or arrives after the
-    /// end of its lease.
+    /// Accepts a grant. Returns false if the grant is ignored because it answers an older request, is a duplicate, or
+    /// arrives after its lease has expired.
     pub fn on_grant(&mut self, now: MonotonicTime, grant: &LeaseGrant) -> bool {
         self.advance(now);
         let expires_at = self.requested_at + self.plan.lease_duration();
-        let answers_newest = grant.holder == self.id && grant.sequence == self.sequence;
+        let answers_newest_request = grant.holder == self.id && grant.sequence == self.sequence;
         let is_complete = grant.allotments.len() == self.usage.len();
-        if !self.awaits_grant || !answers_newest || expires_at <= now || !is_complete {
+        if !self.awaits_grant || !answers_newest_request || expires_at <= now || !is_complete {
             return false;
         }
         self.awaits_grant = false;
@@ -161,17 +162,17 @@
         for (quota, usage) in self.usage.iter_mut().enumerate() {
             let target = grant.targets.get(quota).copied().unwrap_or(0);
             usage.set_allotment(grant.allotments[quota], target);
-            usage.clip_bucket();
+            usage.clamp_tokens();
         }
         true
     }
 
-    /// Starts the shutdown: from now on the node wants nothing and gives back what it does not use.
+    /// Starts the shutdown: from now on the node requests no units and returns those that are not in use.
     pub fn shut_down(&mut self) {
         self.is_shutting_down = true;
     }
 
-    /// How long the lease is still valid; zero while the node lives on its floors.
+    /// The remaining time of the lease; zero if there is none.
     pub fn lease_remaining(&self, now: MonotonicTime) -> Duration {
         self.lease_expires_at.saturating_duration_since(now)
     }
@@ -181,7 +182,7 @@
         self.usage[quota].status()
     }
 
-    /// Expires the lease if it has ended, and brings all buckets up to now.
+    /// Drops the allotments if the lease has expired, and refills all token buckets up to now.
     fn advance(&mut self, now: MonotonicTime) {
         self.expire_lease(now);
         self.refill_all(now);
@@ -195,7 +196,7 @@
         self.refill_all(self.lease_expires_at);
         for usage in &mut self.usage {
             usage.expire_allotment();
-            usage.clip_bucket();
+            usage.clamp_tokens();
         }
     }
 
--- a/crates/quota/src/lease_table.rs
+++ b/crates/quota/src/lease_table.rs
@@ -1,15 +1,15 @@
-//! The lease table: which holder has which allotment of which quota. A state machine without clock or I/O; fed the
-//! same log entries in the same order, the tables of all grantors are equal.
+//! The lease table: the allotments of each holder. It is a deterministic state machine without clock or I/O: grantors
+//! that apply the same log entries in the same order have equal tables.
 
 use crate::division::{divide_by_demand, Demand};
 use crate::plan::QuotaPlan;
 use crate::protocol::{HolderId, LeaseExpiry, LeaseGrant, LeaseRequest, LogEntry};
 use std::collections::BTreeMap;
 
-/// The lease of one holder. Each vector has an element for each quota of the plan.
+/// The lease of one holder. Each vector has one element per quota of the plan.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Lease {
-    /// The number of the newest request that was applied.
+    /// The number of the newest applied request.
     sequence: u64,
     allotments: Vec<u64>,
     wanted: Vec<u64>,
@@ -28,16 +28,16 @@
     plan: QuotaPlan,
     layout: u64,
     leases: BTreeMap<HolderId, Lease>,
-    /// The latest incarnation of each member that has sent a request.
+    /// The latest incarnation of each member that has sent a request. Earlier ones are fenced.
     latest_incarnations: BTreeMap<u16, u64>,
 }
 
 impl LeaseTable {
-    /// The most incarnations of one member that are tracked at a time. A member that restarts more often waits until
-    /// the leases of its first incarnations have expired.
+    /// How many incarnations of one member can have a lease at a time. A member that restarts more often gets no lease
+    /// until those of its first incarnations have expired.
     pub const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
-    /// A table without leases.
+    /// Creates a table without leases.
     pub fn new(plan: QuotaPlan) -> LeaseTable {
         LeaseTable {
             layout: plan.layout_hash(),
@@ -47,17 +47,17 @@
         }
     }
 
-    /// The plan in force.
+    /// The plan whose quotas are granted.
     pub fn plan(&self) -> &QuotaPlan {
         &self.plan
     }
 
-    /// The units of a quota that are granted now, without the floors.
+    /// The units of a quota that are currently granted, not counting the floors.
     pub fn granted_units(&self, quota: usize) -> u64 {
         self.leases.values().map(|lease| lease.allotments[quota]).sum()
     }
 
-    /// The number of a holder's newest request that was applied; None for a holder without a lease.
+    /// The number of a holder's newest applied request; `None` for a holder without a lease.
     pub fn sequence(&self, holder: HolderId) -> Option<u64> {
         self.leases.get(&holder).map(|lease| lease.sequence)
     }
@@ -67,7 +67,7 @@
         self.leases.keys().copied()
     }
 
-    /// Whether a request has the layout of this plan; one that has not is never applied.
+    /// Whether a request has the layout of this plan. Requests of another layout are never applied.
     pub fn matches_layout(&self, request: &LeaseRequest) -> bool {
         let quotas = self.plan.quotas.len();
         request.layout == self.layout
@@ -76,8 +76,8 @@
             && request.wanted.len() == quotas
     }
 
-    /// Applies a log entry and gives the grants for its requests. A request of another layout, one that is older
-    /// than the newest of its holder, or one of too many incarnations of a member gets none.
+    /// Applies a log entry and returns the grants for its requests. Requests that have another layout, are not newer
+    /// than the last applied one of their holder, or come from one incarnation too many of a member get no grant.
     pub fn apply(&mut self, entry: &LogEntry) -> Vec<LeaseGrant> {
         for expiry in &entry.expiries {
             self.reclaim(expiry);
@@ -104,7 +104,7 @@
         }
         if expiry.includes_levels {
             self.leases.remove(&expiry.holder);
-            self.lift_fence(expiry.holder);
+            self.unfence_earlier_incarnations(expiry.holder);
             return;
         }
         for (allotment, quota) in lease.allotments.iter_mut().zip(&self.plan.quotas) {
@@ -115,16 +115,15 @@
         lease.wanted.fill(0);
     }
 
-    /// A holder's lease is over. It fences earlier incarnations of its member no longer: a member whose clock went back
-    /// between two starts has a lower incarnation than the process before.
-    fn lift_fence(&mut self, holder: HolderId) {
+    /// Stops fencing the earlier incarnations of a holder whose lease has expired. If the wall clock of a member was set
+    /// back between two starts, the newer process has the lower incarnation and would otherwise never get a lease.
+    fn unfence_earlier_incarnations(&mut self, holder: HolderId) {
         if self.latest_incarnations.get(&holder.member) == Some(&holder.incarnation) {
             self.latest_incarnations.remove(&holder.member);
         }
     }
 
-    /// Lowers the allotments of a request's sender to what it retains; false if the request is not to
-    /// be answered.
+    /// Lowers the allotments of the sender to what it retains. Returns false if the request must not be answered.
     fn lower_to_retained(&mut self, request: &LeaseRequest) -> bool {
         let holder = request.holder;
         if !self.matches_layout(request) || !self.may_hold_lease(request) {
@@ -148,7 +147,7 @@
         true
     }
 
-    /// Whether the sender has a lease or may get its first one.
+    /// Whether the sender already has a lease or can get its first one.
     fn may_hold_lease(&self, request: &LeaseRequest) -> bool {
         let holder = request.holder;
         if self.leases.contains_key(&holder) {
@@ -158,8 +157,8 @@
         !request.shutting_down && incarnations < LeaseTable::MAX_INCARNATIONS_PER_MEMBER
     }
 
-    /// Sets what each holder should have, by the demand of all. The older incarnations of a member should have
-    /// nothing.
+    /// Divides each quota among the holders by demand and sets the results as their targets. Fenced holders get targets
+    /// of zero.
     fn set_targets(&mut self) {
         let quotas = self.plan.quotas.len();
         let mut demands: Vec<Vec<Demand>> = vec![Vec::with_capacity(self.leases.len()); quotas];
@@ -175,7 +174,7 @@
             divide_by_demand(self.plan.divisible_units(quota), demands)
         };
         let shares: Vec<Vec<u64>> = demands.iter().enumerate().map(divide).collect();
-        // The position of the holder among those that are not fenced.
+        // The index of the holder among those that are not fenced.
         let mut position = 0;
         for (holder, lease) in &mut self.leases {
             if is_fenced(&self.latest_incarnations, holder) {
@@ -189,7 +188,7 @@
         }
     }
 
-    /// Raises the allotments of a request's sender towards its targets, out of the units that are not granted.
+    /// Raises the allotments of the sender towards its targets with the available units.
     fn grant(&mut self, request: &LeaseRequest, available: &mut [u64]) -> Option<LeaseGrant> {
         let holder = request.holder;
         let sequence = request.sequence;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,17 +1,17 @@
 //! Fleet-wide quotas, divided among the nodes of a fleet by time-limited leases.
 //!
-//! A quota bounds what all nodes together may use: established connections (a *level*) or events per second (a
-//! *rate*). Each node has an *allotment* of every quota, on a lease. The bound holds by construction:
+//! A quota limits the combined use of all nodes: established connections (a *level*) or events per second (a
+//! *rate*). Each node holds a leased *allotment* of every quota. The limit is never exceeded because:
 //!
-//! - the grantors' [`LeaseTable`] hands out only units that no holder can still be using;
+//! - the [`LeaseTable`] of the grantors grants only units that no other holder can still be using;
 //! - a [`LeaseHolder`] lowers its allotments before it reports them, raises them only on the grant for its newest
-//!   request, and counts its lease from the time it sent that request;
-//! - a [`Grantor`] reclaims an allotment only when that lease has expired on the holder's clock too;
-//! - the floor of each member is set aside once and never granted to anybody.
+//!   request, and measures its lease from the time at which it sent that request;
+//! - a [`Grantor`] reclaims an allotment only after the lease has expired on the holder's clock as well;
+//! - the floor of each member is reserved and is never part of a grant.
 //!
-//! The lease table has no clock: it is a state machine that several grantors can replicate through a log. Nothing
-//! in this crate does I/O; the caller passes the time in, as a
-//! [`MonotonicTime`](sparbank_time::MonotonicTime) of its own clock: times of two nodes are never compared.
+//! The lease table has no clock: it is a deterministic state machine that several grantors can replicate through a
+//! log. This crate does no I/O. The caller passes in the time of its own clock as a
+//! [`MonotonicTime`](sparbank_time::MonotonicTime); times of different nodes are never compared.
 
 mod admission;
 mod division;
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -1,4 +1,4 @@
-//! The quota plan: what an operator writes in the quota file, and the values derived from it.
+//! The quota plan: the contents of the operator's quota file, and the values derived from them.
 
 mod validation;
 
@@ -10,66 +10,66 @@
 pub use validation::{PlanError, PlanProblem};
 
 const PARTS_PER_MILLION: u64 = 1_000_000;
-/// Rates are granted in thousandths of an event per second.
+/// The units of a rate are thousandths of an event per second.
 const RATE_UNITS_PER_EVENT: u64 = 1000;
 const DEFAULT_DRIFT_PPM: u64 = 1000;
 
-/// Everything that the nodes of a fleet have to agree on beforehand.
+/// The quota configuration that all nodes of a fleet share.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct QuotaPlan {
-    /// Every node that may ever join. The floor of a member belongs to the process that has bound its address.
+    /// All nodes that can join the fleet. The floor of a member belongs to the process that has bound its address.
     #[serde(alias = "seats")]
     pub members: Vec<Member>,
-    /// The names of the members whose nodes grant leases: one, three or five. A single one is a single point of
+    /// The names of the members whose nodes grant leases: one, three or five. With only one, it is a single point of
     /// failure.
     pub grantors: Vec<String>,
-    /// How long an allotment may be used after its holder requested it, in milliseconds.
+    /// The duration of a lease, measured from when its holder sent the request, in milliseconds.
     pub lease_ms: u64,
-    /// How long after the end of its lease connections above a holder's floor may still be established, in
-    /// milliseconds: the time in which the holder ends them, or in which servers end those of a stopped node.
+    /// How long connections above a holder's floor may remain established after its lease has expired, in
+    /// milliseconds. Within this time the holder ends them or, if the node has stopped, the servers do.
     pub clear_ms: u64,
-    /// The largest drift between the clocks of two nodes, in millionths.
+    /// The largest drift between the clocks of two nodes, in parts per million.
     #[serde(default = "default_drift_ppm")]
     pub drift_ppm: u64,
-    /// The quotas; their order and names are the same in the files of all nodes.
+    /// The quotas; their order and names must be the same in the files of all nodes.
     #[serde(rename = "budgets")]
     pub quotas: Vec<Quota>,
 }
 
-/// The place of one node in the fleet.
+/// A node of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Member {
     /// The name of the node, the same across its restarts.
     pub name: String,
-    /// The address where the node listens to the other nodes. Only one process can bind it, so the member is taken
-    /// by one process at a time.
+    /// The address on which the node listens for the other nodes. Only one process at a time can bind it, so only one
+    /// process at a time acts as this member.
     pub address: SocketAddr,
 }
 
-/// A bound on what all nodes together may use.
+/// A limit on the combined use of all nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Quota {
-    /// The name in log lines.
+    /// The name that appears in log lines.
     pub name: String,
     /// What the quota counts.
     #[serde(rename = "limits")]
     pub resource: Resource,
-    /// The bound: connections, or events per second.
+    /// The limit: connections, or events per second.
     #[serde(alias = "whole")]
     pub total: u64,
-    /// For rates: the events at once beyond those that the elapsed time allows. At least one for each member.
+    /// For rates: how many events may exceed what the elapsed time allows. At least one for each member.
     #[serde(default)]
     pub burst: u64,
-    /// The percentage of the total that is set aside for the floors of the members.
+    /// The percentage of the total that is reserved for the floors of the members.
     #[serde(default)]
     pub floor_percent: u64,
-    /// If set, only requests of this subscriber count.
+    /// If set, the quota applies only to requests of this subscriber.
     #[serde(default)]
     pub subscriber: Option<String>,
-    /// If set, only requests of this class count.
+    /// If set, the quota applies only to requests of this class.
     #[serde(default)]
     pub class: Option<String>,
 }
@@ -80,9 +80,9 @@
 pub enum Resource {
     /// Connections that are established or being set up: a level.
     Connections,
-    /// Attempts sent to servers: a rate, bounded by what the session ledger can take.
+    /// Attempts sent to servers: a rate, limited by the capacity of the session ledger.
     Setups,
-    /// Attempts other than the first of a request: a rate.
+    /// Attempts after the first of a request: a rate.
     Retries,
     /// Calls to discovery: a rate.
     #[serde(rename = "lists")]
@@ -90,12 +90,13 @@
 }
 
 impl Resource {
-    /// Whether units return when their use ends (a level); those of a rate return with time.
+    /// Whether this is a level, whose units are freed when their use ends; the units of a rate are freed as time passes.
     pub fn is_level(self) -> bool {
         self == Resource::Connections
     }
 
-    /// The name that goes into [`QuotaPlan::layout_hash`]; nodes of other versions compute the same.
+    /// The name that is part of [`QuotaPlan::layout_hash`]. It must not change: nodes of other versions hash the same
+    /// names.
     fn layout_name(self) -> &'static str {
         match self {
             Resource::Connections => "Connections",
@@ -111,18 +112,19 @@
 }
 
 impl QuotaPlan {
-    /// The duration of a lease, which its holder counts from when it sent the request.
+    /// The duration of a lease, which the holder measures from when it sent the request.
     pub fn lease_duration(&self) -> Duration {
         Duration::from_millis(self.lease_ms)
     }
 
-    /// The time after which, on the clock of a grantor and since it applied a request, the lease of that request
-    /// has expired on its holder's clock too.
+    /// How long after applying a request, by its own clock, a grantor can rely on the lease having expired on the
+    /// holder's clock as well.
     pub fn lease_expired_after(&self) -> Duration {
         self.with_drift(self.lease_duration())
     }
 
-    /// The time after which, counted likewise, the connections above the holder's floor are gone too.
+    /// How long after applying a request, by its own clock, a grantor can rely on the connections above the holder's
+    /// floor having ended as well.
     pub fn connections_cleared_after(&self) -> Duration {
         self.with_drift(self.lease_duration() + Duration::from_millis(self.clear_ms))
     }
@@ -132,8 +134,9 @@
         Duration::from_nanos(nanos + nanos / PARTS_PER_MILLION * self.drift_ppm + 1)
     }
 
-    /// A hash of what two nodes need to have in common for their allotments to mean the same: members, lease and
-    /// clear time, drift, and the order, names and resources of the quotas. Lease requests carry it.
+    /// A hash of the properties that must agree between two nodes for their allotments to be comparable: the names of
+    /// the members, the lease time, clear time and drift, and the order, names, resources and scopes of the quotas.
+    /// Lease requests carry it.
     pub fn layout_hash(&self) -> u64 {
         let mut hash = LayoutHash::new();
         for member in &self.members {
@@ -148,19 +151,19 @@
         hash.0
     }
 
-    /// The units of a quota that each member has without a lease.
+    /// The units of a quota that each member may use without a lease.
     pub fn floor_units(&self, quota: usize) -> u64 {
         let quota = &self.quotas[quota];
         quota.total_units() * quota.floor_percent / 100 / self.members.len().max(1) as u64
     }
 
-    /// The units that the grantors divide: the total without the floors of all members.
+    /// The units that the grantors divide: the total less the floors of all members.
     pub fn divisible_units(&self, quota: usize) -> u64 {
         self.quotas[quota].total_units() - self.floor_units(quota) * self.members.len() as u64
     }
 }
 
-/// FNV-1a over zero-terminated texts: stable across builds, unlike the hashers of the standard library.
+/// FNV-1a over zero-terminated strings. Unlike the hashers of the standard library it is stable across builds.
 struct LayoutHash(u64);
 
 impl LayoutHash {
@@ -179,7 +182,7 @@
 }
 
 impl Quota {
-    /// The total in the units that are granted: connections, or thousandths of an event per second.
+    /// The total in units: connections, or thousandths of an event per second.
     pub fn total_units(&self) -> u64 {
         if self.resource.is_level() {
             self.total
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Whether a request of this subscriber and class counts against this quota.
+    /// Whether this quota applies to a request of this subscriber and class.
     pub fn applies_to(&self, subscriber: &str, class: &str) -> bool {
         let subscriber_matches = self.subscriber.as_deref().is_none_or(|own| own == subscriber);
         let class_matches = self.class.as_deref().is_none_or(|own| own == class);
--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -1,17 +1,17 @@
-//! Validation of a quota plan: the bounds of each field, and an error that names the field.
+//! Validation of a quota plan: the limits of each field, and an error that names the invalid field.
 
 use super::{Quota, QuotaPlan};
 use std::collections::BTreeSet;
 use std::ops::RangeInclusive;
 use thiserror::Error;
 
-// The memory and the time of a division grow with the product of members and quotas.
+// The memory and time that a division takes grow with the product of members and quotas.
 const MAX_MEMBERS: usize = 4096;
 const MAX_QUOTAS: usize = 1024;
 const MAX_TOTAL: u64 = 1_000_000_000;
 const LEASE_RANGE_MS: RangeInclusive<u64> = 300..=60_000;
 const MAX_CLEAR_MS: u64 = 120_000;
-/// Two clocks may drift apart by a tenth at most; real ones do by less than a thousandth.
+/// A drift of one tenth; real clocks drift apart by less than a thousandth.
 const MAX_DRIFT_PPM: u64 = 100_000;
 const MAX_FLOOR_PERCENT: u64 = 90;
 
@@ -31,22 +31,22 @@
     /// A name is empty.
     #[error("is empty")]
     Empty,
-    /// The value is used by an earlier element of the same list.
+    /// An earlier element of the same list has the same value.
     #[error("is there twice")]
     Duplicate,
-    /// A list is empty or has more elements than this.
-    #[error("1 to {max} are needed")]
+    /// A list is empty or has more than `max` elements.
+    #[error("must have 1 to {max} elements")]
     LengthOutOfRange {
-        /// The most elements that are allowed.
+        /// The largest number of elements that is allowed.
         max: usize,
     },
     /// The number of grantors is not one, three or five.
-    #[error("one, three or five are needed")]
+    #[error("must have one, three or five elements")]
     GrantorCount,
     /// A grantor is not a member.
     #[error("no member is named {name:?}")]
     UnknownMember {
-        /// The name that is no member's.
+        /// The unknown name.
         name: String,
     },
     /// The lease is shorter or longer than allowed.
@@ -62,9 +62,9 @@
     #[error("1 to {MAX_TOTAL} is allowed")]
     TotalOutOfRange,
     /// A level has a burst.
-    #[error("connections have none")]
+    #[error("must be 0 for connections")]
     BurstOfLevel,
-    /// A rate has a burst that does not give one event to each member, or one that is larger than any total.
+    /// The burst of a rate is less than one event per member, or larger than the largest total.
     #[error("one for each member is needed, {members} at least")]
     BurstOutOfRange {
         /// The number of members.
@@ -85,7 +85,7 @@
     ///
     /// # Errors
     ///
-    /// The first field, in the order of the file's description, that is invalid.
+    /// The first invalid field. Members, grantors, durations and quotas are checked in this order.
     pub fn validate(&self) -> Result<(), PlanError> {
         self.validate_members()?;
         self.validate_grantors()?;
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -1,33 +1,34 @@
 //! The messages between lease holders and grantors, and the entries of the grantors' log.
 //!
-//! The order and the types of the fields are the wire format (postcard): renaming a field is safe, reordering is not.
+//! The order and types of the fields define the wire format (postcard): fields may be renamed but not reordered.
 
 use serde::{Deserialize, Serialize};
 
-/// One incarnation of the node of a member: a restarted or duplicated process is another holder.
+/// Identifies one incarnation of a member's node: a restarted or duplicated process is a different holder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct HolderId {
     /// The index of the member in the plan.
     pub member: u16,
-    /// Distinguishes the incarnations of a member; a later one has the greater number.
+    /// Distinguishes the incarnations of a member; later incarnations have greater numbers.
     pub incarnation: u64,
 }
 
-/// A request for a new lease. Until its sender receives the grant for this very request, it uses no more than it
+/// A request for a new lease. Until the sender receives the grant for this request, it uses no more than the units it
 /// retains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct LeaseRequest {
     /// The sender.
     pub holder: HolderId,
-    /// The requests of a holder are numbered from one; an older request that arrives late has no effect.
+    /// The number of this request, counted from one for each holder. A request that arrives after a newer one has no
+    /// effect.
     pub sequence: u64,
     /// [`QuotaPlan::layout_hash`](crate::QuotaPlan::layout_hash) of the sender's plan.
     pub layout: u64,
-    /// The units that the sender retains of each quota: it has already lowered its allotments to them.
+    /// The units of each quota that the sender retains; it has already lowered its allotments to these values.
     pub retained: Vec<u64>,
-    /// The units that the sender wants of each quota, beside its floor.
+    /// The units of each quota that the sender wants in addition to its floor.
     pub wanted: Vec<u64>,
-    /// The sender is shutting down: once this request is applied it has no allotment.
+    /// The sender is shutting down; its lease is removed when this request is applied.
     pub shutting_down: bool,
 }
 
@@ -36,32 +37,33 @@
 pub struct LeaseGrant {
     /// The receiver.
     pub holder: HolderId,
-    /// The sequence number of the request that is granted.
+    /// The sequence number of the request that this grant answers.
     pub sequence: u64,
-    /// The units of each quota that the receiver may use until its lease expires.
+    /// The units of each quota that the receiver may use, in addition to its floor, until its lease expires.
     pub allotments: Vec<u64>,
-    /// The units of each quota that the receiver should come down to as soon as it can.
+    /// The units of each quota to which the receiver should reduce its allotment as soon as it can.
     pub targets: Vec<u64>,
-    /// A later incarnation of the member has sent a request: the receiver gets no more.
+    /// A later incarnation of the member has sent a request, so the receiver gets no further units.
     pub fenced: bool,
 }
 
-/// A grantor's statement that the lease of a holder has expired.
+/// The expiry of a holder's lease, as determined by the leading grantor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub struct LeaseExpiry {
     /// The holder whose allotments are reclaimed.
     pub holder: HolderId,
-    /// The newest request that the grantor knew of: if a newer one was applied, the expiry has no effect.
+    /// The number of the newest request that the grantor knew of. The expiry has no effect if a newer one has been
+    /// applied.
     pub sequence: u64,
-    /// Whether the levels are reclaimed too, because the connections counted in them are gone.
+    /// Whether the levels are reclaimed too, because the connections counted against them have ended.
     pub includes_levels: bool,
 }
 
-/// One entry of the grantors' log, applied at once.
+/// One entry of the grantors' log, applied atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Deserialize, Serialize)]
 pub struct LogEntry {
-    /// The leases that have expired; they are applied before the requests.
+    /// The expired leases; they are reclaimed before the requests are applied.
     pub expiries: Vec<LeaseExpiry>,
-    /// The lease requests, each to be answered with a grant.
+    /// The lease requests; each accepted one is answered with a grant.
     pub requests: Vec<LeaseRequest>,
 }
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -1,17 +1,19 @@
-//! The use of one quota at one node: its floor and allotment, what is in use, and the token bucket of a rate.
+//! The use of one quota at one node: floor, allotment, connections or events counted, and the token bucket of a rate.
 
 use crate::plan::QuotaPlan;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The tokens of one event: a rate of one unit (a thousandth of an event per second) yields one token per nanosecond.
+/// The tokens that one event costs. A rate of one unit (a thousandth of an event per second) adds one token per
+/// nanosecond.
 const TOKENS_PER_EVENT: u64 = 1_000_000_000_000;
-/// What a node wants falls by at most a quarter from request to request, so that allotments don't follow noise.
+/// The wanted units fall by at most a quarter from one request to the next, so that allotments do not follow short-term
+/// fluctuations.
 const WANTED_DECAY_NUMERATOR: u64 = 3;
 const WANTED_DECAY_DENOMINATOR: u64 = 4;
-/// A node wants a sixteenth more than it used.
+/// A node requests a sixteenth more than its demand.
 const HEADROOM_DIVISOR: u64 = 16;
-/// An allotment that exceeds its target by at most a sixteenth of itself is retained.
+/// An allotment is retained in full if it exceeds its target by at most a sixteenth of itself.
 const TARGET_TOLERANCE_DIVISOR: u64 = 16;
 /// The largest Retry-After.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
@@ -23,43 +25,43 @@
     pub total: u64,
     /// The node's floor, in units.
     pub floor: u64,
-    /// The node's allotment beside its floor, in units.
+    /// The node's allotment in addition to its floor, in units.
     pub allotment: u64,
-    /// Connections in use now, or events since the start.
+    /// Current connections, or events since the node started.
     pub used: u64,
-    /// Rejections since the start.
+    /// Rejections since the node started.
     pub rejected: u64,
 }
 
-/// One quota at one node.
+/// The state of one quota at one node.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct QuotaUsage {
     is_level: bool,
     total: u64,
     floor: u64,
-    /// The burst of the fleet beyond the one event of each member.
+    /// The part of the burst that is shared by the fleet, beyond one event for each member.
     shared_burst: u64,
-    /// Granted until the lease expires.
+    /// The granted units; zero without a lease.
     allotment: u64,
-    /// Of a level: the allotment when the last lease expired.
+    /// The allotment of a level when the last lease expired; zero for a rate.
     allotment_at_expiry: u64,
     target: u64,
-    /// Connections now; events since the start.
+    /// Current connections of a level, or events of a rate since the start.
     used: u64,
     rejected: u64,
     used_at_last_request: u64,
     rejected_at_last_request: u64,
     wanted: u64,
-    /// The bucket of a rate, in tokens, as of `refilled_at`.
+    /// The tokens in the bucket of a rate as of `refilled_at`.
     tokens: u64,
     refilled_at: MonotonicTime,
-    /// The latest time that a rejected attempt was given to retry at.
+    /// The latest retry time that was given to a rejected attempt.
     last_retry_at: MonotonicTime,
 }
 
 impl QuotaUsage {
-    /// Nothing in use and no allotment. The bucket starts empty, since a previous process of the member may have
-    /// spent the tokens of this second.
+    /// Creates a state with nothing in use and no allotment. The bucket starts empty because a previous process of the
+    /// member may already have spent the tokens of the current second.
     pub(crate) fn new(plan: &QuotaPlan, quota: usize, now: MonotonicTime) -> QuotaUsage {
         let settings = &plan.quotas[quota];
         QuotaUsage {
@@ -81,7 +83,7 @@
         }
     }
 
-    /// The units that this node may use: floor and allotment.
+    /// The units that this node may use now: floor and allotment.
     pub(crate) fn allowed_units(&self) -> u64 {
         self.floor + self.allotment
     }
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Counts one connection or event; the caller has checked the capacity.
+    /// Counts one connection or event. The caller must have checked [`QuotaUsage::has_capacity`].
     pub(crate) fn consume(&mut self) {
         self.used += 1;
         if !self.is_level {
@@ -102,21 +104,21 @@
         }
     }
 
-    /// Counts a connection as ended.
+    /// Removes an ended connection from a level.
     pub(crate) fn release(&mut self) {
         if self.is_level {
             self.used = self.used.saturating_sub(1);
         }
     }
 
-    /// Counts a connection whether there is capacity for it or not.
+    /// Adds a connection to a level, whether it has capacity or not.
     pub(crate) fn adopt(&mut self) {
         if self.is_level {
             self.used += 1;
         }
     }
 
-    /// The connections that exceed floor and allotment.
+    /// The number of connections of a level that exceed floor and allotment.
     pub(crate) fn excess(&self) -> u64 {
         if self.is_level {
             self.used.saturating_sub(self.allowed_units())
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Counts a rejection and gives the Retry-After of the rejected attempt: when there is capacity for it, as far as
-    /// this node knows, if all that were rejected before it retry too.
+    /// Counts a rejection and returns the Retry-After of the rejected attempt. For a rate, that is the expected time
+    /// until there is capacity for this attempt if all attempts that were rejected before it retry too.
     pub(crate) fn reject(
         &mut self,
         now: MonotonicTime,
@@ -137,7 +139,7 @@
         if self.is_level {
             return level_wait;
         }
-        // One after the other, from the time at which the bucket has an event again.
+        // Retries are spaced by the time that one event takes to refill, starting when the bucket next has one event.
         let rate = self.allowed_units();
         let interval = TOKENS_PER_EVENT.checked_div(rate).map_or(MAX_RETRY_AFTER, Duration::from_nanos);
         let missing_tokens = TOKENS_PER_EVENT - self.tokens;
@@ -153,7 +155,7 @@
         self.rejected > self.rejected_at_last_request
     }
 
-    /// Brings the bucket of a rate up to now.
+    /// Adds the tokens of a rate that have accrued since the last refill.
     pub(crate) fn refill(&mut self, now: MonotonicTime) {
         if self.is_level || now <= self.refilled_at {
             return;
@@ -165,19 +167,19 @@
         self.refilled_at = now;
     }
 
-    /// Drops the tokens above the bucket's capacity.
-    pub(crate) fn clip_bucket(&mut self) {
+    /// Discards the tokens above the bucket's capacity, which falls with the allotment.
+    pub(crate) fn clamp_tokens(&mut self) {
         self.tokens = self.tokens.min(self.bucket_capacity());
     }
 
-    /// The capacity of the bucket in tokens: one event of the member, and the node's share of the shared burst.
+    /// The capacity of the bucket in tokens: one event, plus this node's share of the shared burst.
     fn bucket_capacity(&self) -> u64 {
         let shared_tokens =
             u128::from(self.shared_burst) * u128::from(self.allowed_units()) * u128::from(TOKENS_PER_EVENT);
         (shared_tokens / u128::from(self.total).max(1)) as u64 + TOKENS_PER_EVENT
     }
 
-    /// Takes the allotment away at the end of the lease.
+    /// Removes the allotment when the lease has expired.
     pub(crate) fn expire_allotment(&mut self) {
         self.allotment_at_expiry = if self.is_level { self.allotment } else { 0 };
         self.allotment = 0;
@@ -189,8 +191,9 @@
         self.target = target;
     }
 
-    /// Sets what the next lease request wants beside the floor, from what was used and rejected since the last one.
-    pub(crate) fn update_wanted(&mut self, since_last_request: Duration, is_shutting_down: bool) {
+    /// Computes the units that the next lease request wants in addition to the floor, from the use and the rejections
+    /// since the last request.
+    pub(crate) fn update_wanted(&mut self, since_last_request: Duration, returns_allotment: bool) {
         let rejected = self.rejected - self.rejected_at_last_request;
         let demand = if self.is_level {
             self.used + rejected
@@ -201,15 +204,15 @@
         };
         self.used_at_last_request = self.used;
         self.rejected_at_last_request = self.rejected;
-        let beside_floor = (demand + demand / HEADROOM_DIVISOR).saturating_sub(self.floor);
+        let above_floor = (demand + demand / HEADROOM_DIVISOR).saturating_sub(self.floor);
         let decayed = self.wanted / WANTED_DECAY_DENOMINATOR * WANTED_DECAY_NUMERATOR;
-        self.wanted = if is_shutting_down { 0 } else { beside_floor.max(decayed) };
+        self.wanted = if returns_allotment { 0 } else { above_floor.max(decayed) };
     }
 
     /// Lowers the allotment to what the next lease request retains: the target, but no less than is in use.
-    pub(crate) fn lower_allotment(&mut self, is_shutting_down: bool) {
+    pub(crate) fn lower_allotment(&mut self, returns_allotment: bool) {
         let above_target = self.allotment.saturating_sub(self.target);
-        let retained = if is_shutting_down {
+        let retained = if returns_allotment {
             0
         } else if above_target <= self.allotment / TARGET_TOLERANCE_DIVISOR {
             self.allotment
@@ -220,8 +223,8 @@
         self.allotment = retained.max(in_use).min(self.allotment);
     }
 
-    /// The units beside the floor that this node still uses, with or without a lease: connections above the floor
-    /// remain established until they end.
+    /// The units that the next lease request retains in addition to the floor. Connections above the floor use units
+    /// until they end, even after the lease has expired.
     pub(crate) fn retained(&self) -> u64 {
         if self.is_level && self.allotment == 0 {
             self.allotment_at_expiry.min(self.used.saturating_sub(self.floor))
@@ -234,7 +237,7 @@
         self.wanted
     }
 
-    /// Whether connections are in use.
+    /// Whether this is a level with current connections.
     pub(crate) fn has_connections(&self) -> bool {
         self.is_level && self.used > 0
     }
