--- a/crates/quota/benches/division.rs
+++ b/crates/quota/benches/division.rs
@@ -1,4 +1,5 @@
-//! The cost of admission for a request, and of a division for a grantor: `cargo bench -p sparbank-quota`.
+//! Benchmarks of the admission of a request and of the division of quotas by a grantor:
+//! `cargo bench -p sparbank-quota`.
 
 use sparbank_quota::{
     AdmissionController, AttemptKind, Grantor, HolderId, LeaseHolder, LeaseRequest, LeaseTable, LogEntry,
@@ -12,15 +13,17 @@
 const QUOTAS: usize = 100;
 const SUBSCRIBERS: usize = 1000;
 const ADMISSIONS: u64 = 2_000_000;
-/// Virtual time between two admissions.
+/// A prime number, so that consecutive admissions use subscribers that are far apart.
+const SUBSCRIBER_STRIDE: usize = 7919;
+/// The virtual time between two admissions.
 const ADMISSION_INTERVAL: Duration = Duration::from_micros(100);
 const DIVISION_ROUNDS: u64 = 5;
 
-/// Four quotas apply to everybody; each of the others to one subscriber.
+/// Four quotas apply to all subscribers, each of the others to one subscriber.
 fn plan(members: u16) -> QuotaPlan {
     let member = |i: u16| Member { name: format!("n{i}"), address: ([127, 0, 0, 1], 2000 + i).into() };
     let quota = |i: usize| Quota {
-        name: format!("b{i}"),
+        name: format!("q{i}"),
         resource: [Resource::Connections, Resource::Setups, Resource::Retries][i % 3],
         total: 1_000_000_000,
         burst: if i.is_multiple_of(3) { 0 } else { 1_000_000_000 },
@@ -51,7 +54,7 @@
     let started = Instant::now();
     let mut now = MonotonicTime::ZERO;
     for i in 0..ADMISSIONS {
-        let scope = scopes[i as usize * 7919 % SUBSCRIBERS];
+        let scope = scopes[i as usize * SUBSCRIBER_STRIDE % SUBSCRIBERS];
         match controller.admit(&mut holder, now, scope, AttemptKind::First) {
             Ok(()) => controller.release(&mut holder, scope),
             Err(rejection) => rejected += u64::from(black_box(rejection).retry_after > Duration::ZERO),
@@ -60,7 +63,7 @@
     }
     let nanos_per_request = started.elapsed().as_nanos() as f64 / ADMISSIONS as f64;
     println!(
-        "admission, {QUOTAS} quotas, {SUBSCRIBERS} subscribers: {nanos_per_request:.0} ns a request, \
+        "admission, {QUOTAS} quotas, {SUBSCRIBERS} subscribers: {nanos_per_request:.0} ns per request, \
          {rejected} of {ADMISSIONS} rejected"
     );
 }
@@ -88,7 +91,7 @@
     times_ms.sort_by(f64::total_cmp);
     let median_ms = times_ms[times_ms.len() / 2];
     println!(
-        "division among {members} members, {QUOTAS} quotas, all request at once: {median_ms:.2} ms \
+        "division among {members} members, {QUOTAS} quotas, one request of each: {median_ms:.2} ms \
          (median of {DIVISION_ROUNDS})"
     );
 }
--- a/crates/quota/src/admission.rs
+++ b/crates/quota/src/admission.rs
@@ -19,12 +19,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaScope(usize);
 
-/// Admits attempts against the quotas of a [`LeaseHolder`]. Admitting an attempt neither allocates memory nor compares
-/// names.
+/// Admits attempts against the quotas of a [`LeaseHolder`]. Admitting an attempt neither allocates memory nor
+/// compares names.
 #[derive(Clone, Debug)]
 pub struct AdmissionController {
-    /// The distinct sets of quotas, indexed by scope. Pairs of subscriber and class to which the same quotas apply share
-    /// a scope.
+    /// The distinct sets of quotas, indexed by scope. Pairs of subscriber and class to which the same quotas apply
+    /// share a scope.
     quota_sets: Vec<QuotaSet>,
     scopes: HashMap<ScopeKey, QuotaScope>,
     /// The scope of requests whose subscriber or class is unknown.
@@ -46,8 +46,8 @@
 }
 
 impl AdmissionController {
-    /// Creates a controller for the requests of these subscribers and classes. Its size is bounded by the settings: it
-    /// has one entry for each pair of them, and each distinct set of quotas once.
+    /// Creates a controller for the requests of these subscribers and classes. Its size is bounded by the settings:
+    /// it has one entry for each pair of them, and each distinct set of quotas once.
     pub fn new(plan: &QuotaPlan, subscribers: &[String], classes: &[String]) -> AdmissionController {
         let mut quota_sets = QuotaSetInterner::default();
         let default_scope = quota_sets.intern(QuotaSet::new(plan, "", ""));
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -6,12 +6,12 @@
 use std::collections::BTreeMap;
 
 /// A lease table, and the time on the grantor's own clock at which it applied the newest request of each holder. The
-/// leading grantor proposes the expiries that [`Grantor::expired_leases`] returns; all grantors apply the committed log
-/// entries.
+/// leading grantor proposes the expiries that [`Grantor::expired_leases`] returns; all grantors apply the committed
+/// log entries.
 ///
-/// A holder sends its request before any grantor applies it, so a lease measured from when the request was applied ends
-/// after the lease that the holder measures. This holds for every grantor, including one that applied the request long
-/// after the others. A new leader therefore needs no state from the previous one.
+/// A holder sends its request before any grantor applies it, so a lease measured from when the request was applied
+/// ends after the lease that the holder measures. This holds for every grantor, including one that applied the
+/// request long after the others. A new leader therefore needs no state from the previous one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Grantor {
     lease_table: LeaseTable,
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -90,8 +90,8 @@
         }
     }
 
-    /// Counts an established connection that was not acquired here against the levels among these quotas, even if they
-    /// are exhausted.
+    /// Counts an established connection that was not acquired here against the levels among these quotas, even if
+    /// they are exhausted.
     pub fn adopt(&mut self, quotas: &[usize]) {
         for quota in quotas {
             self.usage[*quota].adopt();
--- a/crates/quota/src/lease_table.rs
+++ b/crates/quota/src/lease_table.rs
@@ -33,8 +33,8 @@
 }
 
 impl LeaseTable {
-    /// How many incarnations of one member can have a lease at a time. A member that restarts more often gets no lease
-    /// until those of its first incarnations have expired.
+    /// How many incarnations of one member can have a lease at a time. A member that restarts more often gets no
+    /// lease until those of its first incarnations have expired.
     pub const MAX_INCARNATIONS_PER_MEMBER: usize = 8;
 
     /// Creates a table without leases.
@@ -115,8 +115,9 @@
         lease.wanted.fill(0);
     }
 
-    /// Stops fencing the earlier incarnations of a holder whose lease has expired. If the wall clock of a member was set
-    /// back between two starts, the newer process has the lower incarnation and would otherwise never get a lease.
+    /// Stops fencing the earlier incarnations of a holder whose lease has expired. If the wall clock of a member was
+    /// set back between two starts, the newer process has the lower incarnation and would otherwise never get a
+    /// lease.
     fn unfence_earlier_incarnations(&mut self, holder: HolderId) {
         if self.latest_incarnations.get(&holder.member) == Some(&holder.incarnation) {
             self.latest_incarnations.remove(&holder.member);
@@ -157,8 +158,8 @@
         !request.shutting_down && incarnations < LeaseTable::MAX_INCARNATIONS_PER_MEMBER
     }
 
-    /// Divides each quota among the holders by demand and sets the results as their targets. Fenced holders get targets
-    /// of zero.
+    /// Divides each quota among the holders by demand and sets the results as their targets. Fenced holders get
+    /// targets of zero.
     fn set_targets(&mut self) {
         let quotas = self.plan.quotas.len();
         let mut demands: Vec<Vec<Demand>> = vec![Vec::with_capacity(self.leases.len()); quotas];
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -90,7 +90,8 @@
 }
 
 impl Resource {
-    /// Whether this is a level, whose units are freed when their use ends; the units of a rate are freed as time passes.
+    /// Whether this is a level, whose units are freed when their use ends; the units of a rate are freed as time
+    /// passes.
     pub fn is_level(self) -> bool {
         self == Resource::Connections
     }
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -7,8 +7,8 @@
 /// The tokens that one event costs. A rate of one unit (a thousandth of an event per second) adds one token per
 /// nanosecond.
 const TOKENS_PER_EVENT: u64 = 1_000_000_000_000;
-/// The wanted units fall by at most a quarter from one request to the next, so that allotments do not follow short-term
-/// fluctuations.
+/// The wanted units fall by at most a quarter from one request to the next, so that allotments do not follow
+/// short-term fluctuations.
 const WANTED_DECAY_NUMERATOR: u64 = 3;
 const WANTED_DECAY_DENOMINATOR: u64 = 4;
 /// A node requests a sixteenth more than its demand.
@@ -60,8 +60,8 @@
 }
 
 impl QuotaUsage {
-    /// Creates a state with nothing in use and no allotment. The bucket starts empty because a previous process of the
-    /// member may already have spent the tokens of the current second.
+    /// Creates a state with nothing in use and no allotment. The bucket starts empty because a previous process of
+    /// the member may already have spent the tokens of the current second.
     pub(crate) fn new(plan: &QuotaPlan, quota: usize, now: MonotonicTime) -> QuotaUsage {
         let settings = &plan.quotas[quota];
         QuotaUsage {
--- a/crates/quota/tests/incarnations.rs
+++ b/crates/quota/tests/incarnations.rs
@@ -1,4 +1,5 @@
-//! Incarnations of one member whose clock steps: a start time may be lower than that of the process before.
+//! Tests of a member whose wall clock steps back. The incarnation is the start time of the process, so a process can
+//! have a lower incarnation than its predecessor.
 
 mod support {
     pub mod plan;
@@ -11,19 +12,25 @@
 
 const TOTAL: u64 = 10;
 
-fn table() -> LeaseTable {
+fn lease_table() -> LeaseTable {
     LeaseTable::new(QuotaPlan {
         members: members(2),
         grantors: vec!["n0".into()],
         lease_ms: 300,
         clear_ms: 0,
         drift_ppm: 0,
-        quotas: vec![quota("standing", Resource::Connections, TOTAL)],
+        quotas: vec![quota("connections", Resource::Connections, TOTAL)],
     })
 }
 
-/// A member's incarnation requests all there is; yields its grant.
-fn request(table: &mut LeaseTable, incarnation: u64, sequence: u64, expired: Option<u64>) -> LeaseGrant {
+/// Requests the whole total for an incarnation of the member and returns the grant. The lease of the `expired`
+/// incarnation, if any, is reclaimed in the same log entry.
+fn request_total(
+    table: &mut LeaseTable,
+    incarnation: u64,
+    sequence: u64,
+    expired: Option<u64>,
+) -> LeaseGrant {
     let holder = HolderId { member: 1, incarnation };
     let request = LeaseRequest {
         holder,
@@ -43,23 +50,23 @@
     grants.pop().expect("a grant")
 }
 
-/// The wall clock went back between two starts of a member: the newer process, whose incarnation is lower, is fenced only
-/// as long as the older one may still use its lease.
+/// If the wall clock of a member steps back between two starts, the newer process has the lower incarnation. It must
+/// be fenced only until the lease of the older process has expired.
 #[test]
-fn a_member_whose_clock_stepped_back_is_served_once_its_earlier_lease_is_over() {
-    let mut table = table();
-    assert!(!request(&mut table, 5_000, 1, None).fenced);
-    assert!(request(&mut table, 1_000, 1, None).fenced, "the earlier lease may still be used");
-    let grant = request(&mut table, 1_000, 2, Some(5_000));
+fn member_whose_clock_stepped_back_is_granted_units_once_its_earlier_lease_has_expired() {
+    let mut table = lease_table();
+    assert!(!request_total(&mut table, 5_000, 1, None).fenced);
+    assert!(request_total(&mut table, 1_000, 1, None).fenced, "the earlier lease may still be used");
+    let grant = request_total(&mut table, 1_000, 2, Some(5_000));
     assert_eq!((grant.fenced, grant.allotments), (false, vec![TOTAL]));
 }
 
-/// A process that was stopped past its lease and goes on beside a newer one stays fenced.
+/// A process that was stopped until its lease expired, and continues after a newer one has started, must stay fenced.
 #[test]
-fn an_older_incarnation_beside_a_newer_one_stays_fenced() {
-    let mut table = table();
-    request(&mut table, 1_000, 1, None);
-    assert!(!request(&mut table, 5_000, 1, Some(1_000)).fenced);
-    assert!(request(&mut table, 1_000, 2, None).fenced);
-    assert!(!request(&mut table, 5_000, 2, None).fenced);
+fn older_incarnation_stays_fenced_while_a_newer_one_has_a_lease() {
+    let mut table = lease_table();
+    request_total(&mut table, 1_000, 1, None);
+    assert!(!request_total(&mut table, 5_000, 1, Some(1_000)).fenced);
+    assert!(request_total(&mut table, 1_000, 2, None).fenced);
+    assert!(!request_total(&mut table, 5_000, 2, None).fenced);
 }
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -1,6 +1,7 @@
-//! The bound does not leave the total unused: how much of a level is in use under demand above the total, and how soon
-//! again after nodes shut down or were killed, in virtual time, beside an even static division. Twelve nodes, messages
-//! take 5 ms, the grantor applies its log every 50 ms, connections live 1 s on average. `QUOTA_SEEDS` sets the seeds.
+//! Tests that leases leave little of a total unused: the utilization of a level while demand exceeds the total, and
+//! the time until it recovers after nodes shut down or are killed. Both are compared with an equal static division
+//! and with a shared pool, in virtual time. There are twelve nodes, messages take 5 ms, the grantor applies its log
+//! every 50 ms, and connections last 1 s on average. `QUOTA_SEEDS` sets the seeds.
 
 mod support {
     pub mod plan;
@@ -18,34 +19,36 @@
 use support::seeds::seeds_from_env;
 
 const NODES: usize = 12;
-/// Connections of all nodes together.
+/// The most connections of all nodes together.
 const TOTAL: u64 = 600;
 /// The only quota of the plan, a level.
 const CONNECTIONS: usize = 0;
 
 const RUN_MS: u64 = 40_000;
 const EVENT_AT_MS: u64 = 20_000;
-/// How long after the event a node that shuts down ends its connections.
+/// The time after the event at which a node that shuts down ends its remaining connections.
 const SHUTDOWN_MS: u64 = 1_000;
 const MESSAGE_DELAY_MS: u64 = 5;
 const LOG_INTERVAL_MS: u64 = 50;
 const MEAN_CONNECTION_MS: f64 = 1000.0;
-/// The demand of the fleet, in multiples of what the total serves.
+/// The concurrent connections that clients demand of the fleet, as a multiple of the total.
 const DEMAND: f64 = 1.5;
-/// The use is averaged from here until the event.
+/// The utilization is averaged from this time until the event.
 const MEASURED_FROM_MS: u64 = 10_000;
-/// The use, in proportion to the total, from which it counts as recovered, and for how long it has to last.
-const RECOVERED_USE: f64 = 0.9;
+/// The utilization counts as recovered once it has been at least this high for [`RECOVERED_FOR_MS`].
+const RECOVERED_UTILIZATION: f64 = 0.9;
 const RECOVERED_FOR_MS: u64 = 1000;
+/// No recovery is recognized within this time after the end of the event.
 const RECOVERY_SETTLING_MS: u64 = 500;
 
 /// How the total is divided.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Division {
     Leases,
-    /// Evenly and for good.
+    /// Equal, constant shares.
     Static,
-    /// One pool that all nodes see at once: the shortest recovery and the most use that are possible.
+    /// One pool that all nodes share without delay, which gives the shortest recovery and the highest utilization
+    /// that are possible.
     SharedPool,
 }
 
@@ -53,13 +56,13 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
     None,
-    /// They shut down, and end their connections within a second.
+    /// They shut down and end their connections within [`SHUTDOWN_MS`].
     Shutdown,
     Kill,
 }
 
 impl Event {
-    /// From when the recovery is counted.
+    /// The time from which the recovery is measured.
     fn ends_at_ms(self) -> u64 {
         if self == Event::Shutdown {
             EVENT_AT_MS + SHUTDOWN_MS
@@ -74,7 +77,7 @@
 }
 
 fn plan() -> QuotaPlan {
-    let connections = quota("standing", Resource::Connections, TOTAL);
+    let connections = quota("connections", Resource::Connections, TOTAL);
     QuotaPlan {
         members: members(NODES as u16),
         grantors: vec!["n0".into()],
@@ -85,7 +88,7 @@
     }
 }
 
-/// Something that arrives at a time.
+/// A message in flight.
 struct InFlight<T> {
     arrives_at_ms: u64,
     message: T,
@@ -95,7 +98,7 @@
     MonotonicTime::ZERO + Duration::from_millis(now_ms)
 }
 
-/// Takes the messages that have arrived, in the order in which they were sent.
+/// Removes the messages that have arrived, and returns them in the order in which they were sent.
 fn take_arrived<T>(in_flight: &mut Vec<InFlight<T>>, now_ms: u64) -> Vec<T> {
     let all = std::mem::take(in_flight);
     let (arrived, remaining): (Vec<_>, Vec<_>) =
@@ -107,12 +110,12 @@
 struct Fleet {
     rng: StdRng,
     division: Division,
-    /// The demand of the first node, in multiples of each other's.
+    /// The demand of the first node as a multiple of the demand of each other node.
     first_node_weight: f64,
     event: Event,
     holders: Vec<LeaseHolder>,
     grantor: Grantor,
-    /// By node: when each of its connections ends, in milliseconds.
+    /// The end times of the connections of each node, in milliseconds.
     connections: Vec<Vec<u64>>,
     requests: Vec<InFlight<LeaseRequest>>,
     grants: Vec<InFlight<LeaseGrant>>,
@@ -142,7 +145,7 @@
         self.connections.iter().map(|connections| connections.len() as u64).sum()
     }
 
-    /// One millisecond.
+    /// Simulates one millisecond.
     fn step(&mut self, now_ms: u64) {
         for member in 0..NODES {
             if self.event == Event::Kill && self.event.affects(member, now_ms) {
@@ -186,7 +189,8 @@
         }
     }
 
-    /// How many clients want a connection in this millisecond. The demand of nodes that are gone goes to the others.
+    /// Draws the number of connections that clients request in this millisecond. The demand of nodes that shut down
+    /// or were killed moves to the others.
     fn draw_arrivals(&mut self, member: usize, now_ms: u64) -> u32 {
         let weight = if member == 0 { self.first_node_weight } else { 1.0 };
         let nodes = if self.event.affects(1, now_ms) { NODES / 2 } else { NODES } as f64;
@@ -218,10 +222,9 @@
 }
 
 struct Outcome {
-    /// The mean use before the event, in proportion to the total.
-    use_before: f64,
-    /// Milliseconds from the end of the event to the first from which nine tenths of the total were in use for 1 s;
-    /// None if they never were.
+    /// The mean utilization before the event, as a fraction of the total.
+    utilization_before: f64,
+    /// The time from the end of the event until the utilization recovered, in milliseconds; `None` if it never did.
     recovery_ms: Option<u64>,
     max_established: u64,
 }
@@ -229,7 +232,7 @@
 fn run(seed: u64, division: Division, first_node_weight: f64, event: Event) -> Outcome {
     let mut fleet = Fleet::new(seed, division, first_node_weight, event);
     let recovery_from_ms = event.ends_at_ms();
-    let mut used_before = 0;
+    let mut established_before = 0;
     let mut recovery_ms = None;
     let mut max_established = 0;
     let mut recovered_since_ms = 0;
@@ -238,9 +241,9 @@
         let established = fleet.established();
         max_established = max_established.max(established);
         if (MEASURED_FROM_MS..EVENT_AT_MS).contains(&now_ms) {
-            used_before += established;
+            established_before += established;
         }
-        let is_low = (established as f64) < RECOVERED_USE * TOTAL as f64;
+        let is_low = (established as f64) < RECOVERED_UTILIZATION * TOTAL as f64;
         if now_ms < recovery_from_ms || is_low {
             recovered_since_ms = now_ms + 1;
         } else if recovery_ms.is_none()
@@ -251,21 +254,22 @@
         }
     }
     let measured_ms = (EVENT_AT_MS - MEASURED_FROM_MS) as f64;
-    Outcome { use_before: used_before as f64 / measured_ms / TOTAL as f64, recovery_ms, max_established }
+    let utilization_before = established_before as f64 / measured_ms / TOTAL as f64;
+    Outcome { utilization_before, recovery_ms, max_established }
 }
 
-struct Spread {
-    least: f64,
+struct Summary {
+    min: f64,
     median: f64,
-    greatest: f64,
+    max: f64,
 }
 
-fn spread(mut values: Vec<f64>) -> Spread {
+fn summarize(mut values: Vec<f64>) -> Summary {
     values.sort_by(f64::total_cmp);
-    Spread { least: values[0], median: values[values.len() / 2], greatest: values[values.len() - 1] }
+    Summary { min: values[0], median: values[values.len() / 2], max: values[values.len() - 1] }
 }
 
-/// Runs all seeds; none may exceed the total.
+/// Runs all seeds and checks that none exceeds the total.
 fn run_all(seeds: &[u64], division: Division, first_node_weight: f64, event: Event) -> Vec<Outcome> {
     let outcomes: Vec<Outcome> =
         seeds.iter().map(|seed| run(*seed, division, first_node_weight, event)).collect();
@@ -274,39 +278,47 @@
     outcomes
 }
 
-fn total_is_used(seeds: &[u64], first_node_weight: f64, least_use: f64) {
+/// Checks the utilization with leases, and prints that of the other divisions for comparison.
+fn check_utilization(seeds: &[u64], first_node_weight: f64, min_utilization: f64) {
     for division in [Division::Leases, Division::Static, Division::SharedPool] {
         let outcomes = run_all(seeds, division, first_node_weight, Event::None);
-        let Spread { least, median, .. } = spread(outcomes.iter().map(|o| o.use_before).collect());
+        let Summary { min, median, .. } =
+            summarize(outcomes.iter().map(|outcome| outcome.utilization_before).collect());
         println!(
-            "{division:?}, one node at {first_node_weight} times: {median:.3} of the total in use (least {least:.3})"
+            "{division:?}, first node with {first_node_weight} times the demand: \
+             utilization {median:.3} (min {min:.3})"
         );
-        assert!(least >= least_use || division != Division::Leases);
+        assert!(min >= min_utilization || division != Division::Leases);
     }
 }
 
-/// The longest recovery of all seeds, in milliseconds.
+/// The longest recovery among all seeds, in milliseconds.
 fn longest_recovery_ms(seeds: &[u64], division: Division, event: Event) -> f64 {
     let outcomes = run_all(seeds, division, 1.0, event);
     let recovery_ms = |outcome: &Outcome| outcome.recovery_ms.map_or(f64::INFINITY, |ms| ms as f64);
-    let Spread { median, greatest, .. } = spread(outcomes.iter().map(recovery_ms).collect());
-    println!("{event:?}, {division:?}: nine tenths again after {median:.0} ms (worst {greatest:.0})");
-    greatest
+    let Summary { median, max, .. } = summarize(outcomes.iter().map(recovery_ms).collect());
+    println!("{event:?}, {division:?}: recovered after {median:.0} ms (max {max:.0})");
+    max
 }
 
-/// The recovery takes at most so much longer than the demand itself does.
-fn use_recovers(seeds: &[u64], event: Event, within_ms: f64) {
+/// Checks that the recovery with leases takes at most this much longer than with a shared pool, where only the
+/// arrival of new demand limits it.
+fn check_recovery(seeds: &[u64], event: Event, max_extra_ms: f64) {
     let [leases, _, shared_pool] = [Division::Leases, Division::Static, Division::SharedPool]
         .map(|division| longest_recovery_ms(seeds, division, event));
-    assert!(leases <= within_ms + shared_pool, "{event:?}: {leases} ms, {shared_pool} ms with one pool");
+    assert!(
+        leases <= max_extra_ms + shared_pool,
+        "{event:?}: recovery took {leases} ms with leases and {shared_pool} ms with a shared pool"
+    );
 }
 
 #[test]
-fn total_is_used_and_use_recovers_after_node_loss() {
+fn utilization_is_high_and_recovers_after_node_loss() {
     let seeds = seeds_from_env();
-    total_is_used(&seeds, 1.0, 0.95);
-    total_is_used(&seeds, 10.0, 0.9);
-    // Half of the nodes at once: within a second of an orderly shutdown, within a lease and a second of a kill.
-    use_recovers(&seeds, Event::Shutdown, 1_000.0);
-    use_recovers(&seeds, Event::Kill, 4_000.0);
+    check_utilization(&seeds, 1.0, 0.95);
+    check_utilization(&seeds, 10.0, 0.9);
+    // Half of the nodes are lost at once. A shutdown may delay the recovery by a second; a kill by a second plus the
+    // lease of 3 s, since the grantor reclaims the units of killed nodes only when their leases have expired.
+    check_recovery(&seeds, Event::Shutdown, 1_000.0);
+    check_recovery(&seeds, Event::Kill, 4_000.0);
 }
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,6 +1,7 @@
-//! The lease protocol, checked exhaustively at a small scope: two holders, two grantors
-//! either of which leads, messages lost, duplicated and reordered, clocks that tick apart, a grantor restarted. The
-//! holders, lease tables and grantors are the crate's own; the checker only chooses what happens next.
+//! Exhaustive model check of the lease protocol for a small fleet: two holders and two grantors, either of which can
+//! lead. Messages can be lost, duplicated and reordered, time advances in ticks between any two actions, and one
+//! grantor restarts. The holders, lease tables and grantors are those of the crate; the checker only chooses the next
+//! action.
 
 mod support {
     pub mod plan;
@@ -14,21 +15,21 @@
 use std::time::Duration;
 use support::plan::{members, quota};
 
-/// A lease of 300 ms has expired after two ticks, on the clock of the grantor too, which adds a nanosecond.
+/// Two ticks expire a lease of 300 ms on the grantor's clock as well, which waits one nanosecond longer.
 const TICK: Duration = Duration::from_millis(151);
 /// The only quota of the plan, a level.
 const CONNECTIONS: usize = 0;
 
-const NEVER_ABOVE_THE_TOTAL: &str = "never above the total";
-const TABLES_GRANT_AT_MOST_THE_TOTAL: &str = "lease tables grant at most the total";
+const TOTAL_IS_NEVER_EXCEEDED: &str = "the total is never exceeded";
+const GRANTS_NEVER_EXCEED_THE_TOTAL: &str = "the grants of a lease table never exceed the total";
 
-/// A fault that is injected to see that the checker finds it.
+/// A fault that is injected to verify that the checker detects it.
 #[derive(Clone, Copy, PartialEq)]
 enum Fault {
     None,
     /// Grantors reclaim leases one tick early.
     EarlyReclaim,
-    /// A grantor that lost its lease table leads.
+    /// A grantor that has restarted with an empty lease table leads without replaying the log.
     LostLeaseTable,
 }
 
@@ -43,7 +44,7 @@
     grantor_restarts: u8,
 }
 
-/// A grantor and how many entries of the log it has applied.
+/// A grantor and the number of log entries that it has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Replica {
     grantor: Grantor,
@@ -53,23 +54,21 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
-    /// A holder sends a request.
     SendRequest {
         holder: usize,
     },
-    /// A grantor leads and commits a request that arrived, which stays: it may arrive again.
+    /// A grantor leads and commits a request. The request stays in flight, since it can be delivered again.
     CommitRequest {
         replica: usize,
         request: usize,
     },
-    /// A grantor leads and commits the expiries that are due by its clock.
+    /// A grantor leads and commits the leases that have expired by its clock.
     CommitExpiries {
         replica: usize,
     },
     CatchUp {
         replica: usize,
     },
-    /// A grant arrives.
     DeliverGrant {
         grant: usize,
     },
@@ -84,12 +83,12 @@
     },
 }
 
-/// What the checker explores.
+/// The model, with the limits that make its state space finite.
 struct LeaseModel {
     plan: QuotaPlan,
     fault: Fault,
     max_ticks: u32,
-    /// How many requests each holder may send.
+    /// The number of requests that each holder may send.
     max_requests: [usize; 2],
     max_log_entries: usize,
     /// The member of each holder.
@@ -103,7 +102,7 @@
         LeaseModel { plan, fault, max_ticks: 2, max_requests, max_log_entries: 4, members: members.to_vec() }
     }
 
-    /// What may happen at the grantors.
+    /// Adds the possible actions of the grantors.
     fn replica_actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
         for (replica, Replica { applied, .. }) in state.replicas.iter().enumerate() {
             // Only a replica that has applied all committed entries can lead.
@@ -137,9 +136,9 @@
     }
 
     fn commit_expiries(&self, state: &mut ModelState, replica: usize) -> Option<()> {
-        let ahead = if self.fault == Fault::EarlyReclaim { TICK } else { Duration::ZERO };
+        let clock_lead = if self.fault == Fault::EarlyReclaim { TICK } else { Duration::ZERO };
         let leader = &mut state.replicas[replica];
-        let expiries = leader.grantor.expired_leases(state.now + ahead);
+        let expiries = leader.grantor.expired_leases(state.now + clock_lead);
         if expiries.is_empty() {
             return None;
         }
@@ -191,7 +190,7 @@
         lease_ms: 300,
         clear_ms: 0,
         drift_ppm: 0,
-        quotas: vec![quota("standing", Resource::Connections, 2)],
+        quotas: vec![quota("connections", Resource::Connections, 2)],
     }
 }
 
@@ -253,7 +252,7 @@
             Action::Release { holder } => state.release(holder)?,
             Action::RestartGrantor { replica } => self.restart_grantor(&mut state, replica),
         }
-        // As a node does: connections above its allotment end as soon as its lease has expired.
+        // As in a node, connections above the allotment end as soon as the lease has expired.
         for holder in &mut state.holders {
             for _ in 0..holder.excess(state.now, CONNECTIONS) {
                 holder.release(&[CONNECTIONS]);
@@ -264,19 +263,19 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(NEVER_ABOVE_THE_TOTAL, |model: &LeaseModel, state: &ModelState| {
+            Property::always(TOTAL_IS_NEVER_EXCEEDED, |model: &LeaseModel, state: &ModelState| {
                 let mut holders = state.holders.clone();
                 let allowed: u64 =
                     holders.iter_mut().map(|holder| holder.allowed_units(state.now, CONNECTIONS)).sum();
                 let used: u64 = holders.iter().map(|holder| holder.status(CONNECTIONS).used).sum();
                 allowed.max(used) <= model.plan.quotas[CONNECTIONS].total
             }),
-            Property::always(TABLES_GRANT_AT_MOST_THE_TOTAL, |model: &LeaseModel, state: &ModelState| {
+            Property::always(GRANTS_NEVER_EXCEED_THE_TOTAL, |model: &LeaseModel, state: &ModelState| {
                 let divisible = model.plan.divisible_units(CONNECTIONS);
                 let granted = |replica: &Replica| replica.grantor.lease_table().granted_units(CONNECTIONS);
                 state.replicas.iter().all(|replica| granted(replica) <= divisible)
             }),
-            Property::sometimes("the total is used", |model: &LeaseModel, state: &ModelState| {
+            Property::sometimes("the total is reached", |model: &LeaseModel, state: &ModelState| {
                 let used: u64 = state.holders.iter().map(|holder| holder.status(CONNECTIONS).used).sum();
                 used == model.plan.quotas[CONNECTIONS].total
             }),
@@ -284,7 +283,7 @@
     }
 }
 
-/// What the checker found.
+/// The result of a model check.
 struct Exploration {
     states: usize,
     violated: bool,
@@ -294,7 +293,7 @@
     let checker = LeaseModel::new(fault, members, max_requests).checker().threads(2).spawn_bfs().join();
     let states = checker.unique_state_count();
     println!("{states} states");
-    let invariants = [NEVER_ABOVE_THE_TOTAL, TABLES_GRANT_AT_MOST_THE_TOTAL];
+    let invariants = [TOTAL_IS_NEVER_EXCEEDED, GRANTS_NEVER_EXCEED_THE_TOTAL];
     let violated = invariants.iter().any(|invariant| checker.discovery(invariant).is_some());
     Exploration { states, violated }
 }
@@ -305,7 +304,7 @@
     assert!(!violated && states > 10_000, "{states}");
 }
 
-/// Two incarnations of one member at once: the processes of an upgrade, or a copy started by mistake.
+/// Two incarnations of a member run at the same time during an upgrade, or if a second process is started by mistake.
 #[test]
 fn two_incarnations_of_a_member_never_exceed_the_total() {
     let Exploration { states, violated } = explore(Fault::None, &[0, 0], [2, 1]);
--- a/crates/quota/tests/plan_file.rs
+++ b/crates/quota/tests/plan_file.rs
@@ -1,10 +1,11 @@
-//! The form of the quota file: its keys and their earlier names, and the layout that nodes compare.
+//! Tests of the format of the quota file: its keys, their earlier names, the layout hash that nodes compare, and the
+//! validation of its fields.
 
 use sparbank_quota::{PlanProblem, QuotaPlan};
 
 const EXAMPLE: &str = include_str!("../../../deploy/fleet.json");
 
-/// The example as version 00677b7 had it, before `seats` and `whole` were renamed.
+/// The example in the format of version 00677b7, before the keys `seats` and `whole` were renamed.
 const EXAMPLE_WITH_EARLIER_KEYS: &str = r#"{
   "seats": [
     {"name": "node-1", "address": "127.0.0.1:7101"},
@@ -23,38 +24,38 @@
   ]
 }"#;
 
-/// The layouts that version 00677b7 computed: nodes of both versions compare them.
-const EXAMPLE_LAYOUT: u64 = 0x51fb_c94b_f229_d749;
-const EXAMPLE_LAYOUT_WITH_DISCOVERY_CALLS_AND_SUBSCRIBER: u64 = 0xda70_4ae4_28db_48f8;
+/// The layout hashes that version 00677b7 computes. Nodes of that version and of this one compare them.
+const EXAMPLE_LAYOUT_HASH: u64 = 0x51fb_c94b_f229_d749;
+const EXAMPLE_LAYOUT_HASH_WITH_DISCOVERY_CALLS_AND_SUBSCRIBER: u64 = 0xda70_4ae4_28db_48f8;
 
 fn plan(text: &str) -> QuotaPlan {
-    let plan: QuotaPlan = serde_json::from_str(text).expect("a plan");
-    plan.validate().expect("a valid plan");
+    let plan: QuotaPlan = serde_json::from_str(text).expect("the text is a plan");
+    plan.validate().expect("the plan is valid");
     plan
 }
 
 #[test]
-fn earlier_keys_are_read() {
+fn earlier_keys_are_accepted() {
     assert_eq!(plan(EXAMPLE_WITH_EARLIER_KEYS), plan(EXAMPLE));
 }
 
 #[test]
-fn key_beside_its_earlier_name_is_rejected() {
+fn key_together_with_its_earlier_name_is_rejected() {
     let both = EXAMPLE.replace("\"total\": 600", "\"total\": 600, \"whole\": 600");
-    let error = serde_json::from_str::<QuotaPlan>(&both).expect_err("a key twice");
+    let error = serde_json::from_str::<QuotaPlan>(&both).expect_err("the key is duplicated");
     assert!(error.to_string().contains("duplicate field"), "{error}");
 }
 
 #[test]
-fn layout_is_that_of_version_00677b7() {
-    assert_eq!(plan(EXAMPLE).layout_hash(), EXAMPLE_LAYOUT);
+fn layout_hash_matches_version_00677b7() {
+    assert_eq!(plan(EXAMPLE).layout_hash(), EXAMPLE_LAYOUT_HASH);
     let other = EXAMPLE
         .replace("\"class\"", "\"subscriber\"")
         .replace("\"limits\": \"retries\"", "\"limits\": \"lists\"");
-    assert_eq!(plan(&other).layout_hash(), EXAMPLE_LAYOUT_WITH_DISCOVERY_CALLS_AND_SUBSCRIBER);
+    assert_eq!(plan(&other).layout_hash(), EXAMPLE_LAYOUT_HASH_WITH_DISCOVERY_CALLS_AND_SUBSCRIBER);
 }
 
-/// Each field's check names the field and says what is wrong.
+/// The error for an invalid field names the field and the problem.
 #[rstest::rstest]
 #[case("\"name\": \"node-2\"", "\"name\": \"\"", "members[1].name", PlanProblem::Empty)]
 #[case("\"name\": \"node-2\"", "\"name\": \"node-1\"", "members[1].name", PlanProblem::Duplicate)]
@@ -73,7 +74,7 @@
     #[case] problem: PlanProblem,
 ) {
     assert!(EXAMPLE.contains(valid));
-    let plan: QuotaPlan = serde_json::from_str(&EXAMPLE.replace(valid, invalid)).expect("a plan");
-    let error = plan.validate().expect_err("an invalid plan");
+    let plan: QuotaPlan = serde_json::from_str(&EXAMPLE.replace(valid, invalid)).expect("the text is a plan");
+    let error = plan.validate().expect_err("the plan is invalid");
     assert_eq!((error.field.as_str(), error.problem), (field, problem));
 }
--- a/crates/quota/tests/schedules/fleet.rs
+++ b/crates/quota/tests/schedules/fleet.rs
@@ -17,8 +17,8 @@
 pub const QUOTAS: usize = 3;
 
 pub fn plan() -> QuotaPlan {
-    let connections = quota("standing", Resource::Connections, 60);
-    let setups = quota("ledger", Resource::Setups, 100);
+    let connections = quota("connections", Resource::Connections, 60);
+    let setups = quota("setups", Resource::Setups, 100);
     let retries = quota("retries", Resource::Retries, 30);
     let plan = QuotaPlan {
         members: members(MEMBERS),
@@ -40,25 +40,25 @@
     pub holder: LeaseHolder,
     pub incarnation: u64,
     pub clock_offset: Duration,
-    /// How much faster than true time its clock runs, in millionths.
+    /// How much faster than true time the clock runs, in parts per million.
     pub clock_drift_ppm: i64,
-    /// The true time at which it was stopped.
+    /// The true time at which the node was stopped; `None` while it is running.
     pub stopped_at: Option<MonotonicTime>,
-    /// What its clock read when it last ran.
+    /// The clock reading of the last iteration of the node's event loop.
     pub last_reading: MonotonicTime,
     pub established: u64,
     pub last_sequence: u64,
 }
 
 impl Node {
-    /// What its clock reads at a true time.
+    /// The reading of the node's clock at a true time.
     pub fn clock(&self, true_time: MonotonicTime) -> MonotonicTime {
         let nanos = true_time.as_nanos() as i64;
         let drift = nanos / 1_000_000 * self.clock_drift_ppm;
         MonotonicTime::from_nanos((nanos + drift) as u64) + self.clock_offset
     }
 
-    /// What its clock read when it last ran, whatever the time is.
+    /// The clock reading of the last iteration, regardless of the time.
     pub fn stale_clock(&self, _true_time: MonotonicTime) -> MonotonicTime {
         self.last_reading
     }
--- a/crates/quota/tests/schedules/simulation.rs
+++ b/crates/quota/tests/schedules/simulation.rs
@@ -1,6 +1,6 @@
-//! The simulation in virtual time: what happens to the nodes, the messages and the grantors, drawn from one seed.
+//! The simulation of nodes, messages and grantors in virtual time. All random choices are drawn from one seed.
 
-use crate::auditor::{Auditor, Breach};
+use crate::auditor::{Auditor, Violation};
 use crate::fleet::{plan, Node, CONNECTIONS, GRANTORS, MEMBERS, QUOTAS, RETRIES, SETUPS};
 use rand::{rngs::StdRng, Rng, SeedableRng};
 use sparbank_quota::{
@@ -9,7 +9,7 @@
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// How much time one step takes at most.
+/// The virtual time that one step takes at most.
 const MAX_STEP: Duration = Duration::from_millis(2);
 const MAX_MESSAGE_DELAY: Duration = Duration::from_secs(5);
 const USUAL_MESSAGE_DELAY: Duration = Duration::from_millis(20);
@@ -17,17 +17,17 @@
 const FIRST_ATTEMPT: [usize; 2] = [CONNECTIONS, SETUPS];
 const RETRY: [usize; 2] = [SETUPS, RETRIES];
 
-/// A fault that is injected to see that the auditor detects it.
+/// A fault that is injected to verify that the auditor detects it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     None,
-    /// Grantors reclaim leases by a clock that is ahead.
+    /// Grantors reclaim leases by a clock that is 400 ms ahead.
     EarlyReclaim,
-    /// A grantor that lost its lease table leads.
+    /// A grantor that has restarted with an empty lease table leads without replaying the log.
     LostLeaseTable,
-    /// Nodes accept the grant for any of their requests.
+    /// Nodes accept a grant for any of their requests, not only for the newest one.
     StaleGrantAccepted,
-    /// Nodes that continue after a stop use the time that they read before it.
+    /// Nodes that continue after a stop use the clock reading from before the stop.
     StaleClock,
 }
 
@@ -42,7 +42,7 @@
     message: Message,
 }
 
-/// A grantor and how many entries of the log it has applied.
+/// A grantor and the number of log entries that it has applied.
 struct Replica {
     grantor: Grantor,
     applied: usize,
@@ -53,7 +53,7 @@
     fault: Fault,
     plan: QuotaPlan,
     now: MonotonicTime,
-    /// By member.
+    /// The running or stopped node of each member, if there is one.
     nodes: Vec<Option<Node>>,
     incarnations: u64,
     log: Vec<LogEntry>,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// One step: some time passes, and something happens.
-    pub fn step(&mut self) -> Result<(), Breach> {
+    /// Advances the time, performs one random action, and audits the result.
+    pub fn step(&mut self) -> Result<(), Violation> {
         let elapsed = self.random_duration(MAX_STEP);
         self.now += elapsed;
         let member = self.rng.random_range(0..usize::from(MEMBERS));
@@ -166,12 +166,12 @@
         }
     }
 
-    fn continue_node(&mut self, member: usize) -> Result<(), Breach> {
+    fn continue_node(&mut self, member: usize) -> Result<(), Violation> {
         let was_stopped = self.nodes[member].as_mut().and_then(|node| node.stopped_at.take()).is_some();
         if was_stopped && self.fault == Fault::StaleClock {
-            // Attempts that were queued before the stop are admitted by the old reading of the clock.
+            // Attempts that were queued before the stop are admitted by the stale clock reading.
             for _ in 0..20 {
-                self.attempt_by(Node::stale_clock, member, &FIRST_ATTEMPT)?;
+                self.attempt_by_clock(Node::stale_clock, member, &FIRST_ATTEMPT)?;
             }
         }
         Ok(())
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Another grantor leads, once it has applied the committed entries, or one is started anew.
+    /// Selects a random leader, which restarts with an empty lease table in half of the cases. It applies all
+    /// committed entries before it commits its next one.
     fn change_leader(&mut self) {
         self.leader = self.rng.random_range(0..GRANTORS);
         if self.rng.random_bool(0.5) {
@@ -193,17 +194,17 @@
         }
     }
 
-    fn attempt(&mut self, member: usize, quotas: &[usize]) -> Result<(), Breach> {
-        self.attempt_by(Node::clock, member, quotas)
+    fn attempt(&mut self, member: usize, quotas: &[usize]) -> Result<(), Violation> {
+        self.attempt_by_clock(Node::clock, member, quotas)
     }
 
-    /// An attempt at a node, admitted by the given reading of its clock.
-    fn attempt_by(
+    /// Makes an attempt at a node, which the given clock times.
+    fn attempt_by_clock(
         &mut self,
         clock: fn(&Node, MonotonicTime) -> MonotonicTime,
         member: usize,
         quotas: &[usize],
-    ) -> Result<(), Breach> {
+    ) -> Result<(), Violation> {
         let Some(node) = self.nodes[member].as_mut().filter(|node| node.is_running()) else { return Ok(()) };
         let reading = clock(node, self.now);
         if node.holder.acquire(reading, quotas).is_err() {
@@ -216,7 +217,7 @@
         self.audit_established()
     }
 
-    fn audit_established(&self) -> Result<(), Breach> {
+    fn audit_established(&self) -> Result<(), Violation> {
         let established = self.nodes.iter().flatten().map(|node| node.established).sum();
         self.auditor.check_established(established, self.now)
     }
@@ -229,12 +230,12 @@
         }
     }
 
-    /// The leader commits an entry: the pending requests, and the leases that have expired by its clock.
+    /// The leader commits an entry with the pending requests and the leases that have expired by its clock.
     fn commit_log_entry(&mut self) {
         self.catch_up(self.leader);
-        let ahead =
+        let clock_lead =
             if self.fault == Fault::EarlyReclaim { Duration::from_millis(400) } else { Duration::ZERO };
-        let expiries = self.replicas[self.leader].grantor.expired_leases(self.now + ahead);
+        let expiries = self.replicas[self.leader].grantor.expired_leases(self.now + clock_lead);
         let requests = std::mem::take(&mut self.pending_requests);
         self.log.push(LogEntry { expiries, requests });
         for grant in self.catch_up(self.leader) {
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Applies the committed entries at a replica and gives the grants of the last one.
+    /// Applies the committed entries at a replica and returns the grants of the last one.
     fn catch_up(&mut self, replica: usize) -> Vec<LeaseGrant> {
         let Replica { grantor, applied } = &mut self.replicas[replica];
         let mut grants = Vec::new();
@@ -275,13 +276,13 @@
         }
     }
 
-    /// What a node does at each iteration of its event loop: it sends its lease request when it is due, and ends the
-    /// connections above its allotment.
+    /// Runs one iteration of the event loop of each node, which ends the connections above the allotment and sends
+    /// the lease request when it is due.
     fn run_nodes(&mut self) {
         let mut requests = Vec::new();
         for node in self.nodes.iter_mut().flatten() {
             if let Some(stopped_at) = node.stopped_at {
-                // Servers end the connections of a stopped node.
+                // Servers end the connections of a node that has been stopped for the clear time.
                 if self.now >= stopped_at + Duration::from_millis(self.plan.clear_ms) {
                     for _ in 0..std::mem::take(&mut node.established) {
                         node.holder.release(&[CONNECTIONS]);
@@ -305,8 +306,8 @@
         }
     }
 
-    /// Checks that what all running nodes may use now, each by its own clock, is within the total.
-    fn audit(&mut self) -> Result<(), Breach> {
+    /// Checks that all running nodes together may use no more than the total now, each by its own clock.
+    fn audit(&mut self) -> Result<(), Violation> {
         for quota in 0..QUOTAS {
             let mut units = 0;
             for node in self.nodes.iter_mut().flatten().filter(|node| node.is_running()) {
--- a/crates/quota/tests/support/plan.rs
+++ b/crates/quota/tests/support/plan.rs
@@ -1,4 +1,4 @@
-//! The elements of the tests' plans.
+//! Builders for the members and quotas of test plans.
 
 use sparbank_quota::{Member, Quota, Resource};
 
@@ -8,7 +8,7 @@
     (0..count).map(member).collect()
 }
 
-/// A quota without burst and floor that applies to all requests.
+/// A quota without burst or floor that applies to all requests.
 pub fn quota(name: &str, resource: Resource, total: u64) -> Quota {
     Quota {
         name: name.to_string(),
