--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -31,7 +31,8 @@
 /// units when their demand grows. The shares are in the order of the demands and add up to at most the total.
 pub(crate) fn divide_by_demand(total: u64, demands: &[Demand]) -> Vec<u64> {
     let mut shares = vec![0; demands.len()];
-    // Claimants with the least demand come first, so that the others share the units that these leave unused.
+    // Claimants with the least demand relative to their weight come first, so that the others share the units that
+    // these leave unused.
     let mut order: Vec<usize> = (0..demands.len()).collect();
     order.sort_unstable_by_key(|&claimant| (demands[claimant].relative_demand(), claimant));
     let total_weight: u64 = demands.iter().map(|demand| demand.effective_weight()).sum();
--- a/crates/quota/src/lease_holder.rs
+++ b/crates/quota/src/lease_holder.rs
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Accepts a grant. Returns false if the grant is ignored because it answers an older request, is a duplicate, or
-    /// arrives after its lease has expired.
+    /// Accepts a grant. Returns false if the grant is ignored because it does not answer the newest request, is a
+    /// duplicate, is incomplete, or arrives after its lease has expired.
     pub fn on_grant(&mut self, now: MonotonicTime, grant: &LeaseGrant) -> bool {
         self.advance(now);
         let expires_at = self.requested_at + self.plan.lease_duration();
--- a/crates/quota/src/lease_table.rs
+++ b/crates/quota/src/lease_table.rs
@@ -116,8 +116,8 @@
     }
 
     /// Stops fencing the earlier incarnations of a holder whose lease has expired. If the wall clock of a member was
-    /// set back between two starts, the newer process has the lower incarnation and would otherwise never get a
-    /// lease.
+    /// set back between two starts, the newer process has the lower incarnation and would otherwise never be granted
+    /// any units.
     fn unfence_earlier_incarnations(&mut self, holder: HolderId) {
         if self.latest_incarnations.get(&holder.member) == Some(&holder.incarnation) {
             self.latest_incarnations.remove(&holder.member);
--- a/crates/quota/tests/model.rs
+++ b/crates/quota/tests/model.rs
@@ -1,7 +1,7 @@
 //! Exhaustive model check of the lease protocol for a small fleet: two holders and two grantors, either of which can
-//! lead. Messages can be lost, duplicated and reordered, time advances in ticks between any two actions, and one
-//! grantor restarts. The holders, lease tables and grantors are those of the crate; the checker only chooses the next
-//! action.
+//! lead. Messages can be lost, duplicated and reordered, time can advance by a tick between any two actions, and a
+//! grantor can restart once. The holders, lease tables and grantors are those of the crate; the checker only chooses
+//! the next action.
 
 mod support {
     pub mod plan;
