--- a/src/node/configuration.rs
+++ b/src/node/configuration.rs
@@ -1,32 +1,32 @@
-//! All that a node is configured by: its own configuration and the optional frontends' files. Read alike at the start,
-//! by `check-config` and on SIGHUP.
+//! The complete configuration of a node: its own configuration and the files of the optional frontends. It is read at
+//! start, by `check-config` and on SIGHUP.
 
 use crate::config::{Config, ConfigError};
 use crate::frontend::{FrontendError, FrontendFiles, ParsedFrontendFile};
 use std::io;
 use thiserror::Error;
 
-/// A checked configuration, not applied yet.
+/// A configuration that has been validated but not applied.
 pub struct Configuration {
-    /// The node's own.
+    /// The node's own configuration.
     pub node: Config,
-    /// The optional frontends' files, parsed.
+    /// The parsed configuration files of the optional frontends.
     pub frontends: Vec<ParsedFrontendFile>,
 }
 
 impl Configuration {
-    /// Reads the environment's configuration and the optional frontends' files.
+    /// Reads the node's configuration, as set by the environment, and the files of the optional frontends.
     ///
     /// # Errors
-    /// Where any of them cannot be read, or is invalid.
+    /// Returns an error if any of them cannot be read or is invalid.
     pub fn read(frontend_files: &FrontendFiles) -> Result<Configuration, ConfigurationError> {
         Ok(Configuration { node: Config::from_env()?, frontends: frontend_files.read()? })
     }
 
-    /// Reads everything again for a running node.
+    /// Reads the configuration again for a node that is running under `running`.
     ///
     /// # Errors
-    /// Where any of it cannot be read, or is invalid: nothing is to be applied then.
+    /// Returns an error if any part of it cannot be read or is invalid. The caller then applies none of it.
     pub fn reread(
         running: &Config,
         frontend_files: &FrontendFiles,
@@ -35,19 +35,19 @@
     }
 }
 
-/// Why a configuration is invalid: one line that names the file and the field.
+/// Why a configuration was rejected. Printed as one line that names the file and the field.
 #[derive(Debug, Error)]
 pub enum ConfigurationError {
-    /// The node's own configuration.
+    /// The node's own configuration cannot be read or is invalid.
     #[error(transparent)]
     Node(#[from] ConfigError),
-    /// An optional frontend's file.
+    /// The file of an optional frontend cannot be read or is invalid.
     #[error(transparent)]
     Frontend(#[from] FrontendError),
 }
 
 impl ConfigurationError {
-    /// Why the node's own configuration could not be read, where that is the problem.
+    /// The I/O error if the node's own configuration file could not be read.
     pub fn io_error(&self) -> Option<&io::Error> {
         match self {
             ConfigurationError::Node(ConfigError::Unreadable { source, .. }) => Some(source),
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -1,7 +1,7 @@
-//! The steps by which established connections are migrated: in a drain, a handover or a shutdown.
+//! Migrates established connections step by step during a drain, a handover or a shutdown.
 //!
-//! [`Lifecycle`](crate::lifecycle::Lifecycle) decides how many connections are migrated in each step; this module
-//! starts the steps, executes them, and completes them before the process exits.
+//! [`Lifecycle`](crate::lifecycle::Lifecycle) decides how many connections each step migrates. This module schedules
+//! and executes the steps, and migrates all remaining connections before the process exits.
 
 use super::executor::Executor;
 use super::frontend_host::FrontendHost;
@@ -10,16 +10,16 @@
 use crate::rules::{Violation, ViolationContext};
 use sparbank_time::MonotonicTime;
 
-/// Owns the timer of the drain steps.
+/// Starts drains, handovers and shutdowns, and executes their migration steps.
 #[derive(Debug, Default)]
-pub(super) struct DrainSteps {
-    /// A [`TimerEvent::DrainStep`] is on the timer wheel.
+pub(super) struct DrainManager {
+    /// Whether a [`TimerEvent::DrainStep`] is on the timer wheel.
     is_scheduled: bool,
 }
 
-impl DrainSteps {
-    /// Starts to migrate all clients. False where the node is drained already: nothing changes then.
-    pub(super) fn drain(&mut self, host: &mut FrontendHost, now: MonotonicTime) -> bool {
+impl DrainManager {
+    /// Starts a drain, which migrates all clients. Returns false, and changes nothing, if the node is draining already.
+    pub(super) fn start_drain(&mut self, host: &mut FrontendHost, now: MonotonicTime) -> bool {
         let is_started = host.state.lifecycle.drain(now);
         if is_started {
             self.schedule(host);
@@ -27,8 +27,8 @@
         is_started
     }
 
-    /// Starts a graceful shutdown; a second call changes nothing.
-    pub(super) fn shut_down(&mut self, host: &mut FrontendHost) {
+    /// Starts a graceful shutdown. Changes nothing if the node is shutting down already.
+    pub(super) fn start_shutdown(&mut self, host: &mut FrontendHost) {
         let state = &mut host.state;
         let (now, longest_deadline) = (state.now(), state.longest_deadline());
         if !state.lifecycle.shut_down(now, longest_deadline) {
@@ -41,8 +41,8 @@
         self.schedule(host);
     }
 
-    /// A successor serves: this process migrates what it cannot transfer.
-    pub(super) fn hand_over(&mut self, host: &mut FrontendHost) {
+    /// Starts a handover to a successor that serves: connections that cannot be transferred are migrated.
+    pub(super) fn start_handover(&mut self, host: &mut FrontendHost) {
         let state = &mut host.state;
         let (now, longest_deadline) = (state.now(), state.longest_deadline());
         state.lifecycle.hand_over(now, longest_deadline);
@@ -52,7 +52,7 @@
         self.schedule(host);
     }
 
-    /// Starts the steps, unless they run. They stop where the lifecycle has no further step.
+    /// Schedules the first migration step, unless one is scheduled already.
     fn schedule(&mut self, host: &mut FrontendHost) {
         if !self.is_scheduled {
             self.is_scheduled = true;
@@ -60,8 +60,10 @@
         }
     }
 
-    /// Executes one step: migrates as many established connections as it takes for all to be migrated in time, and
-    /// fails requests that have waited too long.
+    /// Executes one migration step and schedules the next one. The steps end once the lifecycle has no further step.
+    ///
+    /// A step migrates as many established connections as are needed to migrate all of them in time, and fails requests
+    /// that are still unanswered when the lifecycle abandons them.
     pub(super) fn step(&mut self, executor: &mut Executor) {
         let (now, established) = (executor.host.state.now(), executor.host.state.requests.established());
         let Some(step) = executor.host.state.lifecycle.migration_step(now, established.len()) else {
@@ -83,21 +85,21 @@
     }
 }
 
-/// Whether the process is to exit now.
+/// Whether the process should exit now.
 pub(super) fn should_exit(host: &FrontendHost) -> bool {
     let state = &host.state;
     if !state.lifecycle.is_shutting_down() {
         return false;
     }
-    // The exit resets connections that are still closing, and a reset may destroy the MOVE that a client has not
-    // read yet.
+    // Connections that are still closing are reset at exit, and a reset may discard a MOVE that the client has not read
+    // yet.
     let is_idle = host.is_idle() && state.net.all_closes_complete();
     let activity = if is_idle { Activity::Idle } else { Activity::Busy };
     state.lifecycle.should_exit(state.now(), activity)
 }
 
-/// Leaves nothing open before the exit: requests without an answer fail, and established connections are migrated.
-pub(super) fn settle_before_exit(executor: &mut Executor) {
+/// Ends all requests before the process exits: unanswered requests fail, and established connections are migrated.
+pub(super) fn end_all_requests(executor: &mut Executor) {
     executor.host.for_each(|frontend, ctx| {
         ctx.shutting_down = true;
         frontend.on_drain_step(ctx);
@@ -111,8 +113,8 @@
     executor.run_balancer();
 }
 
-/// Checks that nothing is open where the process ends.
-pub(super) fn check_exit(host: &mut FrontendHost) {
+/// Records a violation if a request or a client is still open at exit.
+pub(super) fn check_nothing_open(host: &mut FrontendHost) {
     if !host.is_idle() {
         let open = host.state.established_connections();
         host.state.requests.record_violation(Violation::OpenAtExit, ViolationContext::Exit { open });
--- a/src/node/endpoint_watch.rs
+++ b/src/node/endpoint_watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the discovery service, and what the node does with each endpoint list that it yields.
+//! The watch on the discovery service, and the handling of the endpoint lists that it returns.
 
 use super::frontend_host::FrontendHost;
 use crate::discovery::{DiscoveryClient, TransferredWatch};
@@ -6,13 +6,12 @@
 use crate::net::{SocketEvent, SocketReactor};
 use sparbank_time::MonotonicTime;
 
-/// Owns the discovery client, and reports endpoint lists to the balancer and the frontends.
+/// Owns the discovery client, and passes endpoint lists to the balancer and the frontends.
 pub(super) struct EndpointWatch {
     client: DiscoveryClient,
 }
 
 impl EndpointWatch {
-    /// Watches through this client.
     pub(super) fn new(client: DiscoveryClient) -> EndpointWatch {
         EndpointWatch { client }
     }
@@ -22,12 +21,12 @@
         self.client.has_watch()
     }
 
-    /// Watch requests sent so far.
+    /// The number of watch requests sent so far.
     pub(super) fn request_count(&self) -> u64 {
         self.client.watch_requests()
     }
 
-    /// Requests a watch, unless there is one.
+    /// Requests a watch, unless one is open or requested.
     pub(super) fn subscribe(&mut self, host: &mut FrontendHost, now: MonotonicTime) {
         let event = self.client.subscribe(now, &mut host.state.net, &host.state.registry);
         if let Some(event) = event {
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Handles what has already arrived on the watch.
+    /// Reads and handles the data that has already arrived on the watch.
     pub(super) fn read_pending(&mut self, host: &mut FrontendHost) {
         let now = host.state.observe_clocks();
         let pending = self.client.read_pending(now, &mut host.state.net, &mut host.state.registry);
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Closes a silent watch, and requests one that this machine had no socket for before.
+    /// Closes a watch that has been silent for too long, and retries a watch request that failed for lack of a socket.
     pub(super) fn on_tick(&mut self, host: &mut FrontendHost, now: MonotonicTime) {
         if let Some(event) = self.client.close_silent_watch(now, &mut host.state.net) {
             report_list(host, event);
@@ -54,7 +53,7 @@
         }
     }
 
-    /// Moves the watch to the configured address, after what the old one has sent.
+    /// Moves the watch to the configured address, once the data that has arrived from the old address is handled.
     pub(super) fn change_address(&mut self, host: &mut FrontendHost) {
         let now = host.state.now();
         self.read_pending(host);
@@ -65,7 +64,7 @@
         }
     }
 
-    /// Handles an event at the socket of the watch.
+    /// Handles an event on the socket of the watch.
     pub(super) fn on_socket_event(&mut self, host: &mut FrontendHost, event: SocketEvent) {
         let now = host.state.observe_clocks();
         let (net, registry) = (&mut host.state.net, &mut host.state.registry);
@@ -75,12 +74,12 @@
         }
     }
 
-    /// Hands the watch to another process. None where there is none, or where it cannot be transferred now.
+    /// Releases the watch for transfer to another process. None if there is no watch or it cannot be transferred now.
     pub(super) fn release(&mut self, net: &mut SocketReactor) -> Option<TransferredWatch> {
         self.client.release_watch(net)
     }
 
-    /// The successor, which has the watch, is gone: has the balancer request another one.
+    /// The successor, to which the watch was transferred, is gone: makes the balancer request a new one.
     pub(super) fn on_successor_lost(&mut self, host: &mut FrontendHost) {
         if !self.is_open() {
             report_list(host, Event::EndpointList(ListKind::Failed, Vec::new()));
@@ -88,7 +87,7 @@
     }
 }
 
-/// Passes an endpoint list to the balancer, and the servers that accept nothing new to the frontends.
+/// Passes an endpoint list to the balancer, and the servers that accept no new attempts to the frontends.
 fn report_list(host: &mut FrontendHost, event: Event) {
     if let Event::EndpointList(kind, endpoints) = &event {
         tracing::trace!(?kind, entries = endpoints.len(), "endpoint list received");
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -1,4 +1,4 @@
-//! Why a node could not be prepared, or had to stop. Each error is printed as one line.
+//! Errors of preparing and running a node. Each is printed as one line.
 
 use super::configuration::ConfigurationError;
 use crate::frontend::FrontendError;
@@ -9,55 +9,55 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// Why nothing was started: something that was configured is wrong.
+/// Why a node could not be prepared. Nothing has been started.
 #[derive(Debug, Error)]
 pub enum PrepareError {
-    /// The configuration, or an optional frontend's file.
+    /// The node's configuration or the file of an optional frontend cannot be read or is invalid.
     #[error(transparent)]
     Configuration(#[from] ConfigurationError),
-    /// The file of the fleet-wide quotas.
+    /// The quota file cannot be read or is invalid.
     #[error(transparent)]
     Quota(#[from] QuotaFileError),
-    /// The listening socket that the platform passes.
+    /// The listening socket that the platform passes is invalid.
     #[error(transparent)]
     PassedListener(#[from] PassedListenerError),
 }
 
-/// Why a node could not start serving, or had to stop.
+/// Why a node could not start serving or had to stop.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// Sockets cannot be polled.
+    /// The epoll set cannot be created or polled.
     #[error("epoll: {0}")]
     Poll(#[source] io::Error),
-    /// Signals cannot be received.
+    /// The signal handlers cannot be installed, or their sockets cannot be registered.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// The balancer rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The admin API's address.
+    /// The admin API's address cannot be listened on.
     #[error("operator: {address}: {source}")]
     AdminListen {
-        /// The address.
+        /// The configured address.
         address: SocketAddr,
         /// Why it cannot be listened on.
         source: io::Error,
     },
-    /// The clients' address.
+    /// The address for text protocol clients cannot be listened on.
     #[error("listen: {0}")]
     Listen(#[source] io::Error),
-    /// An optional frontend.
+    /// An optional frontend cannot be opened.
     #[error(transparent)]
     Frontend(#[from] FrontendError),
-    /// The export of flow records.
+    /// The export of flow records cannot be opened.
     #[error("ipfix: {0}")]
     FlowExport(#[source] io::Error),
-    /// The lease protocol's address.
+    /// The transport of the lease protocol cannot be opened.
     #[error("--fleet: members[{member}].address: {source}")]
     LeaseTransport {
-        /// This node's index among the members of the quota file.
+        /// This node's index among the members in the quota file.
         member: usize,
-        /// Why it cannot be listened on.
+        /// Why its address cannot be listened on.
         source: io::Error,
     },
 }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -1,11 +1,12 @@
-//! The event loop: handles what is ready, lets the balancer decide once, and executes its commands.
+//! The event loop. Each iteration handles ready sockets and expired timers, runs the balancer on the resulting events,
+//! and executes its commands.
 
-use super::admin::AdminCalls;
-use super::drain::{self, DrainSteps};
+use super::admin::AdminHandler;
+use super::drain::{self, DrainManager};
 use super::executor::Executor;
-use super::handover::{self, HandoverSteps};
+use super::handover::{self, HandoverManager};
 use super::quota_leases::QuotaLeases;
-use super::reports::{self, FlowReports};
+use super::reports::{self, FlowReporter};
 use super::signals::{SignalRequest, SignalSockets};
 use super::{reload, ServeError};
 use crate::frontend::{FrontendFiles, TimerEvent};
@@ -14,45 +15,44 @@
 use crate::net::{ConnectedSocket, SocketEvent, SocketOwner, Token};
 use std::time::Duration;
 
-/// How often silent peers are looked for and flows exported.
+/// How often silent peers are detected and flows are exported.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A node that serves: its parts, and the event loop that calls them.
+/// A running node: its parts, and the event loop that calls them.
 pub(super) struct Node {
     pub(super) executor: Executor,
-    pub(super) drain_steps: DrainSteps,
-    pub(super) handover: HandoverSteps,
-    pub(super) admin: AdminCalls,
+    pub(super) drain: DrainManager,
+    pub(super) handover: HandoverManager,
+    pub(super) admin: AdminHandler,
     pub(super) leases: QuotaLeases,
-    pub(super) flow_reports: FlowReports,
+    pub(super) flow_reporter: FlowReporter,
     pub(super) signals: SignalSockets,
-    /// The optional frontends' files, to be read again with the configuration.
+    /// The files of the optional frontends, read again at each configuration reload.
     pub(super) frontend_files: FrontendFiles,
 }
 
 impl Node {
-    /// Makes the first decisions, on the endpoints that are known from the start, and then restores the state of a
-    /// predecessor.
-    pub(super) fn begin(&mut self, predecessor: Option<&StateSnapshot>) {
+    /// Runs the balancer on the endpoints that are known at start, and then restores the predecessor's state, if any.
+    pub(super) fn initialize(&mut self, predecessor: Option<&StateSnapshot>) {
         self.executor.run_balancer();
         if let Some(snapshot) = predecessor {
-            handover::restore_snapshot(&mut self.executor.host, &mut self.drain_steps, snapshot);
+            handover::restore_snapshot(&mut self.executor.host, &mut self.drain, snapshot);
         }
     }
 
     /// Serves until the node has shut down.
     ///
     /// # Errors
-    /// Where the sockets cannot be polled.
+    /// Returns an error if the sockets cannot be polled.
     pub(super) fn run(mut self) -> Result<(), ServeError> {
         loop {
             self.run_iteration()?;
             if drain::should_exit(&self.executor.host) {
-                self.settle_before_exit();
+                self.end_open_work();
             }
-            // What was settled may still have to be read by its peer.
+            // If peers have not read their final answers and migrations yet, the loop continues until they have.
             if drain::should_exit(&self.executor.host) {
-                self.exit();
+                self.finish();
                 return Ok(());
             }
         }
@@ -71,7 +71,7 @@
             self.on_timer(timer);
         }
         self.executor.run_balancer();
-        self.handover.transfer_connections(&mut self.executor, &mut self.drain_steps);
+        self.handover.transfer_connections(&mut self.executor, &mut self.drain);
         self.send_on_connected();
         reports::trace_attempts(&mut self.executor.host.state);
         Ok(())
@@ -84,10 +84,10 @@
                 host.call(id, |frontend, ctx| frontend.on_socket_event(ctx, event));
             }
             SocketOwner::Discovery => self.executor.endpoints.on_socket_event(host, event),
-            SocketOwner::Admin => self.admin.on_socket_event(host, &mut self.drain_steps, event),
+            SocketOwner::Admin => self.admin.on_socket_event(host, &mut self.drain, event),
             SocketOwner::Quota => self.leases.on_socket_event(&mut host.state, event),
             SocketOwner::Handover => {
-                self.handover.on_socket_event(&mut self.executor, &mut self.drain_steps, event);
+                self.handover.on_socket_event(&mut self.executor, &mut self.drain, event);
             }
             SocketOwner::Signal => self.on_signal(event.token),
         }
@@ -95,7 +95,7 @@
 
     fn on_signal(&mut self, token: Token) {
         match self.signals.receive(&mut self.executor.host.state.net, token) {
-            Some(SignalRequest::ShutDown) => self.drain_steps.shut_down(&mut self.executor.host),
+            Some(SignalRequest::ShutDown) => self.drain.start_shutdown(&mut self.executor.host),
             Some(SignalRequest::LogCounters) => self.log_counters(),
             Some(SignalRequest::Reload) => reload::reload(&mut self.executor, &self.frontend_files),
             None => {}
@@ -106,8 +106,8 @@
         reports::log_counters(&mut self.executor, &self.admin, &self.leases);
     }
 
-    /// Writes to the connections that were established in this iteration. The watch is read once more before: the
-    /// process may have been stalled since it polled, and a drain that was announced meanwhile counts.
+    /// Writes to the connections that were established in this iteration. The watch is read again first: the process
+    /// may have been stalled since the poll, and must respect a server drain that was announced in the meantime.
     fn send_on_connected(&mut self) {
         let Executor { host, endpoints } = &mut self.executor;
         let connected = host.state.net.take_connected();
@@ -138,7 +138,7 @@
                 host.call(id, |frontend, ctx| frontend.on_timer(ctx, token));
             }
             TimerEvent::Tick => self.on_tick(),
-            TimerEvent::DrainStep => self.drain_steps.step(&mut self.executor),
+            TimerEvent::DrainStep => self.drain.step(&mut self.executor),
             TimerEvent::LeaseExchange => self.leases.exchange(&mut self.executor),
             TimerEvent::AdminTimeout(token) => self.admin.on_timeout(&mut host.state.net, token),
         }
@@ -149,24 +149,25 @@
         let now = host.state.observe_clocks();
         endpoints.on_tick(host, now);
         host.for_each(|frontend, ctx| frontend.on_tick(ctx));
-        self.flow_reports.export(&mut host.state, now);
+        self.flow_reporter.export(&mut host.state, now);
         host.state.wheel.schedule(now + TICK_INTERVAL, TimerEvent::Tick);
     }
 
-    /// The process is about to end. Connections that wait to be accepted are answered, requests without an answer fail,
-    /// and established connections are migrated: the exit cuts nothing off.
-    fn settle_before_exit(&mut self) {
+    /// Ends all open work before the process exits, so that no connection is reset without an answer: accepts and
+    /// answers the connections in the accept queue, fails unanswered requests, and migrates established connections.
+    fn end_open_work(&mut self) {
         self.executor.host.state.net.accept_waiting();
         for event in self.executor.host.state.net.take_pending_events() {
             self.on_socket_event(event);
         }
-        drain::settle_before_exit(&mut self.executor);
+        drain::end_all_requests(&mut self.executor);
     }
 
-    fn exit(&mut self) {
-        drain::check_exit(&mut self.executor.host);
+    /// Checks that nothing is open, exports the last flows, and logs the counters.
+    fn finish(&mut self) {
+        drain::check_nothing_open(&mut self.executor.host);
         let now = self.executor.host.state.now();
-        self.flow_reports.export(&mut self.executor.host.state, now);
+        self.flow_reporter.export(&mut self.executor.host.state, now);
         self.log_counters();
         tracing::info!("node stopped");
     }
--- a/src/node/executor.rs
+++ b/src/node/executor.rs
@@ -1,4 +1,4 @@
-//! Runs the balancer on what has happened, and executes the commands that come back.
+//! Runs the balancer on pending events and executes the commands that it returns.
 
 use super::endpoint_watch::EndpointWatch;
 use super::frontend_host::FrontendHost;
@@ -8,15 +8,15 @@
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// Owns everything that a command of the request table can reach: the frontends, their state, and the endpoint watch.
+/// Owns what the request table's commands act on: the frontends, their state and the endpoint watch.
 pub(super) struct Executor {
     pub(super) host: FrontendHost,
     pub(super) endpoints: EndpointWatch,
 }
 
 impl Executor {
-    /// Lets the balancer decide on all pending events and executes its commands; then the frontends flush what they
-    /// have buffered. Continues until neither yields another event.
+    /// Runs the balancer on all pending events, executes its commands, and has the frontends flush their buffers.
+    /// Repeats this until no event is pending.
     pub(super) fn run_balancer(&mut self) {
         loop {
             let now = self.host.state.now();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Executes commands of the request table, in their order.
+    /// Executes commands of the request table in order.
     pub(super) fn execute_all(&mut self, now: MonotonicTime, commands: Vec<Command>) {
         for command in commands {
             self.execute(now, command);
@@ -91,19 +91,19 @@
         self.host.call(frontend, |frontend, ctx| frontend.start_attempt(ctx, request_id, server, timeout));
     }
 
-    /// Has the frontend cancel the attempt of a request. Returns the attempt's outcome.
+    /// Cancels the attempt of a request at its frontend. Returns the attempt's outcome.
     fn cancel_attempt(&mut self, frontend: FrontendId, request_id: RequestId) -> Outcome {
         let outcome = self.host.call(frontend, |frontend, ctx| frontend.cancel_attempt(ctx, request_id));
         outcome.unwrap_or(Outcome::Cancelled)
     }
 
-    /// Cancels an attempt whose time-out has elapsed, unless it has ended before.
+    /// Cancels an attempt whose time-out has elapsed, unless it has already ended.
     pub(super) fn on_attempt_timeout(&mut self, request_id: RequestId, attempt: u32) {
         let Some(frontend) = self.host.state.requests.frontend_of_attempt(request_id, attempt) else {
             return;
         };
         self.host.call(frontend, |frontend, ctx| frontend.read_answer(ctx, request_id));
-        // An answer that had arrived has ended the attempt.
+        // If the answer had already arrived, reading it has ended the attempt.
         if let Some(frontend) = self.host.state.requests.frontend_of_attempt(request_id, attempt) {
             let outcome = self.cancel_attempt(frontend, request_id);
             let now = self.host.state.now();
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Migrates an established connection: its client is notified to reconnect.
+    /// Migrates an established connection: tells its client to reconnect.
     pub(super) fn migrate_established(&mut self, now: MonotonicTime, request_id: RequestId) {
         let frontend = self.host.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
         if let Some(frontend) = frontend {
--- a/src/node/frontend_host.rs
+++ b/src/node/frontend_host.rs
@@ -1,22 +1,21 @@
-//! The frontends together with the state that they work on.
+//! The frontends and the node state that they access.
 
 use super::state::NodeState;
 use crate::frontend::{Frontend, FrontendContext, Frontends, ParsedFrontendFile, TransferredConnection};
 use crate::requests::FrontendId;
 
-/// Owns the frontends and calls them, each time with a context of the shared state.
+/// Owns the frontends, and calls them with a context that borrows the node state.
 pub(super) struct FrontendHost {
     pub(super) state: NodeState,
     frontends: Frontends,
 }
 
 impl FrontendHost {
-    /// Hosts frontends that have been opened.
     pub(super) fn new(state: NodeState, frontends: Frontends) -> FrontendHost {
         FrontendHost { state, frontends }
     }
 
-    /// Calls the frontend with this id. None where there is no such frontend.
+    /// Calls the frontend with this id. None if there is no such frontend.
     pub(super) fn call<R>(
         &mut self,
         id: FrontendId,
@@ -33,25 +32,25 @@
         }
     }
 
-    /// Has the frontend of this name continue a connection of another process. Without such a frontend the connection
-    /// is closed.
+    /// Passes a connection of another process to the frontend with this name, which continues it. If there is no such
+    /// frontend, the connection is closed.
     pub(super) fn receive_connection(&mut self, frontend: &str, connection: TransferredConnection) {
         if let Some(id) = self.frontends.id_by_name(frontend) {
             self.call(id, |frontend, ctx| frontend.receive_connection(ctx, connection));
         }
     }
 
-    /// Applies a newer configuration file to an optional frontend. Returns the fields that need a restart.
+    /// Applies a new configuration file to an optional frontend. Returns the changed fields that need a restart.
     pub(super) fn reload(&mut self, file: ParsedFrontendFile) -> Vec<&'static str> {
         self.frontends.reload(file)
     }
 
-    /// Whether there is neither an open request nor a client.
+    /// Whether no request is open and no frontend has a client.
     pub(super) fn is_idle(&self) -> bool {
         self.state.requests.is_idle() && self.frontends.are_idle()
     }
 
-    /// The log lines of the frontends' own counters.
+    /// The log lines with the frontends' own counters.
     pub(super) fn counter_lines(&self) -> Vec<String> {
         self.frontends.counter_lines()
     }
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -1,55 +1,55 @@
-//! Handover between two processes of this node (hot restart): the steps of the successor and of the predecessor.
+//! Handover between two processes of this node (hot restart), on the predecessor's and on the successor's side.
 
-use super::drain::DrainSteps;
+use super::drain::DrainManager;
 use super::executor::Executor;
 use super::frontend_host::FrontendHost;
 use crate::frontend::{TransferredConnection, TEXT_FRONTEND};
 use crate::handover::{self, FrontendConnection, Handover, HandoverEvent, StateSnapshot};
 use crate::net::SocketEvent;
 
-/// Owns the links to the predecessor and the successor, where the platform allows for a handover.
-pub(super) struct HandoverSteps {
+/// Owns the links to the predecessor and the successor, and executes the events of these links.
+pub(super) struct HandoverManager {
+    /// None if the platform passes no listening socket: this node then has no handover.
     handover: Option<Handover>,
 }
 
-impl HandoverSteps {
-    /// Executes the events of these links.
-    pub(super) fn new(handover: Option<Handover>) -> HandoverSteps {
-        HandoverSteps { handover }
+impl HandoverManager {
+    pub(super) fn new(handover: Option<Handover>) -> HandoverManager {
+        HandoverManager { handover }
     }
 
-    /// Handles an event at a socket between the two processes.
+    /// Handles an event on a handover socket.
     pub(super) fn on_socket_event(
         &mut self,
         executor: &mut Executor,
-        drain_steps: &mut DrainSteps,
+        drain: &mut DrainManager,
         event: SocketEvent,
     ) {
         let Some(handover) = &mut self.handover else { return };
         let events = handover.on_socket_event(&mut executor.host.state.net, event);
-        self.on_handover_events(executor, drain_steps, events);
+        self.on_handover_events(executor, drain, events);
     }
 
     fn on_handover_events(
         &mut self,
         executor: &mut Executor,
-        drain_steps: &mut DrainSteps,
+        drain: &mut DrainManager,
         events: Vec<HandoverEvent>,
     ) {
         for event in events {
             match event {
-                HandoverEvent::StateRequested => self.send_state(executor, drain_steps),
+                HandoverEvent::StateRequested => self.send_state(executor, drain),
                 HandoverEvent::SuccessorReady => {
                     executor.host.state.net.set_accepting(false);
-                    drain_steps.hand_over(&mut executor.host);
+                    drain.start_handover(&mut executor.host);
                 }
                 HandoverEvent::SuccessorLost { unsent } => on_successor_lost(executor, unsent),
                 HandoverEvent::ConnectionReceived { received, predecessor_descriptors } => {
-                    limit_beside_predecessor(&mut executor.host, predecessor_descriptors);
+                    set_descriptor_limit(&mut executor.host, predecessor_descriptors);
                     receive_connection(&mut executor.host, received);
                 }
                 HandoverEvent::PredecessorExited => {
-                    limit_beside_predecessor(&mut executor.host, 0);
+                    set_descriptor_limit(&mut executor.host, 0);
                     let established_connections = executor.host.state.established_connections();
                     tracing::info!(established_connections, "handover from predecessor complete");
                 }
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Sends the successor this node's state, its frontends' listening sockets and the discovery watch.
-    fn send_state(&mut self, executor: &mut Executor, drain_steps: &mut DrainSteps) {
+    /// Sends this node's state, the optional frontends' listening sockets and the discovery watch to the successor.
+    fn send_state(&mut self, executor: &mut Executor, drain: &mut DrainManager) {
         let state = &mut executor.host.state;
         let snapshot = StateSnapshot {
             is_drained: !state.lifecycle.accepts_clients(),
@@ -71,11 +71,11 @@
         let watch = executor.endpoints.release(&mut state.net);
         let Some(handover) = &mut self.handover else { return };
         let events = handover.send_state(&mut state.net, &snapshot, listeners, watch);
-        self.on_handover_events(executor, drain_steps, events);
+        self.on_handover_events(executor, drain, events);
     }
 
-    /// Transfers to the successor the connections that can be transferred by now.
-    pub(super) fn transfer_connections(&mut self, executor: &mut Executor, drain_steps: &mut DrainSteps) {
+    /// Transfers connections to the successor while it accepts them and any can be transferred.
+    pub(super) fn transfer_connections(&mut self, executor: &mut Executor, drain: &mut DrainManager) {
         while let Some(handover) = self.handover.as_mut().filter(|handover| handover.can_transfer()) {
             let connections = take_transferable_connections(&mut executor.host);
             if connections.is_empty() {
@@ -83,26 +83,22 @@
             }
             let net = &mut executor.host.state.net;
             let events = handover.transfer(net, TEXT_FRONTEND.name, connections);
-            self.on_handover_events(executor, drain_steps, events);
+            self.on_handover_events(executor, drain, events);
             executor.run_balancer();
         }
     }
 }
 
-/// Restores what the predecessor knew. The balancer has been passed the predecessor's endpoint list before.
-pub(super) fn restore_snapshot(
-    host: &mut FrontendHost,
-    drain_steps: &mut DrainSteps,
-    snapshot: &StateSnapshot,
-) {
+/// Restores the predecessor's state. The balancer must have received the predecessor's endpoint list before.
+pub(super) fn restore_snapshot(host: &mut FrontendHost, drain: &mut DrainManager, snapshot: &StateSnapshot) {
     if let Err(error) = host.state.requests.restore_state(&snapshot.balancer_state) {
-        tracing::warn!(%error, "predecessor's state is unreadable");
+        tracing::warn!(%error, "cannot restore the predecessor's balancer state");
     }
     if snapshot.is_drained {
-        drain_steps.drain(host, host.state.now());
+        drain.start_drain(host, host.state.now());
     }
     host.state.requests.counters_mut().handovers += 1;
-    limit_beside_predecessor(host, snapshot.open_descriptors);
+    set_descriptor_limit(host, snapshot.open_descriptors);
     tracing::info!(
         drained = snapshot.is_drained,
         predecessor_descriptors = snapshot.open_descriptors,
@@ -110,13 +106,13 @@
     );
 }
 
-/// Limits this process's descriptors so that, with the predecessor's, they stay within the node's limit.
-fn limit_beside_predecessor(host: &mut FrontendHost, predecessor_descriptors: usize) {
+/// Sets this process's descriptor limit so that both processes together stay within the configured limit.
+fn set_descriptor_limit(host: &mut FrontendHost, predecessor_descriptors: usize) {
     let limit = host.state.config.max_descriptors.saturating_sub(predecessor_descriptors);
     host.state.net.set_descriptor_limit(limit);
 }
 
-/// The successor is gone: this process accepts clients again.
+/// Resumes serving after the successor is gone, and takes back the connections that were not sent to it.
 fn on_successor_lost(executor: &mut Executor, unsent: Vec<FrontendConnection>) {
     for connection in unsent {
         receive_connection(&mut executor.host, connection);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,25 +1,26 @@
-//! The node: the process that serves clients on real sockets, in one thread.
+//! The node: a single-threaded process that serves clients.
 //!
-//! [`PreparedNode`] reads and checks the configuration; [`serve`] opens everything in a fixed order ([`startup`]) and
-//! runs the [`event_loop`] until the process exits. Sockets, timers and signals become events for the request table and the
-//! frontends; the request table lets the balancer decide and returns commands, which [`executor`] executes.
+//! [`PreparedNode`] reads and validates the configuration. [`serve`] opens all sockets in a fixed order (`startup`) and
+//! runs the `event_loop` until the process exits. The loop turns socket events, timers and signals into events for the
+//! request table and the frontends. The request table runs the balancer on these events and returns commands, which
+//! `executor` executes.
 //!
-//! Each part of the node's state has one owner, and the methods of an owner are in its file. Owners further down are
-//! passed to the methods of those above them:
+//! Each part of the node's state has one owner, whose methods are in the same file. A method may borrow the owners that
+//! are listed below its own:
 //!
 //! | owner | file | owns |
 //! | --- | --- | --- |
-//! | `Node` | `event_loop` | the parts below, and the order in which they are called |
-//! | `SignalSockets` | `signals` | the sockets by which signals arrive |
-//! | `AdminCalls` | `admin` | the server of the admin API |
-//! | `HandoverSteps` | `handover` | the links to the predecessor and the successor |
+//! | `Node` | `event_loop` | all parts below, and the order in which they are called |
+//! | `SignalSockets` | `signals` | the sockets that become readable when a signal arrives |
+//! | `AdminHandler` | `admin` | the server of the admin API |
+//! | `HandoverManager` | `handover` | the links to the predecessor and the successor |
 //! | `QuotaLeases` | `quota_leases` | the transport of the lease protocol |
-//! | `FlowReports` | `reports` | the export of flow records |
-//! | `DrainSteps` | `drain` | the timer of the steps that migrate connections |
-//! | `Executor` | `executor` | what a command can reach: the next two |
+//! | `FlowReporter` | `reports` | the export of flow records |
+//! | `DrainManager` | `drain` | the timer of the migration steps |
+//! | `Executor` | `executor` | the two owners that execute commands: `EndpointWatch` and `FrontendHost` |
 //! | `EndpointWatch` | `endpoint_watch` | the discovery client |
-//! | `FrontendHost` | `frontend_host` | the frontends, and the state |
-//! | `NodeState` | `state` | clock, sockets, requests, registry, timers, configuration, lifecycle |
+//! | `FrontendHost` | `frontend_host` | the frontends and the node state |
+//! | `NodeState` | `state` | clock, sockets, requests, endpoint registry, timers, configuration, lifecycle |
 
 mod admin;
 mod clock;
--- a/src/node/prepared.rs
+++ b/src/node/prepared.rs
@@ -1,7 +1,7 @@
-//! A node that can be started: its configuration has been read and checked.
+//! A node that is ready to be started: its configuration has been read and validated.
 
 use super::configuration::Configuration;
-use super::shortage_retry::{is_shortage, retry_while_short};
+use super::shortage_retry::{is_shortage, retry_on_shortage};
 use super::signals::SignalPipes;
 use super::{Options, PrepareError};
 use crate::frontend::FrontendFiles;
@@ -11,26 +11,26 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// A node whose configuration has been read and checked, and which has opened no socket yet.
+/// A node whose configuration has been read and validated, and which has opened no network socket yet.
 pub struct PreparedNode {
-    /// The signals' handlers, or why there are none.
+    /// The installed signal handlers, or why they could not be installed.
     pub(super) signals: io::Result<SignalPipes>,
     pub(super) configuration: Configuration,
     pub(super) frontend_files: FrontendFiles,
     pub(super) flow_collector: Option<SocketAddr>,
     pub(super) quota_membership: Option<QuotaMembership>,
-    /// The clients' listening socket, where the platform passes it.
+    /// The listening socket for text protocol clients, if the platform passes it.
     pub(super) passed_listener: Option<OwnedFd>,
 }
 
 impl PreparedNode {
-    /// Installs the signal handlers, and reads and checks all that is configured.
+    /// Installs the signal handlers, and reads and validates the configuration, the quota file and the passed socket.
     ///
     /// # Errors
-    /// Where anything that is configured is invalid: nothing is started then.
+    /// Returns an error if any of these cannot be read or is invalid.
     pub fn prepare(options: Options) -> Result<PreparedNode, PrepareError> {
-        let signals = retry_while_short(SignalPipes::install, is_shortage);
-        let configuration = retry_while_short(
+        let signals = retry_on_shortage(SignalPipes::install, is_shortage);
+        let configuration = retry_on_shortage(
             || Configuration::read(&options.frontend_files),
             |error| error.io_error().is_some_and(is_shortage),
         )?;
--- a/src/node/quota_leases.rs
+++ b/src/node/quota_leases.rs
@@ -1,4 +1,4 @@
-//! This node's membership of a fleet with quotas: the exchange of leases, and migrations of connections over quota.
+//! Fleet-wide quotas: the exchange of leases with the grantor, and the migration of connections over quota.
 
 use super::executor::Executor;
 use super::state::NodeState;
@@ -7,18 +7,18 @@
 use crate::quota::transport::{self, LeaseTransport};
 use sparbank_time::DurationExt;
 
-/// Owns the transport of the lease protocol, where this node is a member of a fleet with quotas.
+/// Owns the transport of the lease protocol.
 pub(super) struct QuotaLeases {
+    /// None if this node is not a member of a fleet with quotas.
     transport: Option<LeaseTransport>,
 }
 
 impl QuotaLeases {
-    /// Exchanges leases over this transport.
     pub(super) fn new(transport: Option<LeaseTransport>) -> QuotaLeases {
         QuotaLeases { transport }
     }
 
-    /// Handles an event at a socket of the lease protocol.
+    /// Handles an event on a socket of the lease protocol.
     pub(super) fn on_socket_event(&mut self, state: &mut NodeState, event: SocketEvent) {
         let now = state.now();
         if let (Some(transport), Some(quotas)) = (&mut self.transport, state.requests.quotas_mut()) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Exchanges leases with the grantor, and migrates established connections over this node's allotment.
+    /// Exchanges leases with the grantor, and migrates established connections that exceed this node's allotment.
     pub(super) fn exchange(&mut self, executor: &mut Executor) {
         let state = &mut executor.host.state;
         let now = state.now();
@@ -39,7 +39,7 @@
         executor.host.state.wheel.schedule(next_exchange_at, TimerEvent::LeaseExchange);
     }
 
-    /// Logs the lease, the counters of its protocol, and each quota.
+    /// Logs the lease with the counters of its protocol, and then each quota.
     pub(super) fn log(&self, state: &NodeState) {
         let Some(transport) = &self.transport else { return };
         let Some(quotas) = state.requests.quotas() else { return };
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -1,11 +1,11 @@
-//! SIGHUP: the configuration is read again and applied.
+//! Configuration reload on SIGHUP.
 
 use super::configuration::Configuration;
 use super::executor::Executor;
 use crate::frontend::FrontendFiles;
 
-/// Reads the configuration again. An invalid one changes nothing; of a valid one, what a running node can change is
-/// applied, and the log names the rest. Established connections and known servers stay.
+/// Reads the configuration again and applies the fields that can change at runtime; the log names the other changed
+/// fields. An invalid configuration changes nothing. Established connections and known servers are kept.
 pub(super) fn reload(executor: &mut Executor, frontend_files: &FrontendFiles) {
     match Configuration::reread(&executor.host.state.config, frontend_files) {
         Ok(configuration) => apply(executor, configuration),
@@ -20,7 +20,8 @@
         needs_restart.extend(executor.host.reload(file));
     }
     let state = &mut executor.host.state;
-    // A predecessor that still runs reports its open descriptors again with its next connection.
+    // This ignores the descriptors of a predecessor that is still running, until it reports them with the next
+    // connection that it transfers.
     state.net.set_descriptor_limit(state.config.max_descriptors);
     state.requests.update_settings(state.config.settings.clone());
     tracing::info!(discovery = %state.config.discovery, "configuration reloaded");
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -1,6 +1,6 @@
-//! What the node reports about itself: trace events, counters, flow records.
+//! The node's reports: trace events, counters and flow records.
 
-use super::admin::AdminCalls;
+use super::admin::AdminHandler;
 use super::executor::Executor;
 use super::quota_leases::QuotaLeases;
 use super::state::NodeState;
@@ -9,15 +9,15 @@
 use crate::requests::AttemptStep;
 use sparbank_time::{DurationExt, MonotonicTime};
 
-/// Owns the export of flow records, where it is enabled.
-pub(super) struct FlowReports {
+/// Owns the export of flow records.
+pub(super) struct FlowReporter {
+    /// None if the export is off.
     export: Option<FlowExport>,
 }
 
-impl FlowReports {
-    /// Reports ended flows to this exporter.
-    pub(super) fn new(export: Option<FlowExport>) -> FlowReports {
-        FlowReports { export }
+impl FlowReporter {
+    pub(super) fn new(export: Option<FlowExport>) -> FlowReporter {
+        FlowReporter { export }
     }
 
     /// Exports the flows that have ended since the last call.
@@ -29,7 +29,7 @@
     }
 }
 
-/// Emits the trace events of attempts since the last call; there are none unless tracing is enabled.
+/// Emits trace events for the steps of attempts since the last call. Attempts are recorded only if tracing is enabled.
 pub(super) fn trace_attempts(state: &mut NodeState) {
     for record in state.requests.take_attempt_records() {
         let server = state.registry.entry(record.server).map_or("?", |entry| entry.name());
@@ -43,8 +43,8 @@
     }
 }
 
-/// Logs the node's counters, then those of the lease protocol and those of the frontends.
-pub(super) fn log_counters(executor: &mut Executor, admin: &AdminCalls, leases: &QuotaLeases) {
+/// Logs the node's counters, followed by those of the lease protocol and of the frontends.
+pub(super) fn log_counters(executor: &mut Executor, admin: &AdminHandler, leases: &QuotaLeases) {
     update_counters(executor, admin);
     tracing::info!("{}", executor.host.state.requests.counters());
     leases.log(&executor.host.state);
@@ -53,8 +53,8 @@
     }
 }
 
-/// Brings the counters up to date that other parts of the node keep.
-fn update_counters(executor: &mut Executor, admin: &AdminCalls) {
+/// Copies the counters that other parts of the node keep into the node's counters.
+fn update_counters(executor: &mut Executor, admin: &AdminHandler) {
     let state = &mut executor.host.state;
     let violations = state.requests.violation_count();
     let counters = state.requests.counters_mut();
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -1,4 +1,4 @@
-//! Signals, received as readable sockets.
+//! Signals, each delivered as a byte on a socket of the event loop.
 
 use crate::net::{SocketOwner, SocketReactor, Token};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
@@ -6,8 +6,9 @@
 use std::os::fd::OwnedFd;
 use std::os::unix::net::UnixStream;
 
-/// The handlers of all signals, and the sockets that get a byte whenever one arrives. They are installed before
-/// anything is read, since until then each of these signals kills the process; what arrives waits in its socket.
+/// The sockets to which the signal handlers write a byte for each signal. The handlers are installed before the
+/// configuration is read, since each of these signals kills the process until then. A signal that arrives before the
+/// event loop runs stays in its socket.
 pub(super) struct SignalPipes {
     shutdown: OwnedFd,
     log_counters: OwnedFd,
@@ -18,7 +19,7 @@
     /// Installs the signal handlers.
     ///
     /// # Errors
-    /// Where the system gives no sockets, or no handlers.
+    /// Returns an error if a socket pair cannot be created or a handler cannot be installed.
     pub(super) fn install() -> io::Result<SignalPipes> {
         Ok(SignalPipes {
             shutdown: install(&[SIGTERM, SIGINT])?,
@@ -28,7 +29,7 @@
     }
 }
 
-/// Has a socket get a byte whenever one of the signals arrives.
+/// Installs a handler for each of the signals. Each arrival makes the returned socket readable.
 fn install(signals: &[i32]) -> io::Result<OwnedFd> {
     let (reader, writer) = UnixStream::pair()?;
     for signal in signals {
@@ -37,18 +38,18 @@
     Ok(OwnedFd::from(reader))
 }
 
-/// The request that a signal stands for.
+/// What a signal asks the node to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalRequest {
     /// SIGTERM or SIGINT: shut down gracefully.
     ShutDown,
     /// SIGUSR1: log the counters.
     LogCounters,
-    /// SIGHUP: read the configuration again.
+    /// SIGHUP: reload the configuration.
     Reload,
 }
 
-/// The sockets that become readable when a signal arrives.
+/// The signals' sockets on the reactor; each becomes readable when one of its signals arrives.
 pub(super) struct SignalSockets {
     shutdown: Token,
     log_counters: Token,
@@ -56,10 +57,10 @@
 }
 
 impl SignalSockets {
-    /// Watches the signals' sockets.
+    /// Registers the signals' sockets with the reactor.
     ///
     /// # Errors
-    /// Where a socket cannot be added to the epoll set.
+    /// Returns an error if a socket cannot be added to the epoll set.
     pub(super) fn register(net: &mut SocketReactor, pipes: SignalPipes) -> io::Result<SignalSockets> {
         let mut register = |pipe| net.register_reader(pipe, SocketOwner::Signal);
         Ok(SignalSockets {
@@ -69,7 +70,7 @@
         })
     }
 
-    /// Reads a readable socket. The result is the request of its signal, which may have arrived several times.
+    /// Drains a readable socket and returns the request of its signal. Several arrivals of a signal yield one request.
     pub(super) fn receive(&self, net: &mut SocketReactor, token: Token) -> Option<SignalRequest> {
         if let Some(input) = net.input_buffer(token) {
             input.clear();
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -1,17 +1,17 @@
-//! Start-up: opens everything that a prepared node needs, in a fixed order.
+//! Start-up: opens the sockets and builds the parts of a prepared node, in a fixed order.
 
-use super::admin::AdminCalls;
+use super::admin::AdminHandler;
 use super::clock::Clock;
 use super::configuration::Configuration;
-use super::drain::DrainSteps;
+use super::drain::DrainManager;
 use super::endpoint_watch::EndpointWatch;
 use super::event_loop::Node;
 use super::executor::Executor;
 use super::frontend_host::FrontendHost;
-use super::handover::HandoverSteps;
+use super::handover::HandoverManager;
 use super::quota_leases::QuotaLeases;
-use super::reports::FlowReports;
-use super::shortage_retry::{is_shortage, retry_while_short};
+use super::reports::FlowReporter;
+use super::shortage_retry::{is_shortage, retry_on_shortage};
 use super::signals::SignalSockets;
 use super::state::NodeState;
 use super::{PreparedNode, ServeError};
@@ -35,24 +35,25 @@
 /// Starts a node and serves until it has shut down.
 ///
 /// # Errors
-/// Where a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
+/// Returns an error if a socket cannot be opened, the balancer rejects the settings, or the sockets cannot be polled.
 pub fn serve(prepared: PreparedNode) -> Result<(), ServeError> {
     start(prepared)?.run()
 }
 
-/// Opens everything, and lets the balancer decide on the endpoints that are known from the start.
+/// Opens all sockets, and runs the balancer on the endpoints that are known at start.
 ///
 /// # Errors
-/// Where a socket cannot be opened, or the balancer rejects the settings.
+/// Returns an error if a socket cannot be opened or the balancer rejects the settings.
 fn start(prepared: PreparedNode) -> Result<Node, ServeError> {
     let Configuration { node: config, frontends: frontend_configs } = prepared.configuration;
     let reactor = || SocketReactor::new(config.max_descriptors);
-    let mut net = retry_while_short(reactor, is_shortage).map_err(ServeError::Poll)?;
+    let mut net = retry_on_shortage(reactor, is_shortage).map_err(ServeError::Poll)?;
     let signals = prepared.signals.and_then(|pipes| SignalSockets::register(&mut net, pipes));
     let signals = signals.map_err(ServeError::Signals)?;
     let mut startup = Startup::new(config, net)?;
     let admin = startup.open_admin()?;
-    // What can fail without the predecessor's sockets is open: its state may be requested now.
+    // The predecessor's state is requested only after the steps that can fail without its sockets: with the state, the
+    // predecessor gives up its discovery watch.
     let handover_path =
         prepared.passed_listener.as_ref().and_then(|_| handover::socket_path(&startup.config.name));
     let predecessor = startup.take_over_state(handover_path.as_deref());
@@ -65,25 +66,25 @@
         tracing::info!(listen = %admin.address(), "admin API ready");
     }
     let flow_export = startup.open_flow_export(prepared.flow_collector)?;
-    let lease_transport = startup.join_fleet(prepared.quota_membership)?;
-    let wheel = first_timers(&startup.clock, lease_transport.is_some());
+    let lease_transport = startup.enable_quotas(prepared.quota_membership)?;
+    let wheel = initial_timers(&startup.clock, lease_transport.is_some());
     let handover = handover_path.map(|path| Handover::open(&mut startup.net, &path, predecessor.channel));
     let mut node = Node {
         executor: startup.into_executor(frontends, wheel),
-        drain_steps: DrainSteps::default(),
-        handover: HandoverSteps::new(handover),
-        admin: AdminCalls::new(admin),
+        drain: DrainManager::default(),
+        handover: HandoverManager::new(handover),
+        admin: AdminHandler::new(admin),
         leases: QuotaLeases::new(lease_transport),
-        flow_reports: FlowReports::new(flow_export),
+        flow_reporter: FlowReporter::new(flow_export),
         signals,
         frontend_files: prepared.frontend_files,
     };
-    node.begin(predecessor.snapshot.as_ref());
+    node.initialize(predecessor.snapshot.as_ref());
     Ok(node)
 }
 
-/// The timers that run from the start on.
-fn first_timers(clock: &Clock, exchanges_leases: bool) -> TimerWheel<TimerEvent> {
+/// A timer wheel with the periodic timers.
+fn initial_timers(clock: &Clock, exchanges_leases: bool) -> TimerWheel<TimerEvent> {
     let mut wheel = TimerWheel::new(clock.now());
     wheel.schedule(clock.now(), TimerEvent::Tick);
     if exchanges_leases {
@@ -92,16 +93,16 @@
     wheel
 }
 
-/// What is left to do of the handover from a predecessor; nothing where there is none.
+/// What is needed to complete the handover from a predecessor. Both fields are None if there is no predecessor.
 #[derive(Default)]
 struct Predecessor {
-    /// Its state, of which the balancer's part is restored once the node has made its first decisions.
+    /// The predecessor's state. The balancer's part is restored after the balancer has run on the endpoint list.
     snapshot: Option<StateSnapshot>,
-    /// The handover socket, over which its connections follow.
+    /// The handover socket, over which the predecessor transfers its connections.
     channel: Option<OwnedFd>,
 }
 
-/// What the steps of the start-up work on.
+/// The parts that exist before the node is built, on which the start-up steps operate.
 struct Startup {
     clock: Clock,
     config: Config,
@@ -119,22 +120,22 @@
         }
         let clock = Clock::new();
         let now = clock.now();
-        // The wall clock has just set the node's clock: both show the same.
+        // The node's clock has just been set from the wall clock: both have the same time.
         let wall = WallTime::from_unix_nanos(now.as_nanos());
         let registry = EndpointRegistry::new(config.frontend_settings.zone_names.clone(), now, wall);
         let discovery = DiscoveryClient::new(config.discovery);
         Ok(Startup { clock, config, net, requests, registry, discovery })
     }
 
-    /// Opens the admin API, where it is configured.
+    /// Opens the admin API, if it is configured.
     fn open_admin(&mut self) -> Result<Option<AdminServer>, ServeError> {
         let Some(address) = self.config.admin_listen else { return Ok(None) };
-        let server = retry_while_short(|| AdminServer::open(&mut self.net, address), is_shortage);
+        let server = retry_on_shortage(|| AdminServer::open(&mut self.net, address), is_shortage);
         server.map(Some).map_err(|source| ServeError::AdminListen { address, source })
     }
 
-    /// Takes over the endpoint list, the watch and the listening sockets of a predecessor. Without one, the endpoint
-    /// list of the configuration is where the balancer starts from.
+    /// Takes over the endpoint list, the watch and the listening sockets of a predecessor. Without one, the balancer
+    /// starts with the endpoint list of the configuration.
     fn take_over_state(&mut self, handover_path: Option<&Path>) -> Predecessor {
         let inherited = handover_path.and_then(|path| handover::request_state(path, &self.config.name));
         let Some(PredecessorState { channel, snapshot, listeners, watch }) = inherited else {
@@ -143,7 +144,7 @@
             return Predecessor::default();
         };
         if let Some(now) = snapshot.clock {
-            // The predecessor's times are this process's too, whatever the wall clock has done meanwhile.
+            // Times in the predecessor's state stay valid here, even if the wall clock has stepped since it started.
             self.clock = Clock::continuing(now);
             self.registry.reset_clocks(now, Clock::wall());
         }
@@ -154,19 +155,19 @@
         Predecessor { snapshot: Some(snapshot), channel: Some(channel) }
     }
 
-    /// Opens the listening socket of the platform's own frontend.
+    /// Opens the listening socket of the text frontend, unless the platform passes one.
     fn listen_for_clients(&mut self, passed_listener: Option<OwnedFd>) -> Result<(), ServeError> {
         let owner = SocketOwner::Frontend(TEXT_FRONTEND);
         let listening = match passed_listener {
             Some(socket) => self.net.register_listener(socket, owner),
-            None => retry_while_short(|| self.net.listen(self.config.listen, owner), is_shortage),
+            None => retry_on_shortage(|| self.net.listen(self.config.listen, owner), is_shortage),
         };
         let listen = listening.map_err(ServeError::Listen)?;
         tracing::info!(name = %self.config.name, %listen, "node started");
         Ok(())
     }
 
-    /// The platform's own frontend, and the optional ones whose files are given.
+    /// Opens the text frontend, and the optional frontends whose files are given.
     fn open_frontends(&mut self, frontend_files: Vec<ParsedFrontendFile>) -> Result<Frontends, ServeError> {
         let mut frontends = Frontends::new();
         for file in frontend_files {
@@ -180,7 +181,7 @@
         Ok(frontends)
     }
 
-    /// Opens the export of flow records, where a collector is given.
+    /// Opens the export of flow records, if a collector is given.
     fn open_flow_export(&mut self, collector: Option<SocketAddr>) -> Result<Option<FlowExport>, ServeError> {
         let Some(collector) = collector else { return Ok(None) };
         let domain = fnv1a(&self.config.name) as u32;
@@ -191,9 +192,9 @@
         Ok(Some(export))
     }
 
-    /// Opens the lease protocol's transport, where this node is a member of a fleet with quotas. Requests are admitted
-    /// against the fleet-wide quotas from now on.
-    fn join_fleet(
+    /// Opens the transport of the lease protocol, if this node is a member of a fleet with quotas. From then on,
+    /// requests are admitted against the fleet-wide quotas.
+    fn enable_quotas(
         &mut self,
         membership: Option<QuotaMembership>,
     ) -> Result<Option<LeaseTransport>, ServeError> {
@@ -209,7 +210,7 @@
         Ok(Some(transport))
     }
 
-    /// Puts together what the node works on once it serves.
+    /// Builds the executor, with the state of the serving node.
     fn into_executor(self, frontends: Frontends, wheel: TimerWheel<TimerEvent>) -> Executor {
         let Startup { clock, config, net, requests, registry, discovery } = self;
         let lifecycle = Lifecycle::default();
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -1,4 +1,4 @@
-//! The state of the node that its parts and the frontends share.
+//! The state that the parts of the node and the frontends share.
 
 use super::clock::Clock;
 use crate::config::Config;
@@ -10,9 +10,9 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// What frontends work on, through a [`FrontendContext`] for each call, and the node's parts directly.
+/// The shared state. Frontends access it through a [`FrontendContext`] per call, the other parts of the node directly.
 ///
-/// Each field keeps its own invariants; the parts of the node borrow several of them at once.
+/// The fields are visible to the whole module so that several can be borrowed at once; each keeps its own invariants.
 pub(super) struct NodeState {
     pub(super) clock: Clock,
     pub(super) net: SocketReactor,
@@ -24,20 +24,20 @@
 }
 
 impl NodeState {
-    /// The present time on the node's clock.
+    /// The current time of the node's clock.
     pub(super) fn now(&self) -> MonotonicTime {
         self.clock.now()
     }
 
-    /// Reads both clocks, so that a step of the wall clock, by which discovery reports when servers started, is
-    /// noticed. Returns the node's time.
+    /// Passes the times of both clocks to the endpoint registry, which detects steps of the wall clock: discovery
+    /// reports the start times of servers in wall-clock time. Returns the time of the node's clock.
     pub(super) fn observe_clocks(&mut self) -> MonotonicTime {
         let now = self.now();
         self.registry.observe_clocks(now, Clock::wall());
         now
     }
 
-    /// The context for one call of a frontend.
+    /// The context for one call to a frontend.
     pub(super) fn frontend_context(&mut self) -> FrontendContext<'_> {
         let now = self.now();
         FrontendContext {
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -1,25 +1,25 @@
-//! Unit tests of the lines that a failed start prints.
+//! Unit tests of the error lines that a failed start prints.
 
 use super::{PrepareError, ServeError};
 use crate::frontend::FrontendError;
 use crate::model::SettingsError;
 use std::io::{Error, ErrorKind};
 
-fn refused() -> Error {
+fn address_in_use() -> Error {
     Error::new(ErrorKind::AddrInUse, "in use")
 }
 
 #[rstest::rstest]
-#[case(ServeError::Poll(refused()), "epoll: in use")]
-#[case(ServeError::Signals(refused()), "signals: in use")]
-#[case(ServeError::Listen(refused()), "listen: in use")]
-#[case(ServeError::FlowExport(refused()), "ipfix: in use")]
+#[case(ServeError::Poll(address_in_use()), "epoll: in use")]
+#[case(ServeError::Signals(address_in_use()), "signals: in use")]
+#[case(ServeError::Listen(address_in_use()), "listen: in use")]
+#[case(ServeError::FlowExport(address_in_use()), "ipfix: in use")]
 #[case(
-    ServeError::AdminListen { address: "127.0.0.1:9".parse().expect("an address"), source: refused() },
+    ServeError::AdminListen { address: "127.0.0.1:9".parse().expect("an address"), source: address_in_use() },
     "operator: 127.0.0.1:9: in use"
 )]
 #[case(
-    ServeError::LeaseTransport { member: 2, source: refused() },
+    ServeError::LeaseTransport { member: 2, source: address_in_use() },
     "--fleet: members[2].address: in use"
 )]
 #[case(
@@ -27,12 +27,12 @@
     "setting classes: there must be a request class"
 )]
 #[case(ServeError::Frontend(FrontendError::WrongConfigType), "not this frontend's file")]
-fn a_failed_start_names_what_failed(#[case] error: ServeError, #[case] line: &str) {
+fn a_start_error_names_what_failed(#[case] error: ServeError, #[case] line: &str) {
     assert_eq!(error.to_string(), line);
 }
 
 #[test]
-fn an_invalid_configuration_is_printed_as_it_is() {
+fn a_configuration_error_is_printed_unchanged() {
     let error = crate::config::ConfigError::NotSet("NODE_CONFIG");
     let error = PrepareError::from(super::configuration::ConfigurationError::from(error));
     assert_eq!(error.to_string(), "NODE_CONFIG: not set");
