--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -1,17 +1,17 @@
-//! The lifecycle of a process: whether it serves its clients, drains them, or shuts down.
+//! The lifecycle of a process: serving, draining, handed over to a successor, or shutting down.
 //!
-//! The admin API's drain and resume, SIGTERM, and the handover to a successor process are transitions of one state
-//! machine. It decides how many established clients are migrated in each step, when unanswered requests get their final
-//! answer, and when the process exits. The node owns it and executes the steps.
+//! The drain and resume calls of the admin API, SIGTERM, and the handover to a successor process are transitions of one
+//! state machine. It decides how many established clients each migration step migrates, when unanswered requests fail,
+//! and when the process exits. The node owns the state machine and executes the steps.
 //!
-//! | phase        | `drain`      | `resume`  | `hand_over`  | `successor_lost`    | `shut_down`  |
-//! |--------------|--------------|-----------|--------------|---------------------|--------------|
-//! | Serving      | Draining     | no change | HandedOver   | no change           | ShuttingDown |
-//! | Draining     | no change    | Serving   | HandedOver   | no change           | ShuttingDown |
-//! | HandedOver   | is drained   | error     | no change    | Serving or Draining | ShuttingDown |
-//! | ShuttingDown | is drained   | error     | has a successor | has none         | no change    |
+//! | phase        | `drain`           | `resume`  | `hand_over`          | `successor_lost`       | `shut_down`  |
+//! |--------------|-------------------|-----------|----------------------|------------------------|--------------|
+//! | Serving      | Draining          | no change | HandedOver           | no change              | ShuttingDown |
+//! | Draining     | no change         | Serving   | HandedOver           | no change              | ShuttingDown |
+//! | HandedOver   | sets `is_drained` | error     | no change            | Serving or Draining    | ShuttingDown |
+//! | ShuttingDown | sets `is_drained` | error     | sets `has_successor` | clears `has_successor` | no change    |
 //!
-//! No I/O and no clock: time comes as an argument.
+//! The module performs no I/O and reads no clock: each method takes the time as an argument.
 
 mod phases;
 mod schedule;
@@ -21,24 +21,24 @@
 pub use phases::Activity;
 pub use schedule::{MigrationStep, MIGRATION_STEP_INTERVAL};
 
-use phases::{Draining, HandedOver, Serving, ShuttingDown, WithoutSuccessor};
+use phases::{Draining, HandedOver, RestoredPhase, Serving, ShuttingDown};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 use thiserror::Error;
 
-/// The process shuts down, or its successor serves: it cannot accept clients again.
+/// The process is shutting down or has a successor, so it cannot be resumed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the process shuts down")]
+#[error("the process is shutting down")]
 pub struct ShuttingDownError;
 
 /// The lifecycle of this process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Lifecycle {
-    /// Clients are accepted, and stay.
+    /// Clients are accepted, and established clients stay.
     Serving(Serving),
     /// An operator has drained the node.
     Draining(Draining),
-    /// A successor serves in this process's place.
+    /// A successor serves instead of this process.
     HandedOver(HandedOver),
     /// SIGTERM has arrived.
     ShuttingDown(ShuttingDown),
@@ -51,7 +51,7 @@
 }
 
 impl Lifecycle {
-    /// Drains the node from now on. False where it is drained already: a second call changes nothing.
+    /// Starts a drain. Returns false, and changes nothing, if the node is draining already.
     pub fn drain(&mut self, now: MonotonicTime) -> bool {
         if !self.accepts_clients() {
             return false;
@@ -65,10 +65,10 @@
         true
     }
 
-    /// Accepts clients again. False where the node was not drained.
+    /// Ends a drain, so that clients are accepted again. Returns false if the node was not draining.
     ///
     /// # Errors
-    /// Where the process shuts down, or a successor serves.
+    /// Returns an error if the process is shutting down or has a successor.
     pub fn resume(&mut self) -> Result<bool, ShuttingDownError> {
         match *self {
             Lifecycle::Serving(_) => Ok(false),
@@ -80,8 +80,8 @@
         }
     }
 
-    /// A successor serves: connections are transferred to it, and those that cannot be are migrated before SIGKILL
-    /// could follow if SIGTERM arrived now. `longest_deadline` is that of all request classes.
+    /// A successor serves: connections are transferred to it. Those that cannot be transferred are migrated in time for
+    /// the SIGKILL that would follow a SIGTERM now. `longest_deadline` is the longest of all request classes.
     pub fn hand_over(&mut self, now: MonotonicTime, longest_deadline: Duration) {
         *self = match *self {
             Lifecycle::Serving(serving) => Lifecycle::HandedOver(serving.hand_over(now, longest_deadline)),
@@ -91,20 +91,20 @@
         };
     }
 
-    /// The successor is gone: the process serves or drains as before, if it does not shut down.
+    /// The successor is gone: the process serves or drains again, unless it is shutting down.
     pub fn successor_lost(&mut self, now: MonotonicTime) {
         *self = match *self {
             Lifecycle::HandedOver(handed_over) => match handed_over.successor_lost(now) {
-                WithoutSuccessor::Serving(serving) => Lifecycle::Serving(serving),
-                WithoutSuccessor::Draining(draining) => Lifecycle::Draining(draining),
+                RestoredPhase::Serving(serving) => Lifecycle::Serving(serving),
+                RestoredPhase::Draining(draining) => Lifecycle::Draining(draining),
             },
             Lifecycle::ShuttingDown(shutting_down) => Lifecycle::ShuttingDown(shutting_down.successor_lost()),
             unchanged @ (Lifecycle::Serving(_) | Lifecycle::Draining(_)) => unchanged,
         };
     }
 
-    /// SIGTERM: the process ends before SIGKILL, whose time follows from the longest deadline of all request classes.
-    /// False where the process shuts down already.
+    /// Starts a shutdown on SIGTERM. The process exits before SIGKILL, whose time depends on `longest_deadline`, the
+    /// longest of all request classes. Returns false, and changes nothing, if the process is shutting down already.
     pub fn shut_down(&mut self, now: MonotonicTime, longest_deadline: Duration) -> bool {
         let shutting_down = match *self {
             Lifecycle::Serving(serving) => serving.shut_down(now, longest_deadline),
@@ -116,8 +116,8 @@
         true
     }
 
-    /// Whether the load balancer in front of the nodes is to send clients here: the answer to `PING`. SIGTERM alone
-    /// does not change it, since clients still arrive until the platform has noticed it.
+    /// Whether the load balancer in front of the nodes should send clients here; this determines the answer to `PING`.
+    /// SIGTERM alone does not change it, since clients arrive until the platform has noticed the shutdown.
     pub fn accepts_clients(&self) -> bool {
         match self {
             Lifecycle::Serving(_) => true,
@@ -127,36 +127,36 @@
         }
     }
 
-    /// Whether the process shuts down, or a successor serves.
+    /// Whether the process is shutting down or has a successor.
     pub fn is_shutting_down(&self) -> bool {
         matches!(self, Lifecycle::ShuttingDown(_) | Lifecycle::HandedOver(_))
     }
 
-    /// Whether the process is about to exit: all established clients have been migrated, and requests that arrive now
-    /// are answered without an attempt.
+    /// Whether the process is about to exit: the time for migrating established clients is over, and requests that
+    /// arrive now are answered without an attempt.
     pub fn is_closing(&self, now: MonotonicTime) -> bool {
         matches!(self, Lifecycle::ShuttingDown(shutting_down) if shutting_down.schedule.is_over(now))
     }
 
-    /// The step that is due now, with `established` clients. None where the clients stay.
+    /// The migration step that is due now, given the number of established clients. None if the clients stay.
     pub fn migration_step(&self, now: MonotonicTime, established: usize) -> Option<MigrationStep> {
         match self {
             Lifecycle::Serving(_) => None,
-            Lifecycle::Draining(draining) => Some(draining.schedule.step_of_drain(now, established)),
-            Lifecycle::HandedOver(handed_over) => {
-                Some(handed_over.schedule.step_before_exit(now, established))
-            }
+            Lifecycle::Draining(draining) => Some(draining.schedule.drain_step(now, established)),
+            Lifecycle::HandedOver(handed_over) => Some(handed_over.schedule.shutdown_step(now, established)),
             Lifecycle::ShuttingDown(shutting_down) => {
-                Some(shutting_down.schedule.step_before_exit(now, established))
+                Some(shutting_down.schedule.shutdown_step(now, established))
             }
         }
     }
 
-    /// Whether the process is to exit now.
+    /// Whether the process should exit now.
     pub fn should_exit(&self, now: MonotonicTime, activity: Activity) -> bool {
         match self {
             Lifecycle::Serving(_) | Lifecycle::Draining(_) => false,
-            Lifecycle::HandedOver(handed_over) => activity == Activity::Idle && now >= handed_over.exit_at,
+            Lifecycle::HandedOver(handed_over) => {
+                activity == Activity::Idle && now >= handed_over.earliest_exit
+            }
             Lifecycle::ShuttingDown(shutting_down) => shutting_down.should_exit(now, activity),
         }
     }
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -1,42 +1,42 @@
-//! The phases of a process and the transitions between them. A phase has methods for its legal transitions only: a
-//! process that shuts down cannot resume, and one that serves has no drain to end.
+//! The phases of a process and the transitions between them. Each phase has methods only for its legal transitions: for
+//! example, a process that is shutting down cannot be resumed.
 
 use super::schedule::MigrationSchedule;
 use crate::model::MAX_STALL;
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// An operator's drain is complete this long after the call.
+/// The duration of a drain, from the operator's call until it is complete.
 const DRAIN_DURATION: Duration = Duration::from_secs(4);
-/// SIGKILL follows SIGTERM after the longest request deadline and this.
+/// SIGKILL follows SIGTERM after the longest request deadline plus this delay.
 const KILL_DELAY_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// A longer deadline than this does not delay SIGKILL any further.
-const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// The process exits this long before SIGKILL, whether or not its clients have read their last line. SIGKILL is timed
-/// from the arrival of SIGTERM, and the process may have been stalled before it handled that.
+/// The longest request deadline that the delay of SIGKILL allows for: a longer one does not delay it further.
+const MAX_DEADLINE_BEFORE_KILL: Duration = Duration::from_secs(3);
+/// The process exits this long before SIGKILL, even if clients have not read their last line. SIGKILL is timed from the
+/// arrival of SIGTERM, and the process may have been stalled before it handled the signal.
 const EXIT_BEFORE_KILL: Duration = MAX_STALL.saturating_add(Duration::from_millis(50));
-/// A process whose successor serves waits for SIGTERM no longer than this.
+/// How long a process whose successor serves waits for SIGTERM before it may exit by itself.
 const MAX_WAIT_FOR_SIGTERM: Duration = Duration::from_secs(10);
 
-/// When SIGKILL follows if SIGTERM arrives now.
+/// The time of SIGKILL if SIGTERM arrives now.
 fn kill_time(now: MonotonicTime, longest_deadline: Duration) -> MonotonicTime {
-    now + longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY_AFTER_DEADLINE
+    now + longest_deadline.min(MAX_DEADLINE_BEFORE_KILL) + KILL_DELAY_AFTER_DEADLINE
 }
 
 fn drain_schedule(now: MonotonicTime) -> MigrationSchedule {
-    MigrationSchedule::until(now, now + DRAIN_DURATION)
+    MigrationSchedule::ending_at(now, now + DRAIN_DURATION)
 }
 
-/// Whether anything is open at this process.
+/// Whether this process still has anything open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Activity {
-    /// No request, no client, and no connection that is still closing.
+    /// No open request, no client, and no connection that is still closing.
     Idle,
     /// Something is open.
     Busy,
 }
 
-/// Clients are accepted, and stay.
+/// Clients are accepted, and established clients stay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Serving(());
 
@@ -47,8 +47,8 @@
 
     pub(super) fn hand_over(self, now: MonotonicTime, longest_deadline: Duration) -> HandedOver {
         HandedOver {
-            schedule: MigrationSchedule::until(now, kill_time(now, longest_deadline)),
-            exit_at: now + MAX_WAIT_FOR_SIGTERM,
+            schedule: MigrationSchedule::ending_at(now, kill_time(now, longest_deadline)),
+            earliest_exit: now + MAX_WAIT_FOR_SIGTERM,
             is_drained: false,
         }
     }
@@ -56,8 +56,8 @@
     pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let kill = kill_time(now, longest_deadline);
         ShuttingDown {
-            schedule: MigrationSchedule::until(now, kill),
-            exit_by: kill - EXIT_BEFORE_KILL,
+            schedule: MigrationSchedule::ending_at(now, kill),
+            latest_exit: kill - EXIT_BEFORE_KILL,
             is_drained: false,
             has_successor: false,
         }
@@ -77,57 +77,53 @@
 
     pub(super) fn hand_over(self, now: MonotonicTime, longest_deadline: Duration) -> HandedOver {
         let handed_over = Serving::default().hand_over(now, longest_deadline);
-        HandedOver {
-            schedule: handed_over.schedule.or_earlier(self.schedule),
-            is_drained: true,
-            ..handed_over
-        }
+        HandedOver { schedule: handed_over.schedule.earliest(self.schedule), is_drained: true, ..handed_over }
     }
 
     pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let shutting_down = Serving::default().shut_down(now, longest_deadline);
         ShuttingDown {
-            schedule: shutting_down.schedule.or_earlier(self.schedule),
+            schedule: shutting_down.schedule.earliest(self.schedule),
             is_drained: true,
             ..shutting_down
         }
     }
 }
 
-/// What a process does when its successor is gone.
-pub(super) enum WithoutSuccessor {
+/// The phase to which a process returns when its successor is gone.
+pub(super) enum RestoredPhase {
     Serving(Serving),
     Draining(Draining),
 }
 
-/// A successor serves. Connections are transferred to it, those that cannot be are migrated, and the process ends by
-/// itself if no SIGTERM comes.
+/// A successor serves. Connections are transferred to it, or migrated if they cannot be transferred. The process exits
+/// by itself if no SIGTERM arrives.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HandedOver {
     pub(super) schedule: MigrationSchedule,
-    /// The process exits then or later, once it is idle.
-    pub(super) exit_at: MonotonicTime,
+    /// The process exits no earlier than this, and only once it is idle.
+    pub(super) earliest_exit: MonotonicTime,
     pub(super) is_drained: bool,
 }
 
 impl HandedOver {
     pub(super) fn drain(self, now: MonotonicTime) -> HandedOver {
-        HandedOver { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
+        HandedOver { schedule: self.schedule.earliest(drain_schedule(now)), is_drained: true, ..self }
     }
 
-    pub(super) fn successor_lost(self, now: MonotonicTime) -> WithoutSuccessor {
+    pub(super) fn successor_lost(self, now: MonotonicTime) -> RestoredPhase {
         let serving = Serving::default();
         if self.is_drained {
-            WithoutSuccessor::Draining(serving.drain(now))
+            RestoredPhase::Draining(serving.drain(now))
         } else {
-            WithoutSuccessor::Serving(serving)
+            RestoredPhase::Serving(serving)
         }
     }
 
     pub(super) fn shut_down(self, now: MonotonicTime, longest_deadline: Duration) -> ShuttingDown {
         let shutting_down = Serving::default().shut_down(now, longest_deadline);
         ShuttingDown {
-            schedule: shutting_down.schedule.or_earlier(self.schedule),
+            schedule: shutting_down.schedule.earliest(self.schedule),
             is_drained: self.is_drained,
             has_successor: true,
             ..shutting_down
@@ -140,15 +136,15 @@
 pub struct ShuttingDown {
     pub(super) schedule: MigrationSchedule,
     /// The process exits no later than this.
-    pub(super) exit_by: MonotonicTime,
+    pub(super) latest_exit: MonotonicTime,
     pub(super) is_drained: bool,
-    /// A successor serves: nothing new arrives here.
+    /// A successor serves, so no new client arrives at this process.
     pub(super) has_successor: bool,
 }
 
 impl ShuttingDown {
     pub(super) fn drain(self, now: MonotonicTime) -> ShuttingDown {
-        ShuttingDown { schedule: self.schedule.or_earlier(drain_schedule(now)), is_drained: true, ..self }
+        ShuttingDown { schedule: self.schedule.earliest(drain_schedule(now)), is_drained: true, ..self }
     }
 
     pub(super) fn hand_over(self) -> ShuttingDown {
@@ -159,9 +155,9 @@
         ShuttingDown { has_successor: false, ..self }
     }
 
-    /// Whether the process is to exit now.
+    /// Whether the process should exit now.
     pub(super) fn should_exit(&self, now: MonotonicTime, activity: Activity) -> bool {
         let nothing_more_arrives = self.has_successor || self.schedule.is_over(now);
-        now >= self.exit_by || (activity == Activity::Idle && nothing_more_arrives)
+        now >= self.latest_exit || (activity == Activity::Idle && nothing_more_arrives)
     }
 }
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -1,78 +1,85 @@
-//! When established clients are migrated: in even steps, between a start and an end.
+//! The schedule by which established clients are migrated: in even steps between a start and an end time.
 
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// Time between two migration steps.
+/// The time between two migration steps.
 pub const MIGRATION_STEP_INTERVAL: Duration = Duration::from_millis(25);
-/// Clients are migrated no earlier than this long after the announcement: until the load balancer in front of the
-/// nodes has noticed it, a migrated client would come back here.
+/// The time between the announcement of a migration and its first step. Until the load balancer in front of the nodes
+/// has noticed the announcement, it would send a migrated client back to this node.
 const MIGRATION_DELAY: Duration = Duration::from_millis(300);
-/// All established clients have been notified this long before the end of the schedule.
+/// All established clients have been told to reconnect this long before the end of the schedule.
 const MIGRATED_BEFORE_END: Duration = Duration::from_millis(400);
-/// Requests that still wait get their final answer this long before the end of the schedule: their deadline is over,
-/// or no time is left.
-const ABANDON_BEFORE_END: Duration = Duration::from_millis(250);
+/// Requests that are still unanswered fail this long before the end of the schedule: their deadline has passed, or no
+/// time is left.
+const UNANSWERED_FAILED_BEFORE_END: Duration = Duration::from_millis(250);
 
-/// What is to be done in one migration step.
+/// What the node has to do in one migration step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MigrationStep {
-    /// It is too early: migrated clients would come back.
+    /// Nothing yet: the load balancer would still send migrated clients back to this node.
     NotStarted,
-    /// Clients are migrated.
+    /// Migrate clients, and fail requests whose time is over.
     Migrate {
         /// The number of established clients to migrate now.
         clients: usize,
-        /// Requests that arrived before this time and still wait get their final answer now.
-        abandon_before: Option<MonotonicTime>,
+        /// Unanswered requests that arrived before this time fail now. None if all requests may still wait.
+        fail_arrived_before: Option<MonotonicTime>,
     },
 }
 
-/// The times of one migration of all clients.
+/// The times at which one migration of all clients starts and ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct MigrationSchedule {
+    /// The time of the first step.
     start: MonotonicTime,
-    /// All established clients have been migrated by then.
+    /// The time by which all established clients have been migrated.
     migrated_by: MonotonicTime,
-    abandon_at: MonotonicTime,
+    /// The time from which unanswered requests fail.
+    fail_unanswered_at: MonotonicTime,
 }
 
 impl MigrationSchedule {
-    /// A schedule that is announced now and leaves nothing open at `end`.
-    pub(super) fn until(now: MonotonicTime, end: MonotonicTime) -> MigrationSchedule {
+    /// A schedule that is announced now and leaves no client or request open at `end`.
+    pub(super) fn ending_at(now: MonotonicTime, end: MonotonicTime) -> MigrationSchedule {
         MigrationSchedule {
             start: now + MIGRATION_DELAY,
             migrated_by: end - MIGRATED_BEFORE_END,
-            abandon_at: end - ABANDON_BEFORE_END,
+            fail_unanswered_at: end - UNANSWERED_FAILED_BEFORE_END,
         }
     }
 
-    /// The schedule that keeps both: the earlier one of each time.
-    pub(super) fn or_earlier(self, other: MigrationSchedule) -> MigrationSchedule {
+    /// A schedule that satisfies both: the earlier of each time.
+    pub(super) fn earliest(self, other: MigrationSchedule) -> MigrationSchedule {
         MigrationSchedule {
             start: self.start.min(other.start),
             migrated_by: self.migrated_by.min(other.migrated_by),
-            abandon_at: self.abandon_at.min(other.abandon_at),
+            fail_unanswered_at: self.fail_unanswered_at.min(other.fail_unanswered_at),
         }
     }
 
-    /// Whether all established clients have been migrated by now.
+    /// Whether the time by which all established clients are migrated has passed.
     pub(super) fn is_over(&self, now: MonotonicTime) -> bool {
         now >= self.migrated_by
     }
 
-    /// The step of a node that stays after the drain. It still serves clients that arrive late, and migrates them at the
-    /// next step, so only requests from before the end of the migration are abandoned.
-    pub(super) fn step_of_drain(&self, now: MonotonicTime, established: usize) -> MigrationStep {
+    /// The step of a process that keeps running after a drain. It serves clients that arrive late and migrates them at
+    /// the next step, so only requests that arrived before the end of the migration fail.
+    pub(super) fn drain_step(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, self.migrated_by)
     }
 
-    /// The step of a process that exits: a request that waits cannot be served later.
-    pub(super) fn step_before_exit(&self, now: MonotonicTime, established: usize) -> MigrationStep {
+    /// The step of a process that exits: all unanswered requests fail, since they cannot be served later.
+    pub(super) fn shutdown_step(&self, now: MonotonicTime, established: usize) -> MigrationStep {
         self.step(now, established, MonotonicTime::MAX)
     }
 
-    fn step(&self, now: MonotonicTime, established: usize, abandon_before: MonotonicTime) -> MigrationStep {
+    fn step(
+        &self,
+        now: MonotonicTime,
+        established: usize,
+        fail_arrived_before: MonotonicTime,
+    ) -> MigrationStep {
         if now < self.start {
             return MigrationStep::NotStarted;
         }
@@ -80,7 +87,7 @@
         let later_steps = remaining.as_nanos_u64() / MIGRATION_STEP_INTERVAL.as_nanos_u64();
         MigrationStep::Migrate {
             clients: established.div_ceil(later_steps as usize + 1),
-            abandon_before: (now >= self.abandon_at).then_some(abandon_before),
+            fail_arrived_before: (now >= self.fail_unanswered_at).then_some(fail_arrived_before),
         }
     }
 }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! The times of drain, shutdown and handover, and their crossings.
+//! Unit tests of the timing of drain, shutdown and handover, and of their combinations.
 
 use super::{Activity, Lifecycle, MigrationStep, ShuttingDownError, MIGRATION_STEP_INTERVAL};
 use rstest::rstest;
@@ -9,7 +9,7 @@
 const MILLISECOND: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The instant this long after the origin of the clock.
+/// The time at this duration after the clock's origin.
 fn at(since_origin: Duration) -> MonotonicTime {
     MonotonicTime::ZERO + since_origin
 }
@@ -22,7 +22,7 @@
     }
 }
 
-/// Runs the steps from a time on, and gives the time until the last client was migrated.
+/// Runs the migration steps from a time on. Returns the duration until the last client was migrated.
 fn time_to_migrate(lifecycle: &Lifecycle, from: MonotonicTime, mut established: usize) -> Duration {
     let mut now = from;
     while established > 0 {
@@ -46,17 +46,21 @@
     assert_eq!(
         lifecycle.migration_step(at(SECOND + 299 * MILLISECOND), established),
         Some(MigrationStep::NotStarted),
-        "migrated clients would come back"
+        "migrated clients would be sent back to this node"
     );
     let took = time_to_migrate(&lifecycle, at(SECOND), established);
     assert!(took <= 3_600 * MILLISECOND, "{took:?}");
-    let half = migrations(lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a step"));
+    let half =
+        migrations(lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a migration step"));
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
     assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process stays");
     // A client that is established later is migrated at the next step.
     assert_eq!(
         lifecycle.migration_step(at(60 * SECOND), 7),
-        Some(MigrationStep::Migrate { clients: 7, abandon_before: Some(at(SECOND + 3_600 * MILLISECOND)) })
+        Some(MigrationStep::Migrate {
+            clients: 7,
+            fail_arrived_before: Some(at(SECOND + 3_600 * MILLISECOND))
+        })
     );
 }
 
@@ -83,7 +87,7 @@
 #[case::sigterm_in_a_drain(at(SECOND), at(2 * SECOND), at(2_500 * MILLISECOND + SECOND))]
 #[case::sigterm_long_after_a_drain(at(SECOND), at(20 * SECOND), at(4_600 * MILLISECOND))]
 #[case::drain_after_sigterm(at(5 * SECOND), at(SECOND), at(2_500 * MILLISECOND))]
-fn of_drain_and_sigterm_the_earlier_end_counts(
+fn a_drain_and_a_sigterm_combine_to_the_earlier_end(
     #[case] drain: MonotonicTime,
     #[case] sigterm: MonotonicTime,
     #[case] migrated_by: MonotonicTime,
@@ -115,21 +119,24 @@
     lifecycle.hand_over(at(2 * SECOND), 1_200 * MILLISECOND);
     assert_eq!((lifecycle.accepts_clients(), lifecycle.is_shutting_down()), (!drained, true));
     assert_eq!(lifecycle.resume(), Err(ShuttingDownError));
-    // What cannot be transferred is migrated, and the process waits for SIGTERM for a bounded time.
+    // Connections that cannot be transferred are migrated, and the process waits for SIGTERM for a bounded time.
     assert!(time_to_migrate(&lifecycle, at(2 * SECOND), 100) <= 1_500 * MILLISECOND);
     assert!(
         !lifecycle.should_exit(at(11 * SECOND), Activity::Idle)
             && lifecycle.should_exit(at(12 * SECOND), Activity::Idle)
     );
-    let mut alone = lifecycle;
-    alone.successor_lost(at(3 * SECOND));
-    assert_eq!((alone.accepts_clients(), alone.is_shutting_down()), (!drained, false));
-    assert!(!alone.should_exit(at(60 * SECOND), Activity::Idle));
+    let mut without_successor = lifecycle;
+    without_successor.successor_lost(at(3 * SECOND));
+    assert_eq!(
+        (without_successor.accepts_clients(), without_successor.is_shutting_down()),
+        (!drained, false)
+    );
+    assert!(!without_successor.should_exit(at(60 * SECOND), Activity::Idle));
     assert!(lifecycle.shut_down(at(3 * SECOND), 1_200 * MILLISECOND));
-    assert!(lifecycle.should_exit(at(3 * SECOND), Activity::Idle), "nothing new comes");
+    assert!(lifecycle.should_exit(at(3 * SECOND), Activity::Idle), "no new client arrives");
     assert!(!lifecycle.should_exit(at(4 * SECOND), Activity::Busy));
     assert!(lifecycle.should_exit(at(4_700 * MILLISECOND), Activity::Busy));
-    // The successor dies after SIGTERM: what comes until the end is served here again.
+    // The successor is lost after SIGTERM: clients that arrive until the exit are served here again.
     lifecycle.successor_lost(at(3_100 * MILLISECOND));
     assert!(lifecycle.is_shutting_down() && !lifecycle.should_exit(at(3_200 * MILLISECOND), Activity::Idle));
 }
@@ -139,16 +146,16 @@
 #[case(60 * SECOND, 3_700 * MILLISECOND)]
 fn sigterm_answers_and_migrates_before_sigkill(#[case] longest: Duration, #[case] kill: Duration) {
     let mut lifecycle = Lifecycle::default();
-    assert!(lifecycle.shut_down(at(SECOND), longest) && lifecycle.accepts_clients(), "arrivals still come");
+    assert!(lifecycle.shut_down(at(SECOND), longest) && lifecycle.accepts_clients(), "clients still arrive");
     assert!(time_to_migrate(&lifecycle, at(SECOND), 500) <= kill - 400 * MILLISECOND);
-    let abandon_before = |ms: u32| {
+    let fail_arrived_before = |ms: u32| {
         let now = at(SECOND + kill - ms * MILLISECOND);
-        match lifecycle.migration_step(now, 0).expect("a step") {
-            MigrationStep::Migrate { abandon_before, .. } => abandon_before,
-            MigrationStep::NotStarted => panic!("it has started"),
+        match lifecycle.migration_step(now, 0).expect("a migration step") {
+            MigrationStep::Migrate { fail_arrived_before, .. } => fail_arrived_before,
+            MigrationStep::NotStarted => panic!("migration has not started"),
         }
     };
-    assert_eq!((abandon_before(251), abandon_before(250)), (None, Some(MonotonicTime::MAX)));
+    assert_eq!((fail_arrived_before(251), fail_arrived_before(250)), (None, Some(MonotonicTime::MAX)));
     let exit_by = at(SECOND + kill - 200 * MILLISECOND);
     assert!(
         !lifecycle.should_exit(exit_by - NANOSECOND, Activity::Busy)
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -62,18 +62,18 @@
 
     /// Executes one migration step and schedules the next one. The steps end once the lifecycle has no further step.
     ///
-    /// A step migrates as many established connections as are needed to migrate all of them in time, and fails requests
-    /// that are still unanswered when the lifecycle abandons them.
+    /// A step migrates as many established connections as are needed to migrate all of them in time, and fails the
+    /// unanswered requests for which the lifecycle leaves no more time.
     pub(super) fn step(&mut self, executor: &mut Executor) {
         let (now, established) = (executor.host.state.now(), executor.host.state.requests.established());
         let Some(step) = executor.host.state.lifecycle.migration_step(now, established.len()) else {
             self.is_scheduled = false;
             return;
         };
-        if let MigrationStep::Migrate { clients, abandon_before } = step {
+        if let MigrationStep::Migrate { clients, fail_arrived_before } = step {
             executor.host.for_each(|frontend, ctx| frontend.on_drain_step(ctx));
-            if let Some(abandon_before) = abandon_before {
-                let commands = executor.host.state.requests.fail_unanswered(now, abandon_before);
+            if let Some(fail_arrived_before) = fail_arrived_before {
+                let commands = executor.host.state.requests.fail_unanswered(now, fail_arrived_before);
                 executor.execute_all(now, commands);
             }
             for request_id in established.into_iter().take(clients) {
