--- a/src/bin/sparbank-simulator-adapter.rs
+++ b/src/bin/sparbank-simulator-adapter.rs
@@ -1,5 +1,6 @@
-//! Runs the balancer under the simulator: a batch of events per line on standard input, a reply per line on standard
-//! output. Ends with exit code 1 and one line on standard error where a batch cannot be read, handled or answered.
+//! Runs the balancer under the simulator: reads a batch of events per line from standard input, and writes a reply per
+//! line to standard output. If a batch cannot be read, handled or answered, the program prints one line on standard
+//! error and exits with code 1.
 #![forbid(unsafe_code)]
 
 use sparbank::simulator_adapter::{BatchError, Host};
@@ -7,7 +8,7 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    match serve(&mut io::stdin().lock(), &mut io::stdout().lock()) {
+    match run(&mut io::stdin().lock(), &mut io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("sparbank-simulator-adapter: {error}");
@@ -18,7 +19,7 @@
 
 /// Why the program stops before the end of its input.
 #[derive(Debug, thiserror::Error)]
-enum ServeError {
+enum AdapterError {
     #[error("cannot read a batch: {0}")]
     Read(#[source] io::Error),
     #[error(transparent)]
@@ -27,20 +28,20 @@
     Write(#[source] io::Error),
 }
 
-/// Answers batches until the input ends. Blank lines are skipped.
-fn serve(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), ServeError> {
+/// Answers batches until the end of the input. Blank lines are skipped.
+fn run(input: &mut impl BufRead, output: &mut impl Write) -> Result<(), AdapterError> {
     let mut host = Host::new();
     let mut line = Vec::new();
     loop {
         line.clear();
-        if input.read_until(b'\n', &mut line).map_err(ServeError::Read)? == 0 {
+        if input.read_until(b'\n', &mut line).map_err(AdapterError::Read)? == 0 {
             return Ok(());
         }
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
         let reply = host.handle_batch(&line)?;
-        output.write_all(reply.as_bytes()).map_err(ServeError::Write)?;
-        output.flush().map_err(ServeError::Write)?;
+        output.write_all(reply.as_bytes()).map_err(AdapterError::Write)?;
+        output.flush().map_err(AdapterError::Write)?;
     }
 }
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,5 @@
-//! The command line: arguments to a command with typed options, and errors to one log line and an exit code.
+//! The command line: parses the arguments into a command, executes it, and reports a failure as one log line and an
+//! exit code.
 
 use crate::frontend::amqp::{add_user, Rights};
 use crate::frontend::optional_frontend;
@@ -18,12 +19,12 @@
        sparbank amqp-user FILE NAME [--class CLASS]... [--subscriber NAME]   (the password on standard input)
        sparbank version | help";
 
-/// Exit code where serving failed.
+/// The exit code if the node could not start serving or had to stop.
 const EXIT_SERVING_FAILED: u8 = 1;
-/// Exit code for a wrong call or configuration.
-const EXIT_INVALID: u8 = 2;
+/// The exit code if an argument, the configuration or an input is invalid or cannot be read.
+const EXIT_INVALID_INPUT: u8 = 2;
 
-/// A sub-command with its options.
+/// A sub-command and its options.
 enum Command {
     Serve(Options),
     CheckConfig(Options),
@@ -33,7 +34,7 @@
     Help,
 }
 
-/// The parsed arguments of the program.
+/// The parsed command line.
 struct Invocation {
     command: Command,
     verbosity: Verbosity,
@@ -45,7 +46,7 @@
     }
 }
 
-/// Why the program failed; logged as one line.
+/// Why the program failed. Logged as one line.
 #[derive(Debug, Error)]
 enum CliError {
     #[error("{0}; {USAGE}")]
@@ -58,7 +59,7 @@
     QuotaFile(#[from] QuotaFileError),
     #[error("standard input: {0}")]
     StandardInput(#[source] io::Error),
-    #[error("the password is missing on standard input")]
+    #[error("standard input: the password is missing")]
     MissingPassword,
     #[error("{0}")]
     UsersFile(Box<dyn Error>),
@@ -76,12 +77,13 @@
             | CliError::QuotaFile(_)
             | CliError::StandardInput(_)
             | CliError::MissingPassword
-            | CliError::UsersFile(_) => EXIT_INVALID,
+            | CliError::UsersFile(_) => EXIT_INVALID_INPUT,
         }
     }
 }
 
-/// Runs the program: 0 when all went well, 1 when serving failed, 2 for a wrong call or configuration.
+/// Runs the program. The exit code is 0 on success, 1 if serving failed, and 2 if an argument, the configuration or an
+/// input is invalid.
 pub fn run() -> ExitCode {
     let invocation = parse_arguments(lexopt::Parser::from_env());
     log::init(invocation.as_ref().map(|invocation| invocation.verbosity).unwrap_or_default());
@@ -129,7 +131,7 @@
     Ok(())
 }
 
-/// Writes a user into the AMQP frontend's users' file; its password is the first line of standard input.
+/// Adds a user to the AMQP frontend's users file. The password is read from the first line of standard input.
 fn add_amqp_user(users_file: &Path, name: &str, rights: Rights) -> Result<(), CliError> {
     let mut line = String::new();
     io::stdin().read_line(&mut line).map_err(CliError::StandardInput)?;
@@ -140,7 +142,7 @@
     add_user(users_file, name, password, rights).map_err(|error| CliError::UsersFile(Box::new(error)))
 }
 
-/// The arguments as they were read; the sub-command decides which of them apply.
+/// The arguments as they are collected. The sub-command determines which of them apply.
 #[derive(Default)]
 struct Arguments {
     sub_command: Option<String>,
@@ -195,12 +197,12 @@
                 Ok([file, name]) => {
                     Ok(Command::AddAmqpUser { users_file: file.into(), name, rights: self.rights })
                 }
-                Err(_) => Err("amqp-user takes a file and a name".into()),
+                Err(_) => Err("amqp-user needs FILE and NAME".into()),
             },
             Some("version") => Ok(Command::Version),
             Some("help") => Ok(Command::Help),
-            Some(other) => Err(format!("there is no sub-command {other:?}").into()),
-            None => Err("a sub-command is missing".into()),
+            Some(other) => Err(format!("unknown sub-command {other:?}").into()),
+            None => Err("missing sub-command".into()),
         }
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
-//! sparbank is a node that places long-lived client connections on servers.
+//! sparbank is a node that distributes long-lived client connections over servers.
 //!
-//! The decisions are made by a [`Balancer`], a state machine without clock and I/O: a node reports events to it and
-//! carries out its actions. In this example the server of a request's first attempt cannot be reached; the request
-//! backs off and is placed on the other server:
+//! A [`Balancer`] makes the decisions. It is a state machine that reads no clock and performs no I/O: a node passes
+//! events to it and executes the actions that it returns. In this example, the connection to the first server fails,
+//! and the request is retried at the other server after a backoff:
 //!
 //! ```
 //! use sparbank::model::{
@@ -69,15 +69,15 @@
 //!     rerouted: false,
 //! };
 //! balancer.handle(now, Event::Request(arrival), &mut actions);
-//! let Some(Action::StartAttempt { server: first, .. }) = actions.pop() else { panic!("attempted at once") };
+//! let Some(Action::StartAttempt { server: first, .. }) = actions.pop() else { panic!("expected an attempt") };
 //!
 //! let outcome = Outcome::ConnectFailed;
 //! balancer.handle(now, Event::AttemptEnded { id, server: first, outcome, done: false }, &mut actions);
-//! let Some(Action::SetTimer { after, token }) = actions.pop() else { panic!("it backs off") };
+//! let Some(Action::SetTimer { after, token }) = actions.pop() else { panic!("expected a backoff timer") };
 //!
 //! now += after;
 //! balancer.handle(now, Event::Timer(token), &mut actions);
-//! let Some(Action::StartAttempt { server: second, .. }) = actions.pop() else { panic!("attempted again") };
+//! let Some(Action::StartAttempt { server: second, .. }) = actions.pop() else { panic!("expected a second attempt") };
 //! assert_ne!(first, second);
 //! # Ok::<(), SettingsError>(())
 //! ```
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The node: `README.md` says how to start it, and [`sparbank::cli`] parses its arguments.
+//! Entry point of the `sparbank` program. `README.md` describes how to run it; [`sparbank::cli`] parses its arguments.
 #![forbid(unsafe_code)]
 
 fn main() -> std::process::ExitCode {
