--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -20,11 +20,11 @@
 impl DrainManager {
     /// Starts a drain, which migrates all clients. Returns false, and changes nothing, if the node is draining already.
     pub(super) fn start_drain(&mut self, host: &mut FrontendHost, now: MonotonicTime) -> bool {
-        let is_started = host.state.lifecycle.drain(now);
-        if is_started {
+        let has_started = host.state.lifecycle.drain(now);
+        if has_started {
             self.schedule(host);
         }
-        is_started
+        has_started
     }
 
     /// Starts a graceful shutdown. Changes nothing if the node is shutting down already.
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -89,7 +89,7 @@
     }
 }
 
-/// Restores the predecessor's state. The balancer must have received the predecessor's endpoint list before.
+/// Restores the predecessor's state. The balancer must already have received the predecessor's endpoint list.
 pub(super) fn restore_snapshot(host: &mut FrontendHost, drain: &mut DrainManager, snapshot: &StateSnapshot) {
     if let Err(error) = host.state.requests.restore_state(&snapshot.balancer_state) {
         tracing::warn!(%error, "cannot restore the predecessor's balancer state");
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -102,7 +102,7 @@
     channel: Option<OwnedFd>,
 }
 
-/// The parts that exist before the node is built, on which the start-up steps operate.
+/// The parts of the node that the start-up steps build and use.
 struct Startup {
     clock: Clock,
     config: Config,
@@ -155,7 +155,7 @@
         Predecessor { snapshot: Some(snapshot), channel: Some(channel) }
     }
 
-    /// Opens the listening socket of the text frontend, unless the platform passes one.
+    /// Listens for text protocol clients, on the socket that the platform passes if there is one.
     fn listen_for_clients(&mut self, passed_listener: Option<OwnedFd>) -> Result<(), ServeError> {
         let owner = SocketOwner::Frontend(TEXT_FRONTEND);
         let listening = match passed_listener {
