--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -1,4 +1,5 @@
-//! The handover socket: a Unix socket between a process and its successor that carries messages with descriptors.
+//! The handover socket: a Unix socket between a process and its successor, over which messages and file descriptors
+//! are sent.
 
 use rustix::fd::AsFd;
 use rustix::io::Errno;
@@ -14,52 +15,53 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The longest message: the buffers of two connections, in base64, and their state.
+/// The longest message: one that has the buffers of two connections, in base64, and their state.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// The most descriptors in one message: those of a client's connection and of its attempt.
+/// The most descriptors of one message: those of a client's connection and of its attempt at a server.
 pub const MAX_DESCRIPTORS_PER_MESSAGE: usize = 2;
-/// The longest path of a Unix socket that the system allows, without its terminating zero.
+/// The longest path of a Unix socket on Linux, without the terminating NUL.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
-/// Successors that may wait to be accepted.
+/// Length of the queue of successors that have connected but are not accepted yet.
 const BACKLOG: i32 = 4;
 
-/// A message and the descriptors that travel beside it.
+/// An encoded message and the descriptors that are passed with it as ancillary data.
 #[derive(Debug)]
-pub struct FramedMessage {
+pub struct EncodedMessage {
     /// The message, in JSON.
     pub bytes: Vec<u8>,
-    /// Its descriptors.
+    /// The descriptors.
     pub fds: Vec<OwnedFd>,
 }
 
 /// Why a message was not sent or received.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ChannelError {
-    /// The socket cannot send or has nothing to receive now, or a blocking call timed out.
-    #[error("the handover socket would block")]
+    /// The send buffer is full, no message has arrived, or a blocking call timed out.
+    #[error("handover socket would block")]
     WouldBlock,
-    /// The other process is gone, or what it sent is no message.
-    #[error("the handover socket is closed")]
+    /// The other process has closed the socket, the socket failed, or a message arrived truncated.
+    #[error("handover socket closed")]
     Closed,
 }
 
-/// The path of a node's handover socket: in `$TMPDIR`, by the node's name. None where there is no such folder.
+/// The path of the handover socket, which is in `$TMPDIR` and named after the node. None if `TMPDIR` is not set or the
+/// path is too long.
 pub fn socket_path(node_name: &str) -> Option<PathBuf> {
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-    let name: String = node_name.chars().map(|c| if is_plain(c) { c } else { '_' }).collect();
-    // The file name is part of the protocol: a process of an earlier version listens there.
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+    let name: String = node_name.chars().map(|c| if is_allowed(c) { c } else { '_' }).collect();
+    // The file name is part of the protocol: processes of older versions use the same one.
     let path = PathBuf::from(std::env::var_os("TMPDIR")?).join(format!("sparbank-{name}.takeover"));
     if path.as_os_str().len() > MAX_SOCKET_PATH_BYTES {
-        tracing::warn!(error = %"TMPDIR is too long for a socket's path", "handover disabled");
+        tracing::warn!(error = %"TMPDIR is too long for the path of a Unix socket", "handover disabled");
         return None;
     }
     Some(path)
 }
 
-/// Listens at a path for the successor of this process. The socket of an earlier process is replaced.
+/// Listens for the successor of this process on a Unix socket at `path`, and replaces the socket of an earlier process.
 ///
 /// # Errors
-/// Where the system refuses the socket, or the path.
+/// If the socket cannot be created, or the path cannot be replaced or bound.
 pub fn listen(path: &Path) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC | SocketFlags::NONBLOCK)?;
     match std::fs::remove_file(path) {
@@ -72,7 +74,7 @@
     Ok(fd)
 }
 
-/// Accepts a successor that runs under this process's user. None where nobody waits or it is another user's.
+/// Accepts a successor. None if none is waiting, or if it runs as another user than this process.
 pub fn accept(listener: impl AsFd) -> Option<OwnedFd> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let fd = rustix::net::accept_with(listener, flags).ok()?;
@@ -80,11 +82,11 @@
     (peer.uid == rustix::process::geteuid()).then_some(fd)
 }
 
-/// Connects to the process that listens at a path. The socket blocks: [`send`] and [`receive`] on it return within
-/// `timeout`.
+/// Connects to the process that listens at `path`. The socket is a blocking one: [`send`] and [`receive`] wait for up to
+/// `timeout` on it.
 ///
 /// # Errors
-/// Where nothing listens at the path.
+/// If no process listens at the path.
 pub fn connect(path: &Path, timeout: Duration) -> io::Result<OwnedFd> {
     let fd = socket(SocketFlags::CLOEXEC)?;
     sockopt::set_socket_timeout(&fd, sockopt::Timeout::Recv, Some(timeout))?;
@@ -97,11 +99,11 @@
     Ok(rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Sends one message, completely or not at all.
+/// Sends one message. Messages are never sent in part.
 ///
 /// # Errors
-/// [`ChannelError::WouldBlock`] where it can be sent later.
-pub fn send(fd: impl AsFd, message: &FramedMessage) -> Result<(), ChannelError> {
+/// [`ChannelError::WouldBlock`] if the message can be sent later.
+pub fn send(fd: impl AsFd, message: &EncodedMessage) -> Result<(), ChannelError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = SendAncillaryBuffer::new(&mut space);
     let fds: Vec<_> = message.fds.iter().map(|fd| fd.as_fd()).collect();
@@ -112,7 +114,7 @@
         match sendmsg(&fd, &[IoSlice::new(&message.bytes)], &mut control, SendFlags::NOSIGNAL) {
             Ok(_) => return Ok(()),
             Err(Errno::INTR) => {}
-            // TOOMANYREFS: too many descriptors are in flight between processes.
+            // TOOMANYREFS: too many descriptors have been sent and not received yet.
             Err(Errno::AGAIN | Errno::NOBUFS | Errno::TOOMANYREFS) => return Err(ChannelError::WouldBlock),
             Err(_) => return Err(ChannelError::Closed),
         }
@@ -122,8 +124,8 @@
 /// Receives one message.
 ///
 /// # Errors
-/// [`ChannelError::WouldBlock`] where none has arrived, [`ChannelError::Closed`] also for a truncated one.
-pub fn receive(fd: impl AsFd) -> Result<FramedMessage, ChannelError> {
+/// [`ChannelError::WouldBlock`] if none has arrived; [`ChannelError::Closed`] also for a truncated message.
+pub fn receive(fd: impl AsFd) -> Result<EncodedMessage, ChannelError> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS_PER_MESSAGE))];
     let mut control = RecvAncillaryBuffer::new(&mut space);
     let mut bytes = vec![0; MAX_MESSAGE_BYTES];
@@ -136,7 +138,7 @@
             Err(_) => return Err(ChannelError::Closed),
         }
     };
-    // Of a truncated message a descriptor may be lost, and with it a connection.
+    // A truncated message may have lost a descriptor, and with it a connection.
     let is_truncated = received.flags.intersects(ReturnFlags::TRUNC | ReturnFlags::CTRUNC);
     if is_truncated || received.bytes == 0 {
         return Err(ChannelError::Closed);
@@ -148,7 +150,7 @@
         }
     }
     bytes.truncate(received.bytes);
-    Ok(FramedMessage { bytes, fds })
+    Ok(EncodedMessage { bytes, fds })
 }
 
 #[cfg(test)]
--- a/src/handover/event.rs
+++ b/src/handover/event.rs
@@ -1,33 +1,34 @@
-//! Events of the links between two processes, for the node.
+//! Events of the links to the predecessor and the successor, which the node handles.
 
 use crate::frontend::TransferredConnection;
 
-/// A connection in transfer between two processes.
+/// A connection that is transferred between two processes, with its frontend.
 pub struct FrontendConnection {
-    /// Name of the frontend that owns it.
+    /// The name of the frontend that it belongs to.
     pub frontend: String,
-    /// The connection.
+    /// The frontend's state of the connection, and its descriptors.
     pub connection: TransferredConnection,
 }
 
-/// What the node has to do for the handover.
+/// An event that the node has to react to.
 pub enum HandoverEvent {
-    /// A successor requests the state: answer with [`Handover::send_state`](super::Handover::send_state).
+    /// A successor requests the state. Answer with [`Handover::send_state`](super::Handover::send_state).
     StateRequested,
-    /// The successor serves: accept nothing more, and transfer connections with [`Handover::transfer`](super::Handover::transfer).
+    /// The successor serves. Stop accepting connections, and transfer the open ones with
+    /// [`Handover::transfer`](super::Handover::transfer).
     SuccessorReady,
-    /// The successor is gone: accept clients again.
+    /// The successor is gone. Accept connections again.
     SuccessorLost {
-        /// Connections that were released for it and not sent: continue them here.
+        /// Connections that were released for the transfer but not sent. Serve them in this process again.
         unsent: Vec<FrontendConnection>,
     },
-    /// A connection of the predecessor has arrived.
+    /// The predecessor has transferred a connection.
     ConnectionReceived {
-        /// The connection.
+        /// The connection, with its frontend.
         received: FrontendConnection,
-        /// Descriptors that the predecessor still has open.
+        /// Number of descriptors that the predecessor still has open.
         predecessor_descriptors: usize,
     },
-    /// The predecessor is gone.
+    /// The predecessor has exited, or the link to it failed.
     PredecessorExited,
 }
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -1,4 +1,4 @@
-//! What the links to the predecessor and to the successor share: reading the messages of the handover socket.
+//! Reads messages of the handover socket, for the links to the predecessor and to the successor.
 
 use super::channel::{self, ChannelError};
 use super::event::HandoverEvent;
@@ -7,27 +7,27 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// The most connections that are transferred in one iteration of the event loop.
+/// The most connections that are sent or received in one iteration of the event loop.
 pub const CONNECTIONS_PER_ITERATION: usize = 32;
 
-/// Why the link to the other process ends.
+/// Why the link to the other process is closed.
 #[derive(Debug, Error)]
 pub(super) enum LinkError {
-    /// The other process is gone, or sent no message.
-    #[error("ended")]
+    /// The other process closed the socket, the socket failed, or a message arrived truncated.
+    #[error("handover socket closed")]
     Closed,
-    /// It sent a message that cannot be decoded.
+    /// A message cannot be decoded.
     #[error(transparent)]
     Message(#[from] MessageError),
-    /// It is gone, or its socket fails.
-    #[error("it does not read")]
-    NotReading,
-    /// It sent a message that it may not send, or not at this stage.
+    /// A message cannot be sent: the other process closed the socket, or the socket failed.
+    #[error("cannot send: handover socket closed")]
+    NotSent,
+    /// The other process sent a message that is not allowed on this link, or has another protocol version.
     #[error("unexpected message")]
     UnexpectedMessage,
 }
 
-/// The other process.
+/// The process at the other end of a link.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Peer {
     Predecessor,
@@ -35,7 +35,7 @@
 }
 
 impl Peer {
-    /// Logs the end of the link.
+    /// Logs why the link is closed.
     pub(super) fn log_end(self, error: &LinkError) {
         let peer = match self {
             Peer::Predecessor => "predecessor",
@@ -45,16 +45,16 @@
     }
 }
 
-/// The messages that one iteration of the event loop has read.
+/// The result of reading messages in one iteration of the event loop.
 pub(super) struct ReceivedMessages {
-    /// What the node has to do for them.
+    /// The events of the messages, in order.
     pub(super) events: Vec<HandoverEvent>,
-    /// Why the link ends, if it does.
+    /// Why the link is to be closed, if it is.
     pub(super) link_error: Option<LinkError>,
 }
 
-/// Reads messages that have arrived and maps each to an event. The socket stays readable where more have arrived than
-/// one iteration of the event loop reads.
+/// Reads the messages that have arrived, up to [`CONNECTIONS_PER_ITERATION`], and maps each to an event. If more have
+/// arrived, the socket stays readable and the next iteration of the event loop reads them.
 pub(super) fn read_messages(
     net: &SocketReactor,
     token: Token,
@@ -72,10 +72,10 @@
     ReceivedMessages { events, link_error: None }
 }
 
-/// The next message; none where none has arrived.
+/// Reads the next message; none if none has arrived.
 fn read_message(socket: &OwnedFd) -> Result<Option<Message>, LinkError> {
     match channel::receive(socket) {
-        Ok(framed) => Ok(Some(Message::decode(framed)?)),
+        Ok(encoded) => Ok(Some(Message::decode(encoded)?)),
         Err(ChannelError::WouldBlock) => Ok(None),
         Err(ChannelError::Closed) => Err(LinkError::Closed),
     }
--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -1,4 +1,4 @@
-//! The clients' listening socket, where the platform opens it and passes it to every process.
+//! The listening socket for clients, if the platform opens it and passes it to each process of the node.
 
 use rustix::io::Errno;
 use rustix::net::{sockopt, AddressFamily};
@@ -8,21 +8,21 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// The environment variable with the number of the passed descriptor, in decimal.
-pub const VARIABLE: &str = "NODE_PASSED_SOCKET";
+/// The environment variable that has the number of the passed descriptor, in decimal.
+const PASSED_SOCKET_VARIABLE: &str = "NODE_PASSED_SOCKET";
 
-/// Why the descriptor that [`VARIABLE`] names cannot be used. The text is one line that names the variable.
+/// Why the descriptor in [`PASSED_SOCKET_VARIABLE`] cannot be used. The text is one line that names the variable.
 #[derive(Debug, Error)]
 pub enum PassedListenerError {
-    /// The value of the variable is not Unicode.
-    #[error("{VARIABLE}: {0}")]
+    /// The value of the variable is not valid Unicode.
+    #[error("{PASSED_SOCKET_VARIABLE}: {0}")]
     NotUnicode(#[source] VarError),
-    /// The descriptor is no listening TCP socket.
-    #[error("{VARIABLE}: {value:?}: {problem}")]
+    /// The value is not the number of a listening TCP socket.
+    #[error("{PASSED_SOCKET_VARIABLE}: {value:?}: {problem}")]
     Unusable {
         /// The value of the variable.
         value: String,
-        /// What is wrong with the descriptor.
+        /// What is wrong with it.
         #[source]
         problem: ListenerProblem,
     },
@@ -32,31 +32,31 @@
 #[derive(Debug, Error)]
 pub enum ListenerProblem {
     /// The value is not the number of a descriptor.
-    #[error("no descriptor's number")]
-    NoNumber,
+    #[error("not a descriptor number")]
+    NotANumber,
     /// No such descriptor is open.
-    #[error("no open descriptor: {0}")]
+    #[error("not an open descriptor: {0}")]
     NotOpen(#[source] io::Error),
     /// The descriptor is not a socket.
-    #[error("no socket: {0}")]
-    NoSocket(#[source] Errno),
-    /// The system does not report the socket's address family.
-    #[error(transparent)]
-    UnknownDomain(Errno),
-    /// The socket does not listen.
-    #[error("that socket does not listen")]
+    #[error("not a socket: {0}")]
+    NotASocket(#[source] Errno),
+    /// The address family of the socket cannot be determined.
+    #[error("unknown address family: {0}")]
+    UnknownAddressFamily(#[source] Errno),
+    /// The socket is not listening.
+    #[error("not a listening socket")]
     NotListening,
-    /// The socket listens for another protocol.
-    #[error("that socket is no TCP socket")]
+    /// The socket listens for another protocol than TCP.
+    #[error("not a TCP socket")]
     NotTcp,
 }
 
-/// The listening TCP socket that [`VARIABLE`] names; none where the variable is not set.
+/// The listening TCP socket whose descriptor is in [`PASSED_SOCKET_VARIABLE`]; none if the variable is not set.
 ///
 /// # Errors
-/// Where the variable names anything else.
+/// If the value of the variable is anything else.
 pub fn passed_listener() -> Result<Option<OwnedFd>, PassedListenerError> {
-    let value = match std::env::var(VARIABLE) {
+    let value = match std::env::var(PASSED_SOCKET_VARIABLE) {
         Ok(value) => value,
         Err(VarError::NotPresent) => return Ok(None),
         Err(error) => return Err(PassedListenerError::NotUnicode(error)),
@@ -67,15 +67,15 @@
     }
 }
 
-/// Opens the listening TCP socket with this descriptor number.
+/// Duplicates the descriptor with this number and checks that it is a listening TCP socket.
 fn open_listener(number: &str) -> Result<OwnedFd, ListenerProblem> {
-    let number: i32 = number.parse().map_err(|_| ListenerProblem::NoNumber)?;
+    let number: i32 = number.parse().map_err(|_| ListenerProblem::NotANumber)?;
     if number < 0 {
-        return Err(ListenerProblem::NoNumber);
+        return Err(ListenerProblem::NotANumber);
     }
     let fd = duplicate(number).map_err(ListenerProblem::NotOpen)?;
-    let is_listening = sockopt::socket_acceptconn(&fd).map_err(ListenerProblem::NoSocket)?;
-    let domain = sockopt::socket_domain(&fd).map_err(ListenerProblem::UnknownDomain)?;
+    let is_listening = sockopt::socket_acceptconn(&fd).map_err(ListenerProblem::NotASocket)?;
+    let domain = sockopt::socket_domain(&fd).map_err(ListenerProblem::UnknownAddressFamily)?;
     if !is_listening {
         return Err(ListenerProblem::NotListening);
     }
@@ -85,9 +85,9 @@
     Ok(fd)
 }
 
-/// Duplicates a descriptor that is known by its number alone. To own the number itself would be `unsafe`, so the system
-/// duplicates it through this process's pidfd. The inherited one remains open; this process starts no other that
-/// could inherit it.
+/// Duplicates a descriptor of which only the number is known. Taking ownership of the number itself would be `unsafe`,
+/// so the kernel duplicates the descriptor through the pidfd of this process. The inherited descriptor stays open; that
+/// is harmless, since this process starts no child that could inherit it.
 fn duplicate(number: i32) -> io::Result<OwnedFd> {
     let this_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     Ok(pidfd_getfd(this_process, number, PidfdGetfdFlags::empty())?)
--- a/src/handover/listener/tests.rs
+++ b/src/handover/listener/tests.rs
@@ -1,4 +1,4 @@
-//! Descriptors that are, and that are not, a listening TCP socket.
+//! Only a listening TCP socket is accepted as the passed descriptor.
 
 use super::open_listener;
 use rstest::rstest;
@@ -7,10 +7,11 @@
 use std::os::unix::net::UnixListener;
 
 #[test]
-fn a_listening_socket_is_opened_by_its_number() {
+fn a_listening_socket_is_duplicated_by_its_number() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at = listener.local_addr().expect("an address");
-    let opened = TcpListener::from(open_listener(&listener.as_raw_fd().to_string()).expect("it is opened"));
+    let opened =
+        TcpListener::from(open_listener(&listener.as_raw_fd().to_string()).expect("a listening TCP socket"));
     drop(listener);
     assert_eq!(opened.local_addr().expect("an address"), at);
     TcpStream::connect(at).expect("it still listens");
@@ -21,12 +22,12 @@
 #[case("-1")]
 #[case("three")]
 #[case("99999")]
-fn text_that_names_no_open_descriptor_is_an_error(#[case] text: &str) {
+fn text_that_is_not_the_number_of_an_open_descriptor_is_rejected(#[case] text: &str) {
     assert!(open_listener(text).is_err());
 }
 
 #[test]
-fn a_descriptor_that_accepts_no_tcp_clients_is_an_error() {
+fn a_descriptor_that_is_not_a_listening_tcp_socket_is_rejected() {
     let udp = UdpSocket::bind("127.0.0.1:0").expect("a port");
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let at: SocketAddr = listener.local_addr().expect("an address");
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -1,21 +1,21 @@
-//! The messages between a process and its successor. No I/O.
+//! The messages that a process and its successor exchange, and their encoding. No I/O.
 //!
 //! ```text
 //! successor      predecessor
-//! StateRequest     -->                the successor has read its configuration and could serve
-//!                  <-- StatePiece ... the endpoint list and the balancer's state, in pieces
+//! StateRequest     -->                the successor has read its configuration and is able to serve
+//!                  <-- StateChunk ... the endpoint list and the balancer's state, in chunks
 //!                  <-- Listener *     listening sockets of the optional frontends
-//!                  <-- Watch ?        the watch of the discovery service
+//!                  <-- Watch ?        the watch on the discovery service
 //!                  <-- StateComplete
-//! Ready            -->                the successor serves; the predecessor accepts nothing more
-//!                  <-- Connection *   connections, as each can be transferred
-//!                  <-- (end)          the predecessor has exited
+//! Ready            -->                the successor serves; the predecessor accepts no more connections
+//!                  <-- Connection *   connections, each as soon as it can be transferred
+//!                  <-- (closed)       the predecessor has exited
 //! ```
 //!
-//! An end before `Ready` changes nothing for the predecessor. A message is one JSON value; its names are those of
-//! version 00677b7, since either side may be an older process.
+//! If the socket is closed before `Ready`, the predecessor continues to serve as before. A message is one JSON value.
+//! The names in it are those of version 00677b7, since the process on either side may be of an older version.
 
-use super::channel::{FramedMessage, MAX_DESCRIPTORS_PER_MESSAGE};
+use super::channel::{EncodedMessage, MAX_DESCRIPTORS_PER_MESSAGE};
 use crate::discovery::{TransferredWatch, WatchState};
 use crate::frontend::TransferredConnection;
 use crate::net::BufferedConnection;
@@ -24,48 +24,48 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// Incremented with every incompatible change of the messages. A process ends the exchange with another version.
+/// Incremented with each incompatible change of the messages. A process closes the link to one with another version.
 pub const PROTOCOL_VERSION: u32 = 1;
 
-/// A message with the descriptors that belong to it.
+/// A message and its file descriptors.
 pub enum Message {
-    /// The successor requests this process's state.
+    /// The successor requests the state of the predecessor.
     StateRequest {
-        /// [`PROTOCOL_VERSION`] of the successor.
+        /// The successor's [`PROTOCOL_VERSION`].
         version: u32,
         /// The node's name.
         name: String,
     },
-    /// A piece of a [`StateSnapshot`](super::StateSnapshot), in JSON.
-    StatePiece {
-        /// The next characters of the text.
-        piece: String,
+    /// A chunk of the JSON text of a [`StateSnapshot`](super::StateSnapshot).
+    StateChunk {
+        /// The part of the text that follows the previous chunk.
+        chunk: String,
     },
     /// A listening socket of an optional frontend.
     Listener {
-        /// The address that it is bound to.
+        /// The address that the socket is bound to.
         address: SocketAddr,
-        /// The socket.
+        /// The listening socket.
         socket: OwnedFd,
     },
-    /// The watch of the discovery service.
+    /// The watch on the discovery service.
     Watch(TransferredWatch),
-    /// The state has been sent completely.
+    /// All of the predecessor's state has been sent.
     StateComplete,
-    /// The successor serves.
+    /// The successor serves clients now.
     Ready,
-    /// A client's connection.
+    /// The connection of a client.
     Connection {
-        /// Name of the frontend that owns it.
+        /// The name of the frontend that it belongs to.
         frontend: String,
-        /// The connection.
+        /// The frontend's state of the connection, and its descriptors.
         connection: TransferredConnection,
-        /// Descriptors that the sender still has open.
+        /// Number of descriptors that the predecessor still has open.
         open_descriptors: usize,
     },
 }
 
-/// A message as JSON; its descriptors travel beside it.
+/// The JSON form of a message. Its descriptors are passed as ancillary data.
 #[derive(Debug, Serialize, Deserialize)]
 enum WireMessage {
     #[serde(rename = "Take")]
@@ -74,8 +74,9 @@
         name: String,
     },
     #[serde(rename = "State")]
-    StatePiece {
-        piece: String,
+    StateChunk {
+        #[serde(rename = "piece")]
+        chunk: String,
     },
     Listener {
         #[serde(rename = "at")]
@@ -96,19 +97,19 @@
     },
 }
 
-/// Why a message cannot be used.
+/// Why a message could not be encoded or decoded, or a state not be reassembled.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
-    /// It is no JSON value of the expected form.
+    /// The message or the state is not JSON of the expected form.
     #[error("invalid message: {0}")]
     InvalidJson(String),
-    /// Its descriptors are missing, or it has some that it should not have.
-    #[error("message with the wrong number of descriptors")]
+    /// The message has more or fewer descriptors than its kind requires.
+    #[error("message has the wrong number of descriptors")]
     WrongDescriptors,
-    /// The state is longer than a process accepts.
-    #[error("state of more than {max_bytes} bytes")]
+    /// The state is longer than the limit.
+    #[error("state exceeds {max_bytes} bytes")]
     StateTooLong {
-        /// The longest state that is accepted.
+        /// The limit.
         max_bytes: usize,
     },
 }
@@ -123,19 +124,19 @@
     /// Encodes the message for the handover socket.
     ///
     /// # Errors
-    /// Where it cannot be written as JSON.
-    pub fn encode(self) -> Result<FramedMessage, MessageError> {
+    /// If serialization to JSON fails.
+    pub fn encode(self) -> Result<EncodedMessage, MessageError> {
         let (wire_message, fds) = self.into_wire();
-        Ok(FramedMessage { bytes: serde_json::to_vec(&wire_message)?, fds })
+        Ok(EncodedMessage { bytes: serde_json::to_vec(&wire_message)?, fds })
     }
 
-    /// Decodes a message of the handover socket.
+    /// Decodes a message that was received on the handover socket.
     ///
     /// # Errors
-    /// Where it is no message, or has other descriptors than such a message has.
-    pub fn decode(framed: FramedMessage) -> Result<Message, MessageError> {
-        let wire_message = serde_json::from_slice(&framed.bytes)?;
-        Message::from_wire(wire_message, framed.fds)
+    /// If it is not a valid message, or does not have the number of descriptors that its kind requires.
+    pub fn decode(encoded: EncodedMessage) -> Result<Message, MessageError> {
+        let wire_message = serde_json::from_slice(&encoded.bytes)?;
+        Message::from_wire(wire_message, encoded.fds)
     }
 
     fn into_wire(self) -> (WireMessage, Vec<OwnedFd>) {
@@ -143,7 +144,7 @@
             Message::StateRequest { version, name } => {
                 (WireMessage::StateRequest { version, name }, Vec::new())
             }
-            Message::StatePiece { piece } => (WireMessage::StatePiece { piece }, Vec::new()),
+            Message::StateChunk { chunk } => (WireMessage::StateChunk { chunk }, Vec::new()),
             Message::Listener { address, socket } => (WireMessage::Listener { address }, vec![socket]),
             Message::Watch(TransferredWatch { socket, state, connection }) => {
                 (WireMessage::Watch(state, connection), vec![socket])
@@ -163,9 +164,9 @@
                 no_descriptor(fds)?;
                 Ok(Message::StateRequest { version, name })
             }
-            WireMessage::StatePiece { piece } => {
+            WireMessage::StateChunk { chunk } => {
                 no_descriptor(fds)?;
-                Ok(Message::StatePiece { piece })
+                Ok(Message::StateChunk { chunk })
             }
             WireMessage::Listener { address } => {
                 Ok(Message::Listener { address, socket: one_descriptor(fds)? })
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -1,12 +1,12 @@
-//! Handover to a new process beside the old one (hot restart).
+//! Handover from a running process of the node to a new one (hot restart).
 //!
-//! Where the platform passes the clients' listening socket, each process also listens on a Unix socket in `$TMPDIR`,
-//! the handover socket. A process that starts and finds another one there requests its state; once the new process
-//! serves, the old one transfers its established connections, which their clients do not notice. [`message`] has the
-//! order of the messages.
+//! If the platform passes in the listening socket for clients, each process also listens on the handover socket, a
+//! Unix socket in `$TMPDIR`. A starting process that finds another one listening there requests its state. Once the new
+//! process serves, the old one transfers its established connections to it, without the clients noticing. [`message`]
+//! documents the sequence of messages.
 //!
-//! A process may have a predecessor and a successor at the same time: [`Handover`] owns both links, and reports what
-//! the node has to do as [`HandoverEvent`]s.
+//! A process can have a predecessor and a successor at the same time. [`Handover`] owns both links and reports to the
+//! node what it has to do as [`HandoverEvent`]s.
 
 mod channel;
 mod event;
@@ -37,10 +37,10 @@
 use std::path::Path;
 use successor::SuccessorLink;
 
-/// Descriptors to reserve for the start of a successor.
+/// File descriptors, out of the node's limit, that are reserved for a starting successor.
 pub const SUCCESSOR_DESCRIPTORS: usize = 20;
 
-/// The handover socket and the links to the predecessor and the successor, on the event loop.
+/// The handover socket and the links to the predecessor and the successor, driven by the event loop.
 pub struct Handover {
     listener: Option<Token>,
     predecessor: Option<PredecessorLink>,
@@ -48,8 +48,8 @@
 }
 
 impl Handover {
-    /// Listens at a path for a successor. A predecessor, to which `predecessor` is
-    /// connected, is notified that this process serves.
+    /// Listens for a successor on a Unix socket at `path`. `predecessor` is the connection to the predecessor, if any,
+    /// which is notified that this process serves.
     pub fn open(net: &mut SocketReactor, path: &Path, predecessor: Option<OwnedFd>) -> Handover {
         let listener = channel::listen(path).and_then(|fd| net.register_raw(fd, SocketOwner::Handover));
         if let Err(error) = &listener {
@@ -59,12 +59,12 @@
         Handover { listener: listener.ok(), predecessor, successor: None }
     }
 
-    /// Whether a successor takes connections now.
+    /// Whether there is a successor that accepts connections now.
     pub fn can_transfer(&self) -> bool {
         self.successor.as_ref().is_some_and(SuccessorLink::can_transfer)
     }
 
-    /// Handles an event at one of the sockets.
+    /// Handles an event of the handover socket or of one of the links.
     pub fn on_socket_event(&mut self, net: &mut SocketReactor, event: SocketEvent) -> Vec<HandoverEvent> {
         if self.listener == Some(event.token) {
             self.accept_successor(net);
@@ -81,7 +81,8 @@
         events
     }
 
-    /// Accepts one successor at a time: another one is closed, and starts without a predecessor.
+    /// Accepts a successor. Only one is served at a time: the connection of a further one is closed, and that process
+    /// starts without a predecessor.
     fn accept_successor(&mut self, net: &mut SocketReactor) {
         let listener = self.listener.and_then(|token| net.raw_descriptor(token));
         let Some(channel) = listener.and_then(channel::accept) else { return };
@@ -120,8 +121,8 @@
         Some(HandoverEvent::SuccessorLost { unsent })
     }
 
-    /// Sends the successor this process's state, the listening sockets of the optional frontends, and the watch of the
-    /// discovery service.
+    /// Sends the successor the state of this process, the listening sockets of the optional frontends and the watch on
+    /// the discovery service.
     pub fn send_state(
         &mut self,
         net: &mut SocketReactor,
@@ -130,8 +131,8 @@
         watch: Option<TransferredWatch>,
     ) -> Vec<HandoverEvent> {
         let Some(successor) = &mut self.successor else { return Vec::new() };
-        for piece in snapshot.to_pieces().unwrap_or_default() {
-            successor.queue(piece);
+        for chunk in snapshot.to_chunks().unwrap_or_default() {
+            successor.queue(chunk);
         }
         for ListeningSocket { addr: address, fd: socket } in listeners {
             successor.queue(Message::Listener { address, socket });
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -1,4 +1,4 @@
-//! The link to the predecessor: the role of a process that has requested a state and serves now.
+//! The link to the predecessor, from the time at which this process serves.
 
 use super::channel;
 use super::event::{FrontendConnection, HandoverEvent};
@@ -7,13 +7,13 @@
 use crate::net::{SocketOwner, SocketReactor, Token};
 use std::os::fd::OwnedFd;
 
-/// The link to the process that served before this one.
+/// The link to the process that this one replaces.
 pub(super) struct PredecessorLink {
     token: Token,
 }
 
 impl PredecessorLink {
-    /// Notifies the predecessor that this process serves. None where the predecessor is gone.
+    /// Notifies the predecessor that this process serves. None if the predecessor has exited.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<PredecessorLink> {
         let ready = Message::Ready.encode().ok()?;
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
@@ -28,12 +28,12 @@
         self.token
     }
 
-    /// Receives connections.
+    /// Receives transferred connections.
     pub(super) fn receive(&self, net: &SocketReactor) -> ReceivedMessages {
         read_messages(net, self.token, on_message)
     }
 
-    /// Ends the link.
+    /// Closes the link.
     pub(super) fn close(self, net: &mut SocketReactor) {
         net.close(self.token);
     }
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -1,5 +1,5 @@
-//! The state request of a successor, which blocks: before the process serves, it requests the state of the one that
-//! serves now.
+//! The state request of a successor. A starting process requests the state of the running one before it serves any
+//! client, so the request uses blocking I/O.
 
 use super::channel::{self, ChannelError};
 use super::message::{Message, MessageError, PROTOCOL_VERSION};
@@ -12,46 +12,46 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The predecessor has this long for each message of its state. After that this process starts without one: the
-/// platform waits 6 s until a process is ready.
+/// How long to wait for each message of the predecessor's state. After this time, the process starts without a
+/// predecessor: the platform allows a process 6 s to become ready.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// What a process received from its predecessor.
 pub struct PredecessorState {
-    /// The handover socket, over which connections follow. Its end says that the predecessor has exited.
+    /// The handover socket, on which connections follow. It is closed when the predecessor exits.
     pub channel: OwnedFd,
     /// The predecessor's state.
     pub snapshot: StateSnapshot,
-    /// The listening sockets of its optional frontends, with their addresses.
+    /// The listening sockets of the predecessor's optional frontends, with their addresses.
     pub listeners: Vec<ListeningSocket>,
-    /// Its watch of the discovery service.
+    /// The predecessor's watch on the discovery service.
     pub watch: Option<TransferredWatch>,
 }
 
 /// Why a process starts without its predecessor's state.
 #[derive(Debug, Error)]
 enum StateRequestError {
-    /// The handover socket exists, and no process listens at it.
-    #[error("no process listens at the handover socket: {0}")]
+    /// There is no handover socket, or no process listens on it.
+    #[error("cannot connect to the handover socket: {0}")]
     NotConnected(#[source] io::Error),
-    #[error("the state request cannot be sent: it does not read")]
+    #[error("cannot send the state request")]
     NotSent,
-    #[error("it does not answer")]
+    #[error("no message from the predecessor within {} ms", MESSAGE_TIMEOUT.as_millis())]
     NoAnswer,
-    #[error("it ended or is of another version")]
+    #[error("the predecessor closed the handover socket, or has another protocol version")]
     Closed,
-    #[error("unexpected message")]
+    #[error("unexpected message from the predecessor")]
     UnexpectedMessage,
     #[error(transparent)]
     Message(#[from] MessageError),
 }
 
-/// Requests the state of the process that listens at a path. None where there is no such process, or where it does not
-/// send all of its state: this process then starts without a predecessor.
+/// Requests the state of the process that listens on the handover socket at `path`. Returns none if there is no such
+/// process or if it does not send its complete state: this process then starts without a predecessor.
 pub fn request_state(path: &Path, node_name: &str) -> Option<PredecessorState> {
     match exchange(path, node_name) {
         Ok(state) => Some(state),
-        // There is no handover socket: no process of this node runs.
+        // Without a handover socket, no process of this node is running: a normal first start.
         Err(StateRequestError::NotConnected(error)) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
             tracing::info!(reason = %error, "no predecessor");
@@ -69,7 +69,7 @@
     let mut watch = None;
     loop {
         match receive(&channel)? {
-            Message::StatePiece { piece } => assembler.add(&piece)?,
+            Message::StateChunk { chunk } => assembler.add(&chunk)?,
             Message::Listener { address, socket } => {
                 listeners.push(ListeningSocket { addr: address, fd: socket });
             }
@@ -84,9 +84,9 @@
 }
 
 fn receive(channel: &OwnedFd) -> Result<Message, StateRequestError> {
-    let framed = channel::receive(channel).map_err(|error| match error {
+    let encoded = channel::receive(channel).map_err(|error| match error {
         ChannelError::WouldBlock => StateRequestError::NoAnswer,
         ChannelError::Closed => StateRequestError::Closed,
     })?;
-    Ok(Message::decode(framed)?)
+    Ok(Message::decode(encoded)?)
 }
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -1,6 +1,6 @@
-//! The link to the successor: the role of a process that serves and may be replaced.
+//! The link to the successor, for a process that serves and is to be replaced.
 
-use super::channel::{self, ChannelError, FramedMessage};
+use super::channel::{self, ChannelError, EncodedMessage};
 use super::event::{FrontendConnection, HandoverEvent};
 use super::link::{read_messages, LinkError, ReceivedMessages};
 use super::message::{Message, PROTOCOL_VERSION};
@@ -8,12 +8,12 @@
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
 
-/// The progress of a successor.
+/// What the successor is ready for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It has connected, and may request the state.
+    /// It has connected and may request the state.
     Starting,
-    /// It serves, and accepts connections.
+    /// It serves and accepts transferred connections.
     Serving,
 }
 
@@ -21,61 +21,61 @@
 pub(super) struct SuccessorLink {
     token: Token,
     stage: Stage,
-    /// Messages that are not sent yet: at most one state and the connections of one iteration of the event loop.
-    outbox: VecDeque<FramedMessage>,
+    /// Messages that are not sent yet: at most one state, and the connections of one iteration of the event loop.
+    send_queue: VecDeque<EncodedMessage>,
 }
 
 impl SuccessorLink {
-    /// The link to a successor that has connected. None where its socket cannot be watched.
+    /// Opens the link to a successor that has connected. None if its socket cannot be registered with the reactor.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<SuccessorLink> {
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
-        Some(SuccessorLink { token, stage: Stage::Starting, outbox: VecDeque::new() })
+        Some(SuccessorLink { token, stage: Stage::Starting, send_queue: VecDeque::new() })
     }
 
     pub(super) fn token(&self) -> Token {
         self.token
     }
 
-    /// Whether the successor serves and all messages so far are sent.
+    /// Whether the successor serves and no message is queued.
     pub(super) fn can_transfer(&self) -> bool {
-        self.stage == Stage::Serving && self.outbox.is_empty()
+        self.stage == Stage::Serving && self.send_queue.is_empty()
     }
 
-    /// Receives the successor's requests.
+    /// Receives the successor's messages.
     pub(super) fn receive(&mut self, net: &SocketReactor) -> ReceivedMessages {
         let stage = &mut self.stage;
         read_messages(net, self.token, |message| on_message(stage, message))
     }
 
-    /// Queues a message; [`SuccessorLink::flush`] sends it.
+    /// Queues a message for [`SuccessorLink::flush`].
     pub(super) fn queue(&mut self, message: Message) {
-        if let Ok(framed) = message.encode() {
-            self.outbox.push_back(framed);
+        if let Ok(encoded) = message.encode() {
+            self.send_queue.push_back(encoded);
         }
     }
 
-    /// Sends the queued messages that the socket accepts now.
+    /// Sends as many queued messages as the socket accepts now.
     ///
     /// # Errors
-    /// Where the successor is gone: the link is to be closed.
+    /// If the successor is gone. The caller then closes the link.
     pub(super) fn flush(&mut self, net: &mut SocketReactor) -> Result<(), LinkError> {
-        while let Some(framed) = self.outbox.front() {
+        while let Some(encoded) = self.send_queue.front() {
             let Some(socket) = net.raw_descriptor(self.token) else { return Ok(()) };
-            match channel::send(socket, framed) {
-                // This closes its descriptors here; the successor has them now.
-                Ok(()) => drop(self.outbox.pop_front()),
+            match channel::send(socket, encoded) {
+                // Closes this process's copies of the descriptors; the successor has its own.
+                Ok(()) => drop(self.send_queue.pop_front()),
                 Err(ChannelError::WouldBlock) => break,
-                Err(ChannelError::Closed) => return Err(LinkError::NotReading),
+                Err(ChannelError::Closed) => return Err(LinkError::NotSent),
             }
         }
-        net.set_writable_interest(self.token, !self.outbox.is_empty());
+        net.set_writable_interest(self.token, !self.send_queue.is_empty());
         Ok(())
     }
 
-    /// Closes the link. Returns the connections that were not sent.
+    /// Closes the link and returns the connections that were not sent.
     pub(super) fn close(self, net: &mut SocketReactor) -> Vec<FrontendConnection> {
         net.close(self.token);
-        self.outbox.into_iter().filter_map(unsent_connection).collect()
+        self.send_queue.into_iter().filter_map(unsent_connection).collect()
     }
 }
 
@@ -90,8 +90,8 @@
     }
 }
 
-fn unsent_connection(framed: FramedMessage) -> Option<FrontendConnection> {
-    match Message::decode(framed) {
+fn unsent_connection(encoded: EncodedMessage) -> Option<FrontendConnection> {
+    match Message::decode(encoded) {
         Ok(Message::Connection { frontend, connection, .. }) => {
             Some(FrontendConnection { frontend, connection })
         }
--- a/src/handover/tests.rs
+++ b/src/handover/tests.rs
@@ -1,7 +1,7 @@
-//! The messages that a process of version 00677b7 wrote are read and written byte for byte.
-//! `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
+//! Compatibility with version 00677b7: its recorded messages are decoded, and encoded again to the same bytes.
+//! `tests/fixtures/handover-00677b7/README.md` documents how they were recorded.
 
-use super::channel::FramedMessage;
+use super::channel::EncodedMessage;
 use super::message::{Message, PROTOCOL_VERSION};
 use super::snapshot::{SnapshotAssembler, StateSnapshot};
 use crate::discovery::EndpointRegistry;
@@ -14,28 +14,28 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// The node's clock, later than any start of a server here.
+/// The node's clock, later than the start of each recorded server.
 const NOW: MonotonicTime = MonotonicTime::from_nanos(u64::MAX / 4);
-/// The wall clock, which shows the same.
+/// The wall clock, which shows the same time.
 const WALL_NOW: WallTime = WallTime::from_unix_nanos(u64::MAX / 4);
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// A recorded message and the number of descriptors that arrived beside it.
+/// A recorded message and the number of descriptors that arrived with it.
 struct Recorded {
     bytes: Vec<u8>,
     descriptors: usize,
 }
 
 impl Recorded {
-    fn framed(&self) -> FramedMessage {
+    fn encoded(&self) -> EncodedMessage {
         let descriptor = |_| OwnedFd::from(File::open("/dev/null").expect("a file"));
-        FramedMessage { bytes: self.bytes.clone(), fds: (0..self.descriptors).map(descriptor).collect() }
+        EncodedMessage { bytes: self.bytes.clone(), fds: (0..self.descriptors).map(descriptor).collect() }
     }
 
     fn message(&self) -> Message {
-        Message::decode(self.framed())
-            .unwrap_or_else(|error| panic!("a message of the older version: {error}"))
+        Message::decode(self.encoded())
+            .unwrap_or_else(|error| panic!("the message of the older version is rejected: {error}"))
     }
 }
 
@@ -56,8 +56,8 @@
 fn snapshot(name: &str) -> StateSnapshot {
     let mut assembler = SnapshotAssembler::default();
     for recorded in recording(name) {
-        if let Message::StatePiece { piece } = recorded.message() {
-            assembler.add(&piece).expect("it fits");
+        if let Message::StateChunk { chunk } = recorded.message() {
+            assembler.add(&chunk).expect("within the limit");
         }
     }
     assembler.finish().expect("the state is complete")
@@ -66,7 +66,7 @@
 fn kind(message: &Message) -> &'static str {
     match message {
         Message::StateRequest { .. } => "request",
-        Message::StatePiece { .. } => "piece",
+        Message::StateChunk { .. } => "chunk",
         Message::Listener { .. } => "listener",
         Message::Watch(..) => "watch",
         Message::StateComplete => "complete",
@@ -76,9 +76,9 @@
 }
 
 #[rstest]
-#[case::established("established", &[("piece", 1), ("listener", 1), ("watch", 1), ("complete", 1), ("connection", 7)])]
-#[case::drained("drained", &[("piece", 2), ("listener", 1), ("watch", 1), ("complete", 1)])]
-fn each_recorded_message_is_read_and_written_as_it_was(
+#[case::established("established", &[("chunk", 1), ("listener", 1), ("watch", 1), ("complete", 1), ("connection", 7)])]
+#[case::drained("drained", &[("chunk", 2), ("listener", 1), ("watch", 1), ("complete", 1)])]
+fn each_recorded_message_is_decoded_and_encoded_to_the_same_bytes(
     #[case] name: &str,
     #[case] expected: &[(&'static str, usize)],
 ) {
@@ -87,7 +87,7 @@
     for recorded in &recorded {
         let message = recorded.message();
         kinds.push(kind(&message));
-        let written = message.encode().expect("it is written");
+        let written = message.encode().expect("the message can be encoded");
         assert_eq!(written.fds.len(), recorded.descriptors);
         assert_eq!(String::from_utf8_lossy(&written.bytes), String::from_utf8_lossy(&recorded.bytes));
     }
@@ -97,9 +97,10 @@
 }
 
 #[test]
-fn the_successors_own_messages_are_those_that_the_older_version_reads() {
-    let written =
-        |message: Message| String::from_utf8(message.encode().expect("it is written").bytes).expect("text");
+fn the_messages_of_a_successor_are_those_that_the_older_version_decodes() {
+    let written = |message: Message| {
+        String::from_utf8(message.encode().expect("the message can be encoded").bytes).expect("text")
+    };
     let request = Message::StateRequest { version: PROTOCOL_VERSION, name: "n1".to_string() };
     assert_eq!(written(request), r#"{"Take":{"version":1,"name":"n1"}}"#);
     assert_eq!(written(Message::Ready), r#""Ready""#);
@@ -108,7 +109,7 @@
 #[rstest]
 #[case::established("established", false, 5, 23)]
 #[case::drained("drained", true, 120, 10)]
-fn the_recorded_state_is_reassembled_and_written_as_it_was(
+fn the_recorded_state_is_reassembled_and_split_into_the_same_chunks(
     #[case] name: &str,
     #[case] is_drained: bool,
     #[case] endpoints: usize,
@@ -119,13 +120,13 @@
     let list = serde_json::to_value(&snapshot.endpoint_list).expect("a list");
     assert_eq!(list["instances"].as_array().map(Vec::len), Some(endpoints));
     let states = recording(name).into_iter().filter(|recorded| recorded.bytes.starts_with(b"{\"State\""));
-    let pieces = snapshot.to_pieces().expect("pieces");
+    let chunks = snapshot.to_chunks().expect("the state can be serialized");
     let written: Vec<_> =
-        pieces.into_iter().map(|piece| piece.encode().expect("it is written").bytes).collect();
-    assert!(written == states.map(|recorded| recorded.bytes).collect::<Vec<_>>(), "other pieces");
+        chunks.into_iter().map(|chunk| chunk.encode().expect("the message can be encoded").bytes).collect();
+    assert!(written == states.map(|recorded| recorded.bytes).collect::<Vec<_>>(), "different chunks");
 }
 
-/// The settings of the node that was recorded, as far as the balancer's state depends on them.
+/// The settings of the recorded node, as far as the balancer's state depends on them.
 fn settings() -> Settings {
     let class = RequestClass {
         objective: 3 * SECOND / 10,
@@ -157,7 +158,7 @@
     }
 }
 
-/// What the balancer restores it writes again to the last digit: nothing of it was left out.
+/// The balancer serializes the restored state to the same text, digit by digit: no part of it is lost.
 #[rstest]
 #[case::established("established")]
 #[case::drained("drained")]
@@ -166,7 +167,7 @@
     let list = EndpointRegistry::new(vec!["a".to_string()], NOW, WALL_NOW).restore(&snapshot.endpoint_list);
     let mut balancer = Balancer::new(7, settings()).expect("valid settings");
     balancer.handle(MonotonicTime::ZERO + SECOND, list, &mut Vec::new());
-    assert_ne!(balancer.state_snapshot(), snapshot.balancer_state, "nothing is known yet");
-    balancer.restore_state(&snapshot.balancer_state).expect("it is read");
+    assert_ne!(balancer.state_snapshot(), snapshot.balancer_state, "nothing is restored yet");
+    balancer.restore_state(&snapshot.balancer_state).expect("a valid state");
     assert_eq!(balancer.state_snapshot(), snapshot.balancer_state);
 }
