--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -1,8 +1,8 @@
-//! The admin API: calls over HTTP/1.1, one on each connection.
+//! The admin API: HTTP/1.1, with one call per connection.
 //!
-//! [`AdminServer`] reads calls and writes responses on the event loop; the node executes the calls. Callers have reserved
-//! descriptors ([`SocketReactor::listen_with_reserve`]), so that clients cannot use them up; a further caller evicts
-//! the one that has been idle longest.
+//! [`AdminServer`] reads calls and writes responses on the event loop; the node executes the calls. Descriptors are
+//! reserved for the connections of the admin API ([`SocketReactor::listen_with_reserve`]), so that clients cannot use
+//! them up. If all of them are in use, a new connection evicts the one that has been idle longest.
 
 mod request;
 mod response;
@@ -19,28 +19,29 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Connections at a time; each has a reserved descriptor.
-const MAX_CALLERS: usize = 8;
-/// A call that is not complete after this time is answered with an error.
+/// The most open connections of the admin API; a descriptor is reserved for each.
+const MAX_CONNECTIONS: usize = 8;
+/// The time from accepting a connection after which an incomplete call is answered with status 408.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 
 /// The server of the admin API.
 pub struct AdminServer {
     /// The address that the listener is bound to.
     address: SocketAddr,
-    /// Callers whose call has not been answered yet.
-    callers: HashSet<Token>,
+    /// Connections whose call has not been answered yet.
+    pending: HashSet<Token>,
     counts: CallCounts,
 }
 
-/// What became of the calls so far.
+/// Numbers of calls by their result, since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Calls answered with a 2xx status.
     pub succeeded: u64,
-    /// Calls answered with another status.
+    /// Calls answered with any other status.
     pub failed: u64,
-    /// Connections that ended, or were closed for a further caller, before the call was complete.
+    /// Connections that were closed before any byte of a call, and those that failed or were evicted before the call
+    /// was complete.
     pub incomplete: u64,
 }
 
@@ -48,19 +49,19 @@
     /// Listens at an address.
     ///
     /// # Errors
-    /// Where the address cannot be listened on.
+    /// If the server cannot listen at the address.
     pub fn open(net: &mut SocketReactor, address: SocketAddr) -> io::Result<AdminServer> {
-        let address = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CALLERS)?;
-        Ok(AdminServer { address, callers: HashSet::new(), counts: CallCounts::default() })
+        let address = net.listen_with_reserve(address, SocketOwner::Admin, MAX_CONNECTIONS)?;
+        Ok(AdminServer { address, pending: HashSet::new(), counts: CallCounts::default() })
     }
 
-    /// The address that it listens on.
+    /// The address that the server listens at.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Handles an event at one of the server's sockets. A call that is complete now is to be answered with
-    /// [`AdminServer::respond`].
+    /// Handles an event of one of the server's sockets. If it completes a call, returns the call, which the node answers
+    /// with [`AdminServer::respond`].
     pub fn on_socket_event(
         &mut self,
         now: MonotonicTime,
@@ -71,7 +72,7 @@
         let token = event.token;
         match event.kind {
             SocketEventKind::Accepted => {
-                self.callers.insert(token);
+                self.pending.insert(token);
                 wheel.schedule(now + CALL_TIMEOUT, TimerEvent::AdminTimeout(token));
                 None
             }
@@ -89,7 +90,7 @@
     }
 
     fn read_call(&mut self, net: &mut SocketReactor, token: Token) -> Option<AdminCall> {
-        if !self.callers.contains(&token) {
+        if !self.pending.contains(&token) {
             return None;
         }
         let is_read_closed = net.is_read_closed(token);
@@ -109,16 +110,16 @@
         None
     }
 
-    /// Answers a call that is not complete at its time-out.
+    /// Rejects a call that is still incomplete when its timeout expires.
     pub fn on_timeout(&mut self, net: &mut SocketReactor, token: Token) {
-        if self.callers.contains(&token) {
+        if self.pending.contains(&token) {
             self.respond(net, token, &Response::new(408, "no whole call came"));
         }
     }
 
     /// Answers a call and closes its connection.
     pub fn respond(&mut self, net: &mut SocketReactor, token: Token, response: &Response) {
-        self.callers.remove(&token);
+        self.pending.remove(&token);
         if response.is_success() {
             self.counts.succeeded += 1;
         } else {
@@ -128,13 +129,13 @@
         net.close(token);
     }
 
-    /// What became of the calls so far.
+    /// Numbers of calls by their result.
     pub fn counts(&self) -> CallCounts {
         self.counts
     }
 
     fn count_incomplete(&mut self, token: Token) {
-        if self.callers.remove(&token) {
+        if self.pending.remove(&token) {
             self.counts.incomplete += 1;
         }
     }
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -1,24 +1,24 @@
-//! Parses the head of a call, an HTTP/1.1 request (RFC 9112). No I/O.
+//! Parsing of a call: the head of an HTTP/1.1 request (RFC 9112). No I/O.
 
 use super::response::Response;
 
-/// The longest head of a request.
+/// The longest request head that is accepted.
 pub const MAX_HEAD_BYTES: usize = 4096;
-/// The most header fields of a request.
+/// The most header fields that are accepted in a request.
 const MAX_HEADER_FIELDS: usize = 32;
 
 /// A call of the admin API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdminCall {
-    /// Report whether this process can serve.
+    /// Reports whether the process is ready to serve.
     Ready,
-    /// Migrate all clients, and accept no others.
+    /// Migrates all clients and accepts no new ones.
     Drain,
-    /// Accept clients again.
+    /// Ends a drain: accepts clients again.
     Resume,
 }
 
-/// The path of a call, and the one method that it allows.
+/// A path with the only method that it allows, and the call that they stand for.
 struct Route {
     path: &'static str,
     method: &'static str,
@@ -36,13 +36,13 @@
 pub enum ParsedHead {
     /// The head is not complete yet.
     Incomplete,
-    /// A call.
+    /// A valid call.
     Call(AdminCall),
-    /// Not a call: this is the response to it.
+    /// Not a valid call. It is answered with this response.
     Rejected(Response),
 }
 
-/// Parses the head of a request as far as it has been received. A body, which no call needs, is ignored.
+/// Parses the bytes of a request received so far. No call has a body, so a body is ignored.
 pub fn parse(bytes: &[u8]) -> ParsedHead {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADER_FIELDS];
     let mut request = httparse::Request::new(&mut fields);
@@ -69,7 +69,7 @@
     }
 }
 
-/// The path of a request target in origin form or absolute form, without the query.
+/// The path of a request target (origin form or absolute form), without the query.
 fn path_of(target: &str) -> &str {
     let origin_form = match target.strip_prefix("http://") {
         Some(authority_and_path) => match authority_and_path.find('/') {
--- a/src/admin/request/tests.rs
+++ b/src/admin/request/tests.rs
@@ -1,4 +1,4 @@
-//! What is a call, what is none, and how long a head may be.
+//! Which requests are calls, with which status others are rejected, and how long a head may be.
 
 use super::{parse, AdminCall, ParsedHead, MAX_HEADER_FIELDS, MAX_HEAD_BYTES};
 use proptest::prelude::*;
@@ -33,7 +33,7 @@
 #[case("OPEN 9b1f 7f3a c=live-readings\r\n", 400)]
 #[case("GET /-/ready HTTP/9\r\n\r\n", 400)]
 #[case("\u{0}", 400)]
-fn what_is_no_call_is_rejected_with_its_status(#[case] text: &str, #[case] expected: u16) {
+fn an_invalid_call_is_rejected_with_the_status_of_its_error(#[case] text: &str, #[case] expected: u16) {
     assert_eq!(rejected_status(text), Some(expected));
 }
 
@@ -48,7 +48,7 @@
 
 proptest! {
     #[test]
-    fn no_input_panics_or_is_incomplete_without_end(bytes: Vec<u8>) {
+    fn arbitrary_input_does_not_panic_and_is_incomplete_only_below_the_limit(bytes: Vec<u8>) {
         let is_incomplete = parse(&bytes) == ParsedHead::Incomplete;
         prop_assert!(!is_incomplete || bytes.len() < MAX_HEAD_BYTES);
     }
@@ -56,6 +56,6 @@
 
 #[test]
 fn an_unknown_path_is_answered_with_the_known_calls() {
-    let ParsedHead::Rejected(response) = parse(b"GET / HTTP/1.1\r\n\r\n") else { panic!("no call") };
+    let ParsedHead::Rejected(response) = parse(b"GET / HTTP/1.1\r\n\r\n") else { panic!("not rejected") };
     assert_eq!(response.text, "known: GET /-/ready, POST /-/drain, POST /-/resume");
 }
--- a/src/admin/response.rs
+++ b/src/admin/response.rs
@@ -1,34 +1,34 @@
-//! The response to a call, as HTTP/1.1 (RFC 9112). No I/O.
+//! HTTP/1.1 responses to calls (RFC 9112). No I/O.
 
-/// A response: a status and one line of text. The connection is closed after it.
+/// A response with one line of plain text. The connection is closed after it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Response {
-    /// HTTP status: 2xx is success, all else failure.
+    /// The HTTP status; any other than 2xx is a failure.
     pub status: u16,
-    /// One short line.
+    /// The body, without the newline at its end.
     pub text: String,
-    /// The method that the path allows, where the request had another one.
+    /// The method that the path allows, if the request had another one.
     allowed_method: Option<&'static str>,
 }
 
 impl Response {
-    /// A response with this status and text.
+    /// Creates a response with this status and text.
     pub fn new(status: u16, text: impl Into<String>) -> Response {
         Response { status, text: text.into(), allowed_method: None }
     }
 
-    /// The response to a request for a known path with another method than this one.
+    /// Creates the response (405) to a request for a known path with another method than `allowed`.
     pub fn method_not_allowed(allowed: &'static str) -> Response {
         let text = format!("this takes {allowed}");
         Response { allowed_method: Some(allowed), ..Response::new(405, text) }
     }
 
-    /// Whether the call succeeded.
+    /// Whether the status is 2xx.
     pub fn is_success(&self) -> bool {
         (200..300).contains(&self.status)
     }
 
-    /// The response with its head.
+    /// Encodes the response with its status line and header.
     pub fn to_bytes(&self) -> Vec<u8> {
         let status = self.status;
         let reason = self.reason();
