--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Why a configuration was rejected. Each error is one line that names the file or variable, and the field.
+//! Errors of the configuration. The text of each is one line that names the file or variable, and the field.
 
 use crate::json::JsonError;
 use crate::model::SettingsError;
@@ -6,16 +6,16 @@
 use std::net::AddrParseError;
 use std::num::ParseIntError;
 
-/// Why a node's configuration could not be read.
+/// Why the configuration of a node was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A variable that is required is not set.
+    /// A required environment variable is not set.
     #[error("{0}: not set")]
     NotSet(&'static str),
-    /// A variable is not an address with a port.
+    /// The value of an environment variable is not an address with a port.
     #[error("{variable}: {source}")]
     NotAnAddress {
-        /// Its name.
+        /// The name of the variable.
         variable: &'static str,
         /// What is wrong with its value.
         source: AddrParseError,
@@ -23,17 +23,17 @@
     /// The file could not be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The error of reading it.
         source: io::Error,
     },
-    /// The file does not contain a valid configuration.
+    /// The content of the file is not a valid configuration.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The field at fault and what is wrong with it.
+        /// The invalid field and what is wrong with it.
         source: ContentError,
     },
 }
@@ -41,7 +41,7 @@
 /// What is wrong with the content of a configuration file.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
-    /// It is not JSON, or a field is missing or of the wrong type.
+    /// The content is not JSON, or a field is missing or of the wrong type.
     #[error(transparent)]
     Json(#[from] JsonError),
     /// A request class has no name.
@@ -50,10 +50,10 @@
         /// The index of the class.
         index: usize,
     },
-    /// A setting is out of its range.
+    /// A setting is out of range.
     #[error("field settings.{}: {}", .0.field, .0.problem)]
     Settings(#[from] SettingsError),
-    /// The seed is not a hexadecimal number of 64 bits.
+    /// The seed is not a hexadecimal number of at most 64 bits.
     #[error("field seed: {0}")]
     Seed(#[from] ParseIntError),
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
-//! The configuration of a node: the file that `NODE_CONFIG` names, and the variables beside it.
+//! The configuration of a node: the file at the path in `NODE_CONFIG`, and environment variables that override it.
 //!
-//! The file is JSON. Its `settings` object is the platform's document for the site: [`SettingsDocument`] is its schema,
-//! which is mapped to what the balancer decides by ([`Settings`]) and to what frontends and exports read
-//! ([`FrontendSettings`]).
+//! The file is JSON. Its `settings` object is the settings document, which the platform writes for the site.
+//! [`SettingsDocument`] is the schema of the document. It is mapped to the settings of the balancer ([`Settings`]) and to
+//! those of the frontends and the flow export ([`FrontendSettings`]).
 
 mod error;
 mod settings;
@@ -25,29 +25,29 @@
 /// The configuration of a node.
 #[derive(Debug)]
 pub struct Config {
-    /// The node's name, the same over restarts.
+    /// The node's name, which does not change with a restart.
     pub name: String,
-    /// Where clients of the platform's text protocol connect.
+    /// The listen address for clients of the platform's text protocol.
     pub listen: SocketAddr,
-    /// Where the admin API listens; none: it is off.
+    /// The listen address of the admin API; none if the admin API is disabled.
     pub admin_listen: Option<SocketAddr>,
-    /// The discovery service.
+    /// The address of the discovery service.
     pub discovery: SocketAddr,
-    /// The discovery service that the file names. `NODE_DISCOVERY` overrides it at the start.
+    /// The address of the discovery service in the file, without the override by `NODE_DISCOVERY`.
     discovery_in_file: SocketAddr,
-    /// Seed of the balancer's random numbers.
+    /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// Descriptors that the process may have open.
+    /// The most descriptors that the process may have open.
     pub max_descriptors: usize,
-    /// The endpoint list that was last known, perhaps stale.
+    /// The endpoint list to start with, which may be stale.
     pub known_endpoints: EndpointListDocument,
-    /// What the balancer decides by.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// What frontends and exports read.
+    /// The settings of the frontends and the flow export.
     pub frontend_settings: FrontendSettings,
 }
 
-/// The document in the file that `NODE_CONFIG` names.
+/// The schema of the configuration file.
 #[derive(Deserialize)]
 struct ConfigDocument<'a> {
     name: String,
@@ -55,7 +55,7 @@
     #[serde(rename = "operator")]
     admin_listen: Option<SocketAddr>,
     discovery: SocketAddr,
-    /// Hexadecimal; empty means zero.
+    /// A hexadecimal number; an empty string is zero.
     #[serde(default)]
     seed: String,
     limits: LimitsDocument,
@@ -72,11 +72,11 @@
 }
 
 impl Config {
-    /// Reads the file that `NODE_CONFIG` names. `NODE_NAME`, `NODE_LISTEN`, `NODE_OPERATOR` and `NODE_DISCOVERY`
-    /// override it where they are set.
+    /// Reads the file at the path in `NODE_CONFIG`. `NODE_NAME`, `NODE_LISTEN`, `NODE_OPERATOR` and `NODE_DISCOVERY`
+    /// override the file if they are set.
     ///
     /// # Errors
-    /// Names the variable, or the file and its field.
+    /// The error names the variable, or the file and the field.
     pub fn from_env() -> Result<Config, ConfigError> {
         let path = std::env::var("NODE_CONFIG").map_err(|_| ConfigError::NotSet("NODE_CONFIG"))?;
         let text = match std::fs::read_to_string(&path) {
@@ -96,8 +96,9 @@
         Ok(config)
     }
 
-    /// Reads the configuration again for the node that runs under this one. The variables are those of the start:
-    /// where the file names another discovery service than it did, the file is newer and wins over `NODE_DISCOVERY`.
+    /// Reads the configuration again for a node that runs with this one. The environment variables are still those of
+    /// the start. If the address of the discovery service in the file has changed since, the file is newer than
+    /// `NODE_DISCOVERY` and takes precedence over it.
     ///
     /// # Errors
     /// Those of [`Config::from_env`].
@@ -108,10 +109,10 @@
         Ok(config)
     }
 
-    /// Applies what a running node can change of a newer configuration. Returns the names of the changed fields that
-    /// need a restart, in the file's terms.
+    /// Applies the changes of a newer configuration that do not need a restart. Returns the changed fields that do, by
+    /// their names in the file.
     ///
-    /// Open connections refer to classes and zones by index: settings that change either need a restart.
+    /// Open connections refer to classes and zones by their index, so settings with other classes or zones need a restart.
     pub fn apply_reload(&mut self, new: Config) -> Vec<&'static str> {
         let mut needs_restart = Vec::new();
         if new.frontend_settings.has_same_classes_and_zones(&self.frontend_settings) {
@@ -133,10 +134,10 @@
         needs_restart
     }
 
-    /// Decodes and checks the text of the file.
+    /// Decodes and validates the text of the file.
     ///
     /// # Errors
-    /// Names the field and what is wrong with it.
+    /// The error names the field and what is wrong with it.
     pub fn parse(text: &str) -> Result<Config, ContentError> {
         let document: ConfigDocument = json::parse(text)?;
         let settings_text = document.settings.get();
@@ -162,20 +163,21 @@
     }
 }
 
-/// Decodes the `settings` object as a node on real sockets reads it.
+/// Decodes the `settings` object for a node that runs on real sockets, not in the simulator.
 fn parse_settings(text: &str) -> Result<(Settings, FrontendSettings), ContentError> {
     let document: SettingsDocument = json::parse(text).map_err(|error| error.within("settings"))?;
     let frontend_settings = FrontendSettings::try_from(&document)?;
     let mut settings = Settings::from(document);
     settings.dial_timeout = frontend_settings.dial_timeout;
-    // On sockets nothing is pushed without a request: pushed lists are at the machine's agent, which serves a watch.
+    // On real sockets no list is pushed without a request. An agent on the machine receives the pushed lists and serves
+    // a watch on them.
     if settings.discovery == Discovery::Pushed {
         settings.discovery = Discovery::LocalAgent;
     }
     Ok((settings, frontend_settings))
 }
 
-/// The address in an environment variable; none where it is not set or not Unicode.
+/// The address in an environment variable; none if the variable is not set or not valid Unicode.
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(text) = std::env::var(variable) else { return Ok(None) };
     match text.parse() {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! What the program uses of the settings document: [`Settings`] by which the balancer decides, and [`FrontendSettings`].
+//! Conversion of the settings document to the settings of the balancer ([`Settings`]) and to [`FrontendSettings`].
 
 use super::settings_document::{
     ClassDocument, DedupScopeDocument, EffectDocument, LimitsDocument, SettingsDocument, TenantDocument,
@@ -10,30 +10,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Time to establish a connection to a server where the settings of a node do not set one.
+/// The dial timeout of a node whose settings document has none.
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// The field of a server's load report that has its load divided by its capacity.
+/// The name of the field of a load report that has the server's utilization: its load divided by its capacity.
 pub const UTILIZATION_FIELD: &str = "x0";
-/// The kind of discovery in which nodes poll a service.
+/// The value of `Discovery` for discovery by polls of a service.
 const DISCOVERY_POLLED: &str = "ask";
-/// The priority weight counts per unit of work.
+/// The value of `WorthBy` for priority weights per unit of work.
 const WEIGHT_BY_WORK: &str = "work";
 
-/// What frontends and exports read from the settings document.
+/// The part of the settings document that frontends and the flow export use.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontendSettings {
-    /// The request classes' names on the wire, in the order of [`Settings::classes`].
+    /// The names of the request classes on the wire, in the order of [`Settings::classes`].
     pub class_names: Vec<String>,
-    /// The zones' names, by the number that the settings use for a zone.
+    /// The names of the zones, indexed by the number of the zone in the settings.
     pub zone_names: Vec<String>,
-    /// A connection to a server that is not established after this time has failed.
+    /// The time within which a connection to a server must be established.
     pub dial_timeout: Duration,
-    /// The balancer is to get reports of the latency of messages on open connections.
+    /// Whether to report the latency of messages on established connections to the balancer.
     pub reports_message_latency: bool,
 }
 
 impl FrontendSettings {
-    /// Whether a class or zone index means the same under both.
+    /// Whether each index of a class or zone has the same meaning in both settings.
     pub fn has_same_classes_and_zones(&self, other: &FrontendSettings) -> bool {
         self.class_names == other.class_names && self.zone_names == other.zone_names
     }
@@ -129,7 +129,7 @@
 }
 
 impl LimitsDocument {
-    /// The longest Retry-After that clients honour; zero where they honour none.
+    /// The longest Retry-After that clients honour; zero if they honour none.
     fn honoured_retry_after(&self) -> Duration {
         if self.retry_after {
             Duration::from_nanos(self.max_retry_after_ns)
@@ -139,10 +139,10 @@
     }
 }
 
-/// New connections a second that the tenants' quotas admit together.
+/// New connections per second that the quotas of all tenants admit together.
 ///
-/// Quotas are rounded to integers. In a small fleet some are rounded to zero, and their sum is too low; where
-/// shares are stated, the result is the largest rate of the fleet that rounds to the same quotas.
+/// The quotas are rounded to integers. In a small fleet some of them are rounded to zero, so their sum is too low. If the
+/// tenants' shares are known, the result is the largest rate of the fleet that is rounded to the same quotas.
 fn quota_setups_per_second(tenants: &[TenantDocument]) -> f64 {
     let with_share = tenants.iter().filter(|tenant| tenant.share > 0.0);
     let largest_rates = with_share.map(|tenant| (tenant.quota_per_s + 0.5) / tenant.share);
--- a/src/config/settings_document.rs
+++ b/src/config/settings_document.rs
@@ -1,22 +1,23 @@
-//! The schema of the settings document, as the platform writes it.
+//! The schema of the settings document that the platform writes.
 //!
-//! A node finds the document in its configuration file, and a simulated node in its first event. Field names on the
-//! wire are the platform's: where they differ from the terms of the field, the Rust name is the term, and a `rename`
-//! gives the name on the wire. [`settings`](super::settings) maps the document to what the program uses.
+//! A node reads the document from its configuration file; a simulated node receives it in its first event. The platform
+//! defines the names of the fields. Where they are not the usual technical terms, the Rust name is the usual term, and a
+//! `rename` attribute has the platform's name. [`settings`](super::settings) converts the document to the types that the
+//! program uses.
 
 use serde::{Deserialize, Deserializer};
 
-/// The fields of the document that this program reads. Others are skipped.
+/// The settings document. Fields that the program does not use are ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct SettingsDocument {
-    /// Number of nodes.
+    /// The number of nodes.
     #[serde(default = "one_instance")]
     pub instances: u32,
     /// The zone of the node.
     #[serde(default)]
     pub zone: u32,
-    /// The zones' names, by the number that the document uses for a zone.
+    /// The names of the zones, indexed by the number of the zone in the document.
     #[serde(default, rename = "Zones")]
     pub zone_names: Vec<String>,
     #[serde(rename = "Profiles")]
@@ -24,7 +25,7 @@
     /// How the endpoint list is discovered.
     #[serde(default)]
     pub discovery: String,
-    /// What the priority weight counts by.
+    /// What a priority weight applies to: a request, or a unit of work.
     #[serde(default, rename = "WorthBy")]
     pub weight_by: String,
     pub limits: LimitsDocument,
@@ -41,7 +42,7 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassDocument {
-    /// Its name on the wire. The simulator refers to classes by their index and need not state it.
+    /// The name on the wire. The simulator refers to classes by their index and may omit the name.
     #[serde(default, deserialize_with = "present")]
     pub name: Option<String>,
     pub objective_ns: u64,
@@ -55,7 +56,7 @@
     pub priority_weight: f64,
 }
 
-/// Whether a request may be repeated.
+/// Whether a request may be retried once an earlier attempt may have run.
 #[derive(Clone, Copy, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EffectDocument {
@@ -64,7 +65,7 @@
     NonIdempotent,
 }
 
-/// The servers that discard each other's repeats.
+/// The servers that discard each other's retries of a request with an idempotency key.
 #[derive(Clone, Copy, Default, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DedupScopeDocument {
@@ -74,26 +75,26 @@
     Cell,
 }
 
-/// What a node may do.
+/// Limits on what a node may do.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct LimitsDocument {
     pub max_attempts: u32,
     #[serde(default)]
     pub may_cancel: bool,
-    /// Clients honour a Retry-After.
+    /// Whether clients honour a Retry-After.
     #[serde(default)]
     pub retry_after: bool,
     #[serde(default)]
     pub max_retry_after_ns: u64,
     #[serde(default, deserialize_with = "present")]
     pub dial_timeout_ns: Option<u64>,
-    /// Servers may be health-checked.
+    /// Whether servers may be health-checked.
     #[serde(default, rename = "Probes")]
     pub health_checks: bool,
 }
 
-/// How the site's servers and discovery behave.
+/// How the servers and the discovery service of the site behave.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RulesDocument {
@@ -109,16 +110,16 @@
     pub overload_after_ns: u64,
 }
 
-/// What applies to one family of sites alone.
+/// Settings that only one family of sites has.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FamilyDocument {
-    /// By the index of the class.
+    /// The latency objective of messages on established connections, by the index of the class.
     #[serde(rename = "MessageAimNs")]
     pub message_latency_objective_ns: Vec<u64>,
-    /// By tenant.
+    /// The connections that the quota of each tenant allows.
     pub tenant_quota_connections: Vec<f64>,
-    /// The balancer is to get reports of the latency of messages on open connections.
+    /// Whether to report the latency of messages on established connections to the balancer.
     #[serde(rename = "TellsDelay")]
     pub reports_message_latency: bool,
 }
@@ -127,13 +128,13 @@
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct TenantDocument {
-    /// New connections a second, rounded to an integer.
+    /// New connections per second, rounded to an integer.
     pub quota_per_s: f64,
-    /// The fraction of the fleet's rate that `quota_per_s` was rounded from; zero where it is not stated.
+    /// The fraction of the fleet's rate from which `quota_per_s` was rounded; zero if it is not known.
     pub share: f64,
 }
 
-/// The fields that a load report of a server carries.
+/// The fields of the servers' load reports.
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct FeedbackDocument {
@@ -148,12 +149,12 @@
     1
 }
 
-/// Half of the largest number: sums with the clock do not overflow.
+/// Half of the largest number, so that adding it to a clock reading does not overflow.
 fn unlimited() -> u64 {
     u64::MAX / 2
 }
 
-/// Decodes a field that may be absent, but not null.
+/// Decodes a field that may be absent but not null.
 fn present<'de, D: Deserializer<'de>, T: Deserialize<'de>>(deserializer: D) -> Result<Option<T>, D::Error> {
     T::deserialize(deserializer).map(Some)
 }
--- a/src/config/tests.rs
+++ b/src/config/tests.rs
@@ -1,11 +1,11 @@
-//! Unit tests of the configuration's errors and of what a reload changes.
+//! Unit tests of the configuration file, its errors and the effects of a reload.
 
 use super::*;
 
 const SETTINGS: &str = r#"{"Profiles":[{"ObjectiveNs":1,"HardLimitNs":2,"Effect":"read_like","Name":"a"}],
     "Limits":{"MaxAttempts":3},"Rules":{}}"#;
 
-/// The text of a configuration file, with one replacement.
+/// The text of a configuration file in which `from` is replaced by `to`.
 fn file(from: &str, to: &str) -> String {
     let head = r#""name":"n1","listen":"127.0.0.1:1","operator":"127.0.0.1:2","discovery":"127.0.0.1:3","seed":"7f""#;
     let known = r#""known":{"generation":0,"reset":true,"instances":[]}"#;
@@ -14,7 +14,7 @@
 
 #[test]
 fn the_file_is_decoded() {
-    let config = Config::parse(&file("", "")).expect("it is valid");
+    let config = Config::parse(&file("", "")).expect("a valid configuration");
     assert_eq!((config.seed, config.max_descriptors), (0x7f, 20));
     assert_eq!(config.admin_listen, Some("127.0.0.1:2".parse().expect("an address")));
     assert_eq!(config.settings.dial_timeout, std::time::Duration::from_millis(250));
@@ -44,17 +44,17 @@
     "field settings.Rules: invalid type: integer `1`, expected struct RulesDocument at"
 )]
 fn an_error_names_the_field(#[case] from: &str, #[case] to: &str, #[case] expected: &str) {
-    let error = Config::parse(&file(from, to)).expect_err("it is invalid").to_string();
+    let error = Config::parse(&file(from, to)).expect_err("an invalid configuration").to_string();
     assert!(error.starts_with(expected), "{error}");
 }
 
 #[test]
-fn a_reload_names_what_needs_a_restart_and_applies_the_rest() {
-    let mut running = Config::parse(&file("", "")).expect("it is valid");
+fn a_reload_returns_the_fields_that_need_a_restart_and_applies_the_others() {
+    let mut running = Config::parse(&file("", "")).expect("a valid configuration");
     let new = Config::parse(&file("\"sockets\":20", "\"sockets\":40").replace("\"n1\"", "\"n2\""));
-    assert_eq!(running.apply_reload(new.expect("it is valid")), ["name"]);
+    assert_eq!(running.apply_reload(new.expect("a valid configuration")), ["name"]);
     assert_eq!((running.name.as_str(), running.max_descriptors), ("n1", 40));
     let new = Config::parse(&file(r#""Name":"a""#, r#""Name":"b""#).replace("127.0.0.1:2", "127.0.0.1:9"));
-    assert_eq!(running.apply_reload(new.expect("it is valid")), ["settings", "operator"]);
+    assert_eq!(running.apply_reload(new.expect("a valid configuration")), ["settings", "operator"]);
     assert_eq!(running.frontend_settings.class_names, ["a"]);
 }
