--- a/crates/time/src/duration.rs
+++ b/crates/time/src/duration.rs
@@ -1,14 +1,14 @@
-//! Conversions of spans to plain numbers.
+//! Conversions of durations to plain numbers.
 
 use std::time::Duration;
 
-/// Conversions that [`Duration`] lacks: its own ones to integers yield `u128`.
+/// Conversions of a [`Duration`] to `u64` and `f64`. The conversions of the standard library to integers yield `u128`.
 pub trait DurationExt {
-    /// Whole nanoseconds; `u64::MAX` for spans over 584 years.
+    /// Whole nanoseconds; `u64::MAX` for durations over 584 years.
     fn as_nanos_u64(&self) -> u64;
-    /// Whole milliseconds; `u64::MAX` for spans that do not fit.
+    /// Whole milliseconds; `u64::MAX` for durations that do not fit.
     fn as_millis_u64(&self) -> u64;
-    /// Nanoseconds as a floating-point number, rounded from the integer.
+    /// Nanoseconds as a floating-point number: [`DurationExt::as_nanos_u64`], rounded to the nearest `f64`.
     fn as_nanos_f64(&self) -> f64;
 }
 
--- a/crates/time/src/lib.rs
+++ b/crates/time/src/lib.rs
@@ -1,15 +1,15 @@
-//! Instants as values, for code that reads no clock itself.
+//! Instants as plain values, for code that does not read a clock itself.
 //!
-//! State machines without I/O are passed the time of each event. `std::time::Instant` cannot be made from a number, so
-//! tests and other processes could not provide one. This crate has an instant of each clock that a node uses:
+//! State machines without I/O are passed the time of each event. `std::time::Instant` cannot be constructed from a
+//! number, so neither a test nor another process could provide one. This crate has one type for each clock of a node:
 //!
 //! - [`MonotonicTime`] is an instant of the node's own clock, which never steps. Deadlines, windows and intervals are
-//!   computed from these alone.
-//! - [`WallTime`] is an instant of a wall clock, which may step at any time. It can be compared with other wall-clock
-//!   times, and nothing else: there is no arithmetic between the two types.
+//!   computed from this type only.
+//! - [`WallTime`] is an instant of a wall clock, which may step at any time. It can only be compared with other
+//!   wall-clock times; there is no arithmetic on it, nor between the two types.
 //!
-//! A span of time is a [`std::time::Duration`]; [`DurationExt`] has its conversions to plain numbers, and [`serde_nanos`]
-//! its form in stored data.
+//! Durations are of type [`std::time::Duration`]. [`DurationExt`] converts them to plain numbers, and [`serde_nanos`]
+//! serializes them.
 //!
 //! ```
 //! use sparbank_time::MonotonicTime;
--- a/crates/time/src/monotonic.rs
+++ b/crates/time/src/monotonic.rs
@@ -15,7 +15,7 @@
 impl MonotonicTime {
     /// The origin of the clock.
     pub const ZERO: MonotonicTime = MonotonicTime(0);
-    /// The last instant that can be expressed: later than any deadline.
+    /// The latest instant that can be represented, later than any deadline.
     pub const MAX: MonotonicTime = MonotonicTime(u64::MAX);
 
     /// The instant this many nanoseconds after the origin.
@@ -30,7 +30,7 @@
         self.0
     }
 
-    /// The time that has passed since `earlier`; zero if that instant is later.
+    /// The time from `earlier` to this instant; zero if `earlier` is the later of the two.
     #[inline]
     pub const fn saturating_duration_since(self, earlier: MonotonicTime) -> Duration {
         Duration::from_nanos(self.0.saturating_sub(earlier.0))
--- a/crates/time/src/serde_nanos.rs
+++ b/crates/time/src/serde_nanos.rs
@@ -4,7 +4,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::time::Duration;
 
-/// Serializes the span as whole nanoseconds.
+/// Serializes a duration as whole nanoseconds; `u64::MAX` for durations over 584 years.
 ///
 /// # Errors
 /// Those of the serializer.
@@ -12,19 +12,19 @@
     duration.as_nanos_u64().serialize(serializer)
 }
 
-/// Reads whole nanoseconds.
+/// Deserializes a duration from whole nanoseconds.
 ///
 /// # Errors
-/// Those of the deserializer, such as for a negative number.
+/// Those of the deserializer, for example for a negative number.
 pub fn deserialize<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Duration, D::Error> {
     u64::deserialize(deserializer).map(Duration::from_nanos)
 }
 
-/// The same for an optional span: `#[serde(with = "sparbank_time::serde_nanos::option")]`.
+/// Serialization of an `Option<Duration>`, for `#[serde(with = "sparbank_time::serde_nanos::option")]`.
 pub mod option {
     use super::{Deserialize, Deserializer, Duration, DurationExt, Serialize, Serializer};
 
-    /// Serializes the span as whole nanoseconds, or as none.
+    /// Serializes an optional duration as whole nanoseconds, or as none.
     ///
     /// # Errors
     /// Those of the serializer.
@@ -32,7 +32,7 @@
         duration.map(|duration| duration.as_nanos_u64()).serialize(serializer)
     }
 
-    /// Reads whole nanoseconds, or none.
+    /// Deserializes an optional duration from whole nanoseconds, or none.
     ///
     /// # Errors
     /// Those of the deserializer.
--- a/crates/time/src/tests.rs
+++ b/crates/time/src/tests.rs
@@ -29,10 +29,10 @@
 }
 
 #[test]
-fn spans_convert_to_numbers_of_their_unit() {
-    let span = Duration::from_nanos(2_500_000);
-    assert_eq!((span.as_nanos_u64(), span.as_millis_u64()), (2_500_000, 2));
-    assert!((span.as_nanos_f64() - 2.5e6).abs() < f64::EPSILON);
+fn durations_are_converted_to_numbers() {
+    let duration = Duration::from_nanos(2_500_000);
+    assert_eq!((duration.as_nanos_u64(), duration.as_millis_u64()), (2_500_000, 2));
+    assert!((duration.as_nanos_f64() - 2.5e6).abs() < f64::EPSILON);
     assert_eq!(Duration::MAX.as_nanos_u64(), u64::MAX);
 }
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn stored_times_are_numbers_of_nanoseconds() {
+fn times_are_serialized_as_numbers_of_nanoseconds() {
     let stored = Stored {
         at: MonotonicTime::from_nanos(7),
         wall: WallTime::from_unix_nanos(8),
@@ -56,7 +56,7 @@
     };
     let text = serde_json::to_string(&stored).expect("it can be serialized");
     assert_eq!(text, r#"{"at":7,"wall":8,"span":300,"limit":1000000}"#);
-    assert_eq!(serde_json::from_str::<Stored>(&text).expect("it can be read"), stored);
+    assert_eq!(serde_json::from_str::<Stored>(&text).expect("it can be deserialized"), stored);
     let bytes = postcard::to_stdvec(&stored).expect("it can be serialized");
     let numbers =
         postcard::to_stdvec(&(7u64, 8u64, 300u64, Some(1_000_000u64))).expect("it can be serialized");
--- a/crates/time/src/wall.rs
+++ b/crates/time/src/wall.rs
@@ -4,7 +4,8 @@
 
 /// An instant of a wall clock, in nanoseconds since the Unix epoch. Serialized as that number.
 ///
-/// Wall clocks step, so there is no arithmetic: deadlines and intervals use [`MonotonicTime`](crate::MonotonicTime).
+/// A wall clock may step, so this type has no arithmetic. Deadlines and intervals are computed with
+/// [`MonotonicTime`](crate::MonotonicTime).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 #[serde(transparent)]
 pub struct WallTime(u64);
