--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -99,7 +99,7 @@
     Ok(rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, flags, None)?)
 }
 
-/// Sends one message. Messages are never sent in part.
+/// Sends one message. It is sent completely or not at all, since the socket is of type `SOCK_SEQPACKET`.
 ///
 /// # Errors
 /// [`ChannelError::WouldBlock`] if the message can be sent later.
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -23,7 +23,7 @@
     #[error("cannot send: handover socket closed")]
     NotSent,
     /// The other process sent a message that is not allowed on this link, or has another protocol version.
-    #[error("unexpected message")]
+    #[error("unexpected message or other protocol version")]
     UnexpectedMessage,
 }
 
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -97,7 +97,7 @@
     },
 }
 
-/// Why a message could not be encoded or decoded, or a state not be reassembled.
+/// Why a message cannot be encoded or decoded, or a state cannot be reassembled.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum MessageError {
     /// The message or the state is not JSON of the expected form.
