--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,6 +1,6 @@
-//! The balancer: takes events, keeps the state of requests, and answers with actions. A first attempt starts
-//! at once. A request whose attempt failed, or that no server can take, is placed again after a Full Jitter
-//! backoff.
+//! The balancer: consumes events, tracks the state of requests and emits actions. A first attempt starts
+//! immediately. A request whose attempt failed, or for which no server is available, is placed again after
+//! a Full Jitter backoff.
 
 use super::migration::Migration;
 use super::request::{Phase, Request, Requests};
@@ -15,7 +15,7 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// One node's decisions: a state machine without clock, I/O or shared state.
+/// The decision logic of one node: a state machine without clock, I/O or shared state.
 pub struct Balancer {
     settings: Settings,
     limits: FleetLimits,
@@ -27,16 +27,16 @@
     requests: Requests,
     admission: RetryAdmission,
     subscription: EndpointSubscription,
-    /// When a server was last selected: what servers in slow start admit since then may still be sent.
+    /// Time of the last server selection: servers in slow start accrue admissible requests from then on.
     last_selection_at: MonotonicTime,
-    /// The actions of the event that is handled now.
+    /// The actions emitted by the event being handled.
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// Starts an instance without servers. The seed determines all its random decisions.
+    /// Creates a balancer that knows no servers. The seed determines all its random decisions.
     /// # Errors
-    /// The first setting that is out of its range.
+    /// Returns the first setting that is out of range.
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
         settings.validate()?;
         Ok(Balancer {
@@ -55,22 +55,22 @@
         })
     }
 
-    /// Replaces the settings. The new ones are valid and have the same classes in the same order.
+    /// Replaces the settings. The new ones must be valid and have the same classes in the same order.
     pub fn update_settings(&mut self, settings: Settings) {
         self.limits = FleetLimits::new(&settings);
         self.slow_start = SlowStart::new(&settings);
         self.settings = settings;
     }
 
-    /// What this node has observed of the servers, as JSON, for the process that replaces this one.
+    /// Serializes the state that this node has observed of the servers as JSON, for a handover.
     pub fn state_snapshot(&self) -> String {
         serde_json::to_string(&(self.last_selection_at, self.servers.snapshot())).unwrap_or_default()
     }
 
-    /// Restores a snapshot, once the servers are listed and before any connection is resumed. Servers that
-    /// are not listed are ignored.
+    /// Restores a snapshot. Must be called after the servers are listed and before any connection is resumed.
+    /// Servers that are not listed are ignored.
     /// # Errors
-    /// The snapshot cannot be decoded; nothing has changed.
+    /// The snapshot cannot be decoded; the state is unchanged.
     pub fn restore_state(&mut self, snapshot: &str) -> Result<(), serde_json::Error> {
         let servers: Vec<Server>;
         (self.last_selection_at, servers) = serde_json::from_str(snapshot)?;
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Handles one event that happened at `now`, and appends the actions that follow.
+    /// Handles an event that occurred at `now` and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: MonotonicTime, event: Event, out: &mut Vec<Action>) {
         self.now = now;
         self.actions.clear();
@@ -107,7 +107,7 @@
     }
 
     fn on_request(&mut self, arrival: &Arrival) {
-        if self.register(arrival, Phase::BackingOff).first_attempt == AttemptKind::Retry {
+        if self.register(arrival, Phase::BackingOff).first_attempt_kind == AttemptKind::Retry {
             self.back_off(arrival.id);
         } else {
             self.place(arrival.id);
@@ -138,24 +138,24 @@
         }
         self.servers.release(server, id, request.group);
         request.attempts.on_ended(server, outcome);
-        let is_over = request.is_over || done;
+        let is_finished = request.is_closing || done;
         let was_established = request.phase == Phase::Established;
         if !was_established {
             let sent_at = request.attempts.last_sent_at();
             let notice = self.admission.on_attempt_ended(outcome, sent_at, self.now);
             self.actions.extend(notice.map(Action::Log));
         }
-        if is_over {
+        if is_finished {
             self.requests.remove(&id);
         }
         if let Some(health) = self.servers.health_mut(server) {
-            let roll = || self.rng.next_u64();
+            let random = || self.rng.next_u64();
             match was_established {
-                true => health.on_connection_ended(self.now, outcome, roll),
-                false => health.on_attempt_ended(self.now, outcome, roll),
+                true => health.on_connection_ended(self.now, outcome, random),
+                false => health.on_attempt_ended(self.now, outcome, random),
             }
         }
-        if !is_over {
+        if !is_finished {
             self.back_off(id);
         }
     }
@@ -167,11 +167,11 @@
                 self.admission.dequeue(request.admission);
                 self.requests.remove(&id);
             }
-            Phase::Attempting if self.settings.may_cancel && !request.is_over => {
-                request.is_over = true;
+            Phase::Attempting if self.settings.may_cancel && !request.is_closing => {
+                request.is_closing = true;
                 self.actions.push(Action::CancelAttempt { id, attempt: request.attempts.count() - 1 });
             }
-            Phase::Attempting | Phase::Established => request.is_over = true,
+            Phase::Attempting | Phase::Established => request.is_closing = true,
         }
     }
 
@@ -203,9 +203,9 @@
         self.requests.entry(arrival.id).or_insert(request)
     }
 
-    /// Sets the timer of a Full Jitter backoff, which ends no later than the request's deadline.
+    /// Starts a Full Jitter backoff, which ends no later than the request's deadline.
     fn back_off(&mut self, id: RequestId) {
-        let roll = self.rng.next_u64();
+        let random = self.rng.next_u64();
         let interval = self.setup_interval();
         let Some(request) = self.requests.get_mut(&id) else { return };
         let class = &self.settings.classes[request.class];
@@ -213,11 +213,11 @@
         request.phase = Phase::BackingOff;
         let limit = request_backoff_limit(class, interval, request.backoffs);
         let time_left = request.deadline.saturating_duration_since(self.now);
-        let after = uniform_duration_up_to(roll, limit).min(time_left);
+        let after = uniform_duration_up_to(random, limit).min(time_left);
         self.actions.push(Action::SetTimer { after, token: id.0 });
     }
 
-    /// Starts the next attempt. Backs off if none may start now; gives the final answer if none may at all.
+    /// Starts the next attempt, backs off if none may start now, or gives up if no further one is allowed.
     fn place(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Err(refusal) = self.may_attempt(request) {
@@ -227,7 +227,7 @@
         let timeout = request.attempts.next_timeout(time_left, self.settings.max_attempts);
         let window_end = request.attempts.dedup_window_end(&self.settings.classes[request.class]);
         let send_by = rules::send_by(request.deadline, window_end);
-        let kind = request.attempts.next_kind(request.first_attempt);
+        let kind = request.attempts.next_kind(request.first_attempt_kind);
         let admission = self.admission.decide(self.now, kind, request.admission);
         let mut selected = None;
         if admission == Admission::Admitted {
@@ -240,8 +240,8 @@
         request.phase = Phase::Attempting;
         request.attempts.on_sent(server, self.now);
         self.servers.reserve(server, id, request.group, self.now);
-        let pause = uniform_duration_up_to(self.rng.next_u64(), 2 * self.setup_interval());
-        self.admission.on_sent(self.now + pause);
+        let pacing_delay = uniform_duration_up_to(self.rng.next_u64(), 2 * self.setup_interval());
+        self.admission.on_sent(self.now + pacing_delay);
         self.actions.push(Action::StartAttempt { id, server, timeout, send_by });
     }
 
@@ -253,7 +253,7 @@
         rules::may_retry(&RetryInputs { now, deadline, attempts, class, misses_deadline }, &self.settings)
     }
 
-    /// Gives the one final answer: a rejection where a retry by the client is safe, a failure otherwise.
+    /// Gives the final answer: a rejection if a retry by the client is safe, otherwise a failure.
     fn give_up(&mut self, id: RequestId, refusal: RetryRefusal) {
         tracing::trace!(request = id.0, reason = %refusal, "no further attempt");
         let queue_delay = self.admission.queue_delay(self.setup_interval());
@@ -283,9 +283,9 @@
             usual_connections: self.limits.usual_connections(self.servers.serving().len()),
             salt: self.salt,
         };
-        let is_guess = request.rerouted && request.attempts.count() == 0;
-        let holder = if is_guess { selection.likely_holder(request) } else { None };
-        holder.or_else(|| selection.select(request))
+        let is_first_rerouted = request.rerouted && request.attempts.count() == 0;
+        let current = if is_first_rerouted { selection.probable_current_server(request) } else { None };
+        current.or_else(|| selection.select(request))
     }
 
     fn migration(&mut self) -> Migration<'_> {
@@ -299,7 +299,7 @@
         }
     }
 
-    /// The interval that this node keeps between connection set-ups while it is throttled; zero otherwise.
+    /// The interval between this node's connection set-ups while it is throttled; zero otherwise.
     fn setup_interval(&self) -> Duration {
         self.limits.setup_interval(self.requests.len(), self.admission.throttled_rate())
     }
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -1,4 +1,4 @@
-//! Migration of connections away from servers whose messages are late.
+//! Migration of connections away from servers with high message latency.
 
 use super::request::{Phase, Request, Requests};
 use super::server::ServerSet;
@@ -8,7 +8,7 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// What a migration changes, and what it depends on.
+/// The balancer state that a migration reads and changes.
 pub(super) struct Migration<'a> {
     pub now: MonotonicTime,
     pub settings: &'a Settings,
@@ -35,22 +35,22 @@
         }
     }
 
-    /// Migrates a fraction of the connections at a server.
+    /// Migrates this fraction of a server's connections, starting with the least valuable.
     fn migrate(&mut self, server: ServerId, fraction: f64) {
-        let roll = self.rng.next_u64();
+        let random = self.rng.next_u64();
         let in_flight = self.servers.get(server).in_flight.ids();
         let connections = in_flight.filter_map(|id| self.connection(id, self.requests.get(&id)?));
-        for id in least_valuable(connections.collect(), fraction, roll) {
+        for id in least_valuable(connections.collect(), fraction, random) {
             if let Some(request) = self.requests.get_mut(&id) {
-                request.is_over = true;
+                request.is_closing = true;
                 self.actions.push(Action::Migrate(id));
             }
         }
     }
 
-    /// The request's connection, if it is established and may be migrated.
+    /// Returns the request's connection if it is established and may be migrated.
     fn connection(&self, id: RequestId, request: &Request) -> Option<Connection> {
-        if request.phase != Phase::Established || request.is_over {
+        if request.phase != Phase::Established || request.is_closing {
             return None;
         }
         let weight = self.settings.classes[request.class].priority_weight;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,6 +1,6 @@
-//! The decisions: which server an attempt goes to, when a retry is due, what is rejected and migrated.
+//! The decision logic: server selection, timing of retries, rejection and migration.
 //!
-//! [`Balancer`] takes events and gives actions. It builds on the mechanisms in [`crate::resilience`].
+//! [`Balancer`] consumes events and emits actions. It is built from the mechanisms in [`crate::resilience`].
 
 mod balancer;
 mod migration;
--- a/src/policy/request.rs
+++ b/src/policy/request.rs
@@ -1,4 +1,4 @@
-//! The state of one request.
+//! The balancer's state of a request.
 
 use crate::model::{Arrival, AttemptKind, RequestId};
 use crate::random::mix64;
@@ -7,18 +7,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// All requests of this node that are not over, in the order of their ids.
+/// The open requests of this node, ordered by id.
 pub(super) type Requests = BTreeMap<RequestId, Request>;
 
-/// What a request waits for or has.
+/// The phase of an open request.
 #[derive(Clone, Copy, Default, PartialEq)]
 pub(super) enum Phase {
-    /// Waits for its backoff timer.
+    /// Waiting for the backoff timer.
     #[default]
     BackingOff,
-    /// Has an attempt in flight.
+    /// An attempt is in flight.
     Attempting,
-    /// Has an established connection.
+    /// The connection is established.
     Established,
 }
 
@@ -28,36 +28,35 @@
     pub deadline: MonotonicTime,
     pub phase: Phase,
     pub attempts: AttemptHistory,
-    /// Backoffs begun, after attempts that failed and selections that found no server.
+    /// Number of backoffs started, after failed attempts and after selections that found no server.
     pub backoffs: u32,
-    /// Seed of its candidates; drawn from its group or key, so that it is the same at every node.
+    /// Seed of the candidate ranks; derived from the group or key, if any, so that all nodes rank alike.
     pub candidate_seed: u64,
-    /// Its own random number, which decides whether a server in slow start may take it.
-    pub slow_start_roll: u64,
+    /// Random number that decides whether a server in slow start admits the request.
+    pub slow_start_random: u64,
     pub group: Option<u64>,
     pub rerouted: bool,
-    /// The kind of its first attempt.
-    pub first_attempt: AttemptKind,
-    /// The last decision on its admission.
+    pub first_attempt_kind: AttemptKind,
+    /// The most recent admission decision.
     pub admission: Admission,
-    /// Load in work per second; zero if unknown.
+    /// Load, as work per second; zero if unknown.
     pub cost: Duration,
-    /// The client is gone or was migrated; the request stays until its attempt or connection has ended.
-    pub is_over: bool,
+    /// The client disconnected or is migrated: the request is removed when its attempt or connection ends.
+    pub is_closing: bool,
 }
 
 impl Request {
-    /// `roll` is a uniform random number of this node.
-    pub fn new(arrival: &Arrival, class: usize, now: MonotonicTime, phase: Phase, roll: u64) -> Request {
+    /// `random` is a uniform random number drawn by this node.
+    pub fn new(arrival: &Arrival, class: usize, now: MonotonicTime, phase: Phase, random: u64) -> Request {
         Request {
             class,
             deadline: now + arrival.time_left,
             phase,
-            candidate_seed: arrival.affinity_key().map_or(roll, mix64),
-            slow_start_roll: roll,
+            candidate_seed: arrival.affinity_key().map_or(random, mix64),
+            slow_start_random: random,
             group: arrival.group,
             rerouted: arrival.rerouted,
-            first_attempt: arrival.first_attempt_kind(),
+            first_attempt_kind: arrival.first_attempt_kind(),
             cost: arrival.cost.unwrap_or_default(),
             ..Request::default()
         }
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Server selection: the least loaded of a few candidates, which are drawn by weighted rendezvous hashing.
+//! Server selection: the least loaded of a few candidates, drawn by weighted rendezvous hashing.
 
 use super::request::Request;
 use super::server::{Server, ServerSet};
@@ -7,38 +7,38 @@
 use crate::resilience::{deduplicates, rendezvous_rank, FillTarget, LowestRanks, Ranked, SlowStart};
 use sparbank_time::MonotonicTime;
 
-/// Servers compared for one attempt.
+/// Number of servers compared for one attempt.
 const MAX_CANDIDATES: usize = 3;
-/// The cost of each group at a server, in usual connections of this node there.
+/// Load of each group at a server, as a multiple of this node's usual connections per server.
 const GROUP_COST: f64 = 0.15;
-/// The cost of a server in another zone, in usual connections of this node there. The more load all servers
-/// have, the less it counts, so that a zone under load sends requests to the others.
+/// Load added to a server in another zone, in the same unit. Its influence decreases as the load of all
+/// servers grows, so that a zone under load sends requests to other zones.
 const CROSS_ZONE_COST: f64 = 0.6;
 
-/// What the selection depends on.
+/// The inputs of a server selection.
 pub(super) struct Selection<'a> {
     pub now: MonotonicTime,
     pub settings: &'a Settings,
     pub servers: &'a ServerSet,
     pub slow_start: &'a SlowStart,
     pub fill: FillTarget,
-    /// This node's usual number of connections at a server.
+    /// This node's usual number of connections per server.
     pub usual_connections: f64,
-    /// The node's own random number.
+    /// Random number of this node, so that nodes do not make the same slow-start decisions.
     pub salt: u64,
 }
 
 impl Selection<'_> {
-    /// The server for the request's next attempt; `None` if no server can take it now.
+    /// Returns the server for the request's next attempt, or `None` if no server is available now.
     pub fn select(&self, request: &Request) -> Option<ServerId> {
         let candidates = self.draw_candidates(request).into_entries().into_iter();
         let scored = candidates.map(|candidate| (self.load_score(request, &candidate), candidate.item));
         scored.reduce(|best, next| if next.0 < best.0 { next } else { best }).map(|(_, server)| server)
     }
 
-    /// The server that most likely has the connection of a rerouted request: the one that its key ranks first
-    /// among those that are warm. A wrong guess is an attempt like any other.
-    pub fn likely_holder(&self, request: &Request) -> Option<ServerId> {
+    /// Returns the server that probably has the connection of a rerouted request: of the servers that are not
+    /// warming up, the first in the rank order of its key. A wrong one costs an ordinary attempt.
+    pub fn probable_current_server(&self, request: &Request) -> Option<ServerId> {
         let is_warm = |id: &&ServerId| self.capacity_factor(self.servers.get(**id)) >= 1.0;
         let rank = |id: &ServerId| candidate_rank(request, self.servers.get(*id));
         let warm = self.servers.serving().iter().filter(is_warm);
@@ -50,8 +50,8 @@
         let total_nominal: f64 = eligible.iter().map(|id| self.servers.get(*id).attributes.nominal).sum();
         let is_admitted = |id: &ServerId| !self.slow_start_defers(request, *id, total_nominal);
         let mut admitted: Vec<ServerId> = eligible.into_iter().filter(is_admitted).collect();
-        // A request that falls to a server that is warming up goes there, however loaded the others are.
-        keep_preferred(&mut admitted, |id| self.capacity_factor(self.servers.get(*id)) < 1.0);
+        // Servers that are warming up and admit the request take precedence, whatever the load of the others.
+        retain_preferred(&mut admitted, |id| self.capacity_factor(self.servers.get(*id)) < 1.0);
         let mut candidates = LowestRanks::new(MAX_CANDIDATES);
         for id in admitted {
             candidates.insert(candidate_rank(request, self.servers.get(id)), id);
@@ -59,7 +59,7 @@
         candidates
     }
 
-    /// The servers that may take the request. Unconfirmed ones with an attempt in flight only if all are.
+    /// The servers that may take the request. Unconfirmed ones with an attempt in flight are a last resort.
     fn eligible_servers(&self, request: &Request) -> Vec<ServerId> {
         let may_take = |id: &&ServerId| {
             let server = self.servers.get(**id);
@@ -68,14 +68,14 @@
                 && !request.attempts.has_tried(**id)
         };
         let mut eligible: Vec<ServerId> = self.servers.serving().iter().filter(may_take).copied().collect();
-        keep_preferred(&mut eligible, |id| {
+        retain_preferred(&mut eligible, |id| {
             let server = self.servers.get(*id);
             server.health.admits_another(server.in_flight.len())
         });
         eligible
     }
 
-    /// Rule 2: after a possible run only servers that discard a retry may take the request.
+    /// Rule 2: once an attempt may have run, only servers that discard a duplicate may take the request.
     fn is_retry_safe(&self, request: &Request, server: &Server) -> bool {
         let Some(run) = request.attempts.first_possible_run() else { return true };
         let Some(first) = self.servers.find(run.server) else { return false };
@@ -87,27 +87,27 @@
         self.slow_start.capacity_factor(self.now, server.attributes.started_at)
     }
 
-    /// Rule 4: a server in slow start takes only its admissible fraction of the requests, however few others
-    /// there are and however much or little this node has there.
+    /// Rule 4: a server in slow start takes only its admissible fraction of the requests, regardless of the
+    /// number of other servers and of this node's connections to it.
     fn slow_start_defers(&self, request: &Request, id: ServerId, total_nominal: f64) -> bool {
         let server = self.servers.get(id);
         let capacity_factor = self.capacity_factor(server);
-        // While warming up it is up to twice as likely, by the seed: groups gather at few such servers too.
+        // While warming up, the seed scales the fraction by 0 to 2, so that a group stays at few servers.
         let bias = 2.0 * unit_interval(mix64(request.candidate_seed ^ server.attributes.name_hash));
         let weight = if capacity_factor < 1.0 { bias * server.attributes.nominal } else { total_nominal };
         let ramp = server.health.ramp(capacity_factor, server.attributes.nominal);
         let admissible = self.slow_start.admissible_fraction(self.now, &ramp, &self.fill);
-        let roll = mix64(mix64(request.slow_start_roll ^ server.attributes.name_hash) ^ self.salt);
-        unit_interval(roll) >= admissible * weight
+        let random = mix64(mix64(request.slow_start_random ^ server.attributes.name_hash) ^ self.salt);
+        unit_interval(random) >= admissible * weight
     }
 
-    /// The load of a candidate for its capacity, as if it had the request. The rank counts for the request
-    /// itself: where this node has few connections it decides, so that nodes together spread by capacity.
+    /// The load of a candidate relative to its capacity, including the request. The rank stands for the
+    /// request: with few connections it decides, so that all nodes together spread load by capacity.
     fn load_score(&self, request: &Request, candidate: &Ranked<ServerId>) -> f64 {
         let server = self.servers.get(candidate.item);
         let groups = server.in_flight.groups_with(request.group) as f64;
         let zone_cost = if server.attributes.zone == self.settings.zone { 0.0 } else { CROSS_ZONE_COST };
-        // What a server has reset was more than it can take, and counts as in flight for a while.
+        // A reset shows that the server is over capacity; the connection counts as in flight for a while.
         let connections = server.in_flight.len() as f64 + server.health.recent_resets(self.now);
         let extra = self.usual_connections * (zone_cost + GROUP_COST * groups);
         (connections + extra) / server.attributes.nominal + candidate.rank
@@ -118,8 +118,8 @@
     rendezvous_rank(request.candidate_seed, server.attributes.name_hash, server.attributes.nominal)
 }
 
-/// Removes the other items if any is preferred.
-fn keep_preferred<T>(items: &mut Vec<T>, is_preferred: impl Fn(&T) -> bool) {
+/// Retains only the preferred items, if there are any.
+fn retain_preferred<T>(items: &mut Vec<T>, is_preferred: impl Fn(&T) -> bool) {
     if items.iter().any(&is_preferred) {
         items.retain(is_preferred);
     }
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -1,11 +1,11 @@
-//! The state of each server, and the set of all servers.
+//! The balancer's state of a server, and the set of all servers.
 
 use crate::model::{Endpoint, ListKind, RequestId, ServerAttributes, ServerId, Status};
 use crate::resilience::{InFlight, ServerHealth};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 
-/// One server. A handover transfers the serialized form to other versions of this program: names are fixed.
+/// One server. Handovers between program versions carry the serialized form: its names must not change.
 #[derive(Default, Deserialize, Serialize)]
 pub(super) struct Server {
     #[serde(flatten)]
@@ -29,18 +29,18 @@
     }
 }
 
-/// All servers that were ever listed, by id.
+/// All servers that have ever been listed, indexed by id.
 #[derive(Default)]
 pub(super) struct ServerSet {
     servers: Vec<Server>,
     serving: Vec<ServerId>,
-    /// Sum of the nominal capacities of those that serve.
+    /// Sum of the nominal capacities of the serving servers.
     total_nominal: f64,
     in_flight: u32,
 }
 
 impl ServerSet {
-    /// A server that was listed. Panics for any other.
+    /// Returns a server that has been listed. Panics if it has not.
     pub fn get(&self, server: ServerId) -> &Server {
         &self.servers[server.index()]
     }
@@ -53,7 +53,7 @@
         self.servers.get_mut(server.index()).map(|server| &mut server.health)
     }
 
-    /// The servers that serve, in the order of their ids.
+    /// The serving servers, ordered by id.
     pub fn serving(&self) -> &[ServerId] {
         &self.serving
     }
@@ -62,12 +62,12 @@
         self.total_nominal
     }
 
-    /// The number of this node's attempts and connections at all servers.
+    /// Number of this node's attempts and connections at all servers.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Applies a list from the cache or from discovery.
+    /// Applies an endpoint list from the cache or from discovery.
     pub fn apply_list(&mut self, kind: ListKind, endpoints: &[Endpoint]) {
         if matches!(kind, ListKind::Saved | ListKind::Full) {
             self.servers.iter_mut().for_each(|server| server.status = Status::Removed);
@@ -86,7 +86,7 @@
         self.total_nominal = self.serving.iter().map(|server| self.get(*server).attributes.nominal).sum();
     }
 
-    /// Counts an attempt or connection at a server.
+    /// Records an attempt or connection at a server.
     pub fn reserve(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: MonotonicTime) {
         if let Some(server) = self.servers.get_mut(server.index()) {
             server.in_flight.insert(id, group);
@@ -95,7 +95,7 @@
         }
     }
 
-    /// An attempt or connection at a server has ended.
+    /// Removes an attempt or connection at a server that has ended.
     pub fn release(&mut self, server: ServerId, id: RequestId, group: Option<u64>) {
         let server = self.servers.get_mut(server.index());
         if server.is_some_and(|server| server.in_flight.remove(id, group)) {
@@ -103,12 +103,12 @@
         }
     }
 
-    /// The state that a handover transfers.
+    /// Returns the state that a handover transfers.
     pub fn snapshot(&self) -> &[Server] {
         &self.servers
     }
 
-    /// Takes over the state of the servers that are listed here too. Others are ignored.
+    /// Restores the state of those servers that are listed here too, and ignores the others.
     pub fn restore(&mut self, servers: Vec<Server>) {
         for restored in servers {
             let key = |server: &Server| (server.attributes.name_hash, server.attributes.started_at);
