--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -269,16 +269,16 @@
 
     fn select(&self, request: &Request) -> Option<ServerId> {
         let requests = self.requests.len();
-        let setup_interval = self.limits.setup_interval(requests, Some(1.0));
+        let interval = self.limits.setup_interval(requests, Some(1.0));
         let selection = Selection {
             now: self.now,
             settings: &self.settings,
             servers: &self.servers,
             slow_start: &self.slow_start,
             fill: FillTarget {
-                connections: self.limits.full_connections(requests, self.servers.in_flight()),
+                connections: self.limits.connections_at_capacity(requests, self.servers.in_flight()),
                 total_nominal: self.servers.total_nominal(),
-                accrued: self.slow_start.accrued(self.now, self.last_selection_at, setup_interval),
+                accrued_nanos: self.slow_start.accrued_nanos(self.now, self.last_selection_at, interval),
             },
             usual_connections: self.limits.usual_connections(self.servers.serving().len()),
             salt: self.salt,
--- a/src/policy/migration.rs
+++ b/src/policy/migration.rs
@@ -55,6 +55,6 @@
         }
         let weight = self.settings.classes[request.class].priority_weight;
         let value = connection_value(weight, request.cost, self.settings.weight_basis);
-        Some(Connection { id, value, rank: mix64(id.0 ^ self.now.as_nanos()) })
+        Some(Connection { id, value, tie_breaker: mix64(id.0 ^ self.now.as_nanos()) })
     }
 }
--- a/src/resilience/backoff/tests.rs
+++ b/src/resilience/backoff/tests.rs
@@ -23,7 +23,7 @@
 #[case(1_000, 1, 1_000)]
 #[case(2_000, 1, 2_000)]
 #[case(9_000, 1, 3_000)]
-fn a_request_backs_off_by_its_class_and_by_the_pacing(
+fn the_limit_follows_the_class_and_the_setup_interval(
     #[case] setup_interval: u64,
     #[case] backoffs: u32,
     #[case] limit: u64,
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -1,11 +1,11 @@
-//! The choice of connections to migrate from a server: those of the least value for their load.
+//! Selects the connections to migrate from a server: those with the lowest value relative to their load.
 
 use crate::model::{RequestId, WeightBasis};
 use crate::random::unit_interval;
 use sparbank_time::DurationExt;
 use std::time::Duration;
 
-/// An unknown load counts as this one, the smallest that is not zero.
+/// Used in place of an unknown load: the smallest load that is not zero.
 const MIN_COST: Duration = Duration::from_nanos(1);
 
 /// A connection that may be migrated.
@@ -13,14 +13,14 @@
 pub struct Connection {
     /// The request that established it.
     pub id: RequestId,
-    /// Its priority weight for the load that it brings; see [`connection_value`].
+    /// Its priority weight relative to its load; see [`connection_value`].
     pub value: f64,
-    /// Decides between equal values.
-    pub rank: u64,
+    /// Orders connections of equal value.
+    pub tie_breaker: u64,
 }
 
-/// The value of a connection for its load of `cost` of work per second, zero if unknown. A weight that counts by work
-/// is that value.
+/// Returns the priority weight of a connection relative to its load. `cost` is the load as work per second, zero if
+/// unknown. If the weight applies to a unit of work, it is already relative to the load.
 pub fn connection_value(priority_weight: f64, cost: Duration, basis: WeightBasis) -> f64 {
     match basis {
         WeightBasis::Work => priority_weight,
@@ -28,15 +28,15 @@
     }
 }
 
-/// The connections to migrate: this fraction of all, those of the least value first. `roll`, a uniform random number,
-/// decides how the number is rounded.
+/// Selects a fraction of the connections for migration, in order of increasing value. Their number is rounded up or
+/// down at random, by the uniform random number `random`.
 pub fn least_valuable(
     mut connections: Vec<Connection>,
     fraction: f64,
-    roll: u64,
+    random: u64,
 ) -> impl Iterator<Item = RequestId> {
-    connections.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.rank.cmp(&b.rank)));
-    let count = (fraction * connections.len() as f64 + unit_interval(roll)) as usize;
+    connections.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.tie_breaker.cmp(&b.tie_breaker)));
+    let count = (fraction * connections.len() as f64 + unit_interval(random)) as usize;
     connections.into_iter().take(count).map(|connection| connection.id)
 }
 
--- a/src/resilience/endpoint_subscription/tests.rs
+++ b/src/resilience/endpoint_subscription/tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 #[test]
-fn only_the_last_poll_scheduled_is_due_and_only_without_a_subscription() {
+fn only_the_last_scheduled_poll_is_due_and_none_while_subscribed() {
     let poll_within = Duration::from_nanos(1_600);
     let settings = Settings { discovery: Discovery::Polled, poll_within, ..Settings::default() };
     let mut subscription = EndpointSubscription::default();
--- a/src/resilience/in_flight.rs
+++ b/src/resilience/in_flight.rs
@@ -1,4 +1,4 @@
-//! The attempts and connections that a node has in flight at one server, and the groups that they are of.
+//! The attempts and connections that a node has in flight at one server, and their groups.
 
 use crate::model::RequestId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
     requests: BTreeSet<RequestId>,
-    /// The number of requests of each group; never zero.
+    /// Number of requests in flight of each group; groups without any are removed.
     groups: BTreeMap<u64, u32>,
 }
 
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Removes a request, which has the same group as when it was added. True if it was in flight.
+    /// Removes a request, which must have the same group as when it was added. Returns true if it was in flight.
     pub fn remove(&mut self, id: RequestId, group: Option<u64>) -> bool {
         if !self.requests.remove(&id) {
             return false;
@@ -35,22 +35,22 @@
         true
     }
 
-    /// The number of requests.
+    /// The number of requests in flight.
     pub fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// Whether there are none.
+    /// Whether no request is in flight.
     pub fn is_empty(&self) -> bool {
         self.requests.is_empty()
     }
 
-    /// The requests, in the order of their ids.
+    /// The requests in flight, ordered by id.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.requests.iter().copied()
     }
 
-    /// The number of groups that there would be with one more request of this group.
+    /// Returns the number of groups at the server if one more request of this group were added.
     pub fn groups_with(&self, group: Option<u64>) -> usize {
         let is_new = group.is_some_and(|group| !self.groups.contains_key(&group));
         self.groups.len() + usize::from(is_new)
--- a/src/resilience/in_flight/tests.rs
+++ b/src/resilience/in_flight/tests.rs
@@ -2,7 +2,7 @@
 use crate::model::RequestId;
 
 #[test]
-fn a_group_lasts_as_long_as_any_of_its_requests() {
+fn a_group_is_counted_while_any_of_its_requests_is_in_flight() {
     let mut in_flight = InFlight::default();
     in_flight.insert(RequestId(2), Some(7));
     in_flight.insert(RequestId(1), Some(7));
--- a/src/resilience/latency_overload.rs
+++ b/src/resilience/latency_overload.rs
@@ -1,32 +1,32 @@
 //! Overload detection by message latency, for one server.
 //!
-//! A server that reports high latency gets no new requests until a report says that the overload is over, or none arrives
-//! in time; it is then filled slowly. While its latency is above the objective and does not fall, a fraction of its connections
-//! is to be migrated.
+//! A server that reports high latency gets no new requests until it reports a lower latency or its last report expires;
+//! it is then filled slowly. While its latency is above the objective and not falling, a fraction of its connections is
+//! migrated.
 
 use serde::{Deserialize, Serialize};
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// A report is valid for this long, unless another one replaces it.
+/// A report expires after this time, unless a newer one replaces it.
 const REPORT_VALIDITY: Duration = Duration::from_millis(2_500);
 /// The interval between the latency reports of one server.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// A server is overloaded above this fraction of the objective. Servers report from a third of the strictest
-/// objective on, and once more below it when the overload is over.
+/// A server is overloaded above this fraction of the objective. Servers report latencies from a third of the strictest
+/// objective on, and once more when the latency has dropped below that.
 const OVERLOAD_FRACTION: f64 = 0.33;
-/// The fraction of the connections that is migrated beside what the growth of the latency calls for, so that the
-/// backlog shrinks.
-const BACKLOG_MIGRATION: f64 = 0.15;
-/// The largest fraction that is migrated for the growth of the latency.
-const MAX_GROWTH_MIGRATION: f64 = 0.3;
-/// A latency that is lower by more than one in this many is falling.
+/// Fraction of the connections that is migrated in addition to the one for the growth of the latency, so that the
+/// server's backlog shrinks.
+const BACKLOG_FRACTION: f64 = 0.15;
+/// Upper limit of the fraction that is migrated for the growth of the latency.
+const MAX_GROWTH_FRACTION: f64 = 0.3;
+/// The latency is falling if it dropped by more than the previous latency divided by this.
 const FALLING_DIVISOR: u32 = 16;
 
 /// The latency state of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct LatencyOverload {
-    /// The latency last reported.
+    /// The most recently reported latency.
     #[serde(rename = "delay", with = "sparbank_time::serde_nanos")]
     latency: Duration,
     #[serde(rename = "busy_until")]
@@ -35,27 +35,27 @@
     recovering_until: MonotonicTime,
 }
 
-/// A request to migrate connections away from a server.
+/// The migration that a report calls for.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MigrationDemand {
     /// The fraction of the server's connections to migrate.
     pub fraction: f64,
-    /// The report before this one was above the objective too, so that this is not a single stall.
+    /// The previous report was above the objective too, which rules out a single stall.
     pub is_confirmed: bool,
 }
 
 impl LatencyOverload {
-    /// Whether the server gets no new requests now.
+    /// Whether the server is overloaded and must not get new requests.
     pub fn is_overloaded(&self, now: MonotonicTime) -> bool {
         self.overloaded_until > now
     }
 
-    /// Until then the server is filled slowly.
+    /// The end of the recovery, until which the server is filled slowly.
     pub fn recovering_until(&self) -> MonotonicTime {
         self.recovering_until
     }
 
-    /// Records a report. Returns what to migrate if the latency is above the objective and not falling.
+    /// Records a report. Returns a demand for migration if the latency is above the objective and not falling.
     pub fn on_report(
         &mut self,
         now: MonotonicTime,
@@ -76,7 +76,7 @@
             return None;
         }
         let growth = latency.saturating_sub(previous).as_nanos_f64() / REPORT_INTERVAL.as_nanos_f64();
-        let fraction = growth.min(MAX_GROWTH_MIGRATION) + BACKLOG_MIGRATION;
+        let fraction = growth.min(MAX_GROWTH_FRACTION) + BACKLOG_FRACTION;
         Some(MigrationDemand { fraction, is_confirmed: previous > objective })
     }
 }
--- a/src/resilience/latency_overload/tests.rs
+++ b/src/resilience/latency_overload/tests.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_report_ejects_until_it_is_overdue_and_the_recovery_lasts_longer() {
+fn a_report_ejects_the_server_until_it_expires_and_the_recovery_lasts_longer() {
     let mut state = LatencyOverload::default();
     assert_eq!(report(&mut state, at(0), 40 * MILLIS), None, "below the objective");
     assert!(
@@ -39,5 +39,5 @@
     let grown = report(&mut state, at(3), 900 * MILLIS).expect("above the objective");
     assert_eq!(grown, MigrationDemand { fraction: 0.3 + 0.15, is_confirmed: true });
     let late = report(&mut state, at(4) + REPORT_VALIDITY, 200 * MILLIS).expect("above the objective");
-    assert!(!late.is_confirmed, "the report before is no longer valid");
+    assert!(!late.is_confirmed, "the previous report has expired");
 }
--- a/src/resilience/mod.rs
+++ b/src/resilience/mod.rs
@@ -1,6 +1,6 @@
-//! Mechanisms that the policy uses: backoff, outlier detection, slow start, admission of retries, and others.
+//! The mechanisms that the policy is built from: backoff, outlier detection, slow start, retry admission and others.
 //!
-//! Each is a leaf with one job. The caller passes the time and the random numbers; nothing here has I/O.
+//! The modules do no I/O; the caller passes the time and random numbers. None of them depends on the policy.
 
 mod backoff;
 mod connection_value;
--- a/src/resilience/outlier/tests.rs
+++ b/src/resilience/outlier/tests.rs
@@ -3,11 +3,11 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-const ROLLS: [u64; 3] = [0, u64::MAX / 2, u64::MAX];
+const RANDOM_NUMBERS: [u64; 3] = [0, u64::MAX / 2, u64::MAX];
 
 #[test]
-fn an_unconfirmed_endpoint_costs_two_attempts_within_any_ejection_cap() {
-    for (first, second) in ROLLS.iter().flat_map(|a| ROLLS.iter().map(move |b| (*a, *b))) {
+fn an_unconfirmed_endpoint_gets_at_most_two_attempts_within_any_ejection_cap() {
+    for (first, second) in RANDOM_NUMBERS.iter().flat_map(|a| RANDOM_NUMBERS.iter().map(move |b| (*a, *b))) {
         let mut outlier = OutlierState::default();
         outlier.on_listed(ListKind::Saved);
         assert!(outlier.admits_another(0) && !outlier.admits_another(1), "one at a time");
@@ -18,7 +18,7 @@
         outlier.on_failure(retried_at, second, Outcome::ConnectFailed);
         assert!(
             outlier.is_ejected(sent_at + EJECTION_CAP - Duration::from_nanos(1)),
-            "no third within {first} {second}"
+            "no third attempt, with random numbers {first} and {second}"
         );
         outlier.confirm();
         assert!(!outlier.is_ejected(sent_at) && outlier.admits_another(9), "a newer list contains it");
@@ -35,7 +35,7 @@
     outlier.on_success();
     assert!(
         !outlier.is_ejected(MonotonicTime::ZERO) && outlier.admits_another(5),
-        "it succeeded: more than one at a time"
+        "after a success it gets several attempts at a time"
     );
 }
 
--- a/src/resilience/rendezvous.rs
+++ b/src/resilience/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Weighted rendezvous hashing: every node ranks the servers alike for the same seed.
+//! Weighted rendezvous hashing: for the same seed, all nodes rank the servers in the same order.
 
 use crate::random::{mix64, unit_interval};
 
-/// The rank of a server in the order that a seed draws; low ranks come first, and large weights tend to have them.
+/// Returns the rank of a server for a seed. Lower ranks come first; a larger weight makes a low rank more likely.
 pub fn rendezvous_rank(seed: u64, name_hash: u64, weight: f64) -> f64 {
     -unit_interval(mix64(seed ^ name_hash)).ln() / weight
 }
@@ -10,13 +10,13 @@
 /// An item and its rank.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ranked<T> {
-    /// The item's rank.
+    /// The rank; lower ones come first.
     pub rank: f64,
     /// The item.
     pub item: T,
 }
 
-/// Keeps the items of the lowest ranks, in their order. Of equal ranks the first one added comes first.
+/// A bounded list of the items with the lowest ranks, ordered by rank. Items of equal rank keep the order of insertion.
 #[derive(Clone, Debug)]
 pub struct LowestRanks<T> {
     entries: Vec<Ranked<T>>,
@@ -24,12 +24,12 @@
 }
 
 impl<T> LowestRanks<T> {
-    /// Keeps at most `limit` items.
+    /// Creates an empty list that keeps at most `limit` items.
     pub fn new(limit: usize) -> LowestRanks<T> {
         LowestRanks { entries: Vec::with_capacity(limit + 1), limit }
     }
 
-    /// Adds an item, if its rank is among the lowest.
+    /// Adds an item if its rank is among the lowest.
     pub fn insert(&mut self, rank: f64, item: T) {
         let position = self.entries.partition_point(|entry| entry.rank <= rank);
         if position < self.limit {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The items, the lowest rank first.
+    /// Returns the items, lowest rank first.
     pub fn into_entries(self) -> Vec<Ranked<T>> {
         self.entries
     }
--- a/src/resilience/retry_admission.rs
+++ b/src/resilience/retry_admission.rs
@@ -1,48 +1,49 @@
-//! Admission of retries: reconnecting clients, clients' retries, and attempts that follow a failed one.
+//! Admission control for retries: reconnecting clients, retries by clients, and attempts after a failed one.
 //!
-//! A new client's first attempt is never delayed here. Retries share a congestion window of attempts in flight: fast
-//! set-ups widen it, slow and failed ones narrow it. A node that has just started begins with a window of one. While
-//! the window is below [`THROTTLE_BELOW`] the node is throttled: retries also keep a pacing interval, and a request
-//! that would have to queue past its deadline is rejected at once.
+//! The first attempt for a new client is never delayed here. Retries are limited by a congestion window of attempts in
+//! flight. It is one after a start of the node; fast connection set-ups widen it, slow and failed ones narrow it. While
+//! it is below [`THROTTLE_BELOW`] the node is throttled: retries are also paced, and a request that would be queued
+//! past its deadline is rejected immediately.
 
 use crate::model::{AttemptKind, Notice, Outcome};
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// An attempt is fast that succeeds within its class's objective divided by this.
+/// A connection set-up is fast if it takes no longer than the objective of its class divided by this.
 const FAST_DIVISOR: u32 = 2;
-/// A fast set-up multiplies the window by this: two in a row double it.
+/// A fast set-up multiplies the window by this; two in a row at least double it.
 const FAST_FACTOR: f64 = 1.5;
 /// A slow set-up multiplies the window by this.
 const SLOW_FACTOR: f64 = 0.7;
-/// A failed attempt multiplies the window by this. One failure may be its server's fault alone.
+/// A failed attempt multiplies the window by this. A single failure may be due to that server alone.
 const FAILURE_FACTOR: f64 = 0.5;
-/// The widest window: retries in flight at once when all set-ups are fast; the next slow one narrows it at once.
+/// Upper limit of the window: the retries in flight if all set-ups are fast. The next slow set-up narrows it again.
 const MAX_WINDOW: f64 = 64.0;
-/// The node is throttled while the window is below this: two failures after a start bring it there.
+/// The node is throttled while the window is below this, for example after two failures that follow a start.
 const THROTTLE_BELOW: f64 = 0.5;
-/// The narrowest window: half of the node's set-up rate is always admitted.
+/// Lower limit of the window, at which half of the node's set-up rate is still admitted.
 const MIN_WINDOW: f64 = 0.25;
 
-/// Whether a request may be sent now.
+/// A decision on the next attempt of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent, or there was no decision on it yet.
+    /// The attempt may be sent, or no decision has been made yet.
     #[default]
     Admitted,
-    /// It has to wait and is counted among those queued.
+    /// The request has to wait and counts as queued.
     Queued,
 }
 
-/// The window of retries in flight, and the retries that are queued for it.
+/// The congestion window for retries, and the number of retries queued for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryAdmission {
     window: f64,
     in_flight: u32,
     queued: u32,
     /// While throttled, no retry is sent before this time.
-    next_at: MonotonicTime,
-    /// When an attempt last failed. Failures of attempts that were sent before then have the same cause.
+    next_retry_at: MonotonicTime,
+    /// When a failure last narrowed the window. Failures of attempts that were sent before then have the same cause and
+    /// do not narrow it again.
     last_failure_at: MonotonicTime,
     throttled: bool,
 }
@@ -53,7 +54,7 @@
             window: 1.0,
             in_flight: 0,
             queued: 0,
-            next_at: MonotonicTime::ZERO,
+            next_retry_at: MonotonicTime::ZERO,
             last_failure_at: MonotonicTime::ZERO,
             throttled: false,
         }
@@ -61,11 +62,11 @@
 }
 
 impl RetryAdmission {
-    /// Decides whether a request may be sent now. `previous` is the last decision on it.
+    /// Decides whether an attempt may be sent now. `previous` is the last decision on its request.
     pub fn decide(&mut self, now: MonotonicTime, kind: AttemptKind, previous: Admission) -> Admission {
         self.dequeue(previous);
         let is_full = self.in_flight >= self.window.max(1.0) as u32;
-        let is_paced = self.throttled && now < self.next_at;
+        let is_paced = self.throttled && now < self.next_retry_at;
         if kind == AttemptKind::Retry && (is_full || is_paced) {
             self.queued += 1;
             Admission::Queued
@@ -74,30 +75,30 @@
         }
     }
 
-    /// Whether a queued request would have to wait past its deadline, at this pacing interval.
+    /// Whether a queued request would have to wait past its deadline at this pacing interval.
     pub fn misses_deadline(&self, now: MonotonicTime, interval: Duration, deadline: MonotonicTime) -> bool {
-        self.throttled && now < self.next_at && now + self.queue_delay(interval) >= deadline
+        self.throttled && now < self.next_retry_at && now + self.queue_delay(interval) >= deadline
     }
 
-    /// How long it takes at this pacing interval until all queued requests have been sent.
+    /// Returns the time until all queued requests have been sent at this pacing interval.
     pub fn queue_delay(&self, interval: Duration) -> Duration {
         interval.saturating_mul(self.queued)
     }
 
-    /// A request no longer waits for admission, if it was queued by the last decision on it.
+    /// Removes a request from the queue count if `previous`, the last decision on it, queued it.
     pub fn dequeue(&mut self, previous: Admission) {
         if previous == Admission::Queued {
             self.queued = self.queued.saturating_sub(1);
         }
     }
 
-    /// An attempt was sent. While throttled, the next retry is sent no sooner than `next_at`.
-    pub fn on_sent(&mut self, next_at: MonotonicTime) {
+    /// Records a sent attempt. While throttled, the next retry is sent no earlier than `next_retry_at`.
+    pub fn on_sent(&mut self, next_retry_at: MonotonicTime) {
         self.in_flight += 1;
-        self.next_at = next_at;
+        self.next_retry_at = next_retry_at;
     }
 
-    /// An attempt succeeded after `setup_time`; its class has this objective.
+    /// Records that an attempt of a class with this objective succeeded after `setup_time`.
     pub fn on_established(&mut self, setup_time: Duration, objective: Duration) -> Option<Notice> {
         self.in_flight = self.in_flight.saturating_sub(1);
         let factor = if setup_time <= objective / FAST_DIVISOR { FAST_FACTOR } else { SLOW_FACTOR };
@@ -105,8 +106,8 @@
         self.update_throttle()
     }
 
-    /// An attempt that was sent at `sent_at` ended before it succeeded. Errors and timeouts may be due to what all
-    /// servers share; other outcomes do not narrow the window.
+    /// Records that an attempt sent at `sent_at` ended without success. Only errors and timeouts narrow the window, as
+    /// their cause may be something that all servers share.
     pub fn on_attempt_ended(
         &mut self,
         outcome: Outcome,
@@ -122,7 +123,7 @@
         self.update_throttle()
     }
 
-    /// While throttled: the fraction of the node's set-up rate that is admitted.
+    /// Returns the fraction of the node's set-up rate that is admitted while throttled; `None` if it is not.
     pub fn throttled_rate(&self) -> Option<f64> {
         self.throttled.then_some(self.window / THROTTLE_BELOW)
     }
--- a/src/resilience/retry_admission/tests.rs
+++ b/src/resilience/retry_admission/tests.rs
@@ -11,7 +11,7 @@
     MonotonicTime::from_nanos(nanos)
 }
 
-/// After a start one retry goes at a time; fast set-ups widen the window in a few steps.
+/// After a start one retry is sent at a time; fast set-ups widen the window in a few steps.
 #[test]
 fn fast_set_ups_widen_the_window() {
     let mut admission = RetryAdmission::default();
@@ -41,16 +41,16 @@
     );
 }
 
-/// A node whose window fast set-ups have widened. Failed attempts narrow it again, each of them once.
+/// Starts with a window that fast set-ups have widened; failures narrow it again, each independent one once.
 #[test]
-fn failures_throttle_and_fast_set_ups_end_it() {
+fn failures_start_the_throttling_and_fast_set_ups_end_it() {
     let mut admission = RetryAdmission::default();
     (0..6).for_each(|_| assert_eq!(admission.on_established(FAST, OBJECTIVE), None));
     for (sent_at, now) in [(2, 10), (10, 11), (11, 12), (12, 13)] {
         assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(sent_at), at(now)), None);
         assert_eq!(admission.throttled_rate(), None);
     }
-    // What was sent before that failure was known tells nothing new.
+    // This attempt was sent before the last failure was known: it does not narrow the window again.
     assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(12), at(14)), None);
     assert_eq!(admission.throttled_rate(), None);
     assert_eq!(admission.on_attempt_ended(Outcome::Error, at(13), at(14)), Some(Notice::PacingStarted));
@@ -60,21 +60,21 @@
     assert_eq!(admission.throttled_rate(), Some(0.5));
     assert_eq!(admission.on_established(FAST, OBJECTIVE), None);
     let slow = FAST + Duration::from_nanos(1);
-    assert_eq!(admission.on_established(slow, OBJECTIVE), None, "it narrows the window");
+    assert_eq!(admission.on_established(slow, OBJECTIVE), None, "a slow set-up narrows the window");
     assert_eq!(admission.on_established(FAST, OBJECTIVE), None);
     assert_eq!(admission.on_established(FAST, OBJECTIVE), Some(Notice::PacingEnded));
     assert_eq!(admission.throttled_rate(), None);
 }
 
 #[test]
-fn the_notices_name_the_state() {
+fn the_notices_describe_the_state() {
     assert!(Notice::PacingStarted.to_string().contains("establishment fails"));
     assert_eq!(Notice::PacingEnded.to_string(), "connection establishment has recovered, pacing ended");
 }
 
-/// Queued requests are counted once each, and one that cannot be sent before its deadline is found.
+/// Each queued request is counted once, and one that cannot be sent before its deadline is detected.
 #[test]
-fn queued_requests_are_counted_and_missed_deadlines_found() {
+fn queued_requests_are_counted_and_missed_deadlines_are_detected() {
     let mut admission = RetryAdmission { window: MIN_WINDOW, throttled: true, ..RetryAdmission::default() };
     admission.on_sent(at(500));
     let interval = Duration::from_nanos(100);
@@ -87,7 +87,10 @@
         admission.misses_deadline(at(20), interval, at(320))
             && !admission.misses_deadline(at(20), interval, at(321))
     );
-    assert!(!admission.misses_deadline(at(500), interval, at(320)), "the interval is over: it may be sent");
+    assert!(
+        !admission.misses_deadline(at(500), interval, at(320)),
+        "the interval has elapsed: the request may be sent"
+    );
     assert_eq!(admission.on_attempt_ended(Outcome::ConnectFailed, at(500), at(500)), None);
     assert_eq!(admission.decide(at(500), AttemptKind::Retry, Admission::Queued), Admission::Admitted);
     admission.dequeue(Admission::Queued);
--- a/src/resilience/retry_safety/tests.rs
+++ b/src/resilience/retry_safety/tests.rs
@@ -35,7 +35,7 @@
 #[case(Effect::NonIdempotent, Outcome::Timeout, 100, false)]
 #[case(Effect::IdempotencyKey, Outcome::Timeout, 139, true)]
 #[case(Effect::IdempotencyKey, Outcome::Timeout, 140, false)]
-fn a_retry_is_safe_while_its_effect_is_discarded(
+fn a_retry_is_safe_while_servers_discard_it(
     #[case] effect: Effect,
     #[case] outcome: Outcome,
     #[case] now: u64,
@@ -51,7 +51,7 @@
 #[case(Effect::IdempotencyKey, DedupScope::Zone, Outcome::Reset, false)]
 #[case(Effect::IdempotencyKey, DedupScope::Zone, Outcome::NotSent, true)]
 #[case(Effect::NonIdempotent, DedupScope::All, Outcome::Reset, false)]
-fn a_rejection_promises_that_any_server_may_take_the_retry(
+fn a_rejection_requires_that_any_server_may_take_the_retry(
     #[case] effect: Effect,
     #[case] dedup_scope: DedupScope,
     #[case] outcome: Outcome,
@@ -67,7 +67,7 @@
 #[case(DedupScope::Cell, 0, 0, true)]
 #[case(DedupScope::Cell, 0, 1, false)]
 #[case(DedupScope::Cell, 1, 0, false)]
-fn retries_keep_to_the_scope(
+fn retries_stay_in_the_dedup_scope(
     #[case] dedup_scope: DedupScope,
     #[case] zone: u32,
     #[case] cell: u32,
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn the_first_possible_run_stays_and_attempts_are_counted() {
+fn the_first_possible_run_is_kept_and_attempts_are_counted() {
     let mut history = history(Outcome::ConnectFailed);
     assert_eq!((history.count(), history.first_possible_run()), (1, None));
     for (server, sent_at) in [(ServerId(1), 200), (ServerId(2), 300)] {
--- a/src/resilience/server_health.rs
+++ b/src/resilience/server_health.rs
@@ -1,6 +1,6 @@
-//! The health of one server as this node has observed it: ejection, latency, resets, and when it last sent there.
+//! The health of one server as observed by this node: ejection, latency, resets, and the time of the last attempt.
 //!
-//! A handover transfers the serialized form to other versions of this program: its names are fixed.
+//! Handovers between program versions carry the serialized form: its names must not change.
 
 use super::latency_overload::LatencyOverload;
 use super::outlier::OutlierState;
@@ -11,7 +11,7 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The health of one server.
+/// The observed health of one server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct ServerHealth {
     #[serde(flatten)]
@@ -23,93 +23,98 @@
     #[serde(rename = "trust")]
     outlier: OutlierState,
     /// The fraction of the connections to migrate if the health check in progress finds the server over capacity;
-    /// zero while none is in progress.
+    /// zero if no health check is in progress.
     #[serde(skip)]
-    pending_migration: f64,
+    pending_fraction: f64,
 }
 
 /// The response to a latency report.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LatencyResponse {
-    /// Nothing is to be done.
+    /// No action is needed.
     None,
-    /// A health check decides whether to migrate.
+    /// Check the server's health; the result decides whether connections migrate.
     CheckHealth,
-    /// This fraction of the connections is to be migrated.
+    /// Migrate this fraction of the connections.
     Migrate(f64),
 }
 
 impl ServerHealth {
-    /// A list of this kind contains the server.
+    /// Records that a list of this kind contains the server.
     pub fn on_listed(&mut self, kind: ListKind) {
         self.outlier.on_listed(kind);
     }
 
-    /// The server's process has restarted: what was observed of the one before no longer counts.
+    /// Discards resets and ejection: the server's process has restarted.
     pub fn on_restarted(&mut self) {
         self.resets.clear();
         self.outlier.reset();
     }
 
-    /// Discovery has sent a list: the cached entries that it did not remove exist.
+    /// Confirms the server: discovery has sent a list and has not removed it.
     pub fn confirm(&mut self) {
         self.outlier.confirm();
     }
 
-    /// Whether attempts may be sent there now: it is neither ejected nor overloaded.
+    /// Whether attempts may be sent to the server now: it is neither ejected nor overloaded.
     pub fn is_available(&self, now: MonotonicTime) -> bool {
         !self.latency.is_overloaded(now) && !self.outlier.is_ejected(now)
     }
 
-    /// Whether it takes one more attempt beside those in flight. An unconfirmed server takes one at a time.
+    /// Whether one more attempt may be sent, given the number in flight. An unconfirmed server gets one at a time.
     pub fn admits_another(&self, in_flight: usize) -> bool {
         self.outlier.admits_another(in_flight)
     }
 
-    /// The established connections that it reset lately; decays with time.
+    /// The decaying count of established connections that the server has reset.
     pub fn recent_resets(&self, now: MonotonicTime) -> f64 {
         self.resets.count(now)
     }
 
-    /// Its input to the slow start.
+    /// Returns the server's input to the slow start.
     pub fn ramp(&self, capacity_factor: f64, nominal: f64) -> ServerRamp {
         let recovering_until = self.latency.recovering_until();
         ServerRamp { capacity_factor, nominal, recovering_until, last_sent_at: self.last_sent_at }
     }
 
-    /// An attempt was sent there.
+    /// Records that an attempt was sent to the server.
     pub fn on_sent(&mut self, now: MonotonicTime) {
         self.last_sent_at = now;
     }
 
-    /// An attempt succeeded, or a connection was established before this process started.
+    /// Records that an attempt succeeded, or that a connection was resumed from before this process started.
     pub fn on_success(&mut self) {
         self.outlier.on_success();
     }
 
-    /// An attempt ended before its connection was established. `roll` draws a uniform random number, which is needed
-    /// for a failure alone.
-    pub fn on_attempt_ended(&mut self, now: MonotonicTime, outcome: Outcome, roll: impl FnOnce() -> u64) {
+    /// Records that an attempt ended without an established connection. `random` draws a uniform random number; it is
+    /// called only for a failure.
+    pub fn on_attempt_ended(&mut self, now: MonotonicTime, outcome: Outcome, random: impl FnOnce() -> u64) {
         match outcome {
             Outcome::Ok => self.on_success(),
             Outcome::Reset if !self.outlier.is_unconfirmed() => {}
             Outcome::Cancelled | Outcome::NotSent | Outcome::LocalShortage | Outcome::Rejected => {}
             Outcome::Reset | Outcome::Error | Outcome::Timeout | Outcome::ConnectFailed => {
-                self.outlier.on_failure(now, roll(), outcome);
+                self.outlier.on_failure(now, random(), outcome);
             }
         }
     }
 
-    /// An established connection ended. A reset tells that it was more than the server can take.
-    pub fn on_connection_ended(&mut self, now: MonotonicTime, outcome: Outcome, roll: impl FnOnce() -> u64) {
+    /// Records that an established connection ended. A reset shows that the server is over capacity.
+    pub fn on_connection_ended(
+        &mut self,
+        now: MonotonicTime,
+        outcome: Outcome,
+        random: impl FnOnce() -> u64,
+    ) {
         match outcome {
             Outcome::Reset => self.resets.record(now),
-            _ => self.on_attempt_ended(now, outcome, roll),
+            _ => self.on_attempt_ended(now, outcome, random),
         }
     }
 
-    /// Records a latency report, by the strictest objective of all classes. A single report above it may be due to a
-    /// stall: where health checks are possible, one decides whether to migrate.
+    /// Records a latency report and compares it with the strictest objective of all classes. A single report above the
+    /// objective may be due to a stall: if health checks are possible, one decides whether to migrate.
     pub fn on_latency_report(
         &mut self,
         settings: &Settings,
@@ -123,8 +128,8 @@
         if demand.is_confirmed || !settings.health_checks {
             return LatencyResponse::Migrate(demand.fraction);
         }
-        let is_checking = self.pending_migration != 0.0;
-        self.pending_migration = demand.fraction;
+        let is_checking = self.pending_fraction != 0.0;
+        self.pending_fraction = demand.fraction;
         if is_checking {
             LatencyResponse::None
         } else {
@@ -132,9 +137,9 @@
         }
     }
 
-    /// The result of a health check. Returns the fraction of the connections to migrate.
+    /// Records the result of a health check. Returns the fraction of the connections to migrate, if any.
     pub fn on_health_check(&mut self, utilization: Option<f64>) -> Option<f64> {
-        let fraction = std::mem::take(&mut self.pending_migration);
+        let fraction = std::mem::take(&mut self.pending_fraction);
         utilization.is_some_and(|utilization| utilization > 1.0).then_some(fraction)
     }
 }
--- a/src/resilience/server_health/tests.rs
+++ b/src/resilience/server_health/tests.rs
@@ -46,11 +46,11 @@
 }
 
 #[test]
-fn one_health_check_decides_on_the_first_late_report() {
+fn one_health_check_decides_on_the_first_report_above_the_objective() {
     let mut health = ServerHealth::default();
     assert_eq!(report(&mut health, at_ms(0), 200 * MILLIS, true), LatencyResponse::CheckHealth);
     assert!(!health.is_available(at_ms(0)));
-    // The report before is no longer valid, and the check is still in progress.
+    // The previous report has expired, and the health check is still in progress.
     assert_eq!(report(&mut health, at_ms(3_000), 200 * MILLIS, true), LatencyResponse::None);
     assert_eq!(health.on_health_check(Some(1.2)), Some(0.2 + 0.15));
     assert_eq!(health.on_health_check(Some(0.9)), None);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn without_health_checks_the_first_late_report_migrates() {
+fn without_health_checks_the_first_report_above_the_objective_migrates() {
     let mut health = ServerHealth::default();
     assert_eq!(report(&mut health, at_ms(0), 200 * MILLIS, false), LatencyResponse::Migrate(0.2 + 0.15));
 }
 
 #[test]
-fn a_restart_voids_resets_and_ejection() {
+fn a_restart_clears_resets_and_ejection() {
     let now = MonotonicTime::from_nanos(5);
     let mut health = ServerHealth::default();
     health.on_connection_ended(now, Outcome::Reset, || u64::MAX);
--- a/src/resilience/slow_start.rs
+++ b/src/resilience/slow_start.rs
@@ -1,19 +1,20 @@
-//! Slow start: how many placements a server admits that is warming up or recovering from overload.
+//! Slow start: limits the requests that are sent to a server that is warming up or recovering from overload.
 //!
-//! Each node admits its own share of the connections that fill the server, so that all nodes together fill it no faster
-//! than it can take. A server that is warming up is filled over its warm-up, one that was overloaded over [`RECOVERY_TIME`].
+//! Each node sends its share of the connections that fill the server, so that all nodes together fill it no faster than
+//! its capacity allows. A server that is warming up is filled over its warm-up time, one that was overloaded over
+//! [`RECOVERY_TIME`].
 
 use crate::model::Settings;
 use sparbank_time::{DurationExt, MonotonicTime};
 use std::time::Duration;
 
-/// A server that was overloaded is filled again over this time. Latency reports come once per second,
-/// so what is sent there between two reports overshoots by a thirtieth.
+/// The time over which a server that was overloaded is filled again. Latency reports arrive once per second, so what
+/// is sent between two reports overshoots by a thirtieth.
 const RECOVERY_TIME: Duration = Duration::from_secs(30);
-/// The shortest span that is not zero, where a span is a divisor or has to be positive.
+/// The shortest positive duration, used where a duration must not be zero.
 const NANOSECOND: Duration = Duration::from_nanos(1);
 
-/// The slow-start parameters of the servers.
+/// The slow-start parameters, which all servers share.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SlowStart {
     floor: f64,
@@ -22,27 +23,27 @@
     overload_after: Duration,
 }
 
-/// The load that servers are filled with, the same for all servers in one selection.
+/// The load to fill the servers with; the same for all servers in one selection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FillTarget {
     /// This node's share of the connections that fill all serving servers.
     pub connections: f64,
     /// Sum of the nominal capacities of all serving servers.
     pub total_nominal: f64,
-    /// Nanoseconds for which the server may be sent what it admits; see [`SlowStart::accrued`].
-    pub accrued: f64,
+    /// The time, in nanoseconds, whose admissible requests may be sent now; see [`SlowStart::accrued_nanos`].
+    pub accrued_nanos: f64,
 }
 
-/// A server, as far as its slow start is concerned.
+/// The state of a server that its slow start depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerRamp {
     /// See [`SlowStart::capacity_factor`].
     pub capacity_factor: f64,
     /// Capacity relative to other servers.
     pub nominal: f64,
-    /// Until then it recovers from overload.
+    /// The end of its recovery from overload.
     pub recovering_until: MonotonicTime,
-    /// When this node last started an attempt there.
+    /// The time at which this node last sent it an attempt.
     pub last_sent_at: MonotonicTime,
 }
 
@@ -57,8 +58,8 @@
         }
     }
 
-    /// The fraction of its capacity that a server has at `now`: from the floor at its start to one after the
-    /// warm-up. A start at zero means long ago.
+    /// Returns the fraction of its nominal capacity that a server has at `now`. It grows from the floor at the server's
+    /// start to one at the end of the warm-up time. A start at zero means long ago.
     pub fn capacity_factor(&self, now: MonotonicTime, started_at: MonotonicTime) -> f64 {
         let age = now.saturating_duration_since(started_at);
         if started_at == MonotonicTime::ZERO || age >= self.duration {
@@ -67,8 +68,8 @@
         self.floor + (1.0 - self.floor) * age.as_nanos_f64() / self.duration.as_nanos_f64()
     }
 
-    /// The fraction of this node's placements that a server admits now, per unit of its nominal capacity; infinite
-    /// for a server that neither warms up nor recovers.
+    /// Returns the fraction of this node's requests that a server admits now, per unit of its nominal capacity. It is
+    /// infinite for a server that is neither warming up nor recovering.
     pub fn admissible_fraction(&self, now: MonotonicTime, server: &ServerRamp, target: &FillTarget) -> f64 {
         let is_warming_up = server.capacity_factor < 1.0;
         if !is_warming_up && now >= server.recovering_until {
@@ -80,18 +81,18 @@
             1.0 / RECOVERY_TIME.as_nanos_f64()
         };
         let rate = fill_rate * target.connections / target.total_nominal.max(f64::MIN_POSITIVE);
-        // A burst of arrivals is not in the rate yet: one placement at a time.
+        // The rate does not reflect a burst of arrivals yet, so requests to the server keep a minimum interval.
         let interval = (1.0 / (rate * server.nominal)).min(self.overload_after.as_nanos_f64());
         if now.saturating_duration_since(server.last_sent_at).as_nanos_f64() < interval {
             return 0.0;
         }
-        rate * target.accrued
+        rate * target.accrued_nanos
     }
 
-    /// Nanoseconds for which servers in slow start may be sent what they admit, given the time of this node's last
-    /// selection: no more than about the time in which a server is overloaded, however many requests arrive one after
-    /// another. `setup_interval` is the unthrottled one of this node.
-    pub fn accrued(
+    /// Returns the time, in nanoseconds, whose admissible requests may be sent to servers in slow start. It counts from
+    /// this node's last selection, so that a burst of requests shares it, and is limited to about the time after which
+    /// an overload makes a server fail. `setup_interval` is the unthrottled one of this node.
+    pub fn accrued_nanos(
         &self,
         now: MonotonicTime,
         last_selection_at: MonotonicTime,
