--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -1,24 +1,24 @@
-//! Whether a client's connection may be closed.
+//! The check before a client's connection is closed.
 
 use super::Violation;
 
-/// The state of a client's connection that this node is about to close.
+/// The state of a client connection that this node is about to close.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseInputs {
-    /// Its request has been read.
+    /// The client's request has been read.
     pub has_request: bool,
     /// The request's final answer has been written.
     pub is_answered: bool,
-    /// The request's session is established: it ends after a `MOVE`, or when the client or the server ends it.
+    /// The request's session is established. It may only end after a `MOVE`, or when the client or the server ends it.
     pub is_established: bool,
-    /// A `MOVE` was sent to the client, or the client or the server had ended the session.
+    /// A `MOVE` was sent to the client, or the client or the server has ended the session.
     pub is_announced: bool,
 }
 
-/// Checks that a connection may be closed.
+/// Checks whether a connection may be closed.
 ///
 /// # Errors
-/// The rule that closing it now breaks.
+/// Returns the rule that closing the connection now would break.
 pub fn check_close(inputs: &CloseInputs) -> Result<(), Violation> {
     if inputs.has_request && !inputs.is_answered {
         return Err(Violation::ClosedUnanswered);
--- a/src/rules/mod.rs
+++ b/src/rules/mod.rs
@@ -1,9 +1,9 @@
-//! The rules of the protocol, checked at the moments at which a node could break them: whether a request may be
-//! started, sent, retried or closed now.
+//! The rules of the protocol, checked wherever the node could break one: whether a request may be started, sent or
+//! retried, and whether a connection may be closed.
 //!
-//! Each check is a function without clock, I/O or state: its inputs are a struct, and the reasons against are an enum.
-//! The balancer calls [`may_retry`] before each attempt, frontends the others before they act. A [`Violation`] is a rule
-//! that was broken nevertheless: a [`ViolationLog`] counts and logs it.
+//! Each check is a function without clock, I/O or state: a struct contains its inputs, an enum the reasons for a
+//! refusal. The balancer calls [`may_retry`] before each attempt; the frontends call the others before they act. A
+//! [`Violation`] is a rule that was broken in spite of the checks: a [`ViolationLog`] counts and logs it.
 
 mod close;
 mod retry;
--- a/src/rules/retry.rs
+++ b/src/rules/retry.rs
@@ -1,34 +1,34 @@
-//! Whether a request may have one more attempt.
+//! The check before a further attempt of a request.
 
 use crate::model::{RequestClass, Settings};
 use crate::resilience::AttemptHistory;
 use sparbank_time::MonotonicTime;
 
-/// The state of a request that waits for its next attempt.
+/// The state of a request that is waiting for its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInputs<'a> {
-    /// The time.
+    /// The current time.
     pub now: MonotonicTime,
-    /// When the request's client stops waiting.
+    /// The request's deadline.
     pub deadline: MonotonicTime,
     /// The attempts so far.
     pub attempts: &'a AttemptHistory,
     /// The request's class.
     pub class: &'a RequestClass,
-    /// The request is queued for admission, and would be admitted only after its deadline.
+    /// The request is queued for admission and would be admitted only after its deadline.
     pub misses_deadline: bool,
 }
 
-/// Why a request gets no further attempt: its final answer follows.
+/// Why a request gets no further attempt. The final answer follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryRefusal {
     /// The request's deadline has passed.
     #[error("deadline-passed")]
     DeadlinePassed,
-    /// It is queued for admission, and would be admitted only after its deadline.
+    /// The request is queued for admission and would be admitted only after its deadline.
     #[error("queue-too-slow")]
     QueueTooSlow,
-    /// All attempts are used up.
+    /// The maximum number of attempts has been made.
     #[error("attempts-used")]
     AttemptsUsed,
     /// An earlier attempt may have run, and its effect must not run twice.
@@ -36,10 +36,10 @@
     MayHaveRun,
 }
 
-/// Whether the request may have one more attempt.
+/// Checks whether the request may have one more attempt.
 ///
 /// # Errors
-/// The first reason against it.
+/// Returns the first reason against it.
 pub fn may_retry(inputs: &RetryInputs, settings: &Settings) -> Result<(), RetryRefusal> {
     if inputs.now >= inputs.deadline {
         return Err(RetryRefusal::DeadlinePassed);
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -1,51 +1,51 @@
-//! Whether a request may be written to a server now.
+//! The check before a request is written to a server.
 
 use crate::model::MAX_STALL;
 use sparbank_time::MonotonicTime;
 
-/// The client's and the server's side of an attempt, as a frontend observes them right before it sends the request.
+/// The state of client and server, as observed by a frontend immediately before it sends the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The client has ended or reset its connection, or cancelled its request.
+    /// The client has closed or reset its connection, or cancelled its request.
     pub client_gone: bool,
-    /// The endpoint list has the server as one that takes new requests.
+    /// The server is in the endpoint list and accepts new requests.
     pub server_ready: bool,
 }
 
-/// The state of an attempt right before the first byte of its request is written to the server.
+/// The state of an attempt immediately before the first byte of its request is written to the server.
 #[derive(Clone, Copy, Debug)]
 pub struct SendInputs {
-    /// The time, read after `peers` was observed.
+    /// The current time, read after `peers` was observed.
     pub now: MonotonicTime,
-    /// The client's and the server's side.
+    /// The state of client and server.
     pub peers: PeerStatus,
-    /// The request waits for this attempt and no other.
+    /// The attempt is the request's current one.
     pub is_current_attempt: bool,
-    /// The latest time for the write; see [`send_by`].
+    /// The time before which the request must be written; see [`send_by`].
     pub send_by: MonotonicTime,
 }
 
 /// Why a request may not be written to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SendRefusal {
-    /// The client no longer waits for the answer.
+    /// The client is no longer waiting for the answer.
     #[error("client-gone")]
     ClientGone,
-    /// The request has been answered, or has another attempt.
+    /// The request has been answered, or another attempt is its current one.
     #[error("not-current")]
     NotCurrent,
     /// The server is draining or was removed.
     #[error("server-not-ready")]
     ServerNotReady,
-    /// The request's deadline, or the window in which servers discard a retry, is over.
+    /// The request's deadline or the window in which servers discard a retry has passed.
     #[error("too-late")]
     TooLate,
 }
 
-/// Whether the request may be written now.
+/// Checks whether the request may be written now.
 ///
 /// # Errors
-/// The first reason against it.
+/// Returns the first reason against it.
 pub fn may_send(inputs: &SendInputs) -> Result<(), SendRefusal> {
     if inputs.peers.client_gone {
         return Err(SendRefusal::ClientGone);
@@ -62,8 +62,8 @@
     Ok(())
 }
 
-/// The time before which an attempt has to be written: its request's deadline, or, for a retry that servers discard only
-/// until `dedup_window_end`, [`MAX_STALL`] before that end if it is earlier.
+/// Returns the time before which a request must be written to the server: its deadline or, for a retry that servers
+/// discard only until `dedup_window_end`, [`MAX_STALL`] before that end if this is earlier.
 pub fn send_by(deadline: MonotonicTime, dedup_window_end: Option<MonotonicTime>) -> MonotonicTime {
     match dedup_window_end {
         Some(end) => deadline.min(end - MAX_STALL),
--- a/src/rules/start.rs
+++ b/src/rules/start.rs
@@ -1,27 +1,27 @@
-//! Whether a request that has been read may be started.
+//! The check before a request that has been read is started.
 
-/// The state of the node and the client when the client's request line is complete.
+/// The state of the node and of the client when the request line is complete.
 #[derive(Clone, Copy, Debug)]
 pub struct StartInputs {
-    /// The process is about to exit: it would not be there to forward the answer.
+    /// The process is about to exit and could not forward the answer any more.
     pub is_closing: bool,
-    /// The client restores a session that it had before this process started; no server is selected for it.
+    /// The client restores a session from before this process started, for which no server is selected.
     pub is_restored: bool,
     /// The client has sent more than the request line.
     pub has_more_input: bool,
-    /// A request with this id is open here.
+    /// A request with the same id is open at this node.
     pub is_duplicate_id: bool,
-    /// A descriptor is available for the connection to a server.
+    /// A descriptor for the connection to a server is available.
     pub has_descriptor: bool,
 }
 
-/// Why a request is answered without any attempt.
+/// Why a request is answered without an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
-    /// The client sent more than the request line before its answer.
+    /// The client sent more than the request line before it was answered.
     #[error("more-input")]
     MoreInput,
-    /// A request with this id is open here: servers close the connection on a second one.
+    /// A request with the same id is open at this node. Servers close the connection when they receive a second one.
     #[error("duplicate-id")]
     DuplicateId,
     /// The process is about to exit.
@@ -32,10 +32,10 @@
     NoDescriptor,
 }
 
-/// Whether the request may be started.
+/// Checks whether the request may be started.
 ///
 /// # Errors
-/// The first reason against it.
+/// Returns the first reason against it.
 pub fn may_start(inputs: &StartInputs) -> Result<(), StartRefusal> {
     if inputs.has_more_input {
         return Err(StartRefusal::MoreInput);
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the rules: each check gives the first reason against.
+//! Unit tests of the rules: each check returns the first reason against.
 
 use super::*;
 use crate::model::{DedupScope, Effect, Outcome, RequestClass, ServerId, Settings};
@@ -29,7 +29,7 @@
 #[case(SendInputs { is_current_attempt: false, ..send_inputs() }, Err(SendRefusal::NotCurrent))]
 #[case(SendInputs { peers: PeerStatus { server_ready: false, ..READY }, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
 #[case(SendInputs { now: MonotonicTime::from_nanos(11), ..send_inputs() }, Err(SendRefusal::TooLate))]
-fn a_request_is_sent_for_a_client_that_waits_to_a_server_that_is_ready_in_time(
+fn a_request_is_sent_only_for_a_waiting_client_to_a_ready_server_and_in_time(
     #[case] inputs: SendInputs,
     #[case] expected: Result<(), SendRefusal>,
 ) {
@@ -41,7 +41,10 @@
 #[case(Some(900), 750)]
 #[case(Some(5_000), 1_200)]
 #[case(Some(100), 0)]
-fn a_stall_does_not_carry_a_retry_past_its_window(#[case] window_end_ms: Option<u64>, #[case] by_ms: u64) {
+fn a_retry_is_not_sent_after_its_dedup_window_despite_a_stall(
+    #[case] window_end_ms: Option<u64>,
+    #[case] by_ms: u64,
+) {
     let window_end = window_end_ms.map(at_ms);
     assert_eq!(send_by(at_ms(1_200), window_end), at_ms(by_ms));
 }
@@ -63,7 +66,7 @@
 #[case(StartInputs { is_closing: true, ..start_inputs() }, Err(StartRefusal::Closing))]
 #[case(StartInputs { is_closing: true, is_restored: true, ..start_inputs() }, Ok(()))]
 #[case(StartInputs { has_descriptor: false, ..start_inputs() }, Err(StartRefusal::NoDescriptor))]
-fn a_request_is_taken_on_where_it_can_be_answered(
+fn a_request_is_started_only_if_it_can_be_answered(
     #[case] inputs: StartInputs,
     #[case] expected: Result<(), StartRefusal>,
 ) {
@@ -76,7 +79,7 @@
 #[case(true, true, false, false, Ok(()))]
 #[case(true, true, true, false, Err(Violation::CutOff))]
 #[case(true, true, true, true, Ok(()))]
-fn a_connection_is_closed_with_its_answer_and_its_announcement(
+fn a_connection_is_closed_only_after_the_answer_and_the_announced_end(
     #[case] has_request: bool,
     #[case] is_answered: bool,
     #[case] is_established: bool,
@@ -91,9 +94,9 @@
 #[case::at_once(0, 0, false, Ok(()))]
 #[case::deadline(1_200, 0, false, Err(RetryRefusal::DeadlinePassed))]
 #[case::queue_too_slow(0, 0, true, Err(RetryRefusal::QueueTooSlow))]
-#[case::used(0, 3, false, Err(RetryRefusal::AttemptsUsed))]
+#[case::attempts_used(0, 3, false, Err(RetryRefusal::AttemptsUsed))]
 #[case::may_have_run(0, 1, false, Err(RetryRefusal::MayHaveRun))]
-fn a_request_is_repeated_in_time_and_where_nothing_may_run_twice(
+fn a_request_is_retried_only_in_time_and_if_nothing_can_run_twice(
     #[case] now_ms: u64,
     #[case] attempts_so_far: u32,
     #[case] misses_deadline: bool,
--- a/src/rules/violation.rs
+++ b/src/rules/violation.rs
@@ -1,40 +1,40 @@
-//! Rules that were broken: counted, and logged with the ids that lead to the cause.
+//! Rules that were broken. They are counted, and logged with the ids that help to find the cause.
 
-/// A rule that this node has broken. Each is a fault of this program.
+/// A rule that this node has broken. Every violation is a fault of this program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// A client's connection was closed with its request read and not answered.
+    /// A client's connection was closed after its request had been read and before it was answered.
     #[error("closed-unanswered")]
     ClosedUnanswered,
     /// A client got a second final answer.
     #[error("answered-twice")]
     AnsweredTwice,
-    /// An established session was ended without `MOVE` while its client and its server were connected.
+    /// An established session was ended without `MOVE` while its client and its server were still connected.
     #[error("cut-off")]
     CutOff,
-    /// The process ended with requests or connections open.
+    /// The process ended with open requests or connections.
     #[error("open-at-exit")]
     OpenAtExit,
 }
 
-/// What a violation is about, for the log.
+/// The context of a violation, for the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ViolationContext<'a> {
-    /// One request.
+    /// A violation that concerns a request.
     Request {
-        /// The node's id of the request; zero if it has none yet.
+        /// The id that the node assigned to the request; zero if there is none yet.
         request: u64,
-        /// The client's id of the request.
+        /// The id that the client gave the request.
         id: &'a str,
     },
-    /// The end of the process.
+    /// A violation at the end of the process.
     Exit {
-        /// Connections that are established still.
+        /// Number of connections that are still established.
         open: usize,
     },
 }
 
-/// The violations of this process.
+/// Counts and logs the violations of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ViolationLog {
     count: u64,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Violations so far.
+    /// The number of violations so far.
     pub fn count(&self) -> u64 {
         self.count
     }
