--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -118,7 +118,7 @@
         let request = self.register(arrival, Phase::Established);
         request.attempts.on_resumed();
         let group = request.group;
-        self.servers.reserve(server, arrival.id, group, self.now);
+        self.servers.add_in_flight(server, arrival.id, group, self.now);
         self.on_success(server);
     }
 
@@ -136,7 +136,7 @@
         if request.phase == Phase::BackingOff {
             return;
         }
-        self.servers.release(server, id, request.group);
+        self.servers.remove_in_flight(server, id, request.group);
         request.attempts.on_ended(server, outcome);
         let is_finished = request.is_closing || done;
         let was_established = request.phase == Phase::Established;
@@ -239,7 +239,7 @@
         let Some(server) = selected else { return self.back_off(id) };
         request.phase = Phase::Attempting;
         request.attempts.on_sent(server, self.now);
-        self.servers.reserve(server, id, request.group, self.now);
+        self.servers.add_in_flight(server, id, request.group, self.now);
         let pacing_delay = uniform_duration_up_to(self.rng.next_u64(), 2 * self.setup_interval());
         self.admission.on_sent(self.now + pacing_delay);
         self.actions.push(Action::StartAttempt { id, server, timeout, send_by });
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -86,8 +86,8 @@
         self.total_nominal = self.serving.iter().map(|server| self.get(*server).attributes.nominal).sum();
     }
 
-    /// Records an attempt or connection at a server.
-    pub fn reserve(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: MonotonicTime) {
+    /// Adds an attempt or connection at a server.
+    pub fn add_in_flight(&mut self, server: ServerId, id: RequestId, group: Option<u64>, now: MonotonicTime) {
         if let Some(server) = self.servers.get_mut(server.index()) {
             server.in_flight.insert(id, group);
             server.health.on_sent(now);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// Removes an attempt or connection at a server that has ended.
-    pub fn release(&mut self, server: ServerId, id: RequestId, group: Option<u64>) {
+    /// Removes an attempt or connection that has ended at a server.
+    pub fn remove_in_flight(&mut self, server: ServerId, id: RequestId, group: Option<u64>) {
         let server = self.servers.get_mut(server.index());
         if server.is_some_and(|server| server.in_flight.remove(id, group)) {
             self.in_flight -= 1;
