--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -52,7 +52,7 @@
     }
 
     /// Returns this node's fraction of the fleet's load, given the number of its open requests: an even share, or its
-    /// actual share if that is larger because it has taken over the load of nodes that have failed.
+    /// actual share if that is larger, for example because other nodes are gone and it has taken over their load.
     pub fn load_share(&self, requests: usize) -> f64 {
         let even_share = 1.0 / self.nodes;
         let actual_share =
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -1,11 +1,11 @@
 //! Outlier detection for one endpoint: whether and how long a server is ejected after a failure.
 //!
-//! An endpoint that discovery has sent or that has answered is *confirmed*. Each failure ejects it for a Full Jitter
-//! time whose limit doubles from [`EJECTION_BASE`] to [`EJECTION_CAP`]. An endpoint that only a cached list contains is
-//! *unconfirmed*: it may have been removed long ago. Until an attempt succeeds it gets one attempt at a time, as long
-//! as other servers are eligible. Its first failure ejects it for up to [`EJECTION_CAP`], further ones for longer than
-//! that. It therefore costs at most two attempts within any `EJECTION_CAP`, unless all eligible servers are unconfirmed
-//! and have an attempt in flight.
+//! An endpoint that discovery has confirmed or that has answered is *confirmed*. Each failure ejects it for a Full
+//! Jitter time whose limit doubles from [`EJECTION_BASE`] to [`EJECTION_CAP`]. An endpoint that only a cached list
+//! contains is *unconfirmed*: it may have been removed long ago. Until an attempt succeeds it gets one attempt at a
+//! time, as long as other servers are eligible. Its first failure ejects it for up to [`EJECTION_CAP`], further ones
+//! for longer than that. It therefore costs at most two attempts within any `EJECTION_CAP`, unless all eligible servers
+//! are unconfirmed and have an attempt in flight.
 
 use super::backoff::full_jitter_limit;
 use crate::model::{ListKind, Outcome};
