--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting connections, and the backpressure on listeners when descriptors run short.
+//! Accepting connections, and backpressure on the listeners when descriptors are short.
 
 use super::buffered_sockets::BufferedSockets;
 use super::event::{SocketEventKind, SocketOwner};
@@ -14,26 +14,26 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// Connections accepted from one listener in one iteration: fewer than the descriptors that stay free, so that
-/// one iteration's arrivals never take the last ones.
+/// Connections accepted from one listener per iteration. This is less than the number of descriptors that are
+/// kept free, so that the arrivals of a single iteration cannot use up the last ones.
 const ACCEPTS_PER_ITERATION: usize = 16;
-/// The same for a listener with reserved descriptors: fewer than its reserve, so that each connection is read
-/// before it can be evicted.
+/// The same limit for a listener with reserved descriptors. It is less than the size of the reserve, so that
+/// every connection is read before it can be evicted.
 const RESERVED_ACCEPTS_PER_ITERATION: usize = 4;
-/// How long accepting pauses when the system has no descriptors left.
+/// How long accepting pauses when the kernel has no descriptors left.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts connections while there are descriptors for them.
+/// Accepts connections while descriptors are available.
 pub(super) struct Acceptor {
-    /// Accepting is paused until then, because the system had no descriptors left.
+    /// End of the current pause. Accepting pauses when the kernel has no descriptors left.
     paused_until: Option<MonotonicTime>,
     pauses: u64,
-    /// Whether the frontends accept connections; where not, another process does.
+    /// Whether the frontends accept connections. If not, another process accepts them on the shared sockets.
     frontends_accept: bool,
 }
 
 impl Acceptor {
-    /// Accepts connections for all owners.
+    /// Creates an acceptor with all listeners enabled.
     pub(super) fn new() -> Acceptor {
         Acceptor { paused_until: None, pauses: 0, frontends_accept: true }
     }
@@ -45,7 +45,7 @@
         self.watch_listeners(store, if paused { Interest::empty() } else { Interest::IN });
     }
 
-    /// Accepts all connections that wait at the frontends' listeners. Yields whether there were any.
+    /// Accepts all connections that are queued at the frontends' listeners. Returns whether there were any.
     pub(super) fn accept_waiting(
         &mut self,
         sockets: &mut BufferedSockets,
@@ -67,7 +67,7 @@
         sockets.store.event_count() > events_before
     }
 
-    /// Accepts the connections that wait at a listener, up to the limit of an iteration.
+    /// Accepts the connections that are queued at a listener, up to the limit per iteration.
     pub(super) fn accept_ready(
         &mut self,
         sockets: &mut BufferedSockets,
@@ -86,17 +86,17 @@
                 Ok(fd) if uses_reserve => add_on_reserve(sockets, fd, listener, owner),
                 Ok(fd) => add_accepted(sockets, candidates, fd, listener, owner),
                 Err(Errno::AGAIN) => return,
-                // The system gives this process fewer descriptors than the configuration says.
+                // The process may open fewer descriptors than the configured limit.
                 Err(Errno::MFILE) if candidates.evict(sockets) => {}
-                // The machine is short of something: an eviction here would not help.
+                // A system-wide shortage, which an eviction here would not relieve.
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     return self.pause(&mut sockets.store);
                 }
-                // That connection is gone already; the next may not be.
+                // This connection was aborted before it was accepted; the next one may be fine.
                 Err(_) => failures += 1,
             }
         }
-        // The listener stays readable whatever is wrong with it.
+        // The listener itself may be at fault. It stays readable, so accepting pauses.
         if failures == max_accepts {
             self.pause(&mut sockets.store);
         }
@@ -104,7 +104,8 @@
 
     // ---- Pauses --------------------------------------------------------------------------------
 
-    /// Stops watching the listeners for a while: they stay readable, which would keep the event loop from sleeping.
+    /// Suspends the interest in all listeners for a while: they stay readable, which would keep the event
+    /// loop from sleeping.
     fn pause(&mut self, store: &mut SocketStore) {
         self.paused_until = Some(store.now() + ACCEPT_PAUSE);
         self.pauses += 1;
@@ -112,7 +113,7 @@
         self.watch_listeners(store, Interest::empty());
     }
 
-    /// Ends a pause that has lasted long enough.
+    /// Resumes accepting if the pause has expired.
     pub(super) fn resume_if_pause_is_over(&mut self, store: &mut SocketStore) {
         if self.paused_until.is_some_and(|until| until <= store.now()) {
             self.paused_until = None;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The time-out of a wait that must not outlast a pause.
+    /// Caps the time-out of a wait while accepting is paused.
     pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
         if self.paused_until.is_some() {
             timeout.min(ACCEPT_PAUSE)
@@ -129,7 +130,7 @@
         }
     }
 
-    /// How many pauses there have been.
+    /// Number of pauses so far.
     pub(super) fn pauses(&self) -> u64 {
         self.pauses
     }
@@ -154,12 +155,14 @@
     if let Some(socket) = sockets.store.get_mut(token) {
         socket.await_handshake();
     }
-    // Connections accepted before it are evicted: this one has had no time to complete its handshake.
+    // Reclaim before this connection becomes a candidate, so that earlier ones are evicted instead: this one
+    // has had no time to complete its handshake.
     candidates.reclaim_descriptors(sockets);
     candidates.await_handshake(sockets.store.now(), token);
 }
 
-/// Adds a connection on a reserved descriptor. It is read at once, so that a complete call is not evicted.
+/// Adds a connection on a reserved descriptor. It is read immediately: a connection whose request has already
+/// arrived in full must not be evicted as idle.
 fn add_on_reserve(sockets: &mut BufferedSockets, fd: OwnedFd, listener: Token, owner: SocketOwner) {
     let Some(token) = insert_accepted(&mut sockets.store, fd, listener, owner) else { return };
     if let Some(socket) = sockets.store.get_mut(token) {
@@ -180,7 +183,7 @@
     listener: Token,
     owner: SocketOwner,
 ) -> Option<Token> {
-    // A failure delays small writes and breaks nothing.
+    // Best effort: without TCP_NODELAY, small writes are delayed but still arrive.
     let _ = sockopt::set_tcp_nodelay(&fd, true);
     let token = store.insert(fd, owner, SocketState::Open).ok()?;
     store.emit(token, SocketEventKind::Accepted);
--- a/src/net/buffered_sockets.rs
+++ b/src/net/buffered_sockets.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of buffered connections, and their ends.
+//! Reading, writing and closing buffered connections.
 
 use super::event::SocketEventKind;
 use super::slab::Token;
@@ -11,21 +11,21 @@
 use std::io;
 use std::time::Duration;
 
-/// One read takes at most this much.
+/// Maximum size of one read.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// One read of a closed connection takes at most this much.
+/// Maximum size of one read from a connection that its owner has closed; these bytes are discarded.
 const LINGER_READ_BYTES: usize = 8 * 1024;
 
-/// What has become of a connection that its owner has closed.
+/// State of a connection after its owner has closed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Closing {
-    /// It is over.
+    /// The connection is closed on both sides.
     Complete,
-    /// Output, or the peer's end, is still to come.
+    /// Output is still to be written, or the peer has not closed its side yet.
     Lingering,
 }
 
-/// All sockets, with reading and writing.
+/// All sockets, with buffered reading and writing.
 pub(super) struct BufferedSockets {
     pub(super) store: SocketStore,
     pauses: TransferPauses,
@@ -33,10 +33,10 @@
 }
 
 impl BufferedSockets {
-    /// No sockets yet, for a process that may have this many descriptors.
+    /// Creates an empty set, for a process that may open `descriptor_limit` descriptors.
     ///
     /// # Errors
-    /// Where the system gives no epoll instance.
+    /// Returns an error if the epoll instance cannot be created.
     pub(super) fn new(descriptor_limit: usize) -> io::Result<BufferedSockets> {
         Ok(BufferedSockets {
             store: SocketStore::new(descriptor_limit)?,
@@ -47,7 +47,7 @@
 
     // ---- Reading -------------------------------------------------------------------------------
 
-    /// Reads what has arrived by now at an established connection.
+    /// Reads whatever has arrived on an established connection.
     pub(super) fn read_available(&mut self, token: Token) {
         let readable = |socket: &Socket| socket.is_open() && !socket.is_read_closed();
         if self.store.get(token).is_some_and(readable) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Reads once, as far as the limits allow.
+    /// Reads once, up to the capacity of the input buffer.
     pub(super) fn read(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
         let lingering = socket.is_lingering();
@@ -101,7 +101,7 @@
 
     // ---- Writing -------------------------------------------------------------------------------
 
-    /// Sends bytes: at once as far as the peer takes them, the rest as it drains.
+    /// Sends bytes. What cannot be written immediately is buffered and written as the peer reads.
     pub(super) fn send(&mut self, token: Token, bytes: &[u8]) {
         let Some(socket) = self.store.get_mut(token) else { return };
         if !socket.accepts_output() {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Writes what waits on a connection, as far as the peer takes it.
+    /// Writes buffered output until the peer accepts no more.
     pub(super) fn flush(&mut self, token: Token) {
         let is_writable = |socket: &Socket| socket.is_open() || socket.is_lingering();
         if self.store.get(token).is_some_and(is_writable) {
@@ -129,14 +129,15 @@
         }
     }
 
-    /// Writes output and tells the owner once all of it is written.
+    /// Writes buffered output, and notifies the owner once all of it is written.
     pub(super) fn write(&mut self, token: Token) {
         if self.write_output(token) {
             self.store.emit(token, SocketEventKind::OutputFlushed);
         }
     }
 
-    /// Writes output as far as the peer takes it. True where output was waiting and is all written now.
+    /// Writes buffered output until the peer accepts no more. Returns whether there was any and all of it is
+    /// written.
     fn write_output(&mut self, token: Token) -> bool {
         let Some(socket) = self.store.get_mut(token) else { return false };
         let had_output = socket.buffers.pending_output_bytes() > 0;
@@ -153,7 +154,7 @@
             }
         }
         if socket.take_due_shutdown() {
-            // A failure means that the peer is gone already.
+            // An error means that the peer has already closed the connection.
             let _ = rustix::net::shutdown(&socket.fd, Shutdown::Write);
             if socket.is_lingering() && socket.is_read_closed() {
                 self.store.close(token);
@@ -165,7 +166,7 @@
 
     // ---- Pausing -------------------------------------------------------------------------------
 
-    /// The connection is neither read nor written for a moment.
+    /// Suspends reading and writing of a connection for a short time.
     fn pause(&mut self, token: Token) {
         let now = self.store.now();
         let Some(socket) = self.store.get_mut(token) else { return };
@@ -175,7 +176,7 @@
         self.store.update_interest(token);
     }
 
-    /// Resumes the connections whose pauses are over.
+    /// Resumes the connections whose pauses have expired.
     pub(super) fn resume_paused(&mut self) {
         while let Some(token) = self.pauses.pop_over(self.store.now()) {
             if let Some(socket) = self.store.get_mut(token) {
@@ -185,14 +186,14 @@
         }
     }
 
-    /// The pauses of connections.
+    /// The connections that are paused for lack of kernel memory.
     pub(super) fn pauses(&self) -> &TransferPauses {
         &self.pauses
     }
 
     // ---- Ending --------------------------------------------------------------------------------
 
-    /// Ends our direction of the connection once the output is written. The peer may go on sending.
+    /// Shuts down the write direction once the buffered output is written. The peer may continue to send.
     pub(super) fn shutdown_write(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
         socket.request_shutdown();
@@ -202,8 +203,8 @@
         self.store.update_interest(token);
     }
 
-    /// Closes the connection once its output is written and the peer has ended its sending. A connection that was not
-    /// established is closed at once.
+    /// Closes the connection once its output is written and the peer has closed its write side. A connection
+    /// that is not established is closed immediately.
     pub(super) fn close(&mut self, token: Token) -> Closing {
         let Some(socket) = self.store.get_mut(token) else { return Closing::Complete };
         if matches!(socket.state(), SocketState::Connecting | SocketState::Failed | SocketState::Raw) {
@@ -228,14 +229,14 @@
     /// Closes the connection with a reset.
     pub(super) fn reset(&mut self, token: Token) {
         if let Some(socket) = self.store.get(token) {
-            // Without it the connection ends with an ordinary close.
+            // Best effort: if the option cannot be set, the connection is closed normally instead.
             let _ = sockopt::set_socket_linger(&socket.fd, Some(Duration::ZERO));
         }
         self.store.close(token);
     }
 
-    /// The connection could not be established or was reset. A peer may answer and reset before it has read our
-    /// line: what has arrived is read first.
+    /// Marks the connection as failed: it could not be established or was reset. Whatever has arrived is read
+    /// first, because a peer may send its answer and reset the connection before it has read our request.
     pub(super) fn fail(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
         if socket.state() == SocketState::Failed {
--- a/src/net/buffers.rs
+++ b/src/net/buffers.rs
@@ -1,66 +1,68 @@
-//! The bytes of one connection on their way in and out.
+//! Input and output buffers of a connection.
 
 use super::system::{read, write};
 use rustix::io::Errno;
 use std::os::fd::OwnedFd;
 
-/// Input buffered ahead of the owner, unless the owner sets another limit
+/// Default limit of buffered input; the owner may set another
 /// ([`SocketReactor::set_read_limit`](super::SocketReactor::set_read_limit)).
 const DEFAULT_READ_LIMIT_BYTES: usize = 8 * 1024;
-/// An output buffer that was larger than this is freed once it is empty: there may be many sockets.
+/// An output buffer larger than this is freed once it is empty, to bound the memory held by many idle
+/// sockets.
 const RETAINED_OUTPUT_BYTES: usize = 8 * 1024;
-/// Output waiting at a peer above which the peer is slow: its counterpart's input is not read until it drains.
+/// High watermark of buffered output. Above it the peer counts as slow, and input from the connection that it
+/// is paired with is not read until the output drains.
 pub const OUTPUT_HIGH_WATERMARK_BYTES: usize = 16 * 1024;
 
-/// Input that the owner has not taken, and output that is not written.
+/// Received bytes that the owner has not consumed, and output that is not yet written.
 pub(super) struct Buffers {
     input: Vec<u8>,
     output: Vec<u8>,
     bytes_written: u64,
-    /// Input is buffered up to this many bytes.
+    /// Limit of buffered input.
     read_limit_bytes: usize,
 }
 
 impl Buffers {
-    /// Buffers without any bytes.
+    /// Creates empty buffers.
     pub(super) fn new() -> Buffers {
         Buffers::restored(Vec::new(), Vec::new(), 0)
     }
 
-    /// The buffers of a connection that another process has exported.
+    /// Restores the buffers of a connection that another process exported.
     pub(super) fn restored(input: Vec<u8>, output: Vec<u8>, bytes_written: u64) -> Buffers {
         Buffers { input, output, bytes_written, read_limit_bytes: DEFAULT_READ_LIMIT_BYTES }
     }
 
     // ---- Input ---------------------------------------------------------------------------------
 
-    /// The bytes that have arrived. The owner removes what it has handled.
+    /// The received bytes that the owner has not consumed.
     pub(super) fn input(&self) -> &[u8] {
         &self.input
     }
 
-    /// The same, to be taken.
+    /// The received bytes, for the owner to remove those that it has consumed.
     pub(super) fn input_mut(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
 
-    /// Sets up to how many bytes input is buffered.
+    /// Sets the limit of buffered input.
     pub(super) fn set_read_limit(&mut self, bytes: usize) {
         self.read_limit_bytes = bytes;
     }
 
-    /// How many more bytes of input may be buffered.
+    /// How many more bytes of input fit within the limit.
     pub(super) fn read_capacity(&self) -> usize {
         self.read_limit_bytes.saturating_sub(self.input.len())
     }
 
-    /// Appends bytes that have arrived.
+    /// Appends received bytes.
     pub(super) fn append_input(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
 
-    /// Reads once more from a connection that has failed, by way of `chunk`: up to a full buffer, whatever is buffered
-    /// already.
+    /// Reads once more, through `chunk`, after the connection has failed. Reads up to the full limit,
+    /// regardless of how much is already buffered.
     pub(super) fn read_after_failure(&mut self, fd: &OwnedFd, chunk: &mut [u8]) {
         let capacity = self.read_limit_bytes.min(chunk.len());
         let count = loop {
@@ -74,31 +76,31 @@
 
     // ---- Output --------------------------------------------------------------------------------
 
-    /// How many bytes wait to be written.
+    /// Number of buffered output bytes.
     pub(super) fn pending_output_bytes(&self) -> usize {
         self.output.len()
     }
 
-    /// How many bytes have been written.
+    /// Number of bytes written so far.
     pub(super) fn bytes_written(&self) -> u64 {
         self.bytes_written
     }
 
-    /// The position in the output stream of the next byte that is sent.
+    /// Offset in the output stream of the next byte to be sent.
     pub(super) fn output_position(&self) -> u64 {
         self.bytes_written + self.output.len() as u64
     }
 
-    /// Appends bytes that are to be written.
+    /// Appends bytes to the output buffer.
     pub(super) fn append_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Writes bytes without a copy, as far as the peer takes them at once and no output waits before them. What is left
-    /// is buffered, also after an error.
+    /// Writes bytes directly from the slice until the peer accepts no more, provided that no earlier output
+    /// is buffered. The rest is buffered, also after an error.
     ///
     /// # Errors
-    /// Those of the system call, interruptions aside.
+    /// Returns the error of the system call; interrupted calls are retried.
     pub(super) fn write_or_buffer(&mut self, fd: &OwnedFd, mut bytes: &[u8]) -> Result<(), Errno> {
         let mut result = Ok(());
         while !bytes.is_empty() && self.output.is_empty() {
@@ -118,10 +120,11 @@
         result
     }
 
-    /// Writes all output that waits, as far as the peer takes it.
+    /// Writes buffered output until the peer accepts no more.
     ///
     /// # Errors
-    /// Those of the system call, interruptions aside; some output may have been written before.
+    /// Returns the error of the system call; interrupted calls are retried. Some output may have been written
+    /// before the error.
     pub(super) fn write_pending(&mut self, fd: &OwnedFd) -> Result<(), Errno> {
         while !self.output.is_empty() {
             match write(fd, &self.output) {
@@ -142,13 +145,13 @@
         }
     }
 
-    /// Input, output and the number of bytes written, for another process.
+    /// Splits the buffers into the parts that another process needs to continue the connection.
     pub(super) fn into_parts(self) -> BufferParts {
         BufferParts { input: self.input, output: self.output, bytes_written: self.bytes_written }
     }
 }
 
-/// What another process needs of a connection's buffers.
+/// The parts of a connection's buffers that another process needs to continue it.
 pub(super) struct BufferParts {
     pub(super) input: Vec<u8>,
     pub(super) output: Vec<u8>,
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -1,4 +1,4 @@
-//! Starting connections, and learning whether they were established.
+//! Outgoing connections: starting them, and detecting when they are established.
 
 use super::buffered_sockets::BufferedSockets;
 use super::connect_error::ConnectError;
@@ -12,10 +12,10 @@
 use rustix::net::sockopt;
 use std::net::SocketAddr;
 
-/// Starts connections.
+/// Starts outgoing connections and tracks those that were established.
 #[derive(Default)]
 pub(super) struct Connector {
-    /// Connections established since they were last taken.
+    /// Connections established since the last [`Connector::take_established`].
     established: Vec<Token>,
     shortages: u64,
 }
@@ -24,7 +24,7 @@
     /// Starts a connection.
     ///
     /// # Errors
-    /// Where there is no descriptor, or the system refuses at once.
+    /// Returns an error if no descriptor is available or the connection fails immediately.
     pub(super) fn connect(
         &mut self,
         sockets: &mut BufferedSockets,
@@ -39,7 +39,7 @@
         connecting
     }
 
-    /// Handles the readiness of a socket that was connecting.
+    /// Handles readiness of a socket that is connecting.
     pub(super) fn on_ready(&mut self, sockets: &mut BufferedSockets, token: Token, flags: Interest) {
         let Some(socket) = sockets.store.get_mut(token) else { return };
         if let Ok(Err(_)) | Err(_) = sockopt::socket_error(&socket.fd) {
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes the connections that were established since the last call, in that order.
+    /// Takes the connections that were established since the last call, in the order of establishment.
     pub(super) fn take_established(&mut self, store: &SocketStore) -> Vec<ConnectedSocket> {
         let established = std::mem::take(&mut self.established).into_iter();
         established
@@ -59,7 +59,7 @@
             .collect()
     }
 
-    /// How many connections could not be started for lack of a descriptor, a port or memory.
+    /// Number of connections that could not be started for lack of a descriptor, a port or memory.
     pub(super) fn shortages(&self) -> u64 {
         self.shortages
     }
@@ -73,15 +73,15 @@
 ) -> Result<Token, ConnectError> {
     let fd = loop {
         match system::stream_socket(addr) {
-            // The system gives fewer descriptors than the configuration says.
+            // The process may open fewer descriptors than the configured limit.
             Err(Errno::MFILE) if candidates.evict(sockets) => {}
             created => break created?,
         }
     };
-    // A failure delays small writes and breaks nothing.
+    // Best effort: without TCP_NODELAY, small writes are delayed but still arrive.
     let _ = sockopt::set_tcp_nodelay(&fd, true);
     match system::connect(&fd, addr) {
-        // An interrupted call goes on in the background like any other.
+        // After EINTR the connection continues to be established asynchronously, as after EINPROGRESS.
         Ok(()) | Err(Errno::INPROGRESS | Errno::INTR) => {}
         Err(error) => return Err(error.into()),
     }
--- a/src/net/connect_error.rs
+++ b/src/net/connect_error.rs
@@ -1,24 +1,24 @@
-//! Why a connection could not be started, and whose fault that is.
+//! Errors from starting a connection, classified by cause.
 
 use crate::model::Outcome;
 use rustix::io::Errno;
 
-/// Why a connection could not be started. Nothing was sent.
+/// An error from starting a connection. Nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// This machine is short of descriptors, ports or memory, which passes. It says nothing of the peer.
+    /// This machine is temporarily short of descriptors, ports or memory. The peer may be healthy.
     #[error("shortage: {0}")]
     Shortage(#[source] Errno),
-    /// This machine has no route to the peer now. Another peer may be reached.
+    /// This machine currently has no route to the peer. Other peers may be reachable.
     #[error("no route: {0}")]
     Unroutable(#[source] Errno),
-    /// The peer refused, or the system will not connect to it.
+    /// The peer refused the connection, or the system call failed for another reason.
     #[error("{0}")]
     Failed(#[source] Errno),
 }
 
 impl ConnectError {
-    /// The outcome of an attempt that needed the connection.
+    /// Returns the outcome of an attempt that needed the connection.
     pub fn outcome(self) -> Outcome {
         match self {
             ConnectError::Shortage(_) => Outcome::LocalShortage,
--- a/src/net/deadlines.rs
+++ b/src/net/deadlines.rs
@@ -1,41 +1,42 @@
-//! Time limits of sockets, in the order in which they end.
+//! Queues of socket deadlines.
 
 use super::slab::Token;
 use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
 
-/// A time limit of one socket.
+/// A deadline of one socket.
 pub(super) struct SocketDeadline {
     at: MonotonicTime,
     token: Token,
 }
 
 impl SocketDeadline {
-    /// The socket, whose token may be invalid by now.
+    /// The socket's token, which may be invalid by now.
     pub(super) fn token(&self) -> Token {
         self.token
     }
 }
 
-/// Time limits of one kind, the earliest in front. Entries of sockets that are closed by now may be among them.
+/// Deadlines of one kind, the earliest first. Entries of sockets that have been closed may remain in the
+/// queue.
 #[derive(Default)]
 pub(super) struct DeadlineQueue {
     entries: VecDeque<SocketDeadline>,
 }
 
 impl DeadlineQueue {
-    /// Adds a time limit that ends no earlier than all others.
+    /// Appends a deadline that is no earlier than any other in the queue.
     pub(super) fn push_latest(&mut self, at: MonotonicTime, token: Token) {
         self.entries.push_back(SocketDeadline { at, token });
     }
 
-    /// Adds a time limit at its place, behind those that end at the same time.
+    /// Inserts a deadline in order, behind equal ones.
     pub(super) fn insert(&mut self, at: MonotonicTime, token: Token) {
         let index = self.entries.partition_point(|other| other.at <= at);
         self.entries.insert(index, SocketDeadline { at, token });
     }
 
-    /// Takes the earliest time limit if it has been reached.
+    /// Takes the earliest deadline if it has passed.
     pub(super) fn pop_reached(&mut self, now: MonotonicTime) -> Option<Token> {
         if self.entries.front()?.at > now {
             return None;
@@ -43,29 +44,29 @@
         self.pop_earliest().map(|deadline| deadline.token)
     }
 
-    /// Takes the earliest time limit, reached or not.
+    /// Takes the earliest deadline, even if it has not passed.
     pub(super) fn pop_earliest(&mut self) -> Option<SocketDeadline> {
         self.entries.pop_front()
     }
 
-    /// Puts back what [`DeadlineQueue::pop_earliest`] has taken, in the same order.
+    /// Puts entries from [`DeadlineQueue::pop_earliest`] back at the front, in the order in which they were
+    /// popped.
     pub(super) fn put_back(&mut self, popped: Vec<SocketDeadline>) {
         for deadline in popped.into_iter().rev() {
             self.entries.push_front(deadline);
         }
     }
 
-    /// The time limit of a socket.
+    /// Returns the deadline of a socket.
     pub(super) fn deadline_of(&self, token: Token) -> Option<MonotonicTime> {
         self.entries.iter().find(|deadline| deadline.token == token).map(|deadline| deadline.at)
     }
 
-    /// The sockets that have a time limit.
+    /// The tokens of all entries.
     pub(super) fn tokens(&self) -> impl Iterator<Item = Token> + '_ {
         self.entries.iter().map(|deadline| deadline.token)
     }
 
-    /// Whether there is no time limit.
     pub(super) fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/src/net/epoll_set.rs
+++ b/src/net/epoll_set.rs
@@ -1,7 +1,8 @@
-//! Which sockets epoll watches, and for what.
+//! The epoll set: which sockets epoll watches, and for which events.
 //!
-//! The system may refuse a change of the epoll set for lack of memory. Such a change is remembered and repeated in each
-//! iteration of the event loop until it succeeds: a socket that epoll does not know of would never be read again.
+//! The kernel may refuse a change of the set for lack of memory. Such a change is recorded and retried in
+//! every iteration of the event loop until it succeeds, because a socket that is missing from the set would
+//! never be read again.
 
 use super::poller::{Poller, Readiness};
 use super::slab::Token;
@@ -11,40 +12,40 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// The event loop sleeps no longer than this while a change is to be repeated.
+/// Longest sleep of the event loop while a refused change is to be retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What one socket is watched for.
+/// The epoll interest of one socket.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Watch {
     interest: Interest,
     state: WatchState,
 }
 
-/// What epoll knows of a socket.
+/// What the kernel currently has registered for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum WatchState {
-    /// The socket, with its interest.
+    /// The socket is registered with its current interest.
     Current,
-    /// Nothing: the socket is still to be added.
+    /// The socket is not registered: adding it was refused.
     AddRefused,
-    /// The socket, with an older interest.
+    /// The socket is registered with an outdated interest: the change was refused.
     ChangeRefused,
 }
 
 impl Watch {
-    /// A socket that is to be watched for this.
+    /// Creates the state of a socket that is to be registered with this interest.
     pub(super) fn new(interest: Interest) -> Watch {
         Watch { interest, state: WatchState::Current }
     }
 
-    /// What the socket is to be watched for, whether or not epoll knows it yet.
+    /// The requested interest, which the kernel may not have accepted yet.
     pub(super) fn interest(&self) -> Interest {
         self.interest
     }
 }
 
-/// The epoll instance, and the changes that it has refused.
+/// The epoll instance and the changes that the kernel has refused.
 pub(super) struct EpollSet {
     poller: Poller,
     /// Sockets whose last change was refused.
@@ -53,18 +54,19 @@
 }
 
 impl EpollSet {
-    /// An epoll set without sockets.
+    /// Creates an epoll set without sockets.
     ///
     /// # Errors
-    /// Where the system gives no epoll instance.
+    /// Returns an error if the epoll instance cannot be created.
     pub(super) fn new() -> io::Result<EpollSet> {
         Ok(EpollSet { poller: Poller::new()?, refused: Vec::new(), refused_changes: 0 })
     }
 
-    /// Starts to watch a socket.
+    /// Adds a socket.
     ///
     /// # Errors
-    /// Where it cannot be watched at all; a shortage of memory is none.
+    /// Returns an error if the socket cannot be watched at all. A shortage of memory is not an error: the
+    /// socket is added later.
     pub(super) fn add(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch) -> Result<(), Errno> {
         match self.poller.add(fd, token, watch.interest) {
             Err(error) if is_memory_shortage(error) => {
@@ -75,7 +77,8 @@
         }
     }
 
-    /// Watches a socket for this from now on, or from the iteration on in which the system accepts the change.
+    /// Changes the interest of a socket. If the kernel refuses, the change takes effect once a retry
+    /// succeeds.
     pub(super) fn change(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch, interest: Interest) {
         watch.interest = interest;
         if watch.state == WatchState::Current && self.poller.modify(fd, token, interest).is_err() {
@@ -83,7 +86,8 @@
         }
     }
 
-    /// Stops watching a descriptor that stays open. Closing the last descriptor of a socket does the same.
+    /// Stops watching a descriptor that stays open. Closing the last descriptor of a socket has the same
+    /// effect.
     pub(super) fn delete(&self, fd: &OwnedFd) {
         self.poller.delete(fd);
     }
@@ -91,17 +95,17 @@
     /// Waits for at most `timeout`.
     ///
     /// # Errors
-    /// Where epoll itself fails.
+    /// Returns an error if epoll itself fails.
     pub(super) fn wait(&self, timeout: Duration) -> io::Result<impl Iterator<Item = Readiness>> {
         self.poller.wait(timeout)
     }
 
-    /// Takes the sockets whose changes are to be repeated, each with [`EpollSet::retry`].
+    /// Takes the sockets whose changes are to be retried; the caller passes each to [`EpollSet::retry`].
     pub(super) fn take_refused(&mut self) -> Vec<Token> {
         std::mem::take(&mut self.refused)
     }
 
-    /// Repeats the refused change of a socket.
+    /// Retries the refused change of a socket.
     pub(super) fn retry(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch) {
         let retried = match watch.state {
             WatchState::Current => return,
@@ -114,7 +118,7 @@
         }
     }
 
-    /// The time-out of a wait that must not outlast the interval between two repetitions.
+    /// Caps the time-out of a wait while a change is to be retried.
     pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
         if self.refused.is_empty() {
             timeout
@@ -123,7 +127,7 @@
         }
     }
 
-    /// How many changes the system has refused, repetitions aside.
+    /// Number of changes that the kernel refused, not counting retries.
     pub(super) fn refused_changes(&self) -> u64 {
         self.refused_changes
     }
@@ -135,7 +139,7 @@
     }
 }
 
-/// Whether the system is short of memory for the epoll set, which passes; any other error is permanent.
+/// Whether the kernel is temporarily short of memory for the epoll set. Any other error is permanent.
 fn is_memory_shortage(error: Errno) -> bool {
     matches!(error, Errno::NOMEM | Errno::NOSPC)
 }
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -1,4 +1,4 @@
-//! Events of sockets, for their owners.
+//! Socket events and their recipients.
 
 use super::slab::Token;
 use crate::frontend_id::FrontendId;
@@ -8,46 +8,47 @@
 pub enum SocketOwner {
     /// A frontend.
     Frontend(FrontendId),
-    /// The endpoint registry's watch.
+    /// The client that watches the endpoint registry.
     Discovery,
     /// The pipe that signal handlers write to.
     Signal,
     /// The admin API.
     Admin,
-    /// The channel to the process before this one, or to the one after it.
+    /// The handover channel to the predecessor or to the successor.
     Handover,
     /// The lease protocol between the nodes of the fleet.
     Quota,
 }
 
-/// What happened at a socket.
+/// What happened on a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEventKind {
-    /// A listener accepted this connection.
+    /// A listener accepted the connection.
     Accepted,
-    /// There are more bytes, or the peer has ended its sending
+    /// Bytes arrived, or the peer closed its write side
     /// ([`SocketReactor::is_read_closed`](super::SocketReactor::is_read_closed)).
     Readable,
-    /// Output that had to wait for the peer is now written in full.
+    /// All output that had been buffered is now written.
     OutputFlushed,
-    /// Its descriptor was needed before the peer had completed its handshake. It is closed already.
+    /// The connection was closed before the peer completed its handshake, because its descriptor was needed.
+    /// The token is no longer valid.
     Evicted,
-    /// The peer has not completed its handshake in time. The owner closes the connection.
+    /// The peer did not complete its handshake in time. The owner is to close the connection.
     HandshakeTimeout,
-    /// The connection could not be established, or it was reset. Input that has arrived can still be read;
-    /// the owner then closes the socket.
+    /// The connection could not be established or was reset. Input that has arrived can still be read; the
+    /// owner then closes the socket.
     Failed {
-        /// The connection had been established and no output was waiting.
+        /// Whether the connection had been established and no output was buffered.
         all_written: bool,
     },
 }
 
-/// An event of one socket.
+/// An event on one socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketEvent {
     /// The socket.
     pub token: Token,
-    /// Who handles the event.
+    /// The module that handles the event.
     pub owner: SocketOwner,
     /// What happened.
     pub kind: SocketEventKind,
@@ -58,6 +59,6 @@
 pub struct ConnectedSocket {
     /// The socket.
     pub token: Token,
-    /// Who opened it.
+    /// The module that opened it.
     pub owner: SocketOwner,
 }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -1,5 +1,6 @@
-//! Connections that are closed before others when descriptors run short, and the time limits of the same connections:
-//! closed ones that linger, and accepted ones whose handshake is incomplete.
+//! Eviction: which connections are closed first when descriptors are short. These are lingering closed
+//! connections and accepted connections with an incomplete handshake, whose time limits are enforced here
+//! too.
 
 use super::buffered_sockets::{BufferedSockets, Closing};
 use super::deadlines::DeadlineQueue;
@@ -11,56 +12,57 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// How long a closed connection waits for the peer's end.
+/// How long a closed connection waits for the peer to close its side.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// An accepted peer has this long to complete its handshake: less than the 3 s that are promised, by more than an
-/// iteration of the event loop.
+/// Time limit for an accepted peer to complete its handshake. The guaranteed limit is 3 s; this is shorter by
+/// more than one iteration of the event loop, so that the limit is kept.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(2_600);
 
-/// Connections that nobody uses yet, or any more.
+/// Connections that can be evicted because no request uses them: not yet, or no longer.
 #[derive(Default)]
 pub(super) struct EvictionCandidates {
-    /// Closed connections that wait for the peer's end, the one closed first in front.
+    /// Closed connections that wait for the peer to close its side, ordered by time of close.
     lingering: DeadlineQueue,
-    /// Accepted connections whose handshake may be incomplete, by deadline.
+    /// Accepted connections whose handshake may be incomplete, ordered by deadline.
     awaiting_handshake: DeadlineQueue,
 }
 
 impl EvictionCandidates {
     // ---- Closed connections --------------------------------------------------------------------
 
-    /// Closes a connection after its output is written, and waits a while for the peer's end.
+    /// Closes a connection once its output is written, then waits a limited time for the peer to close its
+    /// side.
     pub(super) fn close(&mut self, sockets: &mut BufferedSockets, token: Token) {
         if sockets.close(token) == Closing::Lingering {
             self.lingering.push_latest(sockets.store.now() + LINGER_TIMEOUT, token);
         }
     }
 
-    /// Closes the connections that have waited long enough for the peer's end.
+    /// Closes the connections whose wait for the peer has expired.
     pub(super) fn end_expired_lingering(&mut self, store: &mut SocketStore) {
         while let Some(token) = self.lingering.pop_reached(store.now()) {
             store.close(token);
         }
     }
 
-    /// Whether every connection that was closed is over on both sides.
+    /// Whether both sides of every closed connection have finished closing.
     pub(super) fn all_closes_complete(&self, store: &SocketStore) -> bool {
         self.lingering.tokens().all(|token| store.get(token).is_none())
     }
 
     // ---- Incomplete handshakes -----------------------------------------------------------------
 
-    /// A connection has been accepted: its handshake is to be complete in time.
+    /// Starts the time limit for the handshake of an accepted connection.
     pub(super) fn await_handshake(&mut self, now: MonotonicTime, token: Token) {
         self.awaiting_handshake.push_latest(now + HANDSHAKE_TIMEOUT, token);
     }
 
-    /// The handshake of a connection from another process is to be complete by then.
+    /// Sets the handshake deadline of a connection that another process exported.
     pub(super) fn await_handshake_until(&mut self, deadline: MonotonicTime, token: Token) {
         self.awaiting_handshake.insert(deadline, token);
     }
 
-    /// When the handshake of a connection must be complete, if it is not yet.
+    /// Returns the handshake deadline of a connection, or `None` if its handshake is complete.
     pub(super) fn handshake_deadline(&self, store: &SocketStore, token: Token) -> Option<MonotonicTime> {
         if !store.get(token)?.is_awaiting_handshake() {
             return None;
@@ -68,7 +70,7 @@
         self.awaiting_handshake.deadline_of(token)
     }
 
-    /// Tells the owners of connections whose handshake has taken too long.
+    /// Notifies the owners of connections whose handshake deadline has passed.
     pub(super) fn report_handshake_timeouts(&mut self, store: &mut SocketStore) {
         while let Some(token) = self.awaiting_handshake.pop_reached(store.now()) {
             if store.get(token).is_some_and(Socket::is_awaiting_handshake) {
@@ -79,8 +81,8 @@
 
     // ---- Eviction ------------------------------------------------------------------------------
 
-    /// Evicts connections while descriptors run short: closed ones that linger, the oldest first, then those that
-    /// have not completed their handshake. False where only connections in use are left.
+    /// Evicts connections while descriptors are short: lingering closes first, oldest first, then connections
+    /// with an incomplete handshake. Returns false if only connections in use are left.
     pub(super) fn reclaim_descriptors(&mut self, sockets: &mut BufferedSockets) -> bool {
         while sockets.store.is_short_of_descriptors() {
             if !self.evict(sockets) {
@@ -90,7 +92,7 @@
         true
     }
 
-    /// Evicts one connection, if one can be.
+    /// Evicts one connection. Returns false if there is no candidate.
     pub(super) fn evict(&mut self, sockets: &mut BufferedSockets) -> bool {
         if let Some(deadline) = self.lingering.pop_earliest() {
             sockets.store.close(deadline.token());
@@ -112,8 +114,8 @@
     }
 }
 
-/// Whether a complete line has arrived from a peer whose handshake is incomplete, read or not: its owner is
-/// about to handle it, so the connection is not idle.
+/// Whether a peer whose handshake is incomplete has sent a complete line, in the buffer or still in the
+/// kernel. Its owner is about to handle that line, so the connection is not idle.
 fn has_unhandled_line(sockets: &mut BufferedSockets, token: Token) -> bool {
     let has_line = |socket: &Socket| socket.buffers.input().contains(&b'\n');
     let awaiting_line = |socket: &Socket| socket.is_awaiting_handshake() && !has_line(socket);
@@ -123,12 +125,13 @@
     sockets.store.get(token).is_some_and(|socket| socket.is_awaiting_handshake() && has_line(socket))
 }
 
-/// Closes a connection whose handshake is still incomplete, and tells its owner.
+/// Closes a connection if its handshake is still incomplete, and notifies its owner.
 fn evict_unless_complete(store: &mut SocketStore, token: Token) {
     let Some(socket) = store.get(token) else { return };
     if socket.is_awaiting_handshake() && socket.is_open() {
         if let Some(farewell) = socket.farewell() {
-            // As much as the peer takes at once: a request may be on its way that crosses the end.
+            // Best effort, without buffering the rest. A request may already be on its way, and this is its
+            // answer.
             let _ = system::write(&socket.fd, farewell);
         }
         store.emit(token, SocketEventKind::Evicted);
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets: how they are bound, and how they pass from one process to the next.
+//! Listening sockets: binding them, and passing them from one process to the next.
 
 use super::slab::Token;
 use super::system;
@@ -8,23 +8,23 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// Connections that the system queues for a listener.
+/// Length of the kernel's queue of connections that are not yet accepted.
 pub(super) const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listening socket that several processes may share.
+/// A listening socket, which several processes may share.
 #[derive(Debug)]
 pub struct ListeningSocket {
-    /// The address that it is bound to.
+    /// The bound address.
     pub addr: SocketAddr,
     /// The socket.
     pub fd: OwnedFd,
 }
 
 impl ListeningSocket {
-    /// Listens on an address; port 0 lets the system pick.
+    /// Listens on an address. With port 0 the kernel picks the port.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub(super) fn bind(addr: SocketAddr) -> io::Result<ListeningSocket> {
         let fd = system::stream_socket(addr)?;
         sockopt::set_socket_reuseaddr(&fd, true)?;
@@ -34,46 +34,46 @@
         Ok(ListeningSocket { addr, fd })
     }
 
-    /// A socket that listens already, and that another process may share.
+    /// Adopts a socket that is already listening and that may be shared with another process.
     ///
     /// # Errors
-    /// Where it cannot be made non-blocking.
+    /// Returns an error if it cannot be made non-blocking.
     pub(super) fn adopt(fd: OwnedFd) -> io::Result<ListeningSocket> {
-        // Another process may accept the connection that this one was woken for.
+        // `accept` must not block when another process takes the connection that woke this one.
         rustix::io::ioctl_fionbio(&fd, true)?;
         let addr = bound_addr(&fd)?;
         Ok(ListeningSocket { addr, fd })
     }
 
-    /// A duplicate of a listening socket, for another process to share.
+    /// Duplicates a listening socket, to share it with another process. Returns `None` if that fails.
     pub(super) fn duplicate(fd: &OwnedFd) -> Option<ListeningSocket> {
         Some(ListeningSocket { addr: bound_addr(fd).ok()?, fd: fd.try_clone().ok()? })
     }
 }
 
-/// A listener of the reactor.
+/// A listener registered with the reactor.
 #[derive(Clone, Copy, Debug)]
 pub struct BoundListener {
-    /// Its token, which accepted connections name
-    /// ([`SocketReactor::accepting_listener`](super::SocketReactor::accepting_listener)).
+    /// The listener's token, as returned for accepted connections by
+    /// [`SocketReactor::accepting_listener`](super::SocketReactor::accepting_listener).
     pub token: Token,
-    /// The address that it is bound to, with the port that the system picked.
+    /// The bound address, with the actual port if port 0 was requested.
     pub addr: SocketAddr,
 }
 
-/// Listening sockets of the process before this one that nobody listens on yet.
+/// Listening sockets inherited from the predecessor that are not in use yet.
 #[derive(Default)]
 pub(super) struct InheritedListeners {
     sockets: Vec<ListeningSocket>,
 }
 
 impl InheritedListeners {
-    /// The listening sockets that a predecessor has handed over.
+    /// Stores the listening sockets that a predecessor has handed over.
     pub(super) fn new(sockets: Vec<ListeningSocket>) -> InheritedListeners {
         InheritedListeners { sockets }
     }
 
-    /// Takes the socket that is bound to this address; port 0 matches any port.
+    /// Takes the socket that is bound to this address. Port 0 matches any port of the same IP address.
     pub(super) fn take(&mut self, addr: SocketAddr) -> Option<ListeningSocket> {
         let matches_addr = |at: &SocketAddr| *at == addr || (addr.port() == 0 && at.ip() == addr.ip());
         let index = self.sockets.iter().position(|listener| matches_addr(&listener.addr))?;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The address that a socket is bound to.
+/// Returns the address that a socket is bound to.
 fn bound_addr(fd: &OwnedFd) -> Result<SocketAddr, Errno> {
     SocketAddr::try_from(rustix::net::getsockname(fd)?).map_err(|_| Errno::AFNOSUPPORT)
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,32 +1,33 @@
-//! Non-blocking sockets behind one epoll instance, and the timer wheel. Nothing here knows a protocol.
+//! Non-blocking sockets on top of one epoll instance, and a timer wheel. This module is protocol-agnostic.
 //!
-//! [`SocketReactor`] owns every socket of the node. Owners address a socket by its [`Token`], receive its
-//! [`SocketEvent`]s from [`SocketReactor::poll`], and exchange bytes with it through bounded buffers. The node has one
-//! reactor; the event loop polls it once in each iteration.
+//! [`SocketReactor`] owns every socket of the node. Owners refer to a socket by its [`Token`], receive its
+//! [`SocketEvent`]s from [`SocketReactor::poll`], and read and write through bounded buffers. A node has a
+//! single reactor, which the event loop polls once per iteration.
 //!
-//! The reactor is put together from parts that own their state; each imports only parts above it in this table.
+//! The reactor is composed of parts that own their state. Each file imports only files above it in this
+//! table.
 //!
-//! | file | concern |
+//! | file | responsibility |
 //! | --- | --- |
-//! | `slab` | slots with generations, tokens |
-//! | `event` | events for owners |
-//! | `connect_error` | why a connection could not be started |
-//! | `system` | the system calls on sockets, which unit tests have fail |
+//! | `slab` | slab with generation counters, and tokens |
+//! | `event` | events delivered to socket owners |
+//! | `connect_error` | errors from starting a connection |
+//! | `system` | wrappers round socket system calls, with fault injection for unit tests |
 //! | `poller` | the epoll instance |
-//! | `epoll_set` | what each socket is watched for, and changes that the system refuses for a moment |
-//! | `buffers` | a connection's bytes in and out |
-//! | `socket` | one socket's state |
-//! | `event_queue` | events that wait for the next poll |
-//! | `reserve`, `descriptors` | the descriptor reserve and the limit |
+//! | `epoll_set` | epoll interest of each socket, and retries of changes that the kernel refused |
+//! | `buffers` | input and output buffers of a connection |
+//! | `socket` | state of one socket |
+//! | `event_queue` | events queued for the next poll |
+//! | `reserve`, `descriptors` | reserved descriptors and the descriptor limit |
 //! | `socket_store` | all sockets |
-//! | `deadlines` | time limits of sockets |
-//! | `transfer_pause` | pauses of connections for which the kernel has no memory |
-//! | `buffered_sockets` | reading, writing, and the ends of connections |
-//! | `eviction` | closed connections that linger, incomplete handshakes, and who is evicted for others |
-//! | `listener`, `accept` | listening sockets; accepting and its backpressure |
-//! | `connect` | connections that are being established |
-//! | `transfer` | the form of connections handed to another process |
-//! | `reactor` | the wait for events, and what owners may do; `reactor::queries`: their queries |
+//! | `deadlines` | queues of socket deadlines |
+//! | `transfer_pause` | pauses of connections whose reads or writes fail for lack of kernel memory |
+//! | `buffered_sockets` | reading, writing and closing buffered connections |
+//! | `eviction` | eviction order, and time limits of lingering closes and incomplete handshakes |
+//! | `listener`, `accept` | listening sockets; accepting connections, and its backpressure |
+//! | `connect` | outgoing connections that are being established |
+//! | `transfer` | serialized state of a connection that is handed to another process |
+//! | `reactor` | polling and the operations on sockets; `reactor::queries`: read-only queries |
 //! | `timer_wheel` | timers |
 
 mod accept;
@@ -61,7 +62,7 @@
 pub use timer_wheel::TimerWheel;
 pub use transfer::{BufferedConnection, ExportedConnection};
 
-/// A token for tests of data structures that are keyed by tokens.
+/// Returns a token for unit tests of data structures that are keyed by tokens.
 #[cfg(test)]
 pub fn token_for_tests(number: u64) -> Token {
     Token::for_tests(number)
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -1,4 +1,4 @@
-//! The epoll instance that watches every socket, level-triggered.
+//! Wrapper round the epoll instance. All sockets are watched level-triggered.
 
 use super::slab::Token;
 use super::system::{self, Interest};
@@ -8,10 +8,10 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// How many events one wait yields at most.
+/// Maximum number of events returned by one wait.
 const EVENTS_PER_WAIT: usize = 256;
 
-/// A descriptor that is ready.
+/// A descriptor that epoll reported as ready.
 pub(super) struct Readiness {
     pub(super) token: Token,
     pub(super) flags: Interest,
@@ -28,19 +28,20 @@
         Ok(Poller { epoll: epoll::create(epoll::CreateFlags::CLOEXEC)? })
     }
 
-    /// Starts to watch a descriptor.
+    /// Starts watching a descriptor.
     pub(super) fn add(&self, fd: &OwnedFd, token: Token, interest: Interest) -> Result<(), Errno> {
         system::epoll_add(&self.epoll, fd, token, interest)
     }
 
-    /// Changes what a watched descriptor is watched for.
+    /// Changes the interest of a watched descriptor.
     pub(super) fn modify(&self, fd: &OwnedFd, token: Token, interest: Interest) -> Result<(), Errno> {
         system::epoll_modify(&self.epoll, fd, token, interest)
     }
 
-    /// Stops watching a descriptor that stays open. Closing the last descriptor of a socket does the same.
+    /// Stops watching a descriptor that stays open. Closing the last descriptor of a socket has the same
+    /// effect.
     pub(super) fn delete(&self, fd: &OwnedFd) {
-        // The descriptor was added, so this cannot fail.
+        // Cannot fail, as the descriptor is registered.
         let _ = epoll::delete(&self.epoll, fd);
     }
 
@@ -52,7 +53,8 @@
         loop {
             match epoll::wait(&self.epoll, rustix::buffer::spare_capacity(&mut events), Some(&timeout)) {
                 Ok(_) => break,
-                // The caller runs timers next: what arrived before one of them is to be handled first.
+                // Poll once more without waiting: the caller runs timers next, and input that arrived before
+                // a timer expired must be handled before it.
                 Err(Errno::INTR) => timeout = Timespec { tv_sec: 0, tv_nsec: 0 },
                 Err(error) => return Err(error.into()),
             }
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -1,6 +1,6 @@
-//! The reactor: the wait for events of all sockets, and what owners may do with a socket.
+//! The reactor: polls all sockets, and offers their owners the operations on a socket.
 //!
-//! The work is done by the parts that own the state; this file calls them in the right order.
+//! The state and the logic are in the submodules of `net`; this file calls them in the required order.
 
 use super::accept::Acceptor;
 use super::buffered_sockets::BufferedSockets;
@@ -25,20 +25,20 @@
 #[cfg(test)]
 mod tests;
 
-/// How often the system was short of something, since the start.
+/// Counts of resource shortages since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ShortageCounts {
-    /// Pauses of the listeners.
+    /// Times that accepting was paused.
     pub accept_pauses: u64,
-    /// Changes of the epoll set that were refused.
+    /// Changes of the epoll set that the kernel refused.
     pub refused_watches: u64,
-    /// Connections that were paused because a read or write found no kernel memory.
+    /// Times that a connection was paused because a read or write failed for lack of kernel memory.
     pub transfer_pauses: u64,
     /// Connections that could not be started for lack of a descriptor, a port or memory.
     pub failed_connects: u64,
 }
 
-/// All sockets of the node. See the [module](super) for the parts.
+/// All sockets of the node. The parts are listed in the [module documentation](super).
 pub struct SocketReactor {
     sockets: BufferedSockets,
     candidates: EvictionCandidates,
@@ -48,10 +48,10 @@
 }
 
 impl SocketReactor {
-    /// A reactor without sockets, for a process that may have this many descriptors.
+    /// Creates a reactor without sockets, for a process that may open `descriptor_limit` descriptors.
     ///
     /// # Errors
-    /// Where the system gives no epoll instance.
+    /// Returns an error if the epoll instance cannot be created.
     pub fn new(descriptor_limit: usize) -> io::Result<SocketReactor> {
         Ok(SocketReactor {
             sockets: BufferedSockets::new(descriptor_limit)?,
@@ -64,10 +64,11 @@
 
     // ---- Waiting -------------------------------------------------------------------------------
 
-    /// Waits for at most `timeout` and yields what happened, events of connections on reserved descriptors first.
+    /// Waits for at most `timeout` and returns the events. Those of connections on reserved descriptors come
+    /// first.
     ///
     /// # Errors
-    /// Where epoll itself fails; the node cannot continue.
+    /// Returns an error if epoll itself fails; the node cannot continue then.
     pub fn poll(&mut self, now: MonotonicTime, timeout: Duration) -> io::Result<Vec<SocketEvent>> {
         self.sockets.store.set_now(now);
         self.candidates.end_expired_lingering(&mut self.sockets.store);
@@ -81,7 +82,7 @@
         Ok(self.sockets.store.take_events_reserved_first())
     }
 
-    /// The time-out of a wait that must not outlast a pause, or delay events that are there already.
+    /// Caps the time-out so that the wait neither outlasts a pause nor delays events that are already queued.
     fn limit_wait(&self, timeout: Duration) -> Duration {
         if self.sockets.store.event_count() > 0 {
             return Duration::ZERO;
@@ -91,7 +92,7 @@
         self.sockets.pauses().limit_wait(timeout)
     }
 
-    /// What has happened since the last poll without a wait of its own.
+    /// Returns the events queued since the last poll, without waiting.
     pub fn take_pending_events(&mut self) -> Vec<SocketEvent> {
         self.sockets.store.take_events()
     }
@@ -110,7 +111,7 @@
     }
 
     fn report_raw_readiness(&mut self, token: Token, flags: Interest) {
-        // The owner finds the peer's end by reading.
+        // ERR and HUP count as readable too: the owner learns of the peer's close by reading.
         if flags != Interest::OUT {
             self.sockets.store.emit(token, SocketEventKind::Readable);
         }
@@ -135,36 +136,37 @@
 
     // ---- Connecting ----------------------------------------------------------------------------
 
-    /// Starts a connection. What is sent meanwhile is written once it is established
+    /// Starts a connection. Bytes sent before it is established are buffered
     /// ([`SocketReactor::take_connected`]).
     ///
     /// # Errors
-    /// Where there is no descriptor, or the system refuses at once.
+    /// Returns an error if no descriptor is available or the connection fails immediately.
     pub fn connect(&mut self, addr: SocketAddr, owner: SocketOwner) -> Result<Token, ConnectError> {
         self.connector.connect(&mut self.sockets, &mut self.candidates, addr, owner)
     }
 
-    /// The connections that were established since the last call, in that order. Their owners decide what is written
-    /// first, once all else of the iteration is known; [`SocketReactor::flush`] then writes it.
+    /// Takes the connections that were established since the last call, in the order of establishment.
+    /// Nothing is written to them yet: their owners decide what is written first, once all other events of
+    /// the iteration are handled, and then call [`SocketReactor::flush`].
     pub fn take_connected(&mut self) -> Vec<ConnectedSocket> {
         self.connector.take_established(&self.sockets.store)
     }
 
     // ---- Listening -----------------------------------------------------------------------------
 
-    /// Listens on an address and yields the address that it is bound to, for a port that the system picked.
+    /// Listens on an address. Returns the bound address, which has the actual port if port 0 was requested.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn listen(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<SocketAddr> {
         self.listen_with_token(addr, owner).map(|listener| listener.addr)
     }
 
-    /// The same, with the listener's token, for an owner of several listeners
-    /// ([`SocketReactor::accepting_listener`]).
+    /// Like [`SocketReactor::listen`], but also returns the listener's token, for an owner of several
+    /// listeners ([`SocketReactor::accepting_listener`]).
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn listen_with_token(&mut self, addr: SocketAddr, owner: SocketOwner) -> io::Result<BoundListener> {
         let listening = match self.inherited_listeners.take(addr) {
             Some(ListeningSocket { addr, fd }) => {
@@ -176,12 +178,12 @@
         self.add_listener(listening, owner)
     }
 
-    /// Listens for connections on reserved descriptors, `max_connections` at a time: no shortage takes these
-    /// descriptors, and the longest idle connection among them is evicted for the next one. Their events come
-    /// first.
+    /// Listens for connections that use reserved descriptors, `max_connections` at most. A shortage of
+    /// descriptors does not affect them; when the reserve is full, the connection that has been idle longest
+    /// is evicted for the next one. Their events are delivered first.
     ///
     /// # Errors
-    /// Where the address cannot be bound.
+    /// Returns an error if the address cannot be bound.
     pub fn listen_with_reserve(
         &mut self,
         addr: SocketAddr,
@@ -196,10 +198,10 @@
         Ok(listener.addr)
     }
 
-    /// Registers a socket that listens already, and that another process may share.
+    /// Registers a socket that is already listening and that may be shared with another process.
     ///
     /// # Errors
-    /// Where it cannot be made non-blocking or watched.
+    /// Returns an error if it cannot be made non-blocking or registered with epoll.
     pub fn register_listener(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<SocketAddr> {
         let listening = ListeningSocket::adopt(fd)?;
         self.add_listener(listening, owner).map(|listener| listener.addr)
@@ -211,13 +213,13 @@
         Ok(BoundListener { token, addr })
     }
 
-    /// Gives listening sockets of the process before this one. Whoever listens at one of these addresses from now
-    /// on gets that socket.
+    /// Adopts the listening sockets of the predecessor. A later call that listens on one of their addresses
+    /// gets the inherited socket.
     pub fn inherit_listeners(&mut self, listeners: Vec<ListeningSocket>) {
         self.inherited_listeners = InheritedListeners::new(listeners);
     }
 
-    /// Duplicates of the frontends' listening sockets except one frontend's, for another process to share.
+    /// Duplicates the listening sockets of all frontends but `excluded`, to share them with another process.
     pub fn listeners_except(&self, excluded: FrontendId) -> Vec<ListeningSocket> {
         let is_shared = |socket: &&Socket| {
             socket.is_frontend_listener() && socket.owner != SocketOwner::Frontend(excluded)
@@ -226,18 +228,19 @@
         shared.filter_map(|socket| ListeningSocket::duplicate(&socket.fd)).collect()
     }
 
-    /// Sets whether the frontends accept connections.
+    /// Sets whether the frontends' listeners accept connections.
     pub fn set_accepting(&mut self, accepting: bool) {
         self.acceptor.set_frontends_accept(&mut self.sockets.store, accepting);
     }
 
-    /// Accepts all connections that wait at the frontends' listeners, so that a process that ends leaves none of them
-    /// unanswered. Yields whether there were any; they are among the next events.
+    /// Accepts all connections that are queued at the frontends' listeners, so that a process that exits
+    /// leaves none of them unanswered. Returns whether there were any; their events are returned by the next
+    /// poll.
     pub fn accept_waiting(&mut self) -> bool {
         self.acceptor.accept_waiting(&mut self.sockets, &mut self.candidates)
     }
 
-    /// A peer has completed its handshake: its connection is no longer evicted for others.
+    /// Marks the peer's handshake as complete: the connection is no longer a candidate for eviction.
     pub fn mark_handshake_complete(&mut self, token: Token) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
             socket.complete_handshake();
@@ -246,25 +249,25 @@
 
     // ---- Other descriptors ---------------------------------------------------------------------
 
-    /// Registers a descriptor to be read through a buffer, such as a signal's pipe.
+    /// Registers a descriptor that is read through a buffer, such as a signal pipe.
     ///
     /// # Errors
-    /// Where it cannot be made non-blocking or watched.
+    /// Returns an error if it cannot be made non-blocking or registered with epoll.
     pub fn register_reader(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
         Ok(self.sockets.store.insert(fd, owner, SocketState::Open)?)
     }
 
-    /// Registers a descriptor that its owner reads and writes itself.
+    /// Registers a raw descriptor, which its owner reads and writes directly.
     ///
     /// # Errors
-    /// Where it cannot be made non-blocking or watched.
+    /// Returns an error if it cannot be made non-blocking or registered with epoll.
     pub fn register_raw(&mut self, fd: OwnedFd, owner: SocketOwner) -> io::Result<Token> {
         rustix::io::ioctl_fionbio(&fd, true)?;
         Ok(self.sockets.store.insert(fd, owner, SocketState::Raw)?)
     }
 
-    /// Whether the owner of a raw descriptor wants to know when it takes more bytes.
+    /// Sets whether the owner of a raw descriptor is notified when it is writable.
     pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
         let Some(socket) = self.sockets.store.get(token) else { return };
         let writable = if wanted { Interest::OUT } else { Interest::empty() };
@@ -276,82 +279,84 @@
 
     // ---- Reading and writing -------------------------------------------------------------------
 
-    /// The bytes that have arrived. The owner removes what it has handled.
+    /// The received bytes. The owner removes the bytes that it has consumed.
     pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
         self.sockets.store.get_mut(token).map(|socket| socket.buffers.input_mut())
     }
 
-    /// Watches for what the socket's buffers allow. Owners call it after they have taken input.
+    /// Updates the epoll interest to match the socket's buffers. Owners call it after they have consumed
+    /// input.
     pub fn update_interest(&mut self, token: Token) {
         self.sockets.store.update_interest(token);
     }
 
-    /// How many bytes may be buffered ahead of the owner: a frame that is handled in one piece must fit.
+    /// Sets how many bytes of input are buffered. A frame that is handled as a whole must fit.
     pub fn set_read_limit(&mut self, token: Token, bytes: usize) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
             socket.buffers.set_read_limit(bytes);
         }
     }
 
-    /// Reads what has arrived by now (bytes, the peer's end or its reset), for owners that must not act on an
-    /// older state.
+    /// Reads whatever has arrived by now (data, end of stream or a reset), for owners that must not act on
+    /// stale state.
     pub fn read_available(&mut self, token: Token) {
         self.sockets.read_available(token);
     }
 
-    /// Sends bytes: at once as far as the peer takes them, the rest as it drains.
+    /// Sends bytes. What cannot be written immediately is buffered and written as the peer reads.
     pub fn send(&mut self, token: Token, bytes: &[u8]) {
         self.sockets.send(token, bytes);
     }
 
-    /// Writes what waits on a connection, as far as the peer takes it.
+    /// Writes buffered output until the peer accepts no more.
     pub fn flush(&mut self, token: Token) {
         self.sockets.flush(token);
     }
 
     // ---- Closing -------------------------------------------------------------------------------
 
-    /// Ends our direction of the connection once the output is written. The peer may go on sending.
+    /// Shuts down the write direction once the buffered output is written. The peer may continue to send.
     pub fn shutdown_write(&mut self, token: Token) {
         self.sockets.shutdown_write(token);
     }
 
-    /// Closes the connection after its output is written, and waits a while for the peer's end. The owner's
-    /// token is no longer valid. A connection that was not established is closed at once.
+    /// Closes the connection once its output is written, then waits a limited time for the peer to close its
+    /// side. The token becomes invalid for the owner. A connection that is not established is closed
+    /// immediately.
     pub fn close(&mut self, token: Token) {
         self.candidates.close(&mut self.sockets, token);
     }
 
-    /// Closes the connection at once; output that waits is not written.
+    /// Closes the connection immediately and discards buffered output.
     pub fn close_without_flush(&mut self, token: Token) {
         self.sockets.store.close(token);
     }
 
-    /// Closes the connection with a reset, as its counterpart was.
+    /// Closes the connection with a reset, to propagate the reset of the connection that it is paired with.
     pub fn reset(&mut self, token: Token) {
         self.sockets.reset(token);
     }
 
     // ---- Descriptors ---------------------------------------------------------------------------
 
-    /// Changes how many descriptors the process may have.
+    /// Changes how many descriptors the process may open.
     pub fn set_descriptor_limit(&mut self, limit: usize) {
         self.sockets.store.descriptors_mut().set_limit(limit);
     }
 
-    /// Sets this many descriptors aside for what is not counted here.
+    /// Reserves additional descriptors, for files and sockets that the reactor does not count.
     pub fn reserve_descriptors(&mut self, descriptors: usize) {
         self.sockets.store.descriptors_mut().reserve_mut().enlarge(descriptors);
     }
 
-    /// Evicts connections while descriptors run short: closed ones that linger, the oldest first, then those that
-    /// have not completed their handshake. False where only connections in use are left.
+    /// Evicts connections while descriptors are short: lingering closes first, oldest first, then connections
+    /// with an incomplete handshake. Returns false if only connections in use are left.
     pub fn reclaim_descriptors(&mut self) -> bool {
         self.candidates.reclaim_descriptors(&mut self.sockets)
     }
 
-    /// What a peer is sent if its connection is evicted before its handshake is complete; none is sent where it has had
-    /// an answer already.
+    /// Sets what the peer is sent if its connection is evicted before its handshake is complete. `None` once
+    /// the peer has been sent an answer.
     pub fn set_farewell(&mut self, token: Token, farewell: Option<&'static [u8]>) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
             socket.set_farewell(farewell);
@@ -360,8 +365,8 @@
 
     // ---- Transfer to another process -----------------------------------------------------------
 
-    /// Takes a connection out, for another process to continue. None where [`SocketReactor::can_transfer`] says
-    /// no.
+    /// Removes a connection from the reactor so that another process can continue it. Returns `None` if
+    /// [`SocketReactor::can_transfer`] is false.
     pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
         if !self.can_transfer(token) {
             return None;
@@ -372,10 +377,10 @@
         Some(ExportedConnection { fd: socket.fd, connection })
     }
 
-    /// Continues a connection that another process exported.
+    /// Adds a connection that another process exported.
     ///
     /// # Errors
-    /// Where it cannot be made non-blocking or watched.
+    /// Returns an error if it cannot be made non-blocking or registered with epoll.
     pub fn import_connection(
         &mut self,
         fd: OwnedFd,
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -1,4 +1,5 @@
-//! The reactor where system calls fail for a moment, as Linux documents it.
+//! Tests of the reactor under temporary failures of system calls, with the errors that Linux documents for
+//! them.
 
 use crate::net::system::faults::{all_happened, fail};
 use crate::net::system::SystemCall;
@@ -10,11 +11,11 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// Descriptors that the reactor may have.
+/// Limit on the reactor's descriptors.
 const DESCRIPTORS: usize = 64;
-/// One iteration waits at most this long.
+/// Maximum wait of one iteration.
 const ITERATION: Duration = Duration::from_millis(20);
-/// A test that has taken this many iterations waits for what will not come.
+/// A test fails after this many iterations without the expected event.
 const MAX_ITERATIONS: u32 = 100;
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
@@ -25,12 +26,12 @@
     (net, addr)
 }
 
-/// When an iteration begins.
+/// Start time of an iteration.
 fn time_of(iteration: u32) -> MonotonicTime {
     MonotonicTime::ZERO + iteration * ITERATION
 }
 
-/// Polls the reactor until an event of this kind; yields its socket.
+/// Polls the reactor until an event of the wanted kind, and returns the event's token.
 fn wait_for(net: &mut SocketReactor, wanted: impl Fn(SocketEventKind) -> bool) -> Token {
     for iteration in 0..MAX_ITERATIONS {
         let events = net.poll(time_of(iteration), ITERATION).expect("epoll");
@@ -69,7 +70,8 @@
     assert!(all_happened());
 }
 
-/// Reading goes on after the owner has taken a full buffer, although the change of interest fails once.
+/// Guards against a stalled connection: after the owner has consumed a full buffer, reading resumes even if
+/// the change of the epoll interest fails once.
 #[test]
 fn a_change_of_interest_that_fails_is_repeated() {
     let (mut net, addr) = reactor_with_listener();
@@ -85,7 +87,7 @@
     assert!(all_happened());
 }
 
-/// The last answer before a close is written once there are buffers again.
+/// The last answer before a close is written once the kernel has buffers again.
 #[rstest]
 fn an_answer_is_written_once_the_system_has_buffers(
     #[values(Errno::NOBUFS, Errno::NOMEM, Errno::INTR, Errno::AGAIN)] error: Errno,
@@ -116,12 +118,12 @@
     assert!(all_happened());
 }
 
-/// What a peer sent before its reset is read, although the read is interrupted.
+/// Input that a peer sent before its reset is read, even if that read is interrupted once.
 #[test]
 fn an_interrupted_read_loses_no_answer_before_a_reset() {
     let (mut net, addr) = reactor_with_listener();
     let (mut client, token) = accepted_client(&mut net, addr);
-    // The first read of the iteration meets the reset, the second takes what came before it.
+    // The first read of the iteration returns the reset, the next one the bytes that were sent before it.
     client.write_all(b"BUSY\r\n").expect("written");
     rustix::net::sockopt::set_socket_linger(&client, Some(Duration::ZERO)).expect("linger");
     drop(client);
@@ -146,7 +148,7 @@
     assert!(all_happened());
 }
 
-/// A shortage that is not this process's own is no reason to evict a client of this node.
+/// A system-wide shortage must not evict a client of this node, because that would not relieve it.
 #[rstest]
 #[case(Errno::NFILE)]
 #[case(Errno::NOBUFS)]
--- a/src/net/reserve.rs
+++ b/src/net/reserve.rs
@@ -1,44 +1,44 @@
-//! The descriptor reserve: descriptors that no shortage takes from their connections.
+//! Reserved descriptors, which a shortage of descriptors does not affect.
 
 use super::slab::Token;
 use std::collections::VecDeque;
 
-/// Descriptors that are set aside, and the connections that use them.
+/// The number of reserved descriptors, and the connections that use them.
 #[derive(Default)]
 pub(super) struct DescriptorReserve {
     size: usize,
-    /// Connections on reserved descriptors, the longest idle first.
+    /// Connections on reserved descriptors, ordered by last activity, the longest idle first.
     holders: VecDeque<Token>,
 }
 
 impl DescriptorReserve {
-    /// Sets this many more descriptors aside.
+    /// Reserves additional descriptors.
     pub(super) fn enlarge(&mut self, descriptors: usize) {
         self.size += descriptors;
     }
 
-    /// Whether no connection uses it.
+    /// Whether no connection uses a reserved descriptor.
     pub(super) fn is_unused(&self) -> bool {
         self.holders.is_empty()
     }
 
-    /// A connection takes a reserved descriptor.
+    /// Adds a connection that uses a reserved descriptor.
     pub(super) fn add(&mut self, token: Token) {
         self.holders.push_back(token);
     }
 
-    /// A connection gives its descriptor back.
+    /// Removes a connection, which frees its reserved descriptor.
     pub(super) fn remove(&mut self, token: Token) {
         self.holders.retain(|holder| *holder != token);
     }
 
-    /// A connection has received bytes: it is the last to be evicted.
+    /// Records that a connection has received bytes, which makes it the last in the eviction order.
     pub(super) fn mark_active(&mut self, token: Token) {
         self.remove(token);
         self.add(token);
     }
 
-    /// Where no descriptor is left, takes the longest idle connection out.
+    /// Removes and returns the longest idle connection if all reserved descriptors are in use.
     pub(super) fn pop_excess(&mut self) -> Option<Token> {
         if self.holders.len() >= self.size {
             self.holders.pop_front()
@@ -47,8 +47,8 @@
         }
     }
 
-    /// The descriptors that count as taken where this many are open: all that are set aside, and all in use beside
-    /// them.
+    /// Number of descriptors that are unavailable to others when `open` descriptors are open: the whole
+    /// reserve, used or not, and all open descriptors outside it.
     pub(super) fn committed(&self, open: usize) -> usize {
         open - self.holders.len() + self.size
     }
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -1,7 +1,8 @@
-//! A slab whose slots count generations, so that a token never names the successor of its value.
+//! A slab whose slots have generation counters, so that a token never refers to a later value in the same
+//! slot.
 
-/// Identifies one socket by its slot and that slot's generation. A token outlives its socket without naming
-/// the next socket in the same slot.
+/// Identifies a socket by its slot and the slot's generation. A token that outlives its socket does not refer
+/// to the next socket in the same slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Token(u64);
 
@@ -10,17 +11,17 @@
         Token((u64::from(generation) << 32) | u64::from(index))
     }
 
-    /// The token that [`Token::as_raw`] gave.
+    /// Restores a token from [`Token::as_raw`].
     pub(super) fn from_raw(raw: u64) -> Token {
         Token(raw)
     }
 
-    /// The token as epoll's user data.
+    /// Encodes the token as epoll user data.
     pub(super) fn as_raw(self) -> u64 {
         self.0
     }
 
-    /// A token of this number, for tests.
+    /// Creates a token from a number, for unit tests.
     #[cfg(test)]
     pub fn for_tests(number: u64) -> Token {
         Token(number)
@@ -36,7 +37,7 @@
 }
 
 struct Slot<T> {
-    /// Rises each time the slot is vacated.
+    /// Incremented each time the slot is vacated.
     generation: u32,
     value: Option<T>,
 }
@@ -44,23 +45,23 @@
 /// Values in reusable slots, addressed by [`Token`].
 pub(super) struct Slab<T> {
     slots: Vec<Slot<T>>,
-    /// Indices of vacant slots; the one vacated last is used first.
+    /// Indices of vacant slots, used as a stack.
     free: Vec<u32>,
     occupied: usize,
 }
 
 impl<T> Slab<T> {
-    /// An empty slab.
+    /// Creates an empty slab.
     pub(super) fn new() -> Slab<T> {
         Slab { slots: Vec::new(), free: Vec::new(), occupied: 0 }
     }
 
-    /// The number of values.
+    /// Number of values.
     pub(super) fn len(&self) -> usize {
         self.occupied
     }
 
-    /// Inserts the value that is made with its token. Where that fails the slot stays vacant.
+    /// Inserts the value that `make` builds from its token. If `make` fails, the slot stays vacant.
     pub(super) fn insert_with<E>(&mut self, make: impl FnOnce(Token) -> Result<T, E>) -> Result<Token, E> {
         let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, value: None });
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes a value out and invalidates its token.
+    /// Removes a value and invalidates its token.
     pub(super) fn remove(&mut self, token: Token) -> Option<T> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation != token.generation() {
@@ -94,13 +95,13 @@
         Some(value)
     }
 
-    /// The value of a valid token.
+    /// Returns the value of a token, or `None` if the token is no longer valid.
     pub(super) fn get(&self, token: Token) -> Option<&T> {
         let slot = self.slots.get(token.index())?;
         slot.value.as_ref().filter(|_| slot.generation == token.generation())
     }
 
-    /// The same, to change it.
+    /// Returns the value of a token mutably, or `None` if the token is no longer valid.
     pub(super) fn get_mut(&mut self, token: Token) -> Option<&mut T> {
         let slot = self.slots.get_mut(token.index())?;
         if slot.generation == token.generation() {
@@ -110,12 +111,12 @@
         }
     }
 
-    /// All values, in the order of their slots.
+    /// All values, in slot order.
     pub(super) fn values(&self) -> impl Iterator<Item = &T> {
         self.slots.iter().filter_map(|slot| slot.value.as_ref())
     }
 
-    /// All values with their tokens, in the order of their slots.
+    /// All values with their tokens, in slot order.
     pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = (Token, &mut T)> {
         self.slots.iter_mut().enumerate().filter_map(|(index, slot)| {
             let token = Token::new(slot.generation, index as u32);
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,4 +1,4 @@
-//! One socket: its descriptor, its state and its buffers.
+//! A socket: its descriptor, state and buffers.
 
 use super::buffers::Buffers;
 use super::epoll_set::Watch;
@@ -7,48 +7,49 @@
 use super::system::Interest;
 use std::os::fd::OwnedFd;
 
-/// What the peer may still send to a closed connection: after that a reset tells it to stop.
+/// How many bytes a peer may send after its connection was closed here. Beyond this the connection is reset,
+/// which tells the peer to stop.
 const LINGER_DISCARD_BYTES: usize = 1024 * 1024;
 
-/// What a socket is doing.
+/// The state of a socket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SocketState {
-    /// It accepts connections.
+    /// Accepts connections.
     Listening,
     /// A connection is being established.
     Connecting,
     /// The connection is established.
     Open,
-    /// The connection failed. Its input is still there for the owner, who then closes it.
+    /// The connection failed. The owner may read the remaining input and then closes the socket.
     Failed,
-    /// Its owner has closed it. What the peer still sends is read and discarded, up to this many bytes, so that
-    /// no reset overtakes our last bytes.
+    /// The owner has closed the connection. Up to this many bytes from the peer are read and discarded,
+    /// because closing with unread input would send a reset that may overtake our last output.
     Lingering { discard_budget_bytes: usize },
-    /// Its owner reads and writes the descriptor itself
+    /// The owner reads and writes the descriptor directly
     /// ([`SocketReactor::raw_descriptor`](super::SocketReactor::raw_descriptor)).
     Raw,
 }
 
-/// Our direction of the connection.
+/// State of the write direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WriteState {
-    /// The owner may send.
+    /// Sending is possible.
     Open,
-    /// Ends once the output is written.
+    /// The write direction is shut down once the buffered output is written.
     ShutdownPending,
-    /// The end of our output has been signalled to the peer.
+    /// The write direction is shut down, so the peer has been sent the end of our output.
     ShutDown,
 }
 
-/// How an accepted connection came here, and how far its handshake is.
+/// How the connection was accepted, and whether its handshake is complete.
 struct Acceptance {
-    /// The listener that accepted it.
+    /// The listener that accepted the connection.
     listener: Option<Token>,
-    /// Its owner has not reported a complete handshake yet.
+    /// The owner has not reported a complete handshake yet.
     awaiting_handshake: bool,
-    /// What its peer is sent if it is evicted.
+    /// What the peer is sent if the connection is evicted.
     farewell: Option<&'static [u8]>,
-    /// It uses one of the reserved descriptors, or it is the listener that hands them out.
+    /// The socket uses a reserved descriptor, or is the listener whose connections use them.
     uses_reserve: bool,
 }
 
@@ -57,19 +58,19 @@
     pub(super) fd: OwnedFd,
     pub(super) owner: SocketOwner,
     pub(super) buffers: Buffers,
-    /// What epoll watches it for.
+    /// Its epoll interest.
     pub(super) watch: Watch,
     state: SocketState,
     write_state: WriteState,
-    /// The peer has ended its sending.
+    /// The peer has closed its write side.
     read_closed: bool,
-    /// It is neither read nor written for a moment, for lack of kernel memory.
+    /// Reading and writing are suspended for lack of kernel memory.
     is_paused: bool,
     acceptance: Acceptance,
 }
 
 impl Socket {
-    /// A socket without any bytes.
+    /// Creates a socket with empty buffers.
     pub(super) fn new(fd: OwnedFd, owner: SocketOwner, state: SocketState) -> Socket {
         let interest = if state == SocketState::Connecting { Interest::OUT } else { Interest::IN };
         Socket {
@@ -92,47 +93,47 @@
 
     // ---- State ---------------------------------------------------------------------------------
 
-    /// What it is doing.
     pub(super) fn state(&self) -> SocketState {
         self.state
     }
 
-    /// Whether the connection is established and its owner has not closed it.
+    /// Whether the connection is established and the owner has not closed it.
     pub(super) fn is_open(&self) -> bool {
         self.state == SocketState::Open
     }
 
-    /// Whether its owner has closed it.
+    /// Whether the owner has closed the connection.
     pub(super) fn is_lingering(&self) -> bool {
         matches!(self.state, SocketState::Lingering { .. })
     }
 
-    /// Whether it accepts connections for a frontend.
+    /// Whether this is a listener of a frontend.
     pub(super) fn is_frontend_listener(&self) -> bool {
         self.state == SocketState::Listening && matches!(self.owner, SocketOwner::Frontend(_))
     }
 
-    /// Whether the peer has ended its sending.
+    /// Whether the peer has closed its write side.
     pub(super) fn is_read_closed(&self) -> bool {
         self.read_closed
     }
 
-    /// Whether the owner may send.
+    /// Whether the owner may send bytes.
     pub(super) fn accepts_output(&self) -> bool {
         self.write_state == WriteState::Open && self.state != SocketState::Failed
     }
 
-    /// Whether both sides have ended their sending.
+    /// Whether both sides have shut down their write directions.
     pub(super) fn is_over(&self) -> bool {
         self.read_closed && self.write_state == WriteState::ShutDown
     }
 
-    /// Whether another process can continue the connection: it is established, and neither side has ended its sending.
+    /// Whether another process can continue the connection: it is established, and neither side has shut down
+    /// its write direction.
     pub(super) fn can_transfer(&self) -> bool {
         self.is_open() && !self.read_closed && self.write_state == WriteState::Open
     }
 
-    /// What epoll is to watch a buffered socket for.
+    /// Returns the epoll interest that a buffered socket needs.
     pub(super) fn wanted_interest(&self) -> Interest {
         if self.is_paused {
             return Interest::empty();
@@ -151,29 +152,30 @@
 
     // ---- Steps of a connection -----------------------------------------------------------------
 
-    /// The connection has been established.
+    /// Marks the connection as established.
     pub(super) fn establish(&mut self) {
         self.state = SocketState::Open;
     }
 
-    /// The connection has failed.
+    /// Marks the connection as failed.
     pub(super) fn fail(&mut self) {
         self.state = SocketState::Failed;
     }
 
-    /// The peer has ended its sending.
+    /// Records that the peer has closed its write side.
     pub(super) fn end_reading(&mut self) {
         self.read_closed = true;
     }
 
-    /// Our direction ends once the output is written.
+    /// Requests that the write direction is shut down once the buffered output is written.
     pub(super) fn request_shutdown(&mut self) {
         if self.write_state == WriteState::Open {
             self.write_state = WriteState::ShutdownPending;
         }
     }
 
-    /// All output is written. Yields whether the end of our output is to be signalled to the peer now.
+    /// Called when all output is written. Returns whether the write direction is to be shut down now, and
+    /// marks it as shut down.
     pub(super) fn take_due_shutdown(&mut self) -> bool {
         let due = self.write_state == WriteState::ShutdownPending;
         if due {
@@ -182,7 +184,8 @@
         due
     }
 
-    /// Its owner has closed it: input is discarded from now on, and our direction ends once the output is written.
+    /// Starts the close: input is discarded from now on, and the write direction is shut down once the
+    /// buffered output is written.
     pub(super) fn linger(&mut self) {
         if !self.is_lingering() {
             self.state = SocketState::Lingering { discard_budget_bytes: LINGER_DISCARD_BYTES };
@@ -191,56 +194,56 @@
         self.request_shutdown();
     }
 
-    /// Counts input that was discarded after a close. Yields whether the peer has sent all that it may.
+    /// Counts input that was discarded after the close. Returns whether the limit on discarded bytes is
+    /// reached.
     pub(super) fn discard(&mut self, count: usize) -> bool {
         let SocketState::Lingering { discard_budget_bytes } = &mut self.state else { return false };
         *discard_budget_bytes = discard_budget_bytes.saturating_sub(count);
         *discard_budget_bytes == 0
     }
 
-    /// Pauses reading and writing. Yields whether they were not paused before.
+    /// Suspends reading and writing. Returns false if they were already suspended.
     pub(super) fn pause(&mut self) -> bool {
         !std::mem::replace(&mut self.is_paused, true)
     }
 
-    /// Resumes reading and writing.
     pub(super) fn resume(&mut self) {
         self.is_paused = false;
     }
 
     // ---- Acceptance ----------------------------------------------------------------------------
 
-    /// The connection was accepted by this listener.
+    /// Records the listener that accepted the connection.
     pub(super) fn set_listener(&mut self, listener: Token) {
         self.acceptance.listener = Some(listener);
     }
 
-    /// The listener that accepted it.
+    /// The listener that accepted the connection.
     pub(super) fn listener(&self) -> Option<Token> {
         self.acceptance.listener
     }
 
-    /// It uses one of the reserved descriptors, or hands them out.
+    /// Marks the socket as using a reserved descriptor, or as the listener whose connections use them.
     pub(super) fn use_reserve(&mut self) {
         self.acceptance.uses_reserve = true;
     }
 
-    /// Whether it uses one of the reserved descriptors, or hands them out.
+    /// Whether the socket uses a reserved descriptor, or is the listener whose connections use them.
     pub(super) fn uses_reserve(&self) -> bool {
         self.acceptance.uses_reserve
     }
 
-    /// The peer is to complete its handshake.
+    /// Marks the peer's handshake as incomplete.
     pub(super) fn await_handshake(&mut self) {
         self.acceptance.awaiting_handshake = true;
     }
 
-    /// The peer has completed its handshake.
+    /// Marks the peer's handshake as complete.
     pub(super) fn complete_handshake(&mut self) {
         self.acceptance.awaiting_handshake = false;
     }
 
-    /// Whether the owner of an accepted connection has not reported a complete handshake yet.
+    /// Whether the owner of the accepted connection has not reported a complete handshake yet.
     pub(super) fn is_awaiting_handshake(&self) -> bool {
         self.acceptance.awaiting_handshake
     }
--- a/src/net/socket_store.rs
+++ b/src/net/socket_store.rs
@@ -1,5 +1,5 @@
-//! All sockets, with what has to change whenever a socket is added or removed: the epoll set, the
-//! reserved descriptors and the pending events.
+//! The store of all sockets. Adding or removing a socket also updates the epoll set, the reserved descriptors
+//! and the queue of events.
 
 use super::descriptors::DescriptorBudget;
 use super::epoll_set::EpollSet;
@@ -26,10 +26,10 @@
 }
 
 impl SocketStore {
-    /// No sockets yet, for a process that may have this many descriptors.
+    /// Creates an empty store, for a process that may open `descriptor_limit` descriptors.
     ///
     /// # Errors
-    /// Where the system gives no epoll instance.
+    /// Returns an error if the epoll instance cannot be created.
     pub(super) fn new(descriptor_limit: usize) -> io::Result<SocketStore> {
         Ok(SocketStore {
             sockets: Slab::new(),
@@ -45,17 +45,17 @@
         self.now
     }
 
-    /// Sets the time of the poll that begins.
+    /// Sets the time of the poll that is starting.
     pub(super) fn set_now(&mut self, now: MonotonicTime) {
         self.now = now;
     }
 
     // ---- Sockets -------------------------------------------------------------------------------
 
-    /// Adds a socket and watches it.
+    /// Adds a socket and registers it with epoll.
     ///
     /// # Errors
-    /// Where epoll cannot watch it.
+    /// Returns an error if epoll cannot watch the socket.
     pub(super) fn insert(
         &mut self,
         fd: OwnedFd,
@@ -70,62 +70,64 @@
         })
     }
 
-    /// The socket of a valid token.
+    /// Returns the socket of a token, or `None` if the token is no longer valid.
     pub(super) fn get(&self, token: Token) -> Option<&Socket> {
         self.sockets.get(token)
     }
 
-    /// The same, to change it. [`SocketStore::update_interest`] follows where its buffers or its state change.
+    /// Like [`SocketStore::get`], but mutable. A caller that changes the buffers or the state calls
+    /// [`SocketStore::update_interest`] afterwards.
     pub(super) fn get_mut(&mut self, token: Token) -> Option<&mut Socket> {
         self.sockets.get_mut(token)
     }
 
-    /// The number of sockets.
+    /// Number of sockets.
     pub(super) fn len(&self) -> usize {
         self.sockets.len()
     }
 
-    /// All sockets, in the order of their slots.
+    /// All sockets, in slot order.
     pub(super) fn values(&self) -> impl Iterator<Item = &Socket> {
         self.sockets.values()
     }
 
-    /// The sockets to which this applies, in the order of their slots.
+    /// Returns the tokens of all sockets that match a predicate, in slot order.
     pub(super) fn tokens_where(&mut self, applies: impl Fn(&Socket) -> bool) -> Vec<Token> {
         let sockets = self.sockets.iter_mut();
         sockets.filter(|(_, socket)| applies(socket)).map(|(token, _)| token).collect()
     }
 
-    /// Closes a descriptor, which takes it out of the epoll set, and invalidates its token.
+    /// Closes a socket, which also removes it from the epoll set, and invalidates its token.
     pub(super) fn close(&mut self, token: Token) {
         if self.sockets.remove(token).is_some_and(|socket| socket.uses_reserve()) {
             self.descriptors.reserve_mut().remove(token);
         }
     }
 
-    /// Takes a socket out without closing its descriptor, and invalidates its token.
+    /// Removes a socket without closing its descriptor, and invalidates its token.
     pub(super) fn remove(&mut self, token: Token) -> Option<Socket> {
         let socket = self.sockets.remove(token)?;
-        // Another process has the socket open: closing ours would not take it out of the epoll set.
+        // Another process holds the socket open too, so closing our descriptor would not remove it from the
+        // epoll set.
         self.epoll.delete(&socket.fd);
         Some(socket)
     }
 
     // ---- Events --------------------------------------------------------------------------------
 
-    /// Queues an event of a socket, unless its owner has closed it.
+    /// Queues an event of a socket, unless the owner has already closed the socket.
     pub(super) fn emit(&mut self, token: Token, kind: SocketEventKind) {
         if let Some(socket) = self.sockets.get(token) {
             self.events.push(token, socket, kind);
         }
     }
 
-    /// Takes all events, in the order in which they happened.
+    /// Takes all queued events, in order of occurrence.
     pub(super) fn take_events(&mut self) -> Vec<SocketEvent> {
         self.events.take()
     }
 
-    /// Takes all events, those of sockets on reserved descriptors first.
+    /// Takes all queued events, those of sockets on reserved descriptors first.
     pub(super) fn take_events_reserved_first(&mut self) -> Vec<SocketEvent> {
         let mut events = self.events.take();
         if !self.descriptors.reserve().is_unused() {
@@ -135,7 +137,7 @@
         events
     }
 
-    /// The number of events.
+    /// Number of queued events.
     pub(super) fn event_count(&self) -> usize {
         self.events.len()
     }
@@ -147,12 +149,12 @@
         &mut self.descriptors
     }
 
-    /// Whether descriptors run short: new clients are to be rejected.
+    /// Whether descriptors are short, in which case new clients are rejected.
     pub(super) fn is_short_of_descriptors(&self) -> bool {
         self.descriptors.is_short(self.sockets.len())
     }
 
-    /// Whether one more attempt may have a descriptor.
+    /// Whether a descriptor is available for one more attempt.
     pub(super) fn has_descriptor_for_attempt(&self) -> bool {
         self.descriptors.has_one_for_attempt(self.sockets.len())
     }
@@ -162,19 +164,19 @@
     /// Waits for at most `timeout`.
     ///
     /// # Errors
-    /// Where epoll itself fails.
+    /// Returns an error if epoll itself fails.
     pub(super) fn wait(&self, timeout: Duration) -> io::Result<impl Iterator<Item = Readiness>> {
         self.epoll.wait(timeout)
     }
 
-    /// Watches a socket for this.
+    /// Sets the epoll interest of a socket.
     pub(super) fn change_interest(&mut self, token: Token, interest: Interest) {
         if let Some(socket) = self.sockets.get_mut(token) {
             self.epoll.change(token, &socket.fd, &mut socket.watch, interest);
         }
     }
 
-    /// Watches a socket for what its buffers allow.
+    /// Updates the epoll interest of a socket to match its buffers and state.
     pub(super) fn update_interest(&mut self, token: Token) {
         let Some(socket) = self.sockets.get_mut(token) else { return };
         if matches!(socket.state(), SocketState::Failed | SocketState::Raw) {
@@ -186,14 +188,14 @@
         }
     }
 
-    /// Stops watching a socket for good.
+    /// Permanently removes a socket from the epoll set. The socket stays in the store.
     pub(super) fn unwatch(&self, token: Token) {
         if let Some(socket) = self.sockets.get(token) {
             self.epoll.delete(&socket.fd);
         }
     }
 
-    /// Repeats the changes that the system has refused.
+    /// Retries the changes of the epoll set that the kernel refused.
     pub(super) fn retry_refused_changes(&mut self) {
         for token in self.epoll.take_refused() {
             if let Some(socket) = self.sockets.get_mut(token) {
@@ -202,12 +204,12 @@
         }
     }
 
-    /// The time-out of a wait that must not outlast the interval between two repetitions.
+    /// Caps the time-out of a wait while a change is to be retried.
     pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
         self.epoll.limit_wait(timeout)
     }
 
-    /// How many changes the system has refused, repetitions aside.
+    /// Number of changes of the epoll set that the kernel refused, not counting retries.
     pub(super) fn refused_changes(&self) -> u64 {
         self.epoll.refused_changes()
     }
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -1,8 +1,8 @@
-//! The system calls of the reactor on its sockets, each in one place.
+//! Wrappers round the socket system calls of the reactor.
 //!
-//! In unit tests they fail as a test has arranged (`system/faults.rs`). A list within the process was preferred to a
-//! preloaded library, which sees none of the calls that rustix makes itself, and to a tracer, which not every machine
-//! has.
+//! In unit tests they return the errors that the test has planned (`system/faults.rs`). The faults are
+//! planned in the process itself because a preloaded library does not see system calls that rustix makes
+//! directly, and a tracer is not available on every machine.
 
 use super::slab::Token;
 use rustix::event::epoll;
@@ -11,13 +11,13 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// What a descriptor is watched for, and what epoll reports of it.
+/// Epoll event flags: those that a descriptor is watched for, or those that epoll reported.
 pub(super) use rustix::event::epoll::EventFlags as Interest;
 
 #[cfg(test)]
 pub(super) mod faults;
 
-/// A system call that a test can have fail.
+/// A system call in which a test can inject an error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SystemCall {
     Accept,
@@ -29,25 +29,25 @@
     EpollModify,
 }
 
-/// The error that a test has arranged for this call.
+/// Returns the error that the test has planned for this call.
 #[cfg(test)]
 fn injected(call: SystemCall) -> Result<(), Errno> {
     faults::take(call).map_or(Ok(()), Err)
 }
 
-/// Outside of tests no error is arranged.
+/// Outside unit tests no error is injected.
 #[cfg(not(test))]
 fn injected(_call: SystemCall) -> Result<(), Errno> {
     Ok(())
 }
 
-/// Accepts a connection, which is non-blocking.
+/// Accepts a connection. The new socket is non-blocking.
 pub(super) fn accept(listener: &OwnedFd) -> Result<OwnedFd, Errno> {
     injected(SystemCall::Accept)?;
     rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)
 }
 
-/// Opens a non-blocking TCP socket for an address of this family.
+/// Creates a non-blocking TCP socket of the address family of `addr`.
 pub(super) fn stream_socket(addr: SocketAddr) -> Result<OwnedFd, Errno> {
     injected(SystemCall::Socket)?;
     let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
@@ -55,7 +55,7 @@
     rustix::net::socket_with(family, SocketType::STREAM, flags, None)
 }
 
-/// Begins to connect a socket. An interrupted call has begun all the same.
+/// Starts connecting a socket. A call that returns EINTR has started the connection too.
 pub(super) fn connect(socket: &OwnedFd, addr: SocketAddr) -> Result<(), Errno> {
     let injected = injected(SystemCall::Connect);
     if let Err(Errno::INTR) | Ok(()) = injected {
@@ -71,13 +71,13 @@
     rustix::io::read(fd, buffer)
 }
 
-/// Writes from a buffer; the system may take less than all of it.
+/// Writes from a buffer, possibly only part of it.
 pub(super) fn write(fd: &OwnedFd, bytes: &[u8]) -> Result<usize, Errno> {
     injected(SystemCall::Write)?;
     rustix::io::write(fd, bytes)
 }
 
-/// Begins to watch a descriptor.
+/// Starts watching a descriptor.
 pub(super) fn epoll_add(
     epoll: &OwnedFd,
     fd: &OwnedFd,
@@ -88,7 +88,7 @@
     epoll::add(epoll, fd, epoll::EventData::new_u64(token.as_raw()), interest)
 }
 
-/// Changes what a descriptor is watched for.
+/// Changes the interest of a watched descriptor.
 pub(super) fn epoll_modify(
     epoll: &OwnedFd,
     fd: &OwnedFd,
--- a/src/net/system/faults.rs
+++ b/src/net/system/faults.rs
@@ -1,4 +1,4 @@
-//! The system calls that are to fail in this thread, for unit tests.
+//! Injects errors into the system calls of the current thread, for unit tests.
 
 use super::SystemCall;
 use rustix::io::Errno;
@@ -12,27 +12,27 @@
 struct PlannedFault {
     call: SystemCall,
     error: Errno,
-    /// Calls of this kind that still succeed before it.
+    /// Number of calls of this kind that still succeed first.
     after: usize,
     times: usize,
 }
 
-/// The next `times` calls of this kind in this thread fail.
+/// Lets the next `times` calls of this kind in this thread fail.
 pub fn fail(call: SystemCall, error: Errno, times: usize) {
     fail_after(0, call, error, times);
 }
 
-/// The same, once `after` calls of this kind have succeeded.
+/// Like [`fail`], but lets `after` calls of this kind succeed first.
 pub fn fail_after(after: usize, call: SystemCall, error: Errno, times: usize) {
     PLANNED.with_borrow_mut(|planned| planned.push_back(PlannedFault { call, error, after, times }));
 }
 
-/// Whether every planned call has failed.
+/// Whether every planned fault has occurred.
 pub fn all_happened() -> bool {
     PLANNED.with_borrow(VecDeque::is_empty)
 }
 
-/// The error of the next call of this kind, if it is to fail.
+/// Returns the error that is planned for the next call of this kind, if any.
 pub(super) fn take(call: SystemCall) -> Option<Errno> {
     PLANNED.with_borrow_mut(|planned| {
         let index = planned.iter().position(|fault| fault.call == call)?;
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -1,16 +1,16 @@
 //! A timer wheel with coarse ticks.
 //!
-//! The event loop owns one wheel and takes the expired items in each iteration. Timers cannot be cancelled: whoever
-//! scheduled one ignores it when it no longer matters. So scheduling takes constant time, and a timer costs no memory
-//! beside its own entry.
+//! The event loop owns one wheel and takes the expired items in each iteration. Timers cannot be cancelled:
+//! the caller ignores an item that is no longer relevant when it expires. This makes scheduling a
+//! constant-time operation, and a timer needs no memory other than its entry.
 
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The wheel's resolution: a timer expires up to this much late, and never early.
+/// Resolution of the wheel. A timer expires at most this much late, and never early.
 const TICK: Duration = Duration::from_millis(5);
 const TICK_NANOS: u64 = TICK.as_nanos() as u64;
-/// Slots of the wheel. A timer further ahead than one round stays in its slot for several.
+/// Number of slots. A timer that is more than one revolution ahead stays in its slot for several revolutions.
 const SLOT_COUNT: usize = 1024;
 
 /// A scheduled item.
@@ -19,29 +19,29 @@
     item: T,
 }
 
-/// Items by the time at which they expire.
+/// A queue of items that expire at given times.
 pub struct TimerWheel<T> {
     slots: Vec<Vec<Timer<T>>>,
-    /// All timers up to this tick have been taken.
+    /// All timers up to and including this tick have been taken.
     current_tick: u64,
     timer_count: usize,
 }
 
 impl<T> TimerWheel<T> {
-    /// A wheel without timers.
+    /// Creates an empty wheel.
     pub fn new(now: MonotonicTime) -> TimerWheel<T> {
         let slots = (0..SLOT_COUNT).map(|_| Vec::new()).collect();
         TimerWheel { slots, current_tick: now.as_nanos() / TICK_NANOS, timer_count: 0 }
     }
 
-    /// Schedules an item for the first tick at or after `expires_at`, and not before the next tick.
+    /// Schedules an item for the first tick at or after `expires_at`, but no earlier than the next tick.
     pub fn schedule(&mut self, expires_at: MonotonicTime, item: T) {
         let expires_at_tick = expires_at.as_nanos().div_ceil(TICK_NANOS).max(self.current_tick + 1);
         self.slots[slot_index(expires_at_tick)].push(Timer { expires_at_tick, item });
         self.timer_count += 1;
     }
 
-    /// Takes the items that have expired by now, by tick and within one in the order of scheduling.
+    /// Takes all items that have expired, ordered by tick and, within a tick, by order of scheduling.
     pub fn take_expired(&mut self, now: MonotonicTime) -> Vec<T> {
         let target_tick = now.as_nanos() / TICK_NANOS;
         let mut expired = Vec::new();
@@ -68,7 +68,7 @@
         }
     }
 
-    /// How long the event loop may sleep.
+    /// Returns how long the event loop may sleep.
     pub fn time_until_next(&self, now: MonotonicTime) -> Duration {
         let ticks_ahead = (1..=SLOT_COUNT as u64)
             .find(|ahead| !self.slots[slot_index(self.current_tick + ahead)].is_empty())
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -1,28 +1,28 @@
-//! The form in which a connection goes from one process of the node to the next.
+//! Serialized state of a connection that is handed from one process of the node to the next.
 
 use super::buffers::{BufferParts, Buffers};
 use serde::{Deserialize, Serialize};
 use sparbank_time::MonotonicTime;
 use std::os::fd::OwnedFd;
 
-/// A connection's buffers and state, for the process that continues it. Its JSON belongs to the handover
-/// protocol, so the field names on the wire are fixed.
+/// The buffers and state of a connection, for the process that continues it. The JSON is part of the handover
+/// protocol, so the serialized field names are fixed.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct BufferedConnection {
-    /// Bytes that have arrived and that the owner has not taken.
+    /// Received bytes that the owner has not consumed.
     #[serde(with = "base64_bytes")]
     pub input: Vec<u8>,
-    /// Bytes that wait to be written.
+    /// Output that is not yet written.
     #[serde(with = "base64_bytes")]
     pub output: Vec<u8>,
     #[serde(rename = "written")]
     bytes_written: u64,
-    /// Where the handshake is incomplete: when it must be complete.
+    /// Deadline of the handshake, if it is incomplete.
     #[serde(rename = "word_by")]
     handshake_deadline: Option<MonotonicTime>,
 }
 
-/// Bytes as base64 text, which is shorter in JSON than an array of numbers.
+/// Serializes bytes as base64 text, which is shorter in JSON than an array of numbers.
 mod base64_bytes {
     use base64::prelude::{Engine, BASE64_STANDARD};
     use serde::{Deserialize, Deserializer, Serializer};
@@ -38,28 +38,28 @@
     }
 }
 
-/// A connection that has been taken out of the reactor.
+/// A connection that has been removed from the reactor.
 #[derive(Debug)]
 pub struct ExportedConnection {
-    /// The socket, which is no longer watched here.
+    /// The socket, no longer registered with this process's epoll instance.
     pub fd: OwnedFd,
     /// Its buffers and state.
     pub connection: BufferedConnection,
 }
 
 impl BufferedConnection {
-    /// The state of a connection that is taken out of the reactor.
+    /// Captures the state of a connection that is being removed from the reactor.
     pub(super) fn new(buffers: Buffers, handshake_deadline: Option<MonotonicTime>) -> BufferedConnection {
         let BufferParts { input, output, bytes_written } = buffers.into_parts();
         BufferedConnection { input, output, bytes_written, handshake_deadline }
     }
 
-    /// When the handshake must be complete, if it is not yet.
+    /// Deadline of the handshake, if it is incomplete.
     pub(super) fn handshake_deadline(&self) -> Option<MonotonicTime> {
         self.handshake_deadline
     }
 
-    /// The buffers with which the connection continues.
+    /// Restores the buffers, to continue the connection.
     pub(super) fn into_buffers(self) -> Buffers {
         Buffers::restored(self.input, self.output, self.bytes_written)
     }
--- a/src/net/transfer/tests.rs
+++ b/src/net/transfer/tests.rs
@@ -7,7 +7,7 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// JSON that the code of version 00677b7 wrote: what a process of that version hands to this one.
+/// JSON written by version 00677b7, as a process of that version hands over to this one.
 const AWAITING_HANDSHAKE: &str =
     r#"{"input":"T1BFTiA5Yg==","output":"UE9ORw0K","written":6,"word_by":2600000000}"#;
 const ESTABLISHED: &str = r#"{"input":"","output":"AP8K","written":42,"word_by":null}"#;
@@ -39,7 +39,8 @@
     assert_eq!(serde_json::to_string(&connection).expect("writable"), json);
 }
 
-/// A process that hands a connection or a listening socket over may have left it blocking: no call on it waits here.
+/// A process may hand over a connection or a listening socket in blocking mode. Calls on it must not block
+/// here.
 #[test]
 fn what_was_handed_over_blocking_does_not_block() {
     let (done, is_done) = std::sync::mpsc::channel();
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -1,7 +1,7 @@
-//! Pauses of connections whose reads or writes find no kernel memory.
+//! Pauses of connections whose reads or writes fail for lack of kernel memory.
 //!
-//! The connection is sound: it is neither read nor written for a moment and then continues. Without the pause a descriptor
-//! that is ready and cannot be served would keep the event loop from sleeping.
+//! Such a connection is intact, so reading and writing are only suspended for a short time. Without the
+//! pause, a descriptor that is ready but cannot be served would keep the event loop from sleeping.
 
 use super::deadlines::DeadlineQueue;
 use super::slab::Token;
@@ -9,15 +9,15 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// How long a connection is paused.
+/// Length of a pause.
 const TRANSFER_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether a read or write failed for lack of kernel memory, which passes.
+/// Whether a read or write failed for lack of kernel memory, which is temporary.
 pub(super) fn is_transfer_shortage(error: Errno) -> bool {
     matches!(error, Errno::NOBUFS | Errno::NOMEM)
 }
 
-/// The connections that are paused, by the end of the pause.
+/// The paused connections, ordered by the end of their pauses.
 #[derive(Default)]
 pub(super) struct TransferPauses {
     pauses: DeadlineQueue,
@@ -25,18 +25,18 @@
 }
 
 impl TransferPauses {
-    /// A connection is paused from now on.
+    /// Starts the pause of a connection.
     pub(super) fn start(&mut self, now: MonotonicTime, token: Token) {
         self.started += 1;
         self.pauses.push_latest(now + TRANSFER_PAUSE, token);
     }
 
-    /// Takes a connection whose pause is over.
+    /// Takes a connection whose pause has expired.
     pub(super) fn pop_over(&mut self, now: MonotonicTime) -> Option<Token> {
         self.pauses.pop_reached(now)
     }
 
-    /// The time-out of a wait that must not outlast a pause.
+    /// Caps the time-out of a wait while a connection is paused.
     pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
         if self.pauses.is_empty() {
             timeout
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many pauses have been started.
+    /// Number of pauses started so far.
     pub(super) fn started(&self) -> u64 {
         self.started
     }
