--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -20,14 +20,14 @@
 /// The same limit for a listener with reserved descriptors. It is less than the size of the reserve, so that
 /// every connection is read before it can be evicted.
 const RESERVED_ACCEPTS_PER_ITERATION: usize = 4;
-/// How long accepting pauses when the kernel has no descriptors left.
+/// How long accepting pauses after a shortage of descriptors or kernel memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Accepts connections while descriptors are available.
 pub(super) struct Acceptor {
-    /// End of the current pause. Accepting pauses when the kernel has no descriptors left.
+    /// End of the current pause. Accepting pauses when the system is short of descriptors or memory.
     paused_until: Option<MonotonicTime>,
-    pauses: u64,
+    pause_count: u64,
     /// Whether the frontends accept connections. If not, another process accepts them on the shared sockets.
     frontends_accept: bool,
 }
@@ -35,14 +35,14 @@
 impl Acceptor {
     /// Creates an acceptor with all listeners enabled.
     pub(super) fn new() -> Acceptor {
-        Acceptor { paused_until: None, pauses: 0, frontends_accept: true }
+        Acceptor { paused_until: None, pause_count: 0, frontends_accept: true }
     }
 
     /// Sets whether the frontends accept connections.
     pub(super) fn set_frontends_accept(&mut self, store: &mut SocketStore, accepting: bool) {
         self.frontends_accept = accepting;
         let paused = self.paused_until.is_some();
-        self.watch_listeners(store, if paused { Interest::empty() } else { Interest::IN });
+        self.set_listener_interest(store, if paused { Interest::empty() } else { Interest::IN });
     }
 
     /// Accepts all connections that are queued at the frontends' listeners. Returns whether there were any.
@@ -54,17 +54,17 @@
         if !self.frontends_accept {
             return false;
         }
-        let events_before = sockets.store.event_count();
+        let events_before = sockets.store.pending_event_count();
         for listener in sockets.store.tokens_where(Socket::is_frontend_listener) {
             for _ in 0..LISTEN_BACKLOG as usize / ACCEPTS_PER_ITERATION {
-                let accepted_before = sockets.store.event_count();
+                let accepted_before = sockets.store.pending_event_count();
                 self.accept_ready(sockets, candidates, listener);
-                if sockets.store.event_count() == accepted_before {
+                if sockets.store.pending_event_count() == accepted_before {
                     break;
                 }
             }
         }
-        sockets.store.event_count() > events_before
+        sockets.store.pending_event_count() > events_before
     }
 
     /// Accepts the connections that are queued at a listener, up to the limit per iteration.
@@ -83,16 +83,16 @@
             let Some(socket) = sockets.store.get(listener) else { return };
             let owner = socket.owner;
             match system::accept(&socket.fd) {
-                Ok(fd) if uses_reserve => add_on_reserve(sockets, fd, listener, owner),
+                Ok(fd) if uses_reserve => add_reserved(sockets, fd, listener, owner),
                 Ok(fd) => add_accepted(sockets, candidates, fd, listener, owner),
                 Err(Errno::AGAIN) => return,
-                // The process may open fewer descriptors than the configured limit.
+                // EMFILE: the actual limit of the process is lower than the configured one.
                 Err(Errno::MFILE) if candidates.evict(sockets) => {}
                 // A system-wide shortage, which an eviction here would not relieve.
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     return self.pause(&mut sockets.store);
                 }
-                // This connection was aborted before it was accepted; the next one may be fine.
+                // This connection failed before it was accepted; the next one may be fine.
                 Err(_) => failures += 1,
             }
         }
@@ -108,21 +108,21 @@
     /// loop from sleeping.
     fn pause(&mut self, store: &mut SocketStore) {
         self.paused_until = Some(store.now() + ACCEPT_PAUSE);
-        self.pauses += 1;
+        self.pause_count += 1;
         tracing::warn!(open_sockets = store.len(), "accepting paused, no descriptor available");
-        self.watch_listeners(store, Interest::empty());
+        self.set_listener_interest(store, Interest::empty());
     }
 
     /// Resumes accepting if the pause has expired.
-    pub(super) fn resume_if_pause_is_over(&mut self, store: &mut SocketStore) {
+    pub(super) fn resume_if_pause_expired(&mut self, store: &mut SocketStore) {
         if self.paused_until.is_some_and(|until| until <= store.now()) {
             self.paused_until = None;
-            self.watch_listeners(store, Interest::IN);
+            self.set_listener_interest(store, Interest::IN);
         }
     }
 
-    /// Caps the time-out of a wait while accepting is paused.
-    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
+    /// Caps the time-out of a wait, so that it does not outlast the pause of accepting.
+    pub(super) fn cap_timeout(&self, timeout: Duration) -> Duration {
         if self.paused_until.is_some() {
             timeout.min(ACCEPT_PAUSE)
         } else {
@@ -131,11 +131,11 @@
     }
 
     /// Number of pauses so far.
-    pub(super) fn pauses(&self) -> u64 {
-        self.pauses
+    pub(super) fn pause_count(&self) -> u64 {
+        self.pause_count
     }
 
-    fn watch_listeners(&self, store: &mut SocketStore, interest: Interest) {
+    fn set_listener_interest(&self, store: &mut SocketStore, interest: Interest) {
         for listener in store.tokens_where(|socket| socket.state() == SocketState::Listening) {
             let is_frontend = store.get(listener).is_some_and(Socket::is_frontend_listener);
             let suspended = !self.frontends_accept && is_frontend;
@@ -163,12 +163,12 @@
 
 /// Adds a connection on a reserved descriptor. It is read immediately: a connection whose request has already
 /// arrived in full must not be evicted as idle.
-fn add_on_reserve(sockets: &mut BufferedSockets, fd: OwnedFd, listener: Token, owner: SocketOwner) {
+fn add_reserved(sockets: &mut BufferedSockets, fd: OwnedFd, listener: Token, owner: SocketOwner) {
     let Some(token) = insert_accepted(&mut sockets.store, fd, listener, owner) else { return };
     if let Some(socket) = sockets.store.get_mut(token) {
         socket.use_reserve();
     }
-    while let Some(idle) = sockets.store.descriptors_mut().reserve_mut().pop_excess() {
+    while let Some(idle) = sockets.store.descriptors_mut().reserve_mut().pop_longest_idle_if_full() {
         sockets.store.emit(idle, SocketEventKind::Evicted);
         sockets.store.close(idle);
     }
--- a/src/net/buffered_sockets.rs
+++ b/src/net/buffered_sockets.rs
@@ -18,7 +18,7 @@
 
 /// State of a connection after its owner has closed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Closing {
+pub(super) enum CloseStatus {
     /// The connection is closed on both sides.
     Complete,
     /// Output is still to be written, or the peer has not closed its side yet.
@@ -65,19 +65,19 @@
             return;
         }
         match read(&socket.fd, &mut self.read_chunk[..capacity]) {
-            Ok(0) => self.on_peer_ended(token),
+            Ok(0) => self.on_end_of_stream(token),
             Ok(count) if lingering => self.discard_input(token, count),
-            Ok(count) => self.accept_input(token, count),
+            Ok(count) => self.buffer_input(token, count),
             Err(Errno::AGAIN | Errno::INTR) => {}
             Err(error) if is_transfer_shortage(error) => self.pause(token),
             Err(_) => self.fail(token),
         }
     }
 
-    fn on_peer_ended(&mut self, token: Token) {
+    fn on_end_of_stream(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        socket.end_reading();
-        if socket.is_lingering() && socket.is_over() {
+        socket.mark_read_closed();
+        if socket.is_lingering() && socket.is_fully_closed() {
             return self.store.close(token);
         }
         self.store.emit(token, SocketEventKind::Readable);
@@ -85,12 +85,12 @@
 
     fn discard_input(&mut self, token: Token, count: usize) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        if socket.discard(count) {
+        if socket.record_discarded(count) {
             self.store.close(token);
         }
     }
 
-    fn accept_input(&mut self, token: Token, count: usize) {
+    fn buffer_input(&mut self, token: Token, count: usize) {
         let Some(socket) = self.store.get_mut(token) else { return };
         socket.buffers.append_input(&self.read_chunk[..count]);
         if socket.uses_reserve() {
@@ -104,7 +104,7 @@
     /// Sends bytes. What cannot be written immediately is buffered and written as the peer reads.
     pub(super) fn send(&mut self, token: Token, bytes: &[u8]) {
         let Some(socket) = self.store.get_mut(token) else { return };
-        if !socket.accepts_output() {
+        if !socket.can_send() {
             return;
         }
         let written = if socket.is_open() {
@@ -153,7 +153,7 @@
                 return false;
             }
         }
-        if socket.take_due_shutdown() {
+        if socket.take_pending_shutdown() {
             // An error means that the peer has already closed the connection.
             let _ = rustix::net::shutdown(&socket.fd, Shutdown::Write);
             if socket.is_lingering() && socket.is_read_closed() {
@@ -178,7 +178,7 @@
 
     /// Resumes the connections whose pauses have expired.
     pub(super) fn resume_paused(&mut self) {
-        while let Some(token) = self.pauses.pop_over(self.store.now()) {
+        while let Some(token) = self.pauses.pop_expired(self.store.now()) {
             if let Some(socket) = self.store.get_mut(token) {
                 socket.resume();
             }
@@ -205,23 +205,23 @@
 
     /// Closes the connection once its output is written and the peer has closed its write side. A connection
     /// that is not established is closed immediately.
-    pub(super) fn close(&mut self, token: Token) -> Closing {
-        let Some(socket) = self.store.get_mut(token) else { return Closing::Complete };
+    pub(super) fn close(&mut self, token: Token) -> CloseStatus {
+        let Some(socket) = self.store.get_mut(token) else { return CloseStatus::Complete };
         if matches!(socket.state(), SocketState::Connecting | SocketState::Failed | SocketState::Raw) {
             self.store.close(token);
-            return Closing::Complete;
+            return CloseStatus::Complete;
         }
-        socket.linger();
+        socket.begin_lingering();
         self.write_output(token);
         match self.store.get(token) {
-            None => Closing::Complete,
-            Some(socket) if socket.is_over() => {
+            None => CloseStatus::Complete,
+            Some(socket) if socket.is_fully_closed() => {
                 self.store.close(token);
-                Closing::Complete
+                CloseStatus::Complete
             }
             Some(_) => {
                 self.store.update_interest(token);
-                Closing::Lingering
+                CloseStatus::Lingering
             }
         }
     }
@@ -249,7 +249,7 @@
         let all_written = was_connected && socket.buffers.pending_output_bytes() == 0;
         socket.buffers.read_after_failure(&socket.fd, &mut self.read_chunk);
         socket.fail();
-        self.store.unwatch(token);
+        self.store.deregister(token);
         self.store.emit(token, SocketEventKind::Failed { all_written });
     }
 }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -17,7 +17,7 @@
 pub(super) struct Connector {
     /// Connections established since the last [`Connector::take_established`].
     established: Vec<Token>,
-    shortages: u64,
+    shortage_count: u64,
 }
 
 impl Connector {
@@ -34,7 +34,7 @@
     ) -> Result<Token, ConnectError> {
         let connecting = start(sockets, candidates, addr, owner);
         if let Err(ConnectError::Shortage(_)) = connecting {
-            self.shortages += 1;
+            self.shortage_count += 1;
         }
         connecting
     }
@@ -60,8 +60,8 @@
     }
 
     /// Number of connections that could not be started for lack of a descriptor, a port or memory.
-    pub(super) fn shortages(&self) -> u64 {
-        self.shortages
+    pub(super) fn shortage_count(&self) -> u64 {
+        self.shortage_count
     }
 }
 
@@ -73,7 +73,7 @@
 ) -> Result<Token, ConnectError> {
     let fd = loop {
         match system::stream_socket(addr) {
-            // The process may open fewer descriptors than the configured limit.
+            // EMFILE: the actual limit of the process is lower than the configured one.
             Err(Errno::MFILE) if candidates.evict(sockets) => {}
             created => break created?,
         }
--- a/src/net/deadlines.rs
+++ b/src/net/deadlines.rs
@@ -36,15 +36,15 @@
         self.entries.insert(index, SocketDeadline { at, token });
     }
 
-    /// Takes the earliest deadline if it has passed.
-    pub(super) fn pop_reached(&mut self, now: MonotonicTime) -> Option<Token> {
+    /// Takes the earliest deadline if it has been reached.
+    pub(super) fn pop_expired(&mut self, now: MonotonicTime) -> Option<Token> {
         if self.entries.front()?.at > now {
             return None;
         }
         self.pop_earliest().map(|deadline| deadline.token)
     }
 
-    /// Takes the earliest deadline, even if it has not passed.
+    /// Takes the earliest deadline, reached or not.
     pub(super) fn pop_earliest(&mut self) -> Option<SocketDeadline> {
         self.entries.pop_front()
     }
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -45,7 +45,7 @@
     }
 
     /// Whether a descriptor is available for one more attempt when `open` descriptors are open.
-    pub(super) fn has_one_for_attempt(&self, open: usize) -> bool {
+    pub(super) fn has_descriptor_for_attempt(&self, open: usize) -> bool {
         self.reserve.committed(open) + MIN_FREE_DESCRIPTORS < self.limit
     }
 }
--- a/src/net/epoll_set.rs
+++ b/src/net/epoll_set.rs
@@ -17,26 +17,26 @@
 
 /// The epoll interest of one socket.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Watch {
+pub(super) struct EpollRegistration {
     interest: Interest,
-    state: WatchState,
+    state: RegistrationState,
 }
 
 /// What the kernel currently has registered for a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum WatchState {
+enum RegistrationState {
     /// The socket is registered with its current interest.
     Current,
     /// The socket is not registered: adding it was refused.
-    AddRefused,
+    AddPending,
     /// The socket is registered with an outdated interest: the change was refused.
-    ChangeRefused,
+    ModifyPending,
 }
 
-impl Watch {
+impl EpollRegistration {
     /// Creates the state of a socket that is to be registered with this interest.
-    pub(super) fn new(interest: Interest) -> Watch {
-        Watch { interest, state: WatchState::Current }
+    pub(super) fn new(interest: Interest) -> EpollRegistration {
+        EpollRegistration { interest, state: RegistrationState::Current }
     }
 
     /// The requested interest, which the kernel may not have accepted yet.
@@ -49,7 +49,7 @@
 pub(super) struct EpollSet {
     poller: Poller,
     /// Sockets whose last change was refused.
-    refused: Vec<Token>,
+    pending_retries: Vec<Token>,
     refused_changes: u64,
 }
 
@@ -59,7 +59,7 @@
     /// # Errors
     /// Returns an error if the epoll instance cannot be created.
     pub(super) fn new() -> io::Result<EpollSet> {
-        Ok(EpollSet { poller: Poller::new()?, refused: Vec::new(), refused_changes: 0 })
+        Ok(EpollSet { poller: Poller::new()?, pending_retries: Vec::new(), refused_changes: 0 })
     }
 
     /// Adds a socket.
@@ -67,10 +67,15 @@
     /// # Errors
     /// Returns an error if the socket cannot be watched at all. A shortage of memory is not an error: the
     /// socket is added later.
-    pub(super) fn add(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch) -> Result<(), Errno> {
-        match self.poller.add(fd, token, watch.interest) {
+    pub(super) fn add(
+        &mut self,
+        token: Token,
+        fd: &OwnedFd,
+        registration: &mut EpollRegistration,
+    ) -> Result<(), Errno> {
+        match self.poller.add(fd, token, registration.interest) {
             Err(error) if is_memory_shortage(error) => {
-                self.remember_refused(token, watch, WatchState::AddRefused);
+                self.queue_retry(token, registration, RegistrationState::AddPending);
                 Ok(())
             }
             added => added,
@@ -79,10 +84,18 @@
 
     /// Changes the interest of a socket. If the kernel refuses, the change takes effect once a retry
     /// succeeds.
-    pub(super) fn change(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch, interest: Interest) {
-        watch.interest = interest;
-        if watch.state == WatchState::Current && self.poller.modify(fd, token, interest).is_err() {
-            self.remember_refused(token, watch, WatchState::ChangeRefused);
+    pub(super) fn change(
+        &mut self,
+        token: Token,
+        fd: &OwnedFd,
+        registration: &mut EpollRegistration,
+        interest: Interest,
+    ) {
+        registration.interest = interest;
+        if registration.state == RegistrationState::Current
+            && self.poller.modify(fd, token, interest).is_err()
+        {
+            self.queue_retry(token, registration, RegistrationState::ModifyPending);
         }
     }
 
@@ -101,26 +114,26 @@
     }
 
     /// Takes the sockets whose changes are to be retried; the caller passes each to [`EpollSet::retry`].
-    pub(super) fn take_refused(&mut self) -> Vec<Token> {
-        std::mem::take(&mut self.refused)
+    pub(super) fn take_pending_retries(&mut self) -> Vec<Token> {
+        std::mem::take(&mut self.pending_retries)
     }
 
     /// Retries the refused change of a socket.
-    pub(super) fn retry(&mut self, token: Token, fd: &OwnedFd, watch: &mut Watch) {
-        let retried = match watch.state {
-            WatchState::Current => return,
-            WatchState::AddRefused => self.poller.add(fd, token, watch.interest),
-            WatchState::ChangeRefused => self.poller.modify(fd, token, watch.interest),
+    pub(super) fn retry(&mut self, token: Token, fd: &OwnedFd, registration: &mut EpollRegistration) {
+        let retried = match registration.state {
+            RegistrationState::Current => return,
+            RegistrationState::AddPending => self.poller.add(fd, token, registration.interest),
+            RegistrationState::ModifyPending => self.poller.modify(fd, token, registration.interest),
         };
         match retried {
-            Ok(()) => watch.state = WatchState::Current,
-            Err(_) => self.refused.push(token),
+            Ok(()) => registration.state = RegistrationState::Current,
+            Err(_) => self.pending_retries.push(token),
         }
     }
 
-    /// Caps the time-out of a wait while a change is to be retried.
-    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
-        if self.refused.is_empty() {
+    /// Caps the time-out of a wait, so that refused changes are retried in time.
+    pub(super) fn cap_timeout(&self, timeout: Duration) -> Duration {
+        if self.pending_retries.is_empty() {
             timeout
         } else {
             timeout.min(RETRY_INTERVAL)
@@ -132,10 +145,10 @@
         self.refused_changes
     }
 
-    fn remember_refused(&mut self, token: Token, watch: &mut Watch, state: WatchState) {
-        watch.state = state;
+    fn queue_retry(&mut self, token: Token, registration: &mut EpollRegistration, state: RegistrationState) {
+        registration.state = state;
         self.refused_changes += 1;
-        self.refused.push(token);
+        self.pending_retries.push(token);
     }
 }
 
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -2,7 +2,7 @@
 //! connections and accepted connections with an incomplete handshake, whose time limits are enforced here
 //! too.
 
-use super::buffered_sockets::{BufferedSockets, Closing};
+use super::buffered_sockets::{BufferedSockets, CloseStatus};
 use super::deadlines::DeadlineQueue;
 use super::event::SocketEventKind;
 use super::slab::Token;
@@ -33,14 +33,14 @@
     /// Closes a connection once its output is written, then waits a limited time for the peer to close its
     /// side.
     pub(super) fn close(&mut self, sockets: &mut BufferedSockets, token: Token) {
-        if sockets.close(token) == Closing::Lingering {
+        if sockets.close(token) == CloseStatus::Lingering {
             self.lingering.push_latest(sockets.store.now() + LINGER_TIMEOUT, token);
         }
     }
 
     /// Closes the connections whose wait for the peer has expired.
-    pub(super) fn end_expired_lingering(&mut self, store: &mut SocketStore) {
-        while let Some(token) = self.lingering.pop_reached(store.now()) {
+    pub(super) fn close_expired_lingering(&mut self, store: &mut SocketStore) {
+        while let Some(token) = self.lingering.pop_expired(store.now()) {
             store.close(token);
         }
     }
@@ -72,7 +72,7 @@
 
     /// Notifies the owners of connections whose handshake deadline has passed.
     pub(super) fn report_handshake_timeouts(&mut self, store: &mut SocketStore) {
-        while let Some(token) = self.awaiting_handshake.pop_reached(store.now()) {
+        while let Some(token) = self.awaiting_handshake.pop_expired(store.now()) {
             if store.get(token).is_some_and(Socket::is_awaiting_handshake) {
                 store.emit(token, SocketEventKind::HandshakeTimeout);
             }
@@ -81,7 +81,7 @@
 
     // ---- Eviction ------------------------------------------------------------------------------
 
-    /// Evicts connections while descriptors are short: lingering closes first, oldest first, then connections
+    /// Evicts connections while descriptors are short: lingering connections first, oldest first, then those
     /// with an incomplete handshake. Returns false if only connections in use are left.
     pub(super) fn reclaim_descriptors(&mut self, sockets: &mut BufferedSockets) -> bool {
         while sockets.store.is_short_of_descriptors() {
@@ -98,18 +98,18 @@
             sockets.store.close(deadline.token());
             return true;
         }
-        let mut spared = Vec::new();
+        let mut skipped = Vec::new();
         let mut evicted = false;
         while let Some(deadline) = self.awaiting_handshake.pop_earliest() {
             if has_unhandled_line(sockets, deadline.token()) {
-                spared.push(deadline);
+                skipped.push(deadline);
                 continue;
             }
-            evict_unless_complete(&mut sockets.store, deadline.token());
+            evict_if_handshake_incomplete(&mut sockets.store, deadline.token());
             evicted = true;
             break;
         }
-        self.awaiting_handshake.put_back(spared);
+        self.awaiting_handshake.put_back(skipped);
         evicted
     }
 }
@@ -126,7 +126,7 @@
 }
 
 /// Closes a connection if its handshake is still incomplete, and notifies its owner.
-fn evict_unless_complete(store: &mut SocketStore, token: Token) {
+fn evict_if_handshake_incomplete(store: &mut SocketStore, token: Token) {
     let Some(socket) = store.get(token) else { return };
     if socket.is_awaiting_handshake() && socket.is_open() {
         if let Some(farewell) = socket.farewell() {
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -75,7 +75,8 @@
 
     /// Takes the socket that is bound to this address. Port 0 matches any port of the same IP address.
     pub(super) fn take(&mut self, addr: SocketAddr) -> Option<ListeningSocket> {
-        let matches_addr = |at: &SocketAddr| *at == addr || (addr.port() == 0 && at.ip() == addr.ip());
+        let matches_addr =
+            |bound: &SocketAddr| *bound == addr || (addr.port() == 0 && bound.ip() == addr.ip());
         let index = self.sockets.iter().position(|listener| matches_addr(&listener.addr))?;
         Some(self.sockets.remove(index))
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -12,7 +12,7 @@
 //! | `slab` | slab with generation counters, and tokens |
 //! | `event` | events delivered to socket owners |
 //! | `connect_error` | errors from starting a connection |
-//! | `system` | wrappers round socket system calls, with fault injection for unit tests |
+//! | `system` | wrappers around socket system calls, with fault injection for unit tests |
 //! | `poller` | the epoll instance |
 //! | `epoll_set` | epoll interest of each socket, and retries of changes that the kernel refused |
 //! | `buffers` | input and output buffers of a connection |
@@ -23,7 +23,7 @@
 //! | `deadlines` | queues of socket deadlines |
 //! | `transfer_pause` | pauses of connections whose reads or writes fail for lack of kernel memory |
 //! | `buffered_sockets` | reading, writing and closing buffered connections |
-//! | `eviction` | eviction order, and time limits of lingering closes and incomplete handshakes |
+//! | `eviction` | eviction order, and time limits of lingering connections and incomplete handshakes |
 //! | `listener`, `accept` | listening sockets; accepting connections, and its backpressure |
 //! | `connect` | outgoing connections that are being established |
 //! | `transfer` | serialized state of a connection that is handed to another process |
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -1,4 +1,4 @@
-//! Wrapper round the epoll instance. All sockets are watched level-triggered.
+//! Wrapper around the epoll instance. All sockets are watched level-triggered.
 
 use super::slab::Token;
 use super::system::{self, Interest};
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -71,25 +71,25 @@
     /// Returns an error if epoll itself fails; the node cannot continue then.
     pub fn poll(&mut self, now: MonotonicTime, timeout: Duration) -> io::Result<Vec<SocketEvent>> {
         self.sockets.store.set_now(now);
-        self.candidates.end_expired_lingering(&mut self.sockets.store);
+        self.candidates.close_expired_lingering(&mut self.sockets.store);
         self.candidates.report_handshake_timeouts(&mut self.sockets.store);
-        self.acceptor.resume_if_pause_is_over(&mut self.sockets.store);
+        self.acceptor.resume_if_pause_expired(&mut self.sockets.store);
         self.sockets.resume_paused();
         self.sockets.store.retry_refused_changes();
-        for readiness in self.sockets.store.wait(self.limit_wait(timeout))? {
+        for readiness in self.sockets.store.wait(self.cap_timeout(timeout))? {
             self.handle_readiness(readiness);
         }
         Ok(self.sockets.store.take_events_reserved_first())
     }
 
     /// Caps the time-out so that the wait neither outlasts a pause nor delays events that are already queued.
-    fn limit_wait(&self, timeout: Duration) -> Duration {
-        if self.sockets.store.event_count() > 0 {
+    fn cap_timeout(&self, timeout: Duration) -> Duration {
+        if self.sockets.store.pending_event_count() > 0 {
             return Duration::ZERO;
         }
-        let timeout = self.acceptor.limit_wait(timeout);
-        let timeout = self.sockets.store.limit_wait(timeout);
-        self.sockets.pauses().limit_wait(timeout)
+        let timeout = self.acceptor.cap_timeout(timeout);
+        let timeout = self.sockets.store.cap_timeout(timeout);
+        self.sockets.pauses().cap_timeout(timeout)
     }
 
     /// Returns the events queued since the last poll, without waiting.
@@ -106,7 +106,7 @@
             SocketState::Failed => {}
             SocketState::Raw => self.report_raw_readiness(token, flags),
             SocketState::Connecting => self.connector.on_ready(&mut self.sockets, token, flags),
-            SocketState::Open | SocketState::Lingering { .. } => self.transfer_bytes(token, flags),
+            SocketState::Open | SocketState::Lingering { .. } => self.perform_io(token, flags),
         }
     }
 
@@ -120,7 +120,7 @@
         }
     }
 
-    fn transfer_bytes(&mut self, token: Token, flags: Interest) {
+    fn perform_io(&mut self, token: Token, flags: Interest) {
         let Some(socket) = self.sockets.store.get(token) else { return };
         let hung_up = socket.is_read_closed() && flags.contains(Interest::HUP);
         if flags.contains(Interest::IN) {
@@ -272,7 +272,7 @@
         let Some(socket) = self.sockets.store.get(token) else { return };
         let writable = if wanted { Interest::OUT } else { Interest::empty() };
         let interest = Interest::IN | writable;
-        if socket.state() == SocketState::Raw && socket.watch.interest() != interest {
+        if socket.state() == SocketState::Raw && socket.registration.interest() != interest {
             self.sockets.store.change_interest(token, interest);
         }
     }
@@ -346,10 +346,10 @@
 
     /// Reserves additional descriptors, for files and sockets that the reactor does not count.
     pub fn reserve_descriptors(&mut self, descriptors: usize) {
-        self.sockets.store.descriptors_mut().reserve_mut().enlarge(descriptors);
+        self.sockets.store.descriptors_mut().reserve_mut().grow(descriptors);
     }
 
-    /// Evicts connections while descriptors are short: lingering closes first, oldest first, then connections
+    /// Evicts connections while descriptors are short: lingering connections first, oldest first, then those
     /// with an incomplete handshake. Returns false if only connections in use are left.
     pub fn reclaim_descriptors(&mut self) -> bool {
         self.candidates.reclaim_descriptors(&mut self.sockets)
--- a/src/net/reactor/queries.rs
+++ b/src/net/reactor/queries.rs
@@ -96,10 +96,10 @@
     /// Counts of resource shortages since the process started.
     pub fn shortages(&self) -> ShortageCounts {
         ShortageCounts {
-            accept_pauses: self.acceptor.pauses(),
+            accept_pauses: self.acceptor.pause_count(),
             refused_watches: self.sockets.store.refused_changes(),
-            transfer_pauses: self.sockets.pauses().started(),
-            failed_connects: self.connector.shortages(),
+            transfer_pauses: self.sockets.pauses().pause_count(),
+            failed_connects: self.connector.shortage_count(),
         }
     }
 }
--- a/src/net/reserve.rs
+++ b/src/net/reserve.rs
@@ -13,7 +13,7 @@
 
 impl DescriptorReserve {
     /// Reserves additional descriptors.
-    pub(super) fn enlarge(&mut self, descriptors: usize) {
+    pub(super) fn grow(&mut self, descriptors: usize) {
         self.size += descriptors;
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Removes and returns the longest idle connection if all reserved descriptors are in use.
-    pub(super) fn pop_excess(&mut self) -> Option<Token> {
+    pub(super) fn pop_longest_idle_if_full(&mut self) -> Option<Token> {
         if self.holders.len() >= self.size {
             self.holders.pop_front()
         } else {
--- a/src/net/slab/tests.rs
+++ b/src/net/slab/tests.rs
@@ -1,11 +1,11 @@
 use super::{Slab, Token};
 
 fn insert(slab: &mut Slab<&'static str>, value: &'static str) -> Token {
-    slab.insert_with(|_| Ok::<_, ()>(value)).expect("inserted")
+    slab.insert_with(|_| Ok::<_, ()>(value)).expect("insert")
 }
 
 #[test]
-fn a_token_does_not_name_the_successor_in_its_slot() {
+fn a_token_does_not_refer_to_a_later_value_in_its_slot() {
     let mut slab = Slab::new();
     let first = insert(&mut slab, "first");
     assert_eq!(slab.remove(first), Some("first"));
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -1,14 +1,14 @@
 //! A socket: its descriptor, state and buffers.
 
 use super::buffers::Buffers;
-use super::epoll_set::Watch;
+use super::epoll_set::EpollRegistration;
 use super::event::SocketOwner;
 use super::slab::Token;
 use super::system::Interest;
 use std::os::fd::OwnedFd;
 
-/// How many bytes a peer may send after its connection was closed here. Beyond this the connection is reset,
-/// which tells the peer to stop.
+/// How many bytes a peer may send after its connection was closed here. Beyond this the socket is closed, and
+/// the resulting reset tells the peer to stop.
 const LINGER_DISCARD_BYTES: usize = 1024 * 1024;
 
 /// The state of a socket.
@@ -42,7 +42,7 @@
 }
 
 /// How the connection was accepted, and whether its handshake is complete.
-struct Acceptance {
+struct AcceptInfo {
     /// The listener that accepted the connection.
     listener: Option<Token>,
     /// The owner has not reported a complete handshake yet.
@@ -59,14 +59,14 @@
     pub(super) owner: SocketOwner,
     pub(super) buffers: Buffers,
     /// Its epoll interest.
-    pub(super) watch: Watch,
+    pub(super) registration: EpollRegistration,
     state: SocketState,
     write_state: WriteState,
     /// The peer has closed its write side.
     read_closed: bool,
     /// Reading and writing are suspended for lack of kernel memory.
     is_paused: bool,
-    acceptance: Acceptance,
+    accept_info: AcceptInfo,
 }
 
 impl Socket {
@@ -77,12 +77,12 @@
             fd,
             owner,
             buffers: Buffers::new(),
-            watch: Watch::new(interest),
+            registration: EpollRegistration::new(interest),
             state,
             write_state: WriteState::Open,
             read_closed: false,
             is_paused: false,
-            acceptance: Acceptance {
+            accept_info: AcceptInfo {
                 listener: None,
                 awaiting_handshake: false,
                 farewell: None,
@@ -118,12 +118,12 @@
     }
 
     /// Whether the owner may send bytes.
-    pub(super) fn accepts_output(&self) -> bool {
+    pub(super) fn can_send(&self) -> bool {
         self.write_state == WriteState::Open && self.state != SocketState::Failed
     }
 
     /// Whether both sides have shut down their write directions.
-    pub(super) fn is_over(&self) -> bool {
+    pub(super) fn is_fully_closed(&self) -> bool {
         self.read_closed && self.write_state == WriteState::ShutDown
     }
 
@@ -163,7 +163,7 @@
     }
 
     /// Records that the peer has closed its write side.
-    pub(super) fn end_reading(&mut self) {
+    pub(super) fn mark_read_closed(&mut self) {
         self.read_closed = true;
     }
 
@@ -176,17 +176,17 @@
 
     /// Called when all output is written. Returns whether the write direction is to be shut down now, and
     /// marks it as shut down.
-    pub(super) fn take_due_shutdown(&mut self) -> bool {
-        let due = self.write_state == WriteState::ShutdownPending;
-        if due {
+    pub(super) fn take_pending_shutdown(&mut self) -> bool {
+        let pending = self.write_state == WriteState::ShutdownPending;
+        if pending {
             self.write_state = WriteState::ShutDown;
         }
-        due
+        pending
     }
 
     /// Starts the close: input is discarded from now on, and the write direction is shut down once the
     /// buffered output is written.
-    pub(super) fn linger(&mut self) {
+    pub(super) fn begin_lingering(&mut self) {
         if !self.is_lingering() {
             self.state = SocketState::Lingering { discard_budget_bytes: LINGER_DISCARD_BYTES };
         }
@@ -196,7 +196,7 @@
 
     /// Counts input that was discarded after the close. Returns whether the limit on discarded bytes is
     /// reached.
-    pub(super) fn discard(&mut self, count: usize) -> bool {
+    pub(super) fn record_discarded(&mut self, count: usize) -> bool {
         let SocketState::Lingering { discard_budget_bytes } = &mut self.state else { return false };
         *discard_budget_bytes = discard_budget_bytes.saturating_sub(count);
         *discard_budget_bytes == 0
@@ -215,46 +215,46 @@
 
     /// Records the listener that accepted the connection.
     pub(super) fn set_listener(&mut self, listener: Token) {
-        self.acceptance.listener = Some(listener);
+        self.accept_info.listener = Some(listener);
     }
 
     /// The listener that accepted the connection.
     pub(super) fn listener(&self) -> Option<Token> {
-        self.acceptance.listener
+        self.accept_info.listener
     }
 
     /// Marks the socket as using a reserved descriptor, or as the listener whose connections use them.
     pub(super) fn use_reserve(&mut self) {
-        self.acceptance.uses_reserve = true;
+        self.accept_info.uses_reserve = true;
     }
 
     /// Whether the socket uses a reserved descriptor, or is the listener whose connections use them.
     pub(super) fn uses_reserve(&self) -> bool {
-        self.acceptance.uses_reserve
+        self.accept_info.uses_reserve
     }
 
     /// Marks the peer's handshake as incomplete.
     pub(super) fn await_handshake(&mut self) {
-        self.acceptance.awaiting_handshake = true;
+        self.accept_info.awaiting_handshake = true;
     }
 
     /// Marks the peer's handshake as complete.
     pub(super) fn complete_handshake(&mut self) {
-        self.acceptance.awaiting_handshake = false;
+        self.accept_info.awaiting_handshake = false;
     }
 
     /// Whether the owner of the accepted connection has not reported a complete handshake yet.
     pub(super) fn is_awaiting_handshake(&self) -> bool {
-        self.acceptance.awaiting_handshake
+        self.accept_info.awaiting_handshake
     }
 
     /// Sets what the peer is sent if the connection is evicted.
     pub(super) fn set_farewell(&mut self, farewell: Option<&'static [u8]>) {
-        self.acceptance.farewell = farewell;
+        self.accept_info.farewell = farewell;
     }
 
     /// What the peer is sent if the connection is evicted.
     pub(super) fn farewell(&self) -> Option<&'static [u8]> {
-        self.acceptance.farewell
+        self.accept_info.farewell
     }
 }
--- a/src/net/socket_store.rs
+++ b/src/net/socket_store.rs
@@ -65,7 +65,7 @@
         let epoll = &mut self.epoll;
         self.sockets.insert_with(|token| {
             let mut socket = Socket::new(fd, owner, state);
-            epoll.add(token, &socket.fd, &mut socket.watch)?;
+            epoll.add(token, &socket.fd, &mut socket.registration)?;
             Ok(socket)
         })
     }
@@ -92,9 +92,9 @@
     }
 
     /// Returns the tokens of all sockets that match a predicate, in slot order.
-    pub(super) fn tokens_where(&mut self, applies: impl Fn(&Socket) -> bool) -> Vec<Token> {
+    pub(super) fn tokens_where(&mut self, predicate: impl Fn(&Socket) -> bool) -> Vec<Token> {
         let sockets = self.sockets.iter_mut();
-        sockets.filter(|(_, socket)| applies(socket)).map(|(token, _)| token).collect()
+        sockets.filter(|(_, socket)| predicate(socket)).map(|(token, _)| token).collect()
     }
 
     /// Closes a socket, which also removes it from the epoll set, and invalidates its token.
@@ -138,7 +138,7 @@
     }
 
     /// Number of queued events.
-    pub(super) fn event_count(&self) -> usize {
+    pub(super) fn pending_event_count(&self) -> usize {
         self.events.len()
     }
 
@@ -156,7 +156,7 @@
 
     /// Whether a descriptor is available for one more attempt.
     pub(super) fn has_descriptor_for_attempt(&self) -> bool {
-        self.descriptors.has_one_for_attempt(self.sockets.len())
+        self.descriptors.has_descriptor_for_attempt(self.sockets.len())
     }
 
     // ---- Epoll ---------------------------------------------------------------------------------
@@ -172,7 +172,7 @@
     /// Sets the epoll interest of a socket.
     pub(super) fn change_interest(&mut self, token: Token, interest: Interest) {
         if let Some(socket) = self.sockets.get_mut(token) {
-            self.epoll.change(token, &socket.fd, &mut socket.watch, interest);
+            self.epoll.change(token, &socket.fd, &mut socket.registration, interest);
         }
     }
 
@@ -183,13 +183,13 @@
             return;
         }
         let interest = socket.wanted_interest();
-        if interest != socket.watch.interest() {
-            self.epoll.change(token, &socket.fd, &mut socket.watch, interest);
+        if interest != socket.registration.interest() {
+            self.epoll.change(token, &socket.fd, &mut socket.registration, interest);
         }
     }
 
     /// Permanently removes a socket from the epoll set. The socket stays in the store.
-    pub(super) fn unwatch(&self, token: Token) {
+    pub(super) fn deregister(&self, token: Token) {
         if let Some(socket) = self.sockets.get(token) {
             self.epoll.delete(&socket.fd);
         }
@@ -197,16 +197,16 @@
 
     /// Retries the changes of the epoll set that the kernel refused.
     pub(super) fn retry_refused_changes(&mut self) {
-        for token in self.epoll.take_refused() {
+        for token in self.epoll.take_pending_retries() {
             if let Some(socket) = self.sockets.get_mut(token) {
-                self.epoll.retry(token, &socket.fd, &mut socket.watch);
+                self.epoll.retry(token, &socket.fd, &mut socket.registration);
             }
         }
     }
 
-    /// Caps the time-out of a wait while a change is to be retried.
-    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
-        self.epoll.limit_wait(timeout)
+    /// Caps the time-out of a wait, so that refused changes are retried in time.
+    pub(super) fn cap_timeout(&self, timeout: Duration) -> Duration {
+        self.epoll.cap_timeout(timeout)
     }
 
     /// Number of changes of the epoll set that the kernel refused, not counting retries.
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -1,4 +1,4 @@
-//! Wrappers round the socket system calls of the reactor.
+//! Wrappers around the socket system calls of the reactor.
 //!
 //! In unit tests they return the errors that the test has planned (`system/faults.rs`). The faults are
 //! planned in the process itself because a preloaded library does not see system calls that rustix makes
@@ -31,25 +31,25 @@
 
 /// Returns the error that the test has planned for this call.
 #[cfg(test)]
-fn injected(call: SystemCall) -> Result<(), Errno> {
-    faults::take(call).map_or(Ok(()), Err)
+fn injected_fault(call: SystemCall) -> Result<(), Errno> {
+    faults::take_next(call).map_or(Ok(()), Err)
 }
 
 /// Outside unit tests no error is injected.
 #[cfg(not(test))]
-fn injected(_call: SystemCall) -> Result<(), Errno> {
+fn injected_fault(_call: SystemCall) -> Result<(), Errno> {
     Ok(())
 }
 
 /// Accepts a connection. The new socket is non-blocking.
 pub(super) fn accept(listener: &OwnedFd) -> Result<OwnedFd, Errno> {
-    injected(SystemCall::Accept)?;
+    injected_fault(SystemCall::Accept)?;
     rustix::net::accept_with(listener, SocketFlags::NONBLOCK | SocketFlags::CLOEXEC)
 }
 
 /// Creates a non-blocking TCP socket of the address family of `addr`.
 pub(super) fn stream_socket(addr: SocketAddr) -> Result<OwnedFd, Errno> {
-    injected(SystemCall::Socket)?;
+    injected_fault(SystemCall::Socket)?;
     let family = if addr.is_ipv4() { AddressFamily::INET } else { AddressFamily::INET6 };
     let flags = SocketFlags::NONBLOCK | SocketFlags::CLOEXEC;
     rustix::net::socket_with(family, SocketType::STREAM, flags, None)
@@ -57,23 +57,23 @@
 
 /// Starts connecting a socket. A call that returns EINTR has started the connection too.
 pub(super) fn connect(socket: &OwnedFd, addr: SocketAddr) -> Result<(), Errno> {
-    let injected = injected(SystemCall::Connect);
-    if let Err(Errno::INTR) | Ok(()) = injected {
+    let fault = injected_fault(SystemCall::Connect);
+    if let Err(Errno::INTR) | Ok(()) = fault {
         let connected = rustix::net::connect(socket, &addr);
-        return injected.and(connected);
+        return fault.and(connected);
     }
-    injected
+    fault
 }
 
 /// Reads into a buffer.
 pub(super) fn read(fd: &OwnedFd, buffer: &mut [u8]) -> Result<usize, Errno> {
-    injected(SystemCall::Read)?;
+    injected_fault(SystemCall::Read)?;
     rustix::io::read(fd, buffer)
 }
 
 /// Writes from a buffer, possibly only part of it.
 pub(super) fn write(fd: &OwnedFd, bytes: &[u8]) -> Result<usize, Errno> {
-    injected(SystemCall::Write)?;
+    injected_fault(SystemCall::Write)?;
     rustix::io::write(fd, bytes)
 }
 
@@ -84,7 +84,7 @@
     token: Token,
     interest: Interest,
 ) -> Result<(), Errno> {
-    injected(SystemCall::EpollAdd)?;
+    injected_fault(SystemCall::EpollAdd)?;
     epoll::add(epoll, fd, epoll::EventData::new_u64(token.as_raw()), interest)
 }
 
@@ -95,6 +95,6 @@
     token: Token,
     interest: Interest,
 ) -> Result<(), Errno> {
-    injected(SystemCall::EpollModify)?;
+    injected_fault(SystemCall::EpollModify)?;
     epoll::modify(epoll, fd, epoll::EventData::new_u64(token.as_raw()), interest)
 }
--- a/src/net/system/faults.rs
+++ b/src/net/system/faults.rs
@@ -18,22 +18,22 @@
 }
 
 /// Lets the next `times` calls of this kind in this thread fail.
-pub fn fail(call: SystemCall, error: Errno, times: usize) {
-    fail_after(0, call, error, times);
+pub fn inject_fault(call: SystemCall, error: Errno, times: usize) {
+    inject_fault_after(0, call, error, times);
 }
 
-/// Like [`fail`], but lets `after` calls of this kind succeed first.
-pub fn fail_after(after: usize, call: SystemCall, error: Errno, times: usize) {
+/// Like [`inject_fault`], but lets `after` calls of this kind succeed first.
+pub fn inject_fault_after(after: usize, call: SystemCall, error: Errno, times: usize) {
     PLANNED.with_borrow_mut(|planned| planned.push_back(PlannedFault { call, error, after, times }));
 }
 
 /// Whether every planned fault has occurred.
-pub fn all_happened() -> bool {
+pub fn all_triggered() -> bool {
     PLANNED.with_borrow(VecDeque::is_empty)
 }
 
 /// Returns the error that is planned for the next call of this kind, if any.
-pub(super) fn take(call: SystemCall) -> Option<Errno> {
+pub(super) fn take_next(call: SystemCall) -> Option<Errno> {
     PLANNED.with_borrow_mut(|planned| {
         let index = planned.iter().position(|fault| fault.call == call)?;
         let fault = &mut planned[index];
--- a/src/net/timer_wheel/tests.rs
+++ b/src/net/timer_wheel/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn no_timer_expires_early_and_a_far_one_waits_its_rounds() {
+fn no_timer_expires_early_and_a_distant_one_waits_several_revolutions() {
     let mut wheel = TimerWheel::new(MonotonicTime::from_nanos(7));
     let far = at(TICK * (SLOT_COUNT as u32 + 3));
     wheel.schedule(far, "far");
--- a/src/net/transfer/tests.rs
+++ b/src/net/transfer/tests.rs
@@ -34,31 +34,33 @@
         bytes_written,
         handshake_deadline,
     };
-    let connection: BufferedConnection = serde_json::from_str(json).expect("readable");
+    let connection: BufferedConnection = serde_json::from_str(json).expect("deserialize");
     assert_eq!(connection, expected);
-    assert_eq!(serde_json::to_string(&connection).expect("writable"), json);
+    assert_eq!(serde_json::to_string(&connection).expect("serialize"), json);
 }
 
 /// A process may hand over a connection or a listening socket in blocking mode. Calls on it must not block
 /// here.
 #[test]
-fn what_was_handed_over_blocking_does_not_block() {
-    let (done, is_done) = std::sync::mpsc::channel();
+fn sockets_handed_over_in_blocking_mode_do_not_block() {
+    let (done, finished) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let addr = listener.local_addr().expect("an address");
-        let client = TcpStream::connect(addr).expect("it listens");
-        let (connection, _) = listener.accept().expect("it connects");
-        let mut net = SocketReactor::new(64).expect("epoll");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("bind to a free port");
+        let addr = listener.local_addr().expect("the local address");
+        let client = TcpStream::connect(addr).expect("connect to the listener");
+        let (connection, _) = listener.accept().expect("accept the connection");
+        let mut reactor = SocketReactor::new(64).expect("create the reactor");
         let connection = OwnedFd::from(connection);
-        let imported = net.import_connection(connection, BufferedConnection::default(), SocketOwner::Admin);
-        net.read_available(imported.expect("it is watched"));
-        net.inherit_listeners(vec![ListeningSocket { addr, fd: OwnedFd::from(listener) }]);
-        net.listen(addr, SocketOwner::Frontend(FrontendId { index: 0, name: "text" }))
-            .expect("it is inherited");
-        assert!(!net.accept_waiting(), "nobody waits");
+        let imported =
+            reactor.import_connection(connection, BufferedConnection::default(), SocketOwner::Admin);
+        reactor.read_available(imported.expect("import the connection"));
+        reactor.inherit_listeners(vec![ListeningSocket { addr, fd: OwnedFd::from(listener) }]);
+        reactor
+            .listen(addr, SocketOwner::Frontend(FrontendId { index: 0, name: "text" }))
+            .expect("listen on the inherited socket");
+        assert!(!reactor.accept_waiting(), "no connection is queued");
         drop(client);
-        done.send(()).expect("the test waits");
+        done.send(()).expect("notify the test");
     });
-    is_done.recv_timeout(Duration::from_secs(5)).expect("a call blocks");
+    finished.recv_timeout(Duration::from_secs(5)).expect("a call blocked for 5 s");
 }
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -21,23 +21,23 @@
 #[derive(Default)]
 pub(super) struct TransferPauses {
     pauses: DeadlineQueue,
-    started: u64,
+    pause_count: u64,
 }
 
 impl TransferPauses {
     /// Starts the pause of a connection.
     pub(super) fn start(&mut self, now: MonotonicTime, token: Token) {
-        self.started += 1;
+        self.pause_count += 1;
         self.pauses.push_latest(now + TRANSFER_PAUSE, token);
     }
 
     /// Takes a connection whose pause has expired.
-    pub(super) fn pop_over(&mut self, now: MonotonicTime) -> Option<Token> {
-        self.pauses.pop_reached(now)
+    pub(super) fn pop_expired(&mut self, now: MonotonicTime) -> Option<Token> {
+        self.pauses.pop_expired(now)
     }
 
-    /// Caps the time-out of a wait while a connection is paused.
-    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
+    /// Caps the time-out of a wait, so that it does not outlast a pause.
+    pub(super) fn cap_timeout(&self, timeout: Duration) -> Duration {
         if self.pauses.is_empty() {
             timeout
         } else {
@@ -46,7 +46,7 @@
     }
 
     /// Number of pauses started so far.
-    pub(super) fn started(&self) -> u64 {
-        self.started
+    pub(super) fn pause_count(&self) -> u64 {
+        self.pause_count
     }
 }
