--- a/src/net/system/faults.rs
+++ b/src/net/system/faults.rs
@@ -1,4 +1,4 @@
-//! The system calls that are to fail in this thread, for unit tests.
+//! Injects errors into the system calls of the current thread, for unit tests.
 
 use super::SystemCall;
 use rustix::io::Errno;
@@ -12,28 +12,28 @@
 struct PlannedFault {
     call: SystemCall,
     error: Errno,
-    /// Calls of this kind that still succeed before it.
+    /// Number of calls of this kind that still succeed first.
     after: usize,
     times: usize,
 }
 
-/// The next `times` calls of this kind in this thread fail.
-pub fn fail(call: SystemCall, error: Errno, times: usize) {
-    fail_after(0, call, error, times);
+/// Lets the next `times` calls of this kind in this thread fail.
+pub fn inject_fault(call: SystemCall, error: Errno, times: usize) {
+    inject_fault_after(0, call, error, times);
 }
 
-/// The same, once `after` calls of this kind have succeeded.
-pub fn fail_after(after: usize, call: SystemCall, error: Errno, times: usize) {
+/// Like [`inject_fault`], but lets `after` calls of this kind succeed first.
+pub fn inject_fault_after(after: usize, call: SystemCall, error: Errno, times: usize) {
     PLANNED.with_borrow_mut(|planned| planned.push_back(PlannedFault { call, error, after, times }));
 }
 
-/// Whether every planned call has failed.
-pub fn all_happened() -> bool {
+/// Whether every planned fault has occurred.
+pub fn all_triggered() -> bool {
     PLANNED.with_borrow(VecDeque::is_empty)
 }
 
-/// The error of the next call of this kind, if it is to fail.
-pub(super) fn take(call: SystemCall) -> Option<Errno> {
+/// Returns the error that is planned for the next call of this kind, if any.
+pub(super) fn take_next(call: SystemCall) -> Option<Errno> {
     PLANNED.with_borrow_mut(|planned| {
         let index = planned.iter().position(|fault| fault.call == call)?;
         let fault = &mut planned[index];
--- a/src/net/transfer_pause.rs
+++ b/src/net/transfer_pause.rs
@@ -1,7 +1,7 @@
-//! Pauses of connections whose reads or writes find no kernel memory.
+//! Pauses of connections whose reads or writes fail for lack of kernel memory.
 //!
-//! The connection is sound: it is neither read nor written for a moment and then continues. Without the pause a descriptor
-//! that is ready and cannot be served would keep the event loop from sleeping.
+//! Such a connection is intact, so reading and writing are only suspended for a short time. Without the
+//! pause, a descriptor that is ready but cannot be served would keep the event loop from sleeping.
 
 use super::deadlines::DeadlineQueue;
 use super::slab::Token;
@@ -9,35 +9,35 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// How long a connection is paused.
+/// Length of a pause.
 const TRANSFER_PAUSE: Duration = Duration::from_millis(10);
 
-/// Whether a read or write failed for lack of kernel memory, which passes.
+/// Whether a read or write failed for lack of kernel memory, which is temporary.
 pub(super) fn is_transfer_shortage(error: Errno) -> bool {
     matches!(error, Errno::NOBUFS | Errno::NOMEM)
 }
 
-/// The connections that are paused, by the end of the pause.
+/// The paused connections, ordered by the end of their pauses.
 #[derive(Default)]
 pub(super) struct TransferPauses {
     pauses: DeadlineQueue,
-    started: u64,
+    pause_count: u64,
 }
 
 impl TransferPauses {
-    /// A connection is paused from now on.
+    /// Starts the pause of a connection.
     pub(super) fn start(&mut self, now: MonotonicTime, token: Token) {
-        self.started += 1;
+        self.pause_count += 1;
         self.pauses.push_latest(now + TRANSFER_PAUSE, token);
     }
 
-    /// Takes a connection whose pause is over.
-    pub(super) fn pop_over(&mut self, now: MonotonicTime) -> Option<Token> {
-        self.pauses.pop_reached(now)
+    /// Takes a connection whose pause has expired.
+    pub(super) fn pop_expired(&mut self, now: MonotonicTime) -> Option<Token> {
+        self.pauses.pop_expired(now)
     }
 
-    /// The time-out of a wait that must not outlast a pause.
-    pub(super) fn limit_wait(&self, timeout: Duration) -> Duration {
+    /// Caps the time-out of a wait, so that it does not outlast a pause.
+    pub(super) fn cap_timeout(&self, timeout: Duration) -> Duration {
         if self.pauses.is_empty() {
             timeout
         } else {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// How many pauses have been started.
-    pub(super) fn started(&self) -> u64 {
-        self.started
+    /// Number of pauses started so far.
+    pub(super) fn pause_count(&self) -> u64 {
+        self.pause_count
     }
 }
