--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -1,52 +1,53 @@
-//! Decoder for a chunked HTTP/1.1 response, sans I/O.
+//! Incremental decoder for a chunked HTTP/1.1 response, without I/O.
 //!
-//! Bytes are fed in as they arrive, cut anywhere; [`ChunkedDecoder::next_data`] is polled for the body's bytes.
+//! Input is fed as it arrives, split at arbitrary positions; [`ChunkedDecoder::next_data`] returns the bytes of the
+//! body.
 
 use serde::{Deserialize, Serialize};
 use std::vec::Drain;
 use thiserror::Error;
 
-/// Longest response head, in bytes.
+/// Maximum length of the response head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Longest chunk-size line, extensions included, in bytes.
+/// Maximum length of a chunk-size line, including chunk extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 64;
 
-/// Why a response cannot be decoded any further.
+/// The reason why decoding of a response has stopped.
 ///
-/// The text is what `docs/ON-CALL.md` lists for the log event "endpoint watch lost".
+/// `docs/ON-CALL.md` lists these texts for the log event "endpoint watch lost".
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The response is complete.
+    /// The last chunk has arrived, or the connection ended.
     #[error("ended")]
     Ended,
     /// The head is longer than [`MAX_HEAD_BYTES`].
     #[error("response head too long")]
     HeadTooLong,
-    /// The head is not that of an HTTP/1.x response.
+    /// The head is not a valid HTTP/1.x response head.
     #[error("response is not HTTP")]
     NotHttp,
     /// The status code is not 200.
     #[error("HTTP status {0}")]
     Status(u16),
-    /// The body is not in the chunked transfer coding.
+    /// The body does not use the chunked transfer coding.
     #[error("response is not chunked")]
     NotChunked,
-    /// A chunk size or the end of a chunk is malformed.
+    /// A chunk-size line or the line end after a chunk is malformed.
     #[error("malformed chunk")]
     InvalidChunk,
 }
 
-/// The element of the response that is decoded next. The handover carries its serde names, so they are fixed.
+/// The element of the response that is decoded next. It is part of the handover state, so the serde names are fixed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 enum Stage {
     /// The status line and the header fields.
     #[default]
     #[serde(rename = "Head")]
     Head,
-    /// The line with a chunk's size.
+    /// A chunk-size line.
     #[serde(rename = "Size")]
     ChunkSize,
-    /// So many more bytes of a chunk's data.
+    /// The data of a chunk, with the number of bytes that remain.
     #[serde(rename = "Data")]
     ChunkData(usize),
     /// The line end after a chunk's data.
@@ -54,32 +55,32 @@
     ChunkEnd,
 }
 
-/// A response as far as it has arrived.
+/// Decoder state of one response.
 #[derive(Debug, Default, Deserialize, Serialize)]
 pub struct ChunkedDecoder {
     stage: Stage,
-    /// Bytes that have arrived and are not decoded yet.
+    /// Input that is not decoded yet.
     #[serde(rename = "bytes")]
     buffer: Vec<u8>,
 }
 
 impl ChunkedDecoder {
-    /// Adds bytes that have arrived.
+    /// Appends input.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Number of bytes that have arrived and are not decoded yet.
+    /// Returns the number of input bytes that are not decoded yet.
     pub fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// The next bytes of the body; none until more has been fed.
+    /// Returns the next bytes of the body, or `None` if more input is needed.
     ///
     /// # Errors
     ///
-    /// [`ResponseError::Ended`] after the last chunk, the other variants for anything but a chunked response with status
-    /// 200. The decoder must not be used afterwards.
+    /// [`ResponseError::Ended`] after the last chunk, another variant if the input is not a chunked response with status
+    /// 200. The decoder must not be used after an error.
     pub fn next_data(&mut self) -> Result<Option<Drain<'_, u8>>, ResponseError> {
         loop {
             let next_stage = match self.stage {
@@ -96,7 +97,7 @@
     }
 
     fn decode_head(&mut self) -> Result<Option<Stage>, ResponseError> {
-        let Some(head_length) = find(&self.buffer, b"\r\n\r\n") else {
+        let Some(head_length) = find_subslice(&self.buffer, b"\r\n\r\n") else {
             let too_long = self.buffer.len() > MAX_HEAD_BYTES;
             return if too_long { Err(ResponseError::HeadTooLong) } else { Ok(None) };
         };
@@ -106,7 +107,7 @@
     }
 
     fn decode_chunk_size(&mut self) -> Result<Option<Stage>, ResponseError> {
-        let Some(line_length) = find(&self.buffer, b"\r\n") else {
+        let Some(line_length) = find_subslice(&self.buffer, b"\r\n") else {
             let too_long = self.buffer.len() > MAX_CHUNK_SIZE_LINE_BYTES;
             return if too_long { Err(ResponseError::InvalidChunk) } else { Ok(None) };
         };
@@ -142,7 +143,7 @@
     }
 }
 
-/// Accepts the head of a response with status 200 and a chunked body.
+/// Checks that a response head has status 200 and announces a chunked body.
 fn check_head(head: &[u8]) -> Result<(), ResponseError> {
     let text = std::str::from_utf8(head).map_err(|_| ResponseError::NotHttp)?;
     let mut lines = text.split("\r\n");
@@ -168,8 +169,8 @@
     })
 }
 
-/// Position of the first occurrence of a sequence of bytes.
-fn find(haystack: &[u8], needle: &[u8]) -> Option<usize> {
+/// Returns the position of the first occurrence of `needle`.
+fn find_subslice(haystack: &[u8], needle: &[u8]) -> Option<usize> {
     haystack.windows(needle.len()).position(|window| window == needle)
 }
 
--- a/src/discovery/chunked/tests.rs
+++ b/src/discovery/chunked/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Decodes a response that arrives in pieces of so many bytes: the body, and how decoding ended.
+/// Decodes a response that arrives in pieces of `piece_bytes`, and returns the body and the outcome of decoding.
 fn decode(text: &str, piece_bytes: usize) -> (Vec<u8>, Result<(), ResponseError>) {
     let mut decoder = ChunkedDecoder::default();
     let mut body = Vec::new();
@@ -23,7 +23,7 @@
 #[case(1)]
 #[case(7)]
 #[case(1000)]
-fn the_body_is_the_same_however_the_response_is_cut(#[case] piece_bytes: usize) {
+fn the_body_does_not_depend_on_how_the_response_is_split(#[case] piece_bytes: usize) {
     let text =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\na\nb\r\n2;x=y\r\nc\n\r\n1\r\n\n\r\n0\r\n";
     assert_eq!(decode(text, piece_bytes), (b"a\nbc\n\n".to_vec(), Err(ResponseError::Ended)));
@@ -36,12 +36,12 @@
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", ResponseError::InvalidChunk)]
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\naXY", ResponseError::InvalidChunk)]
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", ResponseError::Ended)]
-fn a_response_that_is_no_watch_is_an_error(#[case] text: &str, #[case] error: ResponseError) {
+fn a_response_other_than_a_chunked_200_is_an_error(#[case] text: &str, #[case] error: ResponseError) {
     assert_eq!(decode(text, 5).1, Err(error));
 }
 
 #[test]
-fn a_head_and_a_chunk_size_have_a_longest_length() {
+fn the_lengths_of_a_head_and_a_chunk_size_line_are_limited() {
     assert_eq!(decode(&"x".repeat(MAX_HEAD_BYTES), 100).1, Ok(()));
     assert_eq!(decode(&"x".repeat(MAX_HEAD_BYTES + 1), 100).1, Err(ResponseError::HeadTooLong));
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -58,6 +58,6 @@
 #[case(ResponseError::Status(503), "HTTP status 503")]
 #[case(ResponseError::NotChunked, "response is not chunked")]
 #[case(ResponseError::InvalidChunk, "malformed chunk")]
-fn an_error_is_printed_as_the_log_event_names_it(#[case] error: ResponseError, #[case] text: &str) {
+fn errors_are_displayed_as_documented(#[case] error: ResponseError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -1,9 +1,9 @@
-//! The discovery client: keeps one watch open and reports the lists that it yields as events for the balancer.
+//! The discovery client: keeps one watch open and reports the lists that it receives as events for the balancer.
 
 use super::chunked::ResponseError;
 use super::document::{EndpointListDocument, ListScope};
 use super::registry::EndpointRegistry;
-use super::watch::{Received, WatchError, WatchState};
+use super::watch::{ReceivedLists, WatchError, WatchState};
 use crate::model::{Event, ListKind};
 use crate::net::{
     BufferedConnection, ConnectError, ExportedConnection, SocketEvent, SocketEventKind, SocketOwner,
@@ -13,17 +13,17 @@
 use std::net::SocketAddr;
 use std::os::fd::OwnedFd;
 
-/// A watch on its way from one process to the next.
+/// A watch that is handed over from one process to its successor.
 pub struct TransferredWatch {
     /// The connection to the discovery service.
     pub socket: OwnedFd,
-    /// How far the response is decoded.
+    /// Decoder state and timestamps of the watch.
     pub state: WatchState,
-    /// Bytes of the connection that are not read or written yet.
+    /// Buffered input and output of the connection.
     pub connection: BufferedConnection,
 }
 
-/// Whether the connection of the watch is usable.
+/// Whether the connection of the watch is still usable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionState {
     Usable,
@@ -35,39 +35,40 @@
     state: WatchState,
 }
 
-/// A client of the discovery service with at most one watch.
+/// A client of the discovery service with at most one open watch.
 pub struct DiscoveryClient {
     address: SocketAddr,
     watch: Option<Watch>,
-    /// No watch could be requested because this machine has no socket for it, which is no failure of the service.
+    /// The last watch request was not sent because no socket could be opened on this machine. This does not count as a
+    /// failure of the service.
     awaits_socket: bool,
-    /// Watch requests sent so far.
+    /// Number of watch requests sent.
     watch_requests: u64,
 }
 
 impl DiscoveryClient {
-    /// A client of the service at this address, without a watch.
+    /// Creates a client of the service at this address, without a watch.
     pub fn new(address: SocketAddr) -> DiscoveryClient {
         DiscoveryClient { address, watch: None, awaits_socket: false, watch_requests: 0 }
     }
 
-    /// Whether a watch is open or requested.
+    /// Returns whether a watch is open or requested.
     pub fn has_watch(&self) -> bool {
         self.watch.is_some()
     }
 
-    /// Watch requests sent so far.
+    /// Returns the number of watch requests sent.
     pub fn watch_requests(&self) -> u64 {
         self.watch_requests
     }
 
-    /// Whether a watch is to be requested as soon as this machine has a socket for it.
+    /// Returns whether a watch request is pending until a socket can be opened on this machine.
     pub fn awaits_socket(&self) -> bool {
         self.awaits_socket
     }
 
-    /// Requests the changes since the registry's generation, unless there is a watch already. The result is a failure
-    /// event where the service refuses the connection.
+    /// Opens a watch for the changes since the registry's generation, unless there is a watch already. Returns a failure
+    /// event if the connection attempt fails at once.
     pub fn subscribe(
         &mut self,
         now: MonotonicTime,
@@ -77,14 +78,15 @@
         if self.watch.is_some() {
             return None;
         }
-        let connecting = net.connect(self.address, SocketOwner::Discovery);
-        let waited = std::mem::take(&mut self.awaits_socket);
-        let token = match connecting {
+        let connect_result = net.connect(self.address, SocketOwner::Discovery);
+        let was_awaiting_socket = std::mem::take(&mut self.awaits_socket);
+        let token = match connect_result {
             Ok(token) => token,
-            Err(ConnectError::Failed(_)) => return Some(watch_failed()),
+            Err(ConnectError::Failed(_)) => return Some(watch_failed_event()),
             Err(error @ (ConnectError::Shortage(_) | ConnectError::Unroutable(_))) => {
                 self.awaits_socket = true;
-                if !waited {
+                // Logged once, not at each retry.
+                if !was_awaiting_socket {
                     tracing::warn!(%error, "endpoint watch cannot be opened, retrying");
                 }
                 return None;
@@ -101,8 +103,8 @@
         None
     }
 
-    /// Moves to a service at another address. Its generations may differ from those of the old one, so a complete list
-    /// is requested; the registry keeps its endpoints until that list has arrived.
+    /// Switches to a discovery service at another address. Its generations may differ from those of the old one, so a
+    /// complete list is requested. The registry keeps its endpoints until that list arrives.
     pub fn change_address(
         &mut self,
         now: MonotonicTime,
@@ -111,13 +113,13 @@
         address: SocketAddr,
     ) -> Option<Event> {
         self.close_watch(net);
-        registry.expect_other_source();
+        registry.prepare_for_new_source();
         self.address = address;
         self.subscribe(now, net, registry)
     }
 
-    /// Handles an event at a discovery socket. The result is the changes that it yielded, in order. A socket other than
-    /// the current watch's is closed.
+    /// Handles an event of a discovery socket and returns the resulting balancer events in order. A socket that is not
+    /// that of the current watch is closed.
     pub fn on_socket_event(
         &mut self,
         now: MonotonicTime,
@@ -153,13 +155,13 @@
         net.update_interest(token);
         let mut events = apply_lists(registry, &received);
         if let Err(error) = received.outcome {
-            events.push(self.lose_watch(net, error));
+            events.push(self.close_failed_watch(net, error));
         }
         events
     }
 
-    /// Reads what has already arrived on the watch: a change that the service has written there counts as known to this
-    /// node.
+    /// Reads the bytes that have already arrived on the watch. A change that the service has written to the watch counts
+    /// as known to this node, even if the socket event has not been handled yet.
     pub fn read_pending(
         &mut self,
         now: MonotonicTime,
@@ -171,13 +173,14 @@
         self.read(now, net, registry, token, ConnectionState::Usable)
     }
 
-    /// Closes a watch that has become silent. The result is then the failure event.
+    /// Closes the watch and returns a failure event if one of its timeouts has elapsed.
     pub fn close_silent_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
         let is_silent = self.watch.as_ref()?.state.is_silent(now);
-        is_silent.then(|| self.lose_watch(net, WatchError::Silent))
+        is_silent.then(|| self.close_failed_watch(net, WatchError::Silent))
     }
 
-    /// Hands the watch to another process. None where there is no watch, or where it cannot be transferred now.
+    /// Removes the watch from this client to hand it over to the successor. Returns `None` if there is no watch or it
+    /// cannot be transferred now.
     pub fn release_watch(&mut self, net: &mut SocketReactor) -> Option<TransferredWatch> {
         let watch = self.watch.as_ref()?;
         if !watch.state.is_transferable() {
@@ -188,7 +191,8 @@
         Some(TransferredWatch { socket, state, connection })
     }
 
-    /// Takes over the previous process's list and its watch, if it had one. The watch continues from that list.
+    /// Adopts the predecessor's endpoint list and its watch, if one was transferred. The watch continues from that
+    /// list.
     pub fn take_over(
         &mut self,
         net: &mut SocketReactor,
@@ -201,7 +205,7 @@
             let token = net.import_connection(socket, connection, SocketOwner::Discovery).ok()?;
             Some(Watch { token, state })
         });
-        // Without a watch the list may be stale by now, like one from the configuration.
+        // Without a watch the list may be out of date, like one from the configuration.
         let kind = if self.watch.is_some() { ListKind::Full } else { ListKind::Saved };
         Event::EndpointList(kind, endpoints)
     }
@@ -212,17 +216,18 @@
         }
     }
 
-    fn lose_watch(&mut self, net: &mut SocketReactor, error: WatchError) -> Event {
+    fn close_failed_watch(&mut self, net: &mut SocketReactor, error: WatchError) -> Event {
         tracing::warn!(%error, "endpoint watch lost");
         self.close_watch(net);
-        watch_failed()
+        watch_failed_event()
     }
 }
 
-/// Applies the lists that a watch yielded. The result is the changes.
-fn apply_lists(registry: &mut EndpointRegistry, received: &Received) -> Vec<Event> {
+/// Applies the lists that were received on a watch and returns one event for each. If the service only confirmed that
+/// the known generation is current, the result is an empty incremental list.
+fn apply_lists(registry: &mut EndpointRegistry, received: &ReceivedLists) -> Vec<Event> {
     let mut events = Vec::new();
-    if received.starts_unchanged && received.lists.is_empty() && registry.generation() > 0 {
+    if received.confirms_generation && received.lists.is_empty() && registry.generation() > 0 {
         events.push(Event::EndpointList(ListKind::Incremental, Vec::new()));
     }
     for list in &received.lists {
@@ -233,6 +238,6 @@
     events
 }
 
-fn watch_failed() -> Event {
+fn watch_failed_event() -> Event {
     Event::EndpointList(ListKind::Failed, Vec::new())
 }
--- a/src/discovery/document.rs
+++ b/src/discovery/document.rs
@@ -1,20 +1,20 @@
-//! The documents of the discovery service.
+//! The JSON documents of the discovery service.
 //!
-//! The same form is used on the discovery service's wire, in the `known` list of `NODE_CONFIG` and in the state that
-//! one process hands over to the next, so the serde names are fixed.
+//! The same format is used in the service's responses, in the `known` list of `NODE_CONFIG` and in the state that a
+//! process hands over to its successor, so the serde names are fixed.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// A list of endpoints: a complete one, or the entries that changed.
+/// An endpoint list: either all endpoints or only those that changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct EndpointListDocument {
-    /// Version of the list; it is incremented with every change.
+    /// Version of the list, which increases with every change.
     pub generation: u64,
-    /// Whether the list is complete: an absent endpoint is gone.
+    /// Whether the list is complete, so that an endpoint not in it has been removed.
     #[serde(default, rename = "reset")]
     pub is_complete: bool,
-    /// The endpoints, in the order of the discovery service.
+    /// The endpoints, in the order in which the discovery service lists them.
     #[serde(rename = "instances")]
     pub endpoints: Vec<EndpointDocument>,
 }
@@ -22,14 +22,14 @@
 /// What a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All endpoints: one that is absent is gone.
+    /// All endpoints; one that is not in the list has been removed.
     Complete,
-    /// The endpoints that changed.
+    /// Only the endpoints that changed.
     Changes,
 }
 
 impl EndpointListDocument {
-    /// What the list contains, as the discovery service says.
+    /// Returns what the list contains according to the discovery service.
     pub fn scope(&self) -> ListScope {
         if self.is_complete {
             ListScope::Complete
@@ -43,10 +43,10 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct EndpointDocument {
-    /// The endpoint's name; a restart does not change it.
+    /// The endpoint's name, which is the same after a restart.
     #[serde(rename = "instanceId")]
     pub name: String,
-    /// Where it accepts connections.
+    /// Address at which it accepts connections.
     #[serde(rename = "hostPort")]
     pub address: SocketAddr,
     /// Name of its zone.
@@ -57,10 +57,10 @@
     pub cell: u32,
     /// Whether it accepts new connections.
     pub lifecycle: EndpointLifecycle,
-    /// Its size compared with that of the others.
+    /// Its capacity relative to the other endpoints.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Wall-clock time at which its process started, in Unix milliseconds; zero is long ago.
+    /// Wall-clock time at which its process started, in Unix milliseconds. Zero means long ago.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -73,7 +73,7 @@
     Ready,
     /// Serves its established connections and accepts no new ones.
     Draining,
-    /// Has been removed.
+    /// Was removed.
     Gone,
 }
 
--- a/src/discovery/framing/tests.rs
+++ b/src/discovery/framing/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// Cuts a body that arrives in pieces of so many bytes: the frames, and how framing ended.
+/// Splits a body that arrives in pieces of `piece_bytes`, and returns the frames and the outcome of framing.
 fn frames(body: &str, piece_bytes: usize) -> (Vec<String>, Result<(), FramingError>) {
     let mut framer = ObjectFramer::default();
     let mut frames = Vec::new();
@@ -20,7 +20,7 @@
 #[case(1)]
 #[case(7)]
 #[case(1000)]
-fn objects_and_empty_lines_are_found_however_the_body_is_cut(#[case] piece_bytes: usize) {
+fn frames_do_not_depend_on_how_the_body_is_split(#[case] piece_bytes: usize) {
     let objects = ["\n", "{\"a\": [1,\r\n  {\"b\": \"}\\\"\\\\\"}\n]}\n", "\r\n", "{}\n"];
     let (found, outcome) = frames(&objects.concat(), piece_bytes);
     assert_eq!(outcome, Ok(()));
@@ -30,12 +30,12 @@
 #[rstest::rstest]
 #[case::empty_line_inside_an_object("{}\n{\"generation\":2,\"inst\n\n")]
 #[case::line_end_inside_a_string("{}\n{\"instanceId\":\"s-\n")]
-fn an_object_that_is_broken_off_is_an_error_after_the_frames_before_it(#[case] body: &str) {
+fn a_truncated_object_is_an_error_after_the_complete_frames(#[case] body: &str) {
     assert_eq!(frames(body, 3), (vec!["{}\n".to_string()], Err(FramingError::Truncated)));
 }
 
 #[test]
-fn an_object_has_a_longest_length() {
+fn the_size_of_an_object_is_limited() {
     let body = "x".repeat(MAX_OBJECT_BYTES);
     assert_eq!(frames(&body, 4096).1, Ok(()));
     assert_eq!(frames(&(body + "x"), 4096).1, Err(FramingError::TooLong));
@@ -43,7 +43,7 @@
 
 /// The texts that `docs/ON-CALL.md` lists.
 #[test]
-fn an_error_is_printed_as_the_log_event_names_it() {
+fn errors_are_displayed_as_documented() {
     assert_eq!(FramingError::Truncated.to_string(), "malformed JSON");
     assert_eq!(FramingError::TooLong.to_string(), "object too long");
 }
--- a/src/discovery/mod.rs
+++ b/src/discovery/mod.rs
@@ -1,9 +1,10 @@
 //! Service discovery: the endpoint registry and the watch that keeps it up to date.
 //!
-//! [`DiscoveryClient`] keeps one HTTP/1.1 watch open. The bytes of its response go through [`chunked`] (the chunked
-//! transfer coding) and [`framing`] (one JSON object at a time) into an [`EndpointListDocument`], which
-//! [`EndpointRegistry::apply`] turns into the change that the balancer is notified of. [`wall_clock`] converts the
-//! times at which servers started. Only [`client`] does I/O. The node owns one client and one registry.
+//! [`DiscoveryClient`] keeps one HTTP/1.1 watch open. The response bytes pass through [`chunked`] (decodes the chunked
+//! transfer coding) and [`framing`] (splits the body into JSON objects), and each object is parsed as an
+//! [`EndpointListDocument`]. [`EndpointRegistry::apply`] turns a list into the change that is reported to the balancer.
+//! [`wall_clock`] converts server start times to the node's clock. Only [`client`] performs I/O. A node owns one client
+//! and one registry.
 
 mod chunked;
 mod client;
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -1,139 +1,144 @@
-//! The endpoint registry: what is known of each endpoint, by the id under which the balancer knows it.
+//! The endpoint registry: the last known state of each endpoint, and the ids that the balancer uses for them.
 
 use super::document::{EndpointDocument, EndpointLifecycle, EndpointListDocument, ListScope};
-use super::wall_clock::WallClock;
+use super::wall_clock::WallClockOffsets;
 use crate::model::{Endpoint, Event, ListKind, ServerId, Status};
 use sparbank_time::{DurationExt, MonotonicTime, WallTime};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The earliest start that is not taken for "long ago".
+/// The earliest start time; zero is reserved for "long ago".
 const EARLIEST_START: MonotonicTime = MonotonicTime::from_nanos(1);
 
-/// What is known of an endpoint.
+/// The last known state of an endpoint.
 pub struct RegistryEntry {
     document: EndpointDocument,
-    /// When its process started, on the node's clock; zero is long ago.
+    /// When its process started, on the node's clock. Zero means long ago.
     started_at: MonotonicTime,
 }
 
 impl RegistryEntry {
-    /// The discovery service's name for it.
+    /// Returns its name in the discovery service.
     pub fn name(&self) -> &str {
         &self.document.name
     }
 
-    /// Where it accepts connections.
+    /// Returns the address at which it accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.document.address
     }
 
-    /// Whether it accepts new connections.
+    /// Returns whether it accepts new connections.
     pub fn is_ready(&self) -> bool {
         self.document.lifecycle == EndpointLifecycle::Ready
     }
 }
 
-/// All endpoints that the discovery service has ever named to this node.
+/// All endpoints that the discovery service has ever reported to this node.
 pub struct EndpointRegistry {
     zones: Vec<String>,
-    /// The clock on which discovery reports when servers started.
-    wall_clock: WallClock,
+    /// Converts the server start times that discovery reports, which are wall-clock times.
+    wall_clock: WallClockOffsets,
     /// The node's clock when the wall clock was last read.
     now: MonotonicTime,
     generation: u64,
-    /// By [`ServerId`]; an endpoint that is gone keeps its place.
+    /// Indexed by [`ServerId`]; a removed endpoint keeps its entry.
     entries: Vec<RegistryEntry>,
     ids: HashMap<String, ServerId>,
-    /// Lists so far with an older generation than the current one.
+    /// Number of lists with an older generation than the current one.
     stale_lists: u64,
-    /// The generation of the previous source, after discovery has moved to another address and until that has sent its
-    /// first complete list.
-    previous_generation: Option<u64>,
+    /// The last generation of the previous source. Set when discovery moves to another address, until the first
+    /// complete list from that address has been applied.
+    previous_source_generation: Option<u64>,
 }
 
 impl EndpointRegistry {
-    /// An empty registry for a node that knows these zones, with the node's clock and the wall clock as they are now.
+    /// Creates an empty registry. `zones` are the zone names of the settings; `now` and `wall` are the current times of
+    /// the node's clock and the wall clock.
     pub fn new(zones: Vec<String>, now: MonotonicTime, wall: WallTime) -> EndpointRegistry {
         EndpointRegistry {
             zones,
-            wall_clock: WallClock::new(now, wall),
+            wall_clock: WallClockOffsets::new(now, wall),
             now,
             generation: 0,
             entries: Vec::new(),
             ids: HashMap::new(),
             stale_lists: 0,
-            previous_generation: None,
+            previous_source_generation: None,
         }
     }
 
-    /// Detects a step of the wall clock. To be called before each list is applied, and periodically.
+    /// Detects a step of the wall clock. Call it periodically and before each list is applied.
     pub fn observe_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
         self.wall_clock.observe(now, wall);
     }
 
-    /// Starts again with the clock of another process, which the node's clock now continues.
+    /// Discards the recorded clock offsets, after the node's clock has been set to continue that of the predecessor.
     pub fn reset_clocks(&mut self, now: MonotonicTime, wall: WallTime) {
         self.now = now;
-        self.wall_clock = WallClock::new(now, wall);
+        self.wall_clock = WallClockOffsets::new(now, wall);
     }
 
-    /// An endpoint by its id.
+    /// Returns an endpoint by its id.
     pub fn entry(&self, server: ServerId) -> Option<&RegistryEntry> {
         self.entries.get(server.0 as usize)
     }
 
-    /// The id of an endpoint by the discovery service's name for it.
+    /// Returns the id of an endpoint by its name in the discovery service.
     pub fn id_of(&self, name: &str) -> Option<ServerId> {
         self.ids.get(name).copied()
     }
 
-    /// Lists so far with an older generation than the current one.
+    /// Returns the number of lists with an older generation than the current one.
     pub fn stale_lists(&self) -> u64 {
         self.stale_lists
     }
 
-    /// The endpoints that accept nothing new.
+    /// Returns the endpoints that do not accept new connections.
     pub fn not_ready(&self) -> Vec<ServerId> {
         let ids = (0..self.entries.len()).map(|index| ServerId(index as u32));
         ids.filter(|id| !self.entries[id.0 as usize].is_ready()).collect()
     }
 
-    /// Generation of the newest list from the current source; zero before the first one.
+    /// Returns the generation of the newest list from the current source, or zero before the first one.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// Applies the list of the node's configuration, which may be stale.
+    /// Applies the list from the node's configuration, which may be out of date.
     pub fn restore(&mut self, list: &EndpointListDocument) -> Event {
         Event::EndpointList(ListKind::Saved, self.apply(list, ListScope::Complete))
     }
 
-    /// All that is known, as a complete list.
+    /// Returns all known endpoints as a complete list.
     pub fn snapshot(&self) -> EndpointListDocument {
         let endpoints = self.entries.iter().map(|entry| entry.document.clone()).collect();
         EndpointListDocument { generation: self.generation, is_complete: true, endpoints }
     }
 
-    /// Prepares for lists from another source, whose generations may be lower than those so far.
-    pub fn expect_other_source(&mut self) {
-        self.previous_generation = Some(self.generation.max(self.previous_generation.unwrap_or(0)));
+    /// Prepares for lists from a new source, whose generations may be lower than those of the previous source.
+    pub fn prepare_for_new_source(&mut self) {
+        self.previous_source_generation =
+            Some(self.generation.max(self.previous_source_generation.unwrap_or(0)));
         self.generation = 0;
     }
 
-    /// Applies a list, and returns the endpoints that it changes. A list with an older generation than the current one
-    /// removes nothing, and does not revive processes that are known to have stopped.
+    /// Applies a list and returns the endpoints that it changes. A list with an older generation than the current one
+    /// removes no endpoint and does not mark a process that is known to have stopped as ready again.
     pub fn apply(&mut self, list: &EndpointListDocument, scope: ListScope) -> Vec<Endpoint> {
         let is_complete = scope == ListScope::Complete;
-        // The first complete list from another source may be older than the last one of the previous source: it resets
-        // the generation, and revives nothing either.
-        let previous_generation =
-            if is_complete { self.previous_generation.take() } else { self.previous_generation };
-        let is_older_than_previous = list.generation < previous_generation.unwrap_or(0);
-        let goes_back = list.generation < self.generation;
-        let is_stale = goes_back || is_older_than_previous;
+        // The first complete list from a new source may be older than the last one from the previous source. It sets
+        // the generation, but does not mark stopped processes as ready either.
+        let previous_source_generation = if is_complete {
+            self.previous_source_generation.take()
+        } else {
+            self.previous_source_generation
+        };
+        let is_older_than_previous_source = list.generation < previous_source_generation.unwrap_or(0);
+        let is_older_than_current = list.generation < self.generation;
+        let is_stale = is_older_than_current || is_older_than_previous_source;
         if is_stale {
             self.stale_lists += 1;
             tracing::warn!(
@@ -146,7 +151,7 @@
         trace_endpoints(list);
         let is_relevant = |document: &&EndpointDocument| !(is_stale && self.has_stopped(document));
         let changed: Vec<EndpointDocument> = list.endpoints.iter().filter(is_relevant).cloned().collect();
-        if is_complete && !goes_back {
+        if is_complete && !is_older_than_current {
             for entry in &mut self.entries {
                 entry.document.lifecycle = EndpointLifecycle::Gone;
             }
@@ -154,7 +159,8 @@
         changed.into_iter().map(|document| self.insert(document)).collect()
     }
 
-    /// Whether the process that a document describes is known to have stopped, or a later one is known.
+    /// Returns whether the process that a document describes is known to have stopped or to have been replaced by a
+    /// later one.
     fn has_stopped(&self, document: &EndpointDocument) -> bool {
         let Some(entry) = self.id_of(&document.name).and_then(|id| self.entry(id)) else { return false };
         let known_start = entry.document.started_at_ms;
@@ -177,8 +183,8 @@
         endpoint
     }
 
-    /// When a server's process started, on the node's clock. It is computed once for each process: later steps of the
-    /// wall clock do not change it. Zero stays long ago.
+    /// Converts a server's start time to the node's clock. The result is computed once for each process, so later steps
+    /// of the wall clock do not change it. Zero ("long ago") stays zero.
     fn started_at(&self, server: ServerId, started_at_ms: u64) -> MonotonicTime {
         let known = self.entry(server).filter(|entry| entry.document.started_at_ms == started_at_ms);
         match known {
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// The node's clock, later than any start of a server here.
+/// The time of the node's clock, later than the server start times in these tests.
 const NOW: MonotonicTime = MonotonicTime::from_nanos(u64::MAX / 4);
-/// The wall clock, which shows the same.
+/// The time of the wall clock, with no offset from the node's clock.
 const WALL_NOW: WallTime = WallTime::from_unix_nanos(u64::MAX / 4);
 
 fn list(generation: u64, is_complete: bool, endpoints: &[(&str, &str, u64)]) -> EndpointListDocument {
@@ -22,10 +22,10 @@
     serde_json::from_str(&text).expect("a list")
 }
 
-/// A list from before the last ones revives nothing and removes nothing; what is new in it is taken, and so is what
-/// it stops.
+/// A list that arrives after a newer one must not bring back stopped servers or remove known ones. Endpoints that are
+/// not known yet and endpoints that stop accepting connections are still applied.
 #[test]
-fn a_stale_list_revives_nothing_and_removes_nothing() {
+fn a_stale_list_does_not_revive_or_remove_endpoints() {
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(
         &list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9)]),
@@ -36,37 +36,37 @@
     let old = list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9), ("d", "ready", 0)]);
     let changed = registry.apply(&old, ListScope::Complete);
     let servers: Vec<ServerId> = changed.iter().map(|endpoint| endpoint.server).collect();
-    assert_eq!(servers, [ServerId(3)], "only what nobody knew");
+    assert_eq!(servers, [ServerId(3)], "only the endpoint that was not known");
     let is_ready =
         |name| registry.id_of(name).and_then(|id| registry.entry(id)).is_some_and(RegistryEntry::is_ready);
     assert_eq!(["a", "b", "c", "d"].map(is_ready), [false, false, true, true]);
     assert_eq!((registry.generation, registry.stale_lists), (7, 1));
     let stops = registry.apply(&list(6, false, &[("d", "draining", 0)]), ListScope::Changes);
-    assert_eq!(stops.len(), 1, "what stops is taken from any generation");
-    // Its next process is another one.
+    assert_eq!(stops.len(), 1, "a stop is applied from any generation");
+    // A later process of a removed endpoint is applied, too.
     assert_eq!(registry.apply(&list(6, false, &[("b", "ready", 11)]), ListScope::Changes).len(), 1);
 }
 
-/// The first complete list from another source sets the generation anew; a list older than the previous source's
-/// revives nothing.
+/// The first complete list from a new source sets the generation, even to a lower one. It must not bring back stopped
+/// servers if it is older than the last list from the previous source.
 #[test]
-fn another_source_sets_the_generation_anew_and_revives_nothing() {
+fn a_new_source_resets_the_generation_and_does_not_revive_endpoints() {
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(&list(5, true, &[("a", "ready", 0), ("b", "draining", 0)]), ListScope::Complete);
-    registry.expect_other_source();
+    registry.prepare_for_new_source();
     assert_eq!(registry.generation(), 0);
     let changed =
         registry.apply(&list(2, true, &[("a", "ready", 0), ("b", "ready", 0)]), ListScope::Complete);
     assert_eq!(changed.iter().map(|endpoint| endpoint.server).collect::<Vec<_>>(), [ServerId(0)]);
     assert_eq!((registry.generation(), registry.stale_lists), (2, 1));
-    // The generations of the previous source no longer matter.
+    // Further lists are only compared with those of the new source.
     assert_eq!(registry.apply(&list(3, false, &[("b", "ready", 0)]), ListScope::Changes).len(), 1);
     assert_eq!(registry.stale_lists, 1);
 }
 
-/// A list of version 00677b7, as that process writes it into its handover state.
+/// Guards the handover from a process of version 00677b7, which wrote this list into its handover state.
 #[test]
-fn a_list_of_version_00677b7_is_read_and_written_in_the_same_form() {
+fn a_list_of_version_00677b7_is_read_and_written_unchanged() {
     const SNAPSHOT: &str = include_str!("../fixtures/list-00677b7.json");
     let document: EndpointListDocument = serde_json::from_str(SNAPSHOT).expect("a list");
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -1,60 +1,61 @@
-//! Conversion of wall-clock times of other machines to this node's clock, which never steps.
+//! Conversion of wall-clock times that other machines report to this node's monotonic clock.
 //!
-//! The node's clock is monotonic. The wall clock, on which discovery reports when a server started, may step at any time;
-//! between two steps the two differ by a constant. Each such segment is recorded, and a wall-clock time is converted in
-//! the segment that contains it:
+//! Discovery reports server start times as wall-clock times. The wall clock may step at any time; between two steps its
+//! offset from the node's clock is constant. Each such interval is recorded as a segment, and a wall-clock time is
+//! converted with the offset of the segment that contains it:
 //!
-//! - Several segments contain it (the clock stepped back, and the same times occurred twice): the latest one counts.
-//! - None contains it (the clock stepped forward over it): the result is the moment of the step.
-//! - It lies in the future: the result is the present time.
+//! - If several segments contain it (the clock stepped back, so the same times occurred twice), the latest one is used.
+//! - If no segment contains it (the clock stepped forward over it), the result is the time of the step.
+//! - If it lies in the future, the result is the current time.
 //!
-//! In doubt the result is too late rather than too early, since a server that started later is sent less.
+//! An ambiguous time is thus converted to the latest candidate. Too late is safer than too early, since a server that
+//! started later is sent fewer requests.
 //!
-//! This is the one place where an instant of the wall clock becomes one of the node's clock. Both are numbers of
-//! nanoseconds; the computation uses their signed difference.
+//! This is the only place where wall-clock times are converted to the node's clock. Both are numbers of nanoseconds; the
+//! offset is their signed difference.
 
 use sparbank_time::{MonotonicTime, WallTime};
 use std::time::Duration;
 
-/// A smaller difference is no step: the two clocks are not read at the same instant.
+/// A smaller change of the offset is not a step: the two clocks are not read at the same instant.
 const MIN_STEP: Duration = Duration::from_millis(50);
 const NANOS_PER_MILLISECOND: i128 = 1_000_000;
-/// Segments that are recorded; older ones are dropped.
+/// Maximum number of recorded segments; the oldest one is dropped beyond that.
 const MAX_SEGMENTS: usize = 32;
 
-/// A time between two steps of the wall clock.
+/// An interval between two steps of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
-    /// When it began, on the node's clock.
-    from: MonotonicTime,
-    /// How far the wall clock is ahead of the node's clock, in nanoseconds; negative where it is behind.
-    ahead_nanos: i128,
+    /// Its start, on the node's clock.
+    start: MonotonicTime,
+    /// The offset of the wall clock from the node's clock, in nanoseconds; negative if the wall clock is behind.
+    offset_nanos: i128,
 }
 
 impl Segment {
-    /// The wall clock, in Unix nanoseconds, at an instant of the node's clock.
+    /// Converts a time of the node's clock to the wall clock, in Unix nanoseconds.
     fn to_wall_nanos(self, node_time: MonotonicTime) -> i128 {
-        i128::from(node_time.as_nanos()) + self.ahead_nanos
+        i128::from(node_time.as_nanos()) + self.offset_nanos
     }
 }
 
-/// The steps of the wall clock, relative to the node's clock.
+/// The recorded offsets of the wall clock from the node's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WallClock {
-    /// The oldest first; never empty.
+pub struct WallClockOffsets {
+    /// Oldest first; never empty.
     segments: Vec<Segment>,
 }
 
-impl WallClock {
-    /// Both clocks as they are now.
-    pub fn new(now: MonotonicTime, wall: WallTime) -> WallClock {
-        WallClock { segments: vec![Segment { from: now, ahead_nanos: difference_nanos(wall, now) }] }
+impl WallClockOffsets {
+    /// Starts recording; `now` and `wall` are the current times of both clocks.
+    pub fn new(now: MonotonicTime, wall: WallTime) -> WallClockOffsets {
+        WallClockOffsets { segments: vec![Segment { start: now, offset_nanos: offset_nanos(wall, now) }] }
     }
 
-    /// Detects a step since the last call; `now` and `wall` are both clocks as they are now.
+    /// Detects a step since the last call; `now` and `wall` are the current times of both clocks.
     pub fn observe(&mut self, now: MonotonicTime, wall: WallTime) {
-        let ahead_nanos = difference_nanos(wall, now);
-        let step_nanos = ahead_nanos - self.latest().ahead_nanos;
+        let offset_nanos = offset_nanos(wall, now);
+        let step_nanos = offset_nanos - self.latest().offset_nanos;
         if step_nanos.unsigned_abs() < MIN_STEP.as_nanos() {
             return;
         }
@@ -62,32 +63,32 @@
         if self.segments.len() == MAX_SEGMENTS {
             self.segments.remove(0);
         }
-        self.segments.push(Segment { from: now, ahead_nanos });
+        self.segments.push(Segment { start: now, offset_nanos });
     }
 
     fn latest(&self) -> Segment {
         self.segments[self.segments.len() - 1]
     }
 
-    /// Converts a wall-clock time of the past to the node's clock, which shows `now`.
+    /// Converts a past wall-clock time to the node's clock; `now` is the current time of the node's clock.
     pub fn to_monotonic(&self, wall: WallTime, now: MonotonicTime) -> MonotonicTime {
         let wall = i128::from(wall.as_unix_nanos());
         let mut end = now;
         for (index, segment) in self.segments.iter().enumerate().rev() {
-            let is_after_start = index == 0 || wall >= segment.to_wall_nanos(segment.from);
+            let is_after_start = index == 0 || wall >= segment.to_wall_nanos(segment.start);
             if is_after_start && wall <= segment.to_wall_nanos(end) {
-                let nanos = u64::try_from(wall - segment.ahead_nanos).unwrap_or(0);
+                let nanos = u64::try_from(wall - segment.offset_nanos).unwrap_or(0);
                 return MonotonicTime::from_nanos(nanos);
             }
-            end = segment.from;
+            end = segment.start;
         }
-        // It was stepped over, or lies in the future.
-        let later = self.segments.iter().rev().find(|segment| segment.to_wall_nanos(segment.from) > wall);
-        later.map_or(now, |segment| segment.from)
+        // The wall clock stepped over this time, or it lies in the future.
+        let later = self.segments.iter().rev().find(|segment| segment.to_wall_nanos(segment.start) > wall);
+        later.map_or(now, |segment| segment.start)
     }
 }
 
-fn difference_nanos(wall: WallTime, now: MonotonicTime) -> i128 {
+fn offset_nanos(wall: WallTime, now: MonotonicTime) -> i128 {
     i128::from(wall.as_unix_nanos()) - i128::from(now.as_nanos())
 }
 
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of a watch's state.
+//! Unit tests of the watch state.
 
 use super::*;
 use std::time::Duration;
@@ -9,12 +9,12 @@
 const NANOSECOND: Duration = Duration::from_nanos(1);
 const LATER: MonotonicTime = MonotonicTime::from_nanos(1);
 
-/// The instant this long after the origin of the clock.
+/// The time at this duration after the origin of the clock.
 fn at(since_origin: Duration) -> MonotonicTime {
     MonotonicTime::ZERO + since_origin
 }
 
-/// Decodes a response that arrives in pieces of so many bytes: its frames, and how decoding ended.
+/// Decodes a response that arrives in pieces of `piece_bytes`, and returns the frames and the outcome of decoding.
 fn decode(text: &str, piece_bytes: usize) -> (Vec<String>, Result<(), WatchError>) {
     let mut decoder = WatchDecoder::default();
     let mut frames = Vec::new();
@@ -36,7 +36,7 @@
 #[case(1)]
 #[case(7)]
 #[case(1000)]
-fn frames_are_found_however_the_response_is_cut(#[case] piece_bytes: usize) {
+fn frames_do_not_depend_on_how_the_response_is_split(#[case] piece_bytes: usize) {
     let text = format!("{HEAD}3\r\na\nb\r\n2;x=y\r\nc\n\r\n1\r\n\n\r\n");
     assert_eq!(decode(&text, piece_bytes), (vec!["a\n".into(), "bc\n".into(), "\n".into()], Ok(())));
 }
@@ -47,13 +47,14 @@
 #[case("garbage\r\n\r\n", ResponseError::NotHttp)]
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n", ResponseError::InvalidChunk)]
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", ResponseError::Ended)]
-fn a_response_that_is_no_watch_is_an_error(#[case] text: &str, #[case] error: ResponseError) {
+fn a_response_other_than_a_chunked_200_is_an_error(#[case] text: &str, #[case] error: ResponseError) {
     assert_eq!(decode(text, 5).1, Err(WatchError::Response(error)));
 }
 
-/// Lists before an error count, those after it do not, and the first error is the outcome.
+/// A malformed list must not discard the valid lists that arrived with it. Lists after the error are ignored, and the
+/// first error is the outcome.
 #[test]
-fn lists_before_an_error_count() {
+fn lists_before_an_error_are_kept() {
     let mut watch = WatchState::new(MonotonicTime::ZERO);
     let list = |generation: u64| format!("{{\"generation\":{generation},\"instances\":[]}}\n");
     let body = format!("{}{{\"generation\":\"x\"}}\n{}", list(1), list(2));
@@ -62,19 +63,19 @@
     assert_eq!(received.outcome, Err(WatchError::InvalidDocument));
 }
 
-/// Only an empty line that begins the response says that nothing has changed since the requested generation.
+/// Only an empty line at the beginning of the response means that nothing has changed since the requested generation.
 #[test]
-fn a_response_that_begins_with_an_empty_line_starts_unchanged() {
+fn an_initial_empty_line_confirms_the_requested_generation() {
     let mut watch = WatchState::new(MonotonicTime::ZERO);
-    assert!(!watch.receive(LATER, HEAD.as_bytes()).starts_unchanged);
-    assert!(watch.receive(LATER, chunk("\n").as_bytes()).starts_unchanged);
+    assert!(!watch.receive(LATER, HEAD.as_bytes()).confirms_generation);
+    assert!(watch.receive(LATER, chunk("\n").as_bytes()).confirms_generation);
     let later = watch.receive(LATER, chunk("\n").as_bytes());
-    assert_eq!((later.starts_unchanged, later.outcome), (false, Ok(())));
+    assert_eq!((later.confirms_generation, later.outcome), (false, Ok(())));
 }
 
-/// A watch is silent without a response, without a byte, or without a complete object for too long.
+/// A watch is silent after too long a time without a response, without a byte, or without a complete frame.
 #[test]
-fn a_watch_is_silent_after_each_of_its_three_time_limits() {
+fn a_watch_is_silent_after_each_of_its_three_timeouts() {
     let mut watch = WatchState::new(at(SECOND));
     assert!(!watch.is_silent(at(SECOND + RESPONSE_TIMEOUT)));
     assert!(watch.is_silent(at(SECOND + RESPONSE_TIMEOUT) + NANOSECOND));
@@ -84,14 +85,14 @@
     assert!(!watch.is_silent(head_at + IDLE_TIMEOUT));
     assert!(watch.is_silent(head_at + IDLE_TIMEOUT + NANOSECOND));
 
-    let object_timeout_at = at(SECOND + OBJECT_TIMEOUT);
-    watch.receive(object_timeout_at, b"1");
-    assert!(!watch.is_silent(object_timeout_at));
-    assert!(watch.is_silent(object_timeout_at + NANOSECOND), "bytes without an object");
+    let frame_timeout_at = at(SECOND + FRAME_TIMEOUT);
+    watch.receive(frame_timeout_at, b"1");
+    assert!(!watch.is_silent(frame_timeout_at));
+    assert!(watch.is_silent(frame_timeout_at + NANOSECOND), "bytes without a complete frame");
 
-    watch.receive(object_timeout_at, b"\r\n\n\r\n");
-    assert!(!watch.is_silent(object_timeout_at + IDLE_TIMEOUT));
-    assert!(watch.is_silent(object_timeout_at + IDLE_TIMEOUT + MILLISECOND));
+    watch.receive(frame_timeout_at, b"\r\n\n\r\n");
+    assert!(!watch.is_silent(frame_timeout_at + IDLE_TIMEOUT));
+    assert!(watch.is_silent(frame_timeout_at + IDLE_TIMEOUT + MILLISECOND));
 }
 
 #[test]
@@ -110,15 +111,16 @@
 #[case(WatchError::Framing(FramingError::Truncated), "malformed JSON")]
 #[case(WatchError::InvalidDocument, "malformed JSON")]
 #[case(WatchError::Silent, "silent")]
-fn an_error_is_printed_as_the_log_event_names_it(#[case] error: WatchError, #[case] text: &str) {
+fn errors_are_displayed_as_documented(#[case] error: WatchError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
 
-/// The states that version 00677b7 hands over, in the middle of each element of a response.
+/// States written by version 00677b7, one in the middle of each element of a response. They guard the handover from a
+/// process of that version.
 const STATES_00677B7: &str = include_str!("../fixtures/watch-00677b7.jsonl");
 
 #[test]
-fn a_watch_of_version_00677b7_is_read_and_written_in_the_same_form() {
+fn a_watch_of_version_00677b7_is_read_and_written_unchanged() {
     let states: Vec<&str> = STATES_00677B7.lines().collect();
     assert_eq!(states.len(), 4);
     for text in states {
@@ -127,9 +129,9 @@
     }
 }
 
-/// The first of these states was taken inside a string of a list that is cut in the middle of a chunk.
+/// The first of these states was written inside a string of a list, in the middle of a chunk.
 #[test]
-fn a_watch_of_version_00677b7_goes_on_where_it_was_cut() {
+fn a_watch_of_version_00677b7_continues_inside_a_list() {
     let text = STATES_00677B7.lines().next().expect("a state");
     let mut watch: WatchState = serde_json::from_str(text).expect("a watch");
     assert_eq!(
