--- a/src/counters.rs
+++ b/src/counters.rs
@@ -1,84 +1,85 @@
-//! Counters of the node's requests, attempts and calls, written as one log line on SIGUSR1 and at exit.
+//! Counters of requests, attempts, polls, handovers and admin calls, logged as one line on SIGUSR1 and at exit.
 
 use crate::model::Outcome;
 use std::fmt;
 
-/// Counts since the start of the process. Each field is a `name=value` pair of the log line.
+/// Counts since the start of the process. Each field appears in the log line as `name=value`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests that arrived.
     pub requests: u64,
-    /// Connections from before this run that were restored at a server.
+    /// Connections from before the start of this process that were resumed at a server.
     pub resumed: u64,
-    /// Attempts that were sent to a server.
+    /// Attempts sent to a server.
     pub sent: u64,
-    /// Attempts that a server accepted.
+    /// Attempts accepted by a server.
     pub established: u64,
     /// Requests with the final answer "served".
     pub served: u64,
     /// Requests with the final answer "rejected".
     pub rejected: u64,
-    /// Rejected requests that had no attempt: the wait for admission was too long, or no server could be selected.
+    /// Rejected requests without an attempt: the wait for admission was too long, or no server could be selected.
     pub rejected_unsent: u64,
     /// Requests with the final answer "failed".
     pub failed: u64,
     /// Requests whose client disconnected before the final answer.
     pub client_disconnected: u64,
-    /// Served requests that the client or the server ended.
+    /// Served requests that were ended by the client or the server.
     pub ended: u64,
-    /// Established connections that this node closed for their clients to reconnect.
+    /// Established connections that this node closed so that their clients reconnect.
     pub migrated: u64,
-    /// Attempts that ended in an error answer.
+    /// Attempts answered with an error.
     pub attempt_error: u64,
-    /// Attempts that the server rejected.
+    /// Attempts rejected by the server.
     pub attempt_rejected: u64,
-    /// Attempts without an answer in time.
+    /// Attempts that were not answered in time.
     pub attempt_timeout: u64,
-    /// Attempts whose connection was not established, or whose request was not written completely.
+    /// Attempts whose connection could not be established, or whose request was not written completely.
     pub attempt_connect_failed: u64,
     /// Attempts whose connection was lost after the request was written.
     pub attempt_reset: u64,
     /// Attempts that were cancelled.
     pub attempt_cancelled: u64,
-    /// Attempts of which nothing was sent: there was no route, or it was too late to send the request.
+    /// Attempts that ended before anything was sent: there was no route, or it was too late to send the request.
     pub attempt_not_sent: u64,
-    /// Attempts that this machine had no descriptor, port or memory for. They do not count as attempts of the request.
+    /// Attempts that failed because this machine had no free file descriptor, port or memory. They do not count as
+    /// attempts of the request.
     pub attempt_local_shortage: u64,
-    /// First lines or deliveries that could not be parsed.
+    /// First lines and deliveries that could not be parsed.
     pub malformed: u64,
-    /// Connections closed before their first line (or AMQP open), at a time-out or to free a descriptor.
+    /// Connections closed before their first line (or AMQP open), after a time-out or to free a file descriptor.
     pub idle_closed: u64,
-    /// Connections and requests rejected because file descriptors or memory run short.
+    /// Connections and requests rejected because of a shortage of file descriptors or memory.
     pub capacity_rejected: u64,
-    /// Health checks sent to servers (`STATS`), where the settings allow them.
+    /// Health checks sent to servers (`STATS`), if the settings enable them.
     pub health_checks: u64,
     /// Polls of the discovery service.
     pub discovery_polls: u64,
     /// Failed polls of the discovery service, and lost watches.
     pub discovery_failures: u64,
-    /// Endpoint lists with a lower version than the current one, which revive no server.
+    /// Endpoint lists with a lower generation than the current one. They do not mark stopped servers as ready again.
     pub stale_lists: u64,
-    /// Handovers of this process: from its predecessor, or to its successor.
+    /// Handovers from the predecessor of this process or to its successor.
     pub handovers: u64,
     /// Established connections handed over to the successor.
     pub handed_over: u64,
     /// Established connections received from the predecessor.
     pub inherited: u64,
-    /// Attempts that the quotas rejected.
+    /// Attempts rejected by quotas.
     pub quota_rejected: u64,
-    /// Established connections migrated because they exceeded the quotas.
+    /// Established connections migrated because they exceeded a quota.
     pub quota_migrated: u64,
-    /// Rules of the protocol that this node broke. None is expected: each is logged as "invariant violated".
+    /// Invariants that this node violated, each logged as "invariant violated". The expected value is zero.
     pub invariant_violations: u64,
-    /// Pauses of the listeners because the system had no descriptor or no memory.
+    /// Pauses of the listeners because of a shortage of file descriptors or memory.
     pub accept_pauses: u64,
-    /// Changes of the epoll set that the system refused and that were tried again.
+    /// Changes of the epoll set that the system refused and that were retried.
     pub refused_watches: u64,
-    /// Connections that were paused because a read or write found no kernel memory.
+    /// Pauses of connections whose read or write failed for lack of kernel memory.
     pub transfer_pauses: u64,
-    /// Outgoing connections that were not started because there was no descriptor, port or memory.
+    /// Outgoing connections that were not started because of a shortage of file descriptors, ports or memory.
     pub failed_connects: u64,
-    /// Log lines that were dropped because standard error would have blocked.
+    /// Log lines dropped because writing to standard error would have blocked.
     pub log_lines_dropped: u64,
     /// Admin calls that started a drain.
     pub drains: u64,
@@ -88,12 +89,12 @@
     pub admin_accepted: u64,
     /// Admin calls answered with an error.
     pub admin_rejected: u64,
-    /// Admin calls that did not arrive completely.
+    /// Admin calls that were not received completely.
     pub admin_incomplete: u64,
 }
 
 impl Counters {
-    /// Counts how an attempt ended before it was established.
+    /// Counts an attempt that ended before it was established, by its outcome.
     pub fn count_attempt(&mut self, outcome: Outcome) {
         let counter = match outcome {
             Outcome::Ok => return,
@@ -109,7 +110,7 @@
         *counter += 1;
     }
 
-    /// Every counter with its name, in the order of the log line.
+    /// Returns the name and value of every counter, in the order of the log line.
     fn entries(&self) -> [(&'static str, u64); 42] {
         [
             ("requests", self.requests),
--- a/src/counters/tests.rs
+++ b/src/counters/tests.rs
@@ -1,8 +1,8 @@
-//! The log line of the counters.
+//! Unit tests of the counters' log line.
 
 use super::Counters;
 
-/// The names of all fields, from the derived debug text.
+/// Returns the names of all fields, taken from the derived `Debug` output.
 fn field_names(counters: &Counters) -> Vec<String> {
     let debug = format!("{counters:?}");
     let fields = debug.trim_start_matches("Counters { ").trim_end_matches(" }");
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn the_log_line_has_every_counter_once_and_in_order() {
+fn the_log_line_contains_every_counter_once_in_declaration_order() {
     let counters = Counters { requests: 1, admin_incomplete: 2, ..Counters::default() };
     let line = counters.to_string();
     let names: Vec<&str> = line.split(' ').skip(1).filter_map(|pair| pair.split('=').next()).collect();
--- a/src/flow_export/ipfix.rs
+++ b/src/flow_export/ipfix.rs
@@ -1,4 +1,4 @@
-//! The IPFIX encoding (RFC 7011): messages, the one template, and its data records. No I/O.
+//! IPFIX encoding (RFC 7011) of messages, the single template and its data records, without I/O.
 
 use crate::requests::{FlowRecord, FlowResult};
 use sparbank_time::{DurationExt, MonotonicTime};
@@ -6,24 +6,24 @@
 use std::time::Duration;
 
 const VERSION: u16 = 10;
-/// The id of sets that carry templates.
+/// The id of template sets.
 const TEMPLATE_SET_ID: u16 = 2;
-/// The id of the one template, and of the data sets that it describes.
+/// The id of the template and of the data sets that it describes.
 const TEMPLATE_ID: u16 = 256;
 const MESSAGE_HEADER_BYTES: usize = 16;
 const SET_HEADER_BYTES: usize = 4;
-/// The size of a message without the records of its set.
+/// The size of a message without its records.
 const MESSAGE_OVERHEAD_BYTES: usize = MESSAGE_HEADER_BYTES + SET_HEADER_BYTES;
-/// The field length in the template of a string that has its own length in each record.
+/// The field length in the template of a string whose length is encoded in each record.
 const VARIABLE_LENGTH: u16 = 0xffff;
-/// The longest string whose length takes one byte; longer ones are cut.
+/// The maximum length that is encoded in one byte; longer strings are truncated.
 const MAX_STRING_BYTES: usize = 254;
-/// The largest message: a datagram of this size is not fragmented on any usual path.
+/// The maximum size of a message. Datagrams of this size are not fragmented on common network paths.
 const MAX_MESSAGE_BYTES: usize = 1400;
-/// How many bytes of records fit into one message.
+/// The maximum size of the records in one message.
 pub const MAX_RECORDS_BYTES: usize = MAX_MESSAGE_BYTES - MESSAGE_OVERHEAD_BYTES;
 
-/// A field of the template: an information element of IANA's registry and its length in bytes.
+/// A field of the template: an IANA information element and its length in bytes.
 struct Field {
     element: u16,
     length: u16,
@@ -33,7 +33,7 @@
     Field { element, length }
 }
 
-/// The fields of a record, in their order.
+/// The fields of a record, in order.
 const FIELDS: [Field; 10] = [
     field(148, 8),               // flowId
     field(152, 8),               // flowStartMilliseconds
@@ -55,16 +55,16 @@
     LackOfResources = 5,
 }
 
-/// What a message carries.
+/// The type of records in a message.
 #[derive(Clone, Copy)]
 pub enum SetKind {
-    /// The template.
+    /// The template record.
     Template,
     /// Data records.
     Data,
 }
 
-/// The header fields of a message that differ from one message to the next.
+/// The header fields of a message that are not constant.
 pub struct MessageHeader {
     /// The time of the export.
     pub export_time: MonotonicTime,
@@ -74,7 +74,7 @@
     pub observation_domain: u32,
 }
 
-/// A message with one set.
+/// Encodes a message with one set.
 pub fn encode_message(header: &MessageHeader, kind: SetKind, records: &[u8]) -> Vec<u8> {
     let set_id = match kind {
         SetKind::Template => TEMPLATE_SET_ID,
@@ -94,7 +94,7 @@
     out
 }
 
-/// The template record.
+/// Encodes the template record.
 pub fn encode_template() -> Vec<u8> {
     let mut out = Vec::new();
     out.extend(TEMPLATE_ID.to_be_bytes());
@@ -106,7 +106,7 @@
     out
 }
 
-/// The data record of a flow, with its server's address and the name of its class.
+/// Encodes the data record of a flow, with the address of its server and the name of its class.
 pub fn encode_record(flow: &FlowRecord, server: Option<SocketAddr>, class: &str) -> Vec<u8> {
     let ip = match server.map(|address| address.ip()) {
         Some(IpAddr::V4(ip)) => ip,
@@ -127,7 +127,7 @@
     out
 }
 
-/// The time since the Unix epoch, which is the origin of the node's clock.
+/// Returns the time since the Unix epoch, which is the origin of the node's clock.
 fn since_epoch(time: MonotonicTime) -> Duration {
     time.saturating_duration_since(MonotonicTime::ZERO)
 }
@@ -146,7 +146,7 @@
     }
 }
 
-/// How a flow ended. Collectors know these names, so they are fixed.
+/// Returns the exported name of a result. Collectors depend on these names, so they are fixed.
 fn result_name(result: FlowResult) -> &'static str {
     match result {
         FlowResult::Served => "served",
--- a/src/flow_export/ipfix/tests.rs
+++ b/src/flow_export/ipfix/tests.rs
@@ -1,4 +1,5 @@
-//! The encoding, against bytes computed with the functions of version 00677b7 for the same flows.
+//! Unit tests of the encoding. The expected bytes were computed with the functions of version 00677b7 for the same
+//! flows.
 
 use super::*;
 use crate::model::RequestId;
@@ -57,9 +58,9 @@
 fn a_record_is_unchanged(#[case] result: FlowResult, #[case] reason: &str, #[case] name: &str) {
     let server = "10.1.2.3:4567".parse().expect("an address");
     let record = encode_record(&flow(result), Some(server), "live-readings");
-    let times = "00000001020304050000019add99f62b0000019add99f998";
-    let server_to_frontend = "0a01020311d7000000030d6c6976652d72656164696e67730474657874";
-    assert_eq!(hex(&record), format!("{times}{reason}{server_to_frontend}{name}"));
+    let id_and_times = "00000001020304050000019add99f62b0000019add99f998";
+    let fields_from_server_to_frontend = "0a01020311d7000000030d6c6976652d72656164696e67730474657874";
+    assert_eq!(hex(&record), format!("{id_and_times}{reason}{fields_from_server_to_frontend}{name}"));
 }
 
 #[test]
@@ -73,12 +74,12 @@
 }
 
 #[test]
-fn a_long_class_is_cut_and_an_ipv6_address_is_left_out() {
+fn a_long_class_name_is_truncated_and_an_ipv6_address_is_omitted() {
     let server = "[::1]:80".parse().expect("an address");
     let record = encode_record(&unsent_flow(), Some(server), &"x".repeat(300));
-    let head = "0000000000000001000000000000000000000000000000020500000000005000000000fe";
-    let tail = "04616d71700772656675736564";
-    assert_eq!(hex(&record), format!("{head}{}{tail}", "78".repeat(MAX_STRING_BYTES)));
+    let before_class = "0000000000000001000000000000000000000000000000020500000000005000000000fe";
+    let after_class = "04616d71700772656675736564";
+    assert_eq!(hex(&record), format!("{before_class}{}{after_class}", "78".repeat(MAX_STRING_BYTES)));
 }
 
 #[test]
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -1,7 +1,7 @@
-//! Exports ended flows as IPFIX over UDP, where `--ipfix ADDRESS` is given.
+//! Exports flow records as IPFIX over UDP if `--ipfix ADDRESS` is given.
 //!
-//! UDP has no acknowledgement: a collector that cannot be reached loses records and delays nothing. The sequence
-//! number in each message tells the collector how many records it missed.
+//! UDP is not acknowledged: records are lost while the collector cannot be reached, but the node is not delayed. The
+//! sequence number in each message tells the collector how many records it missed.
 
 mod ipfix;
 
@@ -14,25 +14,27 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Over UDP the template is sent again after this time, for collectors that started later or missed it.
+/// Interval at which the template is sent again, for collectors that started later or missed it: over UDP it may be
+/// lost.
 const TEMPLATE_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
-/// An exporter to one collector. The node owns it, and passes it the ended flows periodically.
+/// An exporter to one collector. The node owns it and periodically passes it the flows that have ended.
 pub struct FlowExport {
     socket: UdpSocket,
     observation_domain: u32,
-    /// The number of data records sent so far.
+    /// Number of data records sent.
     sequence: u32,
     /// When the template was last sent.
     template_sent_at: Option<MonotonicTime>,
 }
 
 impl FlowExport {
-    /// An exporter from the node's own address to this collector. Each node has its own observation domain.
+    /// Creates an exporter that sends from the node's own address to this collector. Each node has its own observation
+    /// domain.
     ///
     /// # Errors
     ///
-    /// The UDP socket cannot be opened or connected.
+    /// If the UDP socket cannot be opened or connected.
     pub fn new(
         local_address: IpAddr,
         collector: SocketAddr,
@@ -44,7 +46,7 @@
         Ok(FlowExport { socket, observation_domain, sequence: 0, template_sent_at: None })
     }
 
-    /// Sends flows that have ended, preceded by the template when that is due.
+    /// Sends the records of flows that have ended, preceded by the template if it is due.
     pub fn send(
         &mut self,
         now: MonotonicTime,
@@ -57,21 +59,21 @@
         }
         self.send_template_if_due(now);
         let mut records = Vec::new();
-        let mut count = 0;
+        let mut record_count = 0;
         for flow in flows {
             let endpoint = flow.server.and_then(|server| registry.entry(server));
             let address = endpoint.map(|endpoint| endpoint.address());
             let class = settings.class_names.get(flow.class).map_or("", String::as_str);
             let record = ipfix::encode_record(flow, address, class);
             if records.len() + record.len() > ipfix::MAX_RECORDS_BYTES {
-                self.send_message(now, SetKind::Data, &records, count);
+                self.send_message(now, SetKind::Data, &records, record_count);
                 records.clear();
-                count = 0;
+                record_count = 0;
             }
             records.extend(record);
-            count += 1;
+            record_count += 1;
         }
-        self.send_message(now, SetKind::Data, &records, count);
+        self.send_message(now, SetKind::Data, &records, record_count);
     }
 
     fn send_template_if_due(&mut self, now: MonotonicTime) {
@@ -83,9 +85,9 @@
         }
     }
 
-    /// Sends one message with this many data records. An error is ignored: the sequence number
-    /// tells the collector of lost records.
-    fn send_message(&mut self, now: MonotonicTime, kind: SetKind, records: &[u8], count: u32) {
+    /// Sends one message; `record_count` is the number of its data records. An error is ignored, since the collector
+    /// detects lost records by the sequence number.
+    fn send_message(&mut self, now: MonotonicTime, kind: SetKind, records: &[u8], record_count: u32) {
         let header = MessageHeader {
             export_time: now,
             sequence: self.sequence,
@@ -93,6 +95,6 @@
         };
         let message = ipfix::encode_message(&header, kind, records);
         let _ = self.socket.send(&message);
-        self.sequence = self.sequence.wrapping_add(count);
+        self.sequence = self.sequence.wrapping_add(record_count);
     }
 }
--- a/src/frontend_id.rs
+++ b/src/frontend_id.rs
@@ -1,10 +1,10 @@
-//! Identifies a frontend to the modules below it, which know no frontend.
+//! The identifier of a frontend, for modules that do not depend on the frontends themselves.
 
 /// Identifies the frontend that owns a socket or through which a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontendId {
-    /// Its index among the frontends that are on.
+    /// Its index among the enabled frontends.
     pub index: u8,
-    /// Its name in exports and log lines.
+    /// Its name in flow records and log lines.
     pub name: &'static str,
 }
--- a/src/json/tests.rs
+++ b/src/json/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the errors of JSON decoding.
+//! Unit tests of JSON decoding and its errors.
 
 use super::{parse, JsonError};
 use serde::Deserialize;
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_error_of_an_inner_document_names_its_place_in_the_outer_one() {
+fn an_error_in_an_inner_document_names_the_path_in_the_outer_one() {
     let error = error_of(r#"{"items":[{"count":-1}]}"#).within("settings");
     assert!(error.to_string().starts_with("field settings.items[0].count: "), "{error}");
     let error = error_of("{}").within("settings");
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn text_after_the_document_is_not_read() {
+fn text_after_the_document_is_ignored() {
     let document: Document = parse(r#"{"items":[{"count":7}]} and more"#).expect("the document is valid");
     assert_eq!(document.items[0].count, 7);
 }
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,8 +1,8 @@
-//! The log on standard error: the subscriber for the events of the `tracing` macros. `docs/ON-CALL.md` lists them.
+//! Logging to standard error: the subscriber for `tracing` events. `docs/ON-CALL.md` lists the events.
 //!
-//! A line is `LEVEL MESSAGE key=value ...`. The node has one thread, which serves all clients, so a log that nobody reads
-//! must not block it: a line that standard error does not take at once is dropped, and the next one that it takes is
-//! preceded by a warning with the number of those dropped.
+//! A line is `LEVEL MESSAGE key=value ...`. One thread serves all clients, so it must not block if nobody reads the log:
+//! a line that cannot be written to standard error without blocking is dropped. The next line that is written is
+//! preceded by a warning with the number of dropped lines.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
@@ -10,24 +10,25 @@
 use tracing::Level;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// What a pipe that is writable takes without blocking (`PIPE_BUF`).
+/// The number of bytes that a writable pipe accepts without blocking (`PIPE_BUF`).
 const MAX_WRITE_BYTES: usize = 4096;
 
-/// Lines dropped since the last one that was written.
-static DROPPED_UNREPORTED: AtomicU64 = AtomicU64::new(0);
-static DROPPED: AtomicU64 = AtomicU64::new(0);
+/// Dropped lines that no warning has reported yet.
+static UNREPORTED_DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
+/// Lines dropped since the start of the process.
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Which events are written.
+/// The events that are logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Verbosity {
-    /// What an operator needs.
+    /// Events for operators.
     #[default]
     Normal,
-    /// Besides, an event for each attempt, timer and call to discovery (`--trace`).
+    /// Additionally one event for each attempt, timer and discovery request (`--trace`).
     Trace,
 }
 
-/// Writes the events of this process to standard error from now on. A second call changes nothing.
+/// Starts writing the events of this process to standard error. A second call has no effect.
 pub fn init(verbosity: Verbosity) {
     let max_level = match verbosity {
         Verbosity::Normal => Level::INFO,
@@ -40,17 +41,17 @@
         .with_target(false)
         .without_time()
         .finish();
-    // It fails where a subscriber is set already, as in a process that runs several tests.
+    // Fails if a subscriber is already set, as in a process that runs several tests.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Lines dropped since the start of the process.
+/// Returns the number of lines dropped since the start of the process.
 pub fn dropped_lines() -> u64 {
-    DROPPED.load(Ordering::Relaxed)
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Writes each line to standard error, or drops it. Errors are ignored: a closed standard error is no reason to stop
-/// serving.
+/// Writes each line to standard error, or drops it if that would block. Errors are ignored: the node continues to serve
+/// clients if standard error is closed.
 #[derive(Clone, Copy, Debug)]
 struct NonBlockingStderr;
 
@@ -65,13 +66,13 @@
 impl Write for NonBlockingStderr {
     /// The subscriber passes one complete line in each call.
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let dropped = DROPPED_UNREPORTED.load(Ordering::Relaxed);
-        if dropped > 0 && write_at_once(format!(" WARN log lines dropped lines={dropped}\n").as_bytes()) {
-            DROPPED_UNREPORTED.store(0, Ordering::Relaxed);
+        let dropped = UNREPORTED_DROPPED_LINES.load(Ordering::Relaxed);
+        if dropped > 0 && try_write(format!(" WARN log lines dropped lines={dropped}\n").as_bytes()) {
+            UNREPORTED_DROPPED_LINES.store(0, Ordering::Relaxed);
         }
-        if !write_at_once(line) {
-            DROPPED_UNREPORTED.fetch_add(1, Ordering::Relaxed);
-            DROPPED.fetch_add(1, Ordering::Relaxed);
+        if !try_write(line) {
+            UNREPORTED_DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
+            DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -81,9 +82,9 @@
     }
 }
 
-/// Writes text in pieces that do not block. False where standard error takes nothing now; of a long text a part may have
-/// been written then.
-fn write_at_once(text: &[u8]) -> bool {
+/// Writes text in pieces, each without blocking. Returns false if a piece would block; the pieces before it have been
+/// written then.
+fn try_write(text: &[u8]) -> bool {
     text.chunks(MAX_WRITE_BYTES).all(|piece| {
         let is_writable = is_writable();
         if is_writable {
@@ -93,12 +94,12 @@
     })
 }
 
-/// Whether standard error takes bytes now. Where the system does not say, it is written to.
+/// Returns whether standard error can be written without blocking. If polling fails, it is assumed to be writable.
 fn is_writable() -> bool {
     let stderr = io::stderr();
     let mut descriptors = [PollFd::new(&stderr, PollFlags::OUT)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
-    match poll(&mut descriptors, Some(&at_once)) {
+    let no_wait = Timespec { tv_sec: 0, tv_nsec: 0 };
+    match poll(&mut descriptors, Some(&no_wait)) {
         Ok(0) => false,
         Ok(_) | Err(_) => true,
     }
