--- a/src/simulator_adapter/error.rs
+++ b/src/simulator_adapter/error.rs
@@ -1,20 +1,20 @@
-//! Errors of the simulator's wire.
+//! Errors in batches and events from the simulator.
 
 use crate::json::JsonError;
 use crate::model::SettingsError;
 use std::fmt;
 
-/// Why an event cannot be handled. Displays with the field at fault, as far as it is known.
+/// The reason why an event cannot be handled. Its text names the invalid field, if that is known.
 #[derive(Debug, thiserror::Error)]
 #[non_exhaustive]
 pub enum EventError {
     /// The line is not UTF-8.
     #[error("not UTF-8: {0}")]
     NotUtf8(#[from] std::str::Utf8Error),
-    /// A document does not have its form.
+    /// A document does not have the expected format.
     #[error(transparent)]
     InvalidDocument(#[from] JsonError),
-    /// The settings of an instance are contradictory or out of range.
+    /// The settings of an instance are inconsistent or out of range.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The reply cannot be encoded.
@@ -29,34 +29,34 @@
     /// The event refers to an endpoint list that was never sent.
     #[error("field Slot: list {0} was never sent")]
     UnknownList(usize),
-    /// The event has a name that is not known.
+    /// The name of the event is not known.
     #[error("field msg: unknown event")]
     UnknownEvent,
 }
 
-/// Why a batch cannot be handled: the error, and where in the batch it is, as far as that is known.
+/// The reason why a batch cannot be handled: the error and its location in the batch, if that is known.
 #[derive(Debug, thiserror::Error)]
-#[error("frame {}, instance {}, {event}: {error}", OrUnknown(.frame), OrUnknown(.instance))]
+#[error("frame {}, instance {}, {event}: {error}", NumberOrUnknown(.frame), NumberOrUnknown(.instance))]
 pub struct BatchError {
     pub(super) frame: Option<u64>,
     pub(super) instance: Option<u64>,
-    /// Name of the event, or `batch` for the batch itself.
+    /// The name of the event, `event` if it cannot be decoded, or `batch` for the batch itself.
     pub(super) event: String,
     #[source]
     pub(super) error: EventError,
 }
 
 impl BatchError {
-    /// An error of the batch itself, before any event.
-    pub(super) fn of_batch(error: impl Into<EventError>) -> BatchError {
+    /// Creates an error of the batch itself rather than of one of its events.
+    pub(super) fn in_batch(error: impl Into<EventError>) -> BatchError {
         BatchError { frame: None, instance: None, event: "batch".to_string(), error: error.into() }
     }
 }
 
-/// Displays a number that may not be known.
-struct OrUnknown<'a>(&'a Option<u64>);
+/// Displays a number, or `unknown` if there is none.
+struct NumberOrUnknown<'a>(&'a Option<u64>);
 
-impl fmt::Display for OrUnknown<'_> {
+impl fmt::Display for NumberOrUnknown<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0 {
             Some(number) => write!(f, "{number}"),
--- a/src/simulator_adapter/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -1,4 +1,4 @@
-//! The host of all simulated nodes.
+//! The host of the simulated nodes.
 
 use super::error::{BatchError, EventError};
 use super::incoming::{BatchDocument, EndpointListDocument, EventHeader, InstanceEvents};
@@ -8,8 +8,9 @@
 use sparbank_time::MonotonicTime;
 use std::collections::BTreeMap;
 
-/// Hosts the simulated nodes of one run: takes batches and gives replies.
+/// Runs the simulated nodes of one simulation: handles batches and returns replies.
 pub struct Host {
+    /// The running nodes, by their numbers.
     instances: BTreeMap<u64, Instance>,
     lists: ListsBySlot,
 }
@@ -21,22 +22,22 @@
 }
 
 impl Host {
-    /// A host without instances. From now on panics of this process are not printed: one in a decision is reported on
-    /// the wire.
+    /// Creates a host without instances. From then on, panics of this process are not printed; a panic in a decision is
+    /// reported to the simulator.
     pub fn new() -> Host {
         capture_panic_messages();
         Host { instances: BTreeMap::new(), lists: ListsBySlot::new() }
     }
 
-    /// Handles one batch, a line of JSON, and gives the reply with its line end.
+    /// Handles one batch, a line of JSON, and returns the reply with a line end.
     ///
     /// # Errors
     ///
-    /// A [`BatchError`] for the first event that cannot be handled. The events before it have been handled, without a
-    /// reply, so the host is of no use afterwards.
+    /// A [`BatchError`] for the first event that cannot be handled. The events before it have been handled, but their
+    /// actions are lost, so the host must not be used afterwards.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
-        let text = std::str::from_utf8(line).map_err(BatchError::of_batch)?;
-        let batch: BatchDocument = decode(text).map_err(BatchError::of_batch)?;
+        let text = std::str::from_utf8(line).map_err(BatchError::in_batch)?;
+        let batch: BatchDocument = decode(text).map_err(BatchError::in_batch)?;
         let mut reply = ReplyDocument { frame: batch.frame, instances: Vec::new() };
         for instance_events in &batch.instances {
             let actions = self.handle_instance_events(&batch, instance_events)?;
@@ -44,7 +45,7 @@
                 reply.instances.push(InstanceActions { instance, actions });
             }
         }
-        let reply = serde_json::to_string(&reply).map_err(BatchError::of_batch)?;
+        let reply = serde_json::to_string(&reply).map_err(BatchError::in_batch)?;
         Ok(reply + "\n")
     }
 
@@ -56,15 +57,15 @@
         let instance = instance_events.instance;
         let mut actions = Vec::new();
         for raw in &instance_events.events {
-            let located = |event: &str, error: EventError| BatchError {
+            let batch_error = |event: &str, error: EventError| BatchError {
                 frame: Some(batch.frame),
                 instance,
                 event: event.to_string(),
                 error,
             };
-            let header: EventHeader = decode(raw.get()).map_err(|error| located("event", error))?;
+            let header: EventHeader = decode(raw.get()).map_err(|error| batch_error("event", error))?;
             self.handle_event(batch.now, instance, &header.name, raw.get(), &mut actions)
-                .map_err(|error| located(&header.name, error))?;
+                .map_err(|error| batch_error(&header.name, error))?;
         }
         Ok(actions)
     }
@@ -98,10 +99,10 @@
         let instance = self.instances.get_mut(&number).ok_or(EventError::UnknownInstance)?;
         let Some(event) = instance.decode_event(name, raw, &self.lists)? else { return Ok(()) };
         match instance.handle(now, event) {
-            Ok(decided) => actions.extend(decided),
+            Ok(new_actions) => actions.extend(new_actions),
             Err(panic) => {
                 let text = format!("instance {number}, {name}: {panic}");
-                actions.push(ActionDocument::DecisionFailed { text });
+                actions.push(ActionDocument::DecisionPanicked { text });
             }
         }
         Ok(())
--- a/src/simulator_adapter/incoming.rs
+++ b/src/simulator_adapter/incoming.rs
@@ -1,6 +1,6 @@
 //! The documents that the simulator sends.
 //!
-//! A field whose name begins with an underscore is checked and not used.
+//! Fields whose names begin with an underscore are validated but not used.
 
 use crate::config::{SettingsDocument, UTILIZATION_FIELD};
 use crate::model::{Arrival, ListKind, Outcome, RequestId, Status};
@@ -11,10 +11,10 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// One line: events for several instances at one moment.
+/// One line: events for several instances at the same time.
 #[derive(Deserialize)]
 pub struct BatchDocument<'a> {
-    /// The moment, in nanoseconds.
+    /// The time of the events, in nanoseconds.
     #[serde(rename = "TsNs")]
     pub now: MonotonicTime,
     pub frame: u64,
@@ -25,14 +25,14 @@
 /// The events of one instance, in order.
 #[derive(Deserialize)]
 pub struct InstanceEvents<'a> {
-    /// Number of the instance; an endpoint list is for all of them and needs none.
+    /// Number of the instance. Optional if all events are `CENSUS` events, whose lists are for all instances.
     #[serde(rename = "I")]
     pub instance: Option<u64>,
     #[serde(rename = "in", borrow)]
     pub events: Vec<&'a RawValue>,
 }
 
-/// What all events have.
+/// The field that all events have in common.
 #[derive(Deserialize)]
 pub struct EventHeader<'a> {
     #[serde(rename = "msg", borrow)]
@@ -47,7 +47,7 @@
     pub settings: SettingsDocument,
 }
 
-/// `CENSUS`: an endpoint list, stored in a slot for the `MEMBERS` events after it.
+/// `CENSUS`: an endpoint list, stored in a slot to which later `MEMBERS` events refer.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EndpointListDocument {
@@ -106,7 +106,7 @@
     pub slot: usize,
 }
 
-/// What kind of list an instance receives.
+/// The kind of list that an instance receives.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum ListKindDocument {
@@ -127,7 +127,7 @@
     }
 }
 
-/// `REQUEST` and `RESUMED`: a client's request, and a connection that was established before an instance started.
+/// `REQUEST` and `RESUMED`: a client's request, or a connection that was established before the instance started.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct RequestDocument {
@@ -153,7 +153,7 @@
 }
 
 impl RequestDocument {
-    /// The request as the balancer knows it.
+    /// Converts the document to the balancer's representation.
     pub fn arrival(&self) -> Arrival {
         Arrival {
             id: RequestId(self.request_id),
@@ -169,7 +169,7 @@
     }
 }
 
-/// `ESTABLISHED`: a connection is established.
+/// `ESTABLISHED`: a connection was established.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct EstablishedDocument {
@@ -183,9 +183,9 @@
     pub wait_time_ns: u64,
 }
 
-/// Topic of an `UPDATE_OF` event: load of an established connection, in microseconds of work per second.
+/// `UPDATE_OF` topic of the load of an established connection, in microseconds of work per second.
 pub const TOPIC_LOAD: u32 = 1;
-/// Topic of an `UPDATE_OF` event: latency of messages at a server, in milliseconds.
+/// `UPDATE_OF` topic of the message latency at a server, in milliseconds.
 pub const TOPIC_LATENCY: u32 = 2;
 
 /// `UPDATE_OF`: a load or latency report. Other topics are ignored.
@@ -219,7 +219,7 @@
     pub done: bool,
 }
 
-/// Statuses of an attempt, and of a health check.
+/// Status codes of attempts and health checks.
 const STATUS_OK: u32 = 100;
 const STATUS_REJECTED: u32 = 302;
 const STATUS_TIMEOUT: u32 = 303;
@@ -229,7 +229,7 @@
 const STATUS_NOT_SENT: u32 = 307;
 
 impl AttemptEndedDocument {
-    /// How the attempt ended; a status that is not known counts as an error.
+    /// Returns the outcome of the attempt. An unknown status is treated as an error.
     pub fn outcome(&self) -> Outcome {
         match self.status {
             STATUS_OK => Outcome::Ok,
@@ -270,8 +270,8 @@
 }
 
 impl HealthCheckDocument {
-    /// Load over capacity; none where the check failed or the report lacks it.
-    pub fn load_over_capacity(&self) -> Option<f64> {
+    /// Returns the ratio of load to capacity, or `None` if the check failed or the report does not contain it.
+    pub fn utilization(&self) -> Option<f64> {
         if self.status != STATUS_OK {
             return None;
         }
--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated node: its balancer, and the translation between names on the wire and the balancer's ids.
+//! A simulated node: its balancer, and the conversion between the simulator's documents and the balancer's types.
 
 use super::error::EventError;
 use super::incoming::{
@@ -24,10 +24,11 @@
 /// Endpoint lists by the slot in which the simulator stored them.
 pub type ListsBySlot = HashMap<usize, EndpointListDocument>;
 
-/// Decodes a document of the wire.
+/// Decodes a document from the simulator.
 ///
 /// # Errors
-/// The field at fault and what is wrong with it.
+///
+/// An error that names the invalid field and the reason.
 pub fn decode<'a, T: Deserialize<'a>>(text: &'a str) -> Result<T, EventError> {
     Ok(json::parse(text)?)
 }
@@ -36,7 +37,7 @@
 pub struct Instance {
     balancer: Balancer,
     server_ids: HashMap<Rc<str>, ServerId>,
-    /// Names of the servers, by [`ServerId`].
+    /// Names of the servers, indexed by [`ServerId`].
     server_names: Vec<Rc<str>>,
 }
 
@@ -44,16 +45,18 @@
     /// Starts a node from its `INIT` event.
     ///
     /// # Errors
-    /// The first setting that is out of its range.
+    ///
+    /// The first setting that is invalid.
     pub fn start(init: InitDocument) -> Result<Instance, EventError> {
         let balancer = Balancer::new(init.seed, Settings::from(init.settings))?;
         Ok(Instance { balancer, server_ids: HashMap::new(), server_names: Vec::new() })
     }
 
-    /// Decodes an event for the balancer, by its name; none for an event that the balancer ignores.
+    /// Decodes the event of this name. Returns `None` for an event that is not passed to the balancer.
     ///
     /// # Errors
-    /// The event is unknown, or its document or the list that it refers to is invalid.
+    ///
+    /// If the event is unknown, its document is invalid, or it refers to an unknown list.
     pub fn decode_event(
         &mut self,
         name: &str,
@@ -79,10 +82,11 @@
         Ok(Some(event))
     }
 
-    /// Lets the balancer handle an event. Returns its actions as they are sent to the simulator.
+    /// Lets the balancer handle an event, and returns its actions as documents for the simulator.
     ///
     /// # Errors
-    /// The balancer panicked.
+    ///
+    /// If the balancer panics.
     pub fn handle(&mut self, now: MonotonicTime, event: Event) -> Result<Vec<ActionDocument>, DecisionPanic> {
         let actions = catch_panic(|actions| self.balancer.handle(now, event, actions))?;
         Ok(actions.into_iter().map(|action| self.action_document(action)).collect())
@@ -154,7 +158,7 @@
 
     fn health_check_result(&mut self, document: &HealthCheckDocument) -> Event {
         let server = self.server_id(&document.server);
-        Event::HealthCheckResult { server, utilization: document.load_over_capacity() }
+        Event::HealthCheckResult { server, utilization: document.utilization() }
     }
 
     fn action_document(&self, action: Action) -> ActionDocument {
@@ -168,7 +172,7 @@
                 ActionDocument::CancelAttempt { request_id: id.0, attempt }
             }
             Action::Reject { id, retry_after } => {
-                ActionDocument::Reject { request_id: id.0, cool_down_ns: retry_after.as_nanos_u64() }
+                ActionDocument::Reject { request_id: id.0, retry_after_ns: retry_after.as_nanos_u64() }
             }
             Action::Fail(id) => ActionDocument::Fail { request_id: id.0 },
             Action::Migrate(id) => ActionDocument::Migrate { request_id: id.0 },
@@ -181,7 +185,7 @@
         }
     }
 
-    /// The id of a server; a name that is new gets the next one.
+    /// Returns the id of a server. A new name is assigned the next id.
     fn server_id(&mut self, name: &str) -> ServerId {
         if let Some(id) = self.server_ids.get(name) {
             return *id;
--- a/src/simulator_adapter/mod.rs
+++ b/src/simulator_adapter/mod.rs
@@ -1,9 +1,10 @@
-//! Lets the operators' simulator drive balancers over standard input and output: batches of events in, replies with
-//! actions out, one JSON line each.
+//! Adapter that lets the operators' simulator drive balancers over standard input and output. Each input line is a JSON
+//! batch of events, each output line a JSON reply with actions.
 //!
-//! [`Host::handle_batch`] decodes a batch (`incoming`), lets each `instance` translate its events for its own
-//! [`Balancer`](crate::Balancer), and encodes the actions (`outgoing`). Nothing is decided here. The simulator fixes
-//! the names on the wire; the documents map them to those of [`model`](crate::model).
+//! [`Host::handle_batch`] decodes a batch (`incoming`), passes its events to the simulated nodes (`instance`), each of
+//! which has its own [`Balancer`](crate::Balancer), and encodes their actions (`outgoing`). All decisions are made by
+//! the balancers. The simulator defines the names on the wire; the document types map them to those of
+//! [`model`](crate::model).
 
 mod error;
 mod host;
--- a/src/simulator_adapter/outgoing.rs
+++ b/src/simulator_adapter/outgoing.rs
@@ -2,7 +2,7 @@
 
 use serde::Serialize;
 
-/// One line: the actions that a batch led to.
+/// One line: the actions in reply to a batch.
 #[derive(Serialize)]
 pub struct ReplyDocument {
     pub frame: u64,
@@ -42,20 +42,21 @@
         #[serde(rename = "Shot")]
         attempt: u32,
     },
-    /// Reject a request; the client may retry after the cool-down.
+    /// Reject a request. The client may retry after the given time.
     #[serde(rename = "DECLINE")]
     Reject {
         #[serde(rename = "Txn")]
         request_id: u64,
-        cool_down_ns: u64,
+        #[serde(rename = "CoolDownNs")]
+        retry_after_ns: u64,
     },
-    /// Answer that a request has failed.
+    /// Give a request the final answer "failed".
     #[serde(rename = "REPORT_FAILURE")]
     Fail {
         #[serde(rename = "Txn")]
         request_id: u64,
     },
-    /// Migrate an established connection: its client is to reconnect.
+    /// Migrate an established connection: its client is asked to reconnect.
     #[serde(rename = "GO_AWAY")]
     Migrate {
         #[serde(rename = "Txn")]
@@ -84,9 +85,9 @@
         #[serde(rename = "Words")]
         text: String,
     },
-    /// A decision has panicked.
+    /// Report that the balancer panicked in a decision.
     #[serde(rename = "EXCEPTION")]
-    DecisionFailed {
+    DecisionPanicked {
         #[serde(rename = "Words")]
         text: String,
     },
--- a/src/simulator_adapter/panics.rs
+++ b/src/simulator_adapter/panics.rs
@@ -1,4 +1,5 @@
-//! Catches a panic of the balancer, so that it is reported on the wire and the other instances go on.
+//! Catches panics of the balancer, so that they are reported to the simulator and the other instances keep
+//! running.
 
 use crate::model::Action;
 use std::cell::RefCell;
@@ -6,16 +7,17 @@
 use std::sync::Once;
 
 thread_local! {
-    /// Message of this thread's last panic.
+    /// Message of the last panic of this thread.
     static PANIC_MESSAGE: RefCell<String> = const { RefCell::new(String::new()) };
 }
 
-/// A panic in a decision: its message and its place in the source.
+/// A panic in a decision, with its message and source location.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 pub struct DecisionPanic(String);
 
-/// The actions of one decision, or its panic. The message is known once [`capture_panic_messages`] was called.
+/// Runs one decision and returns its actions, or its panic. The panic's message is empty unless
+/// [`capture_panic_messages`] was called before.
 pub fn catch_panic(decide: impl FnOnce(&mut Vec<Action>)) -> Result<Vec<Action>, DecisionPanic> {
     let mut actions = Vec::new();
     panic::catch_unwind(AssertUnwindSafe(|| decide(&mut actions)))
@@ -23,7 +25,7 @@
     Ok(actions)
 }
 
-/// Stores the messages of panics for [`catch_panic`] instead of printing them.
+/// Installs a panic hook that stores panic messages for [`catch_panic`] instead of printing them.
 pub fn capture_panic_messages() {
     static HOOK: Once = Once::new();
     HOOK.call_once(|| {
--- a/src/simulator_adapter/panics/tests.rs
+++ b/src/simulator_adapter/panics/tests.rs
@@ -1,9 +1,9 @@
-//! Unit tests of catching a balancer's panic.
+//! Unit tests of catching panics of the balancer.
 
 use super::*;
 
 #[test]
-fn a_panic_in_a_decision_is_reported_with_its_message_and_place() {
+fn a_panic_in_a_decision_is_reported_with_its_message_and_location() {
     capture_panic_messages();
     let empty: Vec<u32> = Vec::new();
     let panic = catch_panic(|_| assert_eq!(empty[1], 0)).expect_err("it panics");
