--- a/src/discovery/framing/tests.rs
+++ b/src/discovery/framing/tests.rs
@@ -13,7 +13,7 @@
             break;
         }
     }
-    (frames.into_iter().map(|frame| String::from_utf8(frame).expect("UTF-8")).collect(), outcome)
+    (frames.into_iter().map(|frame| String::from_utf8(frame).expect("valid UTF-8")).collect(), outcome)
 }
 
 #[rstest::rstest]
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -19,7 +19,7 @@
         r#"{{"generation":{generation},"reset":{is_complete},"instances":[{}]}}"#,
         endpoints.join(",")
     );
-    serde_json::from_str(&text).expect("a list")
+    serde_json::from_str(&text).expect("valid endpoint list")
 }
 
 /// A list that arrives after a newer one must not bring back stopped servers or remove known ones. Endpoints that are
@@ -68,9 +68,11 @@
 #[test]
 fn a_list_of_version_00677b7_is_read_and_written_unchanged() {
     const SNAPSHOT: &str = include_str!("../fixtures/list-00677b7.json");
-    let document: EndpointListDocument = serde_json::from_str(SNAPSHOT).expect("a list");
+    let document: EndpointListDocument = serde_json::from_str(SNAPSHOT).expect("valid endpoint list");
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
-    let Event::EndpointList(kind, endpoints) = registry.restore(&document) else { panic!("a list") };
+    let Event::EndpointList(kind, endpoints) = registry.restore(&document) else {
+        panic!("expected an endpoint list event")
+    };
     assert_eq!((kind, endpoints.len()), (ListKind::Saved, 3));
-    assert_eq!(serde_json::to_string(&registry.snapshot()).expect("JSON"), SNAPSHOT.trim_end());
+    assert_eq!(serde_json::to_string(&registry.snapshot()).expect("serializable"), SNAPSHOT.trim_end());
 }
--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -8,8 +8,8 @@
 //! - If no segment contains it (the clock stepped forward over it), the result is the time of the step.
 //! - If it lies in the future, the result is the current time.
 //!
-//! An ambiguous time is thus converted to the latest candidate. Too late is safer than too early, since a server that
-//! started later is sent fewer requests.
+//! When the result is uncertain, it is too late rather than too early, since a server that started later is sent fewer
+//! requests.
 //!
 //! This is the only place where wall-clock times are converted to the node's clock. Both are numbers of nanoseconds; the
 //! offset is their signed difference.
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -124,16 +124,16 @@
     let states: Vec<&str> = STATES_00677B7.lines().collect();
     assert_eq!(states.len(), 4);
     for text in states {
-        let state: WatchState = serde_json::from_str(text).expect("a watch");
-        assert_eq!(serde_json::to_string(&state).expect("JSON"), text);
+        let state: WatchState = serde_json::from_str(text).expect("valid watch state");
+        assert_eq!(serde_json::to_string(&state).expect("serializable"), text);
     }
 }
 
 /// The first of these states was written inside a string of a list, in the middle of a chunk.
 #[test]
 fn a_watch_of_version_00677b7_continues_inside_a_list() {
-    let text = STATES_00677B7.lines().next().expect("a state");
-    let mut watch: WatchState = serde_json::from_str(text).expect("a watch");
+    let text = STATES_00677B7.lines().next().expect("one state per line");
+    let mut watch: WatchState = serde_json::from_str(text).expect("valid watch state");
     assert_eq!(
         (watch.last_frame_at.as_nanos(), watch.last_byte_at.as_nanos(), watch.frame_count),
         (1_000_000_007, 2_500_000_011, 1)
--- a/src/flow_export/ipfix/tests.rs
+++ b/src/flow_export/ipfix/tests.rs
@@ -56,7 +56,7 @@
 #[case::migrated(FlowResult::Migrated, "04", "056d6f766564")]
 #[case::broken(FlowResult::Broken, "04", "0662726f6b656e")]
 fn a_record_is_unchanged(#[case] result: FlowResult, #[case] reason: &str, #[case] name: &str) {
-    let server = "10.1.2.3:4567".parse().expect("an address");
+    let server = "10.1.2.3:4567".parse().expect("valid address");
     let record = encode_record(&flow(result), Some(server), "live-readings");
     let id_and_times = "00000001020304050000019add99f62b0000019add99f998";
     let fields_from_server_to_frontend = "0a01020311d7000000030d6c6976652d72656164696e67730474657874";
@@ -75,7 +75,7 @@
 
 #[test]
 fn a_long_class_name_is_truncated_and_an_ipv6_address_is_omitted() {
-    let server = "[::1]:80".parse().expect("an address");
+    let server = "[::1]:80".parse().expect("valid address");
     let record = encode_record(&unsent_flow(), Some(server), &"x".repeat(300));
     let before_class = "0000000000000001000000000000000000000000000000020500000000005000000000fe";
     let after_class = "04616d71700772656675736564";
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Interval at which the template is sent again, for collectors that started later or missed it: over UDP it may be
+/// Interval at which the template is sent again, for collectors that started later or missed it. Over UDP it can be
 /// lost.
 const TEMPLATE_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
--- a/src/json/tests.rs
+++ b/src/json/tests.rs
@@ -14,7 +14,7 @@
 }
 
 fn error_of(text: &str) -> JsonError {
-    parse::<Document>(text).expect_err("it is invalid")
+    parse::<Document>(text).expect_err("invalid document")
 }
 
 #[rstest::rstest]
@@ -38,6 +38,6 @@
 
 #[test]
 fn text_after_the_document_is_ignored() {
-    let document: Document = parse(r#"{"items":[{"count":7}]} and more"#).expect("the document is valid");
+    let document: Document = parse(r#"{"items":[{"count":7}]} and more"#).expect("valid document");
     assert_eq!(document.items[0].count, 7);
 }
--- a/src/simulator_adapter/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -83,25 +83,25 @@
             self.lists.insert(list.slot, list);
             return Ok(());
         }
-        let number = instance.ok_or(EventError::MissingField("I"))?;
+        let instance_number = instance.ok_or(EventError::MissingField("I"))?;
         match name {
             "INIT" => {
                 let instance = Instance::start(decode(raw)?)?;
-                self.instances.insert(number, instance);
+                self.instances.insert(instance_number, instance);
                 return Ok(());
             }
             "CRASH_NOW" => {
-                self.instances.remove(&number).ok_or(EventError::UnknownInstance)?;
+                self.instances.remove(&instance_number).ok_or(EventError::UnknownInstance)?;
                 return Ok(());
             }
             _ => {}
         }
-        let instance = self.instances.get_mut(&number).ok_or(EventError::UnknownInstance)?;
+        let instance = self.instances.get_mut(&instance_number).ok_or(EventError::UnknownInstance)?;
         let Some(event) = instance.decode_event(name, raw, &self.lists)? else { return Ok(()) };
         match instance.handle(now, event) {
             Ok(new_actions) => actions.extend(new_actions),
             Err(panic) => {
-                let text = format!("instance {number}, {name}: {panic}");
+                let text = format!("instance {instance_number}, {name}: {panic}");
                 actions.push(ActionDocument::DecisionPanicked { text });
             }
         }
