--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -1,5 +1,5 @@
-//! The interface between the event loop and a frontend: the trait [`Frontend`], the context of its calls, and the timer
-//! events.
+//! The interface between the event loop and a frontend: the [`Frontend`] trait, the context passed to its methods,
+//! and the timer events.
 
 use crate::config::FrontendSettings;
 use crate::discovery::EndpointRegistry;
@@ -11,97 +11,98 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// The id of the platform's own frontend.
+/// The id of the text protocol's frontend, which is always enabled.
 pub const TEXT_FRONTEND: FrontendId = FrontendId { index: 0, name: "text" };
 
-/// Time by which a frontend's answer precedes the client's deadline: the timer wheel, the event loop and the way back to
-/// the client take this much at most.
+/// How long before the client's deadline a frontend sends its answer. It covers the delay of the timer wheel, the
+/// event loop and the network path back to the client.
 pub const ANSWER_MARGIN: Duration = Duration::from_millis(12);
 
-/// The parts of the node that a frontend may use during one call.
+/// The parts of the node that a frontend may access during one call.
 pub struct FrontendContext<'a> {
-    /// The time of this call, on the node's clock.
+    /// The current time on the node's monotonic clock, read once for this call.
     pub now: MonotonicTime,
     /// The sockets of all frontends.
     pub net: &'a mut SocketReactor,
-    /// The requests and their attempts.
+    /// All requests and their attempts.
     pub requests: &'a mut RequestTable,
-    /// The known servers.
+    /// The servers known from the endpoint list.
     pub registry: &'a EndpointRegistry,
-    /// Timers; each comes back as the [`TimerEvent`] that was put in.
+    /// Schedules timers; an elapsed timer is delivered as the [`TimerEvent`] it was scheduled with.
     pub wheel: &'a mut TimerWheel<TimerEvent>,
-    /// The settings that frontends need and the balancer does not.
+    /// Settings that only frontends use.
     pub settings: &'a FrontendSettings,
-    /// The request classes, in the order of the settings.
+    /// The request classes, in the order in which the settings list them.
     pub classes: &'a [RequestClass],
-    /// Whether the load balancer in front of the nodes should send clients here.
+    /// Whether the external load balancer in front of the nodes should route clients to this node.
     pub accepts_clients: bool,
-    /// Whether the process is about to end: requests that arrive now are answered without an attempt.
+    /// Whether the process is about to exit. New requests are then answered without an attempt.
     pub shutting_down: bool,
 }
 
-/// An entry of the timer wheel.
+/// The event that a timer of the timer wheel delivers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// A timer of the balancer, with its token.
+    /// A timer set by the balancer, with the balancer's token.
     Policy(u64),
-    /// The time-out of a request's attempt, by the attempt's number.
+    /// The time-out of the attempt with this number.
     AttemptTimeout(RequestId, u32),
-    /// The time-out of a frontend's outgoing connection.
+    /// The time-out for establishing an outgoing connection of a frontend.
     ConnectTimeout(FrontendId, Token),
-    /// A frontend's own timer for one of its sockets.
+    /// A timer that a frontend has set for one of its sockets.
     FrontendTimer(FrontendId, Token),
-    /// The periodic check of everything that needs no timer of its own.
+    /// The periodic tick for checks without a timer of their own.
     Tick,
     /// The next step of a drain.
     DrainStep,
     /// The next exchange with the grantor of quota leases.
     LeaseExchange,
-    /// The time-out of reading an admin call.
+    /// The time-out for reading an admin request.
     AdminTimeout(Token),
 }
 
-/// A parsed configuration file, of a type that its frontend knows.
+/// A parsed configuration file. The concrete type is known only to its frontend, which downcasts it.
 pub type FrontendConfig = Box<dyn Any>;
 
-/// A frontend: the server of one client protocol.
+/// The server side of one client protocol.
 ///
-/// The event loop owns the frontends ([`Frontends`](super::Frontends)) and calls them on its one thread, so no call may
-/// block. A frontend reads requests from its clients and passes them to the request table; the balancer's decisions come
-/// back as calls of [`start_attempt`](Frontend::start_attempt), [`reject`](Frontend::reject) and
-/// [`fail`](Frontend::fail). What becomes of an attempt is reported to the request table.
+/// The event loop owns the frontends ([`Frontends`](super::Frontends)) and calls them on its single thread, so no
+/// method may block. A frontend reads requests from its clients and passes them to the request table. The event loop
+/// carries out the balancer's decisions by calling [`start_attempt`](Frontend::start_attempt),
+/// [`reject`](Frontend::reject) and [`fail`](Frontend::fail). The frontend reports the outcome of each attempt to the
+/// request table.
 ///
-/// The methods without a default are required of every frontend.
+/// Only the methods without a default implementation are required.
 pub trait Frontend {
     // ---- Sockets -------------------------------------------------------------------------------
 
-    /// Handles an event at one of the frontend's sockets.
+    /// Handles an event on one of the frontend's sockets.
     fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent);
 
-    /// An outgoing connection has been established; the frontend may now write to it.
+    /// Called when an outgoing connection has been established and may be written to.
     ///
-    /// The event loop calls this at the end of an iteration, after all socket events, timers and commands, and with a
-    /// new `ctx.now`. The process may have been stalled since the iteration began, so the frontend reads its client's
-    /// socket again and checks the deadline again before it writes a request.
+    /// The event loop calls this at the end of an iteration, after all socket events, timers and commands, and
+    /// updates `ctx.now` first. The process may have been stalled since the iteration began, so the frontend must
+    /// read the client's socket and check the deadline again before it writes a request.
     fn on_connected(&mut self, _ctx: &mut FrontendContext, _token: Token) {}
 
-    /// The time for establishing an outgoing connection is over. The connection may have been established by now, in
-    /// which case there is nothing to do.
+    /// Called when [`TimerEvent::ConnectTimeout`] elapses. If the connection has been established meanwhile, nothing
+    /// is to be done.
     fn on_connect_timeout(&mut self, _ctx: &mut FrontendContext, _token: Token) {}
 
-    /// One of the frontend's own timers ([`TimerEvent::FrontendTimer`]) has elapsed. Timers are not cancelled: the
-    /// socket may have been closed.
+    /// Called when a [`TimerEvent::FrontendTimer`] of this frontend elapses. Timers are not cancelled when their
+    /// socket is closed, so the token may be stale.
     fn on_timer(&mut self, _ctx: &mut FrontendContext, _token: Token) {}
 
-    /// Called periodically, for checks that need no timer of their own.
+    /// Called periodically, for checks without a timer of their own.
     fn on_tick(&mut self, _ctx: &mut FrontendContext) {}
 
-    /// Called after each round of decisions: writes what was gathered for each socket in one go.
+    /// Called after each batch of balancer decisions: writes the output buffered for each socket at once.
     fn flush(&mut self, _ctx: &mut FrontendContext) {}
 
     // ---- Requests ------------------------------------------------------------------------------
 
-    /// Starts the only attempt of a request, which may take `timeout` at most.
+    /// Starts an attempt of a request, which may take at most `timeout`. A request has at most one attempt at a time.
     fn start_attempt(
         &mut self,
         ctx: &mut FrontendContext,
@@ -110,44 +111,47 @@
         timeout: Duration,
     );
 
-    /// Handles what has already arrived from the server of an attempt that is about to time out. The event loop calls
-    /// this before [`cancel_attempt`](Frontend::cancel_attempt), so that an answer that is there counts.
+    /// Handles input that has already arrived from the server of an attempt that is about to time out. The event loop
+    /// calls this before [`cancel_attempt`](Frontend::cancel_attempt), so that an answer already received is not
+    /// discarded.
     fn read_answer(&mut self, _ctx: &mut FrontendContext, _request_id: RequestId) {}
 
-    /// Cancels the attempt of a request and yields its outcome. An attempt whose request was not sent completely never
-    /// ran.
+    /// Cancels the attempt of a request and returns its outcome. An attempt whose request was not sent completely
+    /// cannot have run.
     fn cancel_attempt(&mut self, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome;
 
-    /// Sends the final answer "rejected", with the advice to retry after `retry_after`.
+    /// Sends the final answer "rejected" and advises the client to retry after `retry_after`.
     fn reject(&mut self, ctx: &mut FrontendContext, request_id: RequestId, retry_after: Duration);
 
     /// Sends the final answer "failed".
     fn fail(&mut self, ctx: &mut FrontendContext, request_id: RequestId);
 
-    /// Tells the client of an established connection to reconnect. The request table has already dropped the request.
+    /// Tells the client of an established connection to reconnect. The request table has already removed the request.
     fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId);
 
     // ---- Servers -------------------------------------------------------------------------------
 
-    /// These servers accept no new attempts: cancels those that have not been sent to them.
-    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]);
+    /// Called when servers stop accepting new attempts: cancels the attempts at these servers that have not been sent
+    /// yet.
+    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, servers: &[ServerId]);
 
-    /// Requests a server's load report in the platform's protocol. The result is pushed to the request table as
-    /// [`Event::HealthCheckResult`]. A frontend without health checks reports a failed one at once.
+    /// Starts a health check: requests a server's load report in the text protocol. The result is pushed to the
+    /// request table as [`Event::HealthCheckResult`]. The default implementation, for frontends without health
+    /// checks, reports a failed check immediately.
     fn check_health(&mut self, ctx: &mut FrontendContext, server: ServerId) {
         ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
     }
 
     // ---- Drain, handover and shutdown ----------------------------------------------------------
 
-    /// Whether the frontend has no client.
+    /// Whether no client is connected.
     fn is_idle(&self) -> bool;
 
-    /// Called at each step of a drain, a handover or a shutdown, from the moment when connections are migrated.
+    /// Called at each step of a drain, a handover or a shutdown, starting when connections are being migrated.
     fn on_drain_step(&mut self, _ctx: &mut FrontendContext) {}
 
-    /// Releases at most `max_connections` connections for the process that replaces this one. Connections that are
-    /// not handed over end here.
+    /// Releases at most `max_connections` connections for transfer to the successor process. Connections that are not
+    /// handed over end in this process.
     fn hand_over_connections(
         &mut self,
         _ctx: &mut FrontendContext,
@@ -156,30 +160,30 @@
         Vec::new()
     }
 
-    /// Continues a connection of the process that this one replaces, or one that the replacement did not get.
+    /// Takes over a connection from the predecessor, or takes back one that could not be passed to the successor.
     fn receive_connection(&mut self, _ctx: &mut FrontendContext, _connection: TransferredConnection) {}
 
-    /// The node accepts clients again after a drain.
+    /// Called when the node accepts clients again after a drain.
     fn resume_serving(&mut self, _ctx: &mut FrontendContext) {}
 
     // ---- Configuration and counters ------------------------------------------------------------
 
-    /// Applies a newer configuration file, as read by [`OptionalFrontend::read`](super::OptionalFrontend::read). Returns
-    /// the fields that differ and need a restart.
+    /// Applies a new configuration, as read by [`OptionalFrontend::read`](super::OptionalFrontend::read). Returns the
+    /// names of the changed fields that take effect only after a restart.
     fn reload(&mut self, _new: FrontendConfig) -> Vec<&'static str> {
         Vec::new()
     }
 
-    /// The line of the frontend's own counters, if it has any.
+    /// The log line of the frontend's own counters, if it has any.
     fn counter_line(&self) -> Option<String> {
         None
     }
 }
 
-/// A connection in transfer from one process to the next.
+/// A connection in transfer between the processes of a handover.
 pub struct TransferredConnection {
-    /// The frontend's state of the connection, as JSON.
+    /// The frontend's state for the connection, as JSON.
     pub state: String,
-    /// Its file descriptors, the client's first.
+    /// The file descriptors of its sockets, starting with the client's.
     pub fds: Vec<OwnedFd>,
 }
--- a/src/frontend/frontends.rs
+++ b/src/frontend/frontends.rs
@@ -1,19 +1,19 @@
-//! The frontends that are on, by their ids.
+//! The enabled frontends, indexed by their ids.
 
 use super::api::{Frontend, TEXT_FRONTEND};
 use super::optional::{FrontendError, FrontendSetup, OptionalFrontend, ParsedFrontendFile};
 use super::{amqp, text};
 use crate::requests::FrontendId;
 
-/// All frontends beside the platform's own.
+/// All frontends except the text protocol's.
 const OPTIONAL_FRONTENDS: &[OptionalFrontend] = &[amqp::OPTIONAL_FRONTEND];
 
-/// The frontend that the option `--NAME` turns on.
+/// Returns the frontend that the command-line option `--NAME` enables.
 pub fn optional_frontend(name: &str) -> Option<&'static OptionalFrontend> {
     OPTIONAL_FRONTENDS.iter().find(|frontend| frontend.name == name)
 }
 
-/// The frontends that are on, each at the index of its id.
+/// The enabled frontends, each at the index of its id.
 pub struct Frontends {
     entries: Vec<Entry>,
 }
@@ -24,16 +24,16 @@
 }
 
 impl Frontends {
-    /// The platform's frontend alone.
+    /// Creates the set with only the text protocol's frontend enabled.
     pub fn new() -> Frontends {
         let frontend = Box::new(text::TextFrontend::new());
         Frontends { entries: vec![Entry { frontend, name: TEXT_FRONTEND.name }] }
     }
 
-    /// Opens an optional frontend and adds it.
+    /// Opens an optional frontend and adds it to the set.
     ///
     /// # Errors
-    /// Where a listening socket cannot be opened.
+    /// If the frontend rejects its configuration or cannot open a listening socket.
     pub fn open(&mut self, file: ParsedFrontendFile, setup: FrontendSetup) -> Result<(), FrontendError> {
         let ParsedFrontendFile { frontend: OptionalFrontend { name, open, .. }, config } = file;
         let id = FrontendId { index: self.entries.len() as u8, name };
@@ -42,35 +42,36 @@
         Ok(())
     }
 
-    /// The frontend with this id.
+    /// Returns the frontend with this id.
     pub fn get(&mut self, id: FrontendId) -> Option<&mut dyn Frontend> {
         let entry = self.entries.get_mut(usize::from(id.index))?;
         Some(entry.frontend.as_mut())
     }
 
-    /// All frontends, in the order of their ids.
+    /// Iterates over all enabled frontends in the order of their ids.
     pub fn all(&mut self) -> impl Iterator<Item = &mut Box<dyn Frontend>> {
         self.entries.iter_mut().map(|entry| &mut entry.frontend)
     }
 
-    /// Applies a newer configuration to an optional frontend, if it is on. Returns the fields that need a restart.
+    /// Applies a new configuration to an optional frontend, if it is enabled. Returns the changed fields that need a
+    /// restart.
     pub fn reload(&mut self, file: ParsedFrontendFile) -> Vec<&'static str> {
         let entry = self.entries.iter_mut().find(|entry| entry.name == file.frontend.name);
         entry.map_or_else(Vec::new, |entry| entry.frontend.reload(file.config))
     }
 
-    /// The id of the frontend with this name.
+    /// Returns the id of the enabled frontend with this name.
     pub fn id_by_name(&self, name: &str) -> Option<FrontendId> {
         let index = self.entries.iter().position(|entry| entry.name == name)?;
         Some(FrontendId { index: index as u8, name: self.entries[index].name })
     }
 
-    /// Whether no frontend has a client.
+    /// Whether no client is connected to any frontend.
     pub fn are_idle(&self) -> bool {
         self.entries.iter().all(|entry| entry.frontend.is_idle())
     }
 
-    /// The log lines of the frontends' own counters.
+    /// Returns the log lines of the frontends' own counters.
     pub fn counter_lines(&self) -> Vec<String> {
         let line =
             |entry: &Entry| Some(format!("{}-counters {}", entry.name, entry.frontend.counter_line()?));
--- a/src/frontend/mod.rs
+++ b/src/frontend/mod.rs
@@ -1,7 +1,9 @@
-//! The frontends. Each turns its protocol into requests and outcomes, and carries out commands.
+//! Frontends: each translates one client protocol into requests and outcomes, and carries out the balancer's
+//! commands.
 //!
-//! The event loop and the request table know a frontend by its [`FrontendId`](crate::requests::FrontendId) alone. A further
-//! frontend is a folder here, an implementation of [`Frontend`], and an entry of the optional frontends in `frontends.rs`.
+//! The event loop and the request table refer to a frontend only by its [`FrontendId`](crate::requests::FrontendId).
+//! To add a frontend, create a folder here, implement [`Frontend`] and list it in `OPTIONAL_FRONTENDS` in
+//! `frontends.rs`.
 
 pub mod amqp;
 pub mod text;
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -1,4 +1,4 @@
-//! Frontends that are off unless their configuration file is named on the command line.
+//! Optional frontends, which are enabled by naming their configuration file on the command line.
 
 use super::api::{Frontend, FrontendConfig};
 use crate::config::FrontendSettings;
@@ -8,21 +8,21 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Opens a frontend with its id and its configuration.
+/// Creates a frontend from its id, its configuration and the parts of the node that it needs.
 pub type OpenFrontend =
     fn(FrontendId, FrontendConfig, FrontendSetup) -> Result<Box<dyn Frontend>, FrontendError>;
 
-/// A frontend that is off unless its configuration file is named on the command line.
+/// A frontend that is enabled by naming its configuration file on the command line.
 pub struct OptionalFrontend {
-    /// Its name in log lines and, behind `--`, its option.
+    /// The frontend's name in log lines. The command-line option is the name prefixed with `--`.
     pub name: &'static str,
-    /// Reads and checks its configuration file.
+    /// Reads and validates the configuration file.
     pub read: fn(&Path) -> Result<FrontendConfig, FrontendError>,
-    /// Opens the frontend: listens, and logs where.
+    /// Opens the frontend: starts listening and logs the addresses.
     pub open: OpenFrontend,
 }
 
-/// The configuration files of the optional frontends that are on, in the order in which they are opened.
+/// The configuration files of the enabled optional frontends, in the order in which the frontends are opened.
 #[derive(Default)]
 pub struct FrontendFiles {
     files: Vec<FrontendFile>,
@@ -34,16 +34,16 @@
 }
 
 impl FrontendFiles {
-    /// Turns a frontend on. Its file replaces one that was named for it before.
+    /// Enables a frontend. If it was enabled before, the new path replaces the previous one.
     pub fn set(&mut self, frontend: &'static OptionalFrontend, path: PathBuf) {
         self.files.retain(|file| file.frontend.name != frontend.name);
         self.files.push(FrontendFile { frontend, path });
     }
 
-    /// Reads and checks all files.
+    /// Reads and validates all files.
     ///
     /// # Errors
-    /// The first file that cannot be used, with the field that is wrong.
+    /// If a file is invalid: the error of the first such file, naming the invalid field.
     pub fn read(&self) -> Result<Vec<ParsedFrontendFile>, FrontendError> {
         let read = |file: &FrontendFile| {
             let config = (file.frontend.read)(&file.path)?;
@@ -53,39 +53,39 @@
     }
 }
 
-/// A configuration file that has been read and checked, with the frontend that it is for.
+/// A validated configuration with the frontend it belongs to.
 pub struct ParsedFrontendFile {
-    /// The frontend.
+    /// The frontend that the file configures.
     pub frontend: &'static OptionalFrontend,
-    /// Its configuration.
+    /// The parsed configuration.
     pub config: FrontendConfig,
 }
 
-/// What a frontend is opened with, beside its id and its configuration.
+/// The parts of the node that a frontend needs when it is opened.
 pub struct FrontendSetup<'a> {
-    /// The sockets.
+    /// The reactor that the frontend registers its listening sockets with.
     pub net: &'a mut SocketReactor,
     /// The node's name.
     pub node_name: &'a str,
-    /// The settings that frontends need.
+    /// The settings that only frontends use.
     pub settings: &'a FrontendSettings,
 }
 
 /// Why an optional frontend could not be configured or opened.
 #[derive(Debug, thiserror::Error)]
 pub enum FrontendError {
-    /// Its configuration file is wrong; the text names the file and the field.
+    /// The configuration file is invalid; the message names the file and the field.
     #[error("{0}")]
     Config(#[source] Box<dyn Error>),
-    /// The configuration was read for another frontend.
+    /// The configuration has the type of another frontend.
     #[error("not this frontend's file")]
     WrongConfigType,
     /// A listening socket could not be opened.
     #[error("{socket}: {error}")]
     Listen {
-        /// The socket's name in the frontend's configuration.
+        /// The name of the socket in the frontend's configuration.
         socket: &'static str,
-        /// The error of the system.
+        /// The operating system's error.
         #[source]
         error: io::Error,
     },
--- a/src/frontend/optional/tests.rs
+++ b/src/frontend/optional/tests.rs
@@ -2,7 +2,7 @@
 use crate::frontend::FrontendError;
 use std::path::PathBuf;
 
-/// Frontends whose configuration is the path of its file.
+/// Stand-in frontends whose parsed configuration is the path of the configuration file.
 static FIRST: OptionalFrontend = frontend("first");
 static SECOND: OptionalFrontend = frontend("second");
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_file_that_is_named_again_replaces_the_one_before() {
+fn a_later_path_for_the_same_frontend_replaces_the_earlier_one() {
     let mut files = FrontendFiles::default();
     for (frontend, path) in [(&FIRST, "a"), (&SECOND, "b"), (&FIRST, "c")] {
         files.set(frontend, PathBuf::from(path));
--- a/src/frontend/tls.rs
+++ b/src/frontend/tls.rs
@@ -1,5 +1,5 @@
-//! TLS by rustls, driven from the event loop: ciphertext from the wire in, plaintext out, and back. No sockets and
-//! no runtime. Any frontend may put it under its protocol.
+//! TLS for frontends, based on rustls. It converts between ciphertext and plaintext buffers and does no I/O of its
+//! own, so that the event loop can drive it and any frontend can layer its protocol on top.
 
 mod config;
 mod connection;
--- a/src/frontend/tls/config.rs
+++ b/src/frontend/tls/config.rs
@@ -1,4 +1,4 @@
-//! A TLS listener's configuration: certificates and keys from files.
+//! Configuration of a TLS listener, with certificates and keys read from files.
 
 use rustls::pki_types::pem::{self, PemObject};
 use rustls::pki_types::{CertificateDer, PrivateKeyDer};
@@ -11,20 +11,21 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// A TLS listener as the configuration describes it. Paths are relative to the file that names them.
+/// The configuration of a TLS listener. Relative paths are resolved against the folder of the configuration file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TlsListenerConfig {
-    /// Where it listens; port 0 lets the system pick.
+    /// The address to listen on; with port 0 the operating system assigns a port.
     pub listen: SocketAddr,
     /// The node's certificate chain, in PEM.
     pub certificate: PathBuf,
     /// The private key of the certificate, in PEM.
     pub key: PathBuf,
-    /// The authority that signs clients' certificates, in PEM; without it clients send none.
+    /// The certificate authorities for client certificates, in PEM. If absent, clients are not asked for a
+    /// certificate.
     #[serde(default)]
     pub client_ca: Option<PathBuf>,
-    /// Clients without a certificate are rejected.
+    /// Whether clients without a certificate are rejected.
     #[serde(default, rename = "client_must")]
     pub client_certificate_required: bool,
 }
@@ -36,7 +37,7 @@
     Certificate,
     /// The node's private key.
     Key,
-    /// The authority of clients' certificates.
+    /// The certificate authorities for client certificates.
     ClientCa,
 }
 
@@ -50,19 +51,19 @@
     }
 }
 
-/// Why a file cannot be used.
+/// Why a certificate or key file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsFileError {
-    /// It cannot be read, or is no PEM.
+    /// The file cannot be read or is not valid PEM.
     #[error(transparent)]
     Pem(#[from] pem::Error),
-    /// It has no certificate.
-    #[error("no certificate in it")]
+    /// The file contains no certificate.
+    #[error("file contains no certificate")]
     NoCertificate,
-    /// rustls rejects its content.
+    /// rustls rejects the certificate or key.
     #[error(transparent)]
     Rejected(#[from] rustls::Error),
-    /// No verifier of clients' certificates can be made of it.
+    /// No verifier for client certificates can be built from the file.
     #[error(transparent)]
     Verifier(#[from] VerifierBuilderError),
 }
@@ -79,29 +80,29 @@
         field: TlsFileField,
         /// The file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why the file cannot be used.
         #[source]
         error: TlsFileError,
     },
-    /// The cryptography does not support the protocol versions.
+    /// The cryptography provider does not support the TLS protocol versions.
     #[error("field {parent_field}: {error}")]
     ProtocolVersions {
         /// The field that contains the [`TlsListenerConfig`].
         parent_field: String,
-        /// What rustls says.
+        /// The error reported by rustls.
         #[source]
         error: rustls::Error,
     },
 }
 
 impl TlsListenerConfig {
-    /// Reads certificates and key, relative to `folder`. `parent_field` names the field that contains this
-    /// configuration, for errors.
+    /// Reads the certificates and the key and builds the rustls configuration. Relative paths are resolved against
+    /// `folder`. Error messages name `parent_field`, the field that contains this configuration.
     ///
     /// # Errors
-    /// Where a file cannot be read or used.
+    /// If a file cannot be read or its content is unusable.
     pub fn load(&self, folder: &Path, parent_field: &str) -> Result<Arc<ServerConfig>, TlsConfigError> {
-        let at = |field: TlsFileField, path: &Path, error: TlsFileError| TlsConfigError::File {
+        let file_error = |field: TlsFileField, path: &Path, error: TlsFileError| TlsConfigError::File {
             parent_field: parent_field.to_string(),
             field,
             path: path.to_path_buf(),
@@ -115,23 +116,23 @@
             None => builder.with_no_client_auth(),
             Some(path) => {
                 let joined = folder.join(path);
-                let authorities =
-                    read_certificates(&joined).map_err(|error| at(TlsFileField::ClientCa, &joined, error))?;
+                let authorities = read_certificates(&joined)
+                    .map_err(|error| file_error(TlsFileField::ClientCa, &joined, error))?;
                 let verifier = self
                     .client_verifier(&builder, authorities)
-                    .map_err(|error| at(TlsFileField::ClientCa, path, error))?;
+                    .map_err(|error| file_error(TlsFileField::ClientCa, path, error))?;
                 builder.with_client_cert_verifier(verifier)
             }
         };
         let key_path = folder.join(&self.key);
         let key = PrivateKeyDer::from_pem_file(&key_path)
-            .map_err(|error| at(TlsFileField::Key, &key_path, error.into()))?;
+            .map_err(|error| file_error(TlsFileField::Key, &key_path, error.into()))?;
         let certificate_path = folder.join(&self.certificate);
         let certificates = read_certificates(&certificate_path)
-            .map_err(|error| at(TlsFileField::Certificate, &certificate_path, error))?;
+            .map_err(|error| file_error(TlsFileField::Certificate, &certificate_path, error))?;
         let config = builder
             .with_single_cert(certificates, key)
-            .map_err(|error| at(TlsFileField::Certificate, &self.certificate, error.into()))?;
+            .map_err(|error| file_error(TlsFileField::Certificate, &self.certificate, error.into()))?;
         Ok(Arc::new(config))
     }
 
@@ -152,13 +153,13 @@
     }
 }
 
-/// A builder with the cryptography of ring and the protocol versions that rustls considers safe.
+/// Returns a builder that uses the ring cryptography provider and rustls's default protocol versions.
 fn server_config_builder() -> Result<ConfigBuilder<ServerConfig, WantsVerifier>, rustls::Error> {
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     ServerConfig::builder_with_provider(provider).with_safe_default_protocol_versions()
 }
 
-/// The certificates in a PEM file, at least one.
+/// Reads the certificates of a PEM file, which must contain at least one.
 fn read_certificates(path: &Path) -> Result<Vec<CertificateDer<'static>>, TlsFileError> {
     let certificates: Vec<_> = CertificateDer::pem_file_iter(path)?.collect::<Result<_, _>>()?;
     if certificates.is_empty() {
--- a/src/frontend/tls/connection.rs
+++ b/src/frontend/tls/connection.rs
@@ -1,40 +1,40 @@
-//! One connection under TLS.
+//! The TLS state of one connection.
 
 use rustls::{ServerConfig, ServerConnection};
 use std::io::{self, ErrorKind, Read, Write};
 use std::sync::Arc;
 
-/// One read of plaintext takes at most this much.
+/// Size of the buffer for reading plaintext out of rustls.
 const PLAINTEXT_CHUNK_BYTES: usize = 4096;
 
-/// Why a connection cannot continue.
+/// Why a TLS connection cannot continue.
 #[derive(Debug, thiserror::Error)]
 pub enum TlsError {
-    /// The peer breaks the protocol, or no connection can be set up.
+    /// The peer violated the TLS protocol, or rustls could not create the connection.
     #[error(transparent)]
     Protocol(#[from] rustls::Error),
-    /// The buffers within rustls failed.
+    /// Reading from or writing to the buffers of rustls failed.
     #[error(transparent)]
     Buffer(#[from] io::Error),
 }
 
-/// The server's side of one connection under TLS.
+/// The server side of a TLS connection.
 pub struct TlsConnection(Box<ServerConnection>);
 
 impl TlsConnection {
-    /// A connection that a client has opened.
+    /// Creates the TLS state for a connection that a client has opened.
     ///
     /// # Errors
-    /// Where rustls cannot set it up.
+    /// If rustls cannot create the connection.
     pub fn new(config: &Arc<ServerConfig>) -> Result<TlsConnection, TlsError> {
         Ok(TlsConnection(Box::new(ServerConnection::new(config.clone())?)))
     }
 
-    /// Takes all bytes received from the wire and appends their plaintext. rustls buffers at most one record
-    /// (16 KiB) beyond that.
+    /// Decrypts bytes received from the peer and appends the plaintext. All of `ciphertext` is consumed; rustls
+    /// buffers at most one incomplete record (16 KiB).
     ///
     /// # Errors
-    /// Where the peer breaks the protocol.
+    /// If the peer violates the TLS protocol.
     pub fn decrypt(&mut self, mut ciphertext: &[u8], plaintext: &mut Vec<u8>) -> Result<(), TlsError> {
         while !ciphertext.is_empty() {
             self.0.read_tls(&mut ciphertext)?;
@@ -56,12 +56,12 @@
         }
     }
 
-    /// Takes plaintext and appends the bytes for the wire, with whatever the handshake has to send.
+    /// Encrypts `plaintext` and appends the bytes to send, including pending handshake messages.
     pub fn encrypt(&mut self, mut plaintext: &[u8], ciphertext: &mut Vec<u8>) {
         loop {
-            // Writing to a vector cannot fail; rustls takes some 64 KiB at a time.
-            let taken = self.0.writer().write(plaintext).unwrap_or(plaintext.len());
-            plaintext = &plaintext[taken..];
+            // Writing to a vector cannot fail. rustls accepts about 64 KiB of plaintext at a time.
+            let accepted = self.0.writer().write(plaintext).unwrap_or(plaintext.len());
+            plaintext = &plaintext[accepted..];
             while self.0.wants_write() {
                 if self.0.write_tls(ciphertext).is_err() {
                     return;
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Tells the peer that nothing follows; the next [`TlsConnection::encrypt`] yields the bytes.
+    /// Queues a `close_notify` alert; the next call of [`TlsConnection::encrypt`] returns its bytes.
     pub fn send_close_notify(&mut self) {
         self.0.send_close_notify();
     }
 
-    /// The first DNS name of the client's certificate, which rustls has verified by now.
+    /// Returns the first DNS name of the client's certificate, which rustls has verified during the handshake.
     pub fn peer_certificate_name(&self) -> Option<String> {
         let certificate = self.0.peer_certificates()?.first()?;
         let certificate = webpki::EndEntityCert::try_from(certificate).ok()?;
