--- a/src/frontend/text/awaiting_clients.rs
+++ b/src/frontend/text/awaiting_clients.rs
@@ -1,42 +1,43 @@
-//! Clients that have connected and sent no request yet.
+//! Clients that have connected and not sent a request yet.
 
 use crate::net::Token;
 use std::collections::HashMap;
 
-/// A client may send this many `PING`s on one connection.
+/// The maximum number of `PING`s on one connection.
 const MAX_PINGS: u32 = 8;
 
-/// The client has sent more `PING`s than it may.
+/// The client has exceeded [`MAX_PINGS`].
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct TooManyPings;
 
-/// The connections on which a request line is awaited.
+/// The client connections on which no request line has been received yet.
 #[derive(Default)]
 pub(super) struct AwaitingClients {
-    /// How many `PING`s each has sent.
+    /// The number of `PING`s received on each connection.
     pings: HashMap<Token, u32>,
 }
 
 impl AwaitingClients {
-    /// A client has connected, or was inherited after so many `PING`s.
+    /// Adds a client. `pings` is 0, or the number of `PING`s that another process counted before it
+    /// transferred the connection.
     pub(super) fn insert(&mut self, token: Token, pings: u32) {
         self.pings.insert(token, pings);
     }
 
-    /// The client has sent its request, or its connection is over. Yields its `PING`s.
+    /// Removes a client that has sent its request or whose connection has ended. Returns its number of `PING`s.
     pub(super) fn remove(&mut self, token: Token) -> Option<u32> {
         self.pings.remove(&token)
     }
 
-    /// Whether this connection is one of them.
+    /// Whether the client on this connection has not sent a request yet.
     pub(super) fn contains(&self, token: Token) -> bool {
         self.pings.contains_key(&token)
     }
 
-    /// Counts a `PING`. Each answer is buffered until it is read, so a flood of them must be bounded.
+    /// Counts a `PING`. Each answer is buffered until the client reads it, so the number of `PING`s must be bounded.
     ///
     /// # Errors
-    /// Where the client has sent too many.
+    /// If the client has already sent [`MAX_PINGS`] of them, or its connection is not in this table.
     pub(super) fn count_ping(&mut self, token: Token) -> Result<(), TooManyPings> {
         match self.pings.get_mut(&token) {
             Some(pings) if *pings < MAX_PINGS => {
@@ -47,12 +48,12 @@
         }
     }
 
-    /// All connections, in no order.
+    /// Iterates over all connections, in arbitrary order.
     pub(super) fn tokens(&self) -> impl Iterator<Item = Token> + '_ {
         self.pings.keys().copied()
     }
 
-    /// Whether there is none.
+    /// Whether there is no such client.
     pub(super) fn is_empty(&self) -> bool {
         self.pings.is_empty()
     }
--- a/src/frontend/text/awaiting_clients/tests.rs
+++ b/src/frontend/text/awaiting_clients/tests.rs
@@ -2,7 +2,7 @@
 use crate::net::Token;
 
 #[test]
-fn pings_are_counted_up_to_the_maximum_of_a_connection() {
+fn pings_are_limited_per_connection() {
     let mut awaiting = AwaitingClients::default();
     let (client, inherited) = (Token::for_tests(1), Token::for_tests(2));
     awaiting.insert(client, 0);
@@ -14,5 +14,5 @@
     assert_eq!(awaiting.count_ping(inherited), Ok(()));
     assert_eq!(awaiting.count_ping(inherited), Err(TooManyPings));
     assert_eq!(awaiting.remove(client), Some(MAX_PINGS));
-    assert_eq!(awaiting.count_ping(client), Err(TooManyPings), "the connection is none of them any more");
+    assert_eq!(awaiting.count_ping(client), Err(TooManyPings), "the connection was removed");
 }
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -1,4 +1,4 @@
-//! Clients' connections that continue in the next process of the node.
+//! Handover: transferring client connections between the predecessor and the successor process of a node.
 
 use super::awaiting_clients::AwaitingClients;
 use super::request_line::{OpenRequest, RequestLine};
@@ -13,21 +13,21 @@
 use std::os::fd::OwnedFd;
 use std::time::Duration;
 
-/// A connection with more output than this stays until its peer has read.
+/// A connection with at least this much pending output is not transferred until its peer has read some of it.
 const MAX_TRANSFERRED_OUTPUT_BYTES: usize = 2 * OUTPUT_HIGH_WATERMARK_BYTES;
 
-/// A client's connection as the next process takes it. The names on the wire are fixed.
+/// A client connection in the format of the handover. The serialized names are fixed.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 enum TransferredSession {
-    /// No request has come; the number of `PING`s, and the client's connection.
+    /// No request has been received: the number of `PING`s, and the client's connection.
     #[serde(rename = "Fresh")]
     AwaitingRequest(u32, BufferedConnection),
-    /// The session is established.
+    /// The client has an established session.
     #[serde(rename = "Standing")]
     Established(TransferredEstablished),
 }
 
-/// An established session as the next process takes it. The names on the wire are fixed.
+/// An established session in the format of the handover. The serialized names are fixed.
 #[derive(Debug, Deserialize, PartialEq, Serialize)]
 struct TransferredEstablished {
     /// The client's request line.
@@ -51,15 +51,15 @@
     server: BufferedConnection,
 }
 
-/// A transferred connection cannot be continued: its state is malformed, or a descriptor is missing or unusable.
+/// A transferred connection cannot be restored: its state is malformed, or a descriptor is missing or unusable.
 #[derive(Debug, thiserror::Error)]
-#[error("a connection that cannot be read")]
+#[error("malformed state, or a missing or unusable descriptor")]
 pub(super) struct UnreadableConnection;
 
-/// A client's connection that this process has taken over. Its input is still to be handled.
+/// A client connection that this process has taken over. Its buffered input has not been handled yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ImportedClient {
-    /// A client that has sent no request.
+    /// A client that has not sent a request.
     AwaitingRequest(Token),
     /// A client with an established session.
     Established {
@@ -68,13 +68,13 @@
         /// The connection to its server.
         server_connection: Token,
     },
-    /// A client that was sent `MOVE`: it reconnects.
+    /// The session could not be continued; the client was sent `MOVE` so that it reconnects.
     Migrated,
 }
 
 // ---- Export ------------------------------------------------------------------------------------
 
-/// The clients' connections that another process can continue as they are, at most this many.
+/// Returns at most `max_connections` client connections that another process can continue in their current state.
 pub(super) fn transferable_connections(
     awaiting: &AwaitingClients,
     sessions: &Sessions,
@@ -98,7 +98,7 @@
     ctx.net.can_transfer(token) && ctx.net.pending_output_bytes(token) < MAX_TRANSFERRED_OUTPUT_BYTES
 }
 
-/// Takes a client's connection out of this process.
+/// Removes a client connection from this process and returns it for transfer.
 pub(super) fn export_client(
     awaiting: &mut AwaitingClients,
     sessions: &mut Sessions,
@@ -107,7 +107,9 @@
 ) -> Option<TransferredConnection> {
     let ExportedConnection { fd: client_fd, connection: client } = ctx.net.export_connection(token)?;
     match awaiting.remove(token) {
-        Some(pings) => transferred(&TransferredSession::AwaitingRequest(pings, client), vec![client_fd]),
+        Some(pings) => {
+            serialize_session(&TransferredSession::AwaitingRequest(pings, client), vec![client_fd])
+        }
         None => export_session(sessions.remove(token)?, ctx, client_fd, client),
     }
 }
@@ -132,22 +134,22 @@
         client,
         server,
     };
-    // The client is sent nothing: its session continues in the other process.
+    // The client is not sent anything, because its session continues in the other process.
     session.announce_end();
     finish_session(ctx, &session);
-    transferred(&TransferredSession::Established(established), vec![client_fd, server_fd])
+    serialize_session(&TransferredSession::Established(established), vec![client_fd, server_fd])
 }
 
-fn transferred(session: &TransferredSession, fds: Vec<OwnedFd>) -> Option<TransferredConnection> {
+fn serialize_session(session: &TransferredSession, fds: Vec<OwnedFd>) -> Option<TransferredConnection> {
     Some(TransferredConnection { state: serde_json::to_string(session).ok()?, fds })
 }
 
 // ---- Import ------------------------------------------------------------------------------------
 
-/// Takes over a client's connection from the process before this one.
+/// Takes over a client connection that was transferred to this process.
 ///
 /// # Errors
-/// Where its state or a descriptor cannot be used.
+/// If its state is malformed, or a descriptor is missing or unusable.
 pub(super) fn import_client(
     awaiting: &mut AwaitingClients,
     sessions: &mut Sessions,
@@ -179,7 +181,8 @@
 ) -> ImportedClient {
     let open = parse_open(ctx, &transferred.request_line);
     let (Some(open), Some(server)) = (open, ctx.registry.id_of(&transferred.server_name)) else {
-        // It was placed under other classes, or on a server that is unknown here: it is placed anew.
+        // The request line is invalid under this process's classes, or the server is unknown here: the client has to
+        // reconnect, and a server is selected again.
         ctx.net.send(client, b"MOVE\r\n");
         ctx.net.close(client);
         ctx.net.close(server_connection);
--- a/src/frontend/text/handover/tests.rs
+++ b/src/frontend/text/handover/tests.rs
@@ -4,14 +4,14 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-// JSON that the code of version 00677b7 wrote: what a process of that version hands to this one.
+// JSON written by version 00677b7, as a process of that version passes it to its successor.
 const AWAITING_REQUEST: &str = include_str!("json_of_00677b7/awaiting_request.json");
 const UNANNOUNCED: &str = include_str!("json_of_00677b7/unannounced.json");
 const COMPLETED: &str = include_str!("json_of_00677b7/completed.json");
 const MIGRATED: &str = include_str!("json_of_00677b7/migrated.json");
 
 fn read(json: &str) -> TransferredSession {
-    serde_json::from_str(json).expect("readable")
+    serde_json::from_str(json).expect("valid JSON")
 }
 
 #[rstest]
@@ -20,7 +20,7 @@
 #[case::completed(COMPLETED)]
 #[case::migrated(MIGRATED)]
 fn json_of_00677b7_is_read_and_written_unchanged(#[case] json: &str) {
-    assert_eq!(serde_json::to_string(&read(json)).expect("writable"), json);
+    assert_eq!(serde_json::to_string(&read(json)).expect("serializable"), json);
 }
 
 #[test]
@@ -50,8 +50,8 @@
     #[case] load: Option<Duration>,
 ) {
     let TransferredSession::Established(session) = read(json) else { panic!("another kind of session") };
-    // The position in the output stream is checked with the connection's own JSON, in net.
-    let connection = |json: &str| -> BufferedConnection { serde_json::from_str(json).expect("readable") };
+    // The JSON of `BufferedConnection` itself is tested in the net module.
+    let connection = |json: &str| -> BufferedConnection { serde_json::from_str(json).expect("valid JSON") };
     let expected = TransferredEstablished {
         request_line: "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f".to_string(),
         server_name: "s-2".to_string(),
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -1,11 +1,11 @@
 //! Health checks of servers.
 //!
-//! Where the settings allow it, a connection to a server may begin with `STATS`, which the server answers `PONG` with its
-//! [load report](super::load_report), or `ERR`; the connection may be used for further ones. Elsewhere a server
-//! answers `NO`.
+//! If the settings allow health checks, the node may send `STATS` as the first line on a connection to a server. The
+//! server answers `PONG` with its [load report](super::load_report), or `ERR`, and the connection can be reused for
+//! further checks. Without health checks in the settings, a server answers `NO`.
 //!
-//! The node has one health-check connection a server at most and one check in flight on it at a time, so the
-//! descriptors that checks use are bounded by the servers in the endpoint registry.
+//! The node has at most one health-check connection per server, with one check in flight on it at a time. The number
+//! of descriptors used for checks is therefore bounded by the number of servers in the endpoint registry.
 
 use super::connection_event::ConnectionEvent;
 use super::line_buffer::{take_line, LineRead};
@@ -18,24 +18,24 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a health check is sent as.
+/// The request line of a health check.
 const HEALTH_CHECK_LINE: &[u8] = b"STATS\r\n";
-/// A check without an answer after this has failed, and its connection is closed: a server that takes longer to
-/// answer a check than the latency objective of a message is no better for being known.
+/// A check that is not answered within this time has failed, and its connection is closed: the report of a server
+/// that takes longer for a check than the latency objective of a message does not help server selection.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// A health-check connection.
 struct CheckConnection {
     token: Token,
-    /// When the check in flight was sent, if one is.
+    /// When the check in flight was sent, if there is one.
     in_flight_since: Option<MonotonicTime>,
 }
 
-/// A health-check connection that is over.
+/// A health-check connection that has ended.
 #[derive(Debug, PartialEq, Eq)]
 struct EndedConnection {
     server: ServerId,
-    /// A check was in flight.
+    /// Whether a check was in flight.
     was_in_flight: bool,
 }
 
@@ -46,20 +46,20 @@
     servers_by_connection: HashMap<Token, ServerId>,
 }
 
-/// How a health check is carried out.
+/// How to carry out a health check.
 #[derive(Debug, PartialEq, Eq)]
 enum CheckStep {
-    /// One is in flight: its answer will do.
+    /// A check is already in flight; its answer is used.
     AlreadyInFlight,
-    /// It is sent on this connection, which is established.
+    /// Send it on the existing connection to the server.
     Reuse(Token),
-    /// It is sent on a new connection.
+    /// Send it on a new connection.
     Connect,
 }
 
 impl HealthChecks {
-    /// A check of this server begins at `now`.
-    fn begin(&mut self, now: MonotonicTime, server: ServerId) -> CheckStep {
+    /// Begins a check of this server at `now` and returns how to carry it out.
+    fn begin_check(&mut self, now: MonotonicTime, server: ServerId) -> CheckStep {
         match self.by_server.get_mut(&server) {
             None => CheckStep::Connect,
             Some(connection) if connection.in_flight_since.is_some() => CheckStep::AlreadyInFlight,
@@ -70,45 +70,45 @@
         }
     }
 
-    /// A connection was opened for a check sent at `now`.
+    /// Adds a connection that was opened for a check sent at `now`.
     fn add_connection(&mut self, now: MonotonicTime, server: ServerId, token: Token) {
         self.by_server.insert(server, CheckConnection { token, in_flight_since: Some(now) });
         self.servers_by_connection.insert(token, server);
     }
 
-    /// An answer has arrived on a connection: the server, where a check was in flight on it.
+    /// Records an answer on a connection. Returns the server if a check was in flight on the connection.
     fn on_answer(&mut self, token: Token) -> Option<ServerId> {
         let server = *self.servers_by_connection.get(&token)?;
         self.by_server.get_mut(&server)?.in_flight_since.take().map(|_| server)
     }
 
-    /// Whether the check in flight on this connection, if any, was sent before this time.
+    /// Whether a check is in flight on this connection that was sent before `time`.
     fn was_sent_before(&self, token: Token, time: MonotonicTime) -> bool {
         let connection = self.servers_by_connection.get(&token).and_then(|server| self.by_server.get(server));
         let sent_at = connection.and_then(|connection| connection.in_flight_since);
         sent_at.is_some_and(|sent_at| sent_at < time)
     }
 
-    /// Whether the check in flight on this connection, if any, has timed out.
+    /// Whether a check is in flight on this connection that has timed out.
     pub(super) fn has_timed_out(&self, token: Token, now: MonotonicTime) -> bool {
         self.was_sent_before(token, now + Duration::from_nanos(1) - HEALTH_CHECK_TIMEOUT)
     }
 
-    /// A connection is over.
+    /// Removes a connection that has ended.
     fn remove_connection(&mut self, token: Token) -> Option<EndedConnection> {
         let server = self.servers_by_connection.remove(&token)?;
         let connection = self.by_server.remove(&server)?;
         Some(EndedConnection { server, was_in_flight: connection.in_flight_since.is_some() })
     }
 
-    /// Whether this is one of its connections.
+    /// Whether this is a health-check connection.
     pub(super) fn contains(&self, token: Token) -> bool {
         self.servers_by_connection.contains_key(&token)
     }
 
-    /// Sends a health check, on the server's connection for them or on a new one.
+    /// Sends a health check to a server, on the existing health-check connection or on a new one.
     pub(super) fn start(&mut self, ctx: &mut FrontendContext, server: ServerId) {
-        let token = match self.begin(ctx.now, server) {
+        let token = match self.begin_check(ctx.now, server) {
             CheckStep::AlreadyInFlight => return,
             CheckStep::Reuse(token) => token,
             CheckStep::Connect => {
@@ -124,14 +124,14 @@
     }
 
     fn connect(&mut self, ctx: &mut FrontendContext, server: ServerId) -> Option<Token> {
-        let addr = ctx.registry.entry(server)?.address();
-        let token = ctx.net.connect(addr, SocketOwner::Frontend(TEXT_FRONTEND)).ok()?;
+        let address = ctx.registry.entry(server)?.address();
+        let token = ctx.net.connect(address, SocketOwner::Frontend(TEXT_FRONTEND)).ok()?;
         self.add_connection(ctx.now, server, token);
         Some(token)
     }
 
-    /// Handles lines on a connection, each of which answers the check in flight on it, if any, and the connection's
-    /// end.
+    /// Handles an event on a health-check connection. Each line answers the check in flight, if there is one; other
+    /// lines are ignored. The connection is closed if the server has closed it or a line is too long.
     pub(super) fn on_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
         while let Some(input) = ctx.net.input_buffer(token) {
             match take_line(input) {
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Closes a connection. The check in flight on it, if any, has no result.
+    /// Closes a connection. A check in flight on it is reported as failed.
     pub(super) fn close(&mut self, ctx: &mut FrontendContext, token: Token) {
         ctx.net.close(token);
         if let Some(EndedConnection { server, was_in_flight: true }) = self.remove_connection(token) {
--- a/src/frontend/text/latency.rs
+++ b/src/frontend/text/latency.rs
@@ -1,4 +1,4 @@
-//! Message latency by server, measured from a client's line to the server's next line.
+//! Message latency per server, measured from a client's line to the server's next line.
 
 use crate::frontend::FrontendContext;
 use crate::model::{Event, ServerId};
@@ -6,19 +6,20 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// How often latencies are reported.
+/// The minimum interval between latency reports to the balancer.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// A latency is reported once it is above the objective divided by this.
+/// A latency is high, and is reported, if it exceeds the objective divided by this.
 const REPORT_ABOVE_OBJECTIVE_DIVISOR: u32 = 3;
 
-/// The objective where no class has one: no latency is high.
+/// The objective if no class has one: no latency is high.
 const NO_OBJECTIVE: Duration = Duration::from_nanos(u64::MAX);
 
-/// A server's latency since the last report.
+/// A server's latencies since the last report.
 #[derive(Clone, Copy, Default)]
 struct ServerLatency {
     worst: Option<Duration>,
-    /// The latency was high in the last report, so the next one is reported whatever it is.
+    /// Whether the latency was high in the last interval with a measurement. If so, the next one is reported even if
+    /// it is low.
     was_high: bool,
 }
 
@@ -36,13 +37,13 @@
 }
 
 impl LatencyTracker {
-    /// A server has answered a message after this time.
+    /// Records the time that a server took to answer a message.
     pub(super) fn record(&mut self, server: ServerId, latency: Duration) {
         let measured = self.by_server.entry(server).or_default();
         measured.worst = measured.worst.max(Some(latency));
     }
 
-    /// Reports latencies to the balancer, where the settings say that it uses them and the next reports are due.
+    /// Reports latencies to the balancer, if the settings enable it and the next reports are due.
     pub(super) fn report(&mut self, ctx: &mut FrontendContext) {
         if !ctx.settings.reports_message_latency || !self.begin_report(ctx.now) {
             return;
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Whether the next reports are due; if so, the interval begins anew.
+    /// Whether the next reports are due. If so, a new interval begins.
     pub(super) fn begin_report(&mut self, now: MonotonicTime) -> bool {
         let report_due = now.saturating_duration_since(self.reported_at) >= REPORT_INTERVAL;
         if report_due {
@@ -62,7 +63,8 @@
         report_due
     }
 
-    /// Takes the latencies that are high against this objective or were so in the last report, by server.
+    /// Takes the worst latency of each server since the last call. Returns those that are high relative to
+    /// `objective` and those that follow a high one, sorted by server.
     pub(super) fn take_reports(&mut self, objective: Duration) -> Vec<MeasuredLatency> {
         let mut reports = Vec::new();
         for (server, measured) in &mut self.by_server {
--- a/src/frontend/text/latency/tests.rs
+++ b/src/frontend/text/latency/tests.rs
@@ -27,9 +27,9 @@
     assert_eq!(
         reports(&mut tracker),
         [(ServerId(1), nanos(101))],
-        "the worst of the interval, above a third only"
+        "only the worst latency of the interval, and only above a third of the objective"
     );
-    assert_eq!(reports(&mut tracker), [], "nothing was measured since");
+    assert_eq!(reports(&mut tracker), [], "nothing was measured since the last report");
     tracker.record(ServerId(1), nanos(5));
     assert_eq!(reports(&mut tracker), [(ServerId(1), nanos(5))], "the server has recovered");
     tracker.record(ServerId(1), nanos(5));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_interval_lasts_from_report_to_report() {
+fn an_interval_begins_with_each_report() {
     let mut tracker = LatencyTracker::default();
     assert!(!tracker.begin_report(at(REPORT_INTERVAL - nanos(1))));
     assert!(tracker.begin_report(at(REPORT_INTERVAL + nanos(5))));
--- a/src/frontend/text/line_buffer.rs
+++ b/src/frontend/text/line_buffer.rs
@@ -1,19 +1,19 @@
-//! Lines out of an input buffer.
+//! Splitting an input buffer into lines.
 
-/// The longest line, its end included.
+/// The maximum length of a line, including the line end.
 pub(super) const MAX_LINE_BYTES: usize = 4096;
 
-/// The first line of an input buffer.
+/// The result of reading the first line of an input buffer.
 pub(super) enum LineRead {
-    /// No line is complete yet.
+    /// The buffer does not contain a complete line yet.
     Incomplete,
     /// The line is longer than [`MAX_LINE_BYTES`].
     TooLong,
-    /// A line with its end.
+    /// A complete line, including the line end.
     Complete(Vec<u8>),
 }
 
-/// Takes the first complete line out of an input buffer.
+/// Removes the first complete line from an input buffer.
 pub(super) fn take_line(input: &mut Vec<u8>) -> LineRead {
     match input.iter().position(|byte| *byte == b'\n') {
         Some(end) if end < MAX_LINE_BYTES => LineRead::Complete(input.drain(..=end).collect()),
--- a/src/frontend/text/line_buffer/tests.rs
+++ b/src/frontend/text/line_buffer/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_line_has_at_most_the_maximum_with_its_end() {
+fn the_maximum_length_of_a_line_includes_its_end() {
     let mut longest = vec![b'x'; MAX_LINE_BYTES - 1];
     assert!(matches!(take_line(&mut longest), LineRead::Incomplete));
     longest.push(b'\n');
--- a/src/frontend/text/load_report.rs
+++ b/src/frontend/text/load_report.rs
@@ -1,46 +1,46 @@
-//! Load reports, as servers write them.
+//! Parsing of the load reports that servers send.
 //!
-//! A report is `name=value` pairs separated by commas. A health check is answered with one, as in
-//! `PONG avg_ms=12.5,rps=40,active=3,x0=0.8`; `BYE`, `ERR` and `BUSY` may end with one where the settings say
-//! that answers carry reports.
+//! A report consists of `name=value` pairs separated by commas. The answer to a health check contains one, as in
+//! `PONG avg_ms=12.5,rps=40,active=3,x0=0.8`. `BYE`, `ERR` and `BUSY` may end with one if the settings say that
+//! answers carry reports.
 
-/// A report has at most this many values: the settings name four or fewer, and a server may add some.
+/// The maximum number of values in a report. The settings name at most four, and a server may add further ones.
 pub(super) const MAX_REPORT_VALUES: usize = 16;
-/// The report's value of the load offered to a server, divided by its capacity.
+/// The name of the value with a server's utilization: offered load divided by capacity.
 pub(super) const UTILIZATION: &str = "x0";
 
-/// A value of a load report, with the name that the server gave it.
+/// A named value of a load report.
 #[derive(Clone, Debug, PartialEq)]
 struct ReportValue {
     name: String,
     value: f64,
 }
 
-/// The values of a load report.
+/// A parsed load report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct LoadReport {
     values: Vec<ReportValue>,
 }
 
-/// Why a report, or the answer to a health check, cannot be used.
+/// Why a load report, or the answer to a health check, cannot be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LoadReportError {
-    /// The answer is none that a health check has: not `PONG`, `ERR` or `NO`.
-    #[error("neither PONG, ERR nor NO")]
+    /// The answer to a health check is not `PONG`, `ERR` or `NO`.
+    #[error("not PONG, ERR or NO")]
     NotAnAnswer,
-    /// A pair without `=`, or without a name.
-    #[error("a pair without a name or '='")]
+    /// A pair has no `=` or no name.
+    #[error("pair is not of the form name=value")]
     NotAPair,
-    /// The value of this name is no finite number.
-    #[error("{0} is no number")]
+    /// The value with this name is not a finite number.
+    #[error("value of {0} is not a finite number")]
     NotANumber(String),
-    /// More than [`MAX_REPORT_VALUES`] values.
+    /// The report has more than [`MAX_REPORT_VALUES`] values.
     #[error("more than {MAX_REPORT_VALUES} values")]
     TooManyValues,
 }
 
 impl LoadReport {
-    /// Parses a report. An empty text is an empty report.
+    /// Parses a report. An empty string is an empty report.
     pub(super) fn parse(text: &str) -> Result<LoadReport, LoadReportError> {
         let mut values = Vec::new();
         for pair in text.trim().split(',').filter(|pair| !pair.is_empty()) {
@@ -53,13 +53,13 @@
         Ok(LoadReport { values })
     }
 
-    /// Parses the report at the end of an answer that may have one (`BYE`, `ERR`, `BUSY`): what follows the word.
+    /// Parses the report that may follow `word` (`BYE`, `ERR` or `BUSY`) in an answer. Returns None if there is none.
     pub(super) fn parse_trailing(line: &str, word: &str) -> Option<Result<LoadReport, LoadReportError>> {
         let report = line.trim_end().strip_prefix(word)?.strip_prefix(' ')?;
         Some(LoadReport::parse(report))
     }
 
-    /// Parses the answer to a health check: its report, or None where the server answered `ERR` or `NO`.
+    /// Parses the answer to a health check. Returns None if the server answered `ERR` or `NO`.
     pub(super) fn parse_health_check_answer(line: &str) -> Result<Option<LoadReport>, LoadReportError> {
         let line = line.trim_end();
         let (word, report) = line.split_once(' ').unwrap_or((line, ""));
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The value of this name, where the report has it.
+    /// Returns the value with this name, if the report contains it.
     pub(super) fn get(&self, name: &str) -> Option<f64> {
         self.values.iter().find(|value| value.name == name).map(|value| value.value)
     }
--- a/src/frontend/text/protocol_error.rs
+++ b/src/frontend/text/protocol_error.rs
@@ -1,45 +1,45 @@
-//! Violations of the text protocol by servers.
+//! Logging of violations of the text protocol by servers.
 
 use super::load_report::{LoadReport, LoadReportError};
 use crate::frontend::FrontendContext;
 use crate::model::ServerId;
 
-/// What a server sent against the protocol.
+/// A violation of the protocol by a server.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ServerProtocolError {
-    /// A line without an end within the permitted length.
+    /// A line exceeds the maximum length.
     #[error("line too long")]
     LineTooLong,
-    /// The first line on a connection is none of the answers that a request has.
+    /// The first line on a connection is not an answer to a request.
     #[error("first line is not an answer to a request")]
     UnknownAnswer,
-    /// The load report at the end of an answer cannot be read. The answer counts all the same.
+    /// The load report at the end of an answer is malformed. The answer itself is still valid.
     #[error("load report after {word}: {error}")]
     TrailingReport {
-        /// The answer that the report follows.
+        /// The first word of the answer.
         word: &'static str,
-        /// What is wrong with the report.
+        /// Why the report cannot be parsed.
         error: LoadReportError,
     },
-    /// The answer to a health check cannot be read.
+    /// The answer to a health check cannot be parsed.
     #[error("answer to a health check: {0}")]
     HealthCheckAnswer(LoadReportError),
 }
 
 impl ServerProtocolError {
-    /// Writes the violation to the log.
+    /// Logs the violation.
     pub(super) fn log(&self, ctx: &FrontendContext, server: Option<ServerId>) {
         tracing::warn!(server = %server_name(ctx, server), error = %self, "server protocol error");
     }
 }
 
-/// The name of a server in log events: `?` where it is not known.
+/// Returns the name of a server for log events, or `?` if the server is unknown.
 pub(super) fn server_name<'a>(ctx: &'a FrontendContext, server: Option<ServerId>) -> &'a str {
     server.and_then(|server| ctx.registry.entry(server)).map_or("?", |endpoint| endpoint.name())
 }
 
-/// Writes a log line about a malformed report at the end of a server's answer. The answer means what its word says
-/// all the same.
+/// Logs a violation if the load report at the end of a server's answer is malformed. The answer itself is still
+/// valid.
 pub(super) fn log_malformed_trailing_report(
     ctx: &FrontendContext,
     server: Option<ServerId>,
