--- a/src/frontend/text/attempt.rs
+++ b/src/frontend/text/attempt.rs
@@ -1,4 +1,4 @@
-//! Attempts: connecting to a server, and sending the request line once the connection is established.
+//! Attempts: connecting to a server, sending the request line once the connection is established, and cancelling.
 
 use super::client_input::{has_disconnected, on_client_event};
 use super::connection_event::ConnectionEvent;
@@ -11,7 +11,8 @@
 use crate::rules::{PeerStatus, SendRefusal};
 use std::time::Duration;
 
-/// Starts an attempt of a request, unless its client has disconnected by now or the server takes no new requests.
+/// Starts an attempt of a request, unless the client has disconnected meanwhile or the server accepts no new
+/// requests.
 pub(super) fn start(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -25,23 +26,23 @@
         let event = ConnectionEvent::current(ctx, client);
         return on_client_event(sessions, ctx, client, event);
     }
-    // The server may have begun to drain in this very iteration, after it was selected.
-    let connecting = if !is_ready(ctx, server) {
+    // The server may have begun to drain during this iteration, after it was selected.
+    let result = if !is_ready(ctx, server) {
         Err(Outcome::NotSent)
     } else if !ctx.net.has_descriptor_for_attempt() {
         Err(Outcome::LocalShortage)
     } else {
         connect(sessions, ctx, client, server, timeout)
     };
-    if let Err(outcome) = connecting {
+    if let Err(outcome) = result {
         ctx.requests.on_attempt_ended(ctx.now, request_id, outcome);
     }
 }
 
-/// Connects to a server. The client's line is sent once the connection is established ([`send_request`]).
+/// Starts connecting to a server. The request line is sent once the connection is established ([`send_request`]).
 ///
 /// # Errors
-/// The attempt's outcome, where no connection could be started.
+/// If connecting could not be started: the outcome of the attempt.
 pub(super) fn connect(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -53,23 +54,23 @@
         return Ok(());
     }
     let endpoint = ctx.registry.entry(server).ok_or(Outcome::ConnectFailed)?;
-    let connecting = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
-    let server_connection = connecting.map_err(ConnectError::outcome)?;
-    let connect_by = ctx.now + ctx.settings.dial_timeout;
-    ctx.wheel.schedule(connect_by, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
-    let attempt = AttemptState { server_connection, ends_at: ctx.now + timeout, line_sent: false };
+    let result = ctx.net.connect(endpoint.address(), SocketOwner::Frontend(TEXT_FRONTEND));
+    let server_connection = result.map_err(ConnectError::outcome)?;
+    let connect_deadline = ctx.now + ctx.settings.dial_timeout;
+    ctx.wheel.schedule(connect_deadline, TimerEvent::ConnectTimeout(TEXT_FRONTEND, server_connection));
+    let attempt = AttemptState { server_connection, deadline: ctx.now + timeout, line_sent: false };
     sessions.set_attempt(client, server, attempt);
     Ok(())
 }
 
-/// Sends a request line on a connection that has just been established, if it may still be sent.
+/// Sends the request line on a connection that has just been established, if sending is still permitted.
 pub(super) fn send_request(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     if let Err(refusal) = check_send(sessions, ctx, client) {
         return on_send_refused(sessions, ctx, client, refusal);
     }
     let Some(session) = sessions.get_mut(client) else { return };
     let Some(attempt) = session.mark_line_sent() else { return };
-    let time_left = attempt.ends_at.saturating_duration_since(ctx.now);
+    let time_left = attempt.deadline.saturating_duration_since(ctx.now);
     ctx.net.send(attempt.server_connection, session.open().line_for_server(time_left).as_bytes());
 }
 
@@ -82,7 +83,7 @@
         Some(request_id) => {
             ctx.requests.may_send(ctx.now, request_id, PeerStatus { client_gone, server_ready })
         }
-        // It is restored at the server that it had before the run, in whatever state that is.
+        // A session being restored returns to its previous server, whatever the server's lifecycle state.
         None if client_gone => Err(SendRefusal::ClientGone),
         None => Ok(()),
     }
@@ -102,7 +103,7 @@
     }
 }
 
-/// Cancels the attempt of a request and yields its outcome.
+/// Cancels the attempt of a request and returns its outcome.
 pub(super) fn cancel(sessions: &mut Sessions, ctx: &mut FrontendContext, request_id: RequestId) -> Outcome {
     let Some(client) = sessions.client_of_request(request_id) else { return Outcome::Cancelled };
     let attempt = sessions.get(client).and_then(|session| session.attempt());
@@ -115,7 +116,7 @@
     }
 }
 
-/// The time for connecting to a server is over.
+/// Ends the attempt on this connection if the connection is not established yet.
 pub(super) fn on_connect_timeout(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token) {
     if !ctx.net.is_connecting(token) {
         return;
@@ -141,7 +142,7 @@
     }
 }
 
-/// Whether a server takes new requests, by the endpoint list.
+/// Whether a server accepts new requests according to the endpoint list.
 fn is_ready(ctx: &FrontendContext, server: ServerId) -> bool {
     ctx.registry.entry(server).is_some_and(|endpoint| endpoint.is_ready())
 }
--- a/src/frontend/text/client_input.rs
+++ b/src/frontend/text/client_input.rs
@@ -1,4 +1,5 @@
-//! Input of clients with a session: lines for the server once it is established, and the client's end.
+//! Input from clients with a session: lines to forward to the server once the session is established, and the end of
+//! the client's connection.
 
 use super::connection_event::ConnectionEvent;
 use super::session_end::{answer_and_close, end_session, reject_malformed, ConnectionEnd};
@@ -8,10 +9,10 @@
 use crate::net::{Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use std::time::Duration;
 
-/// A server whose client has ended its sending has this long to end its own side.
+/// After the client has half-closed its connection, the server must close its own side within this time.
 const HALF_CLOSED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Handles an event at the connection of a client with a session.
+/// Handles an event on the connection of a client with a session.
 pub(super) fn on_client_event(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -30,10 +31,11 @@
         ctx.requests.on_client_disconnected(ctx.now, request_id);
     }
     if has_input {
-        // A client may send nothing before UP: nobody could say what its lines belong to.
+        // A client must not send anything before UP, because such lines could not be assigned to a request or
+        // session.
         reject_malformed(sessions, ctx, client);
     } else {
-        // The client has given up. Its request is owed an answer as long as anyone may read one.
+        // The client has disconnected, but it may have closed only its sending side, so it still gets a final answer.
         answer_and_close(sessions, ctx, client, b"BUSY\r\n");
     }
 }
@@ -58,14 +60,15 @@
     if event != ConnectionEvent::Ready {
         return end_session(sessions, ctx, client, Outcome::Cancelled, ConnectionEnd::Reset);
     }
-    let all_forwarded = ctx.net.input_buffer(client).is_none_or(|left| left.is_empty());
+    let all_forwarded = ctx.net.input_buffer(client).is_none_or(|input| input.is_empty());
     if ctx.net.is_read_closed(client) && all_forwarded {
         ctx.net.shutdown_write(server_connection);
         ctx.wheel.schedule(ctx.now + HALF_CLOSED_TIMEOUT, TimerEvent::FrontendTimer(TEXT_FRONTEND, client));
     }
 }
 
-/// Whether a client waits no longer for its answer: it has ended or reset its connection, or sent what is no request.
+/// Whether a client no longer waits for its answer: it has closed or reset its connection, or sent further input,
+/// which the protocol forbids before the answer.
 pub(super) fn has_disconnected(ctx: &mut FrontendContext, client: Token) -> bool {
     let has_input = ctx.net.input_buffer(client).is_none_or(|input| !input.is_empty());
     has_input || ctx.net.is_read_closed(client) || ctx.net.is_failed(client)
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -1,26 +1,26 @@
-//! The platform's protocol: lines of text over TCP.
+//! The frontend of the text protocol: lines of text over TCP.
 //!
-//! A client's first line opens a request. The node connects to the server that the balancer has selected and sends it
-//! the line. Once the server has answered `UP`, lines pass both ways.
-//! Only complete lines go to a client, so that `MOVE` can always follow.
+//! A client's first line opens a request. The node connects to the server that the balancer has selected and forwards
+//! the line to it. Once the server has answered `UP`, lines are forwarded in both directions. Only complete lines are
+//! forwarded to a client, so that the node can send `MOVE` at any time.
 //!
-//! [`TextFrontend`] owns the parts of the state and passes each event to the files that it concerns.
+//! [`TextFrontend`] owns the state and dispatches each event to the module responsible for it.
 //!
-//! | file | concern |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `line_buffer`, `request_line`, `load_report` | parsing |
-//! | `awaiting_clients` | clients that have sent no request yet |
-//! | `connection_event` | what happened at a connection |
-//! | `session`, `sessions` | one client with a request; all of them |
-//! | `session_end` | final answers, and the ends of attempts and sessions |
-//! | `client_input` | input of clients with a session |
-//! | `attempt` | attempts until the request line is sent |
-//! | `request_opening` | clients before their request, and the line that opens one |
-//! | `server_events` | servers' answers and lines |
-//! | `silent_servers` | clients of servers that have stopped answering |
-//! | `latency`, `health_check` | what is measured at servers and requested of them |
-//! | `protocol_error` | violations of the protocol by servers |
-//! | `handover` | connections that continue in the next process |
+//! | `awaiting_clients` | the table of clients that have not sent a request yet |
+//! | `connection_event` | socket events as the modules handle them |
+//! | `session`, `sessions` | a client with a request; the table of all of them |
+//! | `session_end` | final answers; ending attempts and sessions |
+//! | `client_input` | input from clients with a session |
+//! | `attempt` | starting, sending and cancelling attempts |
+//! | `request_opening` | input from clients without a request; opening a request |
+//! | `server_events` | answers and lines from servers |
+//! | `unresponsive_servers` | migrating the clients of servers that have stopped answering |
+//! | `latency`, `health_check` | measured latencies; requested load reports |
+//! | `protocol_error` | logging of protocol violations by servers |
+//! | `handover` | transferring connections between processes |
 
 mod attempt;
 mod awaiting_clients;
@@ -38,7 +38,7 @@
 mod session;
 mod session_end;
 mod sessions;
-mod silent_servers;
+mod unresponsive_servers;
 
 use super::{Frontend, FrontendContext, TransferredConnection};
 use crate::model::{Outcome, RequestId, ServerId};
@@ -55,8 +55,8 @@
 use sparbank_time::DurationExt;
 use std::time::Duration;
 
-/// What a client is sent whose connection is closed before it has sent a request.
-const FAREWELL: &[u8] = b"BUSY\r\n";
+/// The answer to a client whose connection is evicted before it has sent a request.
+const EVICTION_ANSWER: &[u8] = b"BUSY\r\n";
 
 /// The text protocol's frontend.
 #[derive(Default)]
@@ -68,7 +68,7 @@
 }
 
 impl TextFrontend {
-    /// A frontend without connections.
+    /// Creates a frontend without connections.
     pub fn new() -> TextFrontend {
         TextFrontend::default()
     }
@@ -77,13 +77,13 @@
         ServerEvents::new(&mut self.sessions, &mut self.latencies)
     }
 
-    /// Input, capacity for output, or a failure at a connection.
+    /// Dispatches an event on a connection to the module responsible for the connection.
     fn on_connection_event(&mut self, ctx: &mut FrontendContext, token: Token, event: ConnectionEvent) {
         if self.awaiting.contains(token) {
             self.on_awaiting_client_event(ctx, token, event);
         } else if self.sessions.contains(token) {
             on_client_event(&mut self.sessions, ctx, token, event);
-            self.server_events().resume_lines(ctx, token);
+            self.server_events().resume_forwarding(ctx, token);
         } else if let Some(client) = self.sessions.client_of_server_connection(token) {
             self.server_events().handle(ctx, client, token, event);
         } else if self.health_checks.contains(token) {
@@ -99,7 +99,7 @@
             ConnectionEvent::Ready => {
                 request_opening::on_input(&mut self.awaiting, &mut self.sessions, ctx, token);
             }
-            // A client that breaks its connection off waits for no answer, whatever it had sent.
+            // A client that resets its connection does not wait for an answer, whatever it sent before.
             ConnectionEvent::Failed { .. } => request_opening::close(&mut self.awaiting, ctx, token),
         }
     }
@@ -119,7 +119,7 @@
         match event.kind {
             SocketEventKind::Accepted => {
                 self.awaiting.insert(token, 0);
-                ctx.net.set_farewell(token, Some(FAREWELL));
+                ctx.net.set_farewell(token, Some(EVICTION_ANSWER));
             }
             SocketEventKind::Evicted => {
                 ctx.requests.counters_mut().idle_closed += 1;
@@ -163,9 +163,9 @@
         attempt::on_connect_timeout(&mut self.sessions, ctx, token);
     }
 
-    /// Attempts of which no byte has gone out are cancelled.
-    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, stopped: &[ServerId]) {
-        attempt::cancel_unsent(&mut self.sessions, ctx, stopped);
+    /// Cancels the attempts of which no byte has been written.
+    fn on_servers_draining(&mut self, ctx: &mut FrontendContext, servers: &[ServerId]) {
+        attempt::cancel_unsent(&mut self.sessions, ctx, servers);
     }
 
     fn read_answer(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
@@ -226,12 +226,12 @@
                 ctx.net.update_interest(client);
             }
             Ok(ImportedClient::Migrated) => {}
-            Err(error) => tracing::warn!(%error, "transferred connection is unreadable, closed"),
+            Err(error) => tracing::warn!(%error, "transferred connection cannot be restored, closed"),
         }
     }
 
-    /// Three timers: of a health check, of a session that is being restored, and of a connection whose client has
-    /// ended its sending.
+    /// Handles the three timers of this frontend: the time-out of a health check, the deadline of a session being
+    /// restored, and the time-out of a connection that its client has half-closed.
     fn on_timer(&mut self, ctx: &mut FrontendContext, token: Token) {
         if self.health_checks.has_timed_out(token, ctx.now) {
             return self.health_checks.close(ctx, token);
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Connections without a request end with the process.
+    /// Closes the connections without a request when the process shuts down.
     fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
         if !ctx.shutting_down {
             return;
@@ -257,7 +257,7 @@
     }
 
     fn on_tick(&mut self, ctx: &mut FrontendContext) {
-        silent_servers::migrate_clients(&mut self.sessions, ctx);
+        unresponsive_servers::migrate_clients(&mut self.sessions, ctx);
         self.latencies.report(ctx);
     }
 }
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -1,4 +1,4 @@
-//! A client's request line: parsed and checked before the request table gets a request of it.
+//! Parsing and validation of a client's request line.
 
 use crate::config::FrontendSettings;
 use crate::hash::fnv1a;
@@ -7,52 +7,54 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// The longest id or key, in bytes.
+/// The maximum length of an id or a key, in bytes.
 const MAX_ID_BYTES: usize = 64;
-/// The longest deadline that a client can mean, in milliseconds. Clients that were connected before the run come
-/// with more (4,294,967 was seen): they wait for no placement.
+/// The maximum deadline of a request, in milliseconds. It does not apply to clients that restore a session from
+/// before this process started: those send larger values (4,294,967 was observed), and no server is selected for
+/// them.
 const MAX_DEADLINE_MS: u64 = 3_600_000;
-/// The largest load that a hint can mean, in microseconds of work a second.
+/// The maximum load of a hint or a report, in microseconds of work per second.
 const MAX_LOAD_MICROS_PER_SECOND: f64 = 1e12;
 
-/// What a client's line opens with.
+/// A client's line before its request is open.
 #[derive(Debug, PartialEq)]
 pub(super) enum RequestLine {
-    /// `PING`: whether the node takes clients.
+    /// `PING`: asks whether the node accepts clients.
     Ping,
-    /// `OPEN`: a request.
+    /// `OPEN`: opens a request.
     Open(OpenRequest),
 }
 
-/// An `OPEN` line.
+/// A parsed `OPEN` line.
 #[derive(Debug, PartialEq)]
 pub(super) struct OpenRequest {
-    /// The client's id of the request.
+    /// The id that the client has assigned to the request.
     pub(super) id: String,
-    /// The line as received, without its end.
+    /// The line as received, without the line end.
     line: String,
-    /// Where the value of `d`, the deadline, is in the line.
-    deadline_value: Option<Range<usize>>,
-    /// The class's index in the settings.
+    /// The byte range of the value of `d`, the deadline, in the line.
+    deadline_range: Option<Range<usize>>,
+    /// The index of the request class in the settings.
     pub(super) class: usize,
-    /// How long the client waits.
+    /// The time until the client's deadline.
     pub(super) time_left: Duration,
-    /// The request's subject.
+    /// The key of the request's subject: hexadecimal keys as their value, other keys as a hash.
     pub(super) key: u64,
-    /// The group that shares work on a server.
+    /// The group of requests that share work on a server.
     pub(super) group: Option<u64>,
-    /// The client was connected before.
+    /// Whether the client reconnects.
     pub(super) reconnect: bool,
-    /// The client retries a request that failed.
+    /// Whether the client retries a failed request.
     pub(super) client_retry: bool,
-    /// The load that the client expects to be, in nanoseconds of work a second.
+    /// The load that the client expects to cause: work per second.
     pub(super) load_hint: Option<Duration>,
-    /// The server to which the client was connected before the run.
-    pub(super) resumed_at: Option<String>,
+    /// The server of a session from before this process started, which the client restores.
+    pub(super) restored_server: Option<String>,
 }
 
 impl RequestLine {
-    /// Parses a line with its end. None is a line that no server could use: the node answers it itself, at once.
+    /// Parses a line including the line end. Returns None if the line is malformed; the node answers such a line
+    /// itself.
     pub(super) fn parse(
         line: &[u8],
         settings: &FrontendSettings,
@@ -71,13 +73,13 @@
     }
 }
 
-/// The `name=value` pairs of an `OPEN` line, as far as the node uses them.
+/// The `name=value` pairs of an `OPEN` line that the node uses.
 #[derive(Default)]
 struct OpenFields {
     class: Option<usize>,
     deadline_ms: Option<u64>,
-    deadline_value: Option<Range<usize>>,
-    resumed_at: Option<String>,
+    deadline_range: Option<Range<usize>>,
+    restored_server: Option<String>,
     load_hint: Option<Duration>,
     group: Option<u64>,
     reconnect: bool,
@@ -85,7 +87,7 @@
 }
 
 impl OpenFields {
-    /// Parses the list of pairs, which begins at this offset of the line.
+    /// Parses the list of pairs, which begins at byte `list_offset` of the line.
     fn parse(list: &str, list_offset: usize, settings: &FrontendSettings) -> Option<OpenFields> {
         let mut fields = OpenFields::default();
         let mut pair_offset = list_offset;
@@ -104,14 +106,14 @@
             }
             "d" if self.deadline_ms.is_none() => {
                 self.deadline_ms = Some(parse_milliseconds(value)?);
-                self.deadline_value = Some(pair_offset + "d=".len()..pair_offset + pair.len());
+                self.deadline_range = Some(pair_offset + "d=".len()..pair_offset + pair.len());
             }
-            "at" if self.resumed_at.is_none() => self.resumed_at = Some(value.to_string()),
+            "at" if self.restored_server.is_none() => self.restored_server = Some(value.to_string()),
             "h" if self.load_hint.is_none() => self.load_hint = Some(parse_load(value)?),
             "g" => self.group = Some(fnv1a(value)),
             "again" => self.reconnect = parse_flag(value)?,
             "r" => self.client_retry = parse_flag(value)?,
-            // A name that is given twice has no one meaning.
+            // Each of these names may occur only once.
             "c" | "d" | "at" | "h" => return None,
             _ => {}
         }
@@ -131,8 +133,8 @@
         }
         let fields = OpenFields::parse(list, line.len() - list.len(), settings)?;
         let class = fields.class?;
-        let is_placement = fields.resumed_at.is_none();
-        if is_placement && fields.deadline_ms.is_some_and(|ms| ms > MAX_DEADLINE_MS) {
+        let needs_server_selection = fields.restored_server.is_none();
+        if needs_server_selection && fields.deadline_ms.is_some_and(|ms| ms > MAX_DEADLINE_MS) {
             return None;
         }
         let time_left = match fields.deadline_ms {
@@ -142,7 +144,7 @@
         Some(OpenRequest {
             id: id.to_string(),
             line: line.to_string(),
-            deadline_value: fields.deadline_value,
+            deadline_range: fields.deadline_range,
             class,
             time_left,
             key: u64::from_str_radix(key, 16).unwrap_or_else(|_| fnv1a(key)),
@@ -150,17 +152,17 @@
             reconnect: fields.reconnect,
             client_retry: fields.client_retry,
             load_hint: fields.load_hint,
-            resumed_at: fields.resumed_at,
+            restored_server: fields.restored_server,
         })
     }
 
-    /// A request of this id, for tests of data structures that hold requests.
+    /// Creates a request with this id, for tests of data structures that contain requests.
     #[cfg(test)]
     pub(super) fn for_tests(id: &str) -> OpenRequest {
         OpenRequest {
             id: id.to_string(),
             line: format!("OPEN {id} 1 c=c"),
-            deadline_value: None,
+            deadline_range: None,
             class: 0,
             time_left: Duration::from_secs(1),
             key: 1,
@@ -168,21 +170,22 @@
             reconnect: false,
             client_retry: false,
             load_hint: None,
-            resumed_at: None,
+            restored_server: None,
         }
     }
 
-    /// The line as received, without its end.
+    /// The line as received, without the line end.
     pub(super) fn line(&self) -> &str {
         &self.line
     }
 
-    /// The line for the server: as received, but with the time that the node will wait as its deadline.
+    /// Returns the line to send to the server: as received, except that the deadline is replaced by `timeout`, the
+    /// time that the node will wait.
     pub(super) fn line_for_server(&self, timeout: Duration) -> String {
-        match &self.deadline_value {
-            Some(value) => {
-                let before = &self.line[..value.start];
-                let after = &self.line[value.end..];
+        match &self.deadline_range {
+            Some(range) => {
+                let before = &self.line[..range.start];
+                let after = &self.line[range.end..];
                 let ms = timeout.as_millis_u64().max(1);
                 format!("{before}{ms}{after}\r\n")
             }
@@ -191,12 +194,13 @@
     }
 }
 
-/// Whether a word can be an id or a key.
+/// Whether a word is valid as an id or a key.
 fn is_valid_id(word: &str) -> bool {
     !word.is_empty() && word.len() <= MAX_ID_BYTES && !word.contains(['=', ','])
 }
 
-/// Digits and nothing else: a sign, which the library's parser accepts, is no deadline.
+/// Parses a number of milliseconds. Only digits are permitted; the standard library's parser would also accept a
+/// sign.
 fn parse_milliseconds(value: &str) -> Option<u64> {
     if !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return None;
@@ -212,7 +216,7 @@
     }
 }
 
-/// Parses a load in microseconds of work a second; yields nanoseconds of work a second.
+/// Parses a load in microseconds of work per second. Returns the work per second.
 pub(super) fn parse_load(text: &str) -> Option<Duration> {
     let micros: f64 = text.parse().ok()?;
     (0.0..=MAX_LOAD_MICROS_PER_SECOND)
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -1,4 +1,4 @@
-//! Clients before their request, and the request line that opens a session.
+//! Input from clients that have not sent a request yet, and opening a session with their request line.
 
 use super::attempt;
 use super::awaiting_clients::AwaitingClients;
@@ -14,7 +14,7 @@
 use crate::rules::{may_start, StartInputs, StartRefusal};
 use std::time::Duration;
 
-/// Handles the lines of a client that has sent no request yet.
+/// Handles the lines of a client that has not sent a request yet.
 pub(super) fn on_input(
     awaiting: &mut AwaitingClients,
     sessions: &mut Sessions,
@@ -46,7 +46,7 @@
 }
 
 fn answer_ping(ctx: &mut FrontendContext, token: Token) {
-    // What is not PONG tells the load balancer in front of the nodes to send no clients here.
+    // Any answer other than PONG tells the external load balancer not to route clients to this node.
     let answer: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
     ctx.net.send(token, answer);
     ctx.net.set_farewell(token, None);
@@ -54,9 +54,9 @@
 
 // ---- Ends before a request ---------------------------------------------------------------------
 
-/// Closes a connection on which no request has come. What arrives in that instant is answered, one way or the
-/// other: a complete line that is there is handled, and for one that is still to come the answer is there
-/// already.
+/// Closes a connection on which no request has been received. A request that arrives at the same time is still
+/// answered: a complete line that is already readable is handled first, and for a line that arrives later the `BUSY`
+/// that is sent here is the answer.
 pub(super) fn close_without_request(
     awaiting: &mut AwaitingClients,
     sessions: &mut Sessions,
@@ -67,7 +67,7 @@
     on_input(awaiting, sessions, ctx, token);
     if let Some(pings) = awaiting.remove(token) {
         ctx.requests.counters_mut().idle_closed += 1;
-        // A client that has sent a PING has its answer.
+        // A client that has sent a PING has already been answered.
         if pings == 0 {
             ctx.net.send(token, b"BUSY\r\n");
         }
@@ -75,7 +75,7 @@
     }
 }
 
-/// Closes a connection on which no request has come, without an answer.
+/// Closes a connection on which no request has been received, without an answer.
 pub(super) fn close(awaiting: &mut AwaitingClients, ctx: &mut FrontendContext, token: Token) {
     awaiting.remove(token);
     ctx.net.close(token);
@@ -111,12 +111,12 @@
         return refuse_start(awaiting, ctx, token, &open, refusal);
     }
     awaiting.remove(token);
-    match open.resumed_at.clone() {
+    match open.restored_server.clone() {
         Some(server_name) => {
             sessions.open(token, open);
             restore_session(sessions, ctx, token, &server_name);
         }
-        None => place_request(sessions, ctx, token, open),
+        None => submit_request(sessions, ctx, token, open),
     }
 }
 
@@ -128,13 +128,13 @@
 ) -> Result<(), StartRefusal> {
     let inputs = StartInputs {
         is_closing: ctx.shutting_down,
-        is_restored: open.resumed_at.is_some(),
+        is_restored: open.restored_server.is_some(),
         has_more_input: ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()),
-        is_duplicate_id: sessions.is_open_id(&open.id),
+        is_duplicate_id: sessions.has_request_with_id(&open.id),
         has_descriptor: true,
     };
     may_start(&inputs)?;
-    // Descriptors are reclaimed for a request that is taken on otherwise.
+    // Descriptors are reclaimed only for a request that passes all other checks.
     let has_descriptor = ctx.net.reclaim_descriptors();
     may_start(&StartInputs { has_descriptor, ..inputs })
 }
@@ -157,22 +157,23 @@
     }
 }
 
-fn place_request(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
+/// Passes a request to the request table, for which the balancer then selects a server.
+fn submit_request(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, open: OpenRequest) {
     let request_id = ctx.requests.on_request(ctx.now, TEXT_FRONTEND, arrival(&open));
-    let session = Session::of_request(open, request_id);
+    let session = Session::with_request(open, request_id);
     session.trace("arrived", ctx);
     sessions.insert(token, session);
     on_client_event(sessions, ctx, token, ConnectionEvent::Ready);
 }
 
-/// Reconnects a client that was connected before the run to the server that it had, which is not a placement.
+/// Reconnects a client that had a session before this process started to its previous server. No server is selected.
 fn restore_session(sessions: &mut Sessions, ctx: &mut FrontendContext, token: Token, server_name: &str) {
     let Some(server) = ctx.registry.id_of(server_name) else {
         return reject_malformed(sessions, ctx, token);
     };
     let timeout = sessions.get(token).map_or(Duration::ZERO, |session| session.open().time_left);
-    let answer_by = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
-    ctx.wheel.schedule(answer_by, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
+    let answer_deadline = ctx.now + timeout.saturating_sub(ANSWER_MARGIN);
+    ctx.wheel.schedule(answer_deadline, TimerEvent::FrontendTimer(TEXT_FRONTEND, token));
     if attempt::connect(sessions, ctx, token, server, timeout).is_err() {
         answer_and_close(sessions, ctx, token, b"ERR\r\n");
     }
--- a/src/frontend/text/server_events.rs
+++ b/src/frontend/text/server_events.rs
@@ -1,4 +1,4 @@
-//! Connections to servers: the answer to an attempt, and the lines of established sessions.
+//! Events on connections to servers: the answer to an attempt, and the lines of established sessions.
 
 use super::client_input::on_client_event;
 use super::connection_event::ConnectionEvent;
@@ -16,19 +16,19 @@
 use std::ops::ControlFlow;
 use std::time::Duration;
 
-/// The connections to the servers of sessions, as one event sees them.
+/// Handles events on the connections between sessions and their servers.
 pub(super) struct ServerEvents<'a> {
     sessions: &'a mut Sessions,
     latencies: &'a mut LatencyTracker,
 }
 
 impl<'a> ServerEvents<'a> {
-    /// Handles events for these sessions, and records the latencies of their servers.
+    /// Creates a handler for these sessions that records the latencies of their servers.
     pub(super) fn new(sessions: &'a mut Sessions, latencies: &'a mut LatencyTracker) -> ServerEvents<'a> {
         ServerEvents { sessions, latencies }
     }
 
-    /// Handles an event at the connection to a client's server.
+    /// Handles an event on the connection to a client's server.
     pub(super) fn handle(
         &mut self,
         ctx: &mut FrontendContext,
@@ -45,13 +45,13 @@
         let established = self.sessions.get(client).is_some_and(|session| session.is_established());
         match event {
             ConnectionEvent::Ready if ctx.net.is_read_closed(server_connection) => {
-                self.on_server_end(ctx, client, server_connection);
+                self.on_server_eof(ctx, client, server_connection);
             }
             ConnectionEvent::Ready if established => {
                 on_client_event(self.sessions, ctx, client, ConnectionEvent::Ready);
             }
             ConnectionEvent::Ready => {}
-            // Before its last byte was written the request cannot have run; after that it may have.
+            // The request may have run only if its last byte was written.
             ConnectionEvent::Failed { all_written } => {
                 let may_have_run = established || (all_written && self.has_sent_line(client));
                 let outcome = if may_have_run { Outcome::Reset } else { Outcome::ConnectFailed };
@@ -60,9 +60,9 @@
         }
     }
 
-    /// Resumes forwarding for a client that may have read what it was sent: handles its server's lines, and the
-    /// server's end behind them, that were left because the client was slow.
-    pub(super) fn resume_lines(&mut self, ctx: &mut FrontendContext, client: Token) {
+    /// Resumes forwarding to a client that may have read some of its output: handles the lines, and the end of the
+    /// server's connection, that were left unhandled because the client was slow to read.
+    pub(super) fn resume_forwarding(&mut self, ctx: &mut FrontendContext, client: Token) {
         let established = self.sessions.get(client).and_then(|session| session.established());
         let Some(server_connection) = established.map(|established| established.server_connection) else {
             return;
@@ -76,8 +76,8 @@
         ctx.net.update_interest(server_connection);
     }
 
-    /// Handles all complete lines of a server. Breaks where the client is too slow to take more, or where the
-    /// attempt has ended over a line.
+    /// Handles all complete lines of a server. Breaks if too much output for the client is pending, or if a line that
+    /// is too long has ended the attempt.
     fn handle_lines(
         &mut self,
         ctx: &mut FrontendContext,
@@ -108,8 +108,8 @@
         ControlFlow::Continue(())
     }
 
-    /// The server has ended its sending.
-    fn on_server_end(&mut self, ctx: &mut FrontendContext, client: Token, server_connection: Token) {
+    /// Handles the end of the server's input, after all complete lines.
+    fn on_server_eof(&mut self, ctx: &mut FrontendContext, client: Token, server_connection: Token) {
         let established = self.sessions.get(client).is_some_and(|session| session.is_established());
         if established {
             let rest = ctx.net.input_buffer(server_connection).map(std::mem::take).unwrap_or_default();
@@ -121,13 +121,13 @@
         on_attempt_end(self.sessions, ctx, client, outcome, ConnectionEnd::Orderly);
     }
 
-    /// Whether the line of a client's attempt has been passed to its socket.
+    /// Whether the request line of a client's attempt has been passed to the socket.
     fn has_sent_line(&self, client: Token) -> bool {
         let attempt = self.sessions.get(client).and_then(|session| session.attempt());
         attempt.is_some_and(|attempt| attempt.line_sent)
     }
 
-    /// The first line of a server answers the request line.
+    /// Handles the first line from a server, which is the answer to the request line.
     fn on_first_answer(
         &mut self,
         ctx: &mut FrontendContext,
@@ -155,7 +155,7 @@
         on_attempt_end(self.sessions, ctx, client, outcome, ConnectionEnd::Orderly);
     }
 
-    /// The server has accepted the client: the session is established.
+    /// Handles `UP`: the server has accepted the client, and the session is established.
     fn on_accepted(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get(client) else { return };
         match session.request_id() {
@@ -164,7 +164,7 @@
                 let Some(server) = session.server() else { return };
                 let arrival = arrival(session.open());
                 let request_id = ctx.requests.restore_established(ctx.now, TEXT_FRONTEND, arrival, server);
-                self.sessions.set_request(client, request_id);
+                self.sessions.set_request_id(client, request_id);
             }
         }
         let Some(session) = self.sessions.get_mut(client) else { return };
@@ -174,7 +174,8 @@
         on_client_event(self.sessions, ctx, client, ConnectionEvent::Ready);
     }
 
-    /// Forwards a line of an established session and records what it says.
+    /// Forwards a line of an established session to the client. Records the load that it reports, or the latency of
+    /// the server's answer.
     fn forward_line(&mut self, ctx: &mut FrontendContext, client: Token, line: &[u8]) {
         let Some(session) = self.sessions.get_mut(client) else { return };
         let (server, request_id) = (session.server(), session.request_id());
@@ -182,7 +183,7 @@
         let text = line.trim_ascii_end();
         established.ending = announced_ending(ctx, server, text);
         match (text.strip_prefix(b"LOAD "), request_id) {
-            // The protocol's one meaning of it: the connection's load now. No line on a socket reports a latency.
+            // LOAD always reports the current load of the connection. No line of the protocol reports a latency.
             (Some(value), Some(request_id)) => {
                 if let Some(load) = std::str::from_utf8(value).ok().and_then(|text| parse_load(text.trim())) {
                     established.load = Some(load);
@@ -205,7 +206,7 @@
     }
 }
 
-/// What a line of a server announces of the end of its connection.
+/// Returns what a line from a server announces about the end of the connection.
 fn announced_ending(ctx: &FrontendContext, server: Option<ServerId>, text: &[u8]) -> SessionEnding {
     match text.split(|byte| *byte == b' ').next().unwrap_or(b"") {
         b"BYE" => {
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -1,4 +1,4 @@
-//! A client's session: its request, and how far it has got.
+//! A client's session: its request and the state of its attempt or established connection.
 
 use super::request_line::OpenRequest;
 use crate::frontend::{FrontendContext, ANSWER_MARGIN};
@@ -13,25 +13,26 @@
 pub(super) struct Session {
     /// The client's request line.
     open: OpenRequest,
-    /// None while a connection from before the run is being restored: it becomes a request once its server has
-    /// accepted it.
+    /// None while a session from before this process started is being restored: it becomes a request once its server
+    /// has accepted it.
     request_id: Option<RequestId>,
     /// The server of the latest attempt.
     server: Option<ServerId>,
     state: SessionState,
-    /// The client has its final answer.
+    /// Whether the client has been sent its final answer.
     is_answered: bool,
-    /// The client of the established session was sent `MOVE`, or one of the two sides has ended.
+    /// Whether the client of the established session was sent `MOVE`, the client or the server has ended the session,
+    /// or another process continues it.
     end_announced: bool,
 }
 
-/// How far a session has got.
+/// The state of a session.
 pub(super) enum SessionState {
-    /// The request waits for its first attempt, or for the next one.
+    /// The request waits for its first or next attempt.
     AwaitingAttempt,
-    /// An attempt is out, and the server has not answered it.
+    /// An attempt is in flight that the server has not answered.
     Attempting(AttemptState),
-    /// The server has said `UP`: lines pass both ways.
+    /// The server has answered `UP`: lines are forwarded in both directions.
     Established(EstablishedSession),
 }
 
@@ -39,46 +40,46 @@
 #[derive(Clone, Copy)]
 pub(super) struct AttemptState {
     pub(super) server_connection: Token,
-    /// The node stops waiting then.
-    pub(super) ends_at: MonotonicTime,
-    /// The request line has been passed to the socket, which may not have written all of it.
+    /// When the node stops waiting for the answer.
+    pub(super) deadline: MonotonicTime,
+    /// Whether the request line has been passed to the socket. Some of it may not have been written yet.
     pub(super) line_sent: bool,
 }
 
 impl AttemptState {
-    /// Whether the last byte of the request line has been written: from then on the attempt may have run.
+    /// Whether the last byte of the request line has been written, so that the attempt may have run.
     pub(super) fn is_line_written(&self, ctx: &FrontendContext) -> bool {
         self.line_sent && ctx.net.pending_output_bytes(self.server_connection) == 0
     }
 }
 
-/// What is known of an established session.
+/// The state of an established session.
 pub(super) struct EstablishedSession {
     pub(super) server_connection: Token,
-    /// When the oldest line that the server has not answered was sent.
+    /// When the oldest line not answered by the server was forwarded to it.
     pub(super) unanswered_since: Option<MonotonicTime>,
-    /// How the server's last line announces the end.
+    /// The end announced by the server's last line.
     pub(super) ending: SessionEnding,
-    /// The load that the server reported last.
+    /// The load that the server last reported for this connection.
     pub(super) load: Option<Duration>,
 }
 
-/// How a server's last line announces the end of its connection. The names on the handover wire are fixed.
+/// How a server's last line announces the end of the connection. The names serialized for a handover are fixed.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 pub(super) enum SessionEnding {
-    /// It does not: an end would be a reset.
+    /// The line announces no end. If the connection ends now, that counts as a reset.
     #[serde(rename = "Broken")]
     Unannounced,
-    /// `BYE`: the service is complete.
+    /// `BYE`: the server has completed the request.
     #[serde(rename = "Bye")]
     Completed,
-    /// `MOVE`: the client is to reconnect.
+    /// `MOVE`: the client has to reconnect.
     #[serde(rename = "Moved")]
     Migrated,
 }
 
 impl Session {
-    /// A session whose request has just been read.
+    /// Creates a session that has no request in the request table yet.
     pub(super) fn new(open: OpenRequest) -> Session {
         Session {
             open,
@@ -90,12 +91,12 @@
         }
     }
 
-    /// A session that is a request of the request table.
-    pub(super) fn of_request(open: OpenRequest, request_id: RequestId) -> Session {
+    /// Creates a session with a request in the request table.
+    pub(super) fn with_request(open: OpenRequest, request_id: RequestId) -> Session {
         Session { request_id: Some(request_id), ..Session::new(open) }
     }
 
-    /// An established session of the process before this one.
+    /// Creates an established session that was transferred from another process.
     pub(super) fn inherited(
         open: OpenRequest,
         request_id: RequestId,
@@ -106,7 +107,7 @@
             server: Some(server),
             state: SessionState::Established(established),
             is_answered: true,
-            ..Session::of_request(open, request_id)
+            ..Session::with_request(open, request_id)
         }
     }
 
@@ -117,8 +118,7 @@
         &self.open
     }
 
-    /// The request, unless a connection from before the run is being restored: it becomes a request once its server has
-    /// accepted it.
+    /// The request; None while a session from before this process started is being restored.
     pub(super) fn request_id(&self) -> Option<RequestId> {
         self.request_id
     }
@@ -128,12 +128,12 @@
         self.server
     }
 
-    /// How far it has got.
+    /// The state of the session.
     pub(super) fn state(&self) -> &SessionState {
         &self.state
     }
 
-    /// The number of its request in log events: 0 where it has none yet.
+    /// The number of the request for log events; 0 if there is no request yet.
     pub(super) fn request_number(&self) -> u64 {
         self.request_id.map_or(0, |request_id| request_id.0)
     }
@@ -143,7 +143,7 @@
         matches!(self.state, SessionState::Established(_))
     }
 
-    /// What is known of the session, where it is established.
+    /// The state of the established session; None if it is not established.
     pub(super) fn established(&self) -> Option<&EstablishedSession> {
         match &self.state {
             SessionState::Established(established) => Some(established),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// The same, to change it.
+    /// Mutable access to the state of the established session; None if it is not established.
     pub(super) fn established_mut(&mut self) -> Option<&mut EstablishedSession> {
         match &mut self.state {
             SessionState::Established(established) => Some(established),
@@ -176,7 +176,7 @@
         }
     }
 
-    /// What is checked when it is over.
+    /// The inputs of the invariant check that is made when the session has ended.
     pub(super) fn close_inputs(&self) -> CloseInputs {
         CloseInputs {
             has_request: true,
@@ -188,33 +188,33 @@
 
     // ---- Steps ---------------------------------------------------------------------------------
 
-    /// The session has become a request of the request table.
-    pub(super) fn set_request(&mut self, request_id: RequestId) {
+    /// Records the id of the session's request in the request table.
+    pub(super) fn set_request_id(&mut self, request_id: RequestId) {
         self.request_id = Some(request_id);
     }
 
-    /// An attempt of its request has started.
+    /// Records that an attempt of the request has started.
     pub(super) fn start_attempt(&mut self, server: ServerId, attempt: AttemptState) {
         self.state = SessionState::Attempting(attempt);
         self.server = Some(server);
     }
 
-    /// The request line is sent now. Yields the attempt, if there is one.
+    /// Records that the request line is being sent. Returns the attempt, if there is one.
     pub(super) fn mark_line_sent(&mut self) -> Option<AttemptState> {
         let SessionState::Attempting(attempt) = &mut self.state else { return None };
         attempt.line_sent = true;
         Some(*attempt)
     }
 
-    /// The attempt, or the established connection, is over. Yields the state before.
+    /// Ends the attempt or the established connection. Returns the previous state.
     pub(super) fn end_attempt(&mut self) -> SessionState {
         std::mem::replace(&mut self.state, SessionState::AwaitingAttempt)
     }
 
-    /// The client gets its final answer, or `MOVE` once its session is established.
+    /// Records that the client is sent its final answer, or `MOVE` if its session is established.
     ///
     /// # Errors
-    /// Where it has had its final answer before.
+    /// If the client already got its final answer.
     pub(super) fn record_answer(&mut self) -> Result<(), Violation> {
         if self.is_established() {
             self.end_announced = true;
@@ -224,12 +224,12 @@
         Ok(())
     }
 
-    /// The client knows of the end of its established session, or continues elsewhere.
+    /// Records that the client knows about the end of its established session, or that another process continues it.
     pub(super) fn announce_end(&mut self) {
         self.end_announced = true;
     }
 
-    /// The server has accepted the client, which is its final answer.
+    /// Records that the server has accepted the client, which is the final answer to the request.
     pub(super) fn establish(&mut self) {
         self.is_answered = true;
         if let SessionState::Attempting(attempt) = self.state {
@@ -242,8 +242,8 @@
         }
     }
 
-    /// Writes the session's state to the trace, if that is on.
-    pub(super) fn trace(&self, what: &str, ctx: &FrontendContext) {
+    /// Logs an event of the session at trace level.
+    pub(super) fn trace(&self, event: &str, ctx: &FrontendContext) {
         if !tracing::enabled!(tracing::Level::TRACE) {
             return;
         }
@@ -259,12 +259,12 @@
             reconnect = open.reconnect,
             retry = open.client_retry,
             established_at_start = self.is_established(),
-            "client {what}"
+            "client {event}"
         );
     }
 }
 
-/// A request line as an arrival at the requests module.
+/// Converts a request line into an arrival for the request table, which assigns the id.
 pub(super) fn arrival(open: &OpenRequest) -> Arrival {
     Arrival {
         id: RequestId(0),
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and of sessions: final answers, and what is closed with them.
+//! Ending attempts and sessions: sending final answers and closing connections.
 
 use super::session::{Session, SessionEnding, SessionState};
 use super::sessions::Sessions;
@@ -10,16 +10,15 @@
 /// How the connections of an established session end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// After all output is written.
+    /// Closed after all output is written.
     Orderly,
-    /// With a reset, as one of the two was.
+    /// Reset, because one of the two connections was reset.
     Reset,
 }
 
 // ---- Answers -----------------------------------------------------------------------------------
 
-/// Sends the final answer of a client with a session, or tells it to reconnect if the session is established, and
-/// closes its connection.
+/// Sends a client the final answer, or `MOVE` if its session is established, and closes its connection.
 pub(super) fn answer_and_close(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -35,13 +34,13 @@
     ctx.net.close(client);
 }
 
-/// The same for a line that no server could use.
+/// Counts a malformed request, answers the client `ERR` and closes its connection.
 pub(super) fn reject_malformed(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     ctx.requests.counters_mut().malformed += 1;
     answer_and_close(sessions, ctx, client, b"ERR\r\n");
 }
 
-/// Writes a final answer to the trace, if that is on.
+/// Logs a final answer at trace level.
 pub(super) fn trace_answer(request: u64, id: &str, answer: &[u8]) {
     tracing::trace!(
         request,
@@ -51,7 +50,7 @@
     );
 }
 
-/// Records that a client gets its final answer, or `MOVE` once its session is established.
+/// Records that a client is sent its final answer, or `MOVE` if its session is established.
 fn record_answer(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     let Some(session) = sessions.get_mut(client) else { return };
     if let Err(violation) = session.record_answer() {
@@ -61,7 +60,7 @@
 
 // ---- Attempts ----------------------------------------------------------------------------------
 
-/// The attempt has ended, before or after the session was established.
+/// Handles the end of an attempt, before or after the session was established.
 pub(super) fn on_attempt_end(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -74,7 +73,7 @@
     if let Some(established) = session.established() {
         let ending = established.ending;
         if outcome == Outcome::Error {
-            // The server is there and cannot be used: the client is to reconnect.
+            // The server is reachable but violates the protocol, so the client has to reconnect.
             ctx.requests.on_attempt_ended(ctx.now, request_id.unwrap_or(RequestId(0)), outcome);
             return answer_and_close(sessions, ctx, client, b"MOVE\r\n");
         }
@@ -90,7 +89,7 @@
     }
 }
 
-/// The connection to the server of an established session is over.
+/// Handles the end of the connection to the server of an established session.
 fn on_server_connection_end(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -101,22 +100,22 @@
     let (outcome, end) = match ending {
         SessionEnding::Completed => (Outcome::Ok, ConnectionEnd::Orderly),
         SessionEnding::Migrated => (Outcome::Cancelled, ConnectionEnd::Orderly),
-        // The client ended first; the server follows.
+        // The client ended the session first, and the server followed.
         SessionEnding::Unannounced if ctx.net.is_read_closed(client) => (Outcome::Cancelled, end),
         SessionEnding::Unannounced => (Outcome::Reset, end),
     };
     end_session(sessions, ctx, client, outcome, end);
 }
 
-/// Ends a client's attempt; the request waits for another one.
+/// Ends a client's attempt. The request then waits for its next attempt.
 pub(super) fn drop_attempt(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     if let Some(state) = sessions.take_attempt(client) {
         close_server_connection(ctx, &state);
     }
 }
 
-/// Closes the connection to the server, if there is one. What is left of a request line must not be written
-/// any more: complete, it would be an attempt.
+/// Closes the connection to the server, if there is one. The unwritten rest of a request line is discarded: if it
+/// were still written, the server would run a request whose attempt has ended.
 fn close_server_connection(ctx: &mut FrontendContext, state: &SessionState) {
     match state {
         SessionState::AwaitingAttempt => {}
@@ -130,7 +129,7 @@
 
 // ---- Sessions ----------------------------------------------------------------------------------
 
-/// Ends an established session: both connections end, the same way.
+/// Ends an established session and closes or resets both of its connections.
 pub(super) fn end_session(
     sessions: &mut Sessions,
     ctx: &mut FrontendContext,
@@ -161,7 +160,7 @@
     ctx.net.close(client);
 }
 
-/// Removes all that is known of a client, and ends its attempt.
+/// Removes a client's session and closes its connection to the server.
 fn remove_session(sessions: &mut Sessions, ctx: &mut FrontendContext, client: Token) {
     if let Some(session) = sessions.remove(client) {
         finish_session(ctx, &session);
@@ -169,18 +168,19 @@
     }
 }
 
-/// Traces and checks a session that has been removed.
+/// Logs the end of a removed session and checks its invariants.
 pub(super) fn finish_session(ctx: &mut FrontendContext, session: &Session) {
     session.trace("ended", ctx);
     check_session_close(ctx, session);
 }
 
-/// Whether the other side of a connection has ended or reset it.
+/// Whether the peer has closed or reset a connection.
 fn has_ended(ctx: &FrontendContext, token: Token) -> bool {
     ctx.net.is_read_closed(token) || ctx.net.is_failed(token)
 }
 
-/// Checks that a session that is over was answered, and announced where it was established.
+/// Checks that the client of an ended session got its final answer and, if the session was established, that its end
+/// was announced.
 fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
     if let Err(violation) = check_close(&session.close_inputs()) {
         ctx.requests.record_violation(violation, violation_context(session));
--- a/src/frontend/text/sessions.rs
+++ b/src/frontend/text/sessions.rs
@@ -1,4 +1,4 @@
-//! The table of all sessions, by each of the names under which a session is looked up.
+//! The table of all sessions, indexed by client connection, request, server connection and client-assigned id.
 
 use super::request_line::OpenRequest;
 use super::session::{AttemptState, Session, SessionState};
@@ -6,53 +6,54 @@
 use crate::net::Token;
 use std::collections::{HashMap, HashSet};
 
-/// All clients with a request.
+/// The sessions of all clients with a request.
 #[derive(Default)]
 pub(super) struct Sessions {
-    /// Sessions by their client's connection.
+    /// Sessions by client connection.
     by_client: HashMap<Token, Session>,
-    /// Clients by their request.
-    clients: HashMap<RequestId, Token>,
-    /// Clients by the connection to their server.
+    /// Client connections by request.
+    clients_by_request: HashMap<RequestId, Token>,
+    /// Client connections by server connection.
     clients_by_server_connection: HashMap<Token, Token>,
-    /// The clients' ids of all open requests.
+    /// The client-assigned ids of all open requests.
     open_ids: HashSet<String>,
 }
 
 impl Sessions {
     // ---- Look-ups ------------------------------------------------------------------------------
 
-    /// The session of a client.
+    /// Returns the session of a client.
     pub(super) fn get(&self, client: Token) -> Option<&Session> {
         self.by_client.get(&client)
     }
 
-    /// The same, to change it. Connections and the request are changed by the methods below.
+    /// Returns the session of a client for modification. The request id and the server connection must be changed
+    /// through the methods below, which update the indexes.
     pub(super) fn get_mut(&mut self, client: Token) -> Option<&mut Session> {
         self.by_client.get_mut(&client)
     }
 
-    /// Whether this connection is a client's with a session.
+    /// Whether this is the connection of a client with a session.
     pub(super) fn contains(&self, client: Token) -> bool {
         self.by_client.contains_key(&client)
     }
 
-    /// The client of a request.
+    /// Returns the client connection of a request.
     pub(super) fn client_of_request(&self, request_id: RequestId) -> Option<Token> {
-        self.clients.get(&request_id).copied()
+        self.clients_by_request.get(&request_id).copied()
     }
 
-    /// The client of a connection to a server.
+    /// Returns the client connection that belongs to a server connection.
     pub(super) fn client_of_server_connection(&self, server_connection: Token) -> Option<Token> {
         self.clients_by_server_connection.get(&server_connection).copied()
     }
 
-    /// Whether a request with the client's id is open: a client that sends it as well is another one.
-    pub(super) fn is_open_id(&self, id: &str) -> bool {
+    /// Whether an open request has this client-assigned id. Another client that sends the same id is rejected.
+    pub(super) fn has_request_with_id(&self, id: &str) -> bool {
         self.open_ids.contains(id)
     }
 
-    /// All sessions with their clients' connections, in no order.
+    /// Iterates over all sessions and their client connections, in arbitrary order.
     pub(super) fn iter(&self) -> impl Iterator<Item = (Token, &Session)> {
         self.by_client.iter().map(|(client, session)| (*client, session))
     }
@@ -64,16 +65,16 @@
 
     // ---- Changes -------------------------------------------------------------------------------
 
-    /// Adds the session of a client that has sent its request line.
+    /// Adds a session for a client whose request is not in the request table yet.
     pub(super) fn open(&mut self, client: Token, open: OpenRequest) {
         self.insert(client, Session::new(open));
     }
 
-    /// Adds a session, with its request and its connection to a server, if it has them.
+    /// Adds a session and indexes its request and its server connection, if it has them.
     pub(super) fn insert(&mut self, client: Token, session: Session) {
         self.open_ids.insert(session.open().id.clone());
         if let Some(request_id) = session.request_id() {
-            self.clients.insert(request_id, client);
+            self.clients_by_request.insert(request_id, client);
         }
         if let Some(server_connection) = session.server_connection() {
             self.clients_by_server_connection.insert(server_connection, client);
@@ -81,15 +82,15 @@
         self.by_client.insert(client, session);
     }
 
-    /// The session has become a request of the request table.
-    pub(super) fn set_request(&mut self, client: Token, request_id: RequestId) {
+    /// Sets the session's request in the request table.
+    pub(super) fn set_request_id(&mut self, client: Token, request_id: RequestId) {
         if let Some(session) = self.by_client.get_mut(&client) {
-            session.set_request(request_id);
-            self.clients.insert(request_id, client);
+            session.set_request_id(request_id);
+            self.clients_by_request.insert(request_id, client);
         }
     }
 
-    /// An attempt of the session's request has started.
+    /// Records that an attempt of the session's request has started.
     pub(super) fn set_attempt(&mut self, client: Token, server: ServerId, attempt: AttemptState) {
         if let Some(session) = self.by_client.get_mut(&client) {
             session.start_attempt(server, attempt);
@@ -97,7 +98,8 @@
         }
     }
 
-    /// The session has no attempt any more, and no connection to a server. Yields the state before.
+    /// Ends the session's attempt or established connection. Returns the previous state; its server connection is no
+    /// longer indexed, and the caller closes it.
     pub(super) fn take_attempt(&mut self, client: Token) -> Option<SessionState> {
         let session = self.by_client.get_mut(&client)?;
         if let Some(server_connection) = session.server_connection() {
@@ -106,12 +108,12 @@
         Some(session.end_attempt())
     }
 
-    /// Removes a session and all its names.
+    /// Removes a session from the table and its indexes. The caller closes the server connection.
     pub(super) fn remove(&mut self, client: Token) -> Option<Session> {
         let session = self.by_client.remove(&client)?;
         self.open_ids.remove(&session.open().id);
         if let Some(request_id) = session.request_id() {
-            self.clients.remove(&request_id);
+            self.clients_by_request.remove(&request_id);
         }
         if let Some(server_connection) = session.server_connection() {
             self.clients_by_server_connection.remove(&server_connection);
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -1,5 +1,5 @@
-//! The text frontend step by step on real sockets, with a clock that the test sets: what happens between two steps of
-//! one iteration of the event loop, as where the process is stalled there.
+//! Tests of the text frontend on real sockets that run the steps of an event loop iteration one by one, with a
+//! simulated clock. They cover what happens between two steps, for example while the process is stalled.
 
 use super::TextFrontend;
 use crate::config::Config;
@@ -13,18 +13,18 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// When a test begins.
+/// The simulated time at which a test begins.
 const START: MonotonicTime = MonotonicTime::from_nanos(1_000_000_000_000);
-/// One wait for sockets.
+/// The duration of one poll of the sockets.
 const WAIT: Duration = Duration::from_millis(20);
-/// A test that has waited this often waits for what will not come.
+/// A test fails if the expected event has not occurred after this many polls.
 const MAX_WAITS: usize = 100;
-/// Longer than the kernel takes over loopback to deliver a segment.
+/// Longer than the kernel takes to deliver a segment over loopback.
 const KERNEL_DELIVERY_TIME: Duration = Duration::from_millis(60);
-/// The window in which servers discard retries, and the class's deadline.
+/// The window within which servers discard duplicate attempts of a request.
 const DEDUP_WINDOW: Duration = Duration::from_millis(800);
 
-/// A text frontend between one client and two servers.
+/// A text frontend with one client and two servers.
 struct FrontendFixture {
     now: MonotonicTime,
     net: SocketReactor,
@@ -63,7 +63,7 @@
     fn new() -> FrontendFixture {
         let servers: Vec<TcpListener> =
             (0..2).map(|_| TcpListener::bind("127.0.0.1:0").expect("a port")).collect();
-        let config = Config::parse(&config_text(&servers)).expect("it is valid");
+        let config = Config::parse(&config_text(&servers)).expect("a valid configuration");
         let mut net = SocketReactor::new(config.max_descriptors).expect("epoll");
         let listen = net.listen(config.listen, SocketOwner::Frontend(TEXT_FRONTEND)).expect("a port");
         let mut requests = RequestTable::new(config.seed, config.settings.clone()).expect("valid settings");
@@ -88,7 +88,7 @@
         fixture
     }
 
-    /// Calls the frontend.
+    /// Calls the frontend with a context at the current simulated time.
     fn with_frontend<R>(&mut self, call: impl FnOnce(&mut TextFrontend, &mut FrontendContext) -> R) -> R {
         let mut ctx = FrontendContext {
             now: self.now,
@@ -104,16 +104,17 @@
         call(&mut self.frontend, &mut ctx)
     }
 
-    /// Handles what the sockets have, as the first step of an iteration.
+    /// Handles socket events, as the first step of an iteration.
     fn poll(&mut self) {
-        for event in self.net.poll(self.now, WAIT).expect("a turn") {
+        for event in self.net.poll(self.now, WAIT).expect("a poll") {
             if matches!(event.owner, SocketOwner::Frontend(_)) {
                 self.with_frontend(|frontend, ctx| frontend.on_socket_event(ctx, event));
             }
         }
     }
 
-    /// Has the balancer decide, as the second step of an iteration. Timers that it sets elapse at once.
+    /// Lets the balancer decide and carries out its commands, as the second step of an iteration. Timers that it sets
+    /// elapse at once. Returns the requests with a new attempt.
     fn decide(&mut self) -> Vec<RequestId> {
         let mut started = Vec::new();
         while self.requests.has_pending_events() {
@@ -141,7 +142,7 @@
         started
     }
 
-    /// Writes to the connections that were established, as the last step of an iteration.
+    /// Writes to the newly established connections, as the last step of an iteration.
     fn flush_connected(&mut self) {
         for connected in self.net.take_connected() {
             self.with_frontend(|frontend, ctx| frontend.on_connected(ctx, connected.token));
@@ -149,9 +150,10 @@
         }
     }
 
-    /// A client whose request has an attempt; the connection to the server is established, and nothing is written.
+    /// Connects a client and starts an attempt of its request. The connection to the server is established, and
+    /// nothing has been written to it.
     fn attempt_about_to_be_sent(&mut self) -> (TcpStream, RequestId) {
-        let mut client = TcpStream::connect(self.listen).expect("it listens");
+        let mut client = TcpStream::connect(self.listen).expect("a connection");
         client.write_all(b"OPEN 1 1 c=keyed,t=acme,d=5000,g=5c\r\n").expect("written");
         for _ in 0..MAX_WAITS {
             self.poll();
@@ -164,7 +166,7 @@
         panic!("no attempt")
     }
 
-    /// The connection that a server has waiting, with what was written to it so far.
+    /// Accepts the connection that is waiting at one of the servers, and returns it with the bytes received so far.
     fn received_by_a_server(&mut self) -> (TcpStream, String) {
         std::thread::sleep(KERNEL_DELIVERY_TIME);
         for server in &self.servers {
@@ -183,7 +185,7 @@
         panic!("no connection")
     }
 
-    /// The attempt's time is up, as the node sees it.
+    /// Times out an attempt in the way the event loop does.
     fn time_out(&mut self, request_id: RequestId) {
         self.with_frontend(|frontend, ctx| frontend.read_answer(ctx, request_id));
         if self.requests.frontend_of_attempt(request_id, 1).is_some() {
@@ -194,7 +196,8 @@
     }
 }
 
-/// The node is stalled after it has read its sockets, and the client goes meanwhile: its request is not sent.
+/// Guards against sending the request of a client that has disconnected while the node was stalled between reading
+/// its sockets and writing.
 #[test]
 fn a_client_that_disconnects_while_the_node_is_stalled_gets_no_attempt() {
     let mut fixture = FrontendFixture::new();
@@ -205,7 +208,8 @@
     assert_eq!(fixture.received_by_a_server().1, "");
 }
 
-/// The node is stalled before it writes a retry: with the window of its key nearly over, it is not sent.
+/// Guards against sending a retry too late: after the node was stalled before writing it, the servers' deduplication
+/// window for its idempotency key is nearly over, and the server might run the request twice.
 #[test]
 fn a_retry_is_not_sent_once_the_node_was_stalled_to_the_end_of_its_window() {
     let mut fixture = FrontendFixture::new();
@@ -225,9 +229,9 @@
     assert_eq!(fixture.received_by_a_server().1, "");
 }
 
-/// The server's answer has arrived and is not read when the attempt's time is up: it counts.
+/// Guards against discarding an answer that has arrived but has not been read when its attempt times out.
 #[test]
-fn an_answer_that_waits_in_the_kernel_counts_before_the_time_out() {
+fn an_answer_in_the_kernel_buffer_is_read_before_the_attempt_times_out() {
     let mut fixture = FrontendFixture::new();
     let (mut client, request_id) = fixture.attempt_about_to_be_sent();
     fixture.flush_connected();
