--- a/src/frontend/amqp/arrival.rs
+++ b/src/frontend/amqp/arrival.rs
@@ -1,27 +1,27 @@
-//! What a client's message or attach says about its request.
+//! The attributes of a request, taken from a client's message or attach.
 
 use crate::frontend::{FrontendContext, ANSWER_MARGIN};
 use crate::hash::fnv1a;
 use crate::model::{Arrival, RequestId};
 use std::time::Duration;
 
-/// What a client's message or attach says about its request.
+/// The attributes of a request, taken from a client's message or attach.
 #[derive(Debug)]
 pub struct RequestAttributes {
-    /// The request's class.
+    /// The index of the request's class.
     pub class: usize,
     /// How long the client waits for an answer.
     pub time_limit: Duration,
-    /// The property `key`, the idempotency key: a hexadecimal number, or any text.
+    /// The idempotency key, from the property `key`: a hexadecimal number, or any other text, which is hashed.
     pub key: Option<String>,
-    /// The property `group`.
+    /// The group, from the property `group`.
     pub group: Option<String>,
-    /// The property `again`: the client had such a connection before.
+    /// Whether the client reconnects, from the property `again`.
     pub is_reconnect: bool,
 }
 
 impl RequestAttributes {
-    /// The request as the request table takes it.
+    /// Converts the attributes to an arrival for the request table.
     pub fn into_arrival(self) -> Arrival {
         let parse_key = |key: String| u64::from_str_radix(&key, 16).unwrap_or_else(|_| fnv1a(&key));
         Arrival {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The time limit of the requests of a class that state none.
+/// The time limit of requests that do not specify one: the hard limit of their class.
 pub fn default_time_limit(ctx: &FrontendContext, class: usize) -> Duration {
     ctx.classes.get(class).map_or(Duration::ZERO, |class| class.hard_limit)
 }
--- a/src/frontend/amqp/class_names.rs
+++ b/src/frontend/amqp/class_names.rs
@@ -1,25 +1,25 @@
-//! The traffic classes that clients address, and whether a client may use them.
+//! Resolves the addresses that clients use to traffic classes, and authorizes their use.
 
 use super::users::Identity;
 use sparbank_amqp::{condition, Error};
 
-/// Where a client names a class.
+/// The field in which a client names a class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressField {
     /// The address of a sending link's target.
     Target,
     /// The address of a receiving link's source.
     Source,
-    /// `to` of a message's properties.
+    /// The field `to` of a message's properties.
     To,
 }
 
-/// The names of the traffic classes, in the order of the settings: everywhere else a class is its index.
+/// The names of the traffic classes, in the order of the settings. The rest of the node refers to a class by its index.
 #[derive(Clone, Debug)]
 pub struct ClassNames(Vec<String>);
 
 impl ClassNames {
-    /// The classes with these names.
+    /// Creates the table from the class names, in the order of the settings.
     pub fn new(names: Vec<String>) -> ClassNames {
         ClassNames(names)
     }
@@ -34,10 +34,11 @@
         &self.0[class]
     }
 
-    /// The class that an address names, if the client may use it. `identity` is none for a client that is gone.
+    /// The index of the class that an address names, if the client may use it. `identity` is `None` if the client has
+    /// disconnected.
     ///
     /// # Errors
-    /// The error for the client: the address names no class, or the client may not use this one.
+    /// The address names no class, or the client may not use the class. The error is the one to send to the client.
     pub fn authorize(
         &self,
         identity: Option<&Identity>,
--- a/src/frontend/amqp/class_names/tests.rs
+++ b/src/frontend/amqp/class_names/tests.rs
@@ -1,4 +1,4 @@
-//! Which class an address names, and who may use it.
+//! Tests of address resolution and of the users' rights to classes.
 
 use super::{AddressField, ClassNames};
 use crate::frontend::amqp::users::{Identity, Rights};
@@ -9,7 +9,7 @@
     ClassNames::new(vec!["live-readings".to_string(), "station-notes".to_string()])
 }
 
-fn user_of(class: &str) -> Identity {
+fn user_with_right_to(class: &str) -> Identity {
     let rights = Rights { classes: Some(vec![class.to_string()]), subscriber: None };
     Identity { name: Some("anna".to_string()), rights }
 }
@@ -38,7 +38,7 @@
 #[case(AddressField::Source, "this user may not attach to this class")]
 #[case(AddressField::To, "this user may not send to this class")]
 fn a_user_without_the_right_is_refused(#[case] field: AddressField, #[case] text: &str) {
-    let user = user_of("live-readings");
+    let user = user_with_right_to("live-readings");
     assert_eq!(classes().authorize(Some(&user), field, Some("live-readings")), Ok(0));
     for identity in [Some(&user), None] {
         let error = classes().authorize(identity, field, Some("station-notes")).expect_err("no right");
--- a/src/frontend/amqp/clients/mod.rs
+++ b/src/frontend/amqp/clients/mod.rs
@@ -1,6 +1,6 @@
-//! The clients' connections: which there are, their credit, and what is written to them.
+//! The clients' connections: their table, their output, and the credit of their links.
 //!
-//! [`Clients`] owns them. `client` is one connection, `credit` how the credit is shared between links.
+//! [`Clients`] owns the connections. `client` implements one connection, `credit` the sharing of credit between links.
 
 mod client;
 mod credit;
@@ -18,17 +18,17 @@
 use sparbank_amqp::Connection;
 use std::net::IpAddr;
 
-/// An address has as many connections as it may.
+/// An address already has the maximum number of connections.
 #[derive(Debug, thiserror::Error)]
 #[error("too many connections from one address")]
 pub struct AddressLimitReached;
 
-/// Whether a client's connection goes on after it was written to.
+/// Whether a client's connection remains open after its output was written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flushed {
-    /// It goes on.
+    /// The connection remains open.
     Open,
-    /// Nothing follows what was written.
+    /// The connection is closed: no further output follows.
     Closed,
 }
 
@@ -38,11 +38,11 @@
     by_token: FastHashMap<Token, Box<Client>>,
     connections_by_address: FastHashMap<IpAddr, usize>,
     subscriber_links: SubscriberLinks,
-    /// Connections that may have something to write, in the order in which they were marked.
+    /// The connections that may have pending output, in the order in which they were marked.
     dirty: Vec<Token>,
-    /// Clients that are not read while messages take too much memory.
+    /// The clients that are not read while messages use up the memory.
     paused: Vec<Token>,
-    /// The node drains: clients get no credit.
+    /// Whether the node drains; clients are granted no credit then.
     is_draining: bool,
 }
 
@@ -50,7 +50,7 @@
     /// Adds a connection.
     ///
     /// # Errors
-    /// Its address has `max_per_address` already.
+    /// The address already has `max_per_address` connections.
     pub fn insert(
         &mut self,
         token: Token,
@@ -70,18 +70,18 @@
         Ok(())
     }
 
-    /// Removes a connection.
+    /// Removes a connection, and its share of the counts per address and per subscriber.
     pub fn remove(&mut self, token: Token) -> Option<Box<Client>> {
         let client = self.by_token.remove(&token)?;
         if let Some(address) = client.address {
-            self.uncount_connection(address);
+            self.decrement_connection_count(address);
         }
         let sending_links = client.sending_links().count() as u32;
         self.subscriber_links.remove(client.identity().subscriber(), sending_links);
         Some(client)
     }
 
-    fn uncount_connection(&mut self, address: IpAddr) {
+    fn decrement_connection_count(&mut self, address: IpAddr) {
         if let Some(count) = self.connections_by_address.get_mut(&address) {
             *count -= 1;
             if *count == 0 {
@@ -90,12 +90,12 @@
         }
     }
 
-    /// A client by its connection.
+    /// The client with this connection.
     pub fn get(&mut self, token: Token) -> Option<&mut Client> {
         self.by_token.get_mut(&token).map(|client| &mut **client)
     }
 
-    /// The forwarder that sends on a link.
+    /// The forwarder that sends to the client on this link.
     pub fn forwarder_of(&self, link: ConnectionLink) -> Option<ForwarderId> {
         self.by_token.get(&link.token)?.forwarder_of(link.id)
     }
@@ -110,21 +110,21 @@
         self.by_token.len()
     }
 
-    /// All connections, in order.
+    /// The tokens of all connections, in ascending order.
     pub fn tokens(&self) -> Vec<Token> {
         let mut tokens: Vec<Token> = self.by_token.keys().copied().collect();
         tokens.sort_unstable();
         tokens
     }
 
-    /// A sending link is attached.
+    /// Adds a sending link that was attached.
     pub fn add_sending_link(&mut self, at: ConnectionLink, link: SendingLink) {
         let Some(client) = self.by_token.get_mut(&at.token) else { return };
         client.links.insert(at.id, ClientLink::Sending(link));
         self.subscriber_links.add(client.identity().subscriber());
     }
 
-    /// A link is detached. Returns what it was for.
+    /// Removes a link that was detached, and returns it.
     pub fn remove_link(&mut self, at: ConnectionLink) -> Option<ClientLink> {
         let client = self.by_token.get_mut(&at.token)?;
         let link = client.links.remove(&at.id)?;
@@ -136,7 +136,7 @@
 
     // ---- Output ------------------------------------------------------------------------------------
 
-    /// Marks a connection: there may be something to write to it.
+    /// Marks a connection dirty: it may have pending output.
     pub fn mark_dirty(&mut self, token: Token) {
         if let Some(client) = self.by_token.get_mut(&token).filter(|client| !client.is_dirty) {
             client.is_dirty = true;
@@ -144,12 +144,12 @@
         }
     }
 
-    /// Whether any connection is marked.
+    /// Whether any connection is marked dirty.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// Returns the marked connections and unmarks them.
+    /// Returns the dirty connections and clears their marks.
     pub fn take_dirty(&mut self) -> Vec<Token> {
         let dirty = std::mem::take(&mut self.dirty);
         for token in &dirty {
@@ -171,8 +171,8 @@
         }
     }
 
-    /// Whether forwarders had more for a client than was written at one time, and its socket takes more now. Clears
-    /// that mark: if the socket took everything at once, no event says so.
+    /// Whether a forwarder had stopped sending to a client and the pending output is below its high watermark again. If
+    /// so, clears the client's stalled mark. Needed because no event is raised if the socket takes all output at once.
     pub fn clear_stall(&mut self, ctx: &FrontendContext, token: Token) -> bool {
         let Some(client) = self.by_token.get_mut(&token) else { return false };
         let can_resume =
@@ -185,14 +185,14 @@
 
     // ---- Input -------------------------------------------------------------------------------------
 
-    /// Stops reading a client until [`Clients::take_paused`].
+    /// Stops reading from a client until [`Clients::take_paused`].
     pub fn pause(&mut self, token: Token) {
         if !self.paused.contains(&token) {
             self.paused.push(token);
         }
     }
 
-    /// Returns the clients that were paused, to be read again.
+    /// Removes and returns the paused clients, which are to be read again.
     pub fn take_paused(&mut self) -> Vec<Token> {
         std::mem::take(&mut self.paused)
     }
@@ -204,8 +204,8 @@
         self.is_draining
     }
 
-    /// The node drains: takes back the credit of all sending links, and grants none until [`Clients::end_drain`]. A
-    /// further call changes nothing.
+    /// Starts a drain: revokes the credit of all sending links, and grants none until [`Clients::end_drain`]. Has no
+    /// effect if the node already drains.
     pub fn start_drain(&mut self) {
         if std::mem::replace(&mut self.is_draining, true) {
             return;
@@ -215,12 +215,12 @@
         }
     }
 
-    /// The node serves again: credit is replenished from now on. False if it did not drain.
+    /// Ends a drain: credit can be granted again. Returns whether the node was draining.
     pub fn end_drain(&mut self) -> bool {
         std::mem::take(&mut self.is_draining)
     }
 
-    /// Grants a sending link fresh credit, once no more than half of its share is left, unless the node drains.
+    /// Replenishes the credit of a sending link once at most half of its target credit is left, unless the node drains.
     pub fn replenish_credit(&mut self, at: ConnectionLink, config: &AmqpConfig, buffered_bytes: usize) {
         let Some(client) = self.by_token.get_mut(&at.token).filter(|_| !self.is_draining) else { return };
         let subscriber = client.identity().subscriber();
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Replenishes the credit of the sending links that have none left: it shrank while memory was short, or was taken
-    /// back for a drain.
+    /// Replenishes the credit of the sending links that have none left, because it shrank while memory was short or was
+    /// revoked for a drain.
     pub fn replenish_all_credit(&mut self, config: &AmqpConfig, buffered_bytes: usize) {
         for token in self.tokens() {
             let Some(client) = self.get(token) else { continue };
--- a/src/frontend/amqp/connection_link.rs
+++ b/src/frontend/amqp/connection_link.rs
@@ -1,13 +1,13 @@
-//! How a link is named across all connections of the frontend.
+//! The identifier of a link among all connections of the frontend.
 
 use crate::net::Token;
 use sparbank_amqp::LinkId;
 
-/// A link, and the connection that it is on.
+/// Identifies a link and the connection that it is on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLink {
-    /// The socket of the connection.
+    /// The token of the connection's socket.
     pub token: Token,
-    /// The link on this connection.
+    /// The id of the link on this connection.
     pub id: LinkId,
 }
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -1,4 +1,4 @@
-//! Deliveries from clients that are not settled yet: the bytes received of each, and the progress of its attempt.
+//! The unsettled deliveries from clients: the octets received of each, and the progress of its attempt.
 
 use super::connection_link::ConnectionLink;
 use super::fast_map::FastHashMap;
@@ -6,72 +6,73 @@
 use sparbank_amqp::{Head, Tag};
 use sparbank_time::MonotonicTime;
 
-/// A delivery that is not settled yet.
+/// An unsettled delivery from a client.
 pub struct Delivery {
-    /// The client's link that it was received on, and that its answer goes to.
+    /// The client's link on which the delivery was received and is answered.
     pub link: ConnectionLink,
-    /// Its delivery id on the client's session.
+    /// The delivery id on the client's session.
     pub delivery_id: u32,
-    /// Its tag.
+    /// The delivery tag.
     pub tag: Tag,
-    /// Whether the client's link is attached and can take the answer.
+    /// Whether the client's link is attached, so that the answer can be sent.
     pub is_attached: bool,
-    /// The index of its class.
+    /// The index of the request's class.
     pub class: usize,
-    /// The sections before the body.
+    /// The decoded sections before the body.
     pub head: Head,
-    /// The octets received and not discarded, from `discarded` on.
+    /// The received octets from position `discarded` on.
     pub bytes: Vec<u8>,
-    /// Octets discarded from its start: once above 0 it cannot be sent again.
+    /// The number of octets discarded from the start. If it is above 0, the delivery cannot be retried.
     pub discarded: usize,
-    /// Whether its last transfer has been received.
+    /// Whether the last transfer has been received.
     pub is_complete: bool,
-    /// Its attempt at a server, if there is one.
+    /// The current attempt, if there is one.
     pub attempt: Option<Attempt>,
 }
 
-/// The attempt of a delivery at one server.
+/// An attempt to send a delivery to a server.
 pub struct Attempt {
     /// The server.
     pub server: ServerId,
-    /// When it times out.
+    /// When the attempt times out.
     pub deadline: MonotonicTime,
-    /// How far it has come.
+    /// The progress of the attempt.
     pub stage: AttemptStage,
 }
 
-/// How far an attempt has come.
+/// The progress of an attempt.
 pub enum AttemptStage {
-    /// It waits for a link; no octet was sent, so it has not run.
+    /// The delivery waits for a link. No octet was sent, so the request has not run.
     Queued,
-    /// It was sent partly: it can be aborted, and then has not run.
+    /// The delivery was partly sent. It can be aborted, and the request has not run then.
     Sending {
         /// The link to the server.
         link: ConnectionLink,
         /// The delivery id on the server's session.
         delivery_id: u32,
-        /// Octets of the message that were sent.
+        /// The number of octets of the message that were sent.
         sent: usize,
     },
-    /// It was sent completely, or will be once the connection has written up to `end`: it may run.
+    /// The delivery was passed to the connection completely and is sent once the connection's output is written up to
+    /// `end`. The request may run.
     Sent {
         /// The link to the server.
         link: ConnectionLink,
         /// The delivery id on the server's session.
         delivery_id: u32,
-        /// The position in the connection's output at which the delivery ends.
+        /// The position of the end of the delivery in the connection's output.
         end: u64,
     },
 }
 
 impl Delivery {
-    /// Whether it can be sent again from its start.
+    /// Whether the delivery can be sent again from its start.
     pub fn is_retryable(&self) -> bool {
         self.discarded == 0
     }
 }
 
-/// All unsettled deliveries, and the octets buffered for them together.
+/// All unsettled deliveries, and the total number of octets buffered for them.
 #[derive(Default)]
 pub struct Deliveries {
     by_request: FastHashMap<RequestId, Delivery>,
@@ -108,7 +109,7 @@
         self.get(request_id).is_some_and(|delivery| delivery.is_complete)
     }
 
-    /// Appends the octets of a further transfer to a delivery; `is_last` says that it is complete with them.
+    /// Appends the octets of a further transfer to a delivery. `is_last` marks the last transfer of the delivery.
     pub fn append(&mut self, request_id: RequestId, bytes: &[u8], is_last: bool) -> Option<&Delivery> {
         let delivery = self.by_request.get_mut(&request_id)?;
         delivery.bytes.extend_from_slice(bytes);
@@ -117,7 +118,7 @@
         self.by_request.get(&request_id)
     }
 
-    /// Discards the octets already sent of a delivery that is larger than `max_retryable_bytes`.
+    /// Discards the octets of a delivery that are already sent, if it is larger than `max_retryable_bytes`.
     pub fn discard_sent(&mut self, request_id: RequestId, max_retryable_bytes: usize) {
         let Some(delivery) = self.by_request.get_mut(&request_id) else { return };
         let Some(Attempt { stage: AttemptStage::Sending { sent, .. }, .. }) = delivery.attempt else {
@@ -127,7 +128,7 @@
             return;
         }
         let discardable = (sent - delivery.discarded).min(delivery.bytes.len());
-        // Moving the rest to the front pays off once it is the smaller half.
+        // Draining moves the remaining octets to the front, which is worth its cost if they are at most half.
         if discardable >= delivery.bytes.len() / 2 {
             delivery.bytes.drain(..discardable);
             delivery.discarded += discardable;
@@ -135,29 +136,29 @@
         }
     }
 
-    /// The octets buffered now.
+    /// The number of octets that are currently buffered.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
 
-    /// The most octets that were buffered at one time.
+    /// The peak number of buffered octets.
     pub fn peak_buffered_bytes(&self) -> usize {
         self.peak_buffered_bytes
     }
 
-    /// Counts octets as buffered, such as those of a delivery that is no request yet.
+    /// Adds to the number of buffered octets, for example those of a delivery that is not a request yet.
     pub fn add_buffered(&mut self, octets: usize) {
         self.buffered_bytes += octets;
         self.peak_buffered_bytes = self.peak_buffered_bytes.max(self.buffered_bytes);
     }
 
-    /// Counts octets as no longer buffered.
+    /// Subtracts from the number of buffered octets.
     pub fn subtract_buffered(&mut self, octets: usize) {
         self.buffered_bytes -= octets;
     }
 
-    /// The outcome of a delivery's attempt whose link or connection is lost after `written` octets of the connection's
-    /// output: it may have run if its last octet was written.
+    /// The outcome of an attempt whose link or connection was lost after `written` octets of the connection's output had
+    /// been written. The request may have run if its last octet was written.
     pub fn interrupted_outcome(&self, request_id: RequestId, written: u64) -> Outcome {
         let attempt = self.get(request_id).and_then(|delivery| delivery.attempt.as_ref());
         match attempt.map(|attempt| &attempt.stage) {
@@ -166,7 +167,7 @@
         }
     }
 
-    /// The requests whose attempt at one of these servers was not sent completely, in order.
+    /// The requests whose attempt at one of these servers was not sent completely, in the order of their ids.
     pub fn unsent_at(&self, servers: &[ServerId]) -> Vec<RequestId> {
         let is_unsent = |attempt: &Attempt| {
             servers.contains(&attempt.server) && !matches!(attempt.stage, AttemptStage::Sent { .. })
--- a/src/frontend/amqp/password_checks.rs
+++ b/src/frontend/amqp/password_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of PLAIN passwords, done a slice at a time so that no check delays the event loop.
+//! Checks of PLAIN passwords. The work is split into slices so that no check stalls the event loop.
 
 use super::nonce::fake_salt;
 use super::users::{Users, DEFAULT_ROUNDS};
@@ -6,9 +6,9 @@
 use sparbank_amqp::{Pbkdf2, SaltedKeys};
 use std::collections::VecDeque;
 
-/// Rounds of PBKDF2 in one slice: some 0.2 ms of work.
+/// The number of PBKDF2 rounds per slice; these take about 0.2 ms.
 const ROUNDS_PER_SLICE: u32 = 512;
-/// Passwords that are checked at the same time: beyond these, clients are rejected without a check.
+/// The maximum number of pending checks. Further clients are rejected without a check.
 const MAX_PENDING_CHECKS: usize = 64;
 
 struct PasswordCheck {
@@ -18,33 +18,33 @@
     derivation: Pbkdf2,
 }
 
-/// The result of a check.
+/// The result of a password check.
 pub struct CheckedPassword {
     /// The client's connection.
     pub token: Token,
-    /// The user that the client claims to be.
+    /// The user name that the client gave.
     pub user: String,
     /// Whether the password is that user's.
     pub is_valid: bool,
 }
 
-/// Too many passwords are being checked.
+/// The maximum number of password checks is pending.
 #[derive(Debug, thiserror::Error)]
 #[error("too many passwords are being checked")]
 pub struct TooManyChecks;
 
-/// The passwords that are being checked, the next first.
+/// The pending password checks; the one at the front of the queue is processed next.
 #[derive(Default)]
 pub struct PasswordChecks {
     queue: VecDeque<PasswordCheck>,
 }
 
 impl PasswordChecks {
-    /// Starts to check a password. An unknown user's check takes as long as a known one's, so that the time does not
-    /// reveal which users exist.
+    /// Starts the check of a password. The check for an unknown user does as much work as that for a user with
+    /// [`DEFAULT_ROUNDS`], so that its duration does not reveal which users exist.
     ///
     /// # Errors
-    /// Too many checks are pending.
+    /// The maximum number of checks is pending.
     pub fn start(
         &mut self,
         token: Token,
@@ -64,8 +64,8 @@
         Ok(())
     }
 
-    /// Does one slice of the next check. Returns the check's result if it is complete with it; otherwise the other checks
-    /// come first.
+    /// Runs one slice of the next check. Returns the result if the check is complete; otherwise moves the check to the
+    /// end of the queue.
     pub fn step(&mut self) -> Option<CheckedPassword> {
         let mut check = self.queue.pop_front()?;
         let Some(salted_password) = check.derivation.step(ROUNDS_PER_SLICE) else {
@@ -76,7 +76,7 @@
         Some(CheckedPassword { token: check.token, user: check.user, is_valid })
     }
 
-    /// The connection whose check is next.
+    /// The connection of the client whose check is next.
     pub fn next_token(&self) -> Option<Token> {
         self.queue.front().map(|check| check.token)
     }
