--- a/src/frontend/amqp/authentication.rs
+++ b/src/frontend/amqp/authentication.rs
@@ -1,7 +1,7 @@
 //! Authentication of clients by SASL.
 //!
-//! [`Authenticator`] answers the requests that the protocol library makes while a client authenticates. PLAIN passwords
-//! are checked, and failed logins are answered, when a timer of the client's socket elapses.
+//! [`Authenticator`] answers the SASL requests that the protocol library raises while a client authenticates. PLAIN
+//! passwords are checked, and failed logins are answered, when a timer of the client's socket expires.
 
 use super::clients::Clients;
 use super::nonce::{fake_salt, nonce};
@@ -15,10 +15,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A failed authentication is answered after this: it limits how fast passwords can be guessed.
+/// The delay before a failed login is answered. It limits the rate of password guessing.
 const FAILED_LOGIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Decides who clients are.
+/// Authenticates clients.
 pub struct Authenticator {
     frontend: FrontendId,
     password_checks: PasswordChecks,
@@ -26,17 +26,17 @@
 }
 
 impl Authenticator {
-    /// An authenticator whose timers belong to this frontend.
+    /// Creates an authenticator whose timer events are delivered to `frontend`.
     pub fn new(frontend: FrontendId) -> Authenticator {
         Authenticator { frontend, password_checks: PasswordChecks::default(), rejected_logins: 0 }
     }
 
-    /// Clients that failed to authenticate.
+    /// The number of failed logins.
     pub fn rejected_logins(&self) -> u64 {
         self.rejected_logins
     }
 
-    /// A client authenticates. Without a users' file every anonymous client is let in.
+    /// Handles a SASL request of a client. Without a users file, ANONYMOUS is accepted and every other mechanism fails.
     pub fn on_request(
         &mut self,
         ctx: &mut FrontendContext,
@@ -45,7 +45,7 @@
         request: SaslRequest,
     ) {
         let clients = &mut *peers.clients;
-        match &peers.config.known_users {
+        match &peers.config.users {
             Some(users) => self.authenticate(ctx, clients, users, token, request),
             None => {
                 if let Some(client) = clients.get(token) {
@@ -64,7 +64,7 @@
         request: SaslRequest,
     ) {
         match request {
-            SaslRequest::Anonymous => self.finish(ctx, clients, token, users.anonymous()),
+            SaslRequest::Anonymous => self.finish_login(ctx, clients, token, users.anonymous_identity()),
             SaslRequest::ScramKeys { user } => {
                 let keys = users.keys(&user).cloned();
                 if let Some(client) = clients.get(token) {
@@ -72,25 +72,26 @@
                 }
             }
             SaslRequest::ScramProof { user, is_valid } => {
-                let identity = users.named(&user).filter(|_| is_valid);
-                self.finish(ctx, clients, token, identity);
+                let identity = users.identity(&user).filter(|_| is_valid);
+                self.finish_login(ctx, clients, token, identity);
             }
             SaslRequest::Plain { user, password } => {
                 match self.password_checks.start(token, users, user, &password) {
-                    Ok(()) => self.schedule(ctx, token, Duration::ZERO),
-                    Err(_) => self.finish(ctx, clients, token, None),
+                    Ok(()) => self.schedule_timer(ctx, token, Duration::ZERO),
+                    Err(_) => self.finish_login(ctx, clients, token, None),
                 }
             }
             SaslRequest::External => {
                 let name = clients.get(token).and_then(|client| client.certificate_name());
-                let identity = name.and_then(|name| users.named(&name));
-                self.finish(ctx, clients, token, identity);
+                let identity = name.and_then(|name| users.identity(&name));
+                self.finish_login(ctx, clients, token, identity);
             }
         }
     }
 
-    /// Lets in a client with an identity. Without one it is rejected after a delay.
-    fn finish(
+    /// Completes a login. Without an identity the login has failed, and the client is rejected after
+    /// [`FAILED_LOGIN_DELAY`].
+    fn finish_login(
         &mut self,
         ctx: &mut FrontendContext,
         clients: &mut Clients,
@@ -106,35 +107,36 @@
             }
             None => {
                 self.rejected_logins += 1;
-                client.reject_login_at(ctx.now + FAILED_LOGIN_DELAY);
-                self.schedule(ctx, token, FAILED_LOGIN_DELAY);
+                client.schedule_login_rejection(ctx.now + FAILED_LOGIN_DELAY);
+                self.schedule_timer(ctx, token, FAILED_LOGIN_DELAY);
             }
         }
     }
 
-    /// A timer of a client's socket has elapsed.
+    /// Handles the expiry of a timer of a client's socket.
     pub fn on_timer(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>, token: Token) {
         self.check_passwords(ctx, peers);
         let Some(client) = peers.clients.get(token) else { return };
-        if client.take_due_rejection(ctx.now) {
+        if client.take_due_login_rejection(ctx.now) {
             client.conn.finish_sasl(false);
             peers.clients.mark_dirty(token);
         }
     }
 
-    /// Does one slice of one password check, whichever client waits: no slice delays the event loop noticeably.
+    /// Runs one slice of the next pending password check, which need not be of the client whose timer expired. Slices
+    /// are short enough not to stall the event loop.
     fn check_passwords(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>) {
         if let Some(checked) = self.password_checks.step() {
-            let users = peers.config.known_users.as_ref();
-            let identity = users.and_then(|users| users.named(&checked.user)).filter(|_| checked.is_valid);
-            self.finish(ctx, peers.clients, checked.token, identity);
+            let users = peers.config.users.as_ref();
+            let identity = users.and_then(|users| users.identity(&checked.user)).filter(|_| checked.is_valid);
+            self.finish_login(ctx, peers.clients, checked.token, identity);
         }
         if let Some(token) = self.password_checks.next_token() {
-            self.schedule(ctx, token, Duration::ZERO);
+            self.schedule_timer(ctx, token, Duration::ZERO);
         }
     }
 
-    fn schedule(&self, ctx: &mut FrontendContext, token: Token, delay: Duration) {
+    fn schedule_timer(&self, ctx: &mut FrontendContext, token: Token, delay: Duration) {
         ctx.wheel.schedule(ctx.now + delay, TimerEvent::FrontendTimer(self.frontend, token));
     }
 }
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -1,4 +1,4 @@
-//! What happens on clients' connections: accept, input, events of the protocol, loss, and idle timeouts.
+//! Events on clients' connections: accepted sockets, input, protocol events, disconnects, and idle timeouts.
 
 use super::authentication::Authenticator;
 use super::client_links::ClientLinks;
@@ -17,32 +17,32 @@
 use crate::net::{SocketEvent, SocketEventKind, Token, OUTPUT_HIGH_WATERMARK_BYTES};
 use sparbank_amqp::{Connection, Event, Fault, LinkId, Role};
 
-/// Handles the events of clients' connections. The frontend makes one for each call of the event loop.
+/// Handles the events of clients' connections. The frontend creates a handler for each call from the event loop.
 pub struct ClientEvents<'a, 'b> {
-    /// The node's parts.
+    /// The parts of the node that frontends use.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// What is fixed about the frontend.
+    /// The frontend's immutable data.
     pub info: &'a FrontendInfo,
-    /// The connections.
+    /// The connections on both sides.
     pub peers: Peers<'a>,
     /// The requests of clients' sending links.
     pub requests: &'a mut DeliveryRequests,
     /// The forwarders of clients' receiving links.
     pub forwarding: &'a mut Forwarding,
-    /// Who decides on clients' logins.
+    /// Authenticates the clients.
     pub authenticator: &'a mut Authenticator,
 }
 
 /// The result of processing a client's input.
 struct ProcessedInput {
-    /// Octets that were processed.
+    /// The number of octets that were processed.
     count: usize,
-    /// What ends the connection.
+    /// The protocol error that ends the connection, if there is one.
     fault: Option<Fault>,
 }
 
 impl<'b> ClientEvents<'_, 'b> {
-    /// Something happened at a client's socket.
+    /// Handles an event of a client's socket.
     pub fn on_socket_event(&mut self, event: SocketEvent) {
         let token = event.token;
         match event.kind {
@@ -50,9 +50,9 @@
             SocketEventKind::Evicted | SocketEventKind::HandshakeTimeout => {
                 self.ctx.requests.counters_mut().idle_closed += 1;
                 self.ctx.net.close(token);
-                return self.on_gone(token);
+                return self.on_disconnected(token);
             }
-            SocketEventKind::Failed { .. } => return self.on_gone(token),
+            SocketEventKind::Failed { .. } => return self.on_disconnected(token),
             SocketEventKind::OutputFlushed => self.forwarding.forward_all(self.ctx, &mut self.peers, token),
             SocketEventKind::Readable => {}
         }
@@ -78,7 +78,7 @@
             allows_plain: is_tls || config.plain_unencrypted,
             requests_certificate: is_tls && requests_certificate,
         };
-        let mechanisms = config.known_users.as_ref().map(|users| users.mechanisms(transport));
+        let mechanisms = config.users.as_ref().map(|users| users.mechanisms(transport));
         let settings = config.client_settings(&self.info.container);
         let conn = Connection::accept(self.ctx.now, settings, mechanisms);
         net.set_read_limit(token, config.read_ahead_bytes());
@@ -92,8 +92,9 @@
 
     // ---- Input -------------------------------------------------------------------------------------
 
-    /// Reads the clients that were paused while memory for messages was short.
-    pub fn read_paused(&mut self) {
+    /// Reads again from the clients that were paused because messages used up the memory, once less than three quarters
+    /// of `max_buffered_bytes` are in use.
+    pub fn resume_paused_reads(&mut self) {
         if self.requests.buffered_bytes() < self.peers.config.max_buffered_bytes / 4 * 3 {
             for token in self.peers.clients.take_paused() {
                 self.read(token);
@@ -101,16 +102,16 @@
         }
     }
 
-    /// Processes a client's input, unless the client does not read its answers or no memory is left for messages.
+    /// Processes a client's input, unless the client does not read its output or the memory for messages is used up.
     fn read(&mut self, token: Token) {
         if self.ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
             return self.ctx.net.update_interest(token);
         }
-        // Unprocessed plaintext is bounded as unprocessed input of the socket is.
+        // Unprocessed plaintext has the same limit as unprocessed input in the socket's buffer.
         let max_plaintext = self.peers.config.read_ahead_bytes();
         let client = self.peers.clients.get(token);
         let was_full = client.is_some_and(|client| client.is_plaintext_full(max_plaintext));
-        // While the plaintext is full, nothing is taken from the socket.
+        // While the plaintext buffer is full, no input is taken from the socket.
         let input = self.ctx.net.input_buffer(token).filter(|_| !was_full);
         let mut bytes = input.map(std::mem::take).unwrap_or_default();
         let processed = self.process(token, &mut bytes);
@@ -119,23 +120,24 @@
             bytes.drain(..processed.count);
             client.restore_input(self.ctx, token, bytes);
         }
-        let is_full = client.is_plaintext_full(max_plaintext);
+        let is_still_full = client.is_plaintext_full(max_plaintext);
         if let Some(fault) = processed.fault {
             self.close_on_fault(token, fault);
         }
         self.peers.clients.mark_dirty(token);
-        let has_capacity_again = was_full && !is_full;
+        let has_capacity_again = was_full && !is_still_full;
         if has_capacity_again && self.ctx.net.input_buffer(token).is_some_and(|input| !input.is_empty()) {
-            // For input that is already here, no further event comes.
+            // Input that is already in the socket's buffer raises no further event.
             return self.read(token);
         }
         if self.ctx.net.is_read_closed(token) {
-            return self.on_gone(token);
+            return self.on_disconnected(token);
         }
         self.ctx.net.update_interest(token);
     }
 
-    /// Decrypts a client's input if it uses TLS, and handles the events in it. `bytes` is all plaintext afterwards.
+    /// Decrypts a client's input if it uses TLS, and handles the protocol events in it. On return, `bytes` holds the
+    /// plaintext of the input, preceded by the plaintext that earlier calls left unprocessed.
     fn process(&mut self, token: Token, bytes: &mut Vec<u8>) -> ProcessedInput {
         if let Some(Err(fault)) = self.peers.clients.get(token).map(|client| client.decrypt(bytes)) {
             return ProcessedInput { count: 0, fault: Some(fault) };
@@ -159,7 +161,7 @@
         ProcessedInput { count: bytes.len() - rest.len(), fault }
     }
 
-    /// Closes a connection whose client breaks the protocol.
+    /// Closes the connection of a client that violated the protocol.
     fn close_on_fault(&mut self, token: Token, fault: Fault) {
         let Some(client) = self.peers.clients.get(token) else { return };
         self.ctx.requests.counters_mut().malformed += 1;
@@ -172,24 +174,28 @@
     }
 
     fn on_protocol_event(&mut self, token: Token, event: Event<'_>) {
-        let at = |id: LinkId| ConnectionLink { token, id };
+        let connection_link = |id: LinkId| ConnectionLink { token, id };
         match event {
             Event::SaslRequest(request) => {
                 self.authenticator.on_request(self.ctx, &mut self.peers, token, request)
             }
             Event::Opened {} => self.on_opened(token),
-            Event::AttachRequested { link, role, attach } => self.links().on_attach(at(link), role, attach),
+            Event::AttachRequested { link, role, attach } => {
+                self.link_handler().on_attach(connection_link(link), role, attach)
+            }
             Event::Credit { link } => {
-                if let Some(forwarder) = self.peers.clients.forwarder_of(at(link)) {
+                if let Some(forwarder) = self.peers.clients.forwarder_of(connection_link(link)) {
                     self.forwarding.forward(self.ctx, &mut self.peers, forwarder);
                 }
             }
             Event::SessionWindow { channel } => {
                 self.forwarding.on_session_window(self.ctx, &mut self.peers, token, channel)
             }
-            Event::Transfer { link, transfer } => self.transfers().on_transfer(at(link), transfer),
+            Event::Transfer { link, transfer } => {
+                self.transfer_handler().on_transfer(connection_link(link), transfer)
+            }
             Event::Settled { link, key, state, .. } => {
-                if let Some(forwarder) = self.peers.clients.forwarder_of(at(link)) {
+                if let Some(forwarder) = self.peers.clients.forwarder_of(connection_link(link)) {
                     self.forwarding.on_settled_by_client(self.peers.servers, forwarder, key, state);
                 }
             }
@@ -201,12 +207,12 @@
                     client.add_detached_request(RequestId(key));
                 }
             }
-            Event::Detached { link, end, .. } => self.links().on_detached(at(link), end),
+            Event::Detached { link, end, .. } => self.link_handler().on_detached(connection_link(link), end),
             _ => {}
         }
     }
 
-    fn links(&mut self) -> ClientLinks<'_, 'b> {
+    fn link_handler(&mut self) -> ClientLinks<'_, 'b> {
         ClientLinks {
             ctx: self.ctx,
             info: self.info,
@@ -216,7 +222,7 @@
         }
     }
 
-    fn transfers(&mut self) -> TransferHandler<'_, 'b> {
+    fn transfer_handler(&mut self) -> TransferHandler<'_, 'b> {
         TransferHandler {
             ctx: self.ctx,
             info: self.info,
@@ -227,7 +233,7 @@
 
     fn on_opened(&mut self, token: Token) {
         self.ctx.net.mark_handshake_complete(token);
-        let anonymous = self.peers.config.known_users.as_ref().and_then(|users| users.anonymous());
+        let anonymous = self.peers.config.users.as_ref().and_then(|users| users.anonymous_identity());
         if let (Some(client), Some(identity)) = (self.peers.clients.get(token), anonymous) {
             if client.identity().name.is_none() {
                 client.set_identity(identity);
@@ -237,21 +243,22 @@
 
     // ---- Output and end ----------------------------------------------------------------------------
 
-    /// Writes to the clients that are marked dirty.
+    /// Writes the pending output of the clients that are marked dirty.
     pub fn flush(&mut self) {
         for token in self.peers.clients.take_dirty() {
             if self.peers.clients.flush(self.ctx, token) == Flushed::Closed {
-                self.on_gone(token);
+                self.on_disconnected(token);
             } else if self.peers.clients.clear_stall(self.ctx, token) {
                 self.forwarding.forward_all(self.ctx, &mut self.peers, token);
             }
         }
     }
 
-    /// A client's connection is closed or lost. Requests on links that may be resumed go on; the others are abandoned.
-    fn on_gone(&mut self, token: Token) {
+    /// Handles the end of a client's connection, closed or lost. Requests on links that may be resumed continue; all
+    /// others are abandoned.
+    fn on_disconnected(&mut self, token: Token) {
         if let Some(client) = self.peers.clients.get(token) {
-            client.write_last(self.ctx, token);
+            client.write_final_output(self.ctx, token);
         }
         self.ctx.net.close(token);
         let Some(mut client) = self.peers.clients.remove(token) else { return };
@@ -266,17 +273,18 @@
         }
     }
 
-    /// A timer of a client's socket has elapsed.
+    /// Handles the expiry of a timer of a client's socket.
     pub fn on_timer(&mut self, token: Token) {
         self.authenticator.on_timer(self.ctx, &mut self.peers, token);
     }
 
-    /// Forgets the links that were not resumed in time.
+    /// Discards the state of links that were not resumed in time.
     pub fn expire_links(&mut self) {
         self.requests.expire(self.ctx, &mut self.peers);
     }
 
-    /// Checks the idle timeouts of the clients' connections. While the node drains, closes those without open requests.
+    /// Checks the idle timeouts of the clients' connections. While the node drains, also closes the connections without
+    /// open requests.
     pub fn check_connections(&mut self) {
         let redirect = self.peers.config.redirect.as_ref();
         let is_draining = self.peers.clients.is_draining();
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -1,5 +1,5 @@
-//! Clients' links: attach and detach. A sending link takes requests; a receiving link from a class is one request; a
-//! receiving link with a dynamic source is a node for replies.
+//! Attach and detach of clients' links. Each delivery on a sending link is a request. A receiving link whose source is
+//! a class is one request. A receiving link with a dynamic source creates a dynamic node for replies.
 
 use super::arrival::{default_time_limit, RequestAttributes};
 use super::class_names::AddressField;
@@ -20,20 +20,20 @@
 
 /// Handles the attaches and detaches of clients' links.
 pub struct ClientLinks<'a, 'b> {
-    /// The node's parts.
+    /// The parts of the node that frontends use.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// What is fixed about the frontend.
+    /// The frontend's immutable data.
     pub info: &'a FrontendInfo,
-    /// The connections.
+    /// The connections on both sides.
     pub peers: Peers<'a>,
-    /// The requests of sending links.
+    /// The requests of clients' sending links.
     pub requests: &'a mut DeliveryRequests,
-    /// The forwarders of receiving links.
+    /// The forwarders of clients' receiving links.
     pub forwarding: &'a mut Forwarding,
 }
 
 impl ClientLinks<'_, '_> {
-    /// A client attaches a link. `role` is this side's.
+    /// Handles a client's attach. `role` is the node's role on the link.
     pub fn on_attach(&mut self, link: ConnectionLink, role: Role, attach: Box<Attach>) {
         match role {
             Role::Receiver => self.attach_sending_link(link, &attach),
@@ -41,14 +41,14 @@
         }
     }
 
-    /// A client has detached a link. Its requests are abandoned, unless the link may be resumed. `end` is what the
-    /// client's detach says.
+    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` tells
+    /// whether the detach closes the link.
     pub fn on_detached(&mut self, at: ConnectionLink, end: LinkEnd) {
         let client = self.peers.clients.get(at.token);
         let requests = client.map(|client| client.take_detached_requests()).unwrap_or_default();
         match self.peers.clients.remove_link(at) {
             Some(ClientLink::Sending(link)) => {
-                // Without a timeout a link may be resumed as long as its session lasts (3.5.6).
+                // A link without a timeout may be resumed until its session ends (AMQP 1.0, section 3.5.6).
                 let client = self.peers.clients.get(at.token);
                 let has_session = client.is_some_and(|client| client.conn.has_begun(at.id.channel));
                 let can_resume = link.is_remembered || has_session;
@@ -63,10 +63,10 @@
         }
     }
 
-    /// The class that an address names.
+    /// The index of the class that an address names, if the client may use it.
     ///
     /// # Errors
-    /// The error to refuse the link with.
+    /// The address names no class, or the client may not use the class. The error is the one to refuse the link with.
     fn authorize(
         &mut self,
         link: ConnectionLink,
@@ -87,7 +87,8 @@
 
     // ---- Sending links -----------------------------------------------------------------------------
 
-    /// A client wants to send: to a class, or to the anonymous terminus, where `to` of each message names the class.
+    /// Handles the attach of a link on which the client sends. The target is a class, or the anonymous terminus, where
+    /// the field `to` of each message names the class.
     fn attach_sending_link(&mut self, link: ConnectionLink, attach: &Attach) {
         let accepted = requested_target(attach).and_then(|target| {
             let class = match target.address.as_deref() {
@@ -137,7 +138,7 @@
         self.peers.clients.mark_dirty(at.token);
     }
 
-    /// A link's identity across connections.
+    /// The key that identifies a link across connections.
     fn link_key(&mut self, link: ConnectionLink) -> Option<LinkKey> {
         let client = self.peers.clients.get(link.token)?;
         Some(LinkKey {
@@ -149,7 +150,7 @@
 
     // ---- Receiving links ---------------------------------------------------------------------------
 
-    /// A client wants to receive: what a class sends, or replies.
+    /// Handles the attach of a link on which the client receives, from a class or from a dynamic node for replies.
     fn attach_receiving_link(&mut self, link: ConnectionLink, attach: Box<Attach>) {
         let source = attach.source.clone().unwrap_or_default();
         if source.dynamic == Some(true) {
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Starts the request of a receiving link, whose properties are those of the attach.
+    /// Starts the request of a receiving link. Its attributes come from the link properties in the attach.
     fn start_receiving_request(&mut self, class: usize, attach: &Attach) -> RequestId {
         let properties = attach.properties.as_ref().unwrap_or(&Value::Null);
         let property = |name: &str| match properties.get(name) {
@@ -189,12 +190,13 @@
         self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival())
     }
 
-    /// A dynamic source: a node to which servers may send replies, as long as its link lasts.
+    /// Handles the attach of a link with a dynamic source: creates a dynamic node to which servers may send replies
+    /// until the link is detached.
     fn attach_reply_link(&mut self, link: ConnectionLink, attach: Box<Attach>, source: Source) {
         let Some(client) = self.peers.clients.get(link.token) else { return };
         let target = attach.target.clone();
         let forwarder = self.forwarding.add_reply_node(link, attach);
-        // Servers see the address in requests: other clients must not be able to guess it.
+        // The address contains a nonce so that other clients cannot guess it. Servers learn it from requests.
         let address = format!("reply/{forwarder}/{}", nonce());
         let source = Source { address: Some(address.clone()), dynamic: Some(true), ..source };
         client.conn.accept_link(link.id, Attach { source: Some(source), target, ..Attach::default() });
@@ -204,24 +206,24 @@
     }
 }
 
-/// The target of a sending link.
+/// The target that a client requests for its sending link.
 ///
 /// # Errors
-/// The error to refuse the link with, if the node does not offer such a target.
+/// The node does not support the target. The error is the one to refuse the link with.
 fn requested_target(attach: &Attach) -> Result<Target, Error> {
-    let declined = |description: &str| Err(Error::new(condition::NOT_IMPLEMENTED, description));
+    let unsupported = |description: &str| Err(Error::new(condition::NOT_IMPLEMENTED, description));
     match &attach.target {
         Some(Terminus::Target(target)) if target.dynamic == Some(true) => {
-            declined("only sources can be dynamic")
+            unsupported("only sources can be dynamic")
         }
         Some(Terminus::Target(target)) => Ok(target.clone()),
-        Some(Terminus::Coordinator) => declined("transactions are not offered"),
-        Some(Terminus::Other(_)) => declined("a target of this kind is not known"),
+        Some(Terminus::Coordinator) => unsupported("transactions are not offered"),
+        Some(Terminus::Other(_)) => unsupported("a target of this kind is not known"),
         None => Err(Error::new(condition::INVALID_FIELD, "there is no target")),
     }
 }
 
-/// How long a link is remembered after it is lost; zero if the client does not request that.
+/// How long the state of a lost link is retained; zero if the client does not request it.
 fn resume_timeout(target: &Target, limits: RecoveryLimits) -> Duration {
     if target.expiry_policy.as_ref().is_some_and(|policy| policy.0 == "never") {
         return limits.max_timeout;
@@ -230,7 +232,8 @@
     requested.min(limits.max_timeout)
 }
 
-/// The unsettled map of an attach (2.7.3): deliveries with their state, or null if they are not settled.
+/// The unsettled map of an attach (AMQP 1.0, section 2.7.3): the deliveries' tags with their states, or null for
+/// deliveries that have none yet.
 fn unsettled_map(deliveries: &[KnownDelivery]) -> Value {
     let entry = |delivery: &KnownDelivery| {
         let state = delivery.state.as_ref().map_or(Value::Null, State::to_value);
--- a/src/frontend/amqp/clients/client.rs
+++ b/src/frontend/amqp/clients/client.rs
@@ -1,4 +1,4 @@
-//! One client: its connection, who it is, and what its links are for.
+//! One client: its connection, its identity, and the purpose of each of its links.
 
 use crate::frontend::amqp::fast_map::FastHashMap;
 use crate::frontend::amqp::forwarder_id::ForwarderId;
@@ -18,63 +18,64 @@
 pub struct Client {
     /// The protocol state.
     pub conn: Connection,
-    /// It is listed among the connections that may have something to write.
+    /// Whether the connection is listed among those that may have pending output.
     pub(super) is_dirty: bool,
     pub(super) address: Option<IpAddr>,
     pub(super) links: FastHashMap<LinkId, ClientLink>,
-    /// Its requests that are not answered yet and whose link is attached.
+    /// The number of unanswered requests whose link is attached.
     open_requests: usize,
     identity: Rc<Identity>,
-    /// Its encryption, if it connected under TLS.
+    /// The TLS state, if the client connected with TLS.
     tls: Option<TlsConnection>,
-    /// Decrypted input that was not processed yet.
+    /// Decrypted input that is not processed yet.
     plaintext: Vec<u8>,
-    /// Requests whose link is being detached, until it is known whether the link may be resumed.
+    /// Requests whose link is being detached, held until it is known whether the link may be resumed.
     detached_requests: Vec<RequestId>,
-    /// A forwarder has more for it than is written at one time.
+    /// Whether a forwarder stopped sending because the pending output reached its high watermark.
     is_stalled: bool,
-    /// When a failed authentication is answered.
+    /// The time at which a failed login is answered, if one is pending.
     reject_login_at: Option<MonotonicTime>,
 }
 
-/// What a client's link is for.
+/// The purpose of a client's link.
 pub enum ClientLink {
-    /// Its deliveries are requests.
+    /// The client sends on the link; each delivery is a request.
     Sending(SendingLink),
-    /// A forwarder's deliveries go out on it: an established connection, or a node for replies.
+    /// The client receives a forwarder's deliveries on the link: those of an established request, or replies to a
+    /// dynamic node.
     Receiving(ForwarderId),
 }
 
 /// A link on which a client sends.
 pub struct SendingLink {
-    /// The class that its target names; none at the anonymous terminus.
+    /// The class that the link's target names; `None` for the anonymous terminus.
     pub class: Option<usize>,
-    /// Its identity across connections.
+    /// The key that identifies the link across connections.
     pub key: Rc<LinkKey>,
-    /// Its deliveries are remembered while it may be resumed.
+    /// Whether the states of its deliveries are retained for resumption.
     pub is_remembered: bool,
-    /// Deliveries in the peer's unsettled map when it attached, and of which nothing is known.
+    /// Deliveries that the peer's unsettled map contained at the attach and of which the node has no record.
     pub unknown: HashSet<Tag>,
     /// The delivery whose last transfer has not been received.
     pub incomplete: IncompleteDelivery,
 }
 
-/// A delivery of several transfers, the last of which has not been received.
+/// The state of a multi-transfer delivery whose last transfer has not been received.
 #[derive(Default)]
 pub enum IncompleteDelivery {
-    /// There is none.
+    /// There is no such delivery.
     #[default]
     None,
-    /// The sections before its body are incomplete: the octets so far.
+    /// The sections before the body are incomplete. Holds the octets received so far.
     ReadingHead(Vec<u8>),
-    /// It is a request already.
+    /// The delivery has become a request.
     Request(RequestId),
-    /// It was answered before its end: the rest is ignored.
+    /// The delivery was answered before its last transfer; further transfers are ignored.
     Ignored,
 }
 
 impl IncompleteDelivery {
-    /// Octets that are buffered for it and belong to no request.
+    /// The number of octets that are buffered for the delivery before it becomes a request.
     pub fn buffered_bytes(&self) -> usize {
         match self {
             IncompleteDelivery::ReadingHead(bytes) => bytes.len(),
@@ -84,7 +85,7 @@
 }
 
 impl Client {
-    /// A client that has just connected.
+    /// Creates the state of a client that has just connected.
     pub(super) fn new(conn: Connection, tls: Option<TlsConnection>, address: Option<IpAddr>) -> Client {
         Client {
             conn,
@@ -101,32 +102,32 @@
         }
     }
 
-    /// Who it is; the default identity until it has authenticated.
+    /// The client's identity; the default identity until the client has authenticated.
     pub fn identity(&self) -> &Identity {
         &self.identity
     }
 
-    /// It has authenticated.
+    /// Sets the identity that the client has authenticated as.
     pub fn set_identity(&mut self, identity: Rc<Identity>) {
         self.identity = identity;
     }
 
-    /// The name in the certificate that it has authenticated the TLS connection with.
+    /// The name in the client's certificate, if the client presented one on the TLS connection.
     pub fn certificate_name(&self) -> Option<String> {
         self.tls.as_ref()?.peer_certificate_name()
     }
 
-    /// Its failed login is answered at this time.
-    pub fn reject_login_at(&mut self, at: MonotonicTime) {
+    /// Schedules the rejection of the client's failed login.
+    pub fn schedule_login_rejection(&mut self, at: MonotonicTime) {
         self.reject_login_at = Some(at);
     }
 
-    /// Whether a failed login is to be answered now. It is true once.
-    pub fn take_due_rejection(&mut self, now: MonotonicTime) -> bool {
+    /// Whether the rejection of a failed login is due. If it is, it is cleared, so that it is reported once.
+    pub fn take_due_login_rejection(&mut self, now: MonotonicTime) -> bool {
         self.reject_login_at.take_if(|at| *at <= now).is_some()
     }
 
-    /// A link on which it sends.
+    /// The sending link with this id, if there is one.
     pub fn sending_link(&mut self, link: LinkId) -> Option<&mut SendingLink> {
         match self.links.get_mut(&link)? {
             ClientLink::Sending(link) => Some(link),
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The forwarder that sends on a link.
+    /// The forwarder that sends to the client on this link.
     pub fn forwarder_of(&self, link: LinkId) -> Option<ForwarderId> {
         match self.links.get(&link)? {
             ClientLink::Receiving(forwarder) => Some(*forwarder),
@@ -142,7 +143,7 @@
         }
     }
 
-    /// The forwarders that send on its links, in order.
+    /// The forwarders that send to the client, in the order of their ids.
     pub fn forwarders(&self) -> Vec<ForwarderId> {
         let mut forwarders: Vec<ForwarderId> =
             self.links.keys().filter_map(|link| self.forwarder_of(*link)).collect();
@@ -150,71 +151,72 @@
         forwarders
     }
 
-    /// A forwarder sends on this link.
+    /// Adds a link on which a forwarder sends to the client.
     pub fn add_receiving_link(&mut self, link: LinkId, forwarder: ForwarderId) {
         self.links.insert(link, ClientLink::Receiving(forwarder));
     }
 
-    /// Removes all links, in the order of their ids.
+    /// Removes all links and returns them in the order of their ids.
     pub fn take_links(&mut self) -> Vec<ClientLink> {
         let mut links: Vec<(LinkId, ClientLink)> = self.links.drain().collect();
         links.sort_unstable_by_key(|(id, _)| *id);
         links.into_iter().map(|(_, link)| link).collect()
     }
 
-    /// Its sending links that have no credit left, in no order.
+    /// The sending links that have no credit left, in arbitrary order.
     pub(super) fn links_without_credit(&self) -> Vec<LinkId> {
         self.sending_links().filter(|link| self.conn.credit(*link) == 0).collect()
     }
 
-    /// Its sending links, in no order.
+    /// The sending links, in arbitrary order.
     pub(super) fn sending_links(&self) -> impl Iterator<Item = LinkId> + '_ {
         let is_sending = |link: &ClientLink| matches!(link, ClientLink::Sending(_));
         self.links.iter().filter(move |(_, link)| is_sending(link)).map(|(id, _)| *id)
     }
 
-    /// A request of it has arrived, or its link was attached again.
+    /// Counts a request of this client that has arrived, or whose link was attached again.
     pub fn count_open_request(&mut self) {
         self.open_requests += 1;
     }
 
-    /// A request of it was answered, or its link was detached.
+    /// Stops counting a request that was answered, or whose link was detached.
     pub fn uncount_open_request(&mut self) {
         self.open_requests -= 1;
     }
 
-    /// Whether it has no open request and no forwarder.
+    /// Whether the client has no open request and no forwarder.
     pub fn is_idle(&self) -> bool {
         let has_forwarder = self.links.values().any(|link| matches!(link, ClientLink::Receiving(_)));
         self.open_requests == 0 && !has_forwarder
     }
 
-    /// A request's link is being detached.
+    /// Adds a request whose link is being detached.
     pub fn add_detached_request(&mut self, request_id: RequestId) {
         self.detached_requests.push(request_id);
     }
 
-    /// The requests whose link was detached.
+    /// Removes and returns the requests whose link was detached.
     pub fn take_detached_requests(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.detached_requests)
     }
 
-    /// Whether it uses TLS, and so much of its plaintext is not processed.
+    /// Whether the client uses TLS and has at least `max_bytes` of unprocessed plaintext.
     pub fn is_plaintext_full(&self, max_bytes: usize) -> bool {
         self.tls.is_some() && self.plaintext.len() >= max_bytes
     }
 
-    /// Replaces octets from the socket by all plaintext that was not processed. Without TLS they are plaintext already.
+    /// Decrypts octets from the socket and replaces them with all unprocessed plaintext, old and new. Without TLS the
+    /// octets are left as they are.
     ///
     /// # Errors
-    /// What the TLS library says of octets that it cannot decrypt. `octets` is the plaintext up to these then.
+    /// The TLS library cannot decrypt the octets; `octets` then holds the plaintext before the error.
     pub fn decrypt(&mut self, octets: &mut Vec<u8>) -> Result<(), Fault> {
         let Some(tls) = &mut self.tls else { return Ok(()) };
-        let wire = std::mem::replace(octets, std::mem::take(&mut self.plaintext));
-        tls.decrypt(&wire, octets).map_err(|error| fault(condition::FRAMING_ERROR, error.to_string()))
+        let ciphertext = std::mem::replace(octets, std::mem::take(&mut self.plaintext));
+        tls.decrypt(&ciphertext, octets).map_err(|error| fault(condition::FRAMING_ERROR, error.to_string()))
     }
 
-    /// Puts octets back that were not processed: into the plaintext, or the socket's buffer.
+    /// Returns unprocessed octets to the buffer that they came from: the plaintext, or the socket's input.
     pub fn restore_input(&mut self, ctx: &mut FrontendContext, token: Token, octets: Vec<u8>) {
         if self.tls.is_some() {
             self.plaintext = octets;
@@ -223,31 +225,31 @@
         }
     }
 
-    /// Whether a forwarder has more for it than was written at one time.
+    /// Whether a forwarder stopped sending because the pending output reached its high watermark.
     pub fn is_stalled(&self) -> bool {
         self.is_stalled
     }
 
-    /// Sets whether a forwarder has more for it than was written at one time.
+    /// Sets whether a forwarder stopped sending because the pending output reached its high watermark.
     pub fn set_stalled(&mut self, is_stalled: bool) {
         self.is_stalled = is_stalled;
     }
 
-    /// Passes its pending output to the socket, encrypted if it uses TLS.
+    /// Passes the pending output to the socket, encrypted if the client uses TLS.
     pub fn write_pending(&mut self, ctx: &mut FrontendContext, token: Token) {
         let mut out = self.conn.take_output(ctx.now);
         if let Some(tls) = &mut self.tls {
-            let mut wire = Vec::new();
-            tls.encrypt(&out, &mut wire);
-            out = wire;
+            let mut ciphertext = Vec::new();
+            tls.encrypt(&out, &mut ciphertext);
+            out = ciphertext;
         }
         if !out.is_empty() {
             ctx.net.send(token, &out);
         }
     }
 
-    /// Announces the end of the connection under TLS, and writes what is pending.
-    pub fn write_last(&mut self, ctx: &mut FrontendContext, token: Token) {
+    /// Queues a close_notify alert if the client uses TLS, then writes the pending output.
+    pub fn write_final_output(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(tls) = &mut self.tls {
             tls.send_close_notify();
         }
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -1,4 +1,4 @@
-//! The AMQP frontend's configuration file, such as `deploy/amqp.json`. `docs/AMQP.md` lists its fields.
+//! The configuration file of the AMQP frontend, for example `deploy/amqp.json`. `docs/AMQP.md` documents its fields.
 
 use super::error::FileError;
 use super::recovery::RecoveryLimits;
@@ -13,11 +13,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Every peer takes frames of this size (2.4.1).
+/// Every peer must accept frames of this size (AMQP 1.0, section 2.4.1).
 const MIN_MAX_FRAME_BYTES: u32 = 512;
-/// A frame is buffered completely.
+/// The largest permitted `max_frame`: frames are buffered whole.
 const MAX_MAX_FRAME_BYTES: u32 = 1024 * 1024;
-/// Input that is buffered beyond one frame.
+/// Octets of input that are buffered in addition to one frame.
 const READ_AHEAD_BEYOND_FRAME_BYTES: usize = 1024;
 /// The highest handle on a session with a server.
 const SERVER_HANDLE_MAX: u32 = 1023;
@@ -26,114 +26,116 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AmqpConfig {
-    /// The address where AMQP clients connect; port 0 lets the system pick one.
+    /// The address of the listener for clients; with port 0 the system picks the port.
     pub listen: SocketAddr,
     /// The largest frame accepted, in octets.
     #[serde(rename = "max_frame")]
     pub max_frame_bytes: u32,
-    /// The highest channel: sessions on a connection, less one.
+    /// The highest channel number, which is the number of sessions per connection minus one.
     pub channel_max: u16,
-    /// The highest handle of a session.
+    /// The highest link handle on a session.
     pub handle_max: u32,
-    /// The most links on one connection.
+    /// The maximum number of links per connection.
     pub max_links: usize,
-    /// The session's incoming window, in frames.
+    /// The incoming window of a session, in frames.
     #[serde(rename = "window")]
     pub incoming_window_frames: u32,
-    /// The most deliveries on one link that neither side has settled.
+    /// The maximum number of unsettled deliveries per link.
     #[serde(rename = "unsettled")]
     pub max_unsettled: u32,
-    /// The credit of a link, while memory is not short.
+    /// The maximum credit of a link. Less is granted while memory is short.
     pub credit: u32,
-    /// The credit of all links of one subscriber together.
+    /// The total credit of all links of one subscriber.
     pub subscriber_credit: u32,
     /// The largest message accepted, in octets.
     #[serde(rename = "max_message")]
     pub max_message_bytes: u64,
-    /// Messages up to this size, in octets, are buffered until they are answered, so that they can be retried. Of
-    /// larger ones, what was sent is discarded.
+    /// Messages up to this size, in octets, are buffered until they are answered, so that they can be retried. The
+    /// octets of larger messages are discarded once they are sent.
     #[serde(rename = "keep")]
     pub max_retryable_bytes: usize,
-    /// The most octets buffered of all messages together.
+    /// The maximum number of octets buffered for all messages together.
     #[serde(rename = "max_held")]
     pub max_buffered_bytes: usize,
-    /// The most connections from one address.
+    /// The maximum number of connections from one client address.
     #[serde(rename = "peer_connections")]
     pub max_connections_per_address: usize,
-    /// Clients that are silent for this long, in milliseconds, are disconnected.
+    /// The idle timeout of clients' connections, in milliseconds.
     #[serde(rename = "idle_ms")]
     pub client_idle_ms: u32,
-    /// Servers that are silent for this long, in milliseconds, are disconnected.
+    /// The idle timeout of connections to servers, in milliseconds.
     #[serde(alias = "region_idle_ms")]
     pub server_idle_ms: u32,
-    /// The most connections to one server.
+    /// The maximum number of connections per server.
     #[serde(rename = "server_connections", alias = "region_connections")]
     pub max_server_connections: usize,
-    /// The most links to one server for one class: a long message delays others on its own link only.
+    /// The maximum number of links per server and class. A long message delays only the messages on the same link.
     #[serde(rename = "server_lanes", alias = "region_lanes")]
     pub max_server_links_per_class: usize,
-    /// The most links that are remembered while they may be resumed.
+    /// The maximum number of links whose state is retained for resumption.
     #[serde(rename = "resume_links")]
     pub max_resumable_links: usize,
-    /// The longest time that a link may be resumed after, in milliseconds.
+    /// The longest time that the state of a lost link is retained for resumption, in milliseconds.
     #[serde(rename = "resume_ms")]
     pub max_resume_timeout_ms: u32,
-    /// Where servers speak AMQP, by instance id. A server that is not named here is reached at its address in
-    /// discovery.
+    /// The AMQP addresses and credentials of servers, by instance id. The node connects to a server that is not listed
+    /// here at the address that discovery reports.
     #[serde(alias = "regions")]
     pub servers: HashMap<String, ServerEntry>,
-    /// The users' file, as `sparbank amqp-user` writes it. Without it every client may connect, as anonymous.
-    pub users: Option<PathBuf>,
-    /// PLAIN passwords may be sent over connections that are not encrypted.
+    /// The path of the users file, which `sparbank amqp-user` writes. Without a users file every client may connect
+    /// anonymously.
+    #[serde(rename = "users")]
+    pub users_path: Option<PathBuf>,
+    /// Whether PLAIN is also offered on unencrypted connections.
     pub plain_unencrypted: bool,
-    /// Where clients connect under TLS.
+    /// The TLS listener for clients.
     pub tls: Option<TlsListenerConfig>,
-    /// Where clients are redirected when the node shuts down.
+    /// The node that clients are redirected to when this one shuts down.
     pub redirect: Option<Redirect>,
-    /// The contents of the file that [`AmqpConfig::users`] names.
+    /// The users that were read from [`AmqpConfig::users_path`].
     #[serde(skip)]
-    pub known_users: Option<Users>,
-    /// The certificates and the key that [`AmqpConfig::tls`] names.
+    pub users: Option<Users>,
+    /// The TLS configuration that was built from the files in [`AmqpConfig::tls`].
     #[serde(skip)]
     pub tls_config: Option<Arc<rustls::ServerConfig>>,
 }
 
-/// Where a server speaks AMQP, and how the node authenticates there.
+/// The address of a server, and how the node authenticates to it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(untagged)]
 pub enum ServerEntry {
-    /// An address alone: SASL ANONYMOUS, or none if the server has no SASL.
+    /// Only an address: the node uses SASL ANONYMOUS, or no SASL if the server has none.
     Address(SocketAddr),
     /// An address with credentials.
     Full(FullServerEntry),
 }
 
-/// A server's address and the credentials for it.
+/// The address of a server and the credentials for it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FullServerEntry {
-    /// The address; if absent, the one in discovery.
+    /// The address; if absent, the one that discovery reports.
     #[serde(default)]
     pub address: Option<SocketAddr>,
     /// The user to authenticate as.
     #[serde(default)]
     pub user: Option<String>,
-    /// Its password.
+    /// The user's password.
     #[serde(default)]
     pub password: String,
-    /// `plain` (the default), `scram-sha-256`, or `none` for no SASL layer.
+    /// The SASL mechanism: `plain` (the default), `scram-sha-256`, or `none` for no SASL layer.
     #[serde(default)]
     pub sasl: Sasl,
 }
 
-/// How to authenticate at a server.
+/// The SASL mechanism for a server.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Sasl {
-    /// PLAIN if there is a user, ANONYMOUS otherwise.
+    /// PLAIN if a user is configured, otherwise ANONYMOUS.
     #[default]
     Plain,
-    /// SCRAM-SHA-256.
+    /// SCRAM-SHA-256 if a user is configured, otherwise ANONYMOUS.
     #[serde(rename = "scram-sha-256")]
     ScramSha256,
     /// No SASL layer.
@@ -145,19 +147,19 @@
 pub struct ServerAccess {
     /// The address to connect to.
     pub address: SocketAddr,
-    /// The credentials; none for no SASL layer.
+    /// The credentials; `None` for no SASL layer.
     pub credentials: Option<Credentials>,
 }
 
-/// Where clients are redirected when the node shuts down (standard, section 2.8.16).
+/// The redirect that clients get when the node shuts down (AMQP 1.0, section 2.8.16).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
-    /// The container to request.
+    /// The hostname to give in the open performative.
     pub hostname: String,
-    /// The host to connect to.
+    /// The host name or IP address to connect to.
     pub network_host: String,
-    /// Its port.
+    /// The port to connect to.
     pub port: u16,
 }
 
@@ -184,68 +186,68 @@
             max_resumable_links: 256,
             max_resume_timeout_ms: 30_000,
             servers: HashMap::new(),
-            users: None,
+            users_path: None,
             plain_unencrypted: false,
             tls: None,
             redirect: None,
-            known_users: None,
+            users: None,
             tls_config: None,
         }
     }
 }
 
 impl AmqpConfig {
-    /// Reads and checks the file and the files that it names.
+    /// Reads and validates the configuration file, and reads the files that it names.
     ///
     /// # Errors
-    /// A file cannot be read, or a field has a wrong value: the error names the file and the field.
+    /// A file cannot be read, or a field has an invalid value. The error names the file and the field.
     pub fn read(path: &Path) -> Result<AmqpConfig, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
         let mut config: AmqpConfig = json::parse(&text).map_err(|error| FileError::parse(path, error))?;
-        config.check(path)?;
+        config.validate(path)?;
         let directory = path.parent().unwrap_or(Path::new(""));
         if let Some(tls) = &config.tls {
             let loaded = tls.load(directory, "tls");
             let loaded = loaded.map_err(|error| FileError::tls(path, error))?;
             config.tls_config = Some(loaded);
         }
-        if let Some(users) = &config.users {
-            config.known_users = Some(Users::read(&directory.join(users))?);
+        if let Some(users_path) = &config.users_path {
+            config.users = Some(Users::read(&directory.join(users_path))?);
         }
         Ok(config)
     }
 
-    /// Checks the fields' values; `path` is the file, for errors.
-    fn check(&self, path: &Path) -> Result<(), FileError> {
-        let wrong = |field: &str, problem: &str| Err(FileError::field(path, field, problem));
+    /// Validates the fields' values. Errors name the file as `path`.
+    fn validate(&self, path: &Path) -> Result<(), FileError> {
+        let invalid = |field: &str, problem: &str| Err(FileError::field(path, field, problem));
         if self.max_frame_bytes < MIN_MAX_FRAME_BYTES {
-            return wrong("max_frame", "at least 512");
+            return invalid("max_frame", "at least 512");
         }
         if self.max_frame_bytes > MAX_MAX_FRAME_BYTES {
-            return wrong("max_frame", "at most 1048576: a frame is held whole");
+            return invalid("max_frame", "at most 1048576: frames are buffered whole");
         }
         if self.incoming_window_frames == 0
             || self.credit == 0
             || self.max_unsettled == 0
             || self.max_links == 0
         {
-            return wrong("window, credit, unsettled, max_links", "at least 1");
+            return invalid("window, credit, unsettled, max_links", "at least 1");
         }
         if self.max_server_links_per_class == 0 || self.max_server_connections == 0 {
-            return wrong("server_lanes, server_connections", "at least 1");
+            return invalid("server_lanes, server_connections", "at least 1");
         }
         if self.max_buffered_bytes < self.max_retryable_bytes {
-            return wrong("max_held", "at least keep");
+            return invalid("max_held", "at least the value of field keep");
         }
         Ok(())
     }
 
-    /// The octets of input that a connection buffers: a frame, and the start of the next.
+    /// The number of octets of input that a connection buffers: one frame and the start of the next.
     pub fn read_ahead_bytes(&self) -> usize {
         self.max_frame_bytes as usize + READ_AHEAD_BEYOND_FRAME_BYTES
     }
 
-    /// The limits of clients' connections.
+    /// The protocol settings of clients' connections.
     pub fn client_settings(&self, container: &str) -> Settings {
         Settings {
             container: container.to_string(),
@@ -262,7 +264,7 @@
         }
     }
 
-    /// The limits of connections to servers.
+    /// The protocol settings of connections to servers.
     pub fn server_settings(&self, container: &str) -> Settings {
         Settings {
             idle_timeout: Duration::from_millis(u64::from(self.server_idle_ms)),
@@ -272,7 +274,7 @@
         }
     }
 
-    /// The limits of what is remembered of links that may be resumed.
+    /// The limits of the state that is retained for link resumption.
     pub fn recovery_limits(&self) -> RecoveryLimits {
         RecoveryLimits {
             max_links: self.max_resumable_links,
@@ -281,7 +283,7 @@
         }
     }
 
-    /// How to connect to the server `name`, whose address in discovery is `discovered`.
+    /// How to connect to the server `name`, for which discovery reports the address `discovered`.
     pub fn server_access(&self, name: &str, discovered: SocketAddr, nonce: &str) -> ServerAccess {
         match self.servers.get(name) {
             None => ServerAccess { address: discovered, credentials: Some(Credentials::Anonymous) },
@@ -297,7 +299,7 @@
 }
 
 impl FullServerEntry {
-    /// The credentials to authenticate with; none for no SASL layer.
+    /// The credentials to authenticate with; `None` for no SASL layer.
     fn credentials(&self, nonce: &str) -> Option<Credentials> {
         let password = self.password.clone();
         match (self.sasl, self.user.clone()) {
--- a/src/frontend/amqp/error.rs
+++ b/src/frontend/amqp/error.rs
@@ -1,11 +1,10 @@
-//! Errors in the AMQP frontend's own files: its configuration and the users' file.
+//! Errors in the files of the AMQP frontend: its configuration and the users file.
 
 use crate::frontend::tls::TlsConfigError;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// Why a file of the AMQP frontend cannot be used. Printed in one line that names the file and, if there is one, the
-/// field.
+/// An error in a file of the AMQP frontend. It is printed as one line that names the file and, if known, the field.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file cannot be read or written.
@@ -13,25 +12,25 @@
     Io {
         /// The file.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file is not JSON of the expected form.
+    /// The file is not valid JSON, or its structure is not the expected one.
     #[error("{}: {problem}", .path.display())]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong, and in which field.
+        /// The problem, and the field that it is in.
         problem: String,
     },
-    /// A field has a value out of its range.
+    /// A field has an invalid value.
     #[error("{}: field {field}: {problem}", .path.display())]
     Field {
         /// The file.
         path: PathBuf,
-        /// The field's path in the file.
+        /// The path of the field in the file.
         field: String,
-        /// What its value must be.
+        /// The requirement that the value does not meet.
         problem: String,
     },
     /// The certificates or the key that the file names cannot be used.
@@ -39,31 +38,31 @@
     Tls {
         /// The file.
         path: PathBuf,
-        /// What is wrong with them.
+        /// The problem with the certificates or the key.
         source: Box<TlsConfigError>,
     },
-    /// The system has no random numbers for a salt.
-    #[error("no random numbers: {0}")]
+    /// The operating system provides no random numbers for a salt.
+    #[error("cannot get random numbers from the operating system: {0}")]
     Randomness(#[source] getrandom::Error),
 }
 
 impl FileError {
-    /// A file that cannot be read or written.
+    /// Creates the error for a file that cannot be read or written.
     pub fn io(path: &Path, source: io::Error) -> FileError {
         FileError::Io { path: path.to_path_buf(), source }
     }
 
-    /// A file that is not JSON of the expected form.
+    /// Creates the error for a file that is not valid JSON, or whose structure is not the expected one.
     pub fn parse(path: &Path, problem: impl ToString) -> FileError {
         FileError::Parse { path: path.to_path_buf(), problem: problem.to_string() }
     }
 
-    /// A file whose certificates or key cannot be used.
+    /// Creates the error for a file that names certificates or a key that cannot be used.
     pub fn tls(path: &Path, source: TlsConfigError) -> FileError {
         FileError::Tls { path: path.to_path_buf(), source: Box::new(source) }
     }
 
-    /// A field with a value out of its range.
+    /// Creates the error for a field with an invalid value.
     pub fn field(path: &Path, field: impl Into<String>, problem: impl Into<String>) -> FileError {
         FileError::Field { path: path.to_path_buf(), field: field.into(), problem: problem.into() }
     }
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -1,14 +1,15 @@
-//! The AMQP 1.0 frontend. A client's delivery is a request whose answer is the delivery's outcome; a client's receiving link
-//! is a request that is established once its server attaches. The protocol itself is `sparbank-amqp`'s.
+//! The AMQP 1.0 frontend. Each delivery from a client is a request, answered by the outcome of the delivery. Each
+//! receiving link of a client is a request too, established once a server attaches the corresponding link. The
+//! `sparbank-amqp` crate implements the protocol itself.
 //!
-//! [`AmqpFrontend`] is what the event loop calls. It owns the parts below and lends them to whoever handles a call:
+//! The event loop calls [`AmqpFrontend`], which owns the modules' state and lends it to the handler of each call:
 //!
-//! - `clients` and `servers` own the connections on each side, and what is sent on them;
-//! - `delivery_requests` owns the requests that are deliveries, and what is remembered of them for links that are resumed;
+//! - `clients` and `servers` own the connections on each side and write their output;
+//! - `delivery_requests` owns the requests that are deliveries, and the delivery states retained for link resumption;
 //! - `forwarding` owns the forwarders, which pass servers' deliveries to clients;
-//! - `authentication` decides who clients are;
-//! - `client_events` (with `client_links` for attach and detach) and `server_events` handle what is received. They own
-//!   nothing: they hold the parts for the duration of one call.
+//! - `authentication` authenticates clients;
+//! - `client_events` (with `client_links` for attach and detach) and `server_events` handle received events. They own
+//!   no state and borrow it for the duration of one call.
 
 mod arrival;
 mod authentication;
@@ -57,7 +58,7 @@
 use std::any::Any;
 use std::time::Duration;
 
-/// How this frontend is enabled.
+/// The entry that enables this frontend: its name, how its configuration file is read, and how it is opened.
 pub const OPTIONAL_FRONTEND: OptionalFrontend = OptionalFrontend {
     name: "amqp",
     read: |path| {
@@ -82,7 +83,7 @@
 }
 
 impl AmqpFrontend {
-    /// Listens as the configuration says.
+    /// Opens the listeners that the configuration names.
     fn open(
         id: FrontendId,
         config: AmqpConfig,
@@ -136,8 +137,8 @@
         }
     }
 
-    /// Refuses the link, or settles the delivery, of a request.
-    fn answer_unserved(&mut self, request_id: RequestId, error: Error, state: State) {
+    /// Answers a request that is not served: refuses its link with `error`, or settles its delivery with `state`.
+    fn refuse_or_settle(&mut self, request_id: RequestId, error: Error, state: State) {
         let mut peers =
             Peers { config: &self.config, clients: &mut self.clients, servers: &mut self.servers };
         self.forwarding.refuse(&mut peers, request_id, error);
@@ -178,12 +179,12 @@
         let retry_after_ms = retry_after.as_millis_u64() as u32;
         let description = "no region takes it now; come again";
         let error = retry_error(condition::RESOURCE_LIMIT_EXCEEDED, description, retry_after_ms);
-        self.answer_unserved(request_id, error, rejected_state(retry_after_ms));
+        self.refuse_or_settle(request_id, error, rejected_state(retry_after_ms));
     }
 
     fn fail(&mut self, _ctx: &mut FrontendContext, request_id: RequestId) {
         let error = Error::new(condition::INTERNAL_ERROR, "no region could serve it");
-        self.answer_unserved(request_id, error, failed_state());
+        self.refuse_or_settle(request_id, error, failed_state());
     }
 
     fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId) {
@@ -217,11 +218,11 @@
     }
 
     fn flush(&mut self, ctx: &mut FrontendContext) {
-        // What one side writes may give capacity to the other: both are flushed until neither has more.
+        // Writing to one side can free capacity on the other, so both are flushed until neither has pending output.
         while self.servers.is_dirty() || self.clients.is_dirty() {
             self.server_events(ctx).flush();
             let mut client_events = self.client_events(ctx);
-            client_events.read_paused();
+            client_events.resume_paused_reads();
             client_events.flush();
         }
     }
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -1,4 +1,4 @@
-//! The users' file: who may connect, with which keys, and what each user may attach to.
+//! The users file: the users who may connect, their SCRAM keys, and their rights.
 
 use super::error::FileError;
 use base64::engine::general_purpose::STANDARD;
@@ -9,18 +9,18 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// Rounds of PBKDF2 for a new password (RFC 7677 requires 4,096 at least).
+/// The number of PBKDF2 rounds for a new password. RFC 7677 requires at least 4,096.
 pub const DEFAULT_ROUNDS: u32 = 4096;
-/// A file may not require more rounds: each check of a PLAIN password costs them all.
+/// The maximum number of rounds in a users file. Each check of a PLAIN password computes all rounds.
 const MAX_ROUNDS: u32 = 100_000;
-/// Octets of salt for a new password.
+/// The length of the salt for a new password, in octets.
 const SALT_BYTES: usize = 16;
 
 #[derive(Clone, Debug, Default, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 struct UsersFile {
     users: BTreeMap<String, UserEntry>,
-    /// What anonymous clients may do; absent: nothing.
+    /// The rights of anonymous clients; if absent, anonymous clients may not connect.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     anonymous: Option<Rights>,
 }
@@ -36,13 +36,13 @@
     rights: Rights,
 }
 
-/// What a user may do.
+/// The rights of a user.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq, Eq)]
 pub struct Rights {
-    /// Classes that it may attach to; absent: all.
+    /// The classes that the user may use; if absent, all.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub classes: Option<Vec<String>>,
-    /// The subscriber that its traffic is counted for.
+    /// The subscriber that the user's links are counted for; if absent, the user itself.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub subscriber: Option<String>,
 }
@@ -50,34 +50,34 @@
 /// An authenticated client.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
-    /// The user's name; none for an anonymous client.
+    /// The user's name; `None` for an anonymous client.
     pub name: Option<String>,
-    /// What it may do.
+    /// The client's rights.
     pub rights: Rights,
 }
 
 impl Identity {
-    /// Whether it may attach to this class.
+    /// Whether the client may attach links to this class or send messages to it.
     pub fn may_attach_to(&self, class: &str) -> bool {
         self.rights.classes.as_ref().is_none_or(|classes| classes.iter().any(|allowed| allowed == class))
     }
 
-    /// The subscriber that its links' credit is counted for.
+    /// The subscriber whose credit the client's links share.
     pub fn subscriber(&self) -> &str {
         self.rights.subscriber.as_deref().or(self.name.as_deref()).unwrap_or("")
     }
 }
 
-/// What the transport of a client's connection offers to its authentication.
+/// The properties of a client's transport that decide which SASL mechanisms are offered.
 #[derive(Clone, Copy, Debug)]
 pub struct TransportSecurity {
-    /// Passwords may be sent as they are.
+    /// Whether the client may send its password in plain text.
     pub allows_plain: bool,
-    /// The client is asked for a certificate, which can authenticate it.
+    /// Whether the client is asked for a TLS certificate, with which it can authenticate.
     pub requests_certificate: bool,
 }
 
-/// All users of a users' file.
+/// The users of a users file.
 #[derive(Clone, Debug, Default)]
 pub struct Users {
     keys: BTreeMap<String, SaltedKeys>,
@@ -86,10 +86,10 @@
 }
 
 impl Users {
-    /// Reads the users' file.
+    /// Reads a users file.
     ///
     /// # Errors
-    /// The file cannot be read, or an entry is wrong: the error names the file and the field.
+    /// The file cannot be read, or an entry is invalid. The error names the file and the field.
     pub fn read(path: &Path) -> Result<Users, FileError> {
         let text = std::fs::read_to_string(path).map_err(|error| FileError::io(path, error))?;
         let file: UsersFile = crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?;
@@ -115,24 +115,24 @@
         Mechanism::ALL.into_iter().filter(is_offered).collect()
     }
 
-    /// A user's keys.
+    /// The keys of the user with this name.
     pub fn keys(&self, user: &str) -> Option<&SaltedKeys> {
         self.keys.get(user)
     }
 
-    /// A user by its name.
-    pub fn named(&self, user: &str) -> Option<Rc<Identity>> {
+    /// The identity of the user with this name.
+    pub fn identity(&self, user: &str) -> Option<Rc<Identity>> {
         self.identities.get(user).cloned()
     }
 
     /// The identity of anonymous clients, if they may connect.
-    pub fn anonymous(&self) -> Option<Rc<Identity>> {
+    pub fn anonymous_identity(&self) -> Option<Rc<Identity>> {
         self.anonymous.clone()
     }
 }
 
 impl UserEntry {
-    /// An entry with keys of a fresh salt for this password.
+    /// Creates an entry whose keys are derived from the password with a new random salt.
     fn new(password: &str, rights: Rights) -> Result<UserEntry, FileError> {
         let mut salt = vec![0; SALT_BYTES];
         getrandom::fill(&mut salt).map_err(FileError::Randomness)?;
@@ -148,20 +148,21 @@
         })
     }
 
-    /// The entry's keys, decoded and checked.
+    /// Decodes and validates the entry's keys.
     fn salted_keys(&self, path: &Path, user: &str) -> Result<SaltedKeys, FileError> {
-        let not_a_key =
-            |field: &str| FileError::field(path, format!("users.{user}.{field}"), "not a key in base64");
+        let invalid_base64 = |field: &str| {
+            FileError::field(path, format!("users.{user}.{field}"), "not valid base64 of the expected length")
+        };
         let decode_key = |text: &str, field: &str| -> Result<[u8; 32], FileError> {
             let bytes = STANDARD.decode(text).ok();
-            bytes.and_then(|bytes| bytes.try_into().ok()).ok_or_else(|| not_a_key(field))
+            bytes.and_then(|bytes| bytes.try_into().ok()).ok_or_else(|| invalid_base64(field))
         };
         if self.rounds == 0 || self.rounds > MAX_ROUNDS {
             let field = format!("users.{user}.rounds");
             return Err(FileError::field(path, field, format!("1 to {MAX_ROUNDS}")));
         }
         Ok(SaltedKeys {
-            salt: STANDARD.decode(&self.salt).map_err(|_| not_a_key("salt"))?,
+            salt: STANDARD.decode(&self.salt).map_err(|_| invalid_base64("salt"))?,
             rounds: self.rounds,
             stored_key: decode_key(&self.stored_key, "stored_key")?,
             server_key: decode_key(&self.server_key, "server_key")?,
@@ -169,10 +170,11 @@
     }
 }
 
-/// Adds a user to a users' file or replaces it there. The file is created if it is absent, and replaced atomically.
+/// Adds a user to a users file, or replaces the user's entry. The file is created if it does not exist, and is replaced
+/// atomically.
 ///
 /// # Errors
-/// The file cannot be read or written, or is not a users' file, or the system has no random numbers.
+/// The file cannot be read or written, or is not a users file, or the operating system provides no random numbers.
 pub fn add_user(path: &Path, user: &str, password: &str, rights: Rights) -> Result<(), FileError> {
     let mut file: UsersFile = match std::fs::read_to_string(path) {
         Ok(text) => crate::json::parse(&text).map_err(|error| FileError::parse(path, error))?,
@@ -181,9 +183,9 @@
     };
     file.users.insert(user.to_string(), UserEntry::new(password, rights)?);
     let text = serde_json::to_string_pretty(&file).map_err(|error| FileError::parse(path, error))?;
-    let new_file = path.with_extension("new");
-    std::fs::write(&new_file, text + "\n").map_err(|error| FileError::io(&new_file, error))?;
-    std::fs::rename(&new_file, path).map_err(|error| FileError::io(path, error))
+    let temporary_file = path.with_extension("new");
+    std::fs::write(&temporary_file, text + "\n").map_err(|error| FileError::io(&temporary_file, error))?;
+    std::fs::rename(&temporary_file, path).map_err(|error| FileError::io(path, error))
 }
 
 #[cfg(test)]
