--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -1,8 +1,8 @@
-//! Requests that are deliveries of clients: from the first transfer until the delivery is settled.
+//! Requests that clients send as deliveries, from the first transfer until the delivery is settled.
 //!
-//! [`DeliveryRequests`] owns the deliveries and what is remembered of them for links that are resumed. `transfers` makes
-//! requests of received transfers. The rest is called with what becomes of a request: its attempts at servers, its answer,
-//! and the loss of the client or its link.
+//! [`DeliveryRequests`] owns the deliveries and the state that is remembered for resumable links. `transfers` turns
+//! received transfers into requests. The methods in this file handle the rest of a request's life: attempts at servers,
+//! the final answer, and the loss of the client or of its link.
 
 pub mod transfers;
 
@@ -19,47 +19,47 @@
 use sparbank_amqp::{AbandonedDelivery, LinkEnd, Role, State, Tag};
 use std::time::Duration;
 
-/// The requests that are deliveries of clients.
+/// All requests that clients sent as deliveries.
 #[derive(Default)]
 pub struct DeliveryRequests {
     deliveries: Deliveries,
     recovery: Recovery,
-    /// Deliveries aborted after they were sent to a server partly.
+    /// Deliveries that were aborted after part of them was sent to a server.
     aborted: u64,
-    /// Deliveries in clients' unsettled maps of which nothing was known.
-    unknown: u64,
+    /// Deliveries in clients' unsettled maps whose outcome was unknown.
+    unknown_deliveries: u64,
 }
 
-/// Figures for the counter line.
+/// The values of this module for the AMQP counter line.
 pub struct DeliveryCounters {
-    /// The octets buffered now.
+    /// Octets that are currently buffered.
     pub buffered_bytes: usize,
-    /// The most octets that were buffered at one time.
+    /// The maximum of `buffered_bytes` since the node started.
     pub peak_buffered_bytes: usize,
-    /// Deliveries aborted after they were sent to a server partly.
+    /// Deliveries that were aborted after part of them was sent to a server.
     pub aborted: u64,
-    /// Links that are remembered now.
+    /// Links that are currently remembered for resumption.
     pub remembered_links: usize,
-    /// Links that were resumed.
+    /// Number of times that a link was resumed.
     pub resumed_links: u64,
-    /// Deliveries in clients' unsettled maps of which nothing was known.
+    /// Deliveries in clients' unsettled maps whose outcome was unknown.
     pub unknown: u64,
 }
 
-/// A sending link of a client that is detached.
+/// A client's sending link that was detached.
 pub struct DetachedLink {
     /// The client's connection.
     pub token: Token,
-    /// The link.
+    /// The state that the link had when it was detached.
     pub link: SendingLink,
-    /// Whether it may be resumed.
+    /// Whether the link was closed or only suspended, in which case it may be resumed.
     pub end: LinkEnd,
-    /// The requests that were unsettled on it.
+    /// The requests whose deliveries were unsettled on the link.
     pub requests: Vec<RequestId>,
 }
 
 impl DeliveryRequests {
-    /// Figures for the counter line.
+    /// Returns the values of this module for the AMQP counter line.
     pub fn counters(&self) -> DeliveryCounters {
         DeliveryCounters {
             buffered_bytes: self.deliveries.buffered_bytes(),
@@ -67,23 +67,23 @@
             aborted: self.aborted,
             remembered_links: self.recovery.len(),
             resumed_links: self.recovery.resumed_links(),
-            unknown: self.unknown,
+            unknown: self.unknown_deliveries,
         }
     }
 
-    /// The octets buffered of all deliveries.
+    /// Octets that are currently buffered for all deliveries together.
     pub fn buffered_bytes(&self) -> usize {
         self.deliveries.buffered_bytes()
     }
 
-    /// All unsettled deliveries, for the servers' side to send them.
+    /// All unsettled deliveries. The server side of the frontend sends them.
     pub fn deliveries(&mut self) -> &mut Deliveries {
         &mut self.deliveries
     }
 
     // ---- Attempts ----------------------------------------------------------------------------------
 
-    /// Queues the attempt of a request at a server.
+    /// Queues an attempt of a request at a server.
     pub fn start_attempt(
         &mut self,
         ctx: &FrontendContext,
@@ -98,7 +98,8 @@
         servers.enqueue(server, delivery.class, delivery.link.token, request_id);
     }
 
-    /// Cancels the attempt of a request. Returns its outcome: an attempt that was not sent has not run.
+    /// Cancels the attempt of a request and returns its outcome. The outcome tells whether the server may have run the
+    /// request: it has not if the delivery was not sent completely.
     pub fn cancel_attempt(
         &mut self,
         ctx: &FrontendContext,
@@ -135,7 +136,8 @@
         }
     }
 
-    /// The attempt of a request has ended. With the outcome `Ok`, or without a further attempt, the delivery is settled.
+    /// Handles the end of a request's attempt. Settles the delivery if no retry follows because the attempt succeeded, or
+    /// because the octets to send again have been discarded.
     pub fn on_attempt_ended(
         &mut self,
         ctx: &mut FrontendContext,
@@ -157,7 +159,7 @@
         }
     }
 
-    /// A server has settled a delivery of this class.
+    /// Handles a server's settlement of a delivery of the class with this index.
     pub fn on_settled_by_server(
         &mut self,
         ctx: &mut FrontendContext,
@@ -168,9 +170,9 @@
     ) {
         let outcome = match state {
             Some(State::Accepted) => Outcome::Ok,
-            // It was not processed, and nothing has changed: it has not run.
+            // The server reports that it did not process the delivery, so the request has not run.
             Some(State::Released | State::Modified { failed: false, .. }) => Outcome::Rejected,
-            // Any other settlement says that it may have run, or nothing.
+            // After any other state, or none, the request may have run.
             _ => Outcome::Error,
         };
         let attempt = self.deliveries.get(request_id).and_then(|delivery| delivery.attempt.as_ref());
@@ -180,7 +182,7 @@
         self.on_attempt_ended(ctx, peers, request_id, outcome);
     }
 
-    /// A server's link is lost with a delivery that was sent on it.
+    /// Handles the loss of a server's link while this request's delivery was unsettled on it.
     pub fn on_delivery_lost(
         &mut self,
         ctx: &mut FrontendContext,
@@ -192,7 +194,7 @@
         self.on_attempt_ended(ctx, peers, request_id, outcome);
     }
 
-    /// These servers take no new attempts: ends those that were not sent completely.
+    /// Ends the attempts at these servers that were not sent completely, because the servers accept no new attempts.
     pub fn on_servers_draining(
         &mut self,
         ctx: &mut FrontendContext,
@@ -207,7 +209,7 @@
 
     // ---- Answers -----------------------------------------------------------------------------------
 
-    /// Settles a delivery with its final state.
+    /// Settles the delivery of a request with its final state.
     pub fn answer(&mut self, peers: &mut Peers<'_>, request_id: RequestId, state: State) {
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
         self.recovery.record_settled(peers.config.recovery_limits(), request_id, &state);
@@ -219,14 +221,14 @@
         self.replenish_credit(peers, delivery.link);
     }
 
-    /// Replenishes the credit of a client's sending link.
+    /// Replenishes the credit of a client's sending link, within the limit on buffered octets.
     pub fn replenish_credit(&self, peers: &mut Peers<'_>, link: ConnectionLink) {
         peers.clients.replenish_credit(link, peers.config, self.buffered_bytes());
     }
 
     // ---- Loss of clients and links -----------------------------------------------------------------
 
-    /// The client has given a request up, or is gone.
+    /// Drops a request whose client has cancelled it or has disconnected.
     pub fn abandon(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>, request_id: RequestId) {
         self.cancel_attempt(ctx, peers.servers, request_id);
         ctx.requests.on_client_disconnected(ctx.now, request_id);
@@ -237,7 +239,7 @@
         }
     }
 
-    /// The client has given these requests up, or is gone.
+    /// Drops several requests, as [`DeliveryRequests::abandon`] does for one.
     pub fn abandon_all(
         &mut self,
         ctx: &mut FrontendContext,
@@ -249,7 +251,8 @@
         }
     }
 
-    /// The link of a request is lost and may be resumed: the request goes on, and its answer is remembered.
+    /// Keeps a request running after the loss of its link, which may be resumed. The answer is remembered for the resumed
+    /// link.
     fn suspend(&mut self, peers: &mut Peers<'_>, key: &LinkKey, request_id: RequestId) {
         let delivery = self.deliveries.get_mut(request_id).filter(|delivery| delivery.is_attached);
         let Some(delivery) = delivery else { return };
@@ -260,8 +263,8 @@
         self.recovery.record_running(key, delivery.tag, request_id);
     }
 
-    /// A client attaches a sending link. `unsettled` are the tags of its unsettled map; the link is remembered for
-    /// `timeout` after it is lost.
+    /// Handles the attach of a client's sending link. `unsettled` holds the tags of the client's unsettled map. If the
+    /// link is lost, it is remembered for `timeout`.
     pub fn on_link_attached(
         &mut self,
         peers: &Peers<'_>,
@@ -278,7 +281,7 @@
         self.recovery.is_remembered(key)
     }
 
-    /// A client has detached a sending link: its requests are abandoned, unless it is suspended.
+    /// Handles the detach of a client's sending link. Its requests are abandoned, unless the link is suspended.
     pub fn on_link_detached(
         &mut self,
         ctx: &mut FrontendContext,
@@ -297,13 +300,13 @@
             }
         }
         if !is_suspended {
-            let forgotten = self.recovery.forget(&link.key);
+            let forgotten = self.recovery.forget_link(&link.key);
             self.abandon_all(ctx, peers, forgotten);
         }
         self.drop_incomplete(&link.incomplete);
     }
 
-    /// A client's connection is lost. Requests on links that may be resumed go on; the others are abandoned.
+    /// Handles the loss of a client's connection. Requests on resumable links continue; all others are abandoned.
     pub fn on_connection_lost(
         &mut self,
         ctx: &mut FrontendContext,
@@ -322,16 +325,16 @@
                 None => self.abandon(ctx, peers, request_id),
             }
         }
-        let forgotten = self.recovery.connection_lost(token, ctx.now);
+        let forgotten = self.recovery.on_connection_lost(token, ctx.now);
         self.abandon_all(ctx, peers, forgotten);
     }
 
-    /// Forgets the octets of a delivery that is no request yet, and whose rest does not follow.
+    /// Releases the octets buffered for a delivery that has not become a request and will not be continued.
     pub fn drop_incomplete(&mut self, incomplete: &IncompleteDelivery) {
         self.deliveries.subtract_buffered(incomplete.buffered_bytes());
     }
 
-    /// Forgets the links that were not resumed in time, and abandons their requests.
+    /// Forgets the links that were not resumed before their timeout, and abandons their requests.
     pub fn expire(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>) {
         let expired = self.recovery.expire(ctx.now);
         self.abandon_all(ctx, peers, expired);
--- a/src/frontend/amqp/delivery_requests/transfers.rs
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -1,4 +1,4 @@
-//! Transfers from clients: a delivery becomes a request once the sections before its body are read.
+//! Transfers from clients. A delivery becomes a request as soon as the sections before its body have been decoded.
 
 use super::DeliveryRequests;
 use crate::frontend::amqp::arrival::{default_time_limit, RequestAttributes};
@@ -15,40 +15,41 @@
 use sparbank_amqp::{DecodeError, Head, IncomingTransfer, Message, State, Value};
 use std::time::Duration;
 
-/// The longest time limit of a request.
+/// Upper bound on the time limit that a client can set with the `ttl` of a message.
 const MAX_TIME_LIMIT: Duration = Duration::from_secs(3_600);
-/// The most octets of a delivery before its body.
+/// The maximum size, in octets, of the sections before the body of a message.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 
-/// Handles the transfers that are received on clients' connections.
+/// Handles transfers received on clients' connections.
 pub struct TransferHandler<'a, 'b> {
-    /// The node's parts.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// What is fixed about the frontend.
+    /// The immutable properties of the frontend.
     pub info: &'a FrontendInfo,
-    /// The connections.
+    /// The connections on both sides.
     pub peers: Peers<'a>,
-    /// The requests.
+    /// The requests to which the transfers belong.
     pub requests: &'a mut DeliveryRequests,
 }
 
-/// A transfer, and the link that it was received on.
+/// A transfer and the link on which it was received.
 #[derive(Clone, Copy)]
 struct ReceivedTransfer<'a, 'b> {
     link: ConnectionLink,
-    /// The class that the link's target names; none at the anonymous terminus.
+    /// The class that the link's target names; `None` at the anonymous terminus.
     class: Option<usize>,
     transfer: &'a IncomingTransfer<'b>,
 }
 
 impl TransferHandler<'_, '_> {
-    /// A transfer was received from a client.
+    /// Handles a transfer received from a client.
     pub fn on_transfer(&mut self, link: ConnectionLink, transfer: IncomingTransfer<'_>) {
         let Some(sending_link) = self.sending_link(link) else { return };
         let class = sending_link.class;
         let incomplete = std::mem::take(&mut sending_link.incomplete);
-        let has_history = transfer.resume || sending_link.is_remembered || !sending_link.unknown.is_empty();
-        let may_be_resumed = has_history && transfer.first && !transfer.aborted;
+        let has_earlier_deliveries =
+            transfer.resume || sending_link.is_remembered || !sending_link.unknown.is_empty();
+        let may_be_resumed = has_earlier_deliveries && transfer.first && !transfer.aborted;
         let incomplete = if may_be_resumed && self.answer_resumed(link, &transfer) {
             IncompleteDelivery::Ignored
         } else if transfer.aborted {
@@ -70,7 +71,7 @@
         self.peers.clients.get(link.token)?.sending_link(link.id)
     }
 
-    /// The client has aborted a delivery.
+    /// Handles a delivery that the client aborted.
     fn on_aborted(&mut self, incomplete: &IncompleteDelivery) {
         self.requests.drop_incomplete(incomplete);
         if let IncompleteDelivery::Request(request_id) = incomplete {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Adds a transfer to its delivery. Returns the delivery's state after it.
+    /// Adds a transfer to its delivery and returns the new state of the delivery.
     fn continue_delivery(
         &mut self,
         received: ReceivedTransfer<'_, '_>,
@@ -104,7 +105,8 @@
         }
     }
 
-    /// Answers a delivery that was received before on this link: it is not run again. False if it is new.
+    /// Answers a delivery that was already received on this link before it was resumed, instead of running it again.
+    /// Returns false if the delivery is new.
     fn answer_resumed(&mut self, link: ConnectionLink, transfer: &IncomingTransfer<'_>) -> bool {
         let Some(client) = self.peers.clients.get(link.token) else { return false };
         let Some(sending_link) = client.sending_link(link.id) else { return false };
@@ -121,7 +123,7 @@
                 if !is_unknown {
                     return false;
                 }
-                self.requests.unknown += 1;
+                self.requests.unknown_deliveries += 1;
                 unknown_state()
             }
         };
@@ -130,7 +132,7 @@
         true
     }
 
-    /// A running request's answer goes to the link that its delivery was resumed on.
+    /// Directs the answer of a running request to the link on which its delivery was resumed.
     fn reattach_request(&mut self, link: ConnectionLink, delivery_id: u32, request_id: RequestId) {
         let Some(client) = self.peers.clients.get(link.token) else { return };
         client.conn.set_delivery_key(link.id.channel, delivery_id, request_id.0);
@@ -144,7 +146,8 @@
         }
     }
 
-    /// The first transfers of a delivery: it becomes a request, is answered at once, or needs more octets.
+    /// Handles the octets received so far of a delivery that is not a request yet. It becomes a request, is settled
+    /// immediately, or needs more octets.
     fn start_delivery(
         &mut self,
         received: ReceivedTransfer<'_, '_>,
@@ -162,14 +165,14 @@
         match head.and_then(|head| self.start_request(received, head, bytes)) {
             Ok(request_id) => IncompleteDelivery::Request(request_id),
             Err(state) => {
-                self.settle_at_once(received, state);
+                self.settle_without_request(received, state);
                 IncompleteDelivery::Ignored
             }
         }
     }
 
-    /// Settles a delivery that did not become a request.
-    fn settle_at_once(&mut self, received: ReceivedTransfer<'_, '_>, state: State) {
+    /// Settles a delivery that did not become a request, and counts it.
+    fn settle_without_request(&mut self, received: ReceivedTransfer<'_, '_>, state: State) {
         if matches!(state, State::Rejected(_)) {
             self.ctx.requests.counters_mut().malformed += 1;
         } else {
@@ -180,10 +183,10 @@
         }
     }
 
-    /// Makes a delivery a request.
+    /// Creates the request of a delivery.
     ///
     /// # Errors
-    /// The state that the delivery is settled with at once.
+    /// The state with which to settle a delivery that cannot become a request.
     fn start_request(
         &mut self,
         received: ReceivedTransfer<'_, '_>,
@@ -224,10 +227,10 @@
         Ok(request_id)
     }
 
-    /// The class that `to` of a message names.
+    /// Returns the class that the `to` field of a message names.
     ///
     /// # Errors
-    /// The state of a delivery that names none, or one that the client may not use.
+    /// The state with which to settle a delivery that names no class, or one that the client is not authorized to use.
     fn class_of_message(&mut self, link: ConnectionLink, head: &Head) -> Result<usize, State> {
         let client = self.peers.clients.get(link.token);
         let identity = client.as_deref().map(|client| client.identity());
@@ -235,7 +238,7 @@
         class.map_err(invalid_state)
     }
 
-    /// Records a new request with its client's connection and, if the link is remembered, for recovery.
+    /// Registers a new request with its client's connection and, if the link is remembered, for link recovery.
     fn record_request(&mut self, received: ReceivedTransfer<'_, '_>, request_id: RequestId) {
         let ReceivedTransfer { link, transfer, .. } = received;
         let Some(client) = self.peers.clients.get(link.token) else { return };
@@ -250,7 +253,8 @@
     }
 }
 
-/// Reads the sections before the body. None if more octets are needed. A complete message is checked to its end.
+/// Decodes the sections before the body. Returns `None` if more octets are needed. A complete message is validated as a
+/// whole.
 fn read_head(bytes: &[u8], is_complete: bool) -> Result<Option<Head>, DecodeError> {
     if is_complete {
         return Message::decode(bytes).map(|message| Some(message.head));
--- a/src/frontend/amqp/forwarder_id.rs
+++ b/src/frontend/amqp/forwarder_id.rs
@@ -1,13 +1,13 @@
-//! The identifiers of forwarders. Clients' and servers' links name their forwarder by it.
+//! Identifiers of forwarders. The links of clients and servers refer to their forwarder by its id.
 
 use std::fmt;
 
-/// Identifies a forwarder; not used again while the node runs.
+/// Identifies a forwarder. An id is not reused while the process runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ForwarderId(u64);
 
 impl ForwarderId {
-    /// The id that follows this one.
+    /// Returns the id after this one.
     pub fn next(self) -> ForwarderId {
         ForwarderId(self.0 + 1)
     }
--- a/src/frontend/amqp/info.rs
+++ b/src/frontend/amqp/info.rs
@@ -1,17 +1,17 @@
-//! What is fixed from the moment when the frontend is opened.
+//! The properties of the frontend that do not change after it is opened.
 
 use super::class_names::ClassNames;
 use crate::net::Token;
 use crate::requests::FrontendId;
 
-/// What is fixed from the moment when the frontend is opened.
+/// The properties of the frontend that do not change after it is opened.
 pub struct FrontendInfo {
-    /// The frontend's id, which its sockets and timers carry.
+    /// The frontend's id, with which its sockets and timers are registered.
     pub id: FrontendId,
-    /// The container id that the node announces to its peers.
+    /// The container id that the node sends to its peers in the `open` performative.
     pub container: String,
-    /// The traffic classes.
+    /// The names of the classes that clients can address.
     pub classes: ClassNames,
-    /// The listener whose connections use TLS.
+    /// The listener whose connections use TLS, if one is configured.
     pub tls_listener: Option<Token>,
 }
--- a/src/frontend/amqp/peers.rs
+++ b/src/frontend/amqp/peers.rs
@@ -1,22 +1,22 @@
-//! The connections on both sides, lent to the parts of the frontend that work between them.
+//! Mutable access to the connections on both sides, for code that handles an event.
 
 use super::clients::Clients;
 use super::config::AmqpConfig;
 use super::servers::Servers;
 
-/// The connections on both sides, and the configuration with their limits. Whoever handles an event borrows it for the
-/// duration of the call.
+/// The connections to clients and servers, and the configuration that limits them. It is borrowed while one event is
+/// handled.
 pub struct Peers<'a> {
-    /// The configuration file.
+    /// The frontend's configuration.
     pub config: &'a AmqpConfig,
-    /// The clients.
+    /// The connections of clients.
     pub clients: &'a mut Clients,
-    /// The servers.
+    /// The connections to servers, and the attempts queued for them.
     pub servers: &'a mut Servers,
 }
 
 impl Peers<'_> {
-    /// Lends the same to a callee.
+    /// Borrows the fields again, for a shorter lifetime.
     pub fn reborrow(&mut self) -> Peers<'_> {
         Peers { config: self.config, clients: self.clients, servers: self.servers }
     }
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -197,7 +197,7 @@
     }
 
     /// A connection is lost. Returns the requests whose outcome nobody can request any more.
-    pub fn connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
+    pub fn on_connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
         let mut forgotten = Vec::new();
         for (key, link) in &mut self.links {
             if link.token == token {
@@ -212,7 +212,7 @@
     }
 
     /// A link is closed. Returns the requests whose outcome nobody can request any more.
-    pub fn forget(&mut self, key: &LinkKey) -> Vec<RequestId> {
+    pub fn forget_link(&mut self, key: &LinkKey) -> Vec<RequestId> {
         self.forget_links(vec![key.clone()])
     }
 
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -38,7 +38,7 @@
         recovery.record_running(&link, tag(n), RequestId(u64::from(n)));
     }
     recovery.record_settled(LIMITS, RequestId(0), &State::Accepted);
-    assert!(recovery.connection_lost(token(1), at(100)).is_empty(), "the timeout has not passed");
+    assert!(recovery.on_connection_lost(token(1), at(100)).is_empty(), "the timeout has not passed");
     assert!(recovery.expire(at(599)).is_empty());
     let found =
         recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
@@ -46,7 +46,7 @@
     assert_eq!((found.unknown.len(), found.abandoned), (0, vec![RequestId(2)]));
     assert_eq!(recovery.status(&link, &tag(9)), None, "it never arrived completely: it may run");
     // Lost again, until it expires.
-    recovery.connection_lost(token(2), at(700));
+    recovery.on_connection_lost(token(2), at(700));
     assert_eq!(recovery.expire(at(1200)), [RequestId(1)]);
     assert_eq!((recovery.len(), recovery.running.len()), (0, 0));
     let found = recovery.attach(LIMITS, &link, token(3), Duration::from_nanos(500), &[tag(1)]);
@@ -83,6 +83,6 @@
     assert!(recovery.expire(MonotonicTime::MAX).is_empty());
     let found = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
     assert_eq!(found.known, [known(1, None)]);
-    assert_eq!(recovery.connection_lost(token(1), at(9)), [RequestId(7)]);
+    assert_eq!(recovery.on_connection_lost(token(1), at(9)), [RequestId(7)]);
     assert!(!recovery.is_remembered(&link));
 }
