--- a/src/frontend/amqp/forwarding/mod.rs
+++ b/src/frontend/amqp/forwarding/mod.rs
@@ -1,8 +1,8 @@
-//! Forwarding: deliveries that arrive on servers' links and go out on clients' links.
+//! Forwarding of deliveries from servers' links to clients' links.
 //!
-//! A forwarder serves one request (a client's receiving link, established once its server attaches), or a node for
-//! replies, to which several servers may send. [`Forwarding`] owns all forwarders. The handlers of clients' and servers'
-//! events call it with the links that these events are about.
+//! A forwarder serves either one request or a reply node. A request is a client's receiving link, which is established
+//! when a server attaches; a reply node is a dynamic source to which several servers may send. [`Forwarding`] owns all
+//! forwarders. The handlers of client and server events call it with the links that the events concern.
 
 mod forwarder;
 mod outcome;
@@ -25,24 +25,24 @@
 #[derive(Default)]
 pub struct Forwarding {
     forwarders: ForwarderTable,
-    /// Deliveries that were forwarded completely.
+    /// Number of deliveries that were forwarded completely.
     forwarded: u64,
-    /// Deliveries that were aborted after they were sent to the client partly.
+    /// Number of deliveries that were aborted after part of them was sent to the client.
     aborted: u64,
 }
 
 impl Forwarding {
-    /// The number of forwarders.
+    /// The current number of forwarders.
     pub fn len(&self) -> usize {
         self.forwarders.len()
     }
 
-    /// Deliveries that were forwarded completely.
+    /// The number of deliveries that were forwarded completely.
     pub fn forwarded(&self) -> u64 {
         self.forwarded
     }
 
-    /// Deliveries that were aborted after they were sent to the client partly.
+    /// The number of deliveries that were aborted after part of them was sent to the client.
     pub fn aborted(&self) -> u64 {
         self.aborted
     }
@@ -56,21 +56,21 @@
 
     /// Whether a request has a forwarder.
     pub fn has_request(&self, request_id: RequestId) -> bool {
-        self.forwarders.of_request(request_id).is_some()
+        self.forwarders.find_by_request(request_id).is_some()
     }
 
-    /// Attaches a request's forwarder to a server.
+    /// Starts an attempt of a request: queues the attach of its forwarder to a server.
     pub fn start_attempt(&mut self, servers: &mut Servers, request_id: RequestId, server: ServerId) {
-        let Some(id) = self.forwarders.of_request(request_id) else { return };
+        let Some(id) = self.forwarders.find_by_request(request_id) else { return };
         let Some(forwarder) = self.forwarders.get(id) else { return };
         forwarder.server = Some(server);
         servers.enqueue_forwarder(server, id, Box::new(attach_for_server(&forwarder.attach)));
     }
 
-    /// Cancels the attempt of a request's forwarder. Returns its outcome: an attach that was not sent has not run. None
-    /// if the request has no forwarder.
+    /// Cancels the attempt of a request's forwarder and returns its outcome, or `None` if the request has no forwarder.
+    /// The outcome tells whether the server may have run the request: it has not if the attach was not sent.
     pub fn cancel_attempt(&mut self, servers: &mut Servers, request_id: RequestId) -> Option<Outcome> {
-        let id = self.forwarders.of_request(request_id)?;
+        let id = self.forwarders.find_by_request(request_id)?;
         Some(self.cancel(servers, id))
     }
 
@@ -86,9 +86,9 @@
         }
     }
 
-    /// Refuses the client's link of a request that is not established.
+    /// Refuses the client's link of a request that was not established.
     pub fn refuse(&mut self, peers: &mut Peers<'_>, request_id: RequestId, error: Error) {
-        let Some(id) = self.forwarders.of_request(request_id) else { return };
+        let Some(id) = self.forwarders.find_by_request(request_id) else { return };
         let Some(forwarder) = self.remove(peers.servers, id) else { return };
         let client_link = forwarder.client;
         peers.clients.remove_link(client_link);
@@ -98,16 +98,16 @@
         peers.clients.mark_dirty(client_link.token);
     }
 
-    /// Tells the client of an established request to come again, by detaching its link.
+    /// Migrates an established request by detaching the client's link with an error that asks the client to reconnect.
     pub fn migrate(&mut self, peers: &mut Peers<'_>, request_id: RequestId) {
-        let Some(id) = self.forwarders.of_request(request_id) else { return };
+        let Some(id) = self.forwarders.find_by_request(request_id) else { return };
         if let Some(forwarder) = self.remove(peers.servers, id) {
             let error = retry_error(condition::DETACH_FORCED, "moved: come again", 0);
             self.detach_client_link(peers, &forwarder, Some(error));
         }
     }
 
-    /// These servers take no new attempts: ends those that they have not answered.
+    /// Ends the attempts that these servers have not answered, because the servers accept no new attempts.
     pub fn on_servers_draining(
         &mut self,
         ctx: &mut FrontendContext,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The attempt of a forwarder has ended before it was established: it may be retried.
+    /// Ends the attempt of a forwarder that was not established. The request may be retried.
     pub fn on_attempt_failed(
         &mut self,
         ctx: &mut FrontendContext,
@@ -144,28 +144,29 @@
         Some(forwarder)
     }
 
-    // ---- Nodes for replies -------------------------------------------------------------------------
+    // ---- Reply nodes -------------------------------------------------------------------------------
 
-    /// Adds a node for replies, on a client's receiving link. Its address has to be set.
+    /// Adds a reply node for a client's receiving link. The caller has to set its address.
     pub fn add_reply_node(&mut self, client: ConnectionLink, attach: Box<Attach>) -> ForwarderId {
         self.forwarders.insert(Forwarder::for_replies(client, attach))
     }
 
-    /// Sets the address at which servers attach to a node for replies.
+    /// Sets the address with which servers attach to a reply node.
     pub fn set_reply_address(&mut self, address: String, id: ForwarderId) {
         self.forwarders.set_reply_address(address, id);
     }
 
-    // ---- The client's side -------------------------------------------------------------------------
+    // ---- Client side -------------------------------------------------------------------------------
 
-    /// Sends a forwarder's client as much as its credit and its socket take, and passes its credit on to the servers.
+    /// Sends queued transfers to a forwarder's client as far as its credit and its socket allow, and distributes its
+    /// credit among the servers.
     pub fn forward(&mut self, ctx: &FrontendContext, peers: &mut Peers<'_>, id: ForwarderId) {
         if let Some(forwarder) = self.forwarders.get(id) {
             self.forwarded += forwarder.forward(ctx, peers);
         }
     }
 
-    /// A client's socket takes more output: its forwarders continue, in order.
+    /// Continues all forwarders of a client, in the order of their ids, after its socket has become writable.
     pub fn forward_all(&mut self, ctx: &FrontendContext, peers: &mut Peers<'_>, token: Token) {
         let Some(client) = peers.clients.get(token) else { return };
         for id in client.forwarders() {
@@ -173,7 +174,7 @@
         }
     }
 
-    /// A session of a client takes more transfers: the forwarders on it continue, in order.
+    /// Continues the forwarders on a client's session, in the order of their ids, after its window has been extended.
     pub fn on_session_window(
         &mut self,
         ctx: &FrontendContext,
@@ -181,12 +182,12 @@
         token: Token,
         channel: u16,
     ) {
-        for id in self.forwarders.on_session(token, channel) {
+        for id in self.forwarders.find_by_session(token, channel) {
             self.forward(ctx, peers, id);
         }
     }
 
-    /// A client has settled a delivery. `key` is the forwarder's key for it.
+    /// Handles a client's settlement of a delivery, which the forwarder identifies by `key`.
     pub fn on_settled_by_client(
         &mut self,
         servers: &mut Servers,
@@ -199,15 +200,15 @@
         }
     }
 
-    /// The client of a forwarder has detached its link or is gone.
+    /// Removes a forwarder whose client has detached the link or has disconnected.
     pub fn on_client_gone(&mut self, ctx: &mut FrontendContext, servers: &mut Servers, id: ForwarderId) {
         if let Some(request_id) = self.remove(servers, id).and_then(|forwarder| forwarder.request_id) {
             ctx.requests.on_client_disconnected(ctx.now, request_id);
         }
     }
 
-    /// Ends the client's link of a forwarder that was removed. The link is detached between two deliveries: one that was
-    /// sent partly is aborted.
+    /// Detaches the client's link of a removed forwarder. The link is detached between deliveries: one that is only partly
+    /// sent is aborted first.
     fn detach_client_link(&mut self, peers: &mut Peers<'_>, forwarder: &Forwarder, error: Option<Error>) {
         let link = forwarder.client;
         peers.clients.remove_link(link);
@@ -221,9 +222,10 @@
         peers.clients.mark_dirty(link.token);
     }
 
-    // ---- The servers' side -------------------------------------------------------------------------
+    // ---- Server side -------------------------------------------------------------------------------
 
-    /// A server has attached its link to a forwarder: the request is established, and the client has its answer.
+    /// Handles the attach with which a server answers a forwarder: the request is established, and the client's attach is
+    /// answered.
     pub fn on_source_attached(
         &mut self,
         ctx: &mut FrontendContext,
@@ -255,7 +257,7 @@
         self.forward(ctx, peers, id);
     }
 
-    /// A server attaches a link by itself: it may send to a node for replies, and to nothing else.
+    /// Handles a link that a server initiates. Servers may only attach as senders to a reply node.
     pub fn on_server_attach_request(
         &mut self,
         ctx: &mut FrontendContext,
@@ -282,17 +284,17 @@
         self.forward(ctx, peers, id);
     }
 
-    /// The node for replies that a server wants to send to.
+    /// Returns the reply node that a server's attach names as its target.
     fn requested_reply_node(&self, role: Role, attach: &Attach) -> Option<ForwarderId> {
         match &attach.target {
             Some(Terminus::Target(target)) if role == Role::Receiver => {
-                self.forwarders.at_reply_address(target.address.as_deref()?)
+                self.forwarders.find_by_reply_address(target.address.as_deref()?)
             }
             _ => None,
         }
     }
 
-    /// A transfer was received from a server: it is sent to the client, or waits.
+    /// Handles a transfer received from a server: it is sent to the client or queued.
     pub fn on_transfer(
         &mut self,
         ctx: &FrontendContext,
@@ -307,7 +309,7 @@
         }
     }
 
-    /// A server has settled its delivery by itself.
+    /// Handles a server's settlement of its own delivery.
     pub fn on_settled_by_server(
         &mut self,
         peers: &mut Peers<'_>,
@@ -320,7 +322,7 @@
         }
     }
 
-    /// A server's connection is lost with the link that a forwarder received on.
+    /// Handles the loss of a server's connection on which a forwarder received.
     pub fn on_source_connection_lost(
         &mut self,
         ctx: &mut FrontendContext,
@@ -328,17 +330,17 @@
         id: ForwarderId,
     ) {
         let Some(forwarder) = self.forwarders.get(id) else { return };
-        // A node for replies remains: other servers may send to it.
+        // A reply node is kept, because other servers may send to it.
         let Some(request_id) = forwarder.request_id else { return };
         if !forwarder.is_established {
             return self.on_attempt_failed(ctx, peers, id, Outcome::Reset);
         }
         let error = retry_error(condition::DETACH_FORCED, "its region is lost: come again", 0);
         ctx.requests.on_attempt_ended(ctx.now, request_id, Outcome::Reset);
-        self.end(peers, id, Some(error));
+        self.end_established(peers, id, Some(error));
     }
 
-    /// A server has detached the link that a forwarder received on.
+    /// Handles the detach of a server's link on which a forwarder received.
     pub fn on_source_detached(
         &mut self,
         ctx: &mut FrontendContext,
@@ -349,25 +351,25 @@
     ) {
         let Some(forwarder) = self.forwarders.get(id) else { return };
         forwarder.remove_source(source, peers.clients);
-        // A node for replies remains: other servers may send to it.
+        // A reply node is kept, because other servers may send to it.
         let Some(request_id) = forwarder.request_id else { return };
         let condition = error.as_ref().map(|error| error.condition.as_str());
         if !forwarder.is_established {
             return self.on_attempt_failed(ctx, peers, id, refused_attach_outcome(condition));
         }
         ctx.requests.on_attempt_ended(ctx.now, request_id, detached_outcome(condition));
-        self.end(peers, id, error);
+        self.end_established(peers, id, error);
     }
 
-    /// Removes an established forwarder, whose client's link is detached with this error.
-    fn end(&mut self, peers: &mut Peers<'_>, id: ForwarderId, error: Option<Error>) {
+    /// Removes an established forwarder and detaches the client's link with this error.
+    fn end_established(&mut self, peers: &mut Peers<'_>, id: ForwarderId, error: Option<Error>) {
         if let Some(forwarder) = self.remove(peers.servers, id) {
             self.detach_client_link(peers, &forwarder, error);
         }
     }
 }
 
-/// The attach for a server that requests what a client requested.
+/// Builds the attach to a server from the attach that the client sent.
 fn attach_for_server(attach: &Attach) -> Attach {
     Attach {
         snd_settle_mode: attach.snd_settle_mode,
--- a/src/frontend/amqp/forwarding/outcome.rs
+++ b/src/frontend/amqp/forwarding/outcome.rs
@@ -1,9 +1,9 @@
-//! What a server's detach says about the attempt of a forwarder.
+//! Maps the error condition of a server's detach to the outcome of a forwarder's attempt.
 
 use crate::model::Outcome;
 use sparbank_amqp::condition;
 
-/// The outcome of an attempt whose attach the server refused with this condition.
+/// Returns the outcome of an attempt whose attach the server refused with this condition.
 pub fn refused_attach_outcome(condition: Option<&str>) -> Outcome {
     match condition {
         None => Outcome::Rejected,
@@ -17,7 +17,7 @@
     }
 }
 
-/// The outcome of an established connection that the server detached with this condition.
+/// Returns the outcome of an established connection whose link the server detached with this condition.
 pub fn detached_outcome(condition: Option<&str>) -> Outcome {
     match condition {
         None => Outcome::Ok,
--- a/src/frontend/amqp/forwarding/table.rs
+++ b/src/frontend/amqp/forwarding/table.rs
@@ -1,4 +1,4 @@
-//! All forwarders, by their ids, their requests and their reply addresses.
+//! The table of forwarders, indexed by id, by request and by reply address.
 
 use super::forwarder::Forwarder;
 use crate::frontend::amqp::fast_map::FastHashMap;
@@ -6,7 +6,7 @@
 use crate::model::{RequestId, ServerId};
 use crate::net::Token;
 
-/// All forwarders.
+/// All forwarders, indexed by id, by request and by reply address.
 #[derive(Default)]
 pub struct ForwarderTable {
     by_id: FastHashMap<ForwarderId, Forwarder>,
@@ -16,7 +16,7 @@
 }
 
 impl ForwarderTable {
-    /// Adds a forwarder.
+    /// Adds a forwarder and returns its new id.
     pub fn insert(&mut self, forwarder: Forwarder) -> ForwarderId {
         self.last_id = self.last_id.next();
         if let Some(request_id) = forwarder.request_id {
@@ -36,27 +36,27 @@
         Some(forwarder)
     }
 
-    /// A forwarder by its id.
+    /// Returns the forwarder with this id.
     pub fn get(&mut self, id: ForwarderId) -> Option<&mut Forwarder> {
         self.by_id.get_mut(&id)
     }
 
-    /// The forwarder of a request.
-    pub fn of_request(&self, request_id: RequestId) -> Option<ForwarderId> {
+    /// Returns the id of a request's forwarder.
+    pub fn find_by_request(&self, request_id: RequestId) -> Option<ForwarderId> {
         self.by_request.get(&request_id).copied()
     }
 
-    /// Gives a node for replies its address.
+    /// Sets the address of a reply node.
     pub fn set_reply_address(&mut self, address: String, id: ForwarderId) {
         self.by_reply_address.insert(address, id);
     }
 
-    /// The forwarder of the node for replies with this address.
-    pub fn at_reply_address(&self, address: &str) -> Option<ForwarderId> {
+    /// Returns the id of the reply node with this address.
+    pub fn find_by_reply_address(&self, address: &str) -> Option<ForwarderId> {
         self.by_reply_address.get(address).copied()
     }
 
-    /// The forwarders whose attach to one of these servers was not answered, in the order of their requests.
+    /// Returns the forwarders whose attach one of these servers has not answered, in the order of their requests.
     pub fn unanswered_at(&self, servers: &[ServerId]) -> Vec<ForwarderId> {
         let mut unanswered: Vec<(RequestId, ForwarderId)> = self
             .by_id
@@ -68,8 +68,8 @@
         unanswered.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The forwarders whose client's link is on this session, in order.
-    pub fn on_session(&self, client: Token, channel: u16) -> Vec<ForwarderId> {
+    /// Returns the forwarders whose client's link is on this session, in the order of their ids.
+    pub fn find_by_session(&self, client: Token, channel: u16) -> Vec<ForwarderId> {
         let is_on = |forwarder: &Forwarder| {
             forwarder.client.token == client && forwarder.client.id.channel == channel
         };
@@ -79,7 +79,7 @@
         ids
     }
 
-    /// The number of forwarders.
+    /// The current number of forwarders.
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
