--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Handles the end of a request's attempt. Settles the delivery if no retry follows because the attempt succeeded, or
-    /// because the octets to send again have been discarded.
+    /// Handles the end of a request's attempt. Settles the delivery if no retry follows because the attempt succeeded,
+    /// or because the octets to send again have been discarded.
     pub fn on_attempt_ended(
         &mut self,
         ctx: &mut FrontendContext,
@@ -251,8 +251,8 @@
         }
     }
 
-    /// Keeps a request running after the loss of its link, which may be resumed. The answer is remembered for the resumed
-    /// link.
+    /// Keeps a request running after the loss of its link, which may be resumed. The answer is remembered for the
+    /// resumed link.
     fn suspend(&mut self, peers: &mut Peers<'_>, key: &LinkKey, request_id: RequestId) {
         let delivery = self.deliveries.get_mut(request_id).filter(|delivery| delivery.is_attached);
         let Some(delivery) = delivery else { return };
--- a/src/frontend/amqp/forwarding/mod.rs
+++ b/src/frontend/amqp/forwarding/mod.rs
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Detaches the client's link of a removed forwarder. The link is detached between deliveries: one that is only partly
-    /// sent is aborted first.
+    /// Detaches the client's link of a removed forwarder. The link is detached between deliveries: one that is only
+    /// partly sent is aborted first.
     fn detach_client_link(&mut self, peers: &mut Peers<'_>, forwarder: &Forwarder, error: Option<Error>) {
         let link = forwarder.client;
         peers.clients.remove_link(link);
@@ -224,8 +224,8 @@
 
     // ---- Server side -------------------------------------------------------------------------------
 
-    /// Handles the attach with which a server answers a forwarder: the request is established, and the client's attach is
-    /// answered.
+    /// Handles the attach with which a server answers a forwarder: the request is established, and the client's attach
+    /// is answered.
     pub fn on_source_attached(
         &mut self,
         ctx: &mut FrontendContext,
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -1,9 +1,10 @@
-//! Link recovery (standard, sections 2.6.5 and 2.6.13): the deliveries of links that may be resumed,
-//! remembered so that none is run twice. Knows which still run and the states of those that are settled. Sans I/O.
+//! Link recovery (AMQP 1.0, sections 2.6.5 and 2.6.13): remembers the deliveries of links that may be resumed, so that
+//! no delivery is run twice. It records which deliveries are still running and the final states of the others. This
+//! module performs no I/O.
 //!
-//! A link is identified by its peer's container, its user and its name. A link whose target requests a timeout is
-//! remembered from its attach on. Any other link is remembered only after a detach that does not close it, and only
-//! as long as its connection lasts.
+//! A link is identified by the container id of its peer, the authenticated user and the link name. A link whose target
+//! requests a timeout is remembered from its attach on. Any other link is remembered only after a detach that does not
+//! close it, and only as long as its connection lasts.
 
 use super::fast_map::FastHashMap;
 use crate::model::RequestId;
@@ -18,50 +19,51 @@
 pub struct LinkKey {
     /// The peer's container id.
     pub container: String,
-    /// The authenticated user; none for an anonymous peer.
+    /// The authenticated user; `None` for an anonymous peer.
     pub user: Option<String>,
     /// The link's name.
     pub name: String,
 }
 
-/// The state of a delivery on a remembered link.
+/// The status of a delivery on a remembered link.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeliveryStatus {
-    /// It is a request that is not answered yet.
+    /// Its request has no final answer yet.
     Running(RequestId),
-    /// It was answered with this state.
+    /// It was settled with this state.
     Settled(State),
 }
 
+/// A link that may be resumed.
 struct RememberedLink {
-    /// The connection that the link is on or was on last.
+    /// The connection of the link, or its last connection if it is not attached.
     token: Token,
     is_attached: bool,
     deliveries: FastHashMap<Tag, DeliveryStatus>,
     /// The tags of settled deliveries, oldest first.
     settled: VecDeque<Tag>,
-    /// How long it is remembered after its link is lost; zero: as long as its connection lasts.
+    /// How long it is remembered after it is lost. Zero means as long as its connection lasts.
     timeout: Duration,
     expires_at: Option<MonotonicTime>,
 }
 
-/// Bounds on what is remembered.
+/// Limits on the memory used for link recovery.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryLimits {
-    /// Links that are remembered at the same time.
+    /// The maximum number of remembered links.
     pub max_links: usize,
-    /// Settled deliveries that are remembered of each link.
+    /// The maximum number of settled deliveries that are remembered for each link.
     pub max_settled_per_link: usize,
-    /// The longest timeout.
+    /// Upper bound on the timeout of a link.
     pub max_timeout: Duration,
 }
 
-/// All remembered links.
+/// All remembered links and their deliveries.
 #[derive(Default)]
 pub struct Recovery {
     links: FastHashMap<LinkKey, RememberedLink>,
     running: FastHashMap<RequestId, RunningDelivery>,
-    resumed: u64,
+    resumed_links: u64,
 }
 
 /// The delivery of a running request.
@@ -70,30 +72,29 @@
     tag: Tag,
 }
 
-/// What the node knows about a link's deliveries when it attaches.
+/// What is known about the deliveries of a link at the time of its attach.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResumedLink {
-    /// Deliveries of the peer's unsettled map that are known.
+    /// Deliveries in the peer's unsettled map that are remembered.
     pub known: Vec<KnownDelivery>,
-    /// Deliveries of the peer's unsettled map while nothing at all is known of the link: whether they ran is
-    /// unknown.
+    /// Deliveries in the peer's unsettled map, if the link is not remembered. They may have run.
     pub unknown: HashSet<Tag>,
-    /// Running requests whose deliveries are not in the peer's unsettled map any more.
+    /// Running requests whose deliveries are no longer in the peer's unsettled map.
     pub abandoned: Vec<RequestId>,
 }
 
-/// A delivery of a link that attaches again.
+/// A remembered delivery of a link that is being resumed.
 #[derive(Debug, PartialEq)]
 pub struct KnownDelivery {
-    /// Its tag.
+    /// Its delivery tag.
     pub tag: Tag,
-    /// Its state; none if it is not settled.
+    /// Its final state; `None` if it is not settled.
     pub state: Option<State>,
 }
 
 impl Recovery {
-    /// A link attaches. `unsettled` are the tags of the peer's unsettled map. A timeout above zero has the link
-    /// remembered from now on.
+    /// Handles the attach of a link. `unsettled` holds the tags of the peer's unsettled map. If the timeout is above
+    /// zero, the link is remembered from now on, provided that the limit on links allows it.
     pub fn attach(
         &mut self,
         limits: RecoveryLimits,
@@ -110,7 +111,7 @@
             let unknown = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
             return ResumedLink { unknown, ..ResumedLink::default() };
         };
-        self.resumed += u64::from(!link.is_attached);
+        self.resumed_links += u64::from(!link.is_attached);
         link.token = token;
         link.is_attached = true;
         link.expires_at = None;
@@ -123,6 +124,7 @@
         ResumedLink { known, unknown: HashSet::new(), abandoned }
     }
 
+    /// Starts to remember a link. Returns false if the limit on links is reached.
     fn remember(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, timeout: Duration) -> bool {
         if self.links.len() >= limits.max_links {
             return false;
@@ -144,12 +146,12 @@
         self.links.contains_key(key)
     }
 
-    /// The status of a delivery on a link.
+    /// Returns the status of a delivery, if it is remembered.
     pub fn status(&self, key: &LinkKey, tag: &Tag) -> Option<&DeliveryStatus> {
         self.links.get(key)?.deliveries.get(tag)
     }
 
-    /// A delivery on a remembered link has become a request.
+    /// Records the request of a delivery on a remembered link.
     pub fn record_running(&mut self, key: &LinkKey, tag: Tag, request_id: RequestId) {
         if let Some(link) = self.links.get_mut(key) {
             link.deliveries.insert(tag, DeliveryStatus::Running(request_id));
@@ -157,7 +159,8 @@
         }
     }
 
-    /// A request has its answer.
+    /// Records the final state of a request's delivery. Beyond the limit on settled deliveries, the oldest is
+    /// forgotten.
     pub fn record_settled(&mut self, limits: RecoveryLimits, request_id: RequestId, state: &State) {
         let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
         let Some(link) = self.links.get_mut(&link) else { return };
@@ -170,7 +173,7 @@
         }
     }
 
-    /// A request was abandoned: its delivery is forgotten.
+    /// Forgets the delivery of an abandoned request.
     pub fn forget_request(&mut self, request_id: RequestId) {
         let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
         if let Some(link) = self.links.get_mut(&link) {
@@ -178,7 +181,8 @@
         }
     }
 
-    /// A link is detached and not closed: it may be resumed. False if there is no capacity to remember it.
+    /// Handles a detach that does not close the link, so that it may be resumed. Returns false if the link cannot be
+    /// remembered because the limit on links is reached.
     pub fn suspend(
         &mut self,
         limits: RecoveryLimits,
@@ -196,7 +200,8 @@
         true
     }
 
-    /// A connection is lost. Returns the requests whose outcome nobody can request any more.
+    /// Handles the loss of a connection. Returns the running requests of the links that are forgotten with it: no
+    /// client can obtain their outcome.
     pub fn on_connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
         let mut forgotten = Vec::new();
         for (key, link) in &mut self.links {
@@ -211,18 +216,19 @@
         self.forget_links(forgotten)
     }
 
-    /// A link is closed. Returns the requests whose outcome nobody can request any more.
+    /// Forgets a link that was closed. Returns its running requests: no client can obtain their outcome.
     pub fn forget_link(&mut self, key: &LinkKey) -> Vec<RequestId> {
         self.forget_links(vec![key.clone()])
     }
 
-    /// Forgets the links that have expired by now. Returns the requests whose outcome nobody can request any more.
+    /// Forgets the links whose timeout has passed. Returns their running requests: no client can obtain their outcome.
     pub fn expire(&mut self, now: MonotonicTime) -> Vec<RequestId> {
         let expired = self.links.iter().filter(|(_, link)| link.is_expired(now));
         let expired = expired.map(|(key, _)| key.clone()).collect();
         self.forget_links(expired)
     }
 
+    /// Forgets several links. Returns their running requests, in order.
     fn forget_links(&mut self, mut keys: Vec<LinkKey>) -> Vec<RequestId> {
         keys.sort_unstable();
         let mut abandoned = Vec::new();
@@ -239,19 +245,19 @@
         abandoned
     }
 
-    /// How many links were resumed.
+    /// The number of times that a link was resumed.
     pub fn resumed_links(&self) -> u64 {
-        self.resumed
+        self.resumed_links
     }
 
-    /// The number of remembered links.
+    /// The current number of remembered links.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 }
 
 impl RememberedLink {
-    /// The known deliveries among these, in their order.
+    /// Returns the remembered deliveries among these tags, in the order of the tags.
     fn known_among(&self, unsettled: &[Tag]) -> Vec<KnownDelivery> {
         let known = |tag: &Tag| {
             let state = match self.deliveries.get(tag)? {
@@ -263,7 +269,8 @@
         unsettled.iter().filter_map(known).collect()
     }
 
-    /// Forgets all deliveries but these. Returns the requests that were running among the forgotten, in order.
+    /// Forgets all deliveries except those with these tags. Returns the running requests among the forgotten
+    /// deliveries, in order.
     fn retain_unsettled(&mut self, unsettled: &[Tag]) -> Vec<RequestId> {
         let unsettled: HashSet<Tag> = unsettled.iter().copied().collect();
         let mut abandoned = Vec::new();
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -1,4 +1,4 @@
-//! What is remembered of links that may be resumed: its bounds, expiry and settled deliveries.
+//! Tests of link recovery: limits, expiry and the states of remembered deliveries.
 
 use super::{KnownDelivery, LinkKey, Recovery, RecoveryLimits, ResumedLink};
 use crate::model::RequestId;
@@ -19,7 +19,7 @@
 }
 
 fn tag(n: u8) -> Tag {
-    Tag::new(&[n]).expect("short")
+    Tag::new(&[n]).expect("a one-octet tag is valid")
 }
 
 fn known(n: u8, state: Option<State>) -> KnownDelivery {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_resumed_link_learns_the_state_of_its_deliveries() {
+fn a_resumed_link_gets_the_states_of_its_deliveries() {
     let mut recovery = Recovery::default();
     let link = key("a");
     assert_eq!(
@@ -40,17 +40,21 @@
     recovery.record_settled(LIMITS, RequestId(0), &State::Accepted);
     assert!(recovery.on_connection_lost(token(1), at(100)).is_empty(), "the timeout has not passed");
     assert!(recovery.expire(at(599)).is_empty());
-    let found =
+    let resumed =
         recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
-    assert_eq!(found.known, [known(0, Some(State::Accepted)), known(1, None)]);
-    assert_eq!((found.unknown.len(), found.abandoned), (0, vec![RequestId(2)]));
-    assert_eq!(recovery.status(&link, &tag(9)), None, "it never arrived completely: it may run");
-    // Lost again, until it expires.
+    assert_eq!(resumed.known, [known(0, Some(State::Accepted)), known(1, None)]);
+    assert_eq!((resumed.unknown.len(), resumed.abandoned), (0, vec![RequestId(2)]));
+    assert_eq!(
+        recovery.status(&link, &tag(9)),
+        None,
+        "a delivery that was never received completely is new and may run"
+    );
+    // The link is lost again and expires.
     recovery.on_connection_lost(token(2), at(700));
     assert_eq!(recovery.expire(at(1200)), [RequestId(1)]);
     assert_eq!((recovery.len(), recovery.running.len()), (0, 0));
-    let found = recovery.attach(LIMITS, &link, token(3), Duration::from_nanos(500), &[tag(1)]);
-    assert!(found.unknown.contains(&tag(1)), "whether it ran is unknown");
+    let resumed = recovery.attach(LIMITS, &link, token(3), Duration::from_nanos(500), &[tag(1)]);
+    assert!(resumed.unknown.contains(&tag(1)), "an expired delivery is reported as unknown");
 }
 
 #[test]
@@ -63,7 +67,11 @@
         recovery.record_settled(LIMITS, RequestId(u64::from(n)), &State::Released);
     }
     assert_eq!(recovery.links[&link].deliveries.len(), 3);
-    assert_eq!(recovery.links[&link].timeout, Duration::from_nanos(1000), "no longer than the node allows");
+    assert_eq!(
+        recovery.links[&link].timeout,
+        Duration::from_nanos(1000),
+        "the timeout is capped by the limit"
+    );
     recovery.attach(LIMITS, &key("b"), token(1), Duration::from_nanos(1), &[]);
     recovery.attach(LIMITS, &key("c"), token(1), Duration::from_nanos(1), &[]);
     assert!(
@@ -81,8 +89,8 @@
     assert!(recovery.suspend(LIMITS, &link, token(1), at(5)));
     recovery.record_running(&link, tag(1), RequestId(7));
     assert!(recovery.expire(MonotonicTime::MAX).is_empty());
-    let found = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
-    assert_eq!(found.known, [known(1, None)]);
+    let resumed = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
+    assert_eq!(resumed.known, [known(1, None)]);
     assert_eq!(recovery.on_connection_lost(token(1), at(9)), [RequestId(7)]);
     assert!(!recovery.is_remembered(&link));
 }
