--- a/src/frontend/amqp/server_events.rs
+++ b/src/frontend/amqp/server_events.rs
@@ -1,4 +1,4 @@
-//! What happens on servers' connections: input, events of the protocol, loss, idle timeouts, and the ends of attempts.
+//! Event handling for servers' connections: input, protocol events, loss, idle timeouts and ended attempts.
 
 use super::connection_link::ConnectionLink;
 use super::delivery_requests::DeliveryRequests;
@@ -11,20 +11,20 @@
 use crate::net::{SocketEvent, SocketEventKind, Token};
 use sparbank_amqp::{Error, Event, Fault, LinkId, Role};
 
-/// Handles the events of servers' connections. The frontend makes one for each call of the event loop.
+/// Handles the events of servers' connections. The frontend creates one for each call from the event loop.
 pub struct ServerEvents<'a, 'b> {
-    /// The node's parts.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The connections.
+    /// The connections on both sides.
     pub peers: Peers<'a>,
-    /// The requests that are sent to servers.
+    /// The requests whose deliveries are sent to servers.
     pub requests: &'a mut DeliveryRequests,
-    /// The forwarders of what servers send.
+    /// The forwarders of the deliveries that servers send.
     pub forwarding: &'a mut Forwarding,
 }
 
 impl ServerEvents<'_, '_> {
-    /// Something happened at a server's socket.
+    /// Handles an event of a server's socket.
     pub fn on_socket_event(&mut self, event: SocketEvent) {
         let token = event.token;
         let fault = self.process_input(token);
@@ -47,7 +47,7 @@
         self.ctx.net.update_interest(token);
     }
 
-    /// Processes a server's input. Returns the fault that ends it, if there is one.
+    /// Processes a server's buffered input. Returns the protocol fault at which processing stopped, if there was one.
     fn process_input(&mut self, token: Token) -> Option<Fault> {
         let mut bytes = self.ctx.net.input_buffer(token).map(std::mem::take).unwrap_or_default();
         let mut rest = &bytes[..];
@@ -75,7 +75,7 @@
     fn on_protocol_event(&mut self, token: Token, event: Event<'_>) {
         let at = |id: LinkId| ConnectionLink { token, id };
         match event {
-            // Without a source the attach is refused: its detach follows.
+            // An attach without a source is a refusal, which a detach follows.
             Event::Attached { link, attach } if attach.source.is_some() => {
                 if let Some(id) = self.forwarder_of(at(link)) {
                     self.forwarding.on_source_attached(self.ctx, &mut self.peers, id, at(link), &attach);
@@ -109,12 +109,12 @@
         }
     }
 
-    /// The forwarder that receives on a link.
+    /// Returns the forwarder that receives on a link.
     fn forwarder_of(&self, link: ConnectionLink) -> Option<ForwarderId> {
         self.peers.servers.link(link)?.forwarder()
     }
 
-    /// The class whose deliveries are sent on a link.
+    /// Returns the index of the class whose deliveries are sent on a link.
     fn class_of(&self, link: ConnectionLink) -> Option<usize> {
         match self.peers.servers.link(link)? {
             ServerLink::Sending(class) => Some(class),
@@ -136,10 +136,10 @@
         }
     }
 
-    /// A server's connection is lost or closed.
+    /// Handles the loss or the close of a server's connection.
     pub fn on_connection_lost(&mut self, token: Token) {
         if let Some(connection) = self.peers.servers.connection(token) {
-            // Pending output, such as the reason for a close, is still written.
+            // Pending output, such as a close with its error, is written before the socket is closed.
             let out = connection.conn.take_output(self.ctx.now);
             self.ctx.net.send(token, &out);
         }
@@ -150,14 +150,14 @@
         self.on_attempts_ended(lost.ended);
     }
 
-    /// A connection has reached its time-out: it is lost unless it is open.
+    /// Handles the connect timeout of a connection. If the connection is not open yet, it is closed.
     pub fn on_connect_timeout(&mut self, token: Token) {
         if self.peers.servers.is_opening(token) {
             self.on_connection_lost(token);
         }
     }
 
-    /// Attempts have ended at the servers.
+    /// Reports ended attempts to the owners of their requests.
     fn on_attempts_ended(&mut self, ended: Vec<EndedAttempt>) {
         for attempt in ended {
             match attempt {
@@ -171,20 +171,21 @@
         }
     }
 
-    /// These servers take no new attempts: ends those that have not been sent to them.
+    /// Ends the attempts at these servers that were not sent or not answered, because the servers accept no new
+    /// attempts.
     pub fn on_servers_draining(&mut self, stopped: &[ServerId]) {
         self.requests.on_servers_draining(self.ctx, &mut self.peers, stopped);
         self.forwarding.on_servers_draining(self.ctx, &mut self.peers, stopped);
     }
 
-    /// Sends what waits for the servers that are marked dirty.
+    /// Sends what is queued for the servers that are marked dirty.
     pub fn flush(&mut self) {
         let Peers { config, servers, .. } = &mut self.peers;
         let ended = servers.flush(self.ctx, config, self.requests.deliveries());
         self.on_attempts_ended(ended);
     }
 
-    /// Checks the idle timeouts of the servers' connections, and closes those that are no longer needed.
+    /// Checks the idle timeouts of servers' connections, and closes the connections that are no longer needed.
     pub fn check_connections(&mut self) {
         for token in self.peers.servers.tokens() {
             let Some(connection) = self.peers.servers.connection(token) else { continue };
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -1,4 +1,4 @@
-//! The connections to servers, by their sockets.
+//! Connections to servers, and the table of them indexed by socket.
 
 use super::ended_attempt::EndedAttempt;
 use crate::frontend::amqp::config::AmqpConfig;
@@ -14,60 +14,60 @@
 
 /// A connection to a server.
 pub struct ServerConnection {
-    /// The protocol state.
+    /// The state of the AMQP connection.
     pub conn: Connection,
     server: ServerId,
     links: FastHashMap<LinkId, ServerLink>,
 }
 
-/// What a link to a server is for.
+/// The purpose of a link to a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerLink {
-    /// Deliveries of the class with this index are sent on it.
+    /// Sends deliveries of the class with this index.
     Sending(usize),
-    /// A forwarder's deliveries are received on it.
+    /// Receives deliveries for this forwarder.
     Receiving(ForwarderId),
 }
 
 /// Whether a server has a SASL layer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SaslSupport {
-    /// It has, as far as is known.
+    /// The server is assumed to have one, because nothing else is known.
     #[default]
     Assumed,
-    /// It answered the SASL header with AMQP's: it has none.
+    /// The server has none: it answered the SASL header with the AMQP header.
     Absent,
 }
 
 impl ServerConnection {
-    /// The server at the other end.
+    /// The server to which it connects.
     pub fn server(&self) -> ServerId {
         self.server
     }
 
-    /// What a link is for.
+    /// Returns the purpose of a link.
     pub fn link(&self, link: LinkId) -> Option<ServerLink> {
         self.links.get(&link).copied()
     }
 
-    /// Records what a new link is for.
+    /// Adds a link with its purpose.
     pub fn add_link(&mut self, link: LinkId, purpose: ServerLink) {
         self.links.insert(link, purpose);
     }
 
-    /// Forgets a link. Returns what it was for.
+    /// Removes a link and returns its purpose.
     pub fn remove_link(&mut self, link: LinkId) -> Option<ServerLink> {
         self.links.remove(&link)
     }
 
-    /// The link that a forwarder receives on.
+    /// Returns the link on which a forwarder receives.
     pub fn link_of_forwarder(&self, forwarder: ForwarderId) -> Option<LinkId> {
         let mut links = self.links.iter();
         let found = links.find(|(_, link)| **link == ServerLink::Receiving(forwarder));
         found.map(|(id, _)| *id)
     }
 
-    /// The forwarders that receive on this connection, in order.
+    /// Returns the forwarders that receive on this connection, in the order of their ids.
     pub fn forwarders(&self) -> Vec<ForwarderId> {
         let mut forwarders: Vec<ForwarderId> =
             self.links.values().filter_map(|link| link.forwarder()).collect();
@@ -75,7 +75,8 @@
         forwarders
     }
 
-    /// Ends the attempts on this connection, of whose output `written` octets were written.
+    /// Ends the attempts on this connection after its loss. `written` is the number of octets of its output that were
+    /// written to the socket.
     pub fn end_attempts(&mut self, written: u64, deliveries: &Deliveries) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for AbandonedDelivery { link, role, key } in self.conn.abandon() {
@@ -88,7 +89,7 @@
         ended
     }
 
-    /// Whether it is open, no forwarder uses it and no delivery on it is unsettled.
+    /// Whether the connection is open, used by no forwarder, and without unsettled deliveries.
     pub fn is_idle(&self) -> bool {
         let is_idle = |(id, link): (&LinkId, &ServerLink)| {
             matches!(link, ServerLink::Sending(_)) && self.conn.unsettled(*id) == 0
@@ -98,7 +99,7 @@
 }
 
 impl ServerLink {
-    /// The forwarder that receives on it.
+    /// The forwarder that receives on the link, if there is one.
     pub fn forwarder(&self) -> Option<ForwarderId> {
         match self {
             ServerLink::Receiving(forwarder) => Some(*forwarder),
@@ -107,7 +108,7 @@
     }
 }
 
-/// All connections to servers.
+/// All connections to servers, indexed by socket.
 pub struct ServerConnections {
     frontend: FrontendId,
     /// This node's container id.
@@ -116,7 +117,7 @@
 }
 
 impl ServerConnections {
-    /// No connections yet.
+    /// Creates an empty table. `container` is this node's container id.
     pub fn new(frontend: FrontendId, container: &str) -> ServerConnections {
         ServerConnections { frontend, container: container.to_string(), by_token: FastHashMap::default() }
     }
@@ -126,37 +127,37 @@
         &self.container
     }
 
-    /// A connection.
+    /// Returns the connection with this token.
     pub fn get(&self, token: Token) -> Option<&ServerConnection> {
         self.by_token.get(&token)
     }
 
-    /// A connection.
+    /// Returns the connection with this token, for modification.
     pub fn get_mut(&mut self, token: Token) -> Option<&mut ServerConnection> {
         self.by_token.get_mut(&token)
     }
 
-    /// Forgets a connection.
+    /// Removes the connection with this token from the table.
     pub fn remove(&mut self, token: Token) -> Option<ServerConnection> {
         self.by_token.remove(&token)
     }
 
-    /// All connections, in order.
+    /// Returns the tokens of all connections, in order.
     pub fn tokens(&self) -> Vec<Token> {
         let mut tokens: Vec<Token> = self.by_token.keys().copied().collect();
         tokens.sort_unstable();
         tokens
     }
 
-    /// The number of connections.
+    /// The current number of connections.
     pub fn len(&self) -> usize {
         self.by_token.len()
     }
 
-    /// Opens a connection to a server.
+    /// Starts to open a connection to a server.
     ///
     /// # Errors
-    /// The outcome of the attempts that needed it.
+    /// The outcome of the attempts that need the connection, if it cannot be opened.
     pub fn dial(
         &mut self,
         ctx: &mut FrontendContext,
@@ -181,7 +182,7 @@
         Ok(token)
     }
 
-    /// Passes a connection's pending output to its socket.
+    /// Moves a connection's pending output to its socket.
     pub fn write_pending(&mut self, ctx: &mut FrontendContext, token: Token) {
         if let Some(connection) = self.by_token.get_mut(&token) {
             let out = connection.conn.take_output(ctx.now);
--- a/src/frontend/amqp/servers/ended_attempt.rs
+++ b/src/frontend/amqp/servers/ended_attempt.rs
@@ -1,4 +1,4 @@
-//! The ends of attempts at servers, which the handler of servers' events passes on to the attempts' owners.
+//! Ended attempts at servers, which the handler of server events reports to the owners of the requests.
 
 use crate::frontend::amqp::forwarder_id::ForwarderId;
 use crate::model::{Outcome, RequestId};
@@ -6,18 +6,18 @@
 /// An attempt at a server that has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndedAttempt {
-    /// A delivery's attempt.
+    /// The attempt of a delivery.
     Delivery {
-        /// The request.
+        /// The request of the delivery.
         request_id: RequestId,
-        /// Its outcome.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
-    /// A forwarder's attempt: it got no link.
+    /// The attempt of a forwarder for which no link could be attached.
     Forwarder {
-        /// The forwarder.
+        /// The forwarder of the request.
         id: ForwarderId,
-        /// Its outcome.
+        /// The outcome of the attempt.
         outcome: Outcome,
     },
 }
--- a/src/frontend/amqp/servers/fair_queue.rs
+++ b/src/frontend/amqp/servers/fair_queue.rs
@@ -1,17 +1,17 @@
-//! A queue of requests that is fair between clients. Each class at each server has one.
+//! A request queue that is fair between clients. There is one for each class at each server.
 
 use crate::frontend::amqp::fast_map::FastHashMap;
 use crate::model::RequestId;
 use crate::net::Token;
 use std::collections::VecDeque;
 
-/// Requests that wait for a server's links of one class. Clients are served round robin, so that many deliveries of one
-/// client do not delay a single delivery of another.
+/// Requests that wait for a server's links of one class. Clients are served in round-robin order, so that many
+/// deliveries of one client do not delay a single delivery of another.
 #[derive(Default)]
 pub struct FairQueue {
-    /// The clients with waiting requests; the first is served next.
+    /// The clients with waiting requests, in the order in which they are served next.
     round_robin: VecDeque<Token>,
-    /// Each client's requests, oldest first; never empty.
+    /// The requests of each client, oldest first. No queue in the map is empty.
     by_client: FastHashMap<Token, VecDeque<RequestId>>,
     len: usize,
 }
@@ -41,7 +41,7 @@
         request_id
     }
 
-    /// Removes a request, wherever it is in its client's queue.
+    /// Removes a request from any position in its client's queue.
     pub fn remove(&mut self, client: Token, request_id: RequestId) {
         let Some(queue) = self.by_client.get_mut(&client) else { return };
         let before = queue.len();
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether no request waits.
+    /// Whether no requests are waiting.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/src/frontend/amqp/servers/fair_queue/tests.rs
+++ b/src/frontend/amqp/servers/fair_queue/tests.rs
@@ -1,4 +1,4 @@
-//! Fairness between clients.
+//! Tests of the fairness between clients.
 
 use super::FairQueue;
 use crate::model::RequestId;
--- a/src/frontend/amqp/servers/link_placement.rs
+++ b/src/frontend/amqp/servers/link_placement.rs
@@ -1,5 +1,6 @@
-//! Attaches links to servers. A class has up to `server_lanes` sending links to a server, and each forwarder one receiving
-//! link, on as few connections and sessions as the server's limits allow: a long message occupies its link and no other.
+//! Attaches links to servers. Each class has up to `server_lanes` sending links to a server, so that a long message
+//! blocks only its own link. Each forwarder has one receiving link. The links use as few connections and sessions as
+//! the limits of the server allow.
 
 use super::connection::{ServerConnections, ServerLink};
 use super::ended_attempt::EndedAttempt;
@@ -11,37 +12,37 @@
 use crate::model::{Outcome, ServerId};
 use sparbank_amqp::{Attach, Role, Source, Target, Terminus};
 
-/// Attaches the links that one server needs.
+/// Attaches the links to one server.
 pub struct LinkPlacer<'a> {
-    /// The configuration file.
+    /// The frontend's configuration.
     pub config: &'a AmqpConfig,
-    /// The traffic classes.
+    /// The names of the classes, which are the addresses of sending links.
     pub classes: &'a ClassNames,
-    /// The server.
+    /// The server to which the links are attached.
     pub server_id: ServerId,
 }
 
 /// A link to be attached.
 struct NewLink<'a> {
     name: &'a str,
-    /// This side's role.
+    /// The role of this node on the link.
     role: Role,
     attach: &'a Attach,
 }
 
-/// Where a link was attached.
+/// The result of placing a link on a connection.
 enum Placement {
-    /// On this connection.
+    /// The attach was sent, on this connection and session.
     Attached(ConnectionLink),
-    /// A connection or session that may take it is being opened.
+    /// A connection or session for the link is being opened.
     Pending,
-    /// No connection or session can take it; the outcome of the attempts that need it.
+    /// No connection or session is available. The attempts that need the link end with this outcome.
     Unavailable(Outcome),
 }
 
 impl LinkPlacer<'_> {
-    /// Opens a further sending link for each class that has requests waiting and no link that could take them: its
-    /// first link, or another if long messages occupy all. Requests whose first link cannot be opened are ended.
+    /// Adds a sending link for each class whose requests are waiting because it has no link, or because partly sent
+    /// messages occupy all of its links. If the first link of a class cannot be attached, the waiting attempts end.
     pub fn add_sending_links(
         &self,
         ctx: &mut FrontendContext,
@@ -62,10 +63,10 @@
         }
     }
 
-    /// Attaches a sending link for a class, or begins to open what can take it.
+    /// Attaches a sending link for a class, or opens a connection or session for it.
     ///
     /// # Errors
-    /// The outcome of the attempts that wait, if no connection or session can take the link.
+    /// The outcome of the waiting attempts, if no connection or session is available for the link.
     fn add_sending_link(
         &self,
         ctx: &mut FrontendContext,
@@ -81,11 +82,11 @@
         let attach = sending_attach(address);
         let link = NewLink { name: &name, role: Role::Sender, attach: &attach };
         match self.place(ctx, server, connections, link) {
-            Placement::Attached(at) => {
-                if let Some(connection) = connections.get_mut(at.token) {
-                    connection.add_link(at.id, ServerLink::Sending(class));
+            Placement::Attached(link) => {
+                if let Some(connection) = connections.get_mut(link.token) {
+                    connection.add_link(link.id, ServerLink::Sending(class));
                 }
-                server.classes[class].links.push(SendingLink { at, current: None });
+                server.classes[class].links.push(SendingLink { link, sending: None });
                 Ok(())
             }
             Placement::Pending => Ok(()),
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Attaches the receiving links of the forwarders that wait at the server.
+    /// Attaches the receiving links of the forwarders that wait for a session with the server.
     pub fn attach_waiting_forwarders(
         &self,
         ctx: &mut FrontendContext,
@@ -105,9 +106,9 @@
             let name = format!("{}/{id}", connections.container());
             let link = NewLink { name: &name, role: Role::Receiver, attach: &attach };
             match self.place(ctx, server, connections, link) {
-                Placement::Attached(at) => {
-                    if let Some(connection) = connections.get_mut(at.token) {
-                        connection.add_link(at.id, ServerLink::Receiving(id));
+                Placement::Attached(link) => {
+                    if let Some(connection) = connections.get_mut(link.token) {
+                        connection.add_link(link.id, ServerLink::Receiving(id));
                     }
                 }
                 Placement::Pending => server.waiting_forwarders.push(WaitingForwarder { id, attach }),
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Attaches a link on the first session that takes it, or begins a session, or opens a connection.
+    /// Attaches a link on the first session that has room for it. If there is none, begins a session or opens a
+    /// connection.
     fn place(
         &self,
         ctx: &mut FrontendContext,
@@ -155,7 +157,7 @@
     }
 }
 
-/// The attach of a link on which deliveries for a class are sent.
+/// Builds the attach of a sending link whose target is the address of a class.
 fn sending_attach(address: &str) -> Attach {
     let target = Target { address: Some(address.to_string()), ..Target::default() };
     Attach {
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -1,7 +1,8 @@
-//! The servers: what waits at each, and the connections to them.
+//! The server side of the frontend: the queues of each server and the connections to it.
 //!
-//! [`Servers`] owns both and is the way in for the rest of the frontend. What is queued here is sent when the event loop
-//! calls [`Servers::flush`]: `link_placement` attaches the links that are needed, `sending` sends deliveries on them.
+//! [`Servers`] owns both and is the interface for the rest of the frontend. Queued attempts are sent when the event
+//! loop calls [`Servers::flush`]: `link_placement` attaches the links that are needed, and `sending` sends deliveries
+//! on them.
 
 mod connection;
 mod ended_attempt;
@@ -29,64 +30,64 @@
 use server::{ClassQueue, Server, WaitingForwarder};
 use sparbank_amqp::{Attach, LinkEnd};
 
-/// What a lost connection leaves behind.
+/// What is affected by the loss of a connection.
 #[derive(Default)]
 pub struct LostConnection {
-    /// Attempts that ended with it.
+    /// The attempts that ended with it.
     pub ended: Vec<EndedAttempt>,
-    /// Forwarders that received on it, in order.
+    /// The forwarders that received on it, in the order of their ids.
     pub forwarders: Vec<ForwarderId>,
 }
 
-/// All servers and their connections.
+/// All servers, their queues and their connections.
 pub struct Servers {
     classes: ClassNames,
     connections: ServerConnections,
     by_id: FastHashMap<ServerId, Server>,
     /// Servers that may have something to send, in the order in which they were marked.
     dirty: Vec<ServerId>,
-    /// A message's first octets, put together for its first frame; a field so that its allocation is reused.
-    scratch: Vec<u8>,
+    /// The buffer in which the start of a message is encoded. It is a field so that its allocation is reused.
+    encode_buffer: Vec<u8>,
 }
 
 impl Servers {
-    /// No servers yet. `container` is this node's container id.
+    /// Creates an empty set of servers. `container` is this node's container id.
     pub fn new(frontend: FrontendId, container: &str, classes: ClassNames) -> Servers {
         Servers {
             classes,
             connections: ServerConnections::new(frontend, container),
             by_id: FastHashMap::default(),
             dirty: Vec::new(),
-            scratch: Vec::new(),
+            encode_buffer: Vec::new(),
         }
     }
 
-    /// The server at the other end of a connection.
+    /// Returns the server to which a connection connects, or `None` if this is not a connection to a server.
     pub fn server_of(&self, token: Token) -> Option<ServerId> {
         self.connections.get(token).map(|connection| connection.server())
     }
 
-    /// A connection.
+    /// Returns the connection with this token.
     pub fn connection(&mut self, token: Token) -> Option<&mut ServerConnection> {
         self.connections.get_mut(token)
     }
 
-    /// What a link is for.
+    /// Returns the purpose of a link.
     pub fn link(&self, link: ConnectionLink) -> Option<ServerLink> {
         self.connections.get(link.token)?.link(link.id)
     }
 
-    /// All connections, in order.
+    /// Returns the tokens of all connections, in order.
     pub fn tokens(&self) -> Vec<Token> {
         self.connections.tokens()
     }
 
-    /// The number of connections.
+    /// The current number of connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether a connection is not open yet.
+    /// Whether a connection exists and is not open.
     pub fn is_opening(&self, token: Token) -> bool {
         self.connections.get(token).is_some_and(|connection| !connection.conn.is_open())
     }
@@ -98,7 +99,7 @@
         !is_serving && connection.is_idle()
     }
 
-    /// Queues a request's attempt until a link can send it.
+    /// Queues the attempt of a request until a link can send it.
     pub fn enqueue(&mut self, server_id: ServerId, class: usize, client: Token, request_id: RequestId) {
         let class_count = self.classes.len();
         let server = self.by_id.entry(server_id).or_default();
@@ -109,21 +110,21 @@
         self.mark_dirty(server_id);
     }
 
-    /// Removes a request's attempt from its queue.
+    /// Removes the attempt of a request from its queue.
     pub fn dequeue(&mut self, server: ServerId, class: usize, client: Token, request_id: RequestId) {
         if let Some(server) = self.by_id.get_mut(&server) {
             server.classes[class].waiting.remove(client, request_id);
         }
     }
 
-    /// Queues a forwarder's attach until there is a session for it.
+    /// Queues the attach of a forwarder until a session is available for it.
     pub fn enqueue_forwarder(&mut self, server: ServerId, id: ForwarderId, attach: Box<Attach>) {
         self.by_id.entry(server).or_default().waiting_forwarders.push(WaitingForwarder { id, attach });
         self.mark_dirty(server);
     }
 
-    /// Cancels a forwarder that is not established: its link, if its attach was sent, is detached. True if nothing was
-    /// sent.
+    /// Cancels a forwarder that is not established. If its attach was sent, the link is detached. Returns true if the
+    /// attach was still queued.
     pub fn cancel_forwarder(&mut self, server_id: ServerId, forwarder: ForwarderId) -> bool {
         let Some(server) = self.by_id.get_mut(&server_id) else { return false };
         if server.remove_waiting_forwarder(forwarder) {
@@ -144,7 +145,7 @@
         false
     }
 
-    /// Detaches a link that a forwarder received on.
+    /// Detaches a link on which a forwarder received.
     pub fn detach_source(&mut self, link: ConnectionLink) {
         if let Some(connection) = self.connections.get_mut(link.token) {
             connection.remove_link(link.id);
@@ -153,12 +154,13 @@
         self.mark_connection_dirty(link.token);
     }
 
-    /// A sending link is lost. The requests that wait for it go on waiting if there is another.
+    /// Handles the loss of a sending link. If it was the last link of its class, the waiting attempts end; otherwise
+    /// they wait for the other links.
     pub fn on_sending_link_lost(&mut self, link: ConnectionLink, class: usize) -> Vec<EndedAttempt> {
         let Some(server_id) = self.server_of(link.token) else { return Vec::new() };
         let Some(server) = self.by_id.get_mut(&server_id) else { return Vec::new() };
         let queue = &mut server.classes[class];
-        queue.links.retain(|other| other.at != link);
+        queue.links.retain(|sending_link| sending_link.link != link);
         if queue.links.is_empty() {
             return queue.fail_waiting(Outcome::ConnectFailed);
         }
@@ -166,18 +168,18 @@
         Vec::new()
     }
 
-    /// A delivery was settled or aborted before it was sent completely: its link is free again.
+    /// Releases the link of a delivery that was settled or aborted before it was sent completely.
     pub fn free_sending_link(&mut self, server_id: ServerId, class: usize, request_id: RequestId) {
         if let Some(server) = self.by_id.get_mut(&server_id) {
             let links = server.classes[class].links.iter_mut();
-            for link in links.filter(|link| link.current == Some(request_id)) {
-                link.current = None;
+            for sending_link in links.filter(|sending_link| sending_link.sending == Some(request_id)) {
+                sending_link.sending = None;
             }
         }
         self.mark_dirty(server_id);
     }
 
-    /// Marks a server: there may be something to send to it.
+    /// Marks a server to which there may be something to send.
     pub fn mark_dirty(&mut self, server_id: ServerId) {
         if let Some(server) = self.by_id.get_mut(&server_id).filter(|server| !server.is_dirty) {
             server.is_dirty = true;
@@ -185,20 +187,20 @@
         }
     }
 
-    /// Marks the server of a connection.
+    /// Marks the server of a connection as dirty.
     pub fn mark_connection_dirty(&mut self, token: Token) {
         if let Some(server) = self.server_of(token) {
             self.mark_dirty(server);
         }
     }
 
-    /// Whether any server is marked.
+    /// Whether any server is marked as dirty.
     pub fn is_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// Sends everything that credit, session windows and sockets allow to the servers that are marked dirty. Returns the
-    /// attempts that ended meanwhile.
+    /// Sends to the servers that are marked dirty, as far as credit, session windows and sockets allow. Returns the
+    /// attempts that ended while sending.
     pub fn flush(
         &mut self,
         ctx: &mut FrontendContext,
@@ -209,7 +211,7 @@
         for server_id in std::mem::take(&mut self.dirty) {
             let is_connection_full = self.send_waiting(ctx, config, server_id, deliveries, &mut ended);
             let has_capacity = self.write_pending(ctx, server_id);
-            // If the socket took everything at once, no event says that it takes more.
+            // If the socket accepted everything immediately, no event will report that it is writable again.
             if is_connection_full && has_capacity {
                 self.mark_dirty(server_id);
             }
@@ -217,7 +219,7 @@
         ended
     }
 
-    /// Sends a server what waits for it. True if a connection is full and there is more to send.
+    /// Sends the queued attempts of a server. Returns true if there is more to send but a connection is full.
     fn send_waiting(
         &mut self,
         ctx: &mut FrontendContext,
@@ -240,7 +242,7 @@
             server_id,
             max_retryable_bytes: config.max_retryable_bytes,
             deliveries,
-            scratch: &mut self.scratch,
+            encode_buffer: &mut self.encode_buffer,
             ended: &mut *ended,
         };
         let is_connection_full = sender.send_all(server, connections);
@@ -248,7 +250,7 @@
         is_connection_full
     }
 
-    /// Passes the pending output of a server's connections to their sockets. True if one of them takes more.
+    /// Moves the pending output of a server's connections to their sockets. Returns true if one of them accepts more.
     fn write_pending(&mut self, ctx: &mut FrontendContext, server_id: ServerId) -> bool {
         let Some(server) = self.by_id.get(&server_id) else { return false };
         let mut has_capacity = false;
@@ -259,7 +261,8 @@
         has_capacity
     }
 
-    /// A connection is lost. An attempt on it has not run unless its last octet was written.
+    /// Closes and removes a connection. Its attempts end; an attempt can have run only if its last octet was written
+    /// to the socket.
     pub fn on_connection_lost(
         &mut self,
         ctx: &mut FrontendContext,
@@ -276,7 +279,7 @@
         let Some(server) = self.by_id.get_mut(&server_id) else { return lost };
         server.remove_connection(token);
         if connection.conn.peer_has_no_sasl() && server.sasl != SaslSupport::Absent {
-            // The next connection goes without SASL: the requests in the queues wait for it.
+            // The queued requests wait for the next connection, which is opened without SASL.
             server.sasl = SaslSupport::Absent;
             self.mark_dirty(server_id);
             return lost;
@@ -287,7 +290,8 @@
         lost
     }
 
-    /// Removes a server without connections: everything that waits there could not connect.
+    /// Removes a server without connections, and ends its waiting attempts with `ConnectFailed`. That the server has no
+    /// SASL layer is remembered.
     fn remove_server(&mut self, server_id: ServerId) -> Vec<EndedAttempt> {
         let Some(mut server) = self.by_id.remove(&server_id) else { return Vec::new() };
         if server.sasl == SaslSupport::Absent {
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -1,4 +1,4 @@
-//! Sends deliveries to one server, as far as credit, session windows and sockets allow.
+//! Sends queued deliveries to one server, as far as credit, session windows and sockets allow.
 
 use super::connection::ServerConnections;
 use super::ended_attempt::EndedAttempt;
@@ -12,49 +12,49 @@
 use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
 use sparbank_time::{DurationExt, MonotonicTime};
 
-/// Octets that a link sends before the next link is served.
+/// The maximum number of octets that one link sends before the next link is served.
 const CHUNK_BYTES: usize = 16 * 1024;
-/// Octets not yet written at which a connection is full.
+/// The number of octets not yet written to the socket at which a connection is full.
 pub const MAX_UNWRITTEN_BYTES: usize = 64 * 1024;
 
-/// The result of serving one link with one chunk.
+/// The result of sending one chunk on one link.
 enum ChunkResult {
-    /// The link can send nothing now.
+    /// The link has nothing to send, or cannot send now.
     Idle,
-    /// The link's connection is full, and there is more to send.
+    /// There is more to send, but the link's connection is full.
     ConnectionFull,
     /// The link has sent something, or is ready for the next request.
     Progress,
-    /// This request's attempt has ended before anything was sent; the link is ready for the next.
+    /// The attempt of this request ended before anything was sent. The link is ready for the next request.
     Ended(RequestId, Outcome),
 }
 
-/// The result of serving all links of a server once.
+/// The result of sending one chunk on each link of a server.
 #[derive(Default)]
 struct RoundResult {
     has_progressed: bool,
     is_connection_full: bool,
 }
 
-/// Sends what waits at one server.
+/// Sends the deliveries that are queued for one server.
 pub struct DeliverySender<'a, 'b> {
-    /// The node's parts.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The server.
+    /// The server to which the deliveries are sent.
     pub server_id: ServerId,
-    /// Of larger deliveries the octets already sent are discarded.
+    /// The size of a delivery above which octets are discarded as soon as they are sent.
     pub max_retryable_bytes: usize,
     /// All unsettled deliveries.
     pub deliveries: &'a mut Deliveries,
-    /// A message's first octets are put together here, for its first frame.
-    pub scratch: &'a mut Vec<u8>,
-    /// Attempts that end are added here.
+    /// A reusable buffer in which the start of a message is encoded.
+    pub encode_buffer: &'a mut Vec<u8>,
+    /// Output: the attempts that ended while sending.
     pub ended: &'a mut Vec<EndedAttempt>,
 }
 
 impl DeliverySender<'_, '_> {
-    /// Serves every link of every class with one chunk a round, until none can send. True if a connection is full and
-    /// there is more to send.
+    /// Sends on all links in rounds of one chunk per link, until no link can send. Returns true if there is more to
+    /// send but a connection is full.
     pub fn send_all(&mut self, server: &mut Server, connections: &mut ServerConnections) -> bool {
         server.rotation = server.rotation.wrapping_add(1);
         let mut is_connection_full = false;
@@ -67,14 +67,15 @@
         }
     }
 
+    /// Sends one chunk on each link of each class.
     fn send_round(&mut self, server: &mut Server, connections: &mut ServerConnections) -> RoundResult {
         let mut round = RoundResult::default();
         for offset in 0..server.classes.len() {
             let class = (server.rotation + offset) % server.classes.len();
             let ClassQueue { waiting, links } = &mut server.classes[class];
-            for link in links {
-                let Some(connection) = connections.get_mut(link.at.token) else { continue };
-                match self.send_chunk(waiting, link, &mut connection.conn) {
+            for sending_link in links {
+                let Some(connection) = connections.get_mut(sending_link.link.token) else { continue };
+                match self.send_chunk(waiting, sending_link, &mut connection.conn) {
                     ChunkResult::Idle => {}
                     ChunkResult::ConnectionFull => round.is_connection_full = true,
                     ChunkResult::Progress => round.has_progressed = true,
@@ -92,34 +93,34 @@
     fn send_chunk(
         &mut self,
         waiting: &mut FairQueue,
-        link: &mut SendingLink,
+        sending_link: &mut SendingLink,
         conn: &mut Connection,
     ) -> ChunkResult {
-        let capacity = self.unwritten_capacity(link.at.token);
+        let capacity = self.unwritten_capacity(sending_link.link.token);
         if conn.pending() >= capacity {
-            let has_more = link.current.is_some() || !waiting.is_empty();
+            let has_more = sending_link.sending.is_some() || !waiting.is_empty();
             return if has_more { ChunkResult::ConnectionFull } else { ChunkResult::Idle };
         }
         let capacity = capacity.min(conn.pending() + CHUNK_BYTES);
-        let Some(request_id) = next_request(waiting, link, conn) else { return ChunkResult::Idle };
-        link.current = None;
+        let Some(request_id) = next_request(waiting, sending_link, conn) else { return ChunkResult::Idle };
+        sending_link.sending = None;
         let Some(delivery) = self.deliveries.get(request_id) else { return ChunkResult::Progress };
         let Some(attempt) = delivery.attempt.as_ref().filter(|attempt| attempt.server == self.server_id)
         else {
             return ChunkResult::Progress;
         };
-        let chunk = Chunk { link: link.at.id, request_id, capacity };
+        let chunk = Chunk { link: sending_link.link.id, request_id, capacity };
         let progress = match attempt.stage {
             AttemptStage::Sent { .. } => return ChunkResult::Progress,
             AttemptStage::Sending { delivery_id, sent, .. } => {
                 chunk.resume(conn, delivery, delivery_id, sent)
             }
             AttemptStage::Queued => {
-                if let Err(outcome) = check_start(self.ctx, self.server_id, &chunk, conn, delivery) {
+                if let Err(outcome) = check_sendable(self.ctx, self.server_id, &chunk, conn, delivery) {
                     return ChunkResult::Ended(request_id, outcome);
                 }
                 let ttl_ms = remaining_ms(attempt.deadline, self.ctx.now);
-                let progress = chunk.begin(conn, delivery, ttl_ms, self.scratch);
+                let progress = chunk.begin(conn, delivery, ttl_ms, self.encode_buffer);
                 if !progress.sent.started {
                     waiting.push(delivery.link.token, request_id);
                     return ChunkResult::Idle;
@@ -127,19 +128,19 @@
                 progress
             }
         };
-        self.record(request_id, link, conn, &progress)
+        self.record_progress(request_id, sending_link, conn, &progress)
     }
 
-    /// The octets that a connection takes until it is full.
+    /// The number of octets that can be passed to a connection until it is full.
     fn unwritten_capacity(&self, token: Token) -> usize {
         MAX_UNWRITTEN_BYTES.saturating_sub(self.ctx.net.pending_output_bytes(token))
     }
 
-    /// Records how far a delivery has come.
-    fn record(
+    /// Records the progress of a delivery after a chunk was sent.
+    fn record_progress(
         &mut self,
         request_id: RequestId,
-        link: &mut SendingLink,
+        sending_link: &mut SendingLink,
         conn: &Connection,
         progress: &Progress,
     ) -> ChunkResult {
@@ -147,12 +148,13 @@
         let Some(attempt) = attempt else { return ChunkResult::Progress };
         let delivery_id = progress.delivery_id;
         if progress.sent.complete {
-            let end = self.ctx.net.output_position(link.at.token) + conn.pending() as u64;
-            attempt.stage = AttemptStage::Sent { link: link.at, delivery_id, end };
+            let end = self.ctx.net.output_position(sending_link.link.token) + conn.pending() as u64;
+            attempt.stage = AttemptStage::Sent { link: sending_link.link, delivery_id, end };
             return ChunkResult::Progress;
         }
-        attempt.stage = AttemptStage::Sending { link: link.at, delivery_id, sent: progress.position };
-        link.current = Some(request_id);
+        attempt.stage =
+            AttemptStage::Sending { link: sending_link.link, delivery_id, sent: progress.position };
+        sending_link.sending = Some(request_id);
         self.deliveries.discard_sent(request_id, self.max_retryable_bytes);
         if progress.sent.octets > 0 {
             ChunkResult::Progress
@@ -166,39 +168,39 @@
 struct Chunk {
     link: LinkId,
     request_id: RequestId,
-    /// The octets of pending output up to which it is sent.
+    /// The number of octets of pending output at which sending stops.
     capacity: usize,
 }
 
-/// How far a delivery has come with a chunk.
+/// The progress of a delivery after a chunk was sent.
 struct Progress {
     sent: Sent,
     delivery_id: u32,
-    /// Octets of the client's message that were sent so far.
+    /// The number of octets of the client's message that have been sent so far.
     position: usize,
 }
 
 impl Chunk {
-    /// Sends the first chunk of a delivery, with a fresh time to live.
+    /// Sends the first chunk of a delivery, with a header whose `ttl` is the remaining time of the attempt.
     fn begin(
         &self,
         conn: &mut Connection,
         delivery: &Delivery,
         ttl_ms: u32,
-        scratch: &mut Vec<u8>,
+        encode_buffer: &mut Vec<u8>,
     ) -> Progress {
-        scratch.clear();
-        delivery.head.encode(&delivery.bytes, ttl_ms, scratch);
-        let header_len = scratch.len();
-        let rest = delivery.head.after_header();
-        scratch.extend_from_slice(&delivery.bytes[rest..]);
+        encode_buffer.clear();
+        delivery.head.encode(&delivery.bytes, ttl_ms, encode_buffer);
+        let header_len = encode_buffer.len();
+        let rest_start = delivery.head.after_header();
+        encode_buffer.extend_from_slice(&delivery.bytes[rest_start..]);
         let delivery_id = conn.next_delivery_id(self.link.channel);
-        let sent = self.send(conn, delivery, scratch);
-        // A header has fewer octets than any frame: it was sent with the first.
-        Progress { sent, delivery_id, position: rest + sent.octets.saturating_sub(header_len) }
+        let sent = self.send(conn, delivery, encode_buffer);
+        // The header is smaller than any frame, so it is sent completely with the first frame.
+        Progress { sent, delivery_id, position: rest_start + sent.octets.saturating_sub(header_len) }
     }
 
-    /// Sends the next chunk of a delivery of which `position` octets were sent.
+    /// Sends the next chunk of a delivery of which `position` octets have been sent.
     fn resume(
         &self,
         conn: &mut Connection,
@@ -217,11 +219,12 @@
     }
 }
 
-/// Checks that a delivery may be sent to a server and is not too large for it.
+/// Checks that the attempt of a delivery may be sent to a server now, and that the delivery is not too large for the
+/// link.
 ///
 /// # Errors
-/// The outcome of its attempt.
-fn check_start(
+/// The outcome of an attempt that cannot be sent.
+fn check_sendable(
     ctx: &FrontendContext,
     server: ServerId,
     chunk: &Chunk,
@@ -229,7 +232,7 @@
     delivery: &Delivery,
 ) -> Result<(), Outcome> {
     let is_server_ready = ctx.registry.entry(server).is_some_and(|entry| entry.is_ready());
-    // A client that is gone may still come back and resume the delivery: its absence does not count here.
+    // A client that has disconnected may reconnect and resume the delivery, so it is never reported as gone here.
     let peers = PeerStatus { client_gone: false, server_ready: is_server_ready };
     let permission = ctx.requests.may_send(ctx.now, chunk.request_id, peers);
     if let Err(refusal) = permission {
@@ -243,19 +246,24 @@
     Ok(())
 }
 
-/// Milliseconds until a deadline, at least one.
+/// The number of milliseconds until a deadline, but at least one.
 fn remaining_ms(deadline: MonotonicTime, now: MonotonicTime) -> u32 {
     (deadline.saturating_duration_since(now).as_millis_u64() as u32).max(1)
 }
 
-/// The request whose delivery was sent on a link partly, or the next that waits.
-fn next_request(waiting: &mut FairQueue, link: &SendingLink, conn: &mut Connection) -> Option<RequestId> {
-    if link.current.is_some() {
-        return link.current;
+/// Returns the request whose delivery is partly sent on a link, or else the next waiting request if the link can send
+/// it.
+fn next_request(
+    waiting: &mut FairQueue,
+    sending_link: &SendingLink,
+    conn: &mut Connection,
+) -> Option<RequestId> {
+    if sending_link.sending.is_some() {
+        return sending_link.sending;
     }
-    let request_id = if conn.can_send(link.at.id) { waiting.pop() } else { None };
+    let request_id = if conn.can_send(sending_link.link.id) { waiting.pop() } else { None };
     if waiting.is_empty() && request_id.is_none() {
-        conn.return_credit(link.at.id);
+        conn.return_credit(sending_link.link.id);
     }
     request_id
 }
--- a/src/frontend/amqp/servers/server.rs
+++ b/src/frontend/amqp/servers/server.rs
@@ -1,4 +1,4 @@
-//! What waits at one server, and the links that it waits for.
+//! The queues of one server, and the links on which the queued requests are sent.
 
 use super::connection::SaslSupport;
 use super::ended_attempt::EndedAttempt;
@@ -9,65 +9,65 @@
 use crate::net::Token;
 use sparbank_amqp::Attach;
 
-/// A server that the node is or was connected to.
+/// A server to which attempts are or were made.
 #[derive(Default)]
 pub struct Server {
     /// Its connections, in the order in which they were opened.
     pub connections: Vec<Token>,
-    /// By class; empty until the first request.
+    /// The queue of each class, by class index. Empty until the first request is queued.
     pub classes: Vec<ClassQueue>,
-    /// Forwarders that wait for a session.
+    /// Forwarders that wait for a session on which to attach.
     pub waiting_forwarders: Vec<WaitingForwarder>,
-    /// Whether it has a SASL layer.
+    /// Whether the server has a SASL layer.
     pub sasl: SaslSupport,
-    /// It is listed among the servers that may have something to send.
+    /// Whether it is in the list of servers that may have something to send.
     pub is_dirty: bool,
-    /// Rotates the class that is served first.
+    /// Determines the class that is served first. It is incremented with each flush, so that all classes take turns.
     pub rotation: usize,
 }
 
-/// The requests of one class that wait at a server, and the links for them.
+/// The waiting requests of one class at a server, and the links on which they are sent.
 #[derive(Default)]
 pub struct ClassQueue {
-    /// The requests.
+    /// The requests that wait for a link.
     pub waiting: FairQueue,
-    /// The links.
+    /// The sending links of the class.
     pub links: Vec<SendingLink>,
 }
 
 /// A link on which deliveries of one class are sent to a server.
 pub struct SendingLink {
-    /// The link.
-    pub at: ConnectionLink,
-    /// The delivery that was sent on it partly.
-    pub current: Option<RequestId>,
+    /// The link and its connection.
+    pub link: ConnectionLink,
+    /// The request whose delivery is only partly sent on the link.
+    pub sending: Option<RequestId>,
 }
 
 /// A forwarder that waits for a session with its server.
 pub struct WaitingForwarder {
-    /// The forwarder.
+    /// The id of the forwarder.
     pub id: ForwarderId,
     /// The attach to be sent.
     pub attach: Box<Attach>,
 }
 
 impl Server {
-    /// Forgets a connection and its links.
+    /// Removes a connection and its links.
     pub fn remove_connection(&mut self, token: Token) {
         self.connections.retain(|connection| *connection != token);
         for class in &mut self.classes {
-            class.links.retain(|link| link.at.token != token);
+            class.links.retain(|sending_link| sending_link.link.token != token);
         }
     }
 
-    /// Removes a forwarder that waits for a session. False if it does not wait.
+    /// Removes a forwarder that waits for a session. Returns false if it was not waiting.
     pub fn remove_waiting_forwarder(&mut self, forwarder: ForwarderId) -> bool {
         let before = self.waiting_forwarders.len();
         self.waiting_forwarders.retain(|waiting| waiting.id != forwarder);
         self.waiting_forwarders.len() < before
     }
 
-    /// Ends everything that waits here with this outcome.
+    /// Ends all waiting attempts with this outcome.
     pub fn fail_all(&mut self, outcome: Outcome) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for class in &mut self.classes {
@@ -80,14 +80,14 @@
 }
 
 impl ClassQueue {
-    /// Empties the queue: its attempts could not connect, with this outcome.
+    /// Ends all waiting attempts of the class with this outcome.
     pub fn fail_waiting(&mut self, outcome: Outcome) -> Vec<EndedAttempt> {
         let waiting = self.waiting.drain().into_iter();
         waiting.map(|request_id| EndedAttempt::Delivery { request_id, outcome }).collect()
     }
 
-    /// Whether requests wait and each link is taken by a delivery that was sent partly.
+    /// Whether requests are waiting and every link is occupied by a partly sent delivery.
     pub fn needs_link(&self) -> bool {
-        !self.waiting.is_empty() && self.links.iter().all(|link| link.current.is_some())
+        !self.waiting.is_empty() && self.links.iter().all(|sending_link| sending_link.sending.is_some())
     }
 }
