--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -32,9 +32,9 @@
 
 /// The values of this module for the AMQP counter line.
 pub struct DeliveryCounters {
-    /// Octets that are currently buffered.
+    /// Octets of deliveries that are currently buffered.
     pub buffered_bytes: usize,
-    /// The maximum of `buffered_bytes` since the node started.
+    /// The maximum of `buffered_bytes` so far.
     pub peak_buffered_bytes: usize,
     /// Deliveries that were aborted after part of them was sent to a server.
     pub aborted: u64,
@@ -50,7 +50,7 @@
 pub struct DetachedLink {
     /// The client's connection.
     pub token: Token,
-    /// The state that the link had when it was detached.
+    /// The link as it was before the detach.
     pub link: SendingLink,
     /// Whether the link was closed or only suspended, in which case it may be resumed.
     pub end: LinkEnd,
--- a/src/frontend/amqp/delivery_requests/transfers.rs
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Answers a delivery that was already received on this link before it was resumed, instead of running it again.
-    /// Returns false if the delivery is new.
+    /// Answers a delivery that was received, or may have been received, before the link was resumed, instead of running
+    /// it again. Returns false if the delivery is new.
     fn answer_resumed(&mut self, link: ConnectionLink, transfer: &IncomingTransfer<'_>) -> bool {
         let Some(client) = self.peers.clients.get(link.token) else { return false };
         let Some(sending_link) = client.sending_link(link.id) else { return false };
--- a/src/frontend/amqp/forwarding/table.rs
+++ b/src/frontend/amqp/forwarding/table.rs
@@ -26,7 +26,7 @@
         self.last_id
     }
 
-    /// Removes a forwarder.
+    /// Removes a forwarder from all indices and returns it.
     pub fn remove(&mut self, id: ForwarderId) -> Option<Forwarder> {
         let forwarder = self.by_id.remove(&id)?;
         match forwarder.request_id {
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -290,8 +290,8 @@
         lost
     }
 
-    /// Removes a server without connections, and ends its waiting attempts with `ConnectFailed`. That the server has no
-    /// SASL layer is remembered.
+    /// Removes a server without connections and ends its waiting attempts with `ConnectFailed`. If the server is known
+    /// to have no SASL layer, this is remembered for its next connection.
     fn remove_server(&mut self, server_id: ServerId) -> Vec<EndedAttempt> {
         let Some(mut server) = self.by_id.remove(&server_id) else { return Vec::new() };
         if server.sasl == SaslSupport::Absent {
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -42,7 +42,7 @@
     pub ctx: &'a mut FrontendContext<'b>,
     /// The server to which the deliveries are sent.
     pub server_id: ServerId,
-    /// The size of a delivery above which octets are discarded as soon as they are sent.
+    /// The size, in octets, above which the sent part of a delivery is discarded, so that it can no longer be retried.
     pub max_retryable_bytes: usize,
     /// All unsettled deliveries.
     pub deliveries: &'a mut Deliveries,
