--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -1,4 +1,4 @@
-//! Dispositions: the states that either side gives to deliveries (2.6.12), and settlement.
+//! Dispositions and settlement of deliveries (2.6.12).
 
 use super::{Connection, Event, LinkId, Stage};
 use crate::composite::write_composite;
@@ -6,10 +6,11 @@
 use crate::frame::{write_frame_with, AMQP};
 use crate::link::Role;
 use crate::performative::Disposition;
-use crate::session::{Direction, Unsettled};
+use crate::session::{Direction, UnsettledDelivery};
 use crate::state::State;
 
-/// Dispositions of consecutive deliveries with the same state, written as one (2.6.12 allows a range).
+/// Dispositions of consecutive deliveries with the same state, which are sent as one frame with a range of delivery ids
+/// (2.6.12).
 pub(super) struct DispositionBatch {
     channel: u16,
     role: Role,
@@ -19,33 +20,35 @@
     state: Option<State>,
 }
 
-/// What this side says of one delivery.
+/// A disposition of a single delivery to be sent.
 pub(super) struct OutgoingDisposition {
-    /// This side's role.
+    /// The local role on the link.
     pub role: Role,
-    /// The delivery's number in its session.
+    /// The delivery id.
     pub id: u32,
     pub settled: bool,
     pub state: Option<State>,
 }
 
 impl Connection {
-    /// Records an unsettled delivery with its session.
+    /// Adds a delivery to the unsettled deliveries of its session and link.
     pub(super) fn track_unsettled(&mut self, link: LinkId, direction: Direction, id: u32, key: u64) {
         let Some(session) = self.session_mut(link.channel) else { return };
         if let Some(link) = session.link_mut(link.handle) {
             link.unsettled += 1;
         }
-        session.unsettled_mut(direction).insert(id, Unsettled { handle: link.handle, key, answered: false });
+        session
+            .unsettled_mut(direction)
+            .insert(id, UnsettledDelivery { handle: link.handle, key, outcome_sent: false });
     }
 
-    /// Removes a delivery that is settled.
+    /// Removes a settled delivery from the unsettled deliveries of its session and link.
     pub(super) fn remove_unsettled(
         &mut self,
         channel: u16,
         direction: Direction,
         id: u32,
-    ) -> Option<Unsettled> {
+    ) -> Option<UnsettledDelivery> {
         let session = self.session_mut(channel)?;
         let delivery = session.unsettled_mut(direction).remove(&id)?;
         if let Some(link) = session.link_mut(delivery.handle) {
@@ -54,8 +57,8 @@
         Some(delivery)
     }
 
-    /// Gives an unsettled received delivery the user's own key, which [`Event::SettledBySender`] and
-    /// [`Event::DeliveryLost`] carry.
+    /// Sets the application's key of an unsettled received delivery. [`Event::SettledBySender`] and
+    /// [`Event::DeliveryLost`] report the key.
     pub fn set_delivery_key(&mut self, channel: u16, id: u32, key: u64) {
         let session = self.session_mut(channel);
         if let Some(delivery) = session.and_then(|session| session.incoming.get_mut(&id)) {
@@ -63,13 +66,13 @@
         }
     }
 
-    /// Gives a received delivery its final state. Where the receiver settles second, the sender settles it after that;
-    /// otherwise it is settled now.
+    /// Sends the outcome of a received delivery. The delivery is settled at once, unless the link's receiver settle
+    /// mode is `second`: then it stays unsettled until the sender settles it.
     pub fn settle(&mut self, channel: u16, id: u32, state: State) {
         let Some(session) = self.session_mut(channel) else { return };
-        let delivery = session.incoming.get_mut(&id).filter(|delivery| !delivery.answered);
+        let delivery = session.incoming.get_mut(&id).filter(|delivery| !delivery.outcome_sent);
         let Some(delivery) = delivery else { return };
-        delivery.answered = true;
+        delivery.outcome_sent = true;
         let handle = delivery.handle;
         let settles_second = session.link(handle).is_some_and(|link| link.receiver_settles_second);
         if !settles_second {
@@ -80,7 +83,7 @@
         self.send_disposition(channel, disposition);
     }
 
-    /// The peer's disposition.
+    /// Handles the peer's disposition.
     pub(super) fn on_disposition(&mut self, channel: u16, disposition: Disposition) -> Result<(), Fault> {
         let missing = |field: &str| fault(condition::INVALID_FIELD, format!("disposition without {field}"));
         let first = disposition.first.ok_or_else(|| missing("first"))?;
@@ -98,19 +101,19 @@
         Ok(())
     }
 
-    /// The sender has settled received deliveries.
+    /// Handles a disposition with which the sender settles received deliveries.
     fn settled_by_sender(&mut self, channel: u16, first: u32, last: u32) {
         let Some(session) = self.session(channel) else { return };
         for id in session.unsettled_in_range(Direction::Incoming, first, last) {
             let delivery = self.remove_unsettled(channel, Direction::Incoming, id);
-            if let Some(delivery) = delivery.filter(|delivery| !delivery.answered) {
+            if let Some(delivery) = delivery.filter(|delivery| !delivery.outcome_sent) {
                 let link = LinkId { channel, handle: delivery.handle };
                 self.events.push_back(Event::SettledBySender { link, key: delivery.key });
             }
         }
     }
 
-    /// The receiver has given sent deliveries their final state.
+    /// Handles a disposition with which the receiver settles sent deliveries or reports their outcome.
     fn settled_by_receiver(
         &mut self,
         channel: u16,
@@ -123,10 +126,10 @@
         for id in session.unsettled_in_range(Direction::Outgoing, first, last) {
             let Some(delivery) = self.remove_unsettled(channel, Direction::Outgoing, id) else { continue };
             let link_id = LinkId { channel, handle: delivery.handle };
-            if let Some(link) = self.link_mut(link_id).filter(|link| link.sending == Some(id)) {
-                // Answered before it was sent completely: the rest must not follow.
-                link.sending = None;
-                link.abort = Some(id);
+            if let Some(link) = self.link_mut(link_id).filter(|link| link.incomplete_outgoing == Some(id)) {
+                // The outcome arrived before the last transfer was sent: the rest of the delivery must not be sent.
+                link.incomplete_outgoing = None;
+                link.pending_abort = Some(id);
             }
             if !settled {
                 let state = state.clone();
@@ -143,23 +146,25 @@
         self.send_aborts(channel);
     }
 
-    /// Sends a disposition, or adds it to the batch.
+    /// Adds a disposition to the current batch if it continues its range. Otherwise flushes the batch and starts a
+    /// new one.
     pub(super) fn send_disposition(&mut self, channel: u16, disposition: OutgoingDisposition) {
         let OutgoingDisposition { role, id, settled, state } = disposition;
-        if let Some(batch) = &mut self.batch {
+        if let Some(batch) = &mut self.disposition_batch {
             let is_next = batch.last.wrapping_add(1) == id && (batch.channel, batch.role) == (channel, role);
             if is_next && batch.settled == settled && batch.state == state {
                 batch.last = id;
                 return;
             }
         }
-        self.flush_batch();
-        self.batch = Some(DispositionBatch { channel, role, first: id, last: id, settled, state });
+        self.flush_dispositions();
+        self.disposition_batch =
+            Some(DispositionBatch { channel, role, first: id, last: id, settled, state });
     }
 
-    /// Writes the batch.
-    pub(super) fn flush_batch(&mut self) {
-        let Some(batch) = self.batch.take() else { return };
+    /// Writes the batched disposition to the output buffer.
+    pub(super) fn flush_dispositions(&mut self) {
+        let Some(batch) = self.disposition_batch.take() else { return };
         if self.stage == Stage::Closed {
             return;
         }
--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -1,4 +1,4 @@
-//! What a connection tells its user, and what its user tells it of deliveries.
+//! The events that a connection reports, and the types that describe links and deliveries in the API.
 
 use crate::error::Error;
 use crate::link::Role;
@@ -8,37 +8,37 @@
 use crate::state::State;
 use crate::value::Value;
 
-/// Identifies a link of a connection, by this side's channel and handle.
+/// Identifies a link of a connection by its local channel and handle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LinkId {
-    /// The session's channel.
+    /// The local channel of the session.
     pub channel: u16,
-    /// The link's handle.
+    /// The local handle of the link.
     pub handle: u32,
 }
 
 /// A delivery to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Outgoing {
-    /// The user's own key for it; events about the delivery carry it.
+    /// The application's key for the delivery, which events about it carry.
     pub key: u64,
-    /// Its tag.
+    /// The delivery tag.
     pub tag: Tag,
-    /// It is sent settled: no state is expected for it.
+    /// Whether it is sent settled, so that no outcome is expected.
     pub settled: bool,
 }
 
 /// How a link is detached (2.6.4 to 2.6.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LinkEnd {
-    /// It is closed: nothing of it remains.
+    /// The link is closed and its terminus is discarded.
     Closed,
-    /// It is suspended and may be resumed.
+    /// The link is suspended and may be resumed.
     Suspended,
 }
 
 impl LinkEnd {
-    /// What the `closed` field of a detach says.
+    /// Reads the `closed` field of a detach.
     pub(super) fn from_field(closed: Option<bool>) -> LinkEnd {
         match closed {
             Some(true) => LinkEnd::Closed,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The `closed` field of a detach.
+    /// The value for the `closed` field of a detach.
     pub(super) fn to_field(self) -> Option<bool> {
         match self {
             LinkEnd::Closed => Some(true),
@@ -55,80 +55,84 @@
     }
 }
 
-/// A transfer that was received: a delivery or a piece of one.
+/// A received transfer, which contains all or part of a delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingTransfer<'a> {
-    /// The delivery's number in its session.
+    /// The delivery id.
     pub id: u32,
-    /// The delivery's tag.
+    /// The delivery tag.
     pub tag: Tag,
-    /// It is the first transfer of its delivery.
+    /// Whether it is the first transfer of its delivery.
     pub first: bool,
-    /// It is the last transfer of its delivery.
+    /// Whether it is the last transfer of its delivery.
     pub last: bool,
-    /// The sender has aborted the delivery: what was received of it is to be discarded.
+    /// Whether the sender aborted the delivery. The payload received so far has to be discarded.
     pub aborted: bool,
-    /// The sender has settled the delivery: no state is expected for it.
+    /// Whether the sender settled the delivery, so that it expects no outcome.
     pub settled: bool,
-    /// The delivery resumes one from before the link was attached.
+    /// Whether the transfer resumes a delivery from an earlier attachment of the link.
     pub resume: bool,
-    /// The octets.
+    /// The part of the message that this transfer contains.
     pub payload: &'a [u8],
 }
 
-/// An unsettled delivery of a connection that is lost.
+/// An unsettled delivery of a connection whose transport was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbandonedDelivery {
     /// The link.
     pub link: LinkId,
-    /// This side's role on the link.
+    /// The local role on the link.
     pub role: Role,
-    /// The user's own key for the delivery.
+    /// The application's key for the delivery.
     pub key: u64,
 }
 
-/// What has happened on a connection.
+/// An event on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// A client authenticates: [`Connection::finish_sasl`](super::Connection::finish_sasl) answers, now or later.
+    /// A client is authenticating. The application answers with
+    /// [`Connection::finish_sasl`](super::Connection::finish_sasl), immediately or later. For
+    /// [`SaslRequest::ScramKeys`] it answers with
+    /// [`Connection::provide_scram_keys`](super::Connection::provide_scram_keys).
     SaslRequest(SaslRequest),
     /// The connection is open; [`Connection::peer`](super::Connection::peer) describes the peer.
     Opened {},
     /// A session has begun.
     Began {
-        /// Its channel.
+        /// The local channel of the session.
         channel: u16,
     },
     /// A session has ended, with all its links; [`Event::DeliveryLost`] and [`Event::Detached`] precede it.
     Ended {
-        /// Its channel.
+        /// The local channel of the session.
         channel: u16,
     },
-    /// The peer wants to attach a link: answer with [`Connection::accept_link`](super::Connection::accept_link) or
+    /// The peer requests a link. The application answers with
+    /// [`Connection::accept_link`](super::Connection::accept_link) or
     /// [`Connection::refuse_link`](super::Connection::refuse_link).
     AttachRequested {
         /// The link.
         link: LinkId,
-        /// What this side would be.
+        /// The local role on the link.
         role: Role,
         /// The peer's attach.
         attach: Box<Attach>,
     },
-    /// The peer has answered an attach.
+    /// The peer has answered a local attach.
     Attached {
         /// The link.
         link: LinkId,
         /// The peer's attach.
         attach: Box<Attach>,
     },
-    /// A sender's credit may have changed, or its receiver drains it.
+    /// A flow for a link was received: the credit may have changed, or the receiver may have requested a drain.
     Credit {
         /// The link.
         link: LinkId,
     },
-    /// The peer's window of a session may have opened again.
+    /// A flow for a session was received: the peer's incoming window may have changed.
     SessionWindow {
-        /// The session.
+        /// The local channel of the session.
         channel: u16,
     },
     /// A transfer was received.
@@ -138,60 +142,60 @@
         /// The transfer.
         transfer: IncomingTransfer<'a>,
     },
-    /// The receiver has given the final state of a sent delivery, or has settled it without one.
+    /// The receiver has reported the outcome of a sent delivery, or has settled it without one.
     Settled {
         /// The link.
         link: LinkId,
-        /// The delivery's number.
+        /// The delivery id.
         id: u32,
-        /// The user's own key for the delivery.
+        /// The application's key for the delivery.
         key: u64,
-        /// Its state.
+        /// The outcome.
         state: Option<State>,
     },
-    /// The sender has settled a received delivery before it had a state: none is expected any more.
+    /// The sender has settled a received delivery before an outcome was sent. It no longer expects one.
     SettledBySender {
         /// The link.
         link: LinkId,
-        /// The user's own key for the delivery.
+        /// The application's key for the delivery.
         key: u64,
     },
-    /// An unsettled delivery is lost with its link.
+    /// The link of an unsettled delivery was detached, so its outcome remains unknown.
     DeliveryLost {
         /// The link.
         link: LinkId,
-        /// This side's role on the link.
+        /// The local role on the link.
         role: Role,
-        /// The user's own key for the delivery.
+        /// The application's key for the delivery.
         key: u64,
     },
-    /// A link is detached.
+    /// A link was detached.
     Detached {
         /// The link.
         link: LinkId,
-        /// Whether it may be resumed.
+        /// Whether the link was closed or may be resumed.
         end: LinkEnd,
-        /// The peer's reason.
+        /// The error that the peer gave as the reason.
         error: Option<Box<Error>>,
     },
     /// The peer has closed the connection.
     Closed {
-        /// Its reason.
+        /// The error that the peer gave as the reason.
         error: Option<Box<Error>>,
     },
 }
 
-/// What the peer's open says.
+/// The contents of the peer's open.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerInfo {
-    /// Its container id.
+    /// The peer's container id.
     pub container: String,
-    /// The host that it requested.
+    /// The host name that the peer requested.
     pub hostname: Option<String>,
-    /// Its properties.
+    /// The connection properties.
     pub properties: Option<Value>,
-    /// Its extension capabilities.
+    /// The extension capabilities that the peer supports.
     pub offered: Option<Value>,
-    /// Extension capabilities that it would like this side to have.
+    /// The extension capabilities that the peer wants to use.
     pub desired: Option<Value>,
 }
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -1,4 +1,4 @@
-//! Protocol headers (2.2), SASL (standard, section 5.3) and open (2.7.1).
+//! Connection setup: protocol headers (2.2), SASL (5.3) and open (2.7.1).
 
 use super::{Auth, Connection, Event, PeerInfo, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, SASL_HEADER};
 use crate::error::{condition, fault, Fault};
@@ -11,24 +11,24 @@
 const SASL_CODE_AUTH: u8 = 1;
 
 impl Connection {
-    /// The peer's protocol header.
+    /// Handles the peer's protocol header.
     pub(super) fn on_header(&mut self, header: &[u8; 8]) -> Result<(), Fault> {
         match (&mut self.auth, self.stage, header) {
-            (Auth::Server(server), Stage::Start, SASL_HEADER) => {
+            (Auth::Server(server), Stage::AwaitingHeader, SASL_HEADER) => {
                 let server = server.get_or_insert_with(|| sasl::Server::new(vec![Mechanism::Anonymous]));
                 let mechanisms = server.mechanisms();
                 self.out.extend(SASL_HEADER);
                 self.send_sasl(&mechanisms);
                 self.stage = Stage::Sasl;
             }
-            (Auth::Server(None), Stage::Start, AMQP_HEADER)
-            | (Auth::Server(_), Stage::Header, AMQP_HEADER) => {
+            (Auth::Server(None), Stage::AwaitingHeader, AMQP_HEADER)
+            | (Auth::Server(_), Stage::AwaitingAmqpHeader, AMQP_HEADER) => {
                 self.out.extend(AMQP_HEADER);
-                self.stage = Stage::Opening;
+                self.stage = Stage::AwaitingOpen;
             }
-            (Auth::Client(Some(_)), Stage::Start, SASL_HEADER) => self.stage = Stage::Sasl,
-            (Auth::Client(_), Stage::Header, AMQP_HEADER) => self.stage = Stage::Opening,
-            (Auth::Client(Some(_)), Stage::Start, AMQP_HEADER) => {
+            (Auth::Client(Some(_)), Stage::AwaitingHeader, SASL_HEADER) => self.stage = Stage::Sasl,
+            (Auth::Client(_), Stage::AwaitingAmqpHeader, AMQP_HEADER) => self.stage = Stage::AwaitingOpen,
+            (Auth::Client(Some(_)), Stage::AwaitingHeader, AMQP_HEADER) => {
                 self.peer_has_no_sasl = true;
                 self.stage = Stage::Closed;
                 return Err(fault(condition::FRAMING_ERROR, "the peer speaks no SASL"));
@@ -38,17 +38,18 @@
         Ok(())
     }
 
-    /// The peer's header is not supported: it is answered with one that is (2.2), and the connection ends.
+    /// Closes the connection because the peer's protocol header is not supported. A server first sends a header that it
+    /// supports (2.2).
     pub(super) fn reject_header(&mut self) -> Fault {
         if let Auth::Server(server) = &self.auth {
-            let requires_sasl = server.is_some() && self.stage == Stage::Start;
+            let requires_sasl = server.is_some() && self.stage == Stage::AwaitingHeader;
             self.out.extend(if requires_sasl { SASL_HEADER } else { AMQP_HEADER });
         }
         self.stage = Stage::Closed;
         fault(condition::FRAMING_ERROR, "not the protocol header that is wanted")
     }
 
-    /// The body of a SASL frame.
+    /// Handles the body of a SASL frame.
     pub(super) fn on_sasl(&mut self, body: Performative) -> Result<(), Fault> {
         let step = match &mut self.auth {
             Auth::Server(Some(server)) => server.handle(body),
@@ -57,11 +58,11 @@
         };
         match step {
             Ok(Step::Send(body)) => self.send_sasl(&body),
-            Ok(Step::Decide(request)) => self.events.push_back(Event::SaslRequest(request)),
+            Ok(Step::Request(request)) => self.events.push_back(Event::SaslRequest(request)),
             Ok(Step::Done) => {
                 self.out.extend(AMQP_HEADER);
                 self.send_open();
-                self.stage = Stage::Header;
+                self.stage = Stage::AwaitingAmqpHeader;
             }
             Err(fault) => {
                 if matches!(self.auth, Auth::Server(_)) {
@@ -75,8 +76,8 @@
         Ok(())
     }
 
-    /// Answers [`SaslRequest::ScramKeys`](crate::SaslRequest::ScramKeys): the user's keys, or none and a salt to use instead;
-    /// and a nonce.
+    /// Answers [`SaslRequest::ScramKeys`](crate::SaslRequest::ScramKeys) with the keys of the user and a server
+    /// nonce. For an unknown user `keys` is None, and `fake_salt` is sent in place of the stored salt.
     pub fn provide_scram_keys(&mut self, keys: Option<SaltedKeys>, fake_salt: &[u8], nonce: &str) {
         if let Auth::Server(Some(server)) = &mut self.auth {
             if let Some(body) = server.provide_keys(keys, fake_salt, nonce) {
@@ -85,13 +86,13 @@
         }
     }
 
-    /// Answers [`Event::SaslRequest`]. A peer that is not authorized gets a negative outcome and the connection is
-    /// closed.
+    /// Answers [`Event::SaslRequest`]. If the client is not authorized, it is sent a negative outcome and the
+    /// connection is closed.
     pub fn finish_sasl(&mut self, is_authorized: bool) {
         let Auth::Server(Some(server)) = &mut self.auth else { return };
         let Some(body) = server.finish(is_authorized) else { return };
         self.send_sasl(&body);
-        self.stage = if is_authorized { Stage::Header } else { Stage::Closed };
+        self.stage = if is_authorized { Stage::AwaitingAmqpHeader } else { Stage::Closed };
     }
 
     pub(super) fn send_open(&mut self) {
@@ -101,14 +102,14 @@
             hostname: self.settings.hostname.clone(),
             max_frame_size: Some(self.settings.max_frame_size),
             channel_max: Some(self.settings.channel_max),
-            // Half of the timeout that is enforced is announced, as the standard advises (2.4.5).
+            // The standard advises to announce half of the timeout that is enforced (2.4.5).
             idle_time_out: Some((idle_timeout_ms / 2) as u32).filter(|timeout| *timeout > 0),
             ..Open::default()
         };
         write_frame(&mut self.out, AMQP, 0, Some(&open.into()), &[]);
     }
 
-    /// The peer's open.
+    /// Handles the peer's open.
     pub(super) fn on_open(&mut self, open: Open) -> Result<Event<'static>, Fault> {
         let container =
             open.container_id.ok_or_else(|| fault(condition::INVALID_FIELD, "open without a container"))?;
@@ -118,7 +119,7 @@
         }
         self.peer_max_frame_size = max_frame_size;
         self.peer_channel_max = open.channel_max.unwrap_or(u16::MAX);
-        self.idle.set_peer_timeout(open.idle_time_out);
+        self.idle.set_remote_timeout(open.idle_time_out);
         self.peer = PeerInfo {
             container,
             hostname: open.hostname,
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -1,4 +1,4 @@
-//! Deliveries that are received (2.6.14), and the receiver's credit (2.6.7).
+//! Receiving deliveries (2.6.14) and granting credit (2.6.7).
 
 use super::{Connection, Event, IncomingTransfer, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
@@ -6,16 +6,16 @@
 use crate::performative::Transfer;
 use crate::session::Direction;
 
-/// Why a transfer is not accepted.
+/// The error of a transfer that is not accepted.
 enum Violation {
-    /// It ends the connection or the session.
+    /// Ends the connection or the session.
     Fatal(Fault),
-    /// It closes its link.
+    /// Closes the link.
     Link(Error),
 }
 
 impl Connection {
-    /// The peer's transfer.
+    /// Handles the peer's transfer.
     pub(super) fn on_transfer<'a>(
         &mut self,
         channel: u16,
@@ -25,9 +25,9 @@
         self.consume_window(channel)?;
         let handle =
             transfer.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "transfer without a handle"))?;
-        let link_id = self.link_at_remote_handle(channel, handle)?;
+        let link_id = self.link_by_remote_handle(channel, handle)?;
         match self.link(link_id).map(|link| (link.phase, link.role)) {
-            None | Some((LinkPhase::Closing, _)) => return Ok(None),
+            None | Some((LinkPhase::DetachSent, _)) => return Ok(None),
             Some((LinkPhase::Attached, Role::Receiver)) => {}
             Some(_) => return Err(fault(condition::ERRANT_LINK, "a transfer on a link that takes none")),
         }
@@ -42,7 +42,8 @@
         }
     }
 
-    /// Counts a transfer in its session's window, and opens the window again once it is half used.
+    /// Counts a transfer against the session's incoming window. Once half of the window is used, resets it and
+    /// announces it with a flow.
     fn consume_window(&mut self, channel: u16) -> Result<(), Fault> {
         let Some(session) = self.session_mut(channel) else { return Ok(()) };
         session.incoming_window = session
@@ -58,7 +59,7 @@
         Ok(())
     }
 
-    /// Adds a transfer to its delivery.
+    /// Adds a transfer to its delivery and updates the unsettled deliveries.
     fn receive_transfer<'a>(
         &mut self,
         link_id: LinkId,
@@ -69,23 +70,23 @@
         let Some(link) = self.link_mut(link_id) else {
             return Err(Violation::Fatal(fault(condition::UNATTACHED_HANDLE, "no link at this handle")));
         };
-        let first = link.incomplete.is_none();
+        let first = link.incomplete_incoming.is_none();
         let delivery = link.add_transfer(&transfer, payload.len(), max_message_size)?;
         let aborted = transfer.aborted == Some(true);
         let last = transfer.more != Some(true) || aborted;
         let IncompleteDelivery { id, tag, settled, .. } = delivery;
         if !last {
-            link.incomplete = Some(delivery);
+            link.incomplete_incoming = Some(delivery);
         }
         if first {
             self.check_delivery_id(link_id.channel, id)?;
         }
         if first && !aborted {
-            self.check_unsettled(link_id)?;
+            self.check_unsettled_limit(link_id)?;
             self.track_unsettled(link_id, Direction::Incoming, id, 0);
         }
         if aborted || (last && settled) {
-            // No state is expected for it.
+            // The sender expects no outcome for it.
             self.remove_unsettled(link_id.channel, Direction::Incoming, id);
         }
         let resume = transfer.resume == Some(true);
@@ -100,8 +101,8 @@
         Ok(())
     }
 
-    /// Checks that a further delivery may be unsettled on a link.
-    fn check_unsettled(&self, link: LinkId) -> Result<(), Violation> {
+    /// Checks that the link may have one more unsettled delivery.
+    fn check_unsettled_limit(&self, link: LinkId) -> Result<(), Violation> {
         if self.unsettled(link) >= self.settings.max_unsettled {
             let description = "too many unsettled deliveries";
             return Err(Violation::Link(Error::new(condition::RESOURCE_LIMIT_EXCEEDED, description)));
@@ -109,7 +110,8 @@
         Ok(())
     }
 
-    /// Sets a receiver's credit. A flow announces it if it changes.
+    /// Sets a receiver's link credit, limited by [`Settings::max_unsettled`](super::Settings::max_unsettled). Sends a
+    /// flow if the credit changes.
     pub fn set_credit(&mut self, link_id: LinkId, credit: u32) {
         let max_unsettled = self.settings.max_unsettled;
         let link = self.link_mut(link_id).filter(|link| link.phase == LinkPhase::Attached);
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Drains a receiver's credit: its sender has to use it up or give it back.
+    /// Requests a drain of a receiver's link: the sender has to use the credit or return it.
     pub fn drain(&mut self, link_id: LinkId) {
         if let Some(link) = self.link_mut(link_id).filter(|link| link.role == Role::Receiver) {
             link.drain = true;
@@ -131,8 +133,8 @@
 }
 
 impl IncompleteDelivery {
-    /// The delivery, if a transfer continues it.
-    fn continued_by(self, transfer: &Transfer) -> Result<IncompleteDelivery, Fault> {
+    /// Returns the delivery if the transfer belongs to it.
+    fn continue_with(self, transfer: &Transfer) -> Result<IncompleteDelivery, Fault> {
         let same_id = transfer.delivery_id.is_none_or(|id| id == self.id);
         let same_tag = transfer.delivery_tag.is_none_or(|tag| tag == self.tag);
         if !same_id || !same_tag {
@@ -143,19 +145,19 @@
 }
 
 impl Link {
-    /// Adds a transfer to the delivery that is being received, or starts one with it.
+    /// Adds a transfer to the delivery that is being received, or starts a delivery with it.
     fn add_transfer(
         &mut self,
         transfer: &Transfer,
-        octets: usize,
+        payload_size: usize,
         max_message_size: u64,
     ) -> Result<IncompleteDelivery, Violation> {
-        let mut delivery = match self.incomplete.take() {
-            Some(delivery) => delivery.continued_by(transfer).map_err(Violation::Fatal)?,
+        let mut delivery = match self.incomplete_incoming.take() {
+            Some(delivery) => delivery.continue_with(transfer).map_err(Violation::Fatal)?,
             None => self.start_delivery(transfer)?,
         };
         delivery.settled |= transfer.settled == Some(true);
-        delivery.octets += octets as u64;
+        delivery.octets += payload_size as u64;
         if delivery.octets > max_message_size {
             let description = format!("no message above {max_message_size} octets is taken");
             return Err(Violation::Link(Error::new(condition::MESSAGE_SIZE_EXCEEDED, &description)));
@@ -163,7 +165,7 @@
         Ok(delivery)
     }
 
-    /// Starts a received delivery, which uses a credit.
+    /// Starts receiving a delivery, which uses one credit.
     fn start_delivery(&mut self, transfer: &Transfer) -> Result<IncompleteDelivery, Violation> {
         let missing =
             || Violation::Fatal(fault(condition::INVALID_FIELD, "a first transfer without its id or tag"));
--- a/crates/amqp/src/connection/input.rs
+++ b/crates/amqp/src/connection/input.rs
@@ -1,4 +1,4 @@
-//! Received bytes: headers and frames, and which session a frame is for (2.2 to 2.5).
+//! Processing of received octets: protocol headers, frames and the dispatch of frames to sessions (2.2 to 2.5).
 
 use super::{Connection, Event, LinkId, Stage, AMQP_HEADER, MIN_MAX_FRAME_SIZE, SASL_HEADER};
 use crate::error::{condition, fault, Fault};
@@ -8,12 +8,12 @@
 use sparbank_time::MonotonicTime;
 
 impl Connection {
-    /// Processes received octets, and moves `input` past them, until something happens that the user has to know. None if
-    /// more input is needed: the user calls again with what is left of `input` and the octets that follow.
+    /// Processes received octets up to the next event and advances `input` past them. Returns None if more input is
+    /// needed: the caller keeps the rest of `input`, appends the octets that follow and calls this again.
     ///
     /// # Errors
-    /// The peer breaks the protocol or exceeds a bound of [`Settings`](super::Settings). The user calls
-    /// [`Connection::close`] with the fault and writes the remaining output.
+    /// The peer violated the protocol or exceeded a limit of [`Settings`](super::Settings). The caller has to call
+    /// [`Connection::close`] with the fault and write the remaining output.
     pub fn next_event<'a>(
         &mut self,
         now: MonotonicTime,
@@ -27,7 +27,7 @@
                 return Ok(Some(event));
             }
             match self.stage {
-                Stage::Start | Stage::Header => {
+                Stage::AwaitingHeader | Stage::AwaitingAmqpHeader => {
                     if !self.process_header(input)? {
                         return Ok(None);
                     }
@@ -38,7 +38,7 @@
                         self.on_sasl(body)?;
                     }
                 }
-                Stage::Opening | Stage::Open => {
+                Stage::AwaitingOpen | Stage::Open => {
                     let max_size = self.settings.max_frame_size;
                     let Some(frame) = next_frame(input, max_size, AMQP)? else { return Ok(None) };
                     let Some(body) = frame.body else { continue };
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Processes a protocol header. False if it is incomplete.
+    /// Processes a protocol header. Returns false if it is incomplete.
     fn process_header(&mut self, input: &mut &[u8]) -> Result<bool, Fault> {
         let Some((header, rest)) = input.split_first_chunk::<8>() else {
-            // What can no longer become a header is answered at once (2.2).
+            // Octets that cannot become a valid header are rejected without waiting for all eight (2.2).
             let is_prefix_of = |header: &[u8; 8]| header.starts_with(input);
             if is_prefix_of(SASL_HEADER) || is_prefix_of(AMQP_HEADER) || input.starts_with(b"AMQP") {
                 return Ok(false);
@@ -76,25 +76,25 @@
         payload: &'a [u8],
     ) -> Result<Option<Event<'a>>, Fault> {
         match (self.stage, body) {
-            (Stage::Opening, Performative::Open(open)) => self.on_open(*open).map(Some),
+            (Stage::AwaitingOpen, Performative::Open(open)) => self.on_open(*open).map(Some),
             (_, Performative::Close(close)) => {
                 self.close(None);
                 Ok(Some(Event::Closed { error: close.error }))
             }
-            (Stage::Opening, _) | (_, Performative::Open(_)) => {
+            (Stage::AwaitingOpen, _) | (_, Performative::Open(_)) => {
                 Err(fault(condition::ILLEGAL_STATE, "open comes once and first"))
             }
             (_, Performative::Begin(begin)) => self.on_begin(channel, *begin).map(Some),
             (_, body) => {
-                let Some(own_channel) = self.sessions.at_remote_channel(channel) else {
+                let Some(local_channel) = self.sessions.local_channel(channel) else {
                     return Err(fault(condition::ILLEGAL_STATE, "no such session"));
                 };
-                self.on_session_performative(own_channel, body, payload)
+                self.on_session_performative(local_channel, body, payload)
             }
         }
     }
 
-    /// A frame on the session with this side's channel.
+    /// Handles a frame on the session with the given local channel.
     fn on_session_performative<'a>(
         &mut self,
         channel: u16,
@@ -104,7 +104,7 @@
         if let Performative::End(end) = body {
             return Ok(self.on_end(channel, end.error));
         }
-        if self.session(channel).is_none_or(|session| session.phase == SessionPhase::Ending) {
+        if self.session(channel).is_none_or(|session| session.phase == SessionPhase::EndSent) {
             return Ok(None);
         }
         let event = match body {
@@ -118,7 +118,7 @@
             _ => Err(fault(condition::NOT_ALLOWED, "a SASL body in an AMQP frame")),
         };
         match event {
-            // An error of a session ends the session and not the connection (2.5.4).
+            // A session error ends only the session, not the connection (2.5.4).
             Err(fault) if fault.condition.starts_with("amqp:session:") => {
                 self.end_session(channel, Some(Box::new(fault.into())));
                 Ok(None)
@@ -127,17 +127,17 @@
         }
     }
 
-    /// The link at the peer's handle.
-    pub(super) fn link_at_remote_handle(&self, channel: u16, handle: u32) -> Result<LinkId, Fault> {
+    /// Finds a link by the handle that the peer uses for it.
+    pub(super) fn link_by_remote_handle(&self, channel: u16, handle: u32) -> Result<LinkId, Fault> {
         let session = self.session(channel);
-        let own_handle = session.and_then(|session| session.by_remote_handle.get(&handle).copied());
+        let local_handle = session.and_then(|session| session.by_remote_handle.get(&handle).copied());
         let handle =
-            own_handle.ok_or_else(|| fault(condition::UNATTACHED_HANDLE, "no link at this handle"))?;
+            local_handle.ok_or_else(|| fault(condition::UNATTACHED_HANDLE, "no link at this handle"))?;
         Ok(LinkId { channel, handle })
     }
 }
 
-/// The next frame, which has to be of this type. None if it is incomplete.
+/// Reads the next frame, which must have the given type. Returns None if it is incomplete.
 fn next_frame<'a>(input: &mut &'a [u8], max_size: u32, frame_type: u8) -> Result<Option<Frame<'a>>, Fault> {
     let frame = read_frame(input, max_size)?;
     if frame.as_ref().is_some_and(|frame| frame.frame_type != frame_type) {
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -1,4 +1,4 @@
-//! Links: attach and detach (2.6.3 to 2.6.6).
+//! Attaching and detaching links (2.6.3 to 2.6.6).
 
 use super::{Connection, Event, LinkEnd, LinkId};
 use crate::error::{condition, fault, Error, Fault};
@@ -6,24 +6,25 @@
 use crate::performative::{Attach, Detach};
 use crate::session::Phase as SessionPhase;
 
-/// The peer's attach, checked.
+/// A validated attach from the peer.
 struct RemoteAttach {
     handle: u32,
     name: String,
-    /// This side's role.
+    /// The local role on the link.
     role: Role,
     attach: Box<Attach>,
 }
 
 impl Connection {
-    /// Attaches a link with the fields that are the user's (source, target, modes, unsettled). The peer's answer is
-    /// [`Event::Attached`]. None if there are as many links as the peers allow.
+    /// Requests a link. `attach` contains the fields that the application chooses (source, target, settle modes,
+    /// unsettled); the connection sets the others. [`Event::Attached`] reports the peer's answer. Returns None if a
+    /// limit of either side allows no further link.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
         if self.sessions.link_count() >= self.settings.max_links {
             return None;
         }
         let handle_max = self.handle_max(channel);
-        self.session(channel).filter(|session| session.phase != SessionPhase::Ending)?;
+        self.session(channel).filter(|session| session.phase != SessionPhase::EndSent)?;
         let mut link = Link::new(name.to_string(), role, LinkPhase::AttachSent);
         link.receiver_settles_second = attach.rcv_settle_mode == Some(1);
         let link_id = self.sessions.insert_link(channel, link)?;
@@ -40,31 +41,31 @@
         Some(link_id)
     }
 
-    /// The peer's attach: it answers this side's, or requests a link.
+    /// Handles the peer's attach, which answers a local attach or requests a link.
     pub(super) fn on_attach(
         &mut self,
         channel: u16,
         attach: Box<Attach>,
     ) -> Result<Option<Event<'static>>, Fault> {
-        let remote = RemoteAttach::check(attach)?;
+        let remote = RemoteAttach::validate(attach)?;
         let handle_max = self.settings.handle_max;
         let Some(session) = self.session_mut(channel) else { return Ok(None) };
         if remote.handle > handle_max || session.by_remote_handle.contains_key(&remote.handle) {
             return Err(fault(condition::HANDLE_IN_USE, "this handle cannot be attached"));
         }
-        let own_handle = session.find_link(&remote.name, remote.role);
-        let Some(link_id) = own_handle.map(|handle| LinkId { channel, handle }) else {
+        let local_handle = session.find_link(&remote.name, remote.role);
+        let Some(link_id) = local_handle.map(|handle| LinkId { channel, handle }) else {
             self.add_requested_link(channel, remote);
             return Ok(None);
         };
         let Some(link) = self.link(link_id) else { return Ok(None) };
         let phase = link.phase;
-        let is_unanswered = matches!(phase, LinkPhase::AttachSent | LinkPhase::Closing);
+        let is_unanswered = matches!(phase, LinkPhase::AttachSent | LinkPhase::DetachSent);
         if link.remote_handle.is_none() && is_unanswered {
             return Ok(self.on_attach_answered(link_id, remote));
         }
-        if phase != LinkPhase::Closing {
-            // The newer link wins (2.6.1).
+        if phase != LinkPhase::DetachSent {
+            // The new attachment replaces the existing one (2.6.1).
             let error = Error::new(condition::STOLEN, "the link was attached again");
             self.detach(link_id, LinkEnd::Suspended, Some(Box::new(error)));
             self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Suspended, error: None });
@@ -73,20 +74,20 @@
         Ok(None)
     }
 
-    /// The peer has answered this side's attach.
+    /// Handles the peer's answer to a local attach.
     fn on_attach_answered(&mut self, link_id: LinkId, remote: RemoteAttach) -> Option<Event<'static>> {
         let session = self.session_mut(link_id.channel)?;
         session.by_remote_handle.insert(remote.handle, link_id.handle);
         let link = session.link_mut(link_id.handle)?;
         link.on_attach(&remote.attach);
-        if link.phase == LinkPhase::Closing {
+        if link.phase == LinkPhase::DetachSent {
             return None;
         }
         link.phase = LinkPhase::Attached;
         Some(Event::Attached { link: link_id, attach: remote.attach })
     }
 
-    /// Adds a link that the peer requests.
+    /// Adds a link that the peer requests, or refuses it if there are too many.
     fn add_requested_link(&mut self, channel: u16, remote: RemoteAttach) {
         let max_links = self.settings.max_links;
         let is_full = self.sessions.link_count() >= max_links;
@@ -101,12 +102,12 @@
             self.refuse_link(link, Error::new(condition::RESOURCE_LIMIT_EXCEEDED, &description));
             return;
         }
-        // Queued behind the events of a stolen link.
+        // Queued, not returned, so that it follows the events of the link that it replaces.
         self.events.push_back(Event::AttachRequested { link, role: remote.role, attach: remote.attach });
     }
 
-    /// Accepts a link that the peer requested, with the fields that are the user's. A receiver gets no delivery before
-    /// [`Connection::set_credit`].
+    /// Accepts a link that the peer requested. `attach` contains the fields that the application chooses. A receiver
+    /// gets no deliveries until [`Connection::set_credit`] is called.
     pub fn accept_link(&mut self, link_id: LinkId, mut attach: Attach) {
         let max_message_size = self.settings.max_message_size;
         let link = self.link_mut(link_id).filter(|link| link.phase == LinkPhase::AttachReceived);
@@ -121,7 +122,8 @@
         self.send_performative(link_id.channel, attach);
     }
 
-    /// Refuses a link that the peer requested: an attach without a terminus, and a detach with the reason (2.6.3).
+    /// Refuses a link that the peer requested: sends an attach without a terminus, followed by a detach with the error
+    /// (2.6.3).
     pub fn refuse_link(&mut self, link_id: LinkId, error: Error) {
         let link = self.link(link_id).filter(|link| link.phase == LinkPhase::AttachReceived);
         let Some(link) = link else { return };
@@ -136,12 +138,12 @@
         self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
     }
 
-    /// Detaches a link. Its unsettled deliveries are reported as [`Event::DeliveryLost`].
+    /// Detaches a link. [`Event::DeliveryLost`] reports each of its unsettled deliveries.
     pub fn detach(&mut self, link_id: LinkId, end: LinkEnd, error: Option<Box<Error>>) {
-        let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::Closing);
+        let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::DetachSent);
         let Some(link) = link else { return };
         let role = link.role;
-        let unsettled = link.start_closing();
+        let unsettled = link.mark_detach_sent();
         if let Some(session) = self.session_mut(link_id.channel) {
             let keys = session.take_unsettled(link_id.handle, unsettled).into_iter();
             self.events.extend(keys.map(|key| Event::DeliveryLost { link: link_id, role, key }));
@@ -150,20 +152,20 @@
         self.send_performative(link_id.channel, Detach { handle, closed: end.to_field(), error });
     }
 
-    /// The peer's detach.
+    /// Handles the peer's detach.
     pub(super) fn on_detach(&mut self, channel: u16, detach: Detach) -> Result<(), Fault> {
         let handle =
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
-        let link_id = self.link_at_remote_handle(channel, handle)?;
-        let is_closing = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::Closing);
+        let link_id = self.link_by_remote_handle(channel, handle)?;
+        let is_detach_sent = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::DetachSent);
         let end = LinkEnd::from_field(detach.closed);
-        if !is_closing {
+        if !is_detach_sent {
             let handle = Some(link_id.handle);
             let answer = Detach { handle, closed: end.to_field(), error: None };
             self.send_performative(channel, answer);
         }
         self.remove_link(link_id);
-        if !is_closing {
+        if !is_detach_sent {
             self.events.push_back(Event::Detached { link: link_id, end, error: detach.error });
         }
         Ok(())
@@ -171,8 +173,8 @@
 }
 
 impl RemoteAttach {
-    /// Checks that the fields are present that the standard requires.
-    fn check(attach: Box<Attach>) -> Result<RemoteAttach, Fault> {
+    /// Checks that the fields that the standard requires are present.
+    fn validate(attach: Box<Attach>) -> Result<RemoteAttach, Fault> {
         let missing = |field: &str| fault(condition::INVALID_FIELD, format!("attach without its {field}"));
         let handle = attach.handle.ok_or_else(|| missing("handle"))?;
         let name = attach.name.clone().ok_or_else(|| missing("name"))?;
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,9 +1,9 @@
-//! A connection (standard, section 2.4) with its sessions and links, from either end.
+//! A connection (standard, section 2.4) with its sessions and links. It serves both the client and the server end.
 //!
-//! [`Connection`] is the library's state machine. Its user passes received octets to [`Connection::next_event`], answers
-//! the events, and writes what [`Connection::take_output`] returns. The methods are in a file for each part of the
-//! protocol: `handshake` (headers, SASL, open), `input` (frames), `sessions`, `links`, `incoming` and `outgoing`
-//! deliveries, and their `dispositions`.
+//! [`Connection`] is the protocol state machine. The application passes received octets to [`Connection::next_event`],
+//! handles the events, and writes the octets that [`Connection::take_output`] returns. The methods are split by part of
+//! the protocol: `handshake` (protocol headers, SASL, open), `input` (frames), `sessions`, `links`, `incoming` and
+//! `outgoing` deliveries, and `dispositions`.
 
 mod dispositions;
 mod event;
@@ -34,31 +34,33 @@
 
 const SASL_HEADER: &[u8; 8] = b"AMQP\x03\x01\x00\x00";
 const AMQP_HEADER: &[u8; 8] = b"AMQP\x00\x01\x00\x00";
-/// Every peer accepts frames of this size, in octets (2.4.1); SASL frames are no larger (5.3.1).
+/// The frame size in octets that every peer must accept (2.4.1). It is also the maximum size of a SASL frame (5.3.1).
 const MIN_MAX_FRAME_SIZE: u32 = 512;
 
+/// The progress of a connection from the protocol headers to the close.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Stage {
-    /// The peer's first protocol header is awaited.
-    Start,
-    /// SASL frames are exchanged.
+    /// Waiting for the peer's first protocol header.
+    AwaitingHeader,
+    /// Exchanging SASL frames.
     Sasl,
-    /// The peer's AMQP header is awaited.
-    Header,
-    /// The peer's open is awaited.
-    Opening,
+    /// Waiting for the peer's AMQP protocol header.
+    AwaitingAmqpHeader,
+    /// Waiting for the peer's open.
+    AwaitingOpen,
     Open,
     Closed,
 }
 
+/// The local role in the SASL exchange.
 enum Auth {
-    /// A server that offers these mechanisms; with none, AMQP may start without SASL.
+    /// A server. With None no mechanisms were configured, and the client may start AMQP without SASL.
     Server(Option<sasl::Server>),
-    /// A client with these credentials; with none, AMQP starts without SASL.
+    /// A client. With None it has no credentials and starts AMQP without SASL.
     Client(Option<sasl::Client>),
 }
 
-/// A connection.
+/// One end of an AMQP connection.
 pub struct Connection {
     settings: Settings,
     auth: Auth,
@@ -69,15 +71,16 @@
     peer_channel_max: u16,
     idle: IdleTimer,
     sessions: SessionTable,
-    /// Events that were not taken yet.
+    /// Events that [`Connection::next_event`] has not returned yet.
     events: VecDeque<Event<'static>>,
-    /// A disposition that may still grow into a range.
-    batch: Option<DispositionBatch>,
+    /// A disposition that is not written yet because further deliveries may extend its range.
+    disposition_batch: Option<DispositionBatch>,
     out: Vec<u8>,
 }
 
 impl Connection {
-    /// The end that opens the transport connection. Without credentials it starts with AMQP itself, not with SASL.
+    /// Creates the client end, which opened the transport connection. Without credentials it skips SASL and sends the
+    /// AMQP protocol header first.
     pub fn dial(now: MonotonicTime, settings: Settings, credentials: Option<Credentials>) -> Connection {
         let uses_sasl = credentials.is_some();
         let auth = Auth::Client(credentials.map(sasl::Client::new));
@@ -86,14 +89,14 @@
             connection.out = SASL_HEADER.to_vec();
         } else {
             connection.out = AMQP_HEADER.to_vec();
-            connection.stage = Stage::Header;
+            connection.stage = Stage::AwaitingAmqpHeader;
             connection.send_open();
         }
         connection
     }
 
-    /// The end that accepts the transport connection. With mechanisms the peer has to authenticate by one of them; without,
-    /// it may use SASL ANONYMOUS or no SASL.
+    /// Creates the server end, which accepted the transport connection. If mechanisms are offered, the client has to
+    /// authenticate with one of them. Otherwise it may use SASL ANONYMOUS or skip SASL.
     pub fn accept(now: MonotonicTime, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
         Connection::new(now, settings, Auth::Server(offered.map(sasl::Server::new)))
     }
@@ -103,7 +106,7 @@
         Connection {
             settings,
             auth,
-            stage: Stage::Start,
+            stage: Stage::AwaitingHeader,
             peer_has_no_sasl: false,
             peer: PeerInfo::default(),
             peer_max_frame_size: MIN_MAX_FRAME_SIZE,
@@ -111,58 +114,59 @@
             idle,
             sessions: SessionTable::default(),
             events: VecDeque::new(),
-            batch: None,
+            disposition_batch: None,
             out: Vec::new(),
         }
     }
 
-    /// Whether both sides have opened and neither has closed.
+    /// Whether both sides have sent open and neither has sent close.
     pub fn is_open(&self) -> bool {
         self.stage == Stage::Open
     }
 
-    /// Whether nothing more will be sent.
+    /// Whether the connection is closed, so that it generates no further frames.
     pub fn is_closed(&self) -> bool {
         self.stage == Stage::Closed
     }
 
-    /// Whether a dialled peer answered the SASL header with AMQP's: it has no SASL layer.
+    /// Whether the server answered the SASL protocol header with the AMQP one, which means that it does not support
+    /// SASL.
     pub fn peer_has_no_sasl(&self) -> bool {
         self.peer_has_no_sasl
     }
 
-    /// What the peer's open said.
+    /// The contents of the peer's open.
     pub fn peer(&self) -> &PeerInfo {
         &self.peer
     }
 
-    /// The highest channel that both sides allow.
+    /// The highest channel number that both sides allow.
     pub fn channel_max(&self) -> u16 {
         self.peer_channel_max.min(self.settings.channel_max)
     }
 
-    /// The highest handle that both sides allow on a session.
+    /// The highest link handle that both sides allow on a session.
     pub fn handle_max(&self, channel: u16) -> u32 {
         let remote = self.session(channel).map_or(0, |session| session.remote_handle_max);
         remote.min(self.settings.handle_max)
     }
 
-    /// Whether a session has begun on both sides.
+    /// Whether both sides have sent begin for a session.
     pub fn has_begun(&self, channel: u16) -> bool {
         self.session(channel).is_some_and(|session| session.phase == SessionPhase::Begun)
     }
 
-    /// The peer's incoming window of a session, in frames.
+    /// The number of transfer frames that the peer's incoming window of a session currently allows.
     pub fn remote_window(&self, channel: u16) -> u32 {
         self.session(channel).map_or(0, |session| session.remote_window)
     }
 
-    /// A sender's credit, or what a receiver has granted and its sender has not used.
+    /// The link credit: for a sender, what it may still use; for a receiver, what it granted and the peer has not used.
     pub fn credit(&self, link: LinkId) -> u32 {
         self.link(link).map_or(0, |link| link.credit)
     }
 
-    /// Whether the receiver drains a sender's credit.
+    /// Whether the receiver has requested a drain of the link's credit.
     pub fn is_draining(&self, link: LinkId) -> bool {
         self.link(link).is_some_and(|link| link.drain)
     }
@@ -187,18 +191,18 @@
         self.link(link).map_or("", |link| &link.name)
     }
 
-    /// Octets that wait to be taken by [`Connection::take_output`].
+    /// The number of octets that are ready for [`Connection::take_output`].
     pub fn pending(&self) -> usize {
         self.out.len()
     }
 
-    /// When [`Connection::tick`] has something to do next.
+    /// The time at which [`Connection::tick`] has to be called next.
     pub fn deadline(&self) -> Option<MonotonicTime> {
         if self.stage == Stage::Closed {
             return None;
         }
         let heartbeat = self.idle.heartbeat_deadline().filter(|_| self.is_open());
-        self.idle.peer_deadline().into_iter().chain(heartbeat).min()
+        self.idle.receive_deadline().into_iter().chain(heartbeat).min()
     }
 
     fn session(&self, channel: u16) -> Option<&Session> {
@@ -217,13 +221,13 @@
         self.sessions.link_mut(link)
     }
 
-    /// Checks the idle timeouts (2.4.5): sends a heartbeat if the peer's requires one. To be called at
+    /// Checks the idle timeouts (2.4.5) and queues a heartbeat if the peer's timeout requires one. Call it at
     /// [`Connection::deadline`], or periodically.
     ///
     /// # Errors
-    /// The peer has sent nothing for longer than this side's idle timeout: the connection is to be closed.
+    /// The peer has sent nothing for longer than the local idle timeout. The caller has to close the connection.
     pub fn tick(&mut self, now: MonotonicTime) -> Result<(), Fault> {
-        if self.idle.is_peer_silent(now) {
+        if self.idle.has_peer_timed_out(now) {
             return Err(fault(condition::RESOURCE_LIMIT_EXCEEDED, "idle time-out"));
         }
         if self.is_open() && self.idle.is_heartbeat_due(now) && self.out.is_empty() {
@@ -232,18 +236,19 @@
         Ok(())
     }
 
-    /// Takes the octets to be written now.
+    /// Returns the octets to write to the transport and clears the output buffer.
     pub fn take_output(&mut self, now: MonotonicTime) -> Vec<u8> {
-        self.flush_batch();
+        self.flush_dispositions();
         if !self.out.is_empty() {
             self.idle.on_sent(now);
         }
         std::mem::take(&mut self.out)
     }
 
-    /// Appends the octets to be written now to a buffer, and keeps this side's allocation.
+    /// Appends the octets to write to `buffer`. Unlike [`Connection::take_output`] it keeps the allocation of the
+    /// output buffer.
     pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
-        self.flush_batch();
+        self.flush_dispositions();
         if !self.out.is_empty() {
             self.idle.on_sent(now);
             buffer.append(&mut self.out);
@@ -251,7 +256,7 @@
     }
 
     fn send_performative(&mut self, channel: u16, body: impl Into<Performative>) {
-        self.flush_batch();
+        self.flush_dispositions();
         if self.stage != Stage::Closed {
             write_frame(&mut self.out, AMQP, channel, Some(&body.into()), &[]);
         }
@@ -261,10 +266,10 @@
         write_frame(&mut self.out, SASL, 0, Some(body), &[]);
     }
 
-    /// Sends a close with this error; nothing follows.
+    /// Sends a close with the given error. No frames are sent after it.
     pub fn close(&mut self, error: Option<Box<Error>>) {
-        if matches!(self.stage, Stage::Opening | Stage::Open) {
-            if self.stage == Stage::Opening && matches!(self.auth, Auth::Server(_)) {
+        if matches!(self.stage, Stage::AwaitingOpen | Stage::Open) {
+            if self.stage == Stage::AwaitingOpen && matches!(self.auth, Auth::Server(_)) {
                 self.send_open();
             }
             self.send_performative(0, Close { error });
@@ -272,18 +277,18 @@
         self.stage = Stage::Closed;
     }
 
-    /// Takes all unsettled deliveries, for a user whose transport is lost.
+    /// Removes all links and returns their unsettled deliveries, after the transport connection was lost.
     pub fn abandon(&mut self) -> Vec<AbandonedDelivery> {
         self.events.clear();
         self.sessions.remove_all_links()
     }
 
-    /// The links that are not being detached, in order.
+    /// The links that are not being detached, ordered by channel and handle.
     pub fn links(&self) -> Vec<LinkId> {
         self.sessions.open_links()
     }
 
-    /// The channels of the sessions, in order.
+    /// The local channels of all sessions, in ascending order.
     pub fn channels(&self) -> Vec<u16> {
         self.sessions.channels()
     }
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -1,4 +1,4 @@
-//! Deliveries that are sent (2.6.14), and the sender's credit (2.6.7).
+//! Sending deliveries (2.6.14) and using credit (2.6.7).
 
 use super::dispositions::OutgoingDisposition;
 use super::{Connection, LinkId, Outgoing, Stage};
@@ -12,7 +12,7 @@
 /// The fields of a transfer to be sent.
 struct TransferFields {
     handle: u32,
-    /// It is the first of its delivery.
+    /// Whether it is the first transfer of its delivery.
     is_first: bool,
     delivery_id: u32,
     tag: Tag,
@@ -21,8 +21,9 @@
 }
 
 impl Connection {
-    /// Sends a piece of a delivery on a link: as much as the session's window and `capacity` octets of pending output
-    /// allow. The first call starts the delivery, which uses a credit. `last` says that nothing follows this payload.
+    /// Sends part of a delivery on a link, as far as the session's window allows and until `capacity` octets of
+    /// output are pending. The first call starts the delivery, which uses one credit. `last` marks the end of the
+    /// payload.
     pub fn send(
         &mut self,
         link_id: LinkId,
@@ -32,7 +33,7 @@
         capacity: usize,
     ) -> Sent {
         let mut sent = Sent::default();
-        self.flush_batch();
+        self.flush_dispositions();
         let max_payload = (self.peer_max_frame_size as usize).saturating_sub(MAX_TRANSFER_OVERHEAD_BYTES);
         while (last || !payload.is_empty()) && self.out.len() < capacity && self.stage == Stage::Open {
             let size = max_payload.min(payload.len());
@@ -52,7 +53,7 @@
             if !more {
                 sent.complete = true;
                 if let Some(link) = self.link_mut(link_id) {
-                    link.sending = None;
+                    link.incomplete_outgoing = None;
                 }
                 break;
             }
@@ -60,22 +61,22 @@
         sent
     }
 
-    /// Takes a transfer off the session's window and, if it is its delivery's first, a credit. None if the link
-    /// cannot send now.
+    /// Counts a transfer against the session's window and, if it starts a delivery, against the link credit. Returns
+    /// None if the link cannot send now.
     fn start_transfer(&mut self, link_id: LinkId, delivery: &Outgoing, more: bool) -> Option<TransferFields> {
         let session = self.session_mut(link_id.channel)?;
         let next_delivery_id = session.next_delivery_id;
         let is_window_closed = session.remote_window == 0;
         let link = session.link_mut(link_id.handle).filter(|link| link.phase == LinkPhase::Attached)?;
-        let is_first = link.sending.is_none();
-        if is_window_closed || link.abort.is_some() || (is_first && link.credit == 0) {
+        let is_first = link.incomplete_outgoing.is_none();
+        if is_window_closed || link.pending_abort.is_some() || (is_first && link.credit == 0) {
             return None;
         }
-        let delivery_id = link.sending.unwrap_or(next_delivery_id);
+        let delivery_id = link.incomplete_outgoing.unwrap_or(next_delivery_id);
         if is_first {
             link.credit -= 1;
             link.delivery_count = link.delivery_count.wrapping_add(1);
-            link.sending = Some(delivery_id);
+            link.incomplete_outgoing = Some(delivery_id);
         }
         session.remote_window -= 1;
         session.next_outgoing_id = session.next_outgoing_id.wrapping_add(1);
@@ -86,31 +87,37 @@
         Some(TransferFields { handle: link_id.handle, is_first, delivery_id, tag, settled, more })
     }
 
-    /// Whether a link could start a delivery now.
+    /// Whether a delivery can be started on the link now.
     pub fn can_send(&self, link: LinkId) -> bool {
         let can_start = self.link(link).is_some_and(|link| {
             let is_attached = link.phase == LinkPhase::Attached;
-            is_attached && link.credit > 0 && link.sending.is_none() && link.abort.is_none()
+            is_attached
+                && link.credit > 0
+                && link.incomplete_outgoing.is_none()
+                && link.pending_abort.is_none()
         });
         can_start && self.remote_window(link.channel) > 0
     }
 
-    /// Whether a delivery on this link was sent partly.
+    /// Whether a delivery on the link was started and not sent completely.
     pub fn is_sending(&self, link: LinkId) -> bool {
-        self.link(link).is_some_and(|link| link.sending.is_some())
+        self.link(link).is_some_and(|link| link.incomplete_outgoing.is_some())
     }
 
-    /// Aborts the delivery that was sent partly on a link. An aborted delivery is settled (2.7.5): no event reports it.
+    /// Aborts the incomplete delivery on a link, if any. An aborted delivery is settled (2.7.5), so no event reports
+    /// it.
     pub fn abort(&mut self, link_id: LinkId) {
-        let Some(id) = self.link_mut(link_id).and_then(|link| link.sending.take()) else { return };
+        let Some(id) = self.link_mut(link_id).and_then(|link| link.incomplete_outgoing.take()) else {
+            return;
+        };
         self.remove_unsettled(link_id.channel, Direction::Outgoing, id);
         if let Some(link) = self.link_mut(link_id) {
-            link.abort = Some(id);
+            link.pending_abort = Some(id);
         }
         self.send_aborts(link_id.channel);
     }
 
-    /// Settles a delivery that was sent completely: no event reports its state any more.
+    /// Settles a sent delivery. Its outcome is no longer reported.
     pub fn settle_outgoing(&mut self, link: LinkId, id: u32) {
         if self.remove_unsettled(link.channel, Direction::Outgoing, id).is_some() {
             let disposition = OutgoingDisposition { role: Role::Sender, id, settled: true, state: None };
@@ -118,25 +125,25 @@
         }
     }
 
-    /// The number of the unsettled delivery with this key on a link. The cost is linear in the session's unsettled
-    /// deliveries.
+    /// The delivery id of the unsettled delivery with the given key on a link. Takes linear time in the number of
+    /// unsettled deliveries of the session.
     pub fn outgoing_delivery_id(&self, link: LinkId, key: u64) -> Option<u32> {
         let mut deliveries = self.session(link.channel)?.outgoing.iter();
         let found = deliveries.find(|(_, delivery)| delivery.handle == link.handle && delivery.key == key);
         found.map(|(id, _)| *id)
     }
 
-    /// The number that the next delivery on a session will have.
+    /// The delivery id of the next delivery on a session.
     pub fn next_delivery_id(&self, channel: u16) -> u32 {
         self.session(channel).map_or(0, |session| session.next_delivery_id)
     }
 
-    /// Sends the aborts that the session's window allows.
+    /// Sends pending aborts, as far as the session's window allows.
     pub(super) fn send_aborts(&mut self, channel: u16) {
         let Some(session) = self.session_mut(channel) else { return };
         let mut aborts = Vec::new();
         for (handle, link) in session.links.iter_mut().enumerate() {
-            let Some(link) = link.as_mut().filter(|link| link.abort.is_some()) else { continue };
+            let Some(link) = link.as_mut().filter(|link| link.pending_abort.is_some()) else { continue };
             if session.remote_window == 0 {
                 break;
             }
@@ -144,7 +151,7 @@
             session.next_outgoing_id = session.next_outgoing_id.wrapping_add(1);
             aborts.push(Transfer {
                 handle: Some(handle as u32),
-                delivery_id: link.abort.take(),
+                delivery_id: link.pending_abort.take(),
                 aborted: Some(true),
                 ..Transfer::default()
             });
@@ -154,7 +161,8 @@
         }
     }
 
-    /// Gives a sender's credit back if its receiver drains it and nothing is left to send (2.6.7).
+    /// Returns the remaining credit of a sender if the receiver has requested a drain (2.6.7). To be called when
+    /// there is nothing left to send.
     pub fn return_credit(&mut self, link_id: LinkId) {
         let link = self.link_mut(link_id).filter(|link| link.role == Role::Sender && link.drain);
         let Some(link) = link else { return };
@@ -167,26 +175,27 @@
     }
 }
 
-/// The most octets of a transfer's frame before its payload.
+/// The maximum size of a transfer frame without its payload. The terms are the frame header, the descriptor, the list
+/// header, and the fields handle, delivery-id, delivery-tag, message-format, settled and more.
 const MAX_TRANSFER_OVERHEAD_BYTES: usize = 8 + 3 + 3 + 5 + 5 + 34 + 5 + 1 + 1;
-/// The descriptor of a transfer.
-const TRANSFER: u8 = 0x14;
+/// The numeric descriptor of a transfer.
+const TRANSFER_DESCRIPTOR: u8 = 0x14;
 
 impl TransferFields {
-    /// Writes the transfer field by field: most frames that are sent are transfers.
+    /// Encodes the transfer directly, without a [`Transfer`] value, because most frames that are sent are transfers.
     fn write(&self, out: &mut Vec<u8>) {
         use format_code::{BINARY_8, DESCRIBED, FALSE, LIST_8, NULL, SMALL_ULONG, TRUE, UINT_0};
         let boolean = |value: bool| if value { TRUE } else { FALSE };
         let has_flags = self.settled || self.more;
-        // The size and the count are set at the end.
-        out.extend_from_slice(&[DESCRIBED, SMALL_ULONG, TRANSFER, LIST_8, 0, 0]);
+        // The size and the field count, both 0 here, are filled in at the end.
+        out.extend_from_slice(&[DESCRIBED, SMALL_ULONG, TRANSFER_DESCRIPTOR, LIST_8, 0, 0]);
         let start = out.len();
         put_u32(out, self.handle);
         let mut count = 1;
         if self.is_first {
             put_u32(out, self.delivery_id);
             put_variable(out, BINARY_8, self.tag.as_bytes());
-            // The message format.
+            // message-format
             out.push(UINT_0);
             count = 4;
         } else if has_flags {
--- a/crates/amqp/src/connection/settings.rs
+++ b/crates/amqp/src/connection/settings.rs
@@ -1,32 +1,34 @@
-//! The settings of a connection.
+//! Connection settings.
 
 use std::time::Duration;
 
-/// What this side is, and every bound on the memory that the peer can make it use.
+/// The local connection parameters and the limits on the memory that the peer can make the connection use.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This side's container id.
+    /// The local container id.
     pub container: String,
-    /// The host that a dialling side requests.
+    /// The host name that the client end requests in its open.
     pub hostname: Option<String>,
-    /// The largest frame accepted, in octets (at least 512). The user must be able to buffer one completely.
+    /// The largest accepted frame, in octets (at least 512). The application must be able to buffer a complete frame.
     pub max_frame_size: u32,
-    /// The highest channel: sessions less one. Each costs a few hundred octets.
+    /// The highest channel number, which is one less than the maximum number of sessions. A session uses a few hundred
+    /// octets.
     pub channel_max: u16,
-    /// The highest handle of a session.
+    /// The highest link handle on a session.
     pub handle_max: u32,
-    /// Links on all sessions together; each costs some 300 octets and its name.
+    /// The maximum number of links on all sessions. A link uses about 300 octets plus its name.
     pub max_links: usize,
-    /// The incoming window of a session: frames that the peer may send ahead.
+    /// The incoming window of a session: the number of transfer frames that the peer may send before the window is
+    /// renewed.
     pub incoming_window: u32,
-    /// The most deliveries on one link that neither side has settled.
+    /// The maximum number of unsettled deliveries on a link.
     pub max_unsettled: u32,
-    /// The largest message accepted, in octets.
+    /// The largest accepted message, in octets.
     pub max_message_size: u64,
-    /// The idle timeout of the peer; zero for none.
+    /// The time after which a silent peer is considered lost. Zero disables the timeout.
     pub idle_timeout: Duration,
-    /// The number of the first transfer and delivery on a session. Peers must accept any (RFC 1982); tests start near
-    /// the wrap.
+    /// The id of the first transfer and the first delivery on a session. Peers must accept any value (RFC 1982). Tests
+    /// choose values shortly before the wrap-around.
     pub initial_id: u32,
 }
 
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -1,12 +1,12 @@
-//! Error conditions, and the errors that end a connection, session or link.
+//! Error conditions, and the errors with which a connection, session or link ends.
 
 use crate::codec::{DecodeError, Reader, Result};
 use crate::composite::{Composite, Field, FieldReader, FieldWriter};
 use crate::primitives::Symbol;
 use crate::value::Value;
 
-/// Standard error conditions (standard, sections 2.8.15 to 2.8.18 and 4.5.8), by their names there.
-#[allow(missing_docs)] // Each constant is the standard's own symbol.
+/// The error conditions that the standard defines (sections 2.8.15 to 2.8.18 and 4.5.8).
+#[allow(missing_docs)] // The symbols are documented in the standard.
 pub mod condition {
     pub const INTERNAL_ERROR: &str = "amqp:internal-error";
     pub const NOT_FOUND: &str = "amqp:not-found";
@@ -33,17 +33,17 @@
     pub const STOLEN: &str = "amqp:link:stolen";
 }
 
-/// Why this side ends a connection.
+/// An error detected locally that ends the connection or, for session conditions, the session.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{condition}: {description}")]
 pub struct Fault {
-    /// One of [`condition`].
+    /// One of the constants in [`condition`].
     pub condition: &'static str,
-    /// A description for people.
+    /// A human-readable description.
     pub description: String,
 }
 
-/// A fault with a standard condition.
+/// Creates a fault with one of the standard conditions.
 pub fn fault(condition: &'static str, description: impl Into<String>) -> Fault {
     Fault { condition, description: description.into() }
 }
@@ -59,19 +59,19 @@
     }
 }
 
-/// An error on the wire (standard, section 2.8.14).
+/// An error as sent to or received from a peer (standard, section 2.8.14).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Error {
-    /// A symbol, standard or the sender's own.
+    /// The error condition: a symbol of the standard or one defined by the sender.
     pub condition: String,
-    /// A description for people.
+    /// A human-readable description.
     pub description: Option<String>,
-    /// A map of further information.
+    /// A map with additional information.
     pub info: Option<Value>,
 }
 
 impl Error {
-    /// An error of this condition.
+    /// Creates an error without an `info` map.
     pub fn new(condition: &str, description: &str) -> Error {
         Error { condition: condition.into(), description: Some(description.into()), info: None }
     }
--- a/crates/amqp/src/frame.rs
+++ b/crates/amqp/src/frame.rs
@@ -8,48 +8,47 @@
 /// The type octet of SASL frames.
 pub const SASL: u8 = 1;
 
-/// A frame. Its payload is borrowed from the input.
+/// A decoded frame. Its payload is borrowed from the input.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame<'a> {
     /// [`AMQP`], [`SASL`] or another type.
     pub frame_type: u8,
-    /// The channel (of SASL frames, to be ignored).
+    /// The channel. SASL frames have none, and the value must be ignored.
     pub channel: u16,
-    /// None in a heartbeat.
+    /// The performative. None in an empty frame, which serves as a heartbeat.
     pub body: Option<Performative>,
-    /// What follows the body.
+    /// The octets after the performative.
     pub payload: &'a [u8],
 }
 
-/// Reads the first frame and moves past it; none if it is incomplete. `max_frame_size` is the largest frame that was
-/// agreed, in octets.
+/// Reads a frame from the start of `bytes` and advances `bytes` past it. Returns None if the frame is incomplete.
 ///
 /// # Errors
-/// The frame is larger, or its header or body cannot be decoded.
+/// The frame is larger than `max_frame_size` octets, or its header or body cannot be decoded.
 pub fn read_frame<'a>(bytes: &mut &'a [u8], max_frame_size: u32) -> Result<Option<Frame<'a>>> {
-    let all = *bytes;
-    let Some((head, _)) = all.split_first_chunk::<8>() else { return Ok(None) };
-    let size = u32::from_be_bytes([head[0], head[1], head[2], head[3]]);
-    let skip = u32::from(head[4]) * 4;
-    if size > max_frame_size || skip < 8 || size < skip {
+    let input = *bytes;
+    let Some((header, _)) = input.split_first_chunk::<8>() else { return Ok(None) };
+    let size = u32::from_be_bytes([header[0], header[1], header[2], header[3]]);
+    let data_offset = u32::from(header[4]) * 4;
+    if size > max_frame_size || data_offset < 8 || size < data_offset {
         return Err(DecodeError::FrameSize);
     }
-    let Some((frame, rest)) = all.split_at_checked(size as usize) else { return Ok(None) };
+    let Some((frame, rest)) = input.split_at_checked(size as usize) else { return Ok(None) };
     *bytes = rest;
-    let channel = u16::from_be_bytes([head[6], head[7]]);
-    let mut reader = Reader::new(&frame[skip as usize..]);
+    let channel = u16::from_be_bytes([header[6], header[7]]);
+    let mut reader = Reader::new(&frame[data_offset as usize..]);
     if reader.remaining.is_empty() {
-        return Ok(Some(Frame { frame_type: head[5], channel, body: None, payload: &[] }));
+        return Ok(Some(Frame { frame_type: header[5], channel, body: None, payload: &[] }));
     }
     Ok(Some(Frame {
-        frame_type: head[5],
+        frame_type: header[5],
         channel,
         body: Some(Performative::read(&mut reader)?),
         payload: reader.remaining,
     }))
 }
 
-/// Appends a frame.
+/// Appends a frame to `out`.
 pub fn write_frame(
     out: &mut Vec<u8>,
     frame_type: u8,
@@ -61,7 +60,7 @@
     write_frame_with(out, frame_type, channel, write, payload);
 }
 
-/// Appends a frame whose body is written by a function.
+/// Appends a frame to `out`. The `write` function appends the body.
 pub fn write_frame_with(
     out: &mut Vec<u8>,
     frame_type: u8,
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -1,12 +1,13 @@
-//! AMQP 1.0 (OASIS, 29 October 2012) without sockets and without a clock.
+//! A sans-I/O implementation of AMQP 1.0 (OASIS, 29 October 2012): it uses neither sockets nor a clock.
 //!
-//! A [`Connection`] is fed received bytes and the time; it gives [`Event`]s, bytes to write and a deadline. It opens
-//! sessions and links, tracks windows, credit and settlement, and speaks SASL. What a delivery means is its user's
-//! concern.
+//! The application passes received octets and the current time to a [`Connection`], which returns [`Event`]s, octets to
+//! write and a deadline. The connection manages sessions and links, tracks windows, credit and settlement, and
+//! authenticates with SASL. It does not interpret messages.
 //!
-//! Every bound on the memory that a peer can make it use is a field of [`Settings`].
+//! The memory that a peer can make a connection use is bounded by the fields of [`Settings`].
 //!
-//! Numbers such as 2.6.7 name sections of the standard: the first digit counts the documents of the standard.
+//! Numbers such as 2.6.7 refer to sections of the standard. The first digit is the part (2 is transport, 3 messaging,
+//! 5 security).
 //!
 //! ```
 //! use sparbank_amqp::{Connection, Event, Settings};
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -1,66 +1,66 @@
-//! Links (standard, section 2.6): credit, and the delivery that is being transferred.
+//! Link state (standard, section 2.6): credit and incomplete deliveries.
 
 use crate::performative::Attach;
 use crate::primitives::Tag;
 
-/// Which end of a link this side is.
+/// The local role on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It sends deliveries.
+    /// Sends deliveries.
     Sender,
-    /// It receives deliveries.
+    /// Receives deliveries.
     Receiver,
 }
 
-/// How far a link is attached or detached.
+/// The progress of a link from attach to detach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// The peer has attached; the user has to answer.
+    /// The peer's attach was received, and the application has not answered yet.
     AttachReceived,
-    /// This side has attached; the peer has not answered.
+    /// Attach was sent, and the peer has not answered yet.
     AttachSent,
-    /// Both sides have attached.
+    /// Both sides have sent attach.
     Attached,
-    /// This side has detached; what is still received is ignored.
-    Closing,
+    /// Detach was sent. Frames received before the peer's detach are ignored.
+    DetachSent,
 }
 
-/// A received delivery whose last transfer has not been received.
+/// A received delivery whose last transfer is outstanding.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IncompleteDelivery {
     pub id: u32,
     pub tag: Tag,
     pub settled: bool,
-    /// Octets received so far.
+    /// The payload octets received so far.
     pub octets: u64,
 }
 
-/// One end of a link.
+/// The state of one end of a link.
 #[derive(Debug)]
 pub(crate) struct Link {
     pub name: String,
     pub role: Role,
     pub phase: Phase,
     pub remote_handle: Option<u32>,
-    /// The largest message that the peer accepts, in octets; none if it announced no limit.
+    /// The largest message that the peer accepts, in octets. None if it announced no limit.
     pub remote_max_message_size: Option<u64>,
     pub delivery_count: u32,
     pub credit: u32,
     pub drain: bool,
-    /// The receiver settles after the sender (2.6.12).
+    /// Whether the receiver settle mode is `second`: the receiver settles after the sender (2.6.12).
     pub receiver_settles_second: bool,
-    /// The received delivery whose last transfer is awaited.
-    pub incomplete: Option<IncompleteDelivery>,
-    /// The number of the sent delivery whose last transfer was not sent.
-    pub sending: Option<u32>,
-    /// The number of a delivery to be aborted once the window allows a frame.
-    pub abort: Option<u32>,
+    /// The received delivery whose last transfer is outstanding.
+    pub incomplete_incoming: Option<IncompleteDelivery>,
+    /// The id of the delivery that was started and whose last transfer was not sent.
+    pub incomplete_outgoing: Option<u32>,
+    /// The id of a delivery to be aborted as soon as the session's window allows a frame.
+    pub pending_abort: Option<u32>,
     /// The number of unsettled deliveries.
     pub unsettled: u32,
 }
 
 impl Link {
-    /// A link that is not attached on both sides yet.
+    /// Creates a link that is not attached on both sides yet.
     pub fn new(name: String, role: Role, phase: Phase) -> Link {
         Link {
             name,
@@ -72,14 +72,14 @@
             credit: 0,
             drain: false,
             receiver_settles_second: false,
-            incomplete: None,
-            sending: None,
-            abort: None,
+            incomplete_incoming: None,
+            incomplete_outgoing: None,
+            pending_abort: None,
             unsettled: 0,
         }
     }
 
-    /// The peer's attach.
+    /// Applies the peer's attach.
     pub fn on_attach(&mut self, attach: &Attach) {
         self.remote_handle = attach.handle;
         self.remote_max_message_size = attach.max_message_size.filter(|size| *size > 0);
@@ -89,17 +89,17 @@
         }
     }
 
-    /// The receiver's flow: what this sender may still send (2.6.7).
-    pub fn on_credit(&mut self, delivery_count: u32, credit: u32, drain: bool) {
+    /// Applies a flow from the receiver, which sets the credit (2.6.7).
+    pub fn on_receiver_flow(&mut self, delivery_count: u32, credit: u32, drain: bool) {
         let limit = delivery_count.wrapping_add(credit);
         let left = limit.wrapping_sub(self.delivery_count);
-        // A limit below what was already sent is no credit (serial numbers, RFC 1982).
+        // The delivery count may already be past the limit (serial numbers, RFC 1982). Then there is no credit.
         self.credit = if left > u32::MAX / 2 { 0 } else { left };
         self.drain = drain;
     }
 
-    /// The sender's flow: it has used up or given back what a drain left of its credit (2.6.7).
-    pub fn on_credit_returned(&mut self, delivery_count: Option<u32>) {
+    /// Applies a flow from the sender, which may return credit after a drain request (2.6.7).
+    pub fn on_sender_flow(&mut self, delivery_count: Option<u32>) {
         if let Some(delivery_count) = delivery_count {
             let used = delivery_count.wrapping_sub(self.delivery_count);
             if used <= self.credit {
@@ -112,12 +112,12 @@
         }
     }
 
-    /// This side detaches the link. Returns the number of its unsettled deliveries.
-    pub fn start_closing(&mut self) -> u32 {
-        self.phase = Phase::Closing;
-        self.sending = None;
-        self.incomplete = None;
-        self.abort = None;
+    /// Records that a detach is sent. Returns the number of unsettled deliveries.
+    pub fn mark_detach_sent(&mut self) -> u32 {
+        self.phase = Phase::DetachSent;
+        self.incomplete_outgoing = None;
+        self.incomplete_incoming = None;
+        self.pending_abort = None;
         self.credit = 0;
         std::mem::take(&mut self.unsettled)
     }
--- a/crates/amqp/src/sasl.rs
+++ b/crates/amqp/src/sasl.rs
@@ -1,4 +1,4 @@
-//! SASL (standard, section 5.3): how each side answers the other's frames.
+//! SASL exchanges of clients and servers (standard, section 5.3).
 
 use crate::error::{condition, fault, Fault};
 use crate::performative::{Performative, SaslChallenge, SaslInit, SaslMechanisms, SaslOutcome, SaslResponse};
@@ -7,25 +7,25 @@
 use crate::value::Value;
 use std::fmt;
 
-/// A mechanism that this library speaks.
+/// A supported SASL mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// Anonymous access (RFC 4505).
     Anonymous,
-    /// A name and a password as they are (RFC 4616).
+    /// A user name and a password in clear text (RFC 4616).
     Plain,
-    /// A proof of a password (RFC 7677).
+    /// A proof that the client knows the password, which is not transmitted (RFC 7677).
     ScramSha256,
-    /// The identity that the transport has verified, such as a client certificate's (RFC 4422, appendix A).
+    /// The identity that the transport has verified, for example from a client certificate (RFC 4422, appendix A).
     External,
 }
 
 impl Mechanism {
-    /// All of them, the preferred one first.
+    /// All mechanisms, in order of preference.
     pub const ALL: [Mechanism; 4] =
         [Mechanism::External, Mechanism::ScramSha256, Mechanism::Plain, Mechanism::Anonymous];
 
-    /// Its registered name.
+    /// The registered name.
     pub fn name(self) -> &'static str {
         match self {
             Mechanism::Anonymous => "ANONYMOUS",
@@ -35,43 +35,43 @@
         }
     }
 
-    /// The mechanism of this name.
-    pub fn named(name: &str) -> Option<Mechanism> {
+    /// Finds a mechanism by its registered name.
+    pub fn from_name(name: &str) -> Option<Mechanism> {
         Mechanism::ALL.into_iter().find(|mechanism| mechanism.name() == name)
     }
 }
 
-/// What a server has to decide while a client authenticates.
+/// A request to the application of a server while a client authenticates.
 #[derive(Clone, PartialEq, Eq)]
 pub enum SaslRequest {
-    /// Whether anonymous clients are let in.
+    /// Decide whether to admit an anonymous client.
     Anonymous,
-    /// Whether this is the user's password.
+    /// Check a user's password.
     Plain {
         /// The user that the client claims to be.
         user: String,
         /// The password.
         password: Vec<u8>,
     },
-    /// The keys of a user: answer with [`crate::Connection::provide_scram_keys`].
+    /// Look up the SCRAM keys of a user. The answer goes to [`crate::Connection::provide_scram_keys`].
     ScramKeys {
         /// The user that the client claims to be.
         user: String,
     },
-    /// Whether this user is let in, whose proof was checked.
+    /// Decide whether to admit a user whose SCRAM proof was checked.
     ScramProof {
         /// The user that the client claims to be.
         user: String,
-        /// Whether the client has proven that it knows the password.
+        /// Whether the proof is valid, so that the client knows the password.
         is_valid: bool,
     },
-    /// Whether the identity that the transport has verified is let in.
+    /// Decide whether to admit the identity that the transport has verified.
     External,
 }
 
 impl fmt::Debug for SaslRequest {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        // A password must not get into a log.
+        // Passwords are omitted so that they cannot appear in logs.
         match self {
             SaslRequest::Anonymous => write!(f, "Anonymous"),
             SaslRequest::Plain { user, .. } => write!(f, "Plain({user})"),
@@ -82,25 +82,25 @@
     }
 }
 
-/// What a client authenticates with.
+/// The credentials of a client.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Credentials {
-    /// Nothing.
+    /// Anonymous access.
     Anonymous,
-    /// A password, sent as it is.
+    /// A password that is sent in clear text.
     Plain {
         /// The user's name.
         user: String,
         /// The password.
         password: String,
     },
-    /// A proof of a password.
+    /// A password that is proven with SCRAM-SHA-256.
     Scram {
         /// The user's name.
         user: String,
         /// The password.
         password: String,
-        /// Printable, without commas, and new for each connection.
+        /// The client nonce: printable characters without commas, different for each connection.
         nonce: String,
     },
     /// The identity that the transport has verified.
@@ -124,15 +124,15 @@
     }
 }
 
-/// The longest initial response, in octets: it bounds names, passwords and SCRAM messages.
+/// The longest accepted initial response, in octets. It limits the sizes of user names, passwords and SCRAM messages.
 const MAX_RESPONSE_BYTES: usize = 1024;
 
-/// What follows from a frame.
+/// The next step of an exchange after a frame was handled.
 pub enum Step {
-    /// This body is to be sent.
+    /// Send this frame body.
     Send(Performative),
-    /// The user of the library has to decide this.
-    Decide(SaslRequest),
+    /// Wait for the application to answer this request.
+    Request(SaslRequest),
     /// The exchange has succeeded.
     Done,
 }
@@ -141,16 +141,18 @@
     fault(condition::UNAUTHORIZED_ACCESS, description)
 }
 
+/// The progress of an exchange on the server's side.
 enum ServerStage {
-    /// `init` is awaited.
-    Init,
-    /// The user's keys are awaited.
-    Keys(Option<scram::ClientFirst>),
-    /// The client's proof is awaited.
-    Proof(String, scram::Server),
-    /// The decision is awaited. The data is sent with a positive outcome.
-    Decision(Vec<u8>),
-    Over,
+    /// Waiting for the client's init.
+    AwaitingInit,
+    /// Waiting for the application to provide the keys of the user.
+    AwaitingKeys(Option<scram::ClientFirst>),
+    /// Waiting for the SCRAM proof of the named user.
+    AwaitingProof(String, scram::Server),
+    /// Waiting for the application's decision. The data is sent with a positive outcome.
+    AwaitingDecision(Vec<u8>),
+    /// The outcome was sent, or the exchange failed.
+    Finished,
 }
 
 /// The server's side of an exchange.
@@ -160,26 +162,26 @@
 }
 
 impl Server {
-    /// A server that offers these mechanisms.
+    /// Creates a server that offers the given mechanisms.
     pub fn new(offered: Vec<Mechanism>) -> Server {
-        Server { offered, stage: ServerStage::Init }
+        Server { offered, stage: ServerStage::AwaitingInit }
     }
 
-    /// The frame body that offers the mechanisms.
+    /// The frame body that lists the offered mechanisms.
     pub fn mechanisms(&self) -> Performative {
         let names = self.offered.iter().map(|mechanism| Value::symbol(mechanism.name())).collect();
         SaslMechanisms { mechanisms: Some(Value::Array(names)) }.into()
     }
 
-    /// Handles a frame body of the client.
+    /// Handles a frame body from the client.
     pub fn handle(&mut self, body: Performative) -> Result<Step, Fault> {
-        match (std::mem::replace(&mut self.stage, ServerStage::Over), body) {
-            (ServerStage::Init, Performative::SaslInit(init)) => self.handle_init(*init),
-            (ServerStage::Proof(user, server), Performative::SaslResponse(response)) => {
+        match (std::mem::replace(&mut self.stage, ServerStage::Finished), body) {
+            (ServerStage::AwaitingInit, Performative::SaslInit(init)) => self.handle_init(*init),
+            (ServerStage::AwaitingProof(user, server), Performative::SaslResponse(response)) => {
                 let server_final = server.finish(&response.response.unwrap_or_default());
                 let is_valid = server_final.is_some();
-                self.stage = ServerStage::Decision(server_final.unwrap_or_default());
-                Ok(Step::Decide(SaslRequest::ScramProof { user, is_valid }))
+                self.stage = ServerStage::AwaitingDecision(server_final.unwrap_or_default());
+                Ok(Step::Request(SaslRequest::ScramProof { user, is_valid }))
             }
             _ => Err(unauthorized("a SASL frame out of turn")),
         }
@@ -191,50 +193,50 @@
         if response.len() > MAX_RESPONSE_BYTES {
             return Err(unauthorized("a SASL response of this length is not taken"));
         }
-        let mechanism = Mechanism::named(&name).filter(|mechanism| self.offered.contains(mechanism));
+        let mechanism = Mechanism::from_name(&name).filter(|mechanism| self.offered.contains(mechanism));
         let request = match mechanism {
             Some(Mechanism::Anonymous) => SaslRequest::Anonymous,
             Some(Mechanism::External) => SaslRequest::External,
             Some(Mechanism::Plain) => plain_request(&response)?,
             Some(Mechanism::ScramSha256) => {
-                let client_first = scram::client_first(&response)
+                let client_first = scram::parse_client_first(&response)
                     .ok_or_else(|| unauthorized("a SCRAM message that cannot be read"))?;
                 let user = client_first.user.clone();
-                self.stage = ServerStage::Keys(Some(client_first));
-                return Ok(Step::Decide(SaslRequest::ScramKeys { user }));
+                self.stage = ServerStage::AwaitingKeys(Some(client_first));
+                return Ok(Step::Request(SaslRequest::ScramKeys { user }));
             }
             None => return Err(unauthorized("this SASL mechanism is not offered")),
         };
-        self.stage = ServerStage::Decision(Vec::new());
-        Ok(Step::Decide(request))
+        self.stage = ServerStage::AwaitingDecision(Vec::new());
+        Ok(Step::Request(request))
     }
 
-    /// The user's keys, or none and a salt to use instead. Returns the challenge to send.
+    /// Continues with the keys of the user, or with `fake_salt` if the user is unknown. Returns the challenge to send.
     pub fn provide_keys(
         &mut self,
         keys: Option<SaltedKeys>,
         fake_salt: &[u8],
         nonce: &str,
     ) -> Option<Performative> {
-        let ServerStage::Keys(client_first) = &mut self.stage else { return None };
+        let ServerStage::AwaitingKeys(client_first) = &mut self.stage else { return None };
         let client_first = client_first.take()?;
         let user = client_first.user.clone();
         let server = scram::Server::new(client_first, keys, fake_salt, nonce);
         let challenge = Some(server.challenge());
-        self.stage = ServerStage::Proof(user, server);
+        self.stage = ServerStage::AwaitingProof(user, server);
         Some(SaslChallenge { challenge }.into())
     }
 
-    /// The decision. Returns the outcome to send.
+    /// Finishes with the application's decision. Returns the outcome to send.
     pub fn finish(&mut self, is_authorized: bool) -> Option<Performative> {
-        let stage = std::mem::replace(&mut self.stage, ServerStage::Over);
-        let ServerStage::Decision(data) = stage else { return None };
+        let stage = std::mem::replace(&mut self.stage, ServerStage::Finished);
+        let ServerStage::AwaitingDecision(data) = stage else { return None };
         let additional_data = Some(data).filter(|data| is_authorized && !data.is_empty());
         Some(SaslOutcome { code: Some(u8::from(!is_authorized)), additional_data }.into())
     }
 }
 
-/// Reads a PLAIN response (RFC 4616): authorization identity, user and password, separated by zero octets.
+/// Parses a PLAIN response (RFC 4616): authorization identity, user and password, separated by zero octets.
 fn plain_request(response: &[u8]) -> Result<SaslRequest, Fault> {
     let mut fields = response.split(|octet| *octet == 0);
     let _authorization_id = fields.next();
@@ -255,7 +257,7 @@
 }
 
 impl Client {
-    /// A client with these credentials.
+    /// Creates a client with the given credentials.
     pub fn new(credentials: Credentials) -> Client {
         let scram = match &credentials {
             Credentials::Scram { user, password, nonce } => Some(scram::Client::new(user, password, nonce)),
@@ -264,7 +266,7 @@
         Client { credentials, scram }
     }
 
-    /// Handles a frame body of the server.
+    /// Handles a frame body from the server.
     pub fn handle(&mut self, body: Performative) -> Result<Step, Fault> {
         match body {
             Performative::SaslMechanisms(offered) => self.choose_mechanism(offered),
@@ -289,6 +291,7 @@
         }
     }
 
+    /// Answers the server's list of mechanisms with the init.
     fn choose_mechanism(&mut self, offered: SaslMechanisms) -> Result<Step, Fault> {
         let offered = offered.mechanisms.unwrap_or(Value::Null);
         let name = self.credentials.mechanism().name();
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -1,4 +1,5 @@
-//! SCRAM-SHA-256 (RFC 5802, RFC 7677), and PBKDF2 in slices so that no password delays an event loop.
+//! SCRAM-SHA-256 (RFC 5802, RFC 7677), and an incremental PBKDF2, so that hashing a password does not block an event
+//! loop.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -9,7 +10,7 @@
 type Key = [u8; 32];
 
 fn mac(key: &[u8]) -> Hmac<Sha256> {
-    // HMAC takes a key of any length: the error cannot occur, and an empty key is used for it.
+    // HMAC accepts keys of any length, so the error cannot occur. The fallback to an empty key avoids a panic.
     Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::<Sha256>::new(&Default::default()))
 }
 
@@ -23,45 +24,46 @@
     target.iter_mut().zip(other).for_each(|(octet, other)| *octet ^= other);
 }
 
-/// PBKDF2-HMAC-SHA-256 of one block (RFC 8018), done a slice at a time.
+/// An incremental computation of one block of PBKDF2-HMAC-SHA-256 (RFC 8018).
 pub struct Pbkdf2 {
     mac: Hmac<Sha256>,
-    last: Key,
+    last_block: Key,
     sum: Key,
-    /// Rounds still to be done.
+    /// The number of iterations left.
     remaining: u32,
 }
 
 impl Pbkdf2 {
-    /// Starts on a password; `rounds` is at least one.
+    /// Starts the computation for a password. `rounds` is the iteration count and has to be at least 1.
     pub fn new(password: &[u8], salt: &[u8], rounds: u32) -> Pbkdf2 {
         let mac = mac(password);
         let mut first = mac.clone();
         first.update(salt);
         first.update(&1u32.to_be_bytes());
-        let last: Key = first.finalize().into_bytes().into();
-        Pbkdf2 { mac, last, sum: last, remaining: rounds.saturating_sub(1) }
+        let last_block: Key = first.finalize().into_bytes().into();
+        Pbkdf2 { mac, last_block, sum: last_block, remaining: rounds.saturating_sub(1) }
     }
 
-    /// Does at most this many rounds; gives the key once all are done.
+    /// Performs at most `rounds` iterations. Returns the derived key once all are done.
     pub fn step(&mut self, rounds: u32) -> Option<[u8; 32]> {
         for _ in 0..rounds.min(self.remaining) {
             let mut mac = self.mac.clone();
-            mac.update(&self.last);
-            self.last = mac.finalize().into_bytes().into();
-            xor_into(&mut self.sum, &self.last);
+            mac.update(&self.last_block);
+            self.last_block = mac.finalize().into_bytes().into();
+            xor_into(&mut self.sum, &self.last_block);
         }
         self.remaining -= rounds.min(self.remaining);
         (self.remaining == 0).then_some(self.sum)
     }
 }
 
-/// What a server stores of a password: it can be found from them by guessing only.
+/// The keys that a server stores for a user (RFC 5802, section 3). The password can be recovered from them only by
+/// guessing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SaltedKeys {
     /// The salt.
     pub salt: Vec<u8>,
-    /// Rounds of PBKDF2; RFC 7677 requires 4,096 at least.
+    /// The iteration count of PBKDF2. RFC 7677 requires at least 4096.
     pub rounds: u32,
     /// H(HMAC(salted password, "Client Key")).
     pub stored_key: [u8; 32],
@@ -70,44 +72,44 @@
 }
 
 impl SaltedKeys {
-    /// The keys of a salted password.
+    /// Derives the keys from a salted password.
     pub fn from_salted(salted: &[u8; 32], salt: Vec<u8>, rounds: u32) -> SaltedKeys {
         let client_key = hmac(salted, b"Client Key");
         let stored_key = Sha256::digest(client_key).into();
         SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted, b"Server Key") }
     }
 
-    /// Whether these are the keys of a salted password.
+    /// Whether the keys belong to the salted password.
     pub fn matches(&self, salted: &[u8; 32]) -> bool {
         let stored: Key = Sha256::digest(hmac(salted, b"Client Key")).into();
         stored.ct_eq(&self.stored_key).into()
     }
 }
 
-/// The rounds shown for a user that does not exist.
+/// The iteration count sent for an unknown user.
 const FAKE_ROUNDS: u32 = 4096;
 
-/// The server's side of an exchange, once the client's first message is received.
+/// The server's side of an exchange after the client-first-message was received.
 #[derive(Debug)]
 pub struct Server {
-    first_bare: String,
-    gs2: String,
+    client_first_bare: String,
+    gs2_header: String,
     nonce: String,
     server_first: String,
     keys: Option<SaltedKeys>,
 }
 
-/// The user and the rest of a client-first-message.
+/// A parsed client-first-message.
 pub struct ClientFirst {
     /// The user that the client claims to be.
     pub user: String,
     bare: String,
-    gs2: String,
+    gs2_header: String,
     nonce: String,
 }
 
-/// Reads a client-first-message. Channel binding is not offered: a client that requires it is refused.
-pub fn client_first(bytes: &[u8]) -> Option<ClientFirst> {
+/// Parses a client-first-message. Channel binding is not supported, so a message that requires it is rejected.
+pub fn parse_client_first(bytes: &[u8]) -> Option<ClientFirst> {
     let text = std::str::from_utf8(bytes).ok()?;
     let mut fields = text.splitn(3, ',');
     let flag = fields.next()?;
@@ -116,7 +118,7 @@
         return None;
     }
     let bare = fields.next()?;
-    let gs2 = text[..text.len() - bare.len()].to_string();
+    let gs2_header = text[..text.len() - bare.len()].to_string();
     let mut user = None;
     let mut nonce = None;
     for attribute in bare.split(',') {
@@ -127,18 +129,23 @@
             Some(_) => {}
         }
     }
-    Some(ClientFirst { user: user?, bare: bare.to_string(), gs2, nonce: nonce.filter(|n| !n.is_empty())? })
+    Some(ClientFirst {
+        user: user?,
+        bare: bare.to_string(),
+        gs2_header,
+        nonce: nonce.filter(|n| !n.is_empty())?,
+    })
 }
 
 impl Server {
-    /// Answers the client's first message. Where nobody has that name, `keys` is none and
-    /// `fake_salt` is used instead, so that answers do not reveal which users exist.
+    /// Creates the answer to a client-first-message. For an unknown user `keys` is None, and `fake_salt` is sent in
+    /// place of the stored salt, so that the answer does not reveal which users exist.
     pub fn new(first: ClientFirst, keys: Option<SaltedKeys>, fake_salt: &[u8], own_nonce: &str) -> Server {
         let nonce = format!("{}{own_nonce}", first.nonce);
         let (salt, rounds) =
             keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.rounds));
         let server_first = format!("r={nonce},s={},i={rounds}", STANDARD.encode(salt));
-        Server { first_bare: first.bare, gs2: first.gs2, nonce, server_first, keys }
+        Server { client_first_bare: first.bare, gs2_header: first.gs2_header, nonce, server_first, keys }
     }
 
     /// The server-first-message.
@@ -153,11 +160,11 @@
         let mut fields = without_proof.split(',');
         let binding = fields.next()?.strip_prefix("c=")?;
         let nonce = fields.next()?.strip_prefix("r=")?;
-        if STANDARD.decode(binding).ok()? != self.gs2.as_bytes() || nonce != self.nonce {
+        if STANDARD.decode(binding).ok()? != self.gs2_header.as_bytes() || nonce != self.nonce {
             return None;
         }
         let keys = self.keys.as_ref()?;
-        let message = format!("{},{},{without_proof}", self.first_bare, self.server_first);
+        let message = format!("{},{},{without_proof}", self.client_first_bare, self.server_first);
         let mut client_key: Key = STANDARD.decode(proof).ok()?.try_into().ok()?;
         xor_into(&mut client_key, &hmac(&keys.stored_key, message.as_bytes()));
         let stored: Key = Sha256::digest(client_key).into();
@@ -172,29 +179,34 @@
 /// The client's side of an exchange.
 #[derive(Debug)]
 pub struct Client {
-    bare: String,
+    client_first_bare: String,
     password: String,
     nonce: String,
-    signature: Option<Vec<u8>>,
+    server_signature: Option<Vec<u8>>,
 }
 
-/// Rounds beyond these are refused: a server could make a client work for long.
+/// The highest iteration count that a client accepts. It prevents a server from keeping a client busy.
 const MAX_ROUNDS: u32 = 100_000;
 
 impl Client {
-    /// Starts an exchange with a nonce of printable characters without commas.
+    /// Starts an exchange. The nonce consists of printable characters without commas.
     pub fn new(user: &str, password: &str, nonce: &str) -> Client {
         let user = user.replace('=', "=3D").replace(',', "=2C");
         let bare = format!("n={user},r={nonce}");
-        Client { bare, password: password.into(), nonce: nonce.into(), signature: None }
+        Client {
+            client_first_bare: bare,
+            password: password.into(),
+            nonce: nonce.into(),
+            server_signature: None,
+        }
     }
 
     /// The client-first-message.
     pub fn client_first(&self) -> Vec<u8> {
-        format!("n,,{}", self.bare).into_bytes()
+        format!("n,,{}", self.client_first_bare).into_bytes()
     }
 
-    /// The client-final-message, which answers the server's first message.
+    /// Creates the client-final-message in answer to the server-first-message. Returns None if that is invalid.
     pub fn client_final(&mut self, challenge: &[u8]) -> Option<Vec<u8>> {
         let text = std::str::from_utf8(challenge).ok()?;
         let field = |name: &str| text.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
@@ -207,18 +219,18 @@
         let salted = Pbkdf2::new(self.password.as_bytes(), &salt, rounds).step(rounds)?;
         let keys = SaltedKeys::from_salted(&salted, salt, rounds);
         let without_proof = format!("c=biws,r={nonce}");
-        let message = format!("{},{text},{without_proof}", self.bare);
+        let message = format!("{},{text},{without_proof}", self.client_first_bare);
         let mut proof = hmac(&salted, b"Client Key");
         xor_into(&mut proof, &hmac(&keys.stored_key, message.as_bytes()));
-        self.signature = Some(hmac(&keys.server_key, message.as_bytes()).to_vec());
+        self.server_signature = Some(hmac(&keys.server_key, message.as_bytes()).to_vec());
         Some(format!("{without_proof},p={}", STANDARD.encode(proof)).into_bytes())
     }
 
-    /// Whether the server has proven that it knows the password too.
+    /// Whether the server-final-message proves that the server knows the user's keys.
     pub fn verify_server(&self, server_final: &[u8]) -> bool {
         let signature = std::str::from_utf8(server_final).ok().and_then(|t| t.strip_prefix("v="));
         let given = signature.and_then(|s| STANDARD.decode(s).ok());
-        matches!((&self.signature, given), (Some(own), Some(given)) if bool::from(own.ct_eq(&given)))
+        matches!((&self.server_signature, given), (Some(own), Some(given)) if bool::from(own.ct_eq(&given)))
     }
 }
 
--- a/crates/amqp/src/scram/tests.rs
+++ b/crates/amqp/src/scram/tests.rs
@@ -1,6 +1,6 @@
-//! SCRAM-SHA-256 against the RFC's example, and what is refused.
+//! Tests of SCRAM-SHA-256 with the example of RFC 7677 and with invalid messages.
 
-use super::{client_first, Client, Pbkdf2, SaltedKeys, Server};
+use super::{parse_client_first, Client, Pbkdf2, SaltedKeys, Server};
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 
@@ -9,7 +9,7 @@
 fn both_sides_compute_the_example_of_rfc_7677() {
     let mut client = Client::new("user", "pencil", "rOprNGfwEbeRWgbNEkqO");
     assert_eq!(client.client_first(), b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
-    let first = client_first(&client.client_first()).expect("sound");
+    let first = parse_client_first(&client.client_first()).expect("sound");
     assert_eq!(first.user, "user");
     let salt = STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").expect("sound");
     let salted = Pbkdf2::new(b"pencil", &salt, 4096).step(4096).expect("done");
@@ -29,18 +29,18 @@
 }
 
 #[test]
-fn a_wrong_password_a_strange_nonce_and_an_unknown_user_are_refused() {
+fn a_wrong_password_a_changed_nonce_and_an_unknown_user_are_rejected() {
     let salted = Pbkdf2::new(b"right", b"salt", 64).step(64).expect("done");
     let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
     for (password, known) in [("wrong", true), ("right", false), ("right", true)] {
         let mut client = Client::new("a,b=c", password, "xyz");
-        let first = client_first(&client.client_first()).expect("sound");
+        let first = parse_client_first(&client.client_first()).expect("sound");
         assert_eq!(first.user, "a,b=c");
         let server = Server::new(first, known.then(|| keys.clone()), b"fake", "123");
         let last = client.client_final(&server.challenge()).expect("sound");
         assert_eq!(server.finish(&last).is_some(), password == "right" && known);
         assert!(server.finish(b"c=biws,r=other,p=AAAA").is_none());
     }
-    assert!(client_first(b"p=tls-unique,,n=u,r=x").is_none());
-    assert!(client_first(b"n,,n=u").is_none());
+    assert!(parse_client_first(b"p=tls-unique,,n=u,r=x").is_none());
+    assert!(parse_client_first(b"n,,n=u").is_none());
 }
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -1,80 +1,82 @@
-//! Sessions (standard, section 2.5): windows, handles and unsettled deliveries.
+//! Session state (standard, section 2.5): windows, link handles and unsettled deliveries.
 
 use crate::error::{condition, fault, Fault};
 use crate::link::{Link, Role};
 use crate::performative::{Begin, Flow};
 use std::collections::HashMap;
 
-/// A hash map with a fast hasher, for keys that are numbers.
-pub(crate) type Map<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
+/// A hash map with a fast hasher, for numeric keys.
+pub(crate) type FastHashMap<K, V> = HashMap<K, V, foldhash::fast::RandomState>;
 
-/// How much of a delivery was sent.
+/// The result of [`Connection::send`](crate::Connection::send).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sent {
-    /// Octets of the payload that were sent.
+    /// The number of payload octets that were sent.
     pub octets: usize,
-    /// The last transfer was sent.
+    /// Whether the last transfer of the delivery was sent.
     pub complete: bool,
-    /// The first transfer was sent: the peer knows of the delivery.
+    /// Whether a transfer was sent, so that the peer knows of the delivery.
     pub started: bool,
 }
 
+/// The progress of a session from begin to end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// This side has begun; the peer has not answered.
+    /// Begin was sent, and the peer has not answered yet.
     BeginSent,
+    /// Both sides have sent begin.
     Begun,
-    /// This side has ended; what is still received is ignored.
-    Ending,
+    /// End was sent. Frames received before the peer's end are ignored.
+    EndSent,
 }
 
-/// Whether a delivery is received or sent.
+/// The direction of a delivery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
-    /// The peer sends it.
+    /// Received from the peer.
     Incoming,
-    /// This side sends it.
+    /// Sent to the peer.
     Outgoing,
 }
 
-/// A delivery that one side has not settled.
+/// A delivery that is not settled on both sides.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unsettled {
-    /// Its link.
+pub(crate) struct UnsettledDelivery {
+    /// The local handle of its link.
     pub handle: u32,
-    /// The user's own key for it.
+    /// The application's key for it.
     pub key: u64,
-    /// The user has given its final state; the sender's settlement is awaited.
-    pub answered: bool,
+    /// Whether the outcome was sent and only the sender's settlement is outstanding.
+    pub outcome_sent: bool,
 }
 
-/// A session.
+/// The state of a session.
 #[derive(Debug)]
 pub(crate) struct Session {
     pub phase: Phase,
     pub remote_channel: Option<u16>,
     pub next_incoming_id: u32,
-    /// Frames that the peer may still send.
+    /// The number of transfer frames that the peer may still send.
     pub incoming_window: u32,
-    /// Frames that the peer may send after the window was opened.
+    /// The value to which `incoming_window` is reset.
     pub max_incoming_window: u32,
     pub next_outgoing_id: u32,
-    /// Frames that this side may still send.
+    /// The number of transfer frames that may still be sent to the peer.
     pub remote_window: u32,
     pub remote_handle_max: u32,
-    /// By this side's handle.
+    /// Indexed by local handle.
     pub links: Vec<Option<Box<Link>>>,
-    /// This side's handle, by the peer's.
-    pub by_remote_handle: Map<u32, u32>,
+    /// Maps the peer's handles to local handles.
+    pub by_remote_handle: FastHashMap<u32, u32>,
     pub next_delivery_id: u32,
-    /// Received deliveries that are not settled, by their number.
-    pub incoming: Map<u32, Unsettled>,
-    /// Sent deliveries that are not settled, by their number.
-    pub outgoing: Map<u32, Unsettled>,
+    /// Unsettled received deliveries, by delivery id.
+    pub incoming: FastHashMap<u32, UnsettledDelivery>,
+    /// Unsettled sent deliveries, by delivery id.
+    pub outgoing: FastHashMap<u32, UnsettledDelivery>,
 }
 
 impl Session {
-    /// A session with this incoming window, whose first transfer and delivery have this number.
+    /// Creates a session. `initial_id` is the id of the first transfer and of the first delivery to be sent.
     pub fn new(incoming_window: u32, initial_id: u32) -> Session {
         Session {
             phase: Phase::BeginSent,
@@ -86,17 +88,17 @@
             remote_window: 0,
             remote_handle_max: u32::MAX,
             links: Vec::new(),
-            by_remote_handle: Map::default(),
+            by_remote_handle: FastHashMap::default(),
             next_delivery_id: initial_id,
-            incoming: Map::default(),
-            outgoing: Map::default(),
+            incoming: FastHashMap::default(),
+            outgoing: FastHashMap::default(),
         }
     }
 
-    /// This side's begin, which answers the peer's if `answer_to` is its channel.
-    pub fn begin(&self, answer_to: Option<u16>, handle_max: u32) -> Begin {
+    /// The begin to send. If it answers the peer's begin, `remote_channel` is the channel of the latter.
+    pub fn begin(&self, remote_channel: Option<u16>, handle_max: u32) -> Begin {
         Begin {
-            remote_channel: answer_to,
+            remote_channel,
             next_outgoing_id: Some(self.next_outgoing_id),
             incoming_window: Some(self.incoming_window),
             outgoing_window: Some(u32::MAX),
@@ -105,7 +107,7 @@
         }
     }
 
-    /// The peer has begun.
+    /// Applies the peer's begin.
     pub fn on_begin(&mut self, begin: &Begin) -> Result<(), Fault> {
         let missing = || fault(condition::INVALID_FIELD, "begin without its windows");
         self.next_incoming_id = begin.next_outgoing_id.ok_or_else(missing)?;
@@ -116,7 +118,7 @@
         Ok(())
     }
 
-    /// A flow with the session's state.
+    /// A flow with the state of the session.
     pub fn flow(&self) -> Flow {
         Flow {
             next_incoming_id: (self.phase == Phase::Begun).then_some(self.next_incoming_id),
@@ -127,7 +129,7 @@
         }
     }
 
-    /// A flow with the link's and the session's state.
+    /// A flow with the state of a link and of the session.
     pub fn link_flow(&self, handle: u32) -> Flow {
         let Some(link) = self.link(handle) else { return self.flow() };
         Flow {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The session's state in the peer's flow (2.5.6).
+    /// Applies the session state in the peer's flow (2.5.6).
     pub fn on_flow(&mut self, flow: &Flow) -> Result<(), Fault> {
         let window =
             flow.incoming_window.ok_or_else(|| fault(condition::INVALID_FIELD, "flow without a window"))?;
@@ -150,31 +152,32 @@
             Some(next) => next.wrapping_add(window).wrapping_sub(self.next_outgoing_id),
             None => window,
         };
-        // Frames on their way may have used more than the window that the peer announces now.
+        // Transfers that the peer had not received when it sent the flow may exceed the window that it announces. The
+        // result is then negative.
         let is_negative = remote_window > u32::MAX / 2 && window <= u32::MAX / 2;
         self.remote_window = if is_negative { 0 } else { remote_window };
         Ok(())
     }
 
-    /// A link.
+    /// The link with the given local handle.
     pub fn link(&self, handle: u32) -> Option<&Link> {
         self.links.get(handle as usize)?.as_deref()
     }
 
-    /// A link.
+    /// The link with the given local handle, mutably.
     pub fn link_mut(&mut self, handle: u32) -> Option<&mut Link> {
         self.links.get_mut(handle as usize)?.as_deref_mut()
     }
 
-    /// The handle of the first link with this name and role.
+    /// The local handle of the first link with the given name and role.
     pub fn find_link(&self, name: &str, role: Role) -> Option<u32> {
-        let is_it = |link: &Link| link.name == name && link.role == role;
-        let place = self.links.iter().position(|link| link.as_deref().is_some_and(is_it));
-        place.map(|place| place as u32)
+        let is_match = |link: &Link| link.name == name && link.role == role;
+        let handle = self.links.iter().position(|link| link.as_deref().is_some_and(is_match));
+        handle.map(|handle| handle as u32)
     }
 
-    /// Adds a link at the first free handle.
-    pub fn insert(&mut self, link: Link) -> u32 {
+    /// Adds a link at the lowest free handle, which it returns.
+    pub fn insert_link(&mut self, link: Link) -> u32 {
         let free = self.links.iter().position(Option::is_none).unwrap_or(self.links.len());
         if free == self.links.len() {
             self.links.push(None);
@@ -183,8 +186,8 @@
         free as u32
     }
 
-    /// Removes a link. Returns the keys of its unsettled deliveries.
-    pub fn remove(&mut self, handle: u32) -> Vec<u64> {
+    /// Removes a link and returns the keys of its unsettled deliveries.
+    pub fn remove_link(&mut self, handle: u32) -> Vec<u64> {
         let Some(link) = self.links.get_mut(handle as usize).and_then(Option::take) else {
             return Vec::new();
         };
@@ -194,7 +197,8 @@
         self.take_unsettled(handle, link.unsettled)
     }
 
-    /// Removes the `count` unsettled deliveries of a link. Returns their keys, in the order of the deliveries.
+    /// Removes the unsettled deliveries of a link and returns their keys in order of delivery id. `count` is their
+    /// number; with 0 the search is skipped.
     pub fn take_unsettled(&mut self, handle: u32, count: u32) -> Vec<u64> {
         if count == 0 {
             return Vec::new();
@@ -212,15 +216,15 @@
         removed.into_iter().map(|(_, key)| key).collect()
     }
 
-    /// The unsettled deliveries of one direction.
-    pub fn unsettled_mut(&mut self, direction: Direction) -> &mut Map<u32, Unsettled> {
+    /// The unsettled deliveries in the given direction.
+    pub fn unsettled_mut(&mut self, direction: Direction) -> &mut FastHashMap<u32, UnsettledDelivery> {
         match direction {
             Direction::Incoming => &mut self.incoming,
             Direction::Outgoing => &mut self.outgoing,
         }
     }
 
-    /// The numbers of the unsettled deliveries in a range of serial numbers (RFC 1982), in order.
+    /// The ids of the unsettled deliveries in a range of serial numbers (RFC 1982), in the order of the range.
     pub fn unsettled_in_range(&self, direction: Direction, first: u32, last: u32) -> Vec<u32> {
         let map = match direction {
             Direction::Incoming => &self.incoming,
@@ -233,7 +237,7 @@
         if (span as usize) < map.len() {
             return (0..=span).map(|n| first.wrapping_add(n)).filter(|id| map.contains_key(id)).collect();
         }
-        // A range may cover all numbers: the deliveries that there are bound the work.
+        // A range may cover up to 2^32 ids, so iterate over the deliveries instead if there are fewer of them.
         let mut ids: Vec<u32> = map.keys().copied().filter(|id| id.wrapping_sub(first) <= span).collect();
         ids.sort_unstable_by_key(|id| id.wrapping_sub(first));
         ids
