--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -181,7 +181,7 @@
         self.link(link).map_or(0, |link| link.unsettled)
     }
 
-    /// The largest message that a link's receiver accepts, in octets.
+    /// The largest message that the peer accepts on a link, in octets. None if it announced no limit.
     pub fn max_message_size(&self, link: LinkId) -> Option<u64> {
         self.link(link).and_then(|link| link.remote_max_message_size)
     }
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -117,7 +117,7 @@
         self.send_aborts(link_id.channel);
     }
 
-    /// Settles a sent delivery. Its outcome is no longer reported.
+    /// Settles a delivery that was sent completely. Its outcome is no longer reported.
     pub fn settle_outgoing(&mut self, link: LinkId, id: u32) {
         if self.remove_unsettled(link.channel, Direction::Outgoing, id).is_some() {
             let disposition = OutgoingDisposition { role: Role::Sender, id, settled: true, state: None };
--- a/crates/amqp/src/scram/tests.rs
+++ b/crates/amqp/src/scram/tests.rs
@@ -4,15 +4,15 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 
-/// The example of RFC 7677, section 3.
+/// Uses the messages of RFC 7677, section 3.
 #[test]
 fn both_sides_compute_the_example_of_rfc_7677() {
     let mut client = Client::new("user", "pencil", "rOprNGfwEbeRWgbNEkqO");
     assert_eq!(client.client_first(), b"n,,n=user,r=rOprNGfwEbeRWgbNEkqO");
-    let first = parse_client_first(&client.client_first()).expect("sound");
+    let first = parse_client_first(&client.client_first()).expect("a valid message");
     assert_eq!(first.user, "user");
-    let salt = STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").expect("sound");
-    let salted = Pbkdf2::new(b"pencil", &salt, 4096).step(4096).expect("done");
+    let salt = STANDARD.decode("W22ZaJ0SNY7soEsUEjb6gQ==").expect("valid base64");
+    let salted = Pbkdf2::new(b"pencil", &salt, 4096).step(4096).expect("all iterations are done");
     let keys = SaltedKeys::from_salted(&salted, salt, 4096);
     assert!(keys.matches(&salted));
     let server = Server::new(first, Some(keys), b"", "%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0");
@@ -21,24 +21,24 @@
         challenge,
         b"r=rOprNGfwEbeRWgbNEkqO%hvYDpWUa2RaTCAfuxFIlj)hNlF$k0,s=W22ZaJ0SNY7soEsUEjb6gQ==,i=4096"
     );
-    let last = client.client_final(&challenge).expect("sound");
-    assert!(last.ends_with(b",p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ="));
-    let server_final = server.finish(&last).expect("the proof is valid");
+    let client_final = client.client_final(&challenge).expect("a valid challenge");
+    assert!(client_final.ends_with(b",p=dHzbZapWIk4jUhN+Ute9ytag9zjfMHgsqmmiz7AndVQ="));
+    let server_final = server.finish(&client_final).expect("the proof is valid");
     assert_eq!(server_final, b"v=6rriTRBi23WpRR/wtup+mMhUZUn/dB5nLTJRsjl95G4=");
     assert!(client.verify_server(&server_final));
 }
 
 #[test]
 fn a_wrong_password_a_changed_nonce_and_an_unknown_user_are_rejected() {
-    let salted = Pbkdf2::new(b"right", b"salt", 64).step(64).expect("done");
+    let salted = Pbkdf2::new(b"right", b"salt", 64).step(64).expect("all iterations are done");
     let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
-    for (password, known) in [("wrong", true), ("right", false), ("right", true)] {
+    for (password, is_known) in [("wrong", true), ("right", false), ("right", true)] {
         let mut client = Client::new("a,b=c", password, "xyz");
-        let first = parse_client_first(&client.client_first()).expect("sound");
+        let first = parse_client_first(&client.client_first()).expect("a valid message");
         assert_eq!(first.user, "a,b=c");
-        let server = Server::new(first, known.then(|| keys.clone()), b"fake", "123");
-        let last = client.client_final(&server.challenge()).expect("sound");
-        assert_eq!(server.finish(&last).is_some(), password == "right" && known);
+        let server = Server::new(first, is_known.then(|| keys.clone()), b"fake", "123");
+        let client_final = client.client_final(&server.challenge()).expect("a valid challenge");
+        assert_eq!(server.finish(&client_final).is_some(), password == "right" && is_known);
         assert!(server.finish(b"c=biws,r=other,p=AAAA").is_none());
     }
     assert!(parse_client_first(b"p=tls-unique,,n=u,r=x").is_none());
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -1,7 +1,9 @@
-//! Noise with structure, a target for each layer: whatever a peer says, in whatever state, the library
-//! answers, faults or waits; it never panics and never uses more memory than its settings allow.
+//! Fuzz tests with structured random input, for each layer of the library. Whatever a peer sends in any state, the
+//! library answers, reports a fault or waits for more input. It never panics and stays within the limits of its
+//! settings.
 //!
-//! 256 cases each in CI. Longer: `PROPTEST_CASES=1000000 cargo test --release -p sparbank-amqp --test fuzz`.
+//! CI runs 256 cases of each test. To run more:
+//! `PROPTEST_CASES=1000000 cargo test --release -p sparbank-amqp --test fuzz`.
 
 use proptest::prelude::*;
 use sparbank_amqp::{
@@ -12,19 +14,22 @@
 };
 use sparbank_time::MonotonicTime;
 
-/// Later than the start of a connection.
-const LATER: MonotonicTime = MonotonicTime::from_nanos(1);
+/// The time at which frames are received, after the start of the connection.
+const RECEIVE_TIME: MonotonicTime = MonotonicTime::from_nanos(1);
 
-const BOUNDS: fn() -> Settings = || Settings {
-    channel_max: 2,
-    handle_max: 4,
-    max_links: 5,
-    incoming_window: 8,
-    max_unsettled: 6,
-    max_message_size: 2000,
-    max_frame_size: 1024,
-    ..Settings::default()
-};
+/// Settings with limits that the random input reaches often.
+fn small_limits() -> Settings {
+    Settings {
+        channel_max: 2,
+        handle_max: 4,
+        max_links: 5,
+        incoming_window: 8,
+        max_unsettled: 6,
+        max_message_size: 2000,
+        max_frame_size: 1024,
+        ..Settings::default()
+    }
+}
 
 fn number() -> impl Strategy<Value = Option<u32>> {
     prop_oneof![Just(None), (0u32..6).prop_map(Some), any::<u32>().prop_map(Some), Just(Some(u32::MAX)),]
@@ -53,7 +58,7 @@
     prop::collection::vec(any::<u8>(), 0..3).prop_map(|bytes| Tag::new(&bytes))
 }
 
-fn attach() -> impl Strategy<Value = Performative> {
+fn attach_body() -> impl Strategy<Value = Performative> {
     let target = text().prop_map(|address| Some(Terminus::Target(Target { address, ..Target::default() })));
     let target = prop_oneof![Just(None), Just(Some(Terminus::Coordinator)), target];
     (text(), number(), flag(), target, number(), flag()).prop_map(
@@ -144,7 +149,7 @@
     prop_oneof![
         1 => open_body(),
         2 => begin_body(),
-        4 => attach(),
+        4 => attach_body(),
         4 => flow_body(),
         6 => transfer_body(),
         4 => disposition_body(),
@@ -154,15 +159,15 @@
     ]
 }
 
-/// What the user does when it has to answer an event.
+/// How the application answers an event.
 #[derive(Clone, Copy, Debug)]
 enum Answer {
     Accept,
     Refuse,
-    Nothing,
+    Ignore,
 }
 
-/// Answers an event as a user might.
+/// Answers an event as an application might.
 fn respond(conn: &mut Connection, event: Event<'_>, answer: Answer) {
     match (event, answer) {
         (Event::AttachRequested { link, .. }, Answer::Accept) => {
@@ -191,8 +196,8 @@
     }
 }
 
-/// A peer cannot exceed the settings, whatever it sends.
-fn check_bounds(conn: &Connection, settings: &Settings) {
+/// Checks that the connection is within the limits of its settings.
+fn check_limits(conn: &Connection, settings: &Settings) {
     assert!(conn.links().len() <= settings.max_links, "{} links", conn.links().len());
     assert!(conn.channels().len() <= settings.channel_max as usize + 1);
     for link in conn.links() {
@@ -200,50 +205,50 @@
     }
 }
 
-/// Plays frames against one end; checks its bounds after each.
-fn play(mut conn: Connection, frames: Vec<(u16, Performative, usize)>, answers: &[Answer]) {
-    let settings = BOUNDS();
-    let mut answered = 0;
+/// Passes frames to a connection, answers its events and checks its limits after each event.
+fn process_frames(mut conn: Connection, frames: Vec<(u16, Performative, usize)>, answers: &[Answer]) {
+    let settings = small_limits();
+    let mut event_count = 0;
     for (channel, body, size) in frames {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, AMQP, channel % 4, Some(&body), &vec![7; size]);
-        let mut left = &bytes[..];
+        let mut input = &bytes[..];
         loop {
-            let event = match conn.next_event(LATER, &mut left) {
+            let event = match conn.next_event(RECEIVE_TIME, &mut input) {
                 Ok(Some(event)) => event,
                 Ok(None) => break,
-                Err(why) => {
-                    conn.close(Some(Box::new(why.into())));
-                    conn.take_output(LATER);
+                Err(fault) => {
+                    conn.close(Some(Box::new(fault.into())));
+                    conn.take_output(RECEIVE_TIME);
                     assert!(conn.is_closed());
                     return;
                 }
             };
-            answered += 1;
-            let answer = answers[answered % answers.len()];
+            event_count += 1;
+            let answer = answers[event_count % answers.len()];
             respond(&mut conn, event, answer);
-            check_bounds(&conn, &settings);
+            check_limits(&conn, &settings);
         }
-        conn.take_output(LATER);
+        conn.take_output(RECEIVE_TIME);
     }
     assert!(conn.abandon().iter().all(|delivery| delivery.key <= 1));
 }
 
 fn answers() -> impl Strategy<Value = Vec<Answer>> {
-    let one = prop_oneof![4 => Just(Answer::Accept), 1 => Just(Answer::Refuse), 1 => Just(Answer::Nothing)];
-    prop::collection::vec(one, 1..20)
+    let answer = prop_oneof![4 => Just(Answer::Accept), 1 => Just(Answer::Refuse), 1 => Just(Answer::Ignore)];
+    prop::collection::vec(answer, 1..20)
 }
 
 fn frames() -> impl Strategy<Value = Vec<(u16, Performative, usize)>> {
     prop::collection::vec((0u16..4, body(), 0usize..900), 1..60)
 }
 
-/// One end that is open, with one session.
-fn open(dialled: bool) -> Connection {
-    let mut conn = if dialled {
-        Connection::dial(MonotonicTime::ZERO, BOUNDS(), None)
+/// Creates an open connection with one session, as the client or the server end.
+fn open_connection(is_client: bool) -> Connection {
+    let mut conn = if is_client {
+        Connection::dial(MonotonicTime::ZERO, small_limits(), None)
     } else {
-        Connection::accept(MonotonicTime::ZERO, BOUNDS(), None)
+        Connection::accept(MonotonicTime::ZERO, small_limits(), None)
     };
     let mut bytes = b"AMQP\x00\x01\x00\x00".to_vec();
     let open = Open { container_id: Some("c".into()), max_frame_size: Some(512), ..Open::default() };
@@ -256,8 +261,8 @@
         ..Begin::default()
     };
     write_frame(&mut bytes, AMQP, 0, Some(&begin.into()), &[]);
-    let mut left = &bytes[..];
-    while conn.next_event(MonotonicTime::ZERO, &mut left).expect("sound").is_some() {}
+    let mut input = &bytes[..];
+    while conn.next_event(MonotonicTime::ZERO, &mut input).expect("valid input").is_some() {}
     assert!(conn.is_open() && conn.channels().len() == 1);
     conn.take_output(MonotonicTime::ZERO);
     conn
@@ -267,45 +272,47 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn sessions_and_links_take_any_frames_in_any_order(
-        dialled in any::<bool>(),
+    fn an_open_connection_handles_any_sequence_of_frames(
+        is_client in any::<bool>(),
         frames in frames(),
         answers in answers(),
     ) {
-        play(open(dialled), frames, &answers);
+        process_frames(open_connection(is_client), frames, &answers);
     }
 
     #[test]
-    fn a_connection_takes_any_frames_from_its_start(frames in frames(), answers in answers()) {
-        let mut conn = Connection::accept(MonotonicTime::ZERO, BOUNDS(), None);
-        conn.next_event(MonotonicTime::ZERO, &mut &b"AMQP\x00\x01\x00\x00"[..]).expect("its header");
-        play(conn, frames, &answers);
+    fn a_new_connection_handles_any_sequence_of_frames(frames in frames(), answers in answers()) {
+        let mut conn = Connection::accept(MonotonicTime::ZERO, small_limits(), None);
+        let mut header = &b"AMQP\x00\x01\x00\x00"[..];
+        conn.next_event(MonotonicTime::ZERO, &mut header).expect("the protocol header is accepted");
+        process_frames(conn, frames, &answers);
     }
 
     #[test]
-    fn sasl_takes_anything(
+    fn a_sasl_server_handles_any_frame_bodies(
         bodies in prop::collection::vec((0usize..5, prop::collection::vec(any::<u8>(), 0..200)), 1..6),
-        verdict in any::<bool>(),
+        is_authorized in any::<bool>(),
     ) {
         let offered = Mechanism::ALL.to_vec();
-        let mut conn = Connection::accept(MonotonicTime::ZERO, BOUNDS(), Some(offered));
-        conn.next_event(MonotonicTime::ZERO, &mut &b"AMQP\x03\x01\x00\x00"[..]).expect("its header");
-        for (which, bytes) in bodies {
-            let name = Some(Symbol(Mechanism::ALL[which % 4].name().into()));
-            let body: Performative = match which {
+        let mut conn = Connection::accept(MonotonicTime::ZERO, small_limits(), Some(offered));
+        let mut header = &b"AMQP\x03\x01\x00\x00"[..];
+        conn.next_event(MonotonicTime::ZERO, &mut header).expect("the protocol header is accepted");
+        for (kind, bytes) in bodies {
+            let name = Some(Symbol(Mechanism::ALL[kind % 4].name().into()));
+            let body: Performative = match kind {
                 4 => SaslResponse { response: Some(bytes) }.into(),
                 _ => SaslInit { mechanism: name, initial_response: Some(bytes), hostname: None }.into(),
             };
             let mut frame = Vec::new();
             write_frame(&mut frame, SASL, 0, Some(&body), &[]);
-            let mut left = &frame[..];
+            let mut input = &frame[..];
             loop {
-                match conn.next_event(MonotonicTime::ZERO, &mut left) {
+                match conn.next_event(MonotonicTime::ZERO, &mut input) {
                     Ok(Some(Event::SaslRequest(SaslRequest::ScramKeys { .. }))) => conn.provide_scram_keys(None, b"salt", "nonce"),
                     Ok(Some(Event::SaslRequest(request))) => {
-                        let proven = matches!(request, SaslRequest::ScramProof { is_valid: true, .. });
-                        prop_assert!(!proven, "nobody proves what nobody knows");
-                        conn.finish_sasl(verdict);
+                        let is_proven = matches!(request, SaslRequest::ScramProof { is_valid: true, .. });
+                        prop_assert!(!is_proven, "a proof for an unknown user was accepted");
+                        conn.finish_sasl(is_authorized);
                     }
                     Ok(Some(_)) => {}
                     Ok(None) => break,
@@ -316,44 +323,45 @@
     }
 
     #[test]
-    fn frames_and_values_take_any_octets(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
-        let mut left = &bytes[..];
-        while let Ok(Some(frame)) = read_frame(&mut left, 1024) {
-            // What was read is written and read again as it was.
-            let mut again = Vec::new();
-            write_frame(&mut again, frame.frame_type, frame.channel, frame.body.as_ref(), frame.payload);
-            let back = read_frame(&mut &again[..], u32::MAX).expect("sound").expect("whole");
-            prop_assert_eq!(back.body, frame.body);
+    fn decoding_handles_any_octets(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+        let mut input = &bytes[..];
+        while let Ok(Some(frame)) = read_frame(&mut input, 1024) {
+            // Encoding a decoded frame and decoding it again gives the same body.
+            let mut encoded = Vec::new();
+            write_frame(&mut encoded, frame.frame_type, frame.channel, frame.body.as_ref(), frame.payload);
+            let decoded = read_frame(&mut &encoded[..], u32::MAX).expect("a valid frame");
+            let decoded = decoded.expect("a complete frame");
+            prop_assert_eq!(decoded.body, frame.body);
         }
-        let mut left = &bytes[..];
-        if let Ok(value) = decode(&mut left) {
-            let mut again = Vec::new();
-            encode(&value, &mut again);
-            prop_assert!(decode(&mut &again[..]).is_ok());
+        let mut input = &bytes[..];
+        if let Ok(value) = decode(&mut input) {
+            let mut encoded = Vec::new();
+            encode(&value, &mut encoded);
+            prop_assert!(decode(&mut &encoded[..]).is_ok());
         }
     }
 
     #[test]
-    fn a_prefix_of_a_message_is_read_like_the_complete_message(
+    fn the_head_of_a_message_prefix_equals_that_of_the_complete_message(
         ttl in any::<u32>(),
         key in "\\PC{0,30}",
         body in prop::collection::vec(any::<u8>(), 0..300),
-        cut in 0usize..400,
+        prefix_size in 0usize..400,
     ) {
         let mut bytes = Vec::new();
         encode(&Value::composite(0x70, vec![Value::Null, Value::Null, Value::Uint(ttl)]), &mut bytes);
         encode(&Value::described(0x74, Value::Map(vec![(Value::text("key"), Value::text(&key))])), &mut bytes);
         encode(&Value::described(0x75, Value::Binary(body)), &mut bytes);
-        let complete = Message::decode(&bytes).expect("sound");
+        let complete = Message::decode(&bytes).expect("a valid message");
         prop_assert_eq!(complete.head.ttl, Some(ttl));
         prop_assert_eq!(complete.property("key"), Some(key.clone()));
-        let cut = cut.min(bytes.len());
-        if let Some(head) = Head::read(&bytes[..cut]).expect("a prefix is never wrong") {
+        let prefix_size = prefix_size.min(bytes.len());
+        if let Some(head) = Head::read(&bytes[..prefix_size]).expect("a valid prefix") {
             prop_assert_eq!(&head, &complete.head);
         }
-        let on = complete.encode(7);
-        let passed = Message::decode(&on).expect("sound");
-        prop_assert_eq!(passed.head.ttl, Some(7));
-        prop_assert_eq!(&on[passed.head.after_header()..], &bytes[complete.head.after_header()..]);
+        let encoded = complete.encode(7);
+        let forwarded = Message::decode(&encoded).expect("a valid message");
+        prop_assert_eq!(forwarded.head.ttl, Some(7));
+        prop_assert_eq!(&encoded[forwarded.head.after_header()..], &bytes[complete.head.after_header()..]);
     }
 }
