--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -93,16 +93,16 @@
         let is_final = disposition.state.as_ref().is_some_and(State::is_final);
         if !is_from_receiver {
             if settled {
-                self.settled_by_sender(channel, first, last);
+                self.on_sender_settlement(channel, first, last);
             }
         } else if settled || is_final {
-            self.settled_by_receiver(channel, first, last, settled, disposition.state);
+            self.on_receiver_disposition(channel, first, last, settled, disposition.state);
         }
         Ok(())
     }
 
     /// Handles a disposition with which the sender settles received deliveries.
-    fn settled_by_sender(&mut self, channel: u16, first: u32, last: u32) {
+    fn on_sender_settlement(&mut self, channel: u16, first: u32, last: u32) {
         let Some(session) = self.session(channel) else { return };
         for id in session.unsettled_in_range(Direction::Incoming, first, last) {
             let delivery = self.remove_unsettled(channel, Direction::Incoming, id);
@@ -114,7 +114,7 @@
     }
 
     /// Handles a disposition with which the receiver settles sent deliveries or reports their outcome.
-    fn settled_by_receiver(
+    fn on_receiver_disposition(
         &mut self,
         channel: u16,
         first: u32,
@@ -143,7 +143,7 @@
                 state: state.clone(),
             });
         }
-        self.send_aborts(channel);
+        self.send_pending_aborts(channel);
     }
 
     /// Adds a disposition to the current batch if it continues its range. Otherwise flushes the batch and starts a
@@ -176,6 +176,6 @@
             state: batch.state,
             batchable: None,
         };
-        write_frame_with(&mut self.out, AMQP, batch.channel, |out| write_composite(&body, out), &[]);
+        write_frame_with(&mut self.output, AMQP, batch.channel, |out| write_composite(&body, out), &[]);
     }
 }
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -17,13 +17,13 @@
             (Auth::Server(server), Stage::AwaitingHeader, SASL_HEADER) => {
                 let server = server.get_or_insert_with(|| sasl::Server::new(vec![Mechanism::Anonymous]));
                 let mechanisms = server.mechanisms();
-                self.out.extend(SASL_HEADER);
+                self.output.extend(SASL_HEADER);
                 self.send_sasl(&mechanisms);
                 self.stage = Stage::Sasl;
             }
             (Auth::Server(None), Stage::AwaitingHeader, AMQP_HEADER)
             | (Auth::Server(_), Stage::AwaitingAmqpHeader, AMQP_HEADER) => {
-                self.out.extend(AMQP_HEADER);
+                self.output.extend(AMQP_HEADER);
                 self.stage = Stage::AwaitingOpen;
             }
             (Auth::Client(Some(_)), Stage::AwaitingHeader, SASL_HEADER) => self.stage = Stage::Sasl,
@@ -43,7 +43,7 @@
     pub(super) fn reject_header(&mut self) -> Fault {
         if let Auth::Server(server) = &self.auth {
             let requires_sasl = server.is_some() && self.stage == Stage::AwaitingHeader;
-            self.out.extend(if requires_sasl { SASL_HEADER } else { AMQP_HEADER });
+            self.output.extend(if requires_sasl { SASL_HEADER } else { AMQP_HEADER });
         }
         self.stage = Stage::Closed;
         fault(condition::FRAMING_ERROR, "not the protocol header that is wanted")
@@ -60,7 +60,7 @@
             Ok(Step::Send(body)) => self.send_sasl(&body),
             Ok(Step::Request(request)) => self.events.push_back(Event::SaslRequest(request)),
             Ok(Step::Done) => {
-                self.out.extend(AMQP_HEADER);
+                self.output.extend(AMQP_HEADER);
                 self.send_open();
                 self.stage = Stage::AwaitingAmqpHeader;
             }
@@ -106,7 +106,7 @@
             idle_time_out: Some((idle_timeout_ms / 2) as u32).filter(|timeout| *timeout > 0),
             ..Open::default()
         };
-        write_frame(&mut self.out, AMQP, 0, Some(&open.into()), &[]);
+        write_frame(&mut self.output, AMQP, 0, Some(&open.into()), &[]);
     }
 
     /// Handles the peer's open.
@@ -117,8 +117,8 @@
         if max_frame_size < MIN_MAX_FRAME_SIZE {
             return Err(fault(condition::INVALID_FIELD, "max-frame-size below 512"));
         }
-        self.peer_max_frame_size = max_frame_size;
-        self.peer_channel_max = open.channel_max.unwrap_or(u16::MAX);
+        self.remote_max_frame_size = max_frame_size;
+        self.remote_channel_max = open.channel_max.unwrap_or(u16::MAX);
         self.idle.set_remote_timeout(open.idle_time_out);
         self.peer = PeerInfo {
             container,
--- a/crates/amqp/src/connection/idle.rs
+++ b/crates/amqp/src/connection/idle.rs
@@ -50,8 +50,8 @@
 
     /// Whether a heartbeat has to be sent if there is no other output.
     pub fn is_heartbeat_due(&self, now: MonotonicTime) -> bool {
-        let idle = now.saturating_duration_since(self.last_sent);
-        self.remote_timeout.is_some_and(|timeout| idle >= timeout / 2)
+        let idle_time = now.saturating_duration_since(self.last_sent);
+        self.remote_timeout.is_some_and(|timeout| idle_time >= timeout / 2)
     }
 
     /// The time from which [`IdleTimer::has_peer_timed_out`] is true unless octets are received.
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -67,15 +67,16 @@
     stage: Stage,
     peer_has_no_sasl: bool,
     peer: PeerInfo,
-    peer_max_frame_size: u32,
-    peer_channel_max: u16,
+    remote_max_frame_size: u32,
+    remote_channel_max: u16,
     idle: IdleTimer,
     sessions: SessionTable,
     /// Events that [`Connection::next_event`] has not returned yet.
     events: VecDeque<Event<'static>>,
     /// A disposition that is not written yet because further deliveries may extend its range.
     disposition_batch: Option<DispositionBatch>,
-    out: Vec<u8>,
+    /// Octets that are ready to be sent.
+    output: Vec<u8>,
 }
 
 impl Connection {
@@ -86,9 +87,9 @@
         let auth = Auth::Client(credentials.map(sasl::Client::new));
         let mut connection = Connection::new(now, settings, auth);
         if uses_sasl {
-            connection.out = SASL_HEADER.to_vec();
+            connection.output = SASL_HEADER.to_vec();
         } else {
-            connection.out = AMQP_HEADER.to_vec();
+            connection.output = AMQP_HEADER.to_vec();
             connection.stage = Stage::AwaitingAmqpHeader;
             connection.send_open();
         }
@@ -109,13 +110,13 @@
             stage: Stage::AwaitingHeader,
             peer_has_no_sasl: false,
             peer: PeerInfo::default(),
-            peer_max_frame_size: MIN_MAX_FRAME_SIZE,
-            peer_channel_max: 0,
+            remote_max_frame_size: MIN_MAX_FRAME_SIZE,
+            remote_channel_max: 0,
             idle,
             sessions: SessionTable::default(),
             events: VecDeque::new(),
             disposition_batch: None,
-            out: Vec::new(),
+            output: Vec::new(),
         }
     }
 
@@ -142,7 +143,7 @@
 
     /// The highest channel number that both sides allow.
     pub fn channel_max(&self) -> u16 {
-        self.peer_channel_max.min(self.settings.channel_max)
+        self.remote_channel_max.min(self.settings.channel_max)
     }
 
     /// The highest link handle that both sides allow on a session.
@@ -193,7 +194,7 @@
 
     /// The number of octets that are ready for [`Connection::take_output`].
     pub fn pending(&self) -> usize {
-        self.out.len()
+        self.output.len()
     }
 
     /// The time at which [`Connection::tick`] has to be called next.
@@ -230,8 +231,8 @@
         if self.idle.has_peer_timed_out(now) {
             return Err(fault(condition::RESOURCE_LIMIT_EXCEEDED, "idle time-out"));
         }
-        if self.is_open() && self.idle.is_heartbeat_due(now) && self.out.is_empty() {
-            write_frame(&mut self.out, AMQP, 0, None, &[]);
+        if self.is_open() && self.idle.is_heartbeat_due(now) && self.output.is_empty() {
+            write_frame(&mut self.output, AMQP, 0, None, &[]);
         }
         Ok(())
     }
@@ -239,31 +240,31 @@
     /// Returns the octets to write to the transport and clears the output buffer.
     pub fn take_output(&mut self, now: MonotonicTime) -> Vec<u8> {
         self.flush_dispositions();
-        if !self.out.is_empty() {
+        if !self.output.is_empty() {
             self.idle.on_sent(now);
         }
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.output)
     }
 
     /// Appends the octets to write to `buffer`. Unlike [`Connection::take_output`] it keeps the allocation of the
     /// output buffer.
     pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
         self.flush_dispositions();
-        if !self.out.is_empty() {
+        if !self.output.is_empty() {
             self.idle.on_sent(now);
-            buffer.append(&mut self.out);
+            buffer.append(&mut self.output);
         }
     }
 
     fn send_performative(&mut self, channel: u16, body: impl Into<Performative>) {
         self.flush_dispositions();
         if self.stage != Stage::Closed {
-            write_frame(&mut self.out, AMQP, channel, Some(&body.into()), &[]);
+            write_frame(&mut self.output, AMQP, channel, Some(&body.into()), &[]);
         }
     }
 
     fn send_sasl(&mut self, body: &Performative) {
-        write_frame(&mut self.out, SASL, 0, Some(body), &[]);
+        write_frame(&mut self.output, SASL, 0, Some(body), &[]);
     }
 
     /// Sends a close with the given error. No frames are sent after it.
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -34,15 +34,15 @@
     ) -> Sent {
         let mut sent = Sent::default();
         self.flush_dispositions();
-        let max_payload = (self.peer_max_frame_size as usize).saturating_sub(MAX_TRANSFER_OVERHEAD_BYTES);
-        while (last || !payload.is_empty()) && self.out.len() < capacity && self.stage == Stage::Open {
+        let max_payload = (self.remote_max_frame_size as usize).saturating_sub(MAX_TRANSFER_OVERHEAD_BYTES);
+        while (last || !payload.is_empty()) && self.output.len() < capacity && self.stage == Stage::Open {
             let size = max_payload.min(payload.len());
             let more = !(last && size == payload.len());
             let Some(transfer) = self.start_transfer(link_id, &delivery, more) else { break };
-            let start = self.out.len();
+            let start = self.output.len();
             let write = |out: &mut Vec<u8>| transfer.write(out);
-            write_frame_with(&mut self.out, AMQP, link_id.channel, write, &payload[..size]);
-            debug_assert!(self.out.len() - start <= self.peer_max_frame_size as usize);
+            write_frame_with(&mut self.output, AMQP, link_id.channel, write, &payload[..size]);
+            debug_assert!(self.output.len() - start <= self.remote_max_frame_size as usize);
             payload = &payload[size..];
             sent.octets += size;
             sent.started = true;
@@ -114,7 +114,7 @@
         if let Some(link) = self.link_mut(link_id) {
             link.pending_abort = Some(id);
         }
-        self.send_aborts(link_id.channel);
+        self.send_pending_aborts(link_id.channel);
     }
 
     /// Settles a delivery that was sent completely. Its outcome is no longer reported.
@@ -139,7 +139,7 @@
     }
 
     /// Sends pending aborts, as far as the session's window allows.
-    pub(super) fn send_aborts(&mut self, channel: u16) {
+    pub(super) fn send_pending_aborts(&mut self, channel: u16) {
         let Some(session) = self.session_mut(channel) else { return };
         let mut aborts = Vec::new();
         for (handle, link) in session.links.iter_mut().enumerate() {
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -112,7 +112,7 @@
         if let Some(session) = self.session_mut(channel) {
             session.on_flow(&flow)?;
         }
-        self.send_aborts(channel);
+        self.send_pending_aborts(channel);
         let echo = flow.echo == Some(true);
         let Some(link_id) = link else {
             if let Some(answer) = self.session(channel).filter(|_| echo).map(Session::flow) {
--- a/crates/amqp/src/frame.rs
+++ b/crates/amqp/src/frame.rs
@@ -70,6 +70,7 @@
 ) {
     let start = out.len();
     let channel = channel.to_be_bytes();
+    // The size is filled in at the end. The data offset is 2 words of 4 octets.
     out.extend([0, 0, 0, 0, 2, frame_type, channel[0], channel[1]]);
     write(out);
     out.extend_from_slice(payload);
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -9,13 +9,13 @@
 
 type Key = [u8; 32];
 
-fn mac(key: &[u8]) -> Hmac<Sha256> {
+fn new_mac(key: &[u8]) -> Hmac<Sha256> {
     // HMAC accepts keys of any length, so the error cannot occur. The fallback to an empty key avoids a panic.
     Hmac::<Sha256>::new_from_slice(key).unwrap_or_else(|_| Hmac::<Sha256>::new(&Default::default()))
 }
 
 fn hmac(key: &[u8], message: &[u8]) -> Key {
-    let mut mac = mac(key);
+    let mut mac = new_mac(key);
     mac.update(message);
     mac.finalize().into_bytes().into()
 }
@@ -36,7 +36,7 @@
 impl Pbkdf2 {
     /// Starts the computation for a password. `rounds` is the iteration count and has to be at least 1.
     pub fn new(password: &[u8], salt: &[u8], rounds: u32) -> Pbkdf2 {
-        let mac = mac(password);
+        let mac = new_mac(password);
         let mut first = mac.clone();
         first.update(salt);
         first.update(&1u32.to_be_bytes());
@@ -73,16 +73,16 @@
 
 impl SaltedKeys {
     /// Derives the keys from a salted password.
-    pub fn from_salted(salted: &[u8; 32], salt: Vec<u8>, rounds: u32) -> SaltedKeys {
-        let client_key = hmac(salted, b"Client Key");
+    pub fn from_salted(salted_password: &[u8; 32], salt: Vec<u8>, rounds: u32) -> SaltedKeys {
+        let client_key = hmac(salted_password, b"Client Key");
         let stored_key = Sha256::digest(client_key).into();
-        SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted, b"Server Key") }
+        SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted_password, b"Server Key") }
     }
 
     /// Whether the keys belong to the salted password.
-    pub fn matches(&self, salted: &[u8; 32]) -> bool {
-        let stored: Key = Sha256::digest(hmac(salted, b"Client Key")).into();
-        stored.ct_eq(&self.stored_key).into()
+    pub fn matches(&self, salted_password: &[u8; 32]) -> bool {
+        let stored_key: Key = Sha256::digest(hmac(salted_password, b"Client Key")).into();
+        stored_key.ct_eq(&self.stored_key).into()
     }
 }
 
@@ -112,9 +112,9 @@
 pub fn parse_client_first(bytes: &[u8]) -> Option<ClientFirst> {
     let text = std::str::from_utf8(bytes).ok()?;
     let mut fields = text.splitn(3, ',');
-    let flag = fields.next()?;
+    let gs2_flag = fields.next()?;
     let _authorization_id = fields.next()?;
-    if flag != "n" && flag != "y" {
+    if gs2_flag != "n" && gs2_flag != "y" {
         return None;
     }
     let bare = fields.next()?;
@@ -124,7 +124,7 @@
     for attribute in bare.split(',') {
         match attribute.split_once('=') {
             Some(("n", name)) => user = Some(name.replace("=2C", ",").replace("=3D", "=")),
-            Some(("r", given)) => nonce = Some(given.to_string()),
+            Some(("r", value)) => nonce = Some(value.to_string()),
             Some(("m", _)) | None => return None,
             Some(_) => {}
         }
@@ -140,12 +140,23 @@
 impl Server {
     /// Creates the answer to a client-first-message. For an unknown user `keys` is None, and `fake_salt` is sent in
     /// place of the stored salt, so that the answer does not reveal which users exist.
-    pub fn new(first: ClientFirst, keys: Option<SaltedKeys>, fake_salt: &[u8], own_nonce: &str) -> Server {
-        let nonce = format!("{}{own_nonce}", first.nonce);
+    pub fn new(
+        client_first: ClientFirst,
+        keys: Option<SaltedKeys>,
+        fake_salt: &[u8],
+        server_nonce: &str,
+    ) -> Server {
+        let nonce = format!("{}{server_nonce}", client_first.nonce);
         let (salt, rounds) =
             keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.rounds));
         let server_first = format!("r={nonce},s={},i={rounds}", STANDARD.encode(salt));
-        Server { client_first_bare: first.bare, gs2_header: first.gs2_header, nonce, server_first, keys }
+        Server {
+            client_first_bare: client_first.bare,
+            gs2_header: client_first.gs2_header,
+            nonce,
+            server_first,
+            keys,
+        }
     }
 
     /// The server-first-message.
@@ -158,20 +169,20 @@
         let text = std::str::from_utf8(bytes).ok()?;
         let (without_proof, proof) = text.rsplit_once(",p=")?;
         let mut fields = without_proof.split(',');
-        let binding = fields.next()?.strip_prefix("c=")?;
+        let channel_binding = fields.next()?.strip_prefix("c=")?;
         let nonce = fields.next()?.strip_prefix("r=")?;
-        if STANDARD.decode(binding).ok()? != self.gs2_header.as_bytes() || nonce != self.nonce {
+        if STANDARD.decode(channel_binding).ok()? != self.gs2_header.as_bytes() || nonce != self.nonce {
             return None;
         }
         let keys = self.keys.as_ref()?;
-        let message = format!("{},{},{without_proof}", self.client_first_bare, self.server_first);
+        let auth_message = format!("{},{},{without_proof}", self.client_first_bare, self.server_first);
         let mut client_key: Key = STANDARD.decode(proof).ok()?.try_into().ok()?;
-        xor_into(&mut client_key, &hmac(&keys.stored_key, message.as_bytes()));
-        let stored: Key = Sha256::digest(client_key).into();
-        if !bool::from(stored.ct_eq(&keys.stored_key)) {
+        xor_into(&mut client_key, &hmac(&keys.stored_key, auth_message.as_bytes()));
+        let stored_key: Key = Sha256::digest(client_key).into();
+        if !bool::from(stored_key.ct_eq(&keys.stored_key)) {
             return None;
         }
-        let signature = hmac(&keys.server_key, message.as_bytes());
+        let signature = hmac(&keys.server_key, auth_message.as_bytes());
         Some(format!("v={}", STANDARD.encode(signature)).into_bytes())
     }
 }
@@ -192,13 +203,8 @@
     /// Starts an exchange. The nonce consists of printable characters without commas.
     pub fn new(user: &str, password: &str, nonce: &str) -> Client {
         let user = user.replace('=', "=3D").replace(',', "=2C");
-        let bare = format!("n={user},r={nonce}");
-        Client {
-            client_first_bare: bare,
-            password: password.into(),
-            nonce: nonce.into(),
-            server_signature: None,
-        }
+        let client_first_bare = format!("n={user},r={nonce}");
+        Client { client_first_bare, password: password.into(), nonce: nonce.into(), server_signature: None }
     }
 
     /// The client-first-message.
@@ -216,21 +222,24 @@
         if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || rounds > MAX_ROUNDS {
             return None;
         }
-        let salted = Pbkdf2::new(self.password.as_bytes(), &salt, rounds).step(rounds)?;
-        let keys = SaltedKeys::from_salted(&salted, salt, rounds);
+        let salted_password = Pbkdf2::new(self.password.as_bytes(), &salt, rounds).step(rounds)?;
+        let keys = SaltedKeys::from_salted(&salted_password, salt, rounds);
         let without_proof = format!("c=biws,r={nonce}");
-        let message = format!("{},{text},{without_proof}", self.client_first_bare);
-        let mut proof = hmac(&salted, b"Client Key");
-        xor_into(&mut proof, &hmac(&keys.stored_key, message.as_bytes()));
-        self.server_signature = Some(hmac(&keys.server_key, message.as_bytes()).to_vec());
+        let auth_message = format!("{},{text},{without_proof}", self.client_first_bare);
+        let mut proof = hmac(&salted_password, b"Client Key");
+        xor_into(&mut proof, &hmac(&keys.stored_key, auth_message.as_bytes()));
+        self.server_signature = Some(hmac(&keys.server_key, auth_message.as_bytes()).to_vec());
         Some(format!("{without_proof},p={}", STANDARD.encode(proof)).into_bytes())
     }
 
     /// Whether the server-final-message proves that the server knows the user's keys.
     pub fn verify_server(&self, server_final: &[u8]) -> bool {
         let signature = std::str::from_utf8(server_final).ok().and_then(|t| t.strip_prefix("v="));
-        let given = signature.and_then(|s| STANDARD.decode(s).ok());
-        matches!((&self.server_signature, given), (Some(own), Some(given)) if bool::from(own.ct_eq(&given)))
+        let received = signature.and_then(|s| STANDARD.decode(s).ok());
+        match (&self.server_signature, received) {
+            (Some(expected), Some(received)) => expected.ct_eq(&received).into(),
+            _ => false,
+        }
     }
 }
 
