--- a/crates/test-support/src/amqp_messages.rs
+++ b/crates/test-support/src/amqp_messages.rs
@@ -1,9 +1,9 @@
-//! Encoded AMQP messages.
+//! Encoding of AMQP messages for tests.
 
 use sparbank_amqp as amqp;
 use sparbank_amqp::Value;
 
-/// A message to this address, with a time to live and a reply address.
+/// Encodes a message with a destination address, a time to live and an optional reply address.
 pub fn addressed(to: &str, reply_to: Option<&str>, ttl: u32, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     let header = vec![Value::Bool(false), Value::Null, Value::Uint(ttl)];
@@ -17,7 +17,7 @@
     out
 }
 
-/// A message with a time to live and an idempotency key.
+/// Encodes a durable message with a time to live and an idempotency key.
 pub fn message(ttl: u32, key: &str, body: &[u8]) -> Vec<u8> {
     let section = |code: u64, value: Value| Value::Described(Box::new(Value::Ulong(code)), Box::new(value));
     let mut out = Vec::new();
--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -1,4 +1,4 @@
-//! One end of an AMQP connection, which a test plays frame by frame: a client, or a server.
+//! The test's end of an AMQP connection, driven frame by frame in the role of a client or a server.
 
 use crate::peer::Peer;
 use sparbank_amqp as amqp;
@@ -6,35 +6,39 @@
 use std::io::{Read, Write};
 use std::net::SocketAddr;
 
-/// One end of an AMQP connection, past its handshake, with one session on channel 0.
+const WRITE_FAILED: &str = "failed to write to the connection";
+
+/// The test's end of an AMQP connection after the protocol headers, usually with one session on channel 0.
 #[derive(Debug)]
 pub struct AmqpPeer {
     /// The connection.
     pub peer: Peer,
+    /// Received bytes that are not a complete frame yet.
     bytes: Vec<u8>,
 }
 
-/// A message with the id of its delivery.
+/// A received message and its delivery id.
 #[derive(Debug)]
 pub struct ReceivedMessage {
-    /// The id that the sender gave the delivery.
+    /// Delivery id assigned by the sender.
     pub delivery_id: u32,
     /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// What is read next.
+/// The result of reading a frame.
 #[derive(Debug)]
 pub enum NextFrame {
-    /// An empty frame.
+    /// An empty frame, which is a heartbeat.
     Heartbeat,
-    /// A frame with its payload.
+    /// A performative and the payload that follows it.
     Body(Box<Performative>, Vec<u8>),
     /// The connection has ended.
     Ended,
 }
 
-/// Reads frames until one is this performative; yields its body and payload.
+/// Reads frames up to the next one with this performative, and evaluates to its body and payload. Panics if the
+/// connection ends first.
 #[macro_export]
 macro_rules! until {
     ($peer:expr, $kind:ident) => {
@@ -47,20 +51,22 @@
 }
 
 impl AmqpPeer {
+    /// Wraps a connection and exchanges this protocol header.
     fn handshake(peer: Peer, header: &[u8; 8]) -> AmqpPeer {
         let mut this = AmqpPeer { peer, bytes: Vec::new() };
-        this.header(header);
+        this.exchange_header(header);
         this
     }
 
-    fn header(&mut self, header: &[u8; 8]) {
-        std::io::Write::write_all(&mut self.peer.stream, header).expect("written");
-        let mut theirs = [0; 8];
-        self.peer.read_exact(&mut theirs);
-        assert_eq!(&theirs, header);
+    /// Sends a protocol header and checks that the node sends the same one.
+    fn exchange_header(&mut self, header: &[u8; 8]) {
+        std::io::Write::write_all(&mut self.peer.stream, header).expect(WRITE_FAILED);
+        let mut received = [0; 8];
+        self.peer.read_exact(&mut received);
+        assert_eq!(&received, header);
     }
 
-    /// A client of the node, with one session.
+    /// Connects a client and begins a session.
     pub fn client(addr: SocketAddr, idle_ms: Option<u32>) -> AmqpPeer {
         let mut this = AmqpPeer::opened(addr, "client", idle_ms);
         this.begin(None, 100);
@@ -68,18 +74,19 @@
         this
     }
 
-    /// A client of the node with this container id, without a session.
+    /// Connects a client with this container id, without a session.
     pub fn opened(addr: SocketAddr, container: &str, idle_ms: Option<u32>) -> AmqpPeer {
-        let mut this = AmqpPeer::known(addr, "ANONYMOUS", b"").expect("anonymous clients are accepted");
+        let mut this = AmqpPeer::known(addr, "ANONYMOUS", b"").expect("the node rejects ANONYMOUS");
         this.open(container, idle_ms, u32::MAX);
         until!(this, Open);
         this
     }
 
-    /// A client that has authenticated itself by this mechanism, up to the AMQP header.
+    /// Connects a client and authenticates it with this SASL mechanism and initial response. The AMQP header is
+    /// exchanged, but no open is sent.
     ///
     /// # Errors
-    /// The code of the SASL outcome, where the node rejects it.
+    /// The code of the SASL outcome, if the node rejects the client.
     pub fn known(addr: SocketAddr, mechanism: &str, response: &[u8]) -> Result<AmqpPeer, u8> {
         let mut this = AmqpPeer::handshake(Peer::connect(addr), b"AMQP\x03\x01\x00\x00");
         until!(this, SaslMechanisms);
@@ -89,49 +96,50 @@
         this.put_kind(amqp::SASL, init.into(), &[]);
         match until!(this, SaslOutcome).0.code {
             Some(0) => {}
-            code => return Err(code.expect("a code")),
+            code => return Err(code.expect("SASL outcome without a code")),
         }
-        this.header(b"AMQP\x00\x01\x00\x00");
+        this.exchange_header(b"AMQP\x00\x01\x00\x00");
         Ok(this)
     }
 
-    /// Sends an open.
+    /// Sends an open performative.
     pub fn open(&mut self, container: &str, idle_ms: Option<u32>, max_frame: u32) {
         let container_id = Some(container.to_string());
         let max_frame_size = Some(max_frame);
         self.put(amqp::Open { container_id, idle_time_out: idle_ms, max_frame_size, ..Default::default() });
     }
 
-    /// A server that the node has connected to, with room for this many frames.
+    /// Accepts the SASL layer, the connection and a session as a server, with an incoming window of this many frames.
     pub fn server(peer: Peer, window: u32, max_frame: u32) -> AmqpPeer {
         let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Array(vec![Value::Symbol("ANONYMOUS".into())]));
         this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
         until!(this, SaslInit);
         this.put_kind(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
-        this.header(b"AMQP\x00\x01\x00\x00");
-        this.serve(window, max_frame)
+        this.exchange_header(b"AMQP\x00\x01\x00\x00");
+        this.accept_session(window, max_frame)
     }
 
-    /// A server without SASL: it answers so on the first connection, and the node opens another one.
+    /// Accepts the node's connection as a server without SASL. The server answers the SASL header of a first connection
+    /// with the plain AMQP header, and the node opens another connection without SASL.
     pub fn server_without_sasl(listener: &std::net::TcpListener, window: u32) -> AmqpPeer {
         let mut first = Peer::accept(listener);
-        let mut theirs = [0; 8];
-        first.read_exact(&mut theirs);
-        assert_eq!(&theirs, b"AMQP\x03\x01\x00\x00");
-        first.stream.write_all(b"AMQP\x00\x01\x00\x00").expect("written");
+        let mut received = [0; 8];
+        first.read_exact(&mut received);
+        assert_eq!(&received, b"AMQP\x03\x01\x00\x00");
+        first.stream.write_all(b"AMQP\x00\x01\x00\x00").expect(WRITE_FAILED);
         drop(first);
-        AmqpPeer::handshake(Peer::accept(listener), b"AMQP\x00\x01\x00\x00").serve(window, 4096)
+        AmqpPeer::handshake(Peer::accept(listener), b"AMQP\x00\x01\x00\x00").accept_session(window, 4096)
     }
 
-    /// A server that allows one session with one link on a connection.
+    /// Accepts a connection as a server that allows one session with one link (`channel_max` and `handle_max` are 0).
     pub fn narrow_server(peer: Peer) -> AmqpPeer {
         let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Symbol("ANONYMOUS".into()));
         this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
         until!(this, SaslInit);
         this.put_kind(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
-        this.header(b"AMQP\x00\x01\x00\x00");
+        this.exchange_header(b"AMQP\x00\x01\x00\x00");
         until!(this, Open);
         let container_id = Some("narrow".to_string());
         this.put(amqp::Open { container_id, channel_max: Some(0), ..Default::default() });
@@ -147,7 +155,8 @@
         this
     }
 
-    fn serve(mut self, window: u32, max_frame: u32) -> AmqpPeer {
+    /// Answers the node's open and begin.
+    fn accept_session(mut self, window: u32, max_frame: u32) -> AmqpPeer {
         until!(self, Open);
         self.open("server", None, max_frame);
         until!(self, Begin);
@@ -155,7 +164,8 @@
         self
     }
 
-    /// Begins a session, or accepts the one of this channel, with room for this many frames.
+    /// Begins a session, or accepts the one that the node began on this channel, with an incoming window of this many
+    /// frames.
     pub fn begin(&mut self, remote_channel: Option<u16>, window: u32) {
         let (next_outgoing_id, outgoing_window) = (Some(0), Some(100));
         let incoming_window = Some(window);
@@ -169,46 +179,46 @@
         self.put(begin);
     }
 
-    /// Sends a performative on the first channel.
+    /// Sends a performative on channel 0.
     pub fn put(&mut self, body: impl Into<Performative>) {
         self.put_kind(amqp::AMQP, body.into(), &[]);
     }
 
-    /// Sends an empty frame, which keeps the connection from the node's idle timeout (2.4.5).
+    /// Sends an empty frame, which prevents the node's idle time-out (AMQP 1.0, section 2.4.5).
     pub fn send_heartbeat(&mut self) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, amqp::AMQP, 0, None, &[]);
-        self.peer.stream.write_all(&out).expect("written");
+        self.peer.stream.write_all(&out).expect(WRITE_FAILED);
     }
 
-    /// Sends a performative on this channel.
+    /// Sends a performative on a channel.
     pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
-        self.peer.stream.write_all(&out).expect("written");
+        self.peer.stream.write_all(&out).expect(WRITE_FAILED);
     }
 
-    /// A second handle, to write from another thread.
+    /// Returns a second handle on the connection, to write from another thread.
     pub fn try_clone(&self) -> AmqpPeer {
-        let stream = self.peer.stream.try_clone().expect("a second handle");
+        let stream = self.peer.stream.try_clone().expect("failed to duplicate the socket");
         AmqpPeer { peer: Peer::new(stream), bytes: Vec::new() }
     }
 
-    /// Sends a frame of this type with a payload on the first channel.
+    /// Sends a frame of this type on channel 0, with a payload.
     pub fn put_kind(&mut self, kind: u8, body: Performative, payload: &[u8]) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, kind, 0, Some(&body), payload);
-        self.peer.stream.write_all(&out).expect("written");
+        self.peer.stream.write_all(&out).expect(WRITE_FAILED);
     }
 
     /// Reads the next frame.
     pub fn frame(&mut self) -> NextFrame {
         loop {
-            let mut left = &self.bytes[..];
-            if let Some(frame) = amqp::read_frame(&mut left, u32::MAX).expect("a sound frame") {
+            let mut remaining = &self.bytes[..];
+            if let Some(frame) = amqp::read_frame(&mut remaining, u32::MAX).expect("malformed frame") {
                 let (body, payload) = (frame.body, frame.payload.to_vec());
-                let taken = self.bytes.len() - left.len();
-                self.bytes.drain(..taken);
+                let consumed = self.bytes.len() - remaining.len();
+                self.bytes.drain(..consumed);
                 return body.map_or(NextFrame::Heartbeat, |body| NextFrame::Body(Box::new(body), payload));
             }
             let mut chunk = [0; 4096];
@@ -220,10 +230,10 @@
         }
     }
 
-    /// Reads the next frame that is not empty.
+    /// Reads the next frame that is not a heartbeat.
     ///
     /// # Panics
-    /// The connection ends.
+    /// The connection ended.
     pub fn next_body(&mut self) -> (Performative, Vec<u8>) {
         loop {
             match self.frame() {
@@ -234,10 +244,10 @@
         }
     }
 
-    /// Attaches a sending link to this address and waits for its credit.
+    /// Attaches a sending link to this address, waits for credit and returns it.
     ///
     /// # Errors
-    /// The node detaches the link.
+    /// The node detached the link.
     pub fn attach(&mut self, address: &str) -> Result<u32, amqp::Detach> {
         let address = Some(address.to_string());
         let target = Some(Terminus::Target(Target { address, ..Default::default() }));
@@ -248,17 +258,17 @@
         self.put(attach);
         loop {
             match self.next_body().0 {
-                Performative::Flow(flow) => return Ok(flow.link_credit.expect("credit")),
+                Performative::Flow(flow) => return Ok(flow.link_credit.expect("flow without link credit")),
                 Performative::Detach(detach) => return Err(detach),
                 _ => {}
             }
         }
     }
 
-    /// Attaches a receiving link from this source; yields the node's own attach.
+    /// Attaches a receiving link from this source and returns the node's attach.
     ///
     /// # Errors
-    /// The node detaches the link.
+    /// The node detached the link.
     pub fn receive(&mut self, handle: u32, source: Source) -> Result<Attach, amqp::Detach> {
         let (name, role) = (Some(format!("from-{handle}")), Some(true));
         let (source, target) = (Some(source), Some(Terminus::Target(Target::default())));
@@ -285,7 +295,7 @@
         });
     }
 
-    /// Grants credit on a receiving link of this client, with room for any number of frames.
+    /// Grants credit on a receiving link of this client, with an incoming window of a million frames.
     pub fn grant_wide(&mut self, handle: u32, credit: u32) {
         self.put(amqp::Flow {
             next_incoming_id: Some(0),
@@ -299,10 +309,10 @@
         });
     }
 
-    /// Accepts the node's receiving link, as a server that sends on it at this handle.
+    /// Accepts the node's receiving link as a server, which sends on it with this handle. Returns the node's attach.
     pub fn source(&mut self, handle: u32) -> Attach {
         let (attach, _) = until!(self, Attach);
-        assert_eq!(attach.role, Some(true), "the node receives");
+        assert_eq!(attach.role, Some(true), "the node's link is not a receiving link");
         self.put(Attach {
             name: attach.name.clone(),
             handle: Some(handle),
@@ -315,21 +325,21 @@
         *attach
     }
 
-    /// Sends a delivery in one transfer on a link.
+    /// Sends a delivery in a single transfer on this link, with a four-byte delivery tag.
     pub fn send(&mut self, handle: u32, id: u32, message: &[u8]) {
         let (handle, delivery_tag) = (Some(handle), amqp::Tag::new(&id.to_be_bytes()));
         let transfer = amqp::Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
         self.put_kind(amqp::AMQP, transfer.into(), message);
     }
 
-    /// Sends a delivery in one transfer.
+    /// Sends a delivery in a single transfer on the link with handle 0, with a one-byte delivery tag.
     pub fn deliver(&mut self, id: u32, message: &[u8]) {
         let (handle, delivery_id, delivery_tag) = (Some(0), Some(id), amqp::Tag::new(&[id as u8]));
         let transfer = amqp::Transfer { handle, delivery_id, delivery_tag, ..Default::default() };
         self.put_kind(amqp::AMQP, transfer.into(), message);
     }
 
-    /// Sends a delivery in transfers of this size.
+    /// Sends a delivery on the link with handle 0, split into transfers of this size.
     pub fn deliver_in_transfers(&mut self, id: u32, message: &[u8], transfer_bytes: usize) {
         let count = message.len().div_ceil(transfer_bytes);
         for (index, piece) in message.chunks(transfer_bytes).enumerate() {
@@ -344,7 +354,7 @@
         }
     }
 
-    /// Reads the next complete message, put together from its transfers.
+    /// Reads the next complete message, assembled from its transfers.
     pub fn receive_message(&mut self) -> ReceivedMessage {
         let (mut delivery_id, mut bytes) = (None, Vec::new());
         loop {
@@ -352,17 +362,17 @@
             delivery_id = delivery_id.or(transfer.delivery_id);
             bytes.extend(payload);
             if transfer.more != Some(true) {
-                return ReceivedMessage { delivery_id: delivery_id.expect("an id"), bytes };
+                return ReceivedMessage { delivery_id: delivery_id.expect("delivery without an id"), bytes };
             }
         }
     }
 
-    /// Reads the state of the next disposition.
+    /// Reads the next disposition and returns its delivery state.
     pub fn receive_answer(&mut self) -> State {
-        until!(self, Disposition).0.state.expect("a state")
+        until!(self, Disposition).0.state.expect("disposition without a state")
     }
 
-    /// Accepts the node's link and gives it credit, and room for this many frames.
+    /// Accepts the node's sending link, and grants it credit and an incoming window of this many frames.
     pub fn link(&mut self, credit: u32, window: u32) {
         let (attach, _) = until!(self, Attach);
         let (name, handle, target) = (attach.name, Some(7), attach.target);
@@ -370,7 +380,7 @@
         self.flow(credit, 0, window);
     }
 
-    /// Credit on the node's link, and room for frames.
+    /// Sends a flow that grants credit on the node's sending link, with an incoming window of this many frames.
     pub fn flow(&mut self, credit: u32, next_incoming: u32, window: u32) {
         self.put(amqp::Flow {
             next_incoming_id: Some(next_incoming),
@@ -384,7 +394,7 @@
         });
     }
 
-    /// Settles a delivery of the node with this state.
+    /// Settles one of the node's deliveries with this state.
     pub fn settle(&mut self, id: u32, state: State) {
         let (role, first, settled) = (Some(true), Some(id), Some(true));
         self.put(amqp::Disposition { role, first, settled, state: Some(state), ..Default::default() });
--- a/crates/test-support/src/bench.rs
+++ b/crates/test-support/src/bench.rs
@@ -1,4 +1,4 @@
-//! The test bench: one node with its discovery and its servers.
+//! The test bench: one node with its discovery and its servers, which the test drives step by step.
 
 use crate::listeners::{accept_any, listener, try_accept};
 use crate::log::{counter_value, log_field};
@@ -11,25 +11,25 @@
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
 
-/// Sockets that the node may hold, unless a test edits its configuration.
+/// The node's limit on sockets, unless a test edits the configuration.
 const NODE_SOCKETS: u32 = 256;
 
-/// A node with its discovery and its servers.
+/// One node under test, with its discovery and its servers.
 pub struct Bench {
     /// The newest process of the node.
     pub process: NodeProcess,
     start_options: StartOptions,
-    /// Where the node listens for clients of the text protocol.
+    /// Address of the node's listener for clients of the text protocol.
     pub addr: SocketAddr,
-    /// Where its AMQP frontend listens, if it is on.
+    /// Address of the AMQP frontend's listener, if the frontend is enabled.
     pub amqp: Option<SocketAddr>,
-    /// The AMQP frontend's log line about its listeners.
+    /// The log line with the AMQP frontend's listeners; empty if the frontend is disabled.
     pub amqp_line: String,
-    /// Where the node finds discovery.
+    /// Listener of discovery.
     pub discovery: TcpListener,
-    /// The listeners of its servers.
+    /// Listeners of the servers, by number.
     pub servers: Vec<TcpListener>,
-    /// The version of the endpoint list.
+    /// Generation of the endpoint list.
     pub generation: u64,
     config_path: PathBuf,
     config: String,
@@ -38,17 +38,17 @@
 impl Bench {
     // ---- Starting ------------------------------------------------------------------------------
 
-    /// Starts a node that knows this many servers and speaks text only.
+    /// Starts a node with this many servers and with the text protocol only.
     pub fn start(program: &str, servers: usize) -> Bench {
         Bench::with(program, (0..servers).map(|_| listener()).collect(), None)
     }
 
-    /// Starts a node; the AMQP frontend is on where its settings are given.
+    /// Starts a node with these servers, and with an AMQP frontend if its settings are given.
     pub fn with(program: &str, servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
         Bench::with_args(program, servers, amqp, &[], str::to_string)
     }
 
-    /// Starts a node with further arguments and an edited configuration.
+    /// Like [`Bench::with`], with additional arguments and an edited configuration.
     pub fn with_args(
         program: &str,
         servers: Vec<TcpListener>,
@@ -59,7 +59,7 @@
         Bench::with_env(program, servers, amqp, args, edit, &[])
     }
 
-    /// The same, in an environment with these variables.
+    /// Like [`Bench::with_args`], with additional environment variables.
     pub fn with_env(
         program: &str,
         servers: Vec<TcpListener>,
@@ -95,20 +95,20 @@
         }
     }
 
-    /// Starts the next process of the node beside the present one; yields the process that ran before.
+    /// Starts a successor next to the running process and returns the predecessor.
     pub fn start_successor(&mut self) -> NodeProcess {
         let successor = self.start_options.spawn(&self.config_path);
         std::mem::replace(&mut self.process, successor)
     }
 
-    /// Starts the program once more with the node's configuration, for a process that is not to come up.
+    /// Starts a second process with the node's configuration, for tests in which that process must fail to start.
     pub fn spawn_duplicate(&self) -> NodeProcess {
         self.start_options.spawn(&self.config_path)
     }
 
     // ---- Discovery -----------------------------------------------------------------------------
 
-    /// Discovery accepts the node's watch and begins its answer: there are no changes yet.
+    /// Accepts the node's watch at discovery and sends the head of the response, without any changes.
     pub fn accept_watch(&mut self) -> Peer {
         let mut watch = Peer::accept(&self.discovery);
         assert!(watch.read_line().starts_with("GET /registry/instances?watch=1&from="));
@@ -117,24 +117,24 @@
         watch
     }
 
-    /// Sends a change of a server's lifecycle.
+    /// Sends an incremental list that changes the lifecycle of a server.
     pub fn update_lifecycle(&mut self, watch: &mut Peer, server: usize, lifecycle: &str) {
         let entry = instance(server, local_addr(&self.servers[server]), lifecycle);
         self.send_endpoint(watch, &entry);
     }
 
-    /// Sends a change that brings this entry.
+    /// Sends an incremental list with this entry, under the next generation.
     pub fn send_endpoint(&mut self, watch: &mut Peer, entry: &str) {
         self.generation += 1;
         self.send_endpoints(watch, ListKind::Incremental, entry);
     }
 
-    /// Sends a list of these entries, at the present version.
+    /// Sends a list with these entries, under the current generation.
     pub fn send_endpoints(&mut self, watch: &mut Peer, kind: ListKind, entries: &str) {
         watch.send(&chunk(&list_json(self.generation, kind, entries)));
     }
 
-    /// Discovery is at another address from now on, and the node reloads its configuration.
+    /// Moves discovery to another address and has the node reload its configuration.
     pub fn move_discovery(&mut self) {
         let old = std::mem::replace(&mut self.discovery, listener());
         let old_addr = local_addr(&old).to_string();
@@ -145,83 +145,83 @@
 
     // ---- Configuration and signals -------------------------------------------------------------
 
-    /// Replaces the configuration file by an edited one.
+    /// Overwrites the configuration file with an edited version of the configuration.
     pub fn rewrite_config(&mut self, edit: impl FnOnce(&str) -> String) {
-        std::fs::write(&self.config_path, edit(&self.config)).expect("a file");
+        std::fs::write(&self.config_path, edit(&self.config)).expect("failed to write the configuration");
     }
 
-    /// The same, and sends SIGHUP.
+    /// Like [`Bench::rewrite_config`], and then sends SIGHUP.
     pub fn reconfigure(&mut self, edit: impl FnOnce(&str) -> String) {
         self.rewrite_config(edit);
         self.signal(Signal::HUP);
     }
 
-    /// Sends a signal to the process.
+    /// Sends a signal to the newest process.
     pub fn signal(&self, signal: Signal) {
         self.process.signal(signal);
     }
 
-    /// Stops the process where it is ([`NodeProcess::pause`]).
+    /// Stops the newest process; see [`NodeProcess::pause`].
     pub fn pause(&self) {
         self.process.pause();
     }
 
-    /// Lets the process go on after [`Bench::pause`].
+    /// Continues the process after [`Bench::pause`].
     pub fn resume(&self) {
         self.process.resume();
     }
 
     // ---- Clients and servers -------------------------------------------------------------------
 
-    /// Connects a client and sends its line.
+    /// Connects a client and sends a request line.
     pub fn connect_client(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.addr);
         client.send(line).send("\r\n");
         client
     }
 
-    /// No attempt has reached a server that has not been accepted.
+    /// Checks that no connection is pending at any server, so no attempt was made beyond those already accepted.
     pub fn assert_no_attempts(&mut self) {
-        // A round trip through the node first: what it was to send then has been sent.
+        // Waiting for the counters makes sure that the node has already started any attempt that was due.
         self.counters();
         for server in &self.servers {
-            assert!(try_accept(server).is_none(), "an attempt was made");
+            assert!(try_accept(server).is_none(), "unexpected attempt at {server:?}");
         }
     }
 
     // ---- Log and counters ----------------------------------------------------------------------
 
-    /// The next log line whose text after the level begins with this message.
+    /// Reads the log up to a line with this message; see [`NodeProcess::wait_for_log`].
     pub fn wait_for_log(&mut self, message: &str) -> String {
         self.process.wait_for_log(message)
     }
 
-    /// Makes the node log its counters; yields their line.
+    /// Has the node log its counters (SIGUSR1) and returns the line.
     fn counters_line(&mut self) -> String {
         self.signal(Signal::USR1);
         self.wait_for_log("counters")
     }
 
-    /// The value of a counter.
+    /// Returns the current value of a counter.
     pub fn counter(&mut self, name: &str) -> u64 {
         counter_value(&self.counters_line(), name)
     }
 
-    /// The line of a frontend's own counters.
+    /// Returns the line with a frontend's own counters.
     pub fn frontend_counters(&mut self, frontend: &str) -> String {
-        // The line of an earlier signal may be in the log: the one behind these counters is the last.
+        // The log may still contain a frontend line from an earlier signal; the current one follows these counters.
         self.counters_line();
         self.wait_for_log(&format!("{frontend}-counters"))
     }
 
-    /// All counters by name.
+    /// Returns the current values of all counters, by name.
     pub fn counters(&mut self) -> BTreeMap<String, u64> {
         let line = self.counters_line();
         let pairs = line.split(' ').filter_map(|word| word.split_once('='));
-        pairs.map(|(name, count)| (name.to_string(), count.parse().expect("a number"))).collect()
+        pairs.map(|(name, count)| (name.to_string(), count.parse().expect("invalid counter value"))).collect()
     }
 
-    /// Stops the node; yields the line of its last counters.
+    /// Stops the node with SIGTERM and returns its last `counters` line.
     pub fn stop(mut self) -> String {
         self.signal(Signal::TERM);
         let counters = self.wait_for_log("counters");
@@ -233,13 +233,14 @@
 impl Drop for Bench {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("the node's log:\n{}", self.process.kill_and_read_log());
+            eprintln!("unread log of the node:\n{}", self.process.kill_and_read_log());
         }
         let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// Establishes a new client with this number at whichever server; yields its two ends, the client's first.
+/// Establishes a connection for a new client with this number, at the server that the node selects. Returns the
+/// client's end and the server's end.
 pub fn established_client(bench: &Bench, number: u64) -> (Peer, Peer) {
     let mut client = bench.connect_client(&open_line(number));
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -247,7 +248,7 @@
     (client, attempt)
 }
 
-/// The server accepts the client of an attempt: both sides of the session are established.
+/// Accepts an attempt at its server and checks that the client is notified of the established connection.
 pub fn establish(client: &mut Peer, attempt: &mut Peer) {
     attempt.read_line();
     attempt.send("UP r1\r\n");
@@ -258,7 +259,7 @@
     let mut all_args = vec!["serve".to_string()];
     if let Some(text) = amqp {
         let path = temp_file("amqp.json", text);
-        all_args.extend(["--amqp", path.to_str().expect("a path")].map(str::to_string));
+        all_args.extend(["--amqp", path.to_str().expect("the path is not UTF-8")].map(str::to_string));
     }
     all_args.extend(args.iter().map(|arg| arg.to_string()));
     let env = env.iter().map(|(name, value)| (name.to_string(), value.to_string()));
@@ -266,10 +267,10 @@
 }
 
 fn local_addr(listener: &TcpListener) -> SocketAddr {
-    listener.local_addr().expect("an address")
+    listener.local_addr().expect("failed to read a socket address")
 }
 
-/// The address in a log line about a listener.
+/// Parses the address in a log line about a listener.
 fn listen_addr(line: &str) -> SocketAddr {
-    log_field(line, "listen").parse().expect("an address")
+    log_field(line, "listen").parse().expect("invalid address in the log")
 }
--- a/crates/test-support/src/handover_node.rs
+++ b/crates/test-support/src/handover_node.rs
@@ -10,34 +10,35 @@
 use std::os::fd::AsRawFd;
 use std::path::PathBuf;
 
-/// The `$TMPDIR` of one node, and the path of the handover socket in it.
+/// The folder that a node gets as `$TMPDIR`, and the path of the handover socket in it.
 #[derive(Debug)]
 pub struct HandoverFolder {
     /// The folder.
     pub path: PathBuf,
-    /// The handover socket.
+    /// Path of the handover socket.
     pub socket: PathBuf,
 }
 
 impl HandoverFolder {
-    /// A new empty folder.
+    /// Creates a new empty folder.
     pub fn create() -> HandoverFolder {
         let path = temp_file("folder", "");
-        std::fs::remove_file(&path).expect("it was there");
-        std::fs::create_dir(&path).expect("a folder");
+        std::fs::remove_file(&path).expect("failed to remove the temporary file");
+        std::fs::create_dir(&path).expect("failed to create a temporary folder");
         let socket = path.join("sparbank-n1.takeover");
         HandoverFolder { path, socket }
     }
 }
 
-/// A node whose clients' listening socket is passed by the platform, which is this test.
+/// A node that gets the listening socket for its clients from the test, in place of the platform.
 pub struct HandoverNode {
     /// The node, with its discovery and its server.
     pub bench: Bench,
-    /// The handover socket.
+    /// Path of the handover socket.
     pub socket: PathBuf,
-    /// The address of the admin API of the newest process.
+    /// Address of the newest process's admin API.
     pub admin: SocketAddr,
+    /// Kept open, so that successors can inherit the socket.
     _passed_listener: TcpListener,
 }
 
@@ -47,34 +48,41 @@
         HandoverNode::start_in(program, &HandoverFolder::create(), None)
     }
 
-    /// Starts a node in a folder; the AMQP frontend is on where its settings are given.
+    /// Starts a node in a folder, with an AMQP frontend if its settings are given.
     pub fn start_in(program: &str, folder: &HandoverFolder, amqp: Option<&str>) -> HandoverNode {
         HandoverNode::start_with_env(program, folder, amqp, &[])
     }
 
-    /// The same, in an environment with these variables too.
+    /// Like [`HandoverNode::start_in`], with additional environment variables.
     pub fn start_with_env(
         program: &str,
         folder: &HandoverFolder,
         amqp: Option<&str>,
-        further_env: &[(&str, &str)],
+        extra_env: &[(&str, &str)],
     ) -> HandoverNode {
         let passed_listener = listener();
-        // Every process inherits it.
-        rustix::io::fcntl_setfd(&passed_listener, rustix::io::FdFlags::empty()).expect("it can be inherited");
-        let number = passed_listener.as_raw_fd().to_string();
-        let own_env =
-            [("NODE_PASSED_SOCKET", number.as_str()), ("TMPDIR", folder.path.to_str().expect("a path"))];
-        let env = [&own_env, further_env].concat();
+        // Clears FD_CLOEXEC: every process of the node inherits the socket.
+        rustix::io::fcntl_setfd(&passed_listener, rustix::io::FdFlags::empty())
+            .expect("failed to clear FD_CLOEXEC");
+        let descriptor = passed_listener.as_raw_fd().to_string();
+        let handover_env = [
+            ("NODE_PASSED_SOCKET", descriptor.as_str()),
+            ("TMPDIR", folder.path.to_str().expect("the path is not UTF-8")),
+        ];
+        let env = [&handover_env, extra_env].concat();
         let edit = |text: &str| text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#);
         let mut bench = Bench::with_env(program, vec![listener()], amqp, &[], edit, &env);
-        let passed = passed_listener.local_addr().expect("an address");
-        assert_eq!(bench.addr, passed, "not the configuration's");
+        let passed_addr = passed_listener.local_addr().expect("failed to read a socket address");
+        assert_eq!(
+            bench.addr, passed_addr,
+            "the node must use the passed socket, not the configured address"
+        );
         let admin = admin_address(&mut bench);
         HandoverNode { bench, socket: folder.socket.clone(), admin, _passed_listener: passed_listener }
     }
 
-    /// Starts a successor and waits until it serves. The process that served before is the result.
+    /// Starts a successor, waits until both processes have logged the start of the handover, and returns the
+    /// predecessor.
     pub fn start_successor(&mut self) -> NodeProcess {
         let mut predecessor = self.bench.start_successor();
         self.admin = admin_address(&mut self.bench);
@@ -83,7 +91,7 @@
         predecessor
     }
 
-    /// Replaces the process by a successor. The last counters of the process that served before are the result.
+    /// Replaces the process with a successor and returns the predecessor's last `counters` line.
     pub fn replace(&mut self) -> String {
         let mut predecessor = self.start_successor();
         predecessor.signal(Signal::TERM);
@@ -94,8 +102,8 @@
     }
 }
 
-/// Where the process that has just started serves its admin API.
+/// Reads the address of the admin API from the log of the newest process.
 fn admin_address(bench: &mut Bench) -> SocketAddr {
     let line = bench.wait_for_log("admin API ready");
-    log_field(&line, "listen").parse().expect("an address")
+    log_field(&line, "listen").parse().expect("invalid address in the log")
 }
--- a/crates/test-support/src/handover_peer.rs
+++ b/crates/test-support/src/handover_peer.rs
@@ -1,4 +1,4 @@
-//! A process at the handover socket, which a test plays.
+//! The test's end of a connection on the handover socket, in the role of the predecessor or the successor.
 
 use rustix::io::IoSlice;
 use rustix::net::{
@@ -9,45 +9,51 @@
 use std::os::fd::{AsFd, BorrowedFd, OwnedFd};
 use std::path::Path;
 
-/// The longest message on the handover socket.
+/// Maximum length of a message on the handover socket.
 const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// The most descriptors beside one message.
+/// Maximum number of file descriptors passed with one message.
 const MAX_DESCRIPTORS: usize = 2;
 
-/// A scripted process at the handover socket.
+/// The test's end of a connection on the handover socket.
 #[derive(Debug)]
 pub struct HandoverPeer(OwnedFd);
 
 impl HandoverPeer {
-    /// Connects to the process that listens at a path.
+    /// Connects to the process that listens at a path, as its successor.
     pub fn connect(path: &Path) -> HandoverPeer {
         let fd = unix_socket();
-        rustix::net::connect(&fd, &SocketAddrUnix::new(path).expect("a path")).expect("it listens");
+        rustix::net::connect(&fd, &SocketAddrUnix::new(path).expect("the path is too long"))
+            .expect("failed to connect to the handover socket");
         HandoverPeer(fd)
     }
 
-    /// Accepts the process that connects.
+    /// Accepts a connection from the successor.
     pub fn accept(listener: &OwnedFd) -> HandoverPeer {
-        HandoverPeer(rustix::net::accept(listener).expect("a process connects"))
+        HandoverPeer(rustix::net::accept(listener).expect("failed to accept a successor"))
     }
 
-    /// Sends a message without descriptors.
+    /// Sends a message without file descriptors.
     pub fn send(&self, message: &str) {
-        send(&self.0, message.as_bytes(), SendFlags::NOSIGNAL).expect("sent");
+        send(&self.0, message.as_bytes(), SendFlags::NOSIGNAL)
+            .expect("failed to send on the handover socket");
     }
 
-    /// Sends a message with descriptors beside it.
+    /// Sends a message with file descriptors.
     pub fn send_with_descriptors(&self, message: &str, descriptors: &[BorrowedFd]) {
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(MAX_DESCRIPTORS))];
         let mut control = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() {
-            assert!(control.push(SendAncillaryMessage::ScmRights(descriptors)), "too many descriptors");
+            assert!(
+                control.push(SendAncillaryMessage::ScmRights(descriptors)),
+                "more than {MAX_DESCRIPTORS} descriptors"
+            );
         }
         let bytes = [IoSlice::new(message.as_bytes())];
-        sendmsg(self.0.as_fd(), &bytes, &mut control, SendFlags::NOSIGNAL).expect("sent");
+        sendmsg(self.0.as_fd(), &bytes, &mut control, SendFlags::NOSIGNAL)
+            .expect("failed to send on the handover socket");
     }
 
-    /// The next message; empty at the end. Its descriptors are closed with it.
+    /// Receives the next message; empty once the connection has ended. Descriptors passed with it are discarded.
     pub fn receive(&self) -> String {
         let mut bytes = vec![0; MAX_MESSAGE_BYTES];
         match recv(&self.0, &mut bytes, RecvFlags::empty()) {
@@ -57,15 +63,16 @@
     }
 }
 
-/// Listens at a path as a process does for its successor.
+/// Listens at a path, as a process does for its successor.
 pub fn listen_for_handover(path: &Path) -> OwnedFd {
     let fd = unix_socket();
-    rustix::net::bind(&fd, &SocketAddrUnix::new(path).expect("a path")).expect("a free path");
-    rustix::net::listen(&fd, 1).expect("it listens");
+    rustix::net::bind(&fd, &SocketAddrUnix::new(path).expect("the path is too long"))
+        .expect("failed to bind the handover socket");
+    rustix::net::listen(&fd, 1).expect("failed to listen");
     fd
 }
 
 fn unix_socket() -> OwnedFd {
     rustix::net::socket_with(AddressFamily::UNIX, SocketType::SEQPACKET, SocketFlags::CLOEXEC, None)
-        .expect("a socket")
+        .expect("failed to create a socket")
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,17 +1,17 @@
-//! What tests of the node share: its processes and their logs, and stand-ins for the peers of a node.
+//! Shared support for tests of the node: node processes and their logs, and stand-ins for the node's peers.
 //!
-//! Integration tests of one node use a [`Bench`]: the node's process, a discovery and servers that the test plays itself,
-//! step by step, over blocking sockets ([`Peer`], [`AmqpPeer`]). Tests of many nodes under load use a
-//! [`Cluster`](cluster::Cluster), whose simulated peers act on their own. The soak test (`crates/soak`) has peers of its
-//! own and uses the parts that are not tied to either. Both are judged by the same [`invariants`].
+//! Integration tests of a single node use a [`Bench`]: a node process, plus discovery and servers that the test drives
+//! step by step over blocking sockets ([`Peer`], [`AmqpPeer`]). Tests of many nodes under load use a
+//! [`Cluster`](cluster::Cluster), whose simulated peers run on their own. The soak test (`crates/soak`) has its own
+//! peers and uses only the parts that depend on neither. The cluster and the soak test check the same [`invariants`].
 //!
-//! The path of the program under test is an argument everywhere: only Cargo knows it, and tells it to integration tests
-//! and benchmarks alone (`env!("CARGO_BIN_EXE_sparbank")`).
+//! The path of the program under test is always an argument: Cargo provides it to integration tests and benchmarks only
+//! (`env!("CARGO_BIN_EXE_sparbank")`).
 //!
-//! Every wait is for an event; time-outs only end a test that has gone wrong. What goes wrong in a stand-in fails the test
-//! with a panic, so the functions here have no error results.
+//! Tests wait for events; a time-out only ends a test that has already failed. An error in a stand-in panics and so
+//! fails the test, which is why the functions here don't return errors.
 
-#![allow(clippy::missing_panics_doc, reason = "the crate documentation says what panics mean here")]
+#![allow(clippy::missing_panics_doc, reason = "a panic fails the test; see the crate documentation")]
 
 mod amqp_messages;
 mod amqp_peer;
--- a/crates/test-support/src/listeners.rs
+++ b/crates/test-support/src/listeners.rs
@@ -1,24 +1,24 @@
-//! Listeners at which tests accept connections, and servers that refuse them or let them wait.
+//! Listeners on which tests accept connections, and servers that refuse connections or leave them in the backlog.
 
 use crate::peer::{Peer, IO_TIMEOUT};
 use rustix::net::{bind, socket, AddressFamily, SocketType};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How often listeners are tried while no connection waits at them.
+/// Interval between attempts to accept while no connection is pending.
 const ACCEPT_POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// A connection that is not established within this has met a full backlog.
+/// If a connection is not established within this, the listener's backlog is full.
 const FULL_BACKLOG_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A listener on a port that the system picks.
+/// A listener on a free loopback port.
 pub fn listener() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a port")
+    TcpListener::bind("127.0.0.1:0").expect("failed to bind a loopback port")
 }
 
-/// Accepts the next connection to any of these listeners; yields the listener's index with it.
+/// Accepts the next connection on any of these listeners, and returns it with the index of its listener.
 ///
 /// # Panics
-/// No connection arrives.
+/// No connection arrived before the time-out.
 pub fn accept_any(listeners: &[TcpListener]) -> (usize, Peer) {
     let deadline = Instant::now() + IO_TIMEOUT;
     while Instant::now() < deadline {
@@ -29,61 +29,61 @@
         }
         std::thread::sleep(ACCEPT_POLL_INTERVAL);
     }
-    panic!("no connection arrived")
+    panic!("no connection arrived within {IO_TIMEOUT:?}")
 }
 
-/// Accepts a connection that waits already.
+/// Accepts a connection that is already pending, if any.
 pub fn try_accept(listener: &TcpListener) -> Option<Peer> {
-    listener.set_nonblocking(true).expect("non-blocking");
+    listener.set_nonblocking(true).expect("failed to make the listener non-blocking");
     let accepted = listener.accept();
-    listener.set_nonblocking(false).expect("blocking");
+    listener.set_nonblocking(false).expect("failed to make the listener blocking");
     let (stream, _) = accepted.ok()?;
-    stream.set_nonblocking(false).expect("blocking");
+    stream.set_nonblocking(false).expect("failed to make the connection blocking");
     Some(Peer::new(stream))
 }
 
-/// A bound port without a listener: connections to it are refused.
+/// A socket that is bound to a port but does not listen, so that connections to it are refused.
 pub fn refusing_port() -> TcpListener {
-    let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("a socket");
-    bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("a port");
+    let fd = socket(AddressFamily::INET, SocketType::STREAM, None).expect("failed to create a socket");
+    bind(&fd, &SocketAddr::from(([127, 0, 0, 1], 0))).expect("failed to bind a loopback port");
     TcpListener::from(fd)
 }
 
-/// A server whose backlog is full: connections to it are established once it accepts earlier ones.
+/// A server whose backlog is full: a new connection is established only once earlier ones have been accepted.
 #[derive(Debug)]
 pub struct FullBacklogServer {
-    /// Where it listens.
+    /// The listener with the full backlog.
     pub listener: TcpListener,
-    /// Our own connections, which fill the backlog.
-    filling: Vec<TcpStream>,
+    /// The connections that fill the backlog.
+    backlog: Vec<TcpStream>,
 }
 
 impl FullBacklogServer {
-    /// Fills the backlog of a new listener.
+    /// Creates a listener and fills its backlog.
     pub fn start() -> FullBacklogServer {
         let listener = refusing_port();
-        rustix::net::listen(&listener, 0).expect("a short queue");
-        let addr = listener.local_addr().expect("an address");
-        let mut filling = Vec::new();
+        rustix::net::listen(&listener, 0).expect("failed to listen");
+        let addr = listener.local_addr().expect("failed to read a socket address");
+        let mut backlog = Vec::new();
         while let Ok(stream) = TcpStream::connect_timeout(&addr, FULL_BACKLOG_TIMEOUT) {
-            filling.push(stream);
+            backlog.push(stream);
         }
-        FullBacklogServer { listener, filling }
+        FullBacklogServer { listener, backlog }
     }
 
-    /// The listener alone, for a node's list of servers. The backlog stays full until the test's end.
+    /// Returns the listener alone, for a node's list of servers. The backlog stays full until the test process ends.
     pub fn into_listener(self) -> TcpListener {
-        std::mem::forget(self.filling);
+        std::mem::forget(self.backlog);
         self.listener
     }
 
-    /// Accepts what waits; yields the first connection that is not one of its own.
+    /// Accepts pending connections up to the first that is not one of those that fill the backlog, and returns it.
     pub fn accept_next(&mut self) -> Peer {
         loop {
             let peer = Peer::accept(&self.listener);
-            let addr = peer.stream.peer_addr().expect("an address");
+            let addr = peer.stream.peer_addr().expect("failed to read a socket address");
             let is_own = |stream: &TcpStream| stream.local_addr().is_ok_and(|own| own == addr);
-            if !self.filling.iter().any(is_own) {
+            if !self.backlog.iter().any(is_own) {
                 return peer;
             }
         }
--- a/crates/test-support/src/loopback.rs
+++ b/crates/test-support/src/loopback.rs
@@ -1,4 +1,4 @@
-//! Addresses and connections on loopback.
+//! Loopback addresses for test runs, and helpers for connections on them.
 
 use rustix::net::sockopt::set_socket_linger;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -9,19 +9,19 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Blocks of a [`AddressRange`].
-const BLOCKS: u32 = 16_000;
-/// Addresses of a block.
+/// Number of blocks in an [`AddressRange`].
+const BLOCK_COUNT: u32 = 16_000;
+/// Number of addresses in a block.
 const ADDRESSES_PER_BLOCK: u32 = 256;
-/// A node's health check that takes longer than this has failed.
+/// A health check that takes longer than this has failed.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// The ranges of 127.0.0.0/8 that harnesses take blocks of addresses from.
+/// The range of 127.0.0.0/8 from which a test harness takes its blocks of addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressRange {
-    /// Of clusters.
+    /// For clusters.
     Cluster,
-    /// Of the soak test.
+    /// For the soak test.
     Soak,
 }
 
@@ -34,33 +34,34 @@
     }
 }
 
-/// Addresses of one run, so that runs beside each other do not collide: by process and by run.
+/// A block of addresses for one run, derived from the process id and the number of the run in that process, so that
+/// concurrent runs don't collide.
 #[derive(Debug)]
 pub struct AddressBlock {
     first: u32,
 }
 
 impl AddressBlock {
-    /// The block of a new run.
+    /// Takes the block for a new run.
     pub fn of_new_run(range: AddressRange) -> AddressBlock {
-        static RUNS: AtomicU32 = AtomicU32::new(0);
-        let run = RUNS.fetch_add(1, Ordering::Relaxed);
-        let block = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % BLOCKS;
+        static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
+        let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
+        let block = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % BLOCK_COUNT;
         AddressBlock { first: range.first() + block * ADDRESSES_PER_BLOCK }
     }
 
-    /// The address of a node.
+    /// The address of a node. Each node has its own IP address in the block.
     pub fn of_node(&self, node: usize, port: u16) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::from(self.first + 1 + node as u32), port))
     }
 }
 
-/// The connection is reset, rather than ended in order, once it is dropped.
+/// Makes a connection end with a reset, rather than an orderly close, when it is dropped.
 pub fn reset_on_drop(stream: &impl AsFd) {
     let _ = set_socket_linger(stream, Some(Duration::ZERO));
 }
 
-/// Whether a node answers a health check (`PING`) of its text protocol.
+/// Whether a node answers a health check (`PING`) on its text protocol.
 pub async fn answers_ping(address: SocketAddr) -> bool {
     let ping = async {
         let mut stream = TcpStream::connect(address).await.ok()?;
--- a/crates/test-support/src/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -1,4 +1,4 @@
-//! Configurations of a node, and request lines of its classes.
+//! Node configurations and request lines for tests.
 
 use crate::watch_protocol::endpoint_json;
 use std::net::SocketAddr;
@@ -7,14 +7,15 @@
 use std::sync::OnceLock;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A request line whose id and key are this number: the node rejects the id of an open request. Each number has a
-/// group of its own, since the requests of a group are placed on the same few servers.
+/// A request line with this number as its id and key. Numbers must differ between open requests, because the node
+/// rejects a duplicate id. Each number has its own group, because requests of one group are placed on the same few
+/// servers.
 pub fn open_line(number: u64) -> String {
     format!("OPEN {number:x} {number:x} c=live-readings,t=acme,d=1200,g=5c{number:x}")
 }
 
-/// The configuration of a node whose servers have these entries. On the platform requests of the class `station-notes`
-/// may be repeated too; here they show what must not be.
+/// The configuration of a node with these endpoint list entries. The class `station-notes` is non-idempotent here, so
+/// that tests can cover requests that must not be retried; on the platform its requests may be retried too.
 pub fn config(discovery: SocketAddr, instances: &str, sockets: u32) -> String {
     include_str!("node_config.json.template")
         .replace("@DISCOVERY@", &discovery.to_string())
@@ -22,24 +23,25 @@
         .replace("@INSTANCES@", instances)
 }
 
-/// A server's entry in the endpoint list.
+/// The entry of a server in the endpoint list.
 pub fn instance(server: usize, address: SocketAddr, lifecycle: &str) -> String {
     endpoint_json(server, address, lifecycle, 0)
 }
 
-/// Writes a file that only this test uses; yields its path.
+/// Writes a temporary file under a unique name and returns its path.
 pub fn temp_file(name: &str, text: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("sparbank-{}-{name}", unique_number()));
-    std::fs::write(&path, text).expect("a file");
+    let path = std::env::temp_dir().join(format!("sparbank-{}-{name}", unique_suffix()));
+    std::fs::write(&path, text).expect("failed to write a temporary file");
     path
 }
 
-/// A number that no other file of this machine's tests has. The process id alone is not enough: ids are used again, and
-/// an earlier process may have left its files behind.
-fn unique_number() -> String {
+/// A suffix that makes a file name unique among all test processes of the machine. The process id alone is not enough:
+/// ids are reused, and an earlier process with the same id may have left its files behind.
+fn unique_suffix() -> String {
     static FILE_COUNT: AtomicU32 = AtomicU32::new(0);
     static STARTED_AT: OnceLock<u128> = OnceLock::new();
-    let since_epoch = || SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_nanos();
+    let since_epoch =
+        || SystemTime::now().duration_since(UNIX_EPOCH).expect("system time is before 1970").as_nanos();
     let started_at = STARTED_AT.get_or_init(since_epoch);
     let file = FILE_COUNT.fetch_add(1, Ordering::Relaxed);
     format!("{}-{started_at:x}-{file}", std::process::id())
--- a/crates/test-support/src/peer.rs
+++ b/crates/test-support/src/peer.rs
@@ -1,34 +1,35 @@
-//! One end of a connection to a node, which a test plays: a client, a server, or discovery.
+//! The test's end of a connection to a node, in the role of a client, a server or discovery.
 
 use crate::listeners::accept_any;
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A peer that has waited this long waits for something that will not come.
+/// Time-out of reads and accepts, long enough that only a failed test reaches it.
 pub(crate) const IO_TIMEOUT: Duration = Duration::from_secs(20);
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// One end of a connection, read by lines.
+/// The test's end of a connection, with line-based reads.
 #[derive(Debug)]
 pub struct Peer {
-    /// The socket, for what this type does not do. What was read ahead by lines is no longer in it.
+    /// The socket, for operations that this type has no method for. Bytes that are already in the read buffer can't be
+    /// read from it any more.
     pub stream: TcpStream,
     pub(crate) reader: BufReader<TcpStream>,
 }
 
 impl Peer {
-    /// An end of this connection.
+    /// Wraps a connected stream.
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(IO_TIMEOUT)).expect("a time-out");
-        stream.set_nodelay(true).expect("no delay");
-        let reader = BufReader::new(stream.try_clone().expect("a second handle"));
+        stream.set_read_timeout(Some(IO_TIMEOUT)).expect("failed to set the read time-out");
+        stream.set_nodelay(true).expect("failed to set TCP_NODELAY");
+        let reader = BufReader::new(stream.try_clone().expect("failed to duplicate the socket"));
         Peer { stream, reader }
     }
 
     /// Connects to a listener.
     pub fn connect(addr: SocketAddr) -> Peer {
-        Peer::new(TcpStream::connect(addr).expect("the node listens"))
+        Peer::new(TcpStream::connect(addr).expect("failed to connect to the node"))
     }
 
     /// Accepts the next connection.
@@ -36,13 +37,13 @@
         accept_any(std::slice::from_ref(listener)).1
     }
 
-    /// Sends this text.
+    /// Sends text.
     pub fn send(&mut self, text: &str) -> &mut Peer {
-        self.stream.write_all(text.as_bytes()).expect("written");
+        self.stream.write_all(text.as_bytes()).expect("failed to write to the connection");
         self
     }
 
-    /// All text until the end of the connection, whether that is orderly or a reset.
+    /// Reads all text until the connection ends, whether it is closed or reset.
     pub fn read_to_end(&mut self) -> String {
         let mut received = Vec::new();
         let mut chunk = [0; READ_CHUNK_BYTES];
@@ -60,33 +61,33 @@
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).expect("linger");
     }
 
-    /// The next line without its end; empty at the end of the connection.
+    /// Reads the next line, without its line ending; empty once the connection is closed or reset.
     pub fn read_line(&mut self) -> String {
         let mut line = String::new();
         match self.reader.read_line(&mut line) {
             Ok(_) => line.trim_end().to_string(),
             Err(error) if error.kind() == ErrorKind::ConnectionReset => String::new(),
-            Err(error) => panic!("no line: {error}"),
+            Err(error) => panic!("failed to read a line: {error}"),
         }
     }
 
-    /// Fills these bytes.
+    /// Reads exactly as many bytes as the slice holds.
     pub fn read_exact(&mut self, bytes: &mut [u8]) {
-        self.reader.read_exact(bytes).expect("more bytes");
+        self.reader.read_exact(bytes).expect("failed to read from the connection");
     }
 
-    /// Reads until the connection ends, which must be within this time.
+    /// Reads and discards data until the connection ends, and checks that it ends within this time.
     pub fn drain_until_closed(&mut self, within: Duration) {
         let deadline = Instant::now() + within;
         let mut chunk = [0; READ_CHUNK_BYTES];
         while matches!(self.reader.read(&mut chunk), Ok(count) if count > 0) {
-            assert!(Instant::now() < deadline, "it goes on");
+            assert!(Instant::now() < deadline, "the connection still delivers data after {within:?}");
         }
-        assert!(Instant::now() < deadline, "it was left open");
+        assert!(Instant::now() < deadline, "the connection was not closed within {within:?}");
     }
 
-    /// The connection has ended, and nothing was sent before that.
+    /// Checks that the connection ends and that nothing was sent before that.
     pub fn expect_closed(&mut self) {
-        assert_eq!(self.read_line(), "", "the connection ends");
+        assert_eq!(self.read_line(), "", "expected the connection to end without further data");
     }
 }
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes of the program under test: how they are started, signalled and ended, and what they log.
+//! Processes of the program under test: starting, signalling and stopping them, and reading their logs.
 
 use crate::log::is_log_of;
 use rustix::io::Errno;
@@ -8,13 +8,13 @@
 use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
-/// How often the state of a process is looked up while it stops.
+/// Interval between checks of a process's state after SIGSTOP.
 const PROCESS_STATE_POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Variables of the environment that configure a node: a test sets those that it needs.
+/// Environment variables that configure a node. They are not inherited; a test sets those that it needs.
 const NODE_VARIABLES: [&str; 5] =
     ["NODE_NAME", "NODE_LISTEN", "NODE_OPERATOR", "NODE_DISCOVERY", "NODE_PASSED_SOCKET"];
 
-/// Has a command read this configuration file, whatever the environment of the test says of nodes.
+/// Sets the configuration file of a command and removes the node variables inherited from the test's environment.
 pub fn configure_node(command: &mut Command, config: &Path) {
     command.env("NODE_CONFIG", config);
     for name in NODE_VARIABLES {
@@ -22,7 +22,7 @@
     }
 }
 
-/// The program under test with these arguments and this configuration file. Its output is captured.
+/// A command that runs the program under test with these arguments and this configuration file, its output captured.
 pub fn node_command(program: &str, args: &[&str], config: &Path) -> Command {
     let mut command = Command::new(program);
     command.args(args).stdout(Stdio::piped()).stderr(Stdio::piped());
@@ -30,17 +30,17 @@
     command
 }
 
-/// A running process. It is killed when this is dropped.
+/// A running process, killed on drop.
 #[derive(Debug)]
 pub struct ChildProcess(Child);
 
 impl ChildProcess {
-    /// Starts a process.
+    /// Spawns the process of a command.
     pub fn spawn(command: &mut Command) -> ChildProcess {
-        ChildProcess(command.spawn().expect("the program starts"))
+        ChildProcess(command.spawn().expect("failed to start the program under test"))
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
@@ -53,26 +53,26 @@
         kill_process(Pid::from_child(&self.0), signal)
     }
 
-    /// Changes how many descriptors the system gives the process, and up to which number that can be raised again.
+    /// Sets the soft and the hard limit on the process's open file descriptors.
     ///
     /// # Errors
-    /// The process has ended, or had a lower maximum.
+    /// The process has ended, or its hard limit was lower.
     pub fn limit_descriptors(&self, current: u64, maximum: u64) -> Result<(), Errno> {
         let limit = Rlimit { current: Some(current), maximum: Some(maximum) };
         prlimit(Some(Pid::from_child(&self.0)), Resource::Nofile, limit).map(drop)
     }
 
-    /// How the process has ended, if it has.
+    /// The exit status of the process, if it has ended.
     pub fn try_wait(&mut self) -> Option<ExitStatus> {
         self.0.try_wait().ok().flatten()
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to end.
     pub fn wait(&mut self) -> ExitStatus {
-        self.0.wait().expect("it ends")
+        self.0.wait().expect("failed to wait for the process")
     }
 
-    /// Kills the process, if it has not ended already, and waits for its end.
+    /// Kills the process, unless it has ended already, and waits for it.
     pub fn kill(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -85,29 +85,29 @@
     }
 }
 
-/// How a node's processes are started.
+/// The program, arguments and environment of a node's processes.
 #[derive(Clone, Debug)]
 pub struct StartOptions {
     /// The path of the program under test.
     pub program: String,
-    /// Its arguments.
+    /// Command-line arguments.
     pub args: Vec<String>,
-    /// Further variables of its environment, by name.
+    /// Additional environment variables, as pairs of name and value.
     pub env: Vec<(String, String)>,
 }
 
 impl StartOptions {
-    /// Starts a process with this configuration file.
+    /// Starts a node process with this configuration file.
     pub fn spawn(&self, config: &Path) -> NodeProcess {
         let args: Vec<&str> = self.args.iter().map(String::as_str).collect();
         let env = self.env.iter().map(|(name, value)| (name, value));
         let mut process = ChildProcess::spawn(node_command(&self.program, &args, config).envs(env));
-        let log = BufReader::new(process.0.stderr.take().expect("its log"));
+        let log = BufReader::new(process.0.stderr.take().expect("stderr is piped"));
         NodeProcess { process, log }
     }
 }
 
-/// A running process of a node, and its log. It is killed when this is dropped.
+/// A running node process and its log. The process is killed on drop.
 #[derive(Debug)]
 pub struct NodeProcess {
     process: ChildProcess,
@@ -115,22 +115,25 @@
 }
 
 impl NodeProcess {
-    /// The next log line whose text after the level begins with this message.
+    /// Reads the log up to the next line whose text after the level begins with this message, and returns that line.
     pub fn wait_for_log(&mut self, message: &str) -> String {
         self.wait_for_any_log(&[message])
     }
 
-    /// The next log line whose text after the level begins with any of these messages.
+    /// Reads the log up to the next line whose text after the level begins with any of these messages, and returns that
+    /// line.
     ///
     /// # Panics
-    /// The process ends before it logs such a line.
+    /// The process ended before it logged such a line.
     pub fn wait_for_any_log(&mut self, messages: &[&str]) -> String {
         let mut skipped = String::new();
         loop {
             let mut line = String::new();
-            if self.log.read_line(&mut line).expect("a log line") == 0 {
+            if self.log.read_line(&mut line).expect("failed to read the log") == 0 {
                 let status = self.process.wait();
-                panic!("the log ended before {messages:?}, with {status}, after:\n{skipped}");
+                panic!(
+                    "process ended ({status}) without logging any of {messages:?}; its log was:\n{skipped}"
+                );
             }
             if messages.iter().any(|message| is_log_of(&line, message)) {
                 return line.trim_end().to_string();
@@ -139,47 +142,48 @@
         }
     }
 
-    /// Its process id.
+    /// The process id.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
 
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
-        self.process.signal(signal).expect("the process was not waited for");
+        self.process.signal(signal).expect("failed to signal the process");
     }
 
-    /// Stops the process where it is: what happens until [`NodeProcess::resume`] reaches it in one iteration of its event
-    /// loop.
+    /// Stops the process (SIGSTOP) and waits until it has stopped. Events that occur before [`NodeProcess::resume`] are
+    /// handled in a single iteration of its event loop.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.id());
-        while !std::fs::read_to_string(&stat).expect("its state").contains(") T ") {
+        while !std::fs::read_to_string(&stat).expect("failed to read the process state").contains(") T ") {
             std::thread::sleep(PROCESS_STATE_POLL_INTERVAL);
         }
     }
 
-    /// Lets the process go on after [`NodeProcess::pause`].
+    /// Continues the process after [`NodeProcess::pause`].
     pub fn resume(&self) {
         self.signal(Signal::CONT);
     }
 
-    /// Changes how many descriptors the system gives the process, and up to which number that can be raised again.
+    /// Sets the soft and the hard limit on the process's open file descriptors.
     pub fn limit_descriptors(&self, current: u64, maximum: u64) {
-        self.process.limit_descriptors(current, maximum).expect("a limit");
+        self.process.limit_descriptors(current, maximum).expect("failed to set the descriptor limit");
     }
 
-    /// Waits for the end of the process.
+    /// Waits for the process to end.
     pub fn wait(&mut self) -> ExitStatus {
         self.process.wait()
     }
 
-    /// Waits for the end of the process, which must be exit 0.
+    /// Waits for the process to end and checks that it exited with code 0.
     pub fn expect_success(&mut self) {
-        assert!(self.wait().success(), "exit 0");
+        let status = self.wait();
+        assert!(status.success(), "the process failed: {status}");
     }
 
-    /// Kills the process; yields the log lines that nobody has read.
+    /// Kills the process and returns the rest of its log that has not been read.
     pub fn kill_and_read_log(&mut self) -> String {
         self.process.kill();
         let mut log = String::new();
