--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -120,8 +120,8 @@
         this.accept_session(window, max_frame)
     }
 
-    /// Accepts the node's connection as a server without SASL. The server answers the SASL header of a first connection
-    /// with the plain AMQP header, and the node opens another connection without SASL.
+    /// Accepts the node's connection as a server without SASL. The server answers the SASL header of a first
+    /// connection with the plain AMQP header, and the node opens another connection without SASL.
     pub fn server_without_sasl(listener: &std::net::TcpListener, window: u32) -> AmqpPeer {
         let mut first = Peer::accept(listener);
         let mut received = [0; 8];
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -1,9 +1,9 @@
-//! What the simulated peers saw, by their own clocks, and the invariants that follow from it.
+//! Records what the simulated peers observe, by their own clocks, and checks the invariants.
 //!
-//! Invariants ([`crate::invariants`]): an accepted request gets one final answer in its time; no request has two attempts in flight at once; a
-//! node sends nothing new to a server once it was notified that the server drains or is gone; no server that is warming
-//! up is overloaded. What a killed or stopped node owed is excused. How late the harness's own thread was is measured,
-//! and time limits are longer by that.
+//! Invariants ([`crate::invariants`]): an accepted request gets one final answer in time; no request has two attempts
+//! in flight at once; a node sends no new requests to a server after it was notified that the server drains or is
+//! gone; no server that is warming up is overloaded. Missing answers of a killed or stopped node are no violations.
+//! Time limits are extended by the measured lateness of the harness's own thread.
 
 use super::clients::ANSWER_TIMEOUT;
 use super::endpoint_list::EndpointList;
@@ -14,18 +14,18 @@
 use std::collections::{HashMap, HashSet};
 use std::time::{Duration, Instant};
 
-/// How a request ended at its client.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// With its final answer.
+    /// It got its final answer.
     Answered(Answer),
     /// The connection ended without an answer.
     ConnectionEnded,
-    /// No answer arrived in its time and long after it.
+    /// No answer arrived within [`ANSWER_TIMEOUT`], which includes a margin after the request's own time-out.
     TimedOut,
 }
 
-/// A tick that is later than this is counted as lateness of the harness's thread.
+/// Ticks that are late by more than this count as lateness of the harness's thread.
 const MIN_LATENESS: Duration = Duration::from_millis(20);
 /// The time limits of a run.
 const LIMITS: Limits = Limits {
@@ -34,28 +34,29 @@
     dedup_window: Duration::ZERO,
     min_lateness: MIN_LATENESS,
 };
-/// Counts of one second of the run.
+
+/// Event counts of one second of the run.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct SecondCounts {
-    /// Requests that clients sent.
+pub struct PerSecondCounts {
+    /// Requests sent by clients.
     pub requests: u32,
-    /// Requests that were served.
+    /// Requests served.
     pub up: u32,
-    /// Requests that were rejected.
+    /// Requests rejected.
     pub busy: u32,
-    /// Requests that failed.
+    /// Requests failed.
     pub failed: u32,
-    /// Connections that servers began to set up.
+    /// Connections that servers started to set up.
     pub setups: u32,
-    /// Polls of discovery.
+    /// Polls received by discovery.
     pub polls: u32,
     /// Attempts at servers that were warming up.
     pub attempts_at_warming_up: u32,
-    /// Attempts at servers that were dead.
+    /// Attempts at dead servers.
     pub attempts_at_dead: u32,
 }
 
-impl SecondCounts {
+impl PerSecondCounts {
     fn count(&mut self, answer: Answer) {
         match answer {
             Answer::Up => self.up += 1,
@@ -65,14 +66,14 @@
     }
 }
 
-/// An attempt as a server sees it.
+/// An attempt as seen by its server.
 #[derive(Clone, Copy)]
 pub struct ObservedAttempt {
-    /// The server.
+    /// Number of the server.
     pub server: usize,
-    /// Whether it is warming up.
+    /// Whether the server is warming up.
     pub is_warming_up: bool,
-    /// Whether its process is gone.
+    /// Whether the server's process is gone.
     pub is_dead: bool,
 }
 
@@ -81,9 +82,9 @@
     timeline: Timeline,
     checker: InvariantChecker,
     established: i64,
-    /// By node and server: attempts of the node's newest process at a server that is dead.
+    /// By node, and then by server: attempts of the node's newest process at the server while it is dead.
     attempts_at_dead: Vec<HashMap<usize, u32>>,
-    /// The names of servers that were overloaded while they were warming up.
+    /// Names of servers for which an overload while warming up was reported.
     overloaded: HashSet<String>,
     attempts: u64,
     max_attempts_at_dead_server: u32,
@@ -91,7 +92,7 @@
 }
 
 impl Auditor {
-    /// An auditor of so many nodes, none of which is up.
+    /// Creates an auditor for this many nodes, none of which is up.
     pub fn new(nodes: usize) -> Auditor {
         Auditor {
             timeline: Timeline::new(Instant::now()),
@@ -105,33 +106,33 @@
         }
     }
 
-    /// Called at this interval: samples the established connections, and notes how late the call comes.
+    /// Samples the established connections and measures the lateness of the thread; called once per interval.
     pub fn tick(&mut self, interval: Duration) {
         self.checker.tick(interval);
         self.timeline.sample(self.established);
     }
 
-    /// Connections that are established now.
+    /// Number of connections that are established now.
     pub fn established(&self) -> usize {
         self.established.max(0) as usize
     }
 
-    /// A client has its connection.
+    /// A client's connection has been established.
     pub fn on_connection_established(&mut self) {
         self.established += 1;
     }
 
-    /// A client has lost or closed its connection.
+    /// A client's established connection was closed or lost.
     pub fn on_connection_closed(&mut self) {
         self.established -= 1;
     }
 
-    /// Notes a fault; recovery is measured from it.
+    /// Records a fault, from which recovery is measured.
     pub fn record_fault(&mut self, what: &str) {
         self.timeline.record_fault(what);
     }
 
-    /// A node was started or goes on.
+    /// A node was started or continued.
     pub fn on_node_up(&mut self, node: usize) {
         self.checker.on_start(node);
         self.attempts_at_dead[node].clear();
@@ -142,7 +143,7 @@
         self.checker.on_suspend(node);
     }
 
-    /// A number that is another one after each start, stop and continuation of a node.
+    /// The current incarnation of a node, which changes with each start, stop and continuation.
     pub fn incarnation(&self, node: usize) -> u64 {
         self.checker.incarnation(node)
     }
@@ -152,12 +153,12 @@
         self.timeline.current_second().polls += 1;
     }
 
-    /// A server begins to set a connection up.
+    /// A server starts to set up a connection.
     pub fn on_setup(&mut self) {
         self.timeline.current_second().setups += 1;
     }
 
-    /// A list was written to the watch of a node's incarnation: what a complete list leaves out is gone.
+    /// A list was written to the watch of a node's incarnation. Servers that a complete list leaves out are gone.
     pub fn on_list_sent(&mut self, node: usize, incarnation: u64, list: &EndpointList) {
         let mut notify = |server, notice| self.checker.on_notified(node, incarnation, server, notice);
         for endpoint in &list.endpoints {
@@ -180,8 +181,8 @@
         self.checker.on_request(SentRequest { id, node, incarnation, safety, line });
     }
 
-    /// A client's request has ended, so long after it was sent. A connection that ended before the node made any attempt
-    /// is excused: a listener that is not there yet resets it.
+    /// A client's request has ended, this long after it was sent. A connection that ended without an open attempt is
+    /// no violation: it is reset if the node's listener does not exist yet.
     pub fn on_outcome(&mut self, id: &str, outcome: Outcome, waited: Duration) {
         let second = self.timeline.current_second();
         match outcome {
@@ -193,11 +194,11 @@
                 self.checker.on_no_answer(id, "the connection ended");
             }
             Outcome::ConnectionEnded => {}
-            Outcome::TimedOut => self.checker.on_no_answer(id, "no answer in its time"),
+            Outcome::TimedOut => self.checker.on_no_answer(id, "no answer in time"),
         }
     }
 
-    /// A node's line has reached a server.
+    /// A node's request line has reached a server.
     pub fn on_attempt(&mut self, id: &str, attempt: ObservedAttempt, line: &str) {
         self.attempts += 1;
         let second = self.timeline.current_second();
@@ -211,27 +212,27 @@
         }
     }
 
-    /// A server notices that an attempt is over.
+    /// A server observes the end of an attempt.
     pub fn on_attempt_ended(&mut self, id: &str, server: usize) {
         self.checker.on_attempt_ended(id, server);
     }
 
-    /// Load of a server that is warming up, over what it can serve; `is_overloaded` after it was over that for too
-    /// long.
+    /// Records the load of a server that is warming up, relative to its limit. `is_overloaded` is set once the load
+    /// has been over the limit for too long.
     pub fn on_slow_start_load(&mut self, name: &str, load: f64, is_overloaded: bool) {
         self.max_slow_start_load = self.max_slow_start_load.max(load);
         if is_overloaded && self.overloaded.insert(name.to_string()) {
-            let detail = format!("server {name} is overloaded while it warms up");
+            let detail = format!("server {name} is overloaded while warming up");
             self.checker.report(Rule::SlowStartOverload, detail);
         }
     }
 
-    /// The run second by second, for who reads a failure.
+    /// Formats the run second by second, for the message of a failed test.
     pub fn timeline(&self) -> String {
         self.timeline.to_string()
     }
 
-    /// The result of the run, from the first fault on.
+    /// Summarizes the run. Peaks count from the first fault on.
     pub fn summarize(&self, config: &ClusterConfig) -> Summary {
         let recovery = self.timeline.recovery();
         let since_fault = self.timeline.seconds_since_first_fault();
--- a/crates/test-support/src/cluster/auditor/tests.rs
+++ b/crates/test-support/src/cluster/auditor/tests.rs
@@ -1,8 +1,8 @@
-//! Each check is shown to fail: the fault is put in, and the auditor must report it.
+//! Each test injects a fault and verifies that the auditor reports it.
 
 use super::{Auditor, ObservedAttempt, Outcome};
 use crate::cluster::clients::ANSWER_TIMEOUT;
-use crate::cluster::endpoint_list::{EndpointList, NamedEndpoint};
+use crate::cluster::endpoint_list::{EndpointList, ListedEndpoint};
 use crate::cluster::ClusterConfig;
 use crate::invariants::{Rule, Violation};
 use std::thread::sleep;
@@ -21,7 +21,7 @@
     auditor.summarize(&ClusterConfig::for_nodes(2)).violations
 }
 
-/// One violation alone was reported, of this rule, with a detail that begins like this.
+/// Checks that exactly one violation was reported, of this rule and with a detail that begins with this text.
 fn assert_only(reported: &[Violation], rule: Rule, detail: &str) {
     let [violation] = reported else { panic!("{reported:?}") };
     assert!(violation.rule == rule && violation.detail.starts_with(detail), "{violation}");
@@ -61,12 +61,12 @@
     for is_complete in [false, true] {
         let mut auditor = auditor_of_two_nodes();
         let endpoint = if is_complete {
-            NamedEndpoint { server: 2, is_ready: true }
+            ListedEndpoint { server: 2, is_ready: true }
         } else {
-            NamedEndpoint { server: 1, is_ready: false }
+            ListedEndpoint { server: 1, is_ready: false }
         };
         let incarnation = auditor.incarnation(0);
-        auditor.on_list_sent(0, incarnation, &EndpointList::naming(7, is_complete, vec![endpoint]));
+        auditor.on_list_sent(0, incarnation, &EndpointList::new(7, is_complete, vec![endpoint]));
         sleep(Duration::from_millis(400));
         auditor.tick(Duration::from_millis(400));
         for (id, node) in [("a", 0), ("b", 1)] {
@@ -74,7 +74,7 @@
             auditor.on_attempt(id, attempt_at(1), LINE);
         }
         let reported = violations(auditor);
-        // Nobody notified the other node.
+        // Node 1 was not notified, so its attempt is no violation.
         assert_only(&reported, Rule::Drain, "node 0 sent a to server 1");
     }
 }
@@ -84,6 +84,6 @@
     let mut auditor = auditor_of_two_nodes();
     auditor.on_slow_start_load("s-1", 1.2, false);
     auditor.on_slow_start_load("s-1", 1.4, true);
-    let detail = "server s-1 is overloaded while it warms up";
+    let detail = "server s-1 is overloaded while warming up";
     assert_only(&violations(auditor), Rule::SlowStartOverload, detail);
 }
--- a/crates/test-support/src/cluster/clients.rs
+++ b/crates/test-support/src/cluster/clients.rs
@@ -1,5 +1,5 @@
-//! Simulated clients that want an established connection all the time, and the load balancer that spreads them over
-//! the nodes.
+//! Simulated clients, each of which keeps requesting an established connection, and the load balancer that distributes
+//! them over the nodes.
 
 use super::auditor::Outcome;
 use super::Shared;
@@ -17,32 +17,33 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// How long a client waits for its answer, in milliseconds.
+/// The deadline that a client gives its request, in milliseconds.
 pub const REQUEST_TIMEOUT_MS: u64 = 1_200;
-/// A request without an answer this long after its time-out is lost: half a second by the rules, and what slow cores
-/// add.
+/// A request without an answer this long after its deadline counts as lost: the rules allow half a second, and the
+/// rest is a margin for slow cores.
 const LOST_AFTER_MS: u64 = 1_500;
-/// How long a client waits for an answer, however late.
+/// How long a client waits for an answer, late ones included.
 pub const ANSWER_TIMEOUT: Duration = Duration::from_millis(REQUEST_TIMEOUT_MS + LOST_AFTER_MS);
-/// Requests in a row, the first one included, before a client starts anew.
+/// Number of requests in a row, including the first one, after which a client no longer marks its next request as a
+/// retry (`r=1`).
 const MAX_ATTEMPTS: u32 = 4;
-/// How often a client sends a line on its established connection.
+/// Interval between the lines that a client sends on its established connection.
 const LINE_INTERVAL: Duration = Duration::from_secs(2);
-/// The clients begin within this time.
+/// The clients start at random times within this time.
 const START_SPREAD_MS: u64 = 4_000;
-/// How often the load balancer checks a node that was down.
+/// Interval between the load balancer's health checks of a node that is down.
 const DOWN_CHECK_INTERVAL_MS: u64 = 100;
-/// Shortest and longest lifetime of a connection, in milliseconds.
+/// Minimum and maximum lifetime of a connection, in milliseconds.
 const MIN_CONNECTION_MS: f64 = 500.0;
 const MAX_CONNECTION_MS: f64 = 300_000.0;
 
-/// A node as the load balancer knows it.
+/// A node as a target of the load balancer.
 struct Target {
     address: SocketAddr,
     is_up: Cell<bool>,
 }
 
-/// Starts all clients of a run, and the health checks of the load balancer. They run as long as the runtime does.
+/// Starts all clients of a run and the load balancer's health checks. They run until the runtime is dropped.
 pub fn start_clients(shared: &Shared, addresses: Vec<SocketAddr>, seed: u64) {
     let target = |address| Target { address, is_up: Cell::new(false) };
     let targets: Rc<Vec<Target>> = Rc::new(addresses.into_iter().map(target).collect());
@@ -64,7 +65,8 @@
     }
 }
 
-/// The load balancer uses a node once it has answered, and notices late that one has died.
+/// Checks the health of a node periodically. The load balancer uses the node once it has answered a check, and keeps
+/// using a dead one until the next check fails.
 async fn check_health(shared: Shared, targets: Rc<Vec<Target>>, node: usize) {
     loop {
         let target = &targets[node];
@@ -75,15 +77,16 @@
     }
 }
 
-/// How a request and its connection ended.
+/// How a request, or its established connection, ended.
 enum RequestEnd {
-    /// No node accepted it.
+    /// No node was up, or the connection failed before an answer.
     NotAccepted,
-    /// It was established and the client closed it.
+    /// The connection was established, and the client closed it.
     Closed,
-    /// It was established, and was migrated or reset.
+    /// The connection was established, and then migrated or reset.
     Interrupted,
-    /// A final answer other than `UP`, with the milliseconds after which to retry where it named them.
+    /// The final answer was not `UP`, or none arrived in time. Holds the Retry-After in milliseconds, if the answer
+    /// has one.
     Rejected(Option<u64>),
 }
 
@@ -93,9 +96,9 @@
     number: usize,
     rng: Pcg64Mcg,
     request_count: u64,
-    /// The last connection was interrupted.
+    /// Whether the last connection was interrupted.
     is_reconnect: bool,
-    /// Rejections in a row.
+    /// Number of rejections in a row.
     retries: u32,
 }
 
@@ -119,7 +122,7 @@
                 RequestEnd::NotAccepted => default_delay_ms,
                 RequestEnd::Rejected(retry_after_ms) => {
                     self.retries = (self.retries + 1) % MAX_ATTEMPTS;
-                    // Half of the clients honour the delay that the node names.
+                    // Half of the rejections with a Retry-After are followed by a retry after that delay.
                     retry_after_ms.filter(|_| self.rng.random_bool(0.5)).unwrap_or(default_delay_ms)
                 }
             };
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Sends one request to a node that is up.
+    /// Sends a request to a random node that is up.
     async fn request(&mut self) -> RequestEnd {
         self.request_count += 1;
         let up: Vec<usize> = (0..self.targets.len()).filter(|node| self.targets[*node].is_up.get()).collect();
@@ -170,7 +173,7 @@
         }
     }
 
-    /// Sends a line now and then until the connection's lifetime is over, or until it is interrupted.
+    /// Sends lines at [`LINE_INTERVAL`] until the connection's lifetime is over or it is interrupted.
     async fn use_connection(
         &mut self,
         mut read: BufReader<OwnedReadHalf>,
@@ -203,7 +206,7 @@
     }
 }
 
-/// Waits for the final answer to a request; whether a connection may end without one is up to the auditor.
+/// Waits for the final answer to a request. The auditor decides whether a connection may end without one.
 async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Outcome {
     match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
         Err(_) => Outcome::TimedOut,
--- a/crates/test-support/src/cluster/config.rs
+++ b/crates/test-support/src/cluster/config.rs
@@ -1,57 +1,57 @@
-//! The figures of a cluster, and the settings that its nodes get from them.
+//! Configuration of a cluster, and the node settings that are derived from it.
 
 use super::servers::{OVERLOAD_AFTER, OVERLOAD_MULTIPLE, SLOW_START_DURATION};
 use std::ops::Range;
 
-/// Figures of the simulated peers.
+/// Sizes and rates of a cluster and its simulated peers.
 #[derive(Clone, Debug)]
 pub struct ClusterConfig {
-    /// Processes under test.
+    /// Number of nodes under test.
     pub nodes: usize,
-    /// Servers at the start of a run.
+    /// Number of servers at the start of a run.
     pub servers: usize,
-    /// Clients that want an established connection, all the time.
+    /// Number of clients, each of which keeps requesting an established connection.
     pub clients: usize,
-    /// Set-ups a second that the session ledger serves; more wait in its queue.
+    /// Set-ups per second that the session ledger serves; further ones wait in its queue.
     pub ledger_setups_per_second: f64,
-    /// Connections that a server has capacity for once it is warm.
+    /// Number of connections that a server has capacity for once it is warm.
     pub server_capacity: f64,
-    /// Mean lifetime of a connection.
+    /// Mean lifetime of an established connection.
     pub mean_connection_ms: u64,
-    /// A client whose connection was reset reconnects after a random time in this range.
+    /// Range of the random delay after which a client reconnects when its connection was interrupted.
     pub reconnect_delay_ms: Range<u64>,
-    /// How often the load balancer before the nodes checks them.
+    /// Interval between the load balancer's health checks of a node that is up.
     pub node_check_interval_ms: u64,
-    /// Polls a second that discovery answers.
+    /// Polls per second that discovery answers.
     pub discovery_polls_per_second: f64,
-    /// Polls that wait at discovery; it rejects the rest.
+    /// Maximum number of polls in discovery's queue; it rejects further ones.
     pub discovery_queue_length: usize,
-    /// A quota that all nodes share, where there is one.
+    /// The connection quota that all nodes share, if any.
     pub quota: Option<ConnectionQuota>,
 }
 
 /// A quota on the established connections of all nodes together.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionQuota {
-    /// Connections of all nodes together.
+    /// Maximum number of established connections of all nodes together.
     pub total: usize,
-    /// The duration of a lease.
+    /// Duration of a lease.
     pub lease_ms: u64,
-    /// Time after the end of a lease until its connections count as closed.
+    /// Time after the end of a lease after which its connections count as closed.
     pub clear_ms: u64,
 }
 
-/// Servers of the smallest cluster.
+/// Minimum number of servers.
 const MIN_SERVERS: usize = 6;
-/// Polls a second at the discovery of the smallest cluster.
+/// Minimum rate of polls that discovery answers.
 const MIN_DISCOVERY_POLLS_PER_SECOND: f64 = 4.0;
 /// Mean lifetime of a connection, in seconds.
 const MEAN_CONNECTION_SECONDS: f64 = 30.0;
-/// Capacity of the session ledger over the usual rate of set-ups, as on the platform.
+/// Capacity of the session ledger relative to the usual rate of set-ups; the same as on the platform.
 const LEDGER_HEADROOM: f64 = 8.0;
 
 impl ClusterConfig {
-    /// Figures that grow with the number of nodes, so that each of them has the same load.
+    /// Returns a configuration that scales with the number of nodes, so that the load per node stays the same.
     pub fn for_nodes(nodes: usize) -> ClusterConfig {
         let clients = 8 * nodes;
         let servers = (nodes / 2).max(MIN_SERVERS);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// The settings of a node, as the platform writes them. The tenant's quotas are what the clients use.
+    /// Returns the settings of a node, as the platform writes them. The tenant's quotas match the load of the clients.
     pub fn node_settings(&self) -> String {
         let connections = self.clients as f64;
         let setups_per_second = self.clients as f64 / (self.mean_connection_ms as f64 / 1e3);
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -1,6 +1,6 @@
-//! Simulated discovery: the platform's endpoint list over HTTP/1.1, one poll at a time for all nodes together.
+//! Simulated discovery: serves the platform's endpoint list over HTTP/1.1. One queue holds the polls of all nodes.
 //!
-//! Each node has an address of its own here, so the auditor knows which node was notified of what, and when.
+//! Each node gets its own discovery address, so that the auditor knows which node was notified of what, and when.
 
 use super::servers::Servers;
 use super::Shared;
@@ -17,39 +17,41 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How discovery behaves.
+/// The behaviour of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryMode {
     /// It answers polls and serves watches.
     Healthy,
     /// Polls are reset, and watches end.
     Unreachable,
-    /// It answers polls at a quarter of its rate, and half of those that it rejects it delays first.
+    /// It answers polls at a quarter of its rate, and delays half of the rejections when its queue is full.
     Overloaded,
-    /// Complete lists are those from before the last changes, under their old generation.
+    /// It serves the saved complete list, under its old generation, instead of the current one.
     Stale,
 }
 
-/// A change reaches watches this long after it.
+/// Delay until a change is sent to watches.
 const CHANGE_DELAY: Duration = Duration::from_millis(400);
-/// A poll that waits longer than this is rejected.
+/// Polls that would wait longer than this are rejected.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(1);
-/// An overloaded discovery delays a rejection by this.
-const LATE_REJECTION: Duration = Duration::from_millis(1_500);
-/// While nothing changes, an empty line this often shows that the watch is alive.
+/// Delay of a rejection when discovery is overloaded.
+const REJECTION_DELAY: Duration = Duration::from_millis(1_500);
+/// Interval between heartbeats (empty lines) on a watch while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// How often a watch checks for changes.
+/// Interval at which a watch checks for changes.
 const CHANGE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
+/// The state that the services of all nodes share: the behaviour of discovery and the queue of polls.
 struct PollQueue {
     mode: Cell<DiscoveryMode>,
+    /// Number of polls that wait in the queue.
     waiting: Cell<usize>,
     /// When the last poll in the queue will have been answered.
     busy_until: Cell<Instant>,
     rng: RefCell<Pcg64Mcg>,
 }
 
-/// Discovery, for all nodes.
+/// Discovery, shared by all nodes.
 pub struct Discovery {
     addresses: Vec<SocketAddr>,
     queue: Rc<PollQueue>,
@@ -66,8 +68,8 @@
         });
         let mut addresses = Vec::new();
         for node in 0..shared.config.nodes {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-            addresses.push(listener.local_addr().expect("an address"));
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+            addresses.push(listener.local_addr().expect("failed to read a socket address"));
             let service =
                 NodeService { shared: shared.clone(), servers: servers.clone(), queue: queue.clone(), node };
             spawn_local(async move {
@@ -79,27 +81,27 @@
         Discovery { addresses, queue }
     }
 
-    /// Where a node finds discovery.
+    /// The address of discovery for this node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses[node]
     }
 
-    /// Discovery behaves like this from now on.
+    /// Sets the behaviour of discovery.
     pub fn set_mode(&self, mode: DiscoveryMode) {
         self.queue.mode.set(mode);
     }
 }
 
-/// What a watch has been sent so far.
+/// What has been sent on a watch so far.
 struct WatchProgress {
-    /// The incarnation of the node's process that opened the watch.
+    /// Incarnation of the node's process that opened the watch.
     incarnation: u64,
     sent_generation: u64,
     needs_complete_list: bool,
     last_write: Instant,
 }
 
-/// Discovery as one node sees it.
+/// The discovery service for one node.
 #[derive(Clone)]
 struct NodeService {
     shared: Shared,
@@ -114,7 +116,7 @@
         let mut stream = BufReader::new(stream);
         let Some(generation) = read_watch_request(&mut stream).await else { return };
         self.shared.auditor.borrow_mut().on_poll();
-        if !self.is_admitted().await {
+        if !self.wait_for_admission().await {
             let _ = stream.get_mut().write_all(REJECTION.as_bytes()).await;
             return;
         }
@@ -124,8 +126,8 @@
         self.serve_watch(stream.into_inner(), generation).await;
     }
 
-    /// Waits until the poll is at the head of the queue; false where it is rejected.
-    async fn is_admitted(&self) -> bool {
+    /// Waits in the queue until discovery can answer the poll; returns false if the poll is rejected.
+    async fn wait_for_admission(&self) -> bool {
         let queue = &self.queue;
         let config = &self.shared.config;
         let is_overloaded = queue.mode.get() == DiscoveryMode::Overloaded;
@@ -133,7 +135,7 @@
         let time_per_poll = Duration::from_secs_f64(slowdown / config.discovery_polls_per_second);
         if queue.waiting.get() >= config.discovery_queue_length {
             if is_overloaded && queue.rng.borrow_mut().random_bool(0.5) {
-                sleep(LATE_REJECTION).await;
+                sleep(REJECTION_DELAY).await;
             }
             return false;
         }
@@ -163,7 +165,7 @@
             if self.queue.mode.get() == DiscoveryMode::Unreachable {
                 return reset_on_drop(&stream);
             }
-            // A node that has closed its connection is not notified of anything.
+            // A node that has closed its watch must not be recorded as notified.
             if matches!(stream.try_read(&mut [0; 16]), Ok(0)) {
                 return;
             }
@@ -177,7 +179,8 @@
             }
         }
     }
-    /// What a watch is sent now, if anything: a list, or an empty line as a heartbeat.
+
+    /// Returns the line that is due on a watch now, if any: a list, or an empty line as a heartbeat.
     fn next_line(&self, progress: &mut WatchProgress) -> Option<String> {
         let is_stale = self.queue.mode.get() == DiscoveryMode::Stale;
         let list = if is_stale {
@@ -192,7 +195,7 @@
         };
         progress.sent_generation = list.generation;
         progress.needs_complete_list = false;
-        // A stale list changes nothing: it notifies nobody.
+        // A stale list brings no change, so it does not count as a notification.
         if !is_stale {
             self.shared.auditor.borrow_mut().on_list_sent(self.node, progress.incarnation, &list);
         }
--- a/crates/test-support/src/cluster/endpoint_list.rs
+++ b/crates/test-support/src/cluster/endpoint_list.rs
@@ -1,44 +1,44 @@
-//! The endpoint list that discovery sends, and what it says for the auditor.
+//! The endpoint list that discovery sends, and the server states in it that the auditor needs.
 
 use crate::watch_protocol::{list_json, ListKind};
 
-/// A server that a list names.
+/// The state of a server in an endpoint list.
 #[derive(Clone, Copy, Debug)]
-pub struct NamedEndpoint {
-    /// Its number.
+pub struct ListedEndpoint {
+    /// Number of the server.
     pub server: usize,
-    /// Whether it takes anything new.
+    /// Whether the server accepts new requests.
     pub is_ready: bool,
 }
 
-/// A list as a watch writes it.
+/// An endpoint list as sent on a watch.
 #[derive(Clone)]
 pub struct EndpointList {
-    /// Its version.
+    /// Generation of the list.
     pub generation: u64,
-    /// Whether it names all servers, or those that have changed.
+    /// Whether the list contains all servers, rather than only those that have changed.
     pub is_complete: bool,
-    /// The servers that it names.
-    pub endpoints: Vec<NamedEndpoint>,
-    /// JSON of each endpoint.
-    documents: Vec<String>,
+    /// The servers in the list.
+    pub endpoints: Vec<ListedEndpoint>,
+    /// JSON entry of each endpoint, in the same order.
+    entries: Vec<String>,
 }
 
 impl EndpointList {
-    /// One without documents, for the auditor.
-    pub fn naming(generation: u64, is_complete: bool, endpoints: Vec<NamedEndpoint>) -> EndpointList {
-        EndpointList { generation, is_complete, endpoints, documents: Vec::new() }
+    /// Creates a list without JSON entries, which `push` adds; tests of the auditor need none.
+    pub fn new(generation: u64, is_complete: bool, endpoints: Vec<ListedEndpoint>) -> EndpointList {
+        EndpointList { generation, is_complete, endpoints, entries: Vec::new() }
     }
 
-    /// The list as it is written.
+    /// Encodes the list as JSON.
     pub fn json(&self) -> String {
         let kind = if self.is_complete { ListKind::Complete } else { ListKind::Incremental };
-        list_json(self.generation, kind, &self.documents.join(","))
+        list_json(self.generation, kind, &self.entries.join(","))
     }
 
-    /// Adds an endpoint with its entry.
-    pub(super) fn push(&mut self, endpoint: NamedEndpoint, document: String) {
+    /// Adds an endpoint and its JSON entry.
+    pub(super) fn push(&mut self, endpoint: ListedEndpoint, entry: String) {
         self.endpoints.push(endpoint);
-        self.documents.push(document);
+        self.entries.push(entry);
     }
 }
--- a/crates/test-support/src/cluster/links.rs
+++ b/crates/test-support/src/cluster/links.rs
@@ -1,4 +1,4 @@
-//! A TCP proxy on one link: it forwards, blocks (both ways or one), delays and resets, and heals.
+//! A TCP proxy for fault injection on a link: it forwards, blocks (in both directions or one), delays or resets.
 
 use crate::loopback::reset_on_drop;
 use std::cell::Cell;
@@ -11,77 +11,77 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// What the link does with connections and their bytes.
+/// What a link does with connections and their data.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkMode {
-    /// All is forwarded.
+    /// All data is forwarded.
     Open,
-    /// Nothing is forwarded and no connection is reset; all of it is forwarded once the link is open again.
+    /// No data is forwarded and no connection is reset; the data is forwarded once the link is open again.
     Blocked,
-    /// Only bytes from the side that connects are forwarded.
+    /// Only data from the connecting side is forwarded.
     OutboundOnly,
-    /// All is forwarded this many milliseconds late.
+    /// All data is forwarded after a delay of this many milliseconds.
     Delayed(u64),
-    /// Open connections and new ones are reset.
+    /// Existing and new connections are reset.
     Reset,
 }
 
-/// How often a connection checks the link's mode.
+/// Interval at which a connection checks the link's mode.
 const MODE_CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// Bytes that are forwarded at a time.
+/// Maximum number of bytes forwarded at a time.
 const CHUNK_BYTES: usize = 4096;
 
-/// One link, with its own address.
+/// A link with its own address.
 pub struct Link {
-    /// Where the side that connects finds it.
+    /// Address for the connecting side.
     pub address: SocketAddr,
     mode: Rc<Cell<LinkMode>>,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum Direction {
-    /// From the side that connects.
+    /// From the connecting side to the target.
     Outbound,
     Inbound,
 }
 
 impl Link {
-    /// A link to an address, at a port that the system picks.
+    /// Opens a link to a target address, on a free loopback port.
     pub async fn open(target: SocketAddr) -> Link {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("failed to read a socket address");
         let mode = Rc::new(Cell::new(LinkMode::Open));
         let shared_mode = mode.clone();
         spawn_local(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                spawn_local(forward(near, target, shared_mode.clone()));
+            while let Ok((downstream, _)) = listener.accept().await {
+                spawn_local(forward(downstream, target, shared_mode.clone()));
             }
         });
         Link { address, mode }
     }
 
-    /// The link behaves like this from now on.
+    /// Sets the mode of the link.
     pub fn set_mode(&self, mode: LinkMode) {
         self.mode.set(mode);
     }
 }
 
-async fn forward(near: TcpStream, target: SocketAddr, mode: Rc<Cell<LinkMode>>) {
+async fn forward(downstream: TcpStream, target: SocketAddr, mode: Rc<Cell<LinkMode>>) {
     while matches!(mode.get(), LinkMode::Blocked) {
         sleep(MODE_CHECK_INTERVAL).await;
     }
     if mode.get() == LinkMode::Reset {
-        return reset_on_drop(&near);
+        return reset_on_drop(&downstream);
     }
-    // A refused connection is forwarded as a reset, the nearest that a proxy has.
-    let Ok(far) = TcpStream::connect(target).await else { return reset_on_drop(&near) };
-    for stream in [&near, &far] {
+    // The proxy has accepted already and can't refuse the connection any more, so it resets it.
+    let Ok(upstream) = TcpStream::connect(target).await else { return reset_on_drop(&downstream) };
+    for stream in [&downstream, &upstream] {
         let _ = stream.set_nodelay(true);
     }
-    let (near_read, near_write) = near.into_split();
-    let (far_read, far_write) = far.into_split();
-    let outbound = spawn_local(copy(near_read, far_write, mode.clone(), Direction::Outbound));
-    let inbound = spawn_local(copy(far_read, near_write, mode, Direction::Inbound));
+    let (downstream_read, downstream_write) = downstream.into_split();
+    let (upstream_read, upstream_write) = upstream.into_split();
+    let outbound = spawn_local(copy(downstream_read, upstream_write, mode.clone(), Direction::Outbound));
+    let inbound = spawn_local(copy(upstream_read, downstream_write, mode, Direction::Inbound));
     let _ = (outbound.await, inbound.await);
 }
 
--- a/crates/test-support/src/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -1,9 +1,11 @@
-//! A multi-process test harness: nodes of the program under test on loopback, and simulated peers round them (discovery,
-//! servers, the session ledger and clients), all of those in one thread and from one seed.
+//! A multi-process test harness: several processes of the program under test on loopback, and simulated peers
+//! (discovery, servers, the session ledger and clients), which all run in one thread and draw random numbers from one
+//! seed.
 //!
-//! A run is checked by the peers' own clocks and records ([`auditor::Auditor`]), never by what a node logs. A script
-//! injects the faults. The same seed gives the same script, the same population and the same random draws of every
-//! peer. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` set what a test plays.
+//! A run is checked against the peers' own clocks and records ([`auditor::Auditor`]), never against the nodes' logs.
+//! The script of a test injects the faults. The same seed gives the same script, the same servers and clients, and the
+//! same random draws of every peer. `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` override the seeds and the number of
+//! nodes of a test.
 
 pub mod auditor;
 pub mod clients;
@@ -32,43 +34,43 @@
 use std::time::Duration;
 use tokio::time::{sleep_until, Instant};
 
-/// How often the auditor samples, and measures how late this thread is.
+/// Interval at which the auditor takes samples and measures the lateness of this thread.
 const AUDIT_INTERVAL: Duration = Duration::from_millis(10);
-/// How often a script checks what it waits for.
+/// Interval at which a script checks a condition that it waits for.
 const WAIT_INTERVAL_MS: u64 = 20;
-/// A cluster that is not in service after this has gone wrong.
+/// Time within which a cluster must be in service.
 const START_TIMEOUT_SECS: u64 = 40;
-/// A cluster runs for this long in service before a script begins.
+/// How long a cluster is in service before its script begins.
 const WARM_UP_SECS: u64 = 3;
-/// Port of each node's listener.
+/// Port of each node's listener for clients.
 const NODE_PORT: u16 = 8080;
 
-/// What all simulated peers share.
+/// State that all simulated peers share.
 #[derive(Clone)]
 pub struct Shared {
-    /// What the peers saw.
+    /// The auditor, to which the peers report events.
     pub auditor: Rc<RefCell<Auditor>>,
-    /// The figures of the cluster.
+    /// The configuration of the cluster.
     pub config: Rc<ClusterConfig>,
 }
 
 /// A running cluster.
 pub struct Cluster {
-    /// What all simulated peers share.
+    /// State that all simulated peers share.
     pub shared: Shared,
-    /// The processes under test.
+    /// The nodes under test.
     pub nodes: Nodes,
-    /// Discovery, for all nodes.
+    /// Discovery, shared by all nodes.
     pub discovery: Discovery,
-    /// All servers.
+    /// The servers.
     pub servers: Servers,
-    /// The random numbers of the script.
+    /// Random number generator of the script.
     pub rng: Pcg64Mcg,
-    /// The seed of all random numbers.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// The links from clients to nodes, by node.
+    /// Links from clients to nodes, by node.
     pub client_links: Vec<Link>,
-    /// The links from nodes to discovery, by node.
+    /// Links from nodes to discovery, by node.
     pub discovery_links: Vec<Link>,
 }
 
@@ -79,7 +81,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let auditor = Rc::new(RefCell::new(Auditor::new(config.nodes)));
         let shared = Shared { auditor, config: Rc::new(config) };
-        spawn_audit(&shared);
+        spawn_audit_task(&shared);
         let ledger = Ledger::new(shared.config.ledger_setups_per_second);
         let servers = Servers::start(&shared, &ledger, shared.config.servers).await;
         let discovery = Discovery::start(&shared, &servers, rng.random()).await;
@@ -105,23 +107,23 @@
     async fn wait_until_in_service(&mut self) {
         let config = &self.shared.config;
         let max_established = config.quota.map_or(usize::MAX, |quota| quota.total * 90 / 95);
-        let wanted = config.clients.min(max_established) * 95 / 100;
-        let is_in_service = |cluster: &mut Cluster| cluster.shared.auditor.borrow().established() >= wanted;
+        let required = config.clients.min(max_established) * 95 / 100;
+        let is_in_service = |cluster: &mut Cluster| cluster.shared.auditor.borrow().established() >= required;
         self.wait_until("the cluster is in service", START_TIMEOUT_SECS, is_in_service).await;
         self.run_for_secs(WARM_UP_SECS).await;
     }
 
-    /// Goes on for so many seconds.
+    /// Lets the cluster run for this many seconds.
     pub async fn run_for_secs(&mut self, seconds: u64) {
         self.run_for_millis(1_000 * seconds).await;
     }
 
-    /// Goes on for so many milliseconds.
+    /// Lets the cluster run for this many milliseconds.
     pub async fn run_for_millis(&mut self, millis: u64) {
         sleep_until(Instant::now() + Duration::from_millis(millis)).await;
     }
 
-    /// Waits for a condition; the time-out only ends a run that has gone wrong.
+    /// Waits for a condition, and fails the test if it is not reached in time.
     pub async fn wait_until(
         &mut self,
         what: &str,
@@ -131,13 +133,13 @@
         let end = Instant::now() + Duration::from_secs(timeout_secs);
         while !is_reached(self) {
             if Instant::now() > end {
-                self.fail(&format!("not within {timeout_secs} s: {what}"));
+                self.fail(&format!("condition not reached within {timeout_secs} s: {what}"));
             }
             self.run_for_millis(WAIT_INTERVAL_MS).await;
         }
     }
 
-    /// Draws this fraction of the nodes, at least one.
+    /// Draws this fraction of the nodes at random, but at least one, in ascending order.
     pub fn draw_nodes(&mut self, fraction: f64) -> Vec<usize> {
         let mut drawn: Vec<usize> = (0..self.shared.config.nodes).collect();
         for last in (1..drawn.len()).rev() {
@@ -148,7 +150,7 @@
         drawn
     }
 
-    /// Kills nodes at the same moment.
+    /// Kills nodes at the same time.
     pub fn kill(&mut self, nodes: &[usize]) {
         for node in nodes {
             self.nodes.kill(*node);
@@ -156,7 +158,7 @@
         self.record_fault(&format!("killed {}", nodes.len()));
     }
 
-    /// Starts nodes again under their names, with an endpoint list as they might have saved it.
+    /// Restarts nodes under their names, with an endpoint list that they might have saved.
     pub fn restart(&mut self, nodes: &[usize], saved_list: &str) {
         for node in nodes {
             self.nodes.start(*node, saved_list);
@@ -164,24 +166,24 @@
         self.record_fault(&format!("started {}", nodes.len()));
     }
 
-    /// Discovery behaves like this from now on.
+    /// Sets the behaviour of discovery.
     pub fn set_discovery(&mut self, mode: DiscoveryMode) {
         self.record_fault(&format!("discovery {mode:?}"));
         self.discovery.set_mode(mode);
     }
 
-    /// The link from clients to a node behaves like this from now on.
+    /// Sets the behaviour of the link from clients to a node.
     pub fn set_client_link(&mut self, node: usize, mode: LinkMode) {
         self.record_fault(&format!("client link of node {node} {mode:?}"));
         self.client_links[node].set_mode(mode);
     }
 
-    /// Notes a fault in the auditor's record; recovery is measured from it.
+    /// Records a fault with the auditor, which measures recovery from it.
     pub fn record_fault(&mut self, what: &str) {
         self.shared.auditor.borrow_mut().record_fault(what);
     }
 
-    /// Ends the run. A violated invariant fails the test with the seed.
+    /// Ends the run and returns its summary. A violated invariant fails the test; the panic message names the seed.
     pub async fn finish(mut self) -> Summary {
         let summary = self.shared.auditor.borrow_mut().summarize(&self.shared.config);
         if !summary.violations.is_empty() {
@@ -192,7 +194,7 @@
         summary
     }
 
-    /// Ends a run that is a measurement: violations are counted by the caller.
+    /// Ends a run that is a measurement: violations don't fail it, but are left to the caller.
     pub fn finish_measurement(self) -> Summary {
         let summary = self.shared.auditor.borrow_mut().summarize(&self.shared.config);
         self.nodes.kill_all();
@@ -206,7 +208,8 @@
     }
 }
 
-fn spawn_audit(shared: &Shared) {
+/// Spawns the task that calls [`Auditor::tick`].
+fn spawn_audit_task(shared: &Shared) {
     let auditor = shared.auditor.clone();
     tokio::task::spawn_local(async move {
         loop {
@@ -216,29 +219,34 @@
     });
 }
 
-/// What a test plays.
+/// Seeds and size of the runs of a test.
 pub struct TestPlan {
-    /// The seeds of its runs.
+    /// Seeds of the runs.
     pub seeds: Vec<u64>,
-    /// The nodes of each run.
+    /// Number of nodes in each run.
     pub nodes: usize,
 }
 
 impl TestPlan {
-    /// The test's own seeds and number of nodes, or those that the environment names.
+    /// Takes the plan from `FLEET_SEEDS` and `FLEET_NODES`, or these defaults of the test.
     pub fn from_env_or(seeds: &[u64], nodes: usize) -> TestPlan {
         let variable = |name: &str| std::env::var(name).ok();
         let seeds = variable("FLEET_SEEDS").map_or(seeds.to_vec(), |text| {
-            text.split(',').map(|seed| seed.trim().parse().expect("FLEET_SEEDS=1,2,3")).collect()
+            text.split(',')
+                .map(|seed| seed.trim().parse().expect("FLEET_SEEDS must be a list of numbers such as 1,2,3"))
+                .collect()
         });
-        let nodes =
-            variable("FLEET_NODES").map_or(nodes, |text| text.trim().parse().expect("FLEET_NODES=24"));
+        let nodes = variable("FLEET_NODES")
+            .map_or(nodes, |text| text.trim().parse().expect("FLEET_NODES must be a number such as 24"));
         TestPlan { seeds, nodes }
     }
 }
 
-/// Plays a script to its end, on this thread alone.
+/// Runs a script to completion on the current thread.
 pub fn block_on<F: std::future::Future>(script: F) -> F::Output {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("failed to create the runtime");
     tokio::task::LocalSet::new().block_on(&runtime, script)
 }
--- a/crates/test-support/src/cluster/nodes.rs
+++ b/crates/test-support/src/cluster/nodes.rs
@@ -1,4 +1,4 @@
-//! The processes under test: started, killed, stopped and continued, each by its own process id alone.
+//! The node processes under test: starting, signalling and stopping them, each by its own process id only.
 
 use super::{ConnectionQuota, Shared};
 use crate::loopback::AddressBlock;
@@ -9,9 +9,9 @@
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// Port at which a node listens to other nodes.
+/// Port on which a node listens for other nodes.
 const QUOTA_PORT: u16 = 7100;
-/// The node that grants leases on a shared quota.
+/// Name of the node that grants leases on a shared quota.
 const GRANTOR: &str = "n0";
 
 struct Node {
@@ -19,7 +19,8 @@
     discovery: SocketAddr,
     config_file: PathBuf,
     child: Option<ChildProcess>,
-    starts: u64,
+    /// How often the node has been started.
+    start_count: u64,
 }
 
 impl Node {
@@ -28,7 +29,7 @@
     }
 }
 
-/// All nodes of a run, by number.
+/// All nodes of a run, addressed by number.
 pub struct Nodes {
     shared: Shared,
     nodes: RefCell<Vec<Node>>,
@@ -37,7 +38,7 @@
 }
 
 impl Nodes {
-    /// The nodes of a run, none of them started. `discovery_addresses` is by node.
+    /// Creates the nodes of a run without starting them. `discovery_addresses` is indexed by node.
     pub fn new(
         shared: &Shared,
         addresses: &AddressBlock,
@@ -48,19 +49,20 @@
         let node = |(number, discovery): (usize, SocketAddr)| {
             let address = addresses.of_node(number, super::NODE_PORT);
             let config_file = std::env::temp_dir().join(format!("sparbank-cluster-{}.json", address.ip()));
-            Node { address, discovery, config_file, child: None, starts: 0 }
+            Node { address, discovery, config_file, child: None, start_count: 0 }
         };
         let nodes = discovery_addresses.into_iter().enumerate().map(node).collect();
         Nodes { shared: shared.clone(), nodes: RefCell::new(nodes), program: program.to_string(), seed }
     }
 
-    /// Starts a node that has saved this list. Its random numbers are others at each start, from the run's seed.
+    /// Starts a node with this saved endpoint list. The node's seed is derived from the run's seed and differs at each
+    /// start.
     pub fn start(&self, number: usize, saved_list: &str) {
         let members = self.members_json();
         let node = &mut self.nodes.borrow_mut()[number];
-        assert!(node.child.is_none(), "node {number} runs already");
-        node.starts += 1;
-        let seed = self.seed.wrapping_mul(1_000_003) + (number as u64) * 1_000 + node.starts;
+        assert!(node.child.is_none(), "node {number} is already running");
+        node.start_count += 1;
+        let seed = self.seed.wrapping_mul(1_000_003) + (number as u64) * 1_000 + node.start_count;
         let config = format!(
             r#"{{"name":"n{number}","listen":"{}","discovery":"{}","seed":"{seed:x}","limits":{{"sockets":1024}},
             "known":{saved_list},"settings":{}}}"#,
@@ -68,23 +70,23 @@
             node.discovery,
             self.shared.config.node_settings(),
         );
-        std::fs::write(&node.config_file, config).expect("a configuration");
+        std::fs::write(&node.config_file, config).expect("failed to write the configuration");
         let mut command = Command::new(&self.program);
         command.arg("serve").stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::null());
         configure_node(&mut command, &node.config_file);
         if let Some(quota) = self.shared.config.quota {
             let file = node.quota_file();
-            std::fs::write(&file, quota_json(&members, quota)).expect("a quota file");
+            std::fs::write(&file, quota_json(&members, quota)).expect("failed to write the quota file");
             command.arg("--fleet").arg(file);
         }
         if let Ok(folder) = std::env::var("FLEET_LOGS") {
-            write_log(&mut command, Path::new(&folder), number, node.starts);
+            write_log(&mut command, Path::new(&folder), number, node.start_count);
         }
         node.child = Some(ChildProcess::spawn(&mut command));
         self.shared.auditor.borrow_mut().on_node_up(number);
     }
 
-    /// The members of a shared quota, as its file names them.
+    /// The members of a shared quota, as JSON for the quota file.
     fn members_json(&self) -> String {
         let nodes = self.nodes.borrow();
         let member = |(number, node): (usize, &Node)| {
@@ -95,16 +97,16 @@
 
     fn signal(&self, number: usize, signal: Signal) {
         if let Some(child) = &self.nodes.borrow()[number].child {
-            child.signal(signal).expect("a child that was not waited for");
+            child.signal(signal).expect("failed to signal a node");
         }
     }
 
-    /// Where a node listens to other nodes.
+    /// Address on which a node listens for other nodes.
     pub fn member_address(&self, number: usize) -> SocketAddr {
         SocketAddr::new(self.nodes.borrow()[number].address.ip(), QUOTA_PORT)
     }
 
-    /// SIGKILL; the node's requests and connections are excused.
+    /// Kills a node with SIGKILL. Its missing answers and lost connections are no violations.
     pub fn kill(&self, number: usize) {
         if let Some(mut child) = self.nodes.borrow_mut()[number].child.take() {
             self.shared.auditor.borrow_mut().on_node_down(number);
@@ -112,12 +114,12 @@
         }
     }
 
-    /// SIGTERM: nothing is excused until the node has ended.
+    /// Sends SIGTERM to a node. Until it has ended, its missing answers are violations.
     pub fn terminate(&self, number: usize) {
         self.signal(number, Signal::TERM);
     }
 
-    /// Whether a node has ended by itself, after [`Nodes::terminate`].
+    /// Whether a node has ended, as it should after [`Nodes::terminate`].
     pub fn has_ended(&self, number: usize) -> bool {
         let node = &mut self.nodes.borrow_mut()[number];
         if node.child.as_mut().is_some_and(|child| child.try_wait().is_some()) {
@@ -127,19 +129,19 @@
         node.child.is_none()
     }
 
-    /// SIGSTOP: what the node owes until it is continued is excused.
+    /// Stops a node with SIGSTOP. Requests sent to it before it is continued may stay unanswered.
     pub fn pause(&self, number: usize) {
         self.shared.auditor.borrow_mut().on_node_down(number);
         self.signal(number, Signal::STOP);
     }
 
-    /// SIGCONT.
+    /// Continues a node with SIGCONT.
     pub fn resume(&self, number: usize) {
         self.signal(number, Signal::CONT);
         self.shared.auditor.borrow_mut().on_node_up(number);
     }
 
-    /// Ends all nodes and removes their files.
+    /// Kills all nodes and removes their files.
     pub fn kill_all(&self) {
         for node in self.nodes.borrow_mut().iter_mut() {
             node.child = None;
@@ -163,10 +165,10 @@
     )
 }
 
-/// Writes a node's log to a file, for who looks into a failure: nothing is judged by it.
-fn write_log(command: &mut Command, folder: &Path, number: usize, start: u64) {
-    if start > 1 || std::fs::create_dir_all(folder).is_ok() {
-        let log = folder.join(format!("n{number}-{start}.log"));
-        command.arg("--trace").stderr(std::fs::File::create(log).expect("a log"));
+/// Writes a node's log to a file for debugging. No check reads it.
+fn write_log(command: &mut Command, folder: &Path, number: usize, start_number: u64) {
+    if start_number > 1 || std::fs::create_dir_all(folder).is_ok() {
+        let log = folder.join(format!("n{number}-{start_number}.log"));
+        command.arg("--trace").stderr(std::fs::File::create(log).expect("failed to create the log file"));
     }
 }
--- a/crates/test-support/src/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -1,11 +1,11 @@
 //! Simulated servers.
 //!
-//! A server has capacity for so many connections; while it is warming up it can serve a fraction of that, and more than
-//! [`OVERLOAD_MULTIPLE`] times that fraction for [`OVERLOAD_AFTER`] overloads it, which the auditor counts as a
-//! violation.
+//! A server has capacity for a number of connections, and for a fraction of it while it is warming up. More than
+//! [`OVERLOAD_MULTIPLE`] times that fraction for [`OVERLOAD_AFTER`] overloads the server, which the auditor reports as
+//! a violation.
 
 use super::auditor::ObservedAttempt;
-use super::endpoint_list::{EndpointList, NamedEndpoint};
+use super::endpoint_list::{EndpointList, ListedEndpoint};
 use super::ledger::Ledger;
 use super::Shared;
 use crate::loopback::reset_on_drop;
@@ -20,36 +20,36 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, Instant};
 
-/// A server is warm after this.
+/// How long a server is warming up after its start.
 pub const SLOW_START_DURATION: Duration = Duration::from_secs(10);
-/// A server that is warming up may be over its load for this long.
+/// How long a server that is warming up may exceed its limit before it counts as overloaded.
 pub const OVERLOAD_AFTER: Duration = Duration::from_secs(2);
-/// A server that is warming up is over its load with this multiple of its present capacity.
+/// Limit on the connections of a server that is warming up, as a multiple of its present capacity.
 pub const OVERLOAD_MULTIPLE: f64 = 3.0;
-/// Fraction of its capacity that a server has at its start.
+/// Fraction of its full capacity that a server has when it starts.
 const SLOW_START_FLOOR: f64 = 0.12;
-/// How often the load of servers that are warming up is checked.
+/// Interval between checks of the load of servers that are warming up.
 const LOAD_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the endpoint list says of a server.
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
-    /// It takes requests.
+    /// It accepts new requests.
     Ready,
-    /// It takes nothing new.
+    /// It accepts no new requests.
     Draining,
-    /// The list leaves it out.
+    /// It is not in the list any more.
     Removed,
 }
 
-/// What a server does with connections.
+/// How a server handles connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It serves.
+    /// It serves them.
     Healthy,
-    /// Its process is gone; each attempt is counted and reset.
+    /// Its process is gone: each attempt is counted and reset.
     Dead,
-    /// It accepts and never answers.
+    /// It accepts connections but never answers.
     Hung,
 }
 
@@ -58,19 +58,20 @@
     address: SocketAddr,
     status: Status,
     health: Health,
-    /// Generation of the list that named its last change, and when that change was.
+    /// Generation of the list that contains the server's last change.
     generation: u64,
     changed_at: Instant,
     started_at: Instant,
-    /// In Unix time; zero is long ago.
+    /// Start time in Unix time; 0 for a server that started long ago and is warm.
     started_at_ms: u64,
     connections: usize,
+    /// Since when the connections exceed the limit while the server is warming up.
     overloaded_since: Option<Instant>,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Server {
-    /// Fraction of its capacity that it has now.
+    /// The fraction of its full capacity that the server has now.
     fn slow_start_factor(&self) -> f64 {
         if self.started_at_ms == 0 {
             return 1.0;
@@ -79,7 +80,8 @@
         (SLOW_START_FLOOR + (1.0 - SLOW_START_FLOOR) * age).min(1.0)
     }
 
-    fn json(&self) -> String {
+    /// The server's entry in the endpoint list.
+    fn entry_json(&self) -> String {
         let lifecycle = match self.status {
             Status::Ready => "ready",
             Status::Draining => "draining",
@@ -89,12 +91,12 @@
     }
 }
 
-/// Open connections at all servers together.
+/// The peak number of open connections at all servers together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectionPeak {
-    /// The most that were open at once.
+    /// Greatest number of connections open at the same time.
     pub max_open: usize,
-    /// How often they were counted: at each new one.
+    /// How often the connections were counted, which is once per new connection.
     pub counted: u64,
 }
 
@@ -102,11 +104,11 @@
 struct State {
     servers: Vec<Server>,
     generation: u64,
-    /// The complete list as it was when it was saved.
+    /// The complete list saved by [`Servers::save_list`].
     saved_list: Option<EndpointList>,
 }
 
-/// All servers of a run, by number; a number is never used again.
+/// All servers of a run, addressed by number. Numbers are never reused.
 #[derive(Clone)]
 pub struct Servers {
     shared: Shared,
@@ -116,7 +118,7 @@
 }
 
 impl Servers {
-    /// Starts so many servers, all of them warm.
+    /// Starts this many servers, all of them warm.
     pub async fn start(shared: &Shared, ledger: &Ledger, count: usize) -> Servers {
         let servers = Servers {
             shared: shared.clone(),
@@ -127,21 +129,23 @@
         for _ in 0..count {
             servers.add(false).await;
         }
-        let checked = servers.clone();
+        let monitored = servers.clone();
         spawn_local(async move {
             loop {
-                checked.check_slow_start_loads();
+                monitored.check_slow_start_loads();
                 sleep(LOAD_CHECK_INTERVAL).await;
             }
         });
         servers
     }
 
-    /// One more server, warming up or warm; gives its number.
+    /// Adds a server, either warming up or warm, and returns its number.
     pub async fn add(&self, is_warming_up: bool) -> usize {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
-        let unix_time = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64;
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("failed to bind a loopback port");
+        let address = listener.local_addr().expect("failed to read a socket address");
+        let unix_time =
+            SystemTime::now().duration_since(UNIX_EPOCH).expect("system time is before 1970").as_millis()
+                as u64;
         let number = {
             let mut state = self.state.borrow_mut();
             let number = state.servers.len();
@@ -176,28 +180,29 @@
         }
     }
 
-    /// Connections that are open at all servers together, set-ups among them.
+    /// Number of open connections at all servers together, including those that are being set up.
     pub fn open_connections(&self) -> usize {
         self.state.borrow().servers.iter().map(|server| server.connections).sum()
     }
 
-    /// The most that were open, counted at each new one.
+    /// The peak number of open connections so far.
     pub fn connection_peak(&self) -> ConnectionPeak {
         self.peak.get()
     }
 
-    /// Saves the list as it is now, for when discovery goes back to it.
+    /// Saves the current list, which discovery serves in the mode
+    /// [`DiscoveryMode::Stale`](super::discovery::DiscoveryMode).
     pub fn save_list(&self) {
         let list = self.complete_list();
         self.state.borrow_mut().saved_list = Some(list);
     }
 
-    /// The list that was saved last.
+    /// The list that was saved last, if any.
     pub fn saved_list(&self) -> Option<EndpointList> {
         self.state.borrow().saved_list.clone()
     }
 
-    /// The list says this of a server from now on.
+    /// Sets the state of a server in the endpoint list, under a new generation.
     pub fn set_status(&self, number: usize, status: Status) {
         let state = &mut *self.state.borrow_mut();
         state.generation += 1;
@@ -207,7 +212,7 @@
         server.changed_at = Instant::now();
     }
 
-    /// A server behaves like this from now on. One that dies resets its connections; the list may still name it.
+    /// Sets how a server handles connections. A server that becomes dead drops its connections, but stays in the list.
     pub fn set_health(&self, number: usize, health: Health) {
         let tasks = {
             let server = &mut self.state.borrow_mut().servers[number];
@@ -221,15 +226,16 @@
     }
 
     fn complete_list(&self) -> EndpointList {
-        self.changes_since(0, true, Duration::ZERO).expect("a complete list")
+        self.changes_since(0, true, Duration::ZERO).expect("a complete list is always available")
     }
 
-    /// The complete list, as a node might have saved it.
+    /// The complete list as JSON, as a node might have saved it.
     pub fn complete_list_json(&self) -> String {
         self.complete_list().json()
     }
 
-    /// What a watch with this generation is sent now, if anything: what changed at least `delay` ago.
+    /// Returns the list that is due now on a watch that has this generation: the changes that are at least `delay`
+    /// old, if any, or always the complete list if `is_complete` is set.
     pub fn changes_since(&self, generation: u64, is_complete: bool, delay: Duration) -> Option<EndpointList> {
         let state = self.state.borrow();
         let is_visible = |server: &&Server| server.changed_at.elapsed() >= delay;
@@ -238,19 +244,20 @@
         if !is_complete && newest <= generation {
             return None;
         }
-        let mut list = EndpointList::naming(newest, is_complete, Vec::new());
+        let mut list = EndpointList::new(newest, is_complete, Vec::new());
         for (number, server) in state.servers.iter().enumerate() {
-            let is_named =
+            let is_listed =
                 if is_complete { server.status != Status::Removed } else { server.generation > generation };
-            if is_visible(&server) && is_named {
+            if is_visible(&server) && is_listed {
                 let is_ready = server.status == Status::Ready;
-                list.push(NamedEndpoint { server: number, is_ready }, server.json());
+                list.push(ListedEndpoint { server: number, is_ready }, server.entry_json());
             }
         }
         Some(list)
     }
 
-    /// Checks whether a server that is warming up has more connections than it may, and for how long.
+    /// Reports the load of each server that is warming up to the auditor, and whether it exceeds the limit for too
+    /// long.
     fn check_slow_start_loads(&self) {
         let mut state = self.state.borrow_mut();
         for server in &mut state.servers {
@@ -300,7 +307,7 @@
         }
     }
 
-    /// Sets a connection up and echoes its lines until it ends.
+    /// Sets up a connection and echoes its lines until it ends.
     async fn set_up(
         &self,
         guard: &AttemptGuard<'_>,
@@ -312,7 +319,7 @@
         let mut line = String::new();
         let is_set_up = tokio::select! {
             is_set_up = self.ledger.set_up() => is_set_up,
-            // The node has cancelled the attempt.
+            // The node closes the connection, or sends data, before the set-up is complete: the attempt ends.
             _ = read.read_line(&mut line) => return,
         };
         let answer = if is_set_up { format!("UP r{}\r\n", guard.number) } else { "ERR\r\n".to_string() };
@@ -333,7 +340,7 @@
     let _ = write.write_all(b"BUSY\r\n").await;
 }
 
-/// Records the end of an attempt, however it ends.
+/// Records the end of an attempt when it is dropped, which covers every way in which the attempt can end.
 struct AttemptGuard<'a> {
     servers: &'a Servers,
     number: usize,
@@ -342,7 +349,7 @@
 }
 
 impl AttemptGuard<'_> {
-    /// Counts the attempt's connection as open.
+    /// Counts the attempt's connection as open until the guard is dropped.
     fn count_connection(&self) {
         self.is_counted.set(true);
         self.servers.state.borrow_mut().servers[self.number].connections += 1;
--- a/crates/test-support/src/invariants/lateness.rs
+++ b/crates/test-support/src/invariants/lateness.rs
@@ -1,17 +1,19 @@
-//! How late the thread of a run is.
+//! Measures how late the thread of a test run is.
 
 use std::time::{Duration, Instant};
 
-/// How long a lateness counts: what the thread reads meanwhile may be older than it seems.
-const LATENESS_LASTS: Duration = Duration::from_secs(3);
+/// How long a late tick counts towards the lateness: events that the thread reads in this time may have occurred
+/// earlier.
+const LATENESS_RETENTION: Duration = Duration::from_secs(3);
 
+/// A tick that came later than its interval.
 #[derive(Debug)]
 struct LateTick {
     at: Instant,
     lateness: Duration,
 }
 
-/// Measures by ticks how late a thread is.
+/// Measures how late a thread is by its regular ticks.
 #[derive(Debug)]
 pub(super) struct LatenessMeter {
     min_lateness: Duration,
@@ -20,12 +22,12 @@
 }
 
 impl LatenessMeter {
-    /// One that ignores a lateness up to this.
+    /// Creates a meter that ignores ticks that are late by at most `min_lateness`.
     pub(super) fn new(min_lateness: Duration) -> LatenessMeter {
         LatenessMeter { min_lateness, last_tick: Instant::now(), late_ticks: Vec::new() }
     }
 
-    /// Called at this interval.
+    /// Records a tick; called once per interval.
     pub(super) fn tick(&mut self, interval: Duration) {
         let lateness = self.last_tick.elapsed().saturating_sub(interval);
         self.last_tick = Instant::now();
@@ -34,13 +36,13 @@
         }
     }
 
-    /// How late the thread has been of late.
+    /// The greatest recent lateness, plus the time since the last tick.
     pub(super) fn current(&self) -> Duration {
-        let recent = self.late_ticks.iter().rev().take_while(|tick| tick.at.elapsed() < LATENESS_LASTS);
+        let recent = self.late_ticks.iter().rev().take_while(|tick| tick.at.elapsed() < LATENESS_RETENTION);
         recent.map(|tick| tick.lateness).max().unwrap_or_default() + self.last_tick.elapsed()
     }
 
-    /// Forgets how late the thread was.
+    /// Discards the recorded late ticks.
     #[cfg(test)]
     pub(super) fn reset(&mut self) {
         self.late_ticks.clear();
--- a/crates/test-support/src/invariants/mod.rs
+++ b/crates/test-support/src/invariants/mod.rs
@@ -1,10 +1,10 @@
-//! The invariants of a run of nodes under faults, checked from what clients, servers and discovery see on the wire.
+//! Invariants that nodes must keep under faults, checked from what clients, servers and discovery see on the wire.
 //!
-//! The simulated peers of a run tell an [`InvariantChecker`] what happens ([`InvariantChecker::on_request`] and so on), and
-//! it records a [`Violation`] where a [`Rule`] is broken. It shares no code with the node. What a run observes beyond
-//! requests and attempts is reported by the run itself ([`InvariantChecker::report`]).
+//! The simulated peers of a run report events to an [`InvariantChecker`] ([`InvariantChecker::on_request`] and so on),
+//! which records a [`Violation`] when a [`Rule`] is broken. It shares no code with the node. The run itself checks
+//! what goes beyond requests and attempts, and reports it with [`InvariantChecker::report`].
 //!
-//! Time limits are longer by how late the thread of the run is: such lateness is no fault of a node.
+//! Time limits are extended by the lateness of the run's thread, which is not the nodes' fault.
 
 mod lateness;
 mod process_record;
@@ -18,40 +18,41 @@
 use std::time::{Duration, Instant};
 pub use violation::{Rule, Violation};
 
-/// An attempt may begin this long after its client has gone.
+/// How long after its client's disconnect an attempt may still begin.
 const DISCONNECT_GRACE: Duration = Duration::from_millis(100);
-/// A server may get something new this long after the node was notified: 250 ms by the settings, and what sockets add.
+/// How long after the node was notified of a drain a server may still get new requests: 250 ms by the settings, plus
+/// the delay of the sockets.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// Limits on sockets are longer by this.
+/// Allowance for the delay of sockets, added to time limits.
 pub const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// What happened at the two ends of a connection within this may have happened in the other order.
+/// Events at the two ends of a connection that are closer together than this may have occurred in the reverse order.
 const REORDERING_SLACK: Duration = Duration::from_millis(100);
-/// What a process had begun before it was stalled may show up for this long.
+/// How long after a stall the effects of what the process began before it may be observed.
 const STALL_EFFECT: Duration = Duration::from_secs(1);
 
-/// What a run's time limits are.
+/// The time limits of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// A request has its final answer within this.
+    /// Time within which a request must get its final answer.
     pub answer_within: Duration,
-    /// Servers discard retries of a request with an idempotency key for this long.
+    /// How long servers discard retries of a request with an idempotency key.
     pub dedup_window: Duration,
-    /// A tick that is later than this is counted as lateness of the run's thread.
+    /// Ticks that are late by more than this count as lateness of the run's thread.
     pub min_lateness: Duration,
 }
 
-/// What may be done with a request that may have run already.
+/// Whether a request that may have run already may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may be retried.
+    /// It may be retried at any time.
     Idempotent,
-    /// It has an idempotency key: servers discard retries for a while.
+    /// It has an idempotency key, and may be retried while servers discard duplicates ([`Limits::dedup_window`]).
     Keyed,
-    /// It must not run twice.
+    /// It must not run twice, so it must not be retried.
     NonIdempotent,
 }
 
-/// A final answer, as a client sees it.
+/// A final answer as seen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// Served.
@@ -62,31 +63,31 @@
     Failed,
 }
 
-/// What discovery says of a server.
+/// What discovery notifies a node of about a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerNotice {
-    /// It takes requests.
+    /// The server accepts requests.
     Ready,
-    /// It drains or is gone: it is to be sent nothing new.
+    /// The server drains or is gone, and must get no new requests.
     Stop,
 }
 
-/// A request as its client sends it.
+/// A request as sent by its client.
 #[derive(Clone, Copy, Debug)]
 pub struct SentRequest<'a> {
-    /// Its id, which no other request of the run has.
+    /// Request id, unique in the run.
     pub id: &'a str,
-    /// The node that it is sent to.
+    /// Number of the node that it is sent to.
     pub node: usize,
-    /// The incarnation of the node's process at the other end of the connection.
+    /// Incarnation of the node's process when the request is sent.
     pub incarnation: u64,
-    /// Whether it may be retried.
+    /// Whether the request may be retried.
     pub safety: RetrySafety,
-    /// Its line.
+    /// The request line.
     pub line: &'a str,
 }
 
-/// The checker of one run.
+/// Checks the invariants of one run.
 #[derive(Debug)]
 pub struct InvariantChecker {
     started_at: Instant,
@@ -100,7 +101,7 @@
 }
 
 impl InvariantChecker {
-    /// A checker of so many nodes, none of which has been started.
+    /// Creates a checker for this many nodes, none of which has been started.
     pub fn new(nodes: usize, limits: Limits) -> InvariantChecker {
         InvariantChecker {
             started_at: Instant::now(),
@@ -114,75 +115,76 @@
         }
     }
 
-    /// Called at this interval by the thread of the run, whose lateness is measured by it.
+    /// Measures the lateness of the run's thread, which must call this once per interval.
     pub fn tick(&mut self, interval: Duration) {
         self.lateness.tick(interval);
     }
 
-    /// What a time limit is longer by now.
+    /// The lateness by which time limits are extended now.
     pub fn lateness(&self) -> Duration {
         self.lateness.current()
     }
 
-    /// Records a broken rule.
+    /// Records a violation of a rule.
     pub fn report(&mut self, rule: Rule, detail: String) {
         self.violations.push(Violation { rule, at_ms: self.started_at.elapsed().as_millis(), detail });
     }
 
-    /// The broken rules so far.
+    /// The violations recorded so far.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
 
-    /// Requests that clients sent.
+    /// Number of requests that clients have sent.
     pub fn sent_requests(&self) -> u64 {
         self.sent
     }
 
-    /// Requests that were served.
+    /// Number of requests that were served.
     pub fn served_requests(&self) -> u64 {
         self.served
     }
 
     // ---- Nodes -------------------------------------------------------------------------------
 
-    /// A new process of a node starts, or a suspended one goes on and counts as new.
+    /// A new process of a node starts, or a suspended one continues and counts as a new one.
     pub fn on_start(&mut self, node: usize) {
         self.processes[node].restart();
     }
 
-    /// The process of a node is killed: answers that it owes are excused.
+    /// The process of a node is killed; missing answers of this process are no violation.
     pub fn on_kill(&mut self, node: usize) {
         self.processes[node].is_killed = true;
     }
 
-    /// The process of a node is killed or suspended, and all that it does from now on is excused.
+    /// The process of a node is killed or suspended; its missing answers and its attempts at draining servers are no
+    /// violations from now on.
     pub fn on_suspend(&mut self, node: usize) {
         self.processes[node].suspend();
     }
 
-    /// A node is stopped for longer than the rules allow for.
+    /// A node is stalled for longer than the rules allow.
     pub fn on_stall(&mut self, node: usize, duration: Duration) {
         self.processes[node].add_stall(duration);
     }
 
-    /// A number that is another one for each process of a node.
+    /// The current incarnation of a node, which differs for each of its processes.
     pub fn incarnation(&self, node: usize) -> u64 {
         self.processes[node].incarnation
     }
 
-    /// Whether the process with this incarnation was killed, or replaced after that.
+    /// Whether the process with this incarnation was killed or replaced, so that its missing answers are excused.
     pub fn is_excused(&self, node: usize, incarnation: u64) -> bool {
         let process = &self.processes[node];
         process.incarnation != incarnation || process.is_killed
     }
 
-    /// What was stalled of a node since a time.
+    /// Total duration of a node's stalls that end after this time.
     pub fn stalled_since(&self, node: usize, since: Instant) -> Duration {
         self.processes[node].stalled_since(since)
     }
 
-    /// Discovery has notified a process of a node about a server, or counts as having done it.
+    /// Discovery has notified a process of a node about a server, or is assumed to have done so.
     pub fn on_notified(&mut self, node: usize, incarnation: u64, server: usize, notice: ServerNotice) {
         let process = &mut self.processes[node];
         if process.incarnation == incarnation {
@@ -192,57 +194,63 @@
 
     // ---- Requests ----------------------------------------------------------------------------
 
-    /// A client sends a request, or has written its last byte.
+    /// A client sends a request, or has just written its last byte.
     pub fn on_request(&mut self, request: SentRequest<'_>) {
         self.sent += 1;
         self.requests.insert(request.id.to_string(), RequestRecord::new(&request));
     }
 
-    /// A client has closed its connection, or is about to.
+    /// A client has disconnected, or is about to.
     pub fn on_client_gone(&mut self, id: &str) {
         if let Some(request) = self.requests.get_mut(id) {
             request.client_gone_at.get_or_insert_with(Instant::now);
         }
     }
 
-    /// A client has its final answer.
+    /// A client has received its final answer, this long after its request.
     pub fn on_answer(&mut self, id: &str, answer: Answer, waited: Duration) {
         self.served += u64::from(answer == Answer::Up);
         let Some(request) = self.requests.get(id) else { return };
         let node = request.node;
         let stalled = self.stalled_since(node, Instant::now() - waited);
         if waited > self.limits.answer_within + stalled + self.lateness() {
-            self.report(Rule::Lost, format!("request {id} at node {node} had {answer:?} after {waited:?}"));
+            self.report(
+                Rule::Lost,
+                format!("request {id} at node {node} got its answer {answer:?} late, after {waited:?}"),
+            );
         }
     }
 
-    /// A client's connection has ended without an answer, or none came in time.
+    /// A client's connection has ended without an answer, or no answer arrived in time.
     pub fn on_no_answer(&mut self, id: &str, what: &str) {
         let Some(request) = self.requests.get(id) else { return };
-        let (node, attempts) = (request.node, request.attempts());
+        let (node, attempts) = (request.node, request.attempt_count());
         if !self.is_excused(node, request.incarnation) {
-            self.report(Rule::Lost, format!("request {id} at node {node}: {what}, {attempts} attempts"));
+            self.report(
+                Rule::Lost,
+                format!("request {id} at node {node}: {what}; {attempts} attempts were made"),
+            );
         }
     }
 
-    /// The node that a request was sent to, unless its process is another one since.
+    /// The node that a request was sent to, if the process that received it is still the node's current one.
     pub fn serving_node(&self, id: &str) -> Option<usize> {
         let request = self.requests.get(id)?;
         (self.incarnation(request.node) == request.incarnation).then_some(request.node)
     }
 
-    /// Whether a request has an attempt whose server has not seen its end.
+    /// Whether a request has an attempt that has not ended at its server.
     pub fn has_open_attempt(&self, id: &str) -> bool {
         self.requests.get(id).is_some_and(RequestRecord::has_open_attempt)
     }
 
     // ---- Attempts ----------------------------------------------------------------------------
 
-    /// A server has read a request's complete line.
+    /// A server has read the complete line of an attempt.
     pub fn on_attempt(&mut self, id: &str, server: usize, line: &str) {
         let lateness = self.lateness();
         let Some(request) = self.requests.get_mut(id) else {
-            let detail = format!("server {server} got a line that no client sent: {line:?}");
+            let detail = format!("server {server} received a line that no client sent: {line:?}");
             return self.report(Rule::Line, detail);
         };
         let mut found: Vec<(Rule, String)> = Vec::new();
@@ -256,21 +264,21 @@
         }
         let is_stalled = process.stalled_since(Instant::now() - STALL_EFFECT) > Duration::ZERO;
         for (rule, detail) in found {
-            // What a stalled process had begun before is not its fault.
+            // The process may have sent the attempt before its stall, when it broke no rule.
             if !(is_stalled && matches!(rule, Rule::ClientGone | Rule::Duplicate)) {
                 self.report(rule, detail);
             }
         }
     }
 
-    /// A server rejects an attempt: it has not run.
+    /// A server rejects an attempt, which therefore has not run.
     pub fn on_attempt_rejected(&mut self, id: &str, server: usize) {
         if let Some(request) = self.requests.get_mut(id) {
             request.reject_attempt(server);
         }
     }
 
-    /// An attempt's connection is over, as its server sees it.
+    /// The connection of an attempt has ended, as seen by its server.
     pub fn on_attempt_ended(&mut self, id: &str, server: usize) {
         if let Some(request) = self.requests.get_mut(id) {
             request.end_attempt(server);
--- a/crates/test-support/src/invariants/process_record.rs
+++ b/crates/test-support/src/invariants/process_record.rs
@@ -1,9 +1,10 @@
-//! What is known of the newest process of one node.
+//! What the checker knows about the newest process of a node.
 
 use super::{Rule, ServerNotice, DRAIN_GRACE};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
+/// A stop of the process that is longer than the rules allow.
 #[derive(Debug)]
 struct Stall {
     ends_at: Instant,
@@ -12,22 +13,21 @@
 
 #[derive(Debug, Default)]
 pub(super) struct ProcessRecord {
-    /// Rises with each process.
+    /// Increases with each process.
     pub(super) incarnation: u64,
     pub(super) is_killed: bool,
-    /// By server: when this process was notified to send it nothing new.
+    /// By server: when this process was notified that the server must get no new requests.
     stop_notices: HashMap<usize, Instant>,
-    /// Stops of the process that the rules do not allow for.
     stalls: Vec<Stall>,
 }
 
 impl ProcessRecord {
-    /// A new process starts.
+    /// Starts the record of a new process.
     pub(super) fn restart(&mut self) {
         *self = ProcessRecord { incarnation: self.incarnation + 1, ..ProcessRecord::default() };
     }
 
-    /// What was sent to the process before does not count any more.
+    /// Ends the incarnation, which excuses the process from earlier requests and notices.
     pub(super) fn suspend(&mut self) {
         self.incarnation += 1;
         self.is_killed = true;
@@ -37,6 +37,7 @@
         self.stalls.push(Stall { ends_at: Instant::now() + duration, duration });
     }
 
+    /// Total duration of the stalls that end after this time.
     pub(super) fn stalled_since(&self, since: Instant) -> Duration {
         let stalls = self.stalls.iter().filter(|stall| stall.ends_at > since);
         stalls.map(|stall| stall.duration).sum()
@@ -51,7 +52,8 @@
         }
     }
 
-    /// The rule that an attempt at a server breaks, if this process was notified of its drain long enough ago.
+    /// Returns a violation if an attempt reaches a server longer than [`DRAIN_GRACE`] (plus allowances) after this
+    /// process was notified that the server drains or is gone.
     pub(super) fn check_drain(
         &self,
         node: usize,
@@ -62,7 +64,12 @@
         let notified_at = *self.stop_notices.get(&server)?;
         let elapsed = notified_at.elapsed();
         let limit = DRAIN_GRACE + lateness + self.stalled_since(notified_at);
-        let detail = || format!("node {node} sent {id} to server {server} {elapsed:?} after it was notified");
+        let detail = || {
+            format!(
+                "node {node} sent {id} to server {server} {elapsed:?} after it was notified that the server drains \
+                 or is gone"
+            )
+        };
         (elapsed > limit).then(|| (Rule::Drain, detail()))
     }
 }
--- a/crates/test-support/src/invariants/request_record.rs
+++ b/crates/test-support/src/invariants/request_record.rs
@@ -1,4 +1,4 @@
-//! What is known of one request.
+//! What the checker knows about a request.
 
 use super::{RetrySafety, Rule, SentRequest, DISCONNECT_GRACE, REORDERING_SLACK, SOCKET_SLACK};
 use std::time::{Duration, Instant};
@@ -8,7 +8,7 @@
     server: usize,
     started_at: Instant,
     has_ended: bool,
-    /// The server has rejected it: it has not run.
+    /// The server has rejected the attempt, so it has not run.
     is_rejected: bool,
 }
 
@@ -34,8 +34,7 @@
         }
     }
 
-    /// How many attempts there were.
-    pub(super) fn attempts(&self) -> usize {
+    pub(super) fn attempt_count(&self) -> usize {
         self.attempts.len()
     }
 
@@ -64,21 +63,25 @@
         self.attempts.iter_mut().rev().find(|attempt| attempt.server == server && !attempt.has_ended)
     }
 
-    /// The rule that this line at a server breaks, if any.
+    /// Returns a violation if the line that a server received differs from the client's in more than the deadline.
     pub(super) fn check_line(&self, server: usize, line: &str) -> Option<(Rule, String)> {
         let is_unchanged = without_deadline(line) == without_deadline(&self.line);
-        (!is_unchanged).then(|| (Rule::Line, format!("server {server} got {line:?} for {:?}", self.line)))
+        (!is_unchanged)
+            .then(|| (Rule::Line, format!("server {server} received {line:?} for {:?}", self.line)))
     }
 
-    /// The rule that an attempt breaks now, if its client has gone.
+    /// Returns a violation if a new attempt begins now and the client disconnected longer ago than
+    /// [`DISCONNECT_GRACE`] (plus allowances).
     pub(super) fn check_client(&self, id: &str, server: usize, lateness: Duration) -> Option<(Rule, String)> {
         let elapsed = self.client_gone_at?.elapsed();
         let is_late = elapsed > DISCONNECT_GRACE + SOCKET_SLACK + lateness;
-        let detail = || format!("{id} at server {server} {elapsed:?} after its client disconnected");
+        let detail =
+            || format!("request {id} reached server {server} {elapsed:?} after its client disconnected");
         is_late.then(|| (Rule::ClientGone, detail()))
     }
 
-    /// The rule that one more attempt breaks now, if an earlier one may have run.
+    /// Returns a violation if a new attempt begins now and an earlier one is still open, or may have run and must not
+    /// be retried any more.
     pub(super) fn check_retry(
         &self,
         id: &str,
@@ -94,22 +97,26 @@
             .find(|attempt| !attempt.has_ended && attempt.started_at.elapsed() > REORDERING_SLACK + lateness);
         if let Some(other) = still_open.filter(|other| !other.is_rejected) {
             let other = other.server;
-            let detail = format!("request {id} is at servers {other} and {server}");
+            let detail = format!("request {id} is at servers {other} and {server} at the same time");
             return Some((Rule::Duplicate, detail));
         }
         let detail = match self.safety {
             RetrySafety::Idempotent => return None,
             RetrySafety::Keyed if since <= dedup_window + SOCKET_SLACK + lateness => return None,
-            RetrySafety::Keyed => format!("{id} retried {since:?} after an attempt that may have run"),
+            RetrySafety::Keyed => {
+                format!("request {id} retried {since:?} after an attempt that may have run")
+            }
             RetrySafety::NonIdempotent => {
-                format!("{id} sent again to server {server} after it may have run")
+                format!(
+                    "non-idempotent request {id} sent to server {server} after an attempt that may have run"
+                )
             }
         };
         Some((Rule::Duplicate, detail))
     }
 }
 
-/// A request line without the value of its deadline, which nodes change.
+/// Returns a request line without the value of its deadline, which nodes change.
 fn without_deadline(line: &str) -> String {
     const DEADLINE_KEY: &str = ",d=";
     let line = line.trim_end();
--- a/crates/test-support/src/invariants/tests.rs
+++ b/crates/test-support/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Each check is shown to fail: the fault is put in, and the checker must report it.
+//! Each test injects a fault and verifies that the checker reports it.
 
 use super::*;
 use std::thread::sleep;
@@ -19,13 +19,14 @@
     checker
 }
 
-fn rules(checker: &InvariantChecker) -> Vec<Rule> {
+fn violated_rules(checker: &InvariantChecker) -> Vec<Rule> {
     checker.violations().iter().map(|violation| violation.rule).collect()
 }
 
-fn wait(checker: &mut InvariantChecker, span: Duration) {
-    sleep(span);
-    checker.tick(span);
+/// Sleeps and discards the lateness of this thread, so that it doesn't extend the time limits.
+fn wait(checker: &mut InvariantChecker, duration: Duration) {
+    sleep(duration);
+    checker.tick(duration);
     checker.lateness.reset();
 }
 
@@ -33,10 +34,10 @@
 fn a_request_without_an_answer_is_reported_and_a_killed_node_is_excused() {
     let mut checker = checker(RetrySafety::Idempotent);
     checker.on_no_answer("a", "the connection ended");
-    assert_eq!(rules(&checker), [Rule::Lost]);
+    assert_eq!(violated_rules(&checker), [Rule::Lost]);
     checker.on_kill(0);
     checker.on_no_answer("a", "the connection ended");
-    assert_eq!(rules(&checker), [Rule::Lost]);
+    assert_eq!(violated_rules(&checker), [Rule::Lost]);
 }
 
 #[test]
@@ -44,7 +45,7 @@
     let mut checker = checker(RetrySafety::Idempotent);
     checker.on_answer("a", Answer::Busy, DEADLINE);
     checker.on_answer("a", Answer::Busy, DEADLINE + Duration::from_secs(1));
-    assert_eq!(rules(&checker), [Rule::Lost]);
+    assert_eq!(violated_rules(&checker), [Rule::Lost]);
 }
 
 #[test]
@@ -53,7 +54,7 @@
     checker.on_client_gone("a");
     wait(&mut checker, 3 * DISCONNECT_GRACE);
     checker.on_attempt("a", 0, LINE);
-    assert_eq!(rules(&checker), [Rule::ClientGone]);
+    assert_eq!(violated_rules(&checker), [Rule::ClientGone]);
 }
 
 #[test]
@@ -65,44 +66,44 @@
     checker.on_attempt_ended("a", 3);
     checker.on_notified(0, 1, 3, ServerNotice::Ready);
     checker.on_attempt("a", 3, LINE);
-    assert_eq!(rules(&checker), [Rule::Drain]);
+    assert_eq!(violated_rules(&checker), [Rule::Drain]);
 }
 
 #[test]
 fn a_second_attempt_is_reported_where_the_first_may_have_run() {
-    let mut once = checker(RetrySafety::NonIdempotent);
-    once.on_attempt("a", 0, LINE);
-    once.on_attempt_rejected("a", 0);
-    once.on_attempt_ended("a", 0);
-    once.on_attempt("a", 1, LINE);
-    assert_eq!(rules(&once), [], "the first has not run");
-    once.on_attempt_ended("a", 1);
-    once.on_attempt("a", 2, LINE);
-    assert_eq!(rules(&once), [Rule::Duplicate]);
+    let mut non_idempotent = checker(RetrySafety::NonIdempotent);
+    non_idempotent.on_attempt("a", 0, LINE);
+    non_idempotent.on_attempt_rejected("a", 0);
+    non_idempotent.on_attempt_ended("a", 0);
+    non_idempotent.on_attempt("a", 1, LINE);
+    assert_eq!(violated_rules(&non_idempotent), [], "the rejected attempt has not run");
+    non_idempotent.on_attempt_ended("a", 1);
+    non_idempotent.on_attempt("a", 2, LINE);
+    assert_eq!(violated_rules(&non_idempotent), [Rule::Duplicate]);
 }
 
 #[test]
-fn a_retry_after_its_window_and_one_beside_another_are_reported() {
+fn a_retry_after_the_dedup_window_and_a_concurrent_attempt_are_reported() {
     let mut keyed = checker(RetrySafety::Keyed);
     keyed.on_attempt("a", 0, LINE);
     keyed.on_attempt_ended("a", 0);
     wait(&mut keyed, DEDUP_WINDOW + REORDERING_SLACK);
     keyed.on_attempt("a", 1, LINE);
-    assert_eq!(rules(&keyed), [Rule::Duplicate]);
-    let mut live = checker(RetrySafety::Idempotent);
-    live.on_attempt("a", 0, LINE);
-    wait(&mut live, 2 * REORDERING_SLACK);
-    live.on_attempt("a", 1, LINE);
-    assert_eq!(rules(&live), [Rule::Duplicate]);
+    assert_eq!(violated_rules(&keyed), [Rule::Duplicate]);
+    let mut idempotent = checker(RetrySafety::Idempotent);
+    idempotent.on_attempt("a", 0, LINE);
+    wait(&mut idempotent, 2 * REORDERING_SLACK);
+    idempotent.on_attempt("a", 1, LINE);
+    assert_eq!(violated_rules(&idempotent), [Rule::Duplicate]);
 }
 
 #[test]
 fn a_changed_line_is_reported() {
     let mut checker = checker(RetrySafety::Idempotent);
     checker.on_attempt("a", 0, "OPEN a 1 c=once,t=acme,d=431,g=5c\r\n");
-    assert_eq!(rules(&checker), []);
+    assert_eq!(violated_rules(&checker), []);
     checker.on_attempt_ended("a", 0);
     checker.on_attempt("a", 1, "OPEN a 1 c=once,t=acme,d=431\r\n");
     checker.on_attempt("b", 1, LINE);
-    assert_eq!(rules(&checker), [Rule::Line, Rule::Line]);
+    assert_eq!(violated_rules(&checker), [Rule::Line, Rule::Line]);
 }
--- a/crates/test-support/src/invariants/violation.rs
+++ b/crates/test-support/src/invariants/violation.rs
@@ -1,50 +1,51 @@
-//! Rules, and where they were broken.
+//! The rules that are checked, and violations of them.
 
 use std::fmt;
 
-/// What holds in every run.
+/// A rule that must hold in every run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Each request gets a final answer in its time.
+    /// Each request gets a final answer in time.
     Lost,
-    /// No request is at two servers at once, and none runs twice that must not.
+    /// No request has attempts at two servers at the same time, and no request that must not be retried runs twice.
     Duplicate,
-    /// A node sends nothing new to a server once it was notified that the server drains or is gone.
+    /// A node sends no new requests to a server after it was notified that the server drains or is gone.
     Drain,
-    /// No attempt begins once the request's client has disconnected.
+    /// No attempt begins after the request's client has disconnected.
     ClientGone,
-    /// Servers get the lines that clients sent; only their deadlines are changed.
+    /// Servers receive request lines as clients sent them, except for the deadline.
     Line,
     /// A server that is warming up is not overloaded.
     SlowStartOverload,
-    /// A request has one final answer.
+    /// A request gets only one final answer.
     SecondAnswer,
-    /// A client that sends no complete request line gets an answer and a close.
+    /// A client that sends no complete request line gets an answer, and its connection is closed.
     BadClient,
-    /// A client whose server is silent is migrated.
+    /// A client whose server sends nothing any more is migrated.
     SilentServer,
-    /// The end of a server's session reaches its client.
+    /// The end of a session at the server reaches the client in time.
     SessionEndDelayed,
-    /// A client gets all that its server sent, and ends with its server or with `MOVE`.
+    /// A client receives all data that its server sent, and its connection ends only with the server's or after
+    /// `MOVE`.
     CutOff,
-    /// A node that was started becomes ready.
+    /// A started node becomes ready in time.
     Ready,
     /// A node exits in time after SIGTERM.
     Exit,
-    /// No process ends by itself, or with another exit code than 0.
+    /// No process ends on its own or with an exit code other than 0.
     Crash,
-    /// A node logs no broken rule of its own.
+    /// No node logs a violation of its own invariants.
     OwnReport,
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, in milliseconds from the start of the run.
+    /// When the violation was recorded, in milliseconds since the start of the run.
     pub at_ms: u128,
-    /// What was seen.
+    /// What was observed.
     pub detail: String,
 }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -5,8 +5,8 @@
 //! [`Cluster`](cluster::Cluster), whose simulated peers run on their own. The soak test (`crates/soak`) has its own
 //! peers and uses only the parts that depend on neither. The cluster and the soak test check the same [`invariants`].
 //!
-//! The path of the program under test is always an argument: Cargo provides it to integration tests and benchmarks only
-//! (`env!("CARGO_BIN_EXE_sparbank")`).
+//! The path of the program under test is always an argument: Cargo provides it to integration tests and benchmarks
+//! only (`env!("CARGO_BIN_EXE_sparbank")`).
 //!
 //! Tests wait for events; a time-out only ends a test that has already failed. An error in a stand-in panics and so
 //! fails the test, which is why the functions here don't return errors.
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -120,8 +120,8 @@
         self.wait_for_any_log(&[message])
     }
 
-    /// Reads the log up to the next line whose text after the level begins with any of these messages, and returns that
-    /// line.
+    /// Reads the log up to the next line whose text after the level begins with any of these messages, and returns
+    /// that line.
     ///
     /// # Panics
     /// The process ended before it logged such a line.
@@ -152,8 +152,8 @@
         self.process.signal(signal).expect("failed to signal the process");
     }
 
-    /// Stops the process (SIGSTOP) and waits until it has stopped. Events that occur before [`NodeProcess::resume`] are
-    /// handled in a single iteration of its event loop.
+    /// Stops the process (SIGSTOP) and waits until it has stopped. Events that occur before [`NodeProcess::resume`]
+    /// are handled in a single iteration of its event loop.
     pub fn pause(&self) {
         self.signal(Signal::STOP);
         let stat = format!("/proc/{}/stat", self.id());
