--- a/crates/amqp/src/codec/format_code.rs
+++ b/crates/amqp/src/codec/format_code.rs
@@ -1,9 +1,11 @@
-//! The format codes of the primitive types (standard, section 1.6). A value starts with one. The high
-//! nibble says how its size is encoded: 4 to 9 for fixed widths of 0, 1, 2, 4, 8 and 16 octets, A and B for a size of 1
-//! or 4 octets, C and D for a size and a count, E and F for an array. A suffix `_0`, `_8` or `_32` is the width of the
-//! size.
+//! Format codes of the primitive types (standard, section 1.6).
+//!
+//! An encoded value starts with its format code. The high nibble selects how the length is encoded: 4 to 9 are fixed
+//! widths of 0, 1, 2, 4, 8 and 16 octets; A and B have a size field, C and D a size and an element count, E and F are
+//! arrays. In each of the last three pairs, the first has length fields of 1 octet and the second of 4. The suffixes
+//! `_8` and `_32` are the width of these fields in bits; `_0` marks a zero or an empty list without further octets.
 
-/// A descriptor follows, then the value.
+/// Introduces a described value: the descriptor follows, then the value.
 pub const DESCRIBED: u8 = 0x00;
 pub const NULL: u8 = 0x40;
 pub const TRUE: u8 = 0x41;
@@ -45,5 +47,5 @@
 pub const ARRAY_8: u8 = 0xe0;
 pub const ARRAY_32: u8 = 0xf0;
 
-/// The distance from a format code with a size of 1 octet to the one with 4.
+/// Added to a format code with 1-octet length fields, gives the code of the same type with 4-octet ones.
 pub const WIDE_OFFSET: u8 = 0x10;
--- a/crates/amqp/src/codec/mod.rs
+++ b/crates/amqp/src/codec/mod.rs
@@ -1,4 +1,4 @@
-//! The encoding of values (standard, sections 1.2 to 1.6).
+//! Decoding and encoding of AMQP values (standard, sections 1.2 to 1.6).
 
 mod error;
 pub mod format_code;
--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -1,53 +1,53 @@
-//! Reads values. No length on the wire is trusted.
+//! Decodes values. Lengths and counts in the input are untrusted.
 
 use super::error::{DecodeError, Result};
 use super::format_code;
 use crate::value::Value;
 
-/// Deeper nesting is refused: it uses stack.
+/// The maximum nesting depth of a value. Decoding is recursive, so the depth bounds its use of the stack.
 const MAX_DEPTH: u32 = 16;
-/// Elements of no width have no octets on the wire: a decode may contain this many values more than it has octets, so
-/// that its memory is in proportion to its input.
-const MAX_EMPTY_VALUES: usize = 1024;
+/// How many more values than octets an input may contain. Array elements of width 0 take no octets, so without this limit
+/// a few octets could make the decoder allocate any number of values.
+const MAX_ZERO_WIDTH_VALUES: usize = 1024;
 
-/// Reads values from octets.
+/// A cursor that decodes values from a byte slice.
 pub struct Reader<'a> {
-    /// The octets not read yet.
+    /// The unread octets.
     pub remaining: &'a [u8],
-    /// The values that may still be read.
+    /// How many more values may be decoded.
     value_budget: usize,
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of these bytes.
+    /// Creates a reader at the start of `bytes`.
     pub fn new(bytes: &'a [u8]) -> Reader<'a> {
-        Reader { remaining: bytes, value_budget: bytes.len() + MAX_EMPTY_VALUES }
+        Reader { remaining: bytes, value_budget: bytes.len() + MAX_ZERO_WIDTH_VALUES }
     }
 
-    /// The next octets.
+    /// Reads `count` octets.
     #[inline]
     pub fn octets(&mut self, count: usize) -> Result<&'a [u8]> {
-        let (head, tail) = self.remaining.split_at_checked(count).ok_or(DecodeError::Short)?;
+        let (head, tail) = self.remaining.split_at_checked(count).ok_or(DecodeError::Truncated)?;
         self.remaining = tail;
         Ok(head)
     }
 
-    /// The next octet.
+    /// Reads one octet.
     #[inline]
     pub fn byte(&mut self) -> Result<u8> {
-        let (first, rest) = self.remaining.split_first().ok_or(DecodeError::Short)?;
+        let (first, rest) = self.remaining.split_first().ok_or(DecodeError::Truncated)?;
         self.remaining = rest;
         Ok(*first)
     }
 
     #[inline]
     fn fixed<const N: usize>(&mut self) -> Result<[u8; N]> {
-        let (head, tail) = self.remaining.split_first_chunk::<N>().ok_or(DecodeError::Short)?;
+        let (head, tail) = self.remaining.split_first_chunk::<N>().ok_or(DecodeError::Truncated)?;
         self.remaining = tail;
         Ok(*head)
     }
 
-    /// The next four octets, as a number.
+    /// Reads four octets as a big-endian number.
     #[inline]
     pub fn u32(&mut self) -> Result<u32> {
         Ok(u32::from_be_bytes(self.fixed()?))
@@ -58,14 +58,15 @@
         Ok(u64::from_be_bytes(self.fixed()?))
     }
 
-    /// The octets of a binary, string or symbol with this format code.
+    /// Reads the content of a binary, string or symbol with this format code.
     #[inline]
     pub fn variable(&mut self, code: u8) -> Result<&'a [u8]> {
         let size = if code < format_code::BINARY_32 { self.byte()? as usize } else { self.u32()? as usize };
         self.octets(size)
     }
 
-    /// The body of a list, map or array with this format code, and the count of its elements.
+    /// Reads the size and the element count of a list, map or array with this format code. Returns a reader of its elements,
+    /// and their count.
     #[inline]
     pub fn compound(&mut self, code: u8) -> Result<(Reader<'a>, usize)> {
         let narrow = matches!(code, format_code::LIST_8 | format_code::MAP_8 | format_code::ARRAY_8);
@@ -75,7 +76,7 @@
         Ok((body, count))
     }
 
-    /// The next value.
+    /// Decodes the next value.
     pub fn value(&mut self) -> Result<Value> {
         self.value_at(MAX_DEPTH)
     }
@@ -123,7 +124,7 @@
         })
     }
 
-    /// The value of a fixed width that has this format code.
+    /// Decodes a fixed-width value with this format code.
     fn fixed_width_value(&mut self, code: u8) -> Result<Value> {
         Ok(match code {
             format_code::NULL => Value::Null,
@@ -132,7 +133,7 @@
             format_code::BOOLEAN => match self.byte()? {
                 0 => Value::Bool(false),
                 1 => Value::Bool(true),
-                _ => return Err(DecodeError::Code(code)),
+                _ => return Err(DecodeError::InvalidConstructor(code)),
             },
             format_code::UBYTE => Value::Ubyte(self.byte()?),
             format_code::USHORT => Value::Ushort(u16::from_be_bytes(self.fixed()?)),
@@ -150,17 +151,18 @@
             format_code::LONG => Value::Long(self.u64()? as i64),
             format_code::FLOAT => Value::Float(f32::from_be_bytes(self.fixed()?)),
             format_code::DOUBLE => Value::Double(f64::from_be_bytes(self.fixed()?)),
-            format_code::CHAR => Value::Char(char::from_u32(self.u32()?).ok_or(DecodeError::Text)?),
+            format_code::CHAR => Value::Char(char::from_u32(self.u32()?).ok_or(DecodeError::InvalidText)?),
             format_code::TIMESTAMP => Value::Timestamp(self.u64()? as i64),
             format_code::DECIMAL32 => Value::Decimal32(self.fixed()?),
             format_code::DECIMAL64 => Value::Decimal64(self.fixed()?),
             format_code::DECIMAL128 => Value::Decimal128(self.fixed()?),
             format_code::UUID => Value::Uuid(self.fixed()?),
-            _ => return Err(DecodeError::Code(code)),
+            _ => return Err(DecodeError::InvalidConstructor(code)),
         })
     }
 
-    /// Checks that a compound contains as many octets as its elements have.
+    /// Completes a compound value whose elements have been read from `body`: takes over its value budget, and rejects
+    /// octets after the last element.
     fn finish_compound(&mut self, body: &Reader<'_>) -> Result<()> {
         self.value_budget = body.value_budget;
         if body.remaining.is_empty() {
@@ -170,11 +172,11 @@
         }
     }
 
-    /// The elements of an array share one constructor, whose descriptors, if any, are written once.
+    /// Decodes an array's elements. They share one constructor, which precedes them; any descriptors are part of it.
     fn array(&mut self, count: usize, depth: u32) -> Result<Vec<Value>> {
         let mut descriptors = Vec::new();
         let mut code = self.byte()?;
-        while code == 0 {
+        while code == format_code::DESCRIBED {
             if descriptors.len() as u32 >= depth {
                 return Err(DecodeError::TooMuch);
             }
@@ -191,7 +193,7 @@
         (0..count).map(element).collect()
     }
 
-    /// Moves past the next value. It is checked as [`Reader::value`] does, except for keys that repeat in a map.
+    /// Skips the next value. Validates it as [`Reader::value`] does, but does not look for duplicate keys in maps.
     pub fn skip_value(&mut self) -> Result<()> {
         self.skip_at(MAX_DEPTH)
     }
@@ -212,11 +214,13 @@
             format_code::NULL..=format_code::LIST_0 => 0,
             format_code::BOOLEAN => match self.byte()? {
                 0 | 1 => 0,
-                _ => return Err(DecodeError::Code(code)),
+                _ => return Err(DecodeError::InvalidConstructor(code)),
             },
             format_code::UBYTE..=format_code::SMALL_LONG => 1,
             format_code::USHORT | format_code::SHORT => 2,
-            format_code::CHAR => return char::from_u32(self.u32()?).map(|_| ()).ok_or(DecodeError::Text),
+            format_code::CHAR => {
+                return char::from_u32(self.u32()?).map(|_| ()).ok_or(DecodeError::InvalidText)
+            }
             format_code::UINT..=format_code::DECIMAL32 => 4,
             format_code::ULONG..=format_code::DECIMAL64 => 8,
             format_code::DECIMAL128 | format_code::UUID => 16,
@@ -227,8 +231,9 @@
             }
             format_code::LIST_8 | format_code::LIST_32 | format_code::MAP_8 | format_code::MAP_32 => {
                 let (mut body, count) = self.compound(code)?;
+                // The format codes of maps are odd, those of lists are even.
                 if code & 1 == 1 && count % 2 == 1 {
-                    return Err(DecodeError::Map);
+                    return Err(DecodeError::InvalidMap);
                 }
                 for _ in 0..count {
                     body.skip_at(depth)?;
@@ -236,7 +241,7 @@
                 return self.finish_compound(&body);
             }
             format_code::ARRAY_8 | format_code::ARRAY_32 => return self.skip_array(code, depth),
-            _ => return Err(DecodeError::Code(code)),
+            _ => return Err(DecodeError::InvalidConstructor(code)),
         };
         self.octets(width).map(|_| ())
     }
@@ -260,43 +265,43 @@
     }
 }
 
-/// In maps with fewer pairs than this, no key may repeat.
+/// How many pairs of a map are checked for duplicate keys.
 const MAX_CHECKED_KEYS: usize = 64;
 
 fn map_pairs(body: &mut Reader<'_>, count: usize, depth: u32) -> Result<Vec<(Value, Value)>> {
     if !count.is_multiple_of(2) {
-        return Err(DecodeError::Map);
+        return Err(DecodeError::InvalidMap);
     }
     let mut pairs: Vec<(Value, Value)> = Vec::new();
     for _ in 0..count / 2 {
         let pair = (body.value_at(depth)?, body.value_at(depth)?);
-        // The cost is quadratic: for large maps the check is left to the reader of the map.
+        // The cost is quadratic in the number of pairs: beyond the limit, whoever uses the map has to check its keys.
         if pairs.len() < MAX_CHECKED_KEYS && pairs.iter().any(|(key, _)| *key == pair.0) {
-            return Err(DecodeError::Map);
+            return Err(DecodeError::InvalidMap);
         }
         pairs.push(pair);
     }
     Ok(pairs)
 }
 
-/// Octets as UTF-8 text.
+/// Validates octets as UTF-8.
 pub fn text(bytes: &[u8]) -> Result<&str> {
-    std::str::from_utf8(bytes).map_err(|_| DecodeError::Text)
+    std::str::from_utf8(bytes).map_err(|_| DecodeError::InvalidText)
 }
 
-/// Octets as ASCII.
+/// Validates octets as ASCII, the character set of symbols.
 pub fn symbol(bytes: &[u8]) -> Result<&str> {
     if bytes.is_ascii() {
         text(bytes)
     } else {
-        Err(DecodeError::Text)
+        Err(DecodeError::InvalidText)
     }
 }
 
-/// Decodes the first value and moves past it.
+/// Decodes the value at the start of `bytes` and advances past it.
 ///
 /// # Errors
-/// The octets are no value, or one that is too large; then nothing is moved.
+/// The octets are not a valid value, or exceed a limit; `bytes` is then unchanged.
 pub fn decode(bytes: &mut &[u8]) -> Result<Value> {
     let mut reader = Reader::new(bytes);
     let value = reader.value()?;
--- a/crates/amqp/src/codec/writer.rs
+++ b/crates/amqp/src/codec/writer.rs
@@ -1,9 +1,9 @@
-//! Writes values.
+//! Encodes values.
 
 use super::format_code;
 use crate::value::Value;
 
-/// Encodes a value in its shortest form.
+/// Appends the shortest encoding of a value to `out`.
 pub fn encode(value: &Value, out: &mut Vec<u8>) {
     match value {
         Value::Null => out.push(format_code::NULL),
@@ -42,7 +42,7 @@
     close_compound(out, start, items.len());
 }
 
-/// Writes an array, or a list if the elements differ in type.
+/// Writes an array, or a list if the elements are of different types.
 fn put_array(out: &mut Vec<u8>, items: &[Value]) {
     match items.first().map(constructor) {
         Some(first) if items[1..].iter().any(|item| constructor(item) != first) => put_list(out, items),
@@ -62,7 +62,7 @@
     }
 }
 
-/// The constructor for every value of this one's type, as an array's elements share it.
+/// Returns the constructor that can encode every value of the same type: the one that an array's elements share.
 fn constructor(value: &Value) -> Vec<u8> {
     vec![match value {
         Value::Null => format_code::NULL,
@@ -98,7 +98,7 @@
     }]
 }
 
-/// A value without its constructor, in the form that [`constructor`] names.
+/// Writes a value without its constructor, in the encoding that [`constructor`] selects.
 fn put_element(out: &mut Vec<u8>, value: &Value) {
     match value {
         Value::Binary(bytes) => put_variable_element(out, bytes),
@@ -114,20 +114,20 @@
             put_compound_element(out, pairs.len() * 2, &body);
         }
         Value::Array(items) => {
-            // Elements that differ are the writer's mistake: here, with no room for a list, the first type
-            // wins and the others are left out.
+            // Elements of different types are a mistake of the caller. The constructor already says array, so a list
+            // cannot be written instead: elements that are not of the first one's type are omitted.
             let first = items.first().map_or(vec![format_code::NULL], constructor);
-            let alike: Vec<&Value> = items.iter().filter(|item| constructor(item) == first).collect();
+            let same_type: Vec<&Value> = items.iter().filter(|item| constructor(item) == first).collect();
             let mut body = first;
-            alike.iter().for_each(|item| put_element(&mut body, item));
-            put_compound_element(out, alike.len(), &body);
+            same_type.iter().for_each(|item| put_element(&mut body, item));
+            put_compound_element(out, same_type.len(), &body);
         }
         Value::Described(_, inner) => put_element(out, inner),
         fixed => put_fixed_element(out, fixed),
     }
 }
 
-/// A value of a fixed width without its constructor.
+/// Writes a fixed-width value without its constructor.
 fn put_fixed_element(out: &mut Vec<u8>, value: &Value) {
     match value {
         Value::Bool(b) => out.push(u8::from(*b)),
@@ -145,7 +145,7 @@
         Value::Decimal64(bytes) => out.extend(bytes),
         Value::Decimal128(bytes) | Value::Uuid(bytes) => out.extend(bytes),
         Value::Char(c) => out.extend((*c as u32).to_be_bytes()),
-        // Of no width, or written by `put_element`.
+        // Null has width 0; `put_element` writes the others.
         Value::Null
         | Value::Binary(_)
         | Value::Text(_)
@@ -157,20 +157,20 @@
     }
 }
 
-/// Octets with their size, as an array has them.
+/// Writes a binary, string or symbol as an array element: its size in four octets, then its content.
 fn put_variable_element(out: &mut Vec<u8>, bytes: &[u8]) {
     out.extend((bytes.len() as u32).to_be_bytes());
     out.extend(bytes);
 }
 
-/// The elements of a list, map or array with their size and count, as an array has them.
+/// Writes a list, map or array as an array element: its size and count in four octets each, then its elements.
 fn put_compound_element(out: &mut Vec<u8>, count: usize, body: &[u8]) {
     out.extend((body.len() as u32 + 4).to_be_bytes());
     out.extend((count as u32).to_be_bytes());
     out.extend(body);
 }
 
-/// Writes a value of a fixed width.
+/// Writes a format code and the octets of its fixed-width value.
 pub fn put_fixed(out: &mut Vec<u8>, code: u8, bytes: &[u8]) {
     out.push(code);
     out.extend(bytes);
@@ -210,22 +210,25 @@
     }
 }
 
-/// Writes a binary, text or symbol, whose narrow constructor is given.
-pub fn put_variable(out: &mut Vec<u8>, narrow: u8, bytes: &[u8]) {
+/// Writes a binary, string or symbol. `narrow_code` is the type's format code with a 1-octet size; content that needs a
+/// 4-octet size gets the wide one.
+pub fn put_variable(out: &mut Vec<u8>, narrow_code: u8, bytes: &[u8]) {
     match u8::try_from(bytes.len()) {
-        Ok(size) => out.extend([narrow, size]),
-        Err(_) => put_fixed(out, narrow + format_code::WIDE_OFFSET, &(bytes.len() as u32).to_be_bytes()),
+        Ok(size) => out.extend([narrow_code, size]),
+        Err(_) => put_fixed(out, narrow_code + format_code::WIDE_OFFSET, &(bytes.len() as u32).to_be_bytes()),
     }
     out.extend(bytes);
 }
 
-/// Starts a compound whose narrow constructor is given; its elements follow.
-pub fn open_compound(out: &mut Vec<u8>, narrow: u8) -> usize {
-    out.extend([narrow, 0, 0]);
+/// Starts a list, map or array and returns where its elements start. `narrow_code` is the type's format code with 1-octet
+/// length fields. The caller writes the elements and then calls [`close_compound`].
+pub fn open_compound(out: &mut Vec<u8>, narrow_code: u8) -> usize {
+    out.extend([narrow_code, 0, 0]);
     out.len()
 }
 
-/// Ends a compound: its size and count are written, with four octets each if they need them.
+/// Completes the compound value whose elements start at `start`: fills in its size and count, in four octets each if one
+/// octet is too few.
 pub fn close_compound(out: &mut Vec<u8>, start: usize, count: usize) {
     let size = out.len() - start;
     if count < 256 && size < 255 {
--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -1,32 +1,32 @@
-//! Composite types: lists of fields under a descriptor (standard, section 1.4). They are read from their octets without a
-//! [`Value`](crate::Value) in between.
+//! Composite types: described lists of fields (standard, section 1.4). They are decoded directly, without an intermediate
+//! [`Value`](crate::Value).
 
 use crate::codec::{close_compound, format_code, open_compound, put_u64, DecodeError, Reader, Result};
 
-/// A type that is a list of fields under a descriptor.
+/// A type that is encoded as a described list of fields.
 pub trait Composite: Sized {
-    /// Its numeric descriptor.
+    /// The numeric descriptor of the type.
     const CODE: u64;
-    /// Its symbolic descriptor.
+    /// The symbolic descriptor of the type.
     const NAME: &'static str;
-    /// Reads the fields.
+    /// Decodes the fields.
     ///
     /// # Errors
-    /// A field cannot be decoded, or a required one is missing.
+    /// A field cannot be decoded, or a mandatory one is missing.
     fn read_fields(fields: &mut FieldReader<'_>) -> Result<Self>;
-    /// Writes the fields.
+    /// Encodes the fields.
     fn write_fields(&self, out: &mut FieldWriter<'_>);
 }
 
-/// The fields of a composite that is being read.
+/// Decodes the fields of a composite one by one.
 pub struct FieldReader<'a> {
     reader: Reader<'a>,
-    /// Fields not read yet.
+    /// The number of unread fields.
     remaining: usize,
 }
 
 impl FieldReader<'_> {
-    /// The next field; none if it is null or left out.
+    /// Decodes the next field. Returns none if it is null or omitted. `name` is for error messages.
     #[inline(always)]
     pub fn next<T: Field>(&mut self, name: &'static str) -> Result<Option<T>> {
         if self.remaining == 0 {
@@ -44,22 +44,22 @@
         }
     }
 
-    /// The next field, which must be there.
+    /// Decodes the next field, which is mandatory.
     pub fn required<T: Field>(&mut self, name: &'static str) -> Result<T> {
         self.next(name)?.ok_or(DecodeError::Field(name))
     }
 }
 
-/// Writes the fields of a composite; nulls at the end are left out.
+/// Encodes the fields of a composite one by one. Trailing nulls are omitted.
 pub struct FieldWriter<'a> {
     out: &'a mut Vec<u8>,
     count: usize,
-    /// The end of the last field that is not null, and the count of fields up to it.
+    /// Where the last non-null field ends in `out`, and the number of fields up to and including it.
     last_present: (usize, usize),
 }
 
 impl FieldWriter<'_> {
-    /// The next field.
+    /// Appends a field: null if it is none.
     pub fn put<T: Field>(&mut self, field: &Option<T>) {
         self.count += 1;
         match field {
@@ -72,15 +72,13 @@
     }
 }
 
-/// A descriptor: a number, or a name.
+/// A numeric or symbolic descriptor.
 pub(crate) enum Descriptor<'a> {
-    /// A number.
     Code(u64),
-    /// A symbol.
     Name(&'a [u8]),
 }
 
-/// Reads the descriptor of a described value.
+/// Decodes the descriptor at the start of a described value.
 pub(crate) fn read_descriptor<'a>(reader: &mut Reader<'a>) -> Result<Descriptor<'a>> {
     if reader.byte()? != format_code::DESCRIBED {
         return Err(DecodeError::Field("descriptor"));
@@ -93,11 +91,11 @@
             Descriptor::Code((u64::from(high) << 32) | u64::from(reader.u32()?))
         }
         code @ (format_code::SYMBOL_8 | format_code::SYMBOL_32) => Descriptor::Name(reader.variable(code)?),
-        _ => return Err(DecodeError::Descriptor),
+        _ => return Err(DecodeError::UnexpectedDescriptor),
     })
 }
 
-/// Starts to read the list of a composite's fields.
+/// Decodes the header of the list that holds a composite's fields.
 pub(crate) fn read_list<'a>(reader: &mut Reader<'a>) -> Result<FieldReader<'a>> {
     Ok(match reader.byte()? {
         format_code::LIST_0 => FieldReader { reader: Reader::new(&[]), remaining: 0 },
@@ -109,7 +107,7 @@
     })
 }
 
-/// Writes a composite.
+/// Encodes a composite with its numeric descriptor.
 pub fn write_composite<T: Composite>(value: &T, out: &mut Vec<u8>) {
     out.push(format_code::DESCRIBED);
     put_u64(out, T::CODE);
@@ -129,12 +127,12 @@
 impl<T: Composite> Field for T {
     #[inline]
     fn read(reader: &mut Reader<'_>) -> Result<T> {
-        let known = match read_descriptor(reader)? {
+        let is_expected = match read_descriptor(reader)? {
             Descriptor::Code(code) => code == T::CODE,
             Descriptor::Name(name) => name == T::NAME.as_bytes(),
         };
-        if !known {
-            return Err(DecodeError::Descriptor);
+        if !is_expected {
+            return Err(DecodeError::UnexpectedDescriptor);
         }
         T::read_fields(&mut read_list(reader)?)
     }
@@ -144,22 +142,22 @@
     }
 }
 
-/// A type that a field can have.
+/// A type that a field of a composite can have.
 pub trait Field: Sized {
-    /// Reads it; null has been handled.
+    /// Decodes the field's value, which is not null: [`FieldReader::next`] handles nulls.
     fn read(reader: &mut Reader<'_>) -> Result<Self>;
-    /// Writes it.
+    /// Encodes the field's value.
     fn write(&self, out: &mut Vec<u8>);
 }
 
-/// Defines composite types whose fields are all optional on the wire: their structs, and how they are read and written.
+/// Defines composite types whose fields are all optional on the wire: the structs and their [`Composite`] implementations.
 macro_rules! composites {
     ($($(#[$doc:meta])* $name:ident $code:literal $symbol:literal {
         $($(#[$field_doc:meta])* $field:ident: $type:ty),* $(,)?
     })*) => {
         $(
             $(#[$doc])*
-            // The fields are the standard's, by their names there.
+            // The fields are named as in the standard, which describes them.
             #[allow(missing_docs)]
             #[derive(Clone, Debug, Default, PartialEq)]
             pub struct $name { $($(#[$field_doc])* pub $field: Option<$type>),* }
@@ -168,7 +166,8 @@
                 const CODE: u64 = $code;
                 const NAME: &'static str = $symbol;
 
-                // Inlined so that the struct is built in place: moving fields just written stalls until they are stored.
+                // Inlined so that the struct is built in place. Copying it right after its fields were written would stall
+                // the CPU until those stores complete.
                 #[inline(always)]
                 fn read_fields(fields: &mut FieldReader<'_>) -> Result<$name> {
                     Ok($name { $($field: fields.next(stringify!($field))?),* })
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -62,7 +62,7 @@
             }
             let start = bytes.len() - reader.remaining.len();
             let section = match read_section_descriptor(&mut reader) {
-                Err(DecodeError::Short) => return Ok(None),
+                Err(DecodeError::Truncated) => return Ok(None),
                 section => section?,
             };
             if section <= last_section {
@@ -75,7 +75,7 @@
             }
             let start = bytes.len() - reader.remaining.len();
             match reader.skip_value() {
-                Err(DecodeError::Short) => return Ok(None),
+                Err(DecodeError::Truncated) => return Ok(None),
                 skipped => skipped?,
             }
             let end = bytes.len() - reader.remaining.len();
@@ -250,7 +250,7 @@
     }
     match reader.value()? {
         Value::Ulong(code) => check_section(code),
-        Value::Symbol(name) => section_named(&name).ok_or(DecodeError::Descriptor),
+        Value::Symbol(name) => section_named(&name).ok_or(DecodeError::UnexpectedDescriptor),
         _ => Err(DecodeError::Field("section")),
     }
 }
@@ -259,7 +259,7 @@
     if (section::HEADER..=section::FOOTER).contains(&code) {
         Ok(code)
     } else {
-        Err(DecodeError::Descriptor)
+        Err(DecodeError::UnexpectedDescriptor)
     }
 }
 
--- a/crates/amqp/src/performative.rs
+++ b/crates/amqp/src/performative.rs
@@ -99,7 +99,7 @@
                     $(Descriptor::Name(name) if name == $boxed::NAME.as_bytes() => {
                         Ok(Performative::$boxed(Box::new($boxed::read_fields(&mut read_list(reader)?)?)))
                     })*
-                    _ => Err(DecodeError::Descriptor),
+                    _ => Err(DecodeError::UnexpectedDescriptor),
                 }
             }
 
--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -94,7 +94,7 @@
             prop_assert!(checked.is_ok(), "{:?} {:?}", decoded, checked);
         }
         if checked.is_ok() && bytes[..3] == [0x00, 0x53, 0x77] {
-            prop_assert!(matches!(decoded, Ok(_) | Err(DecodeError::Map)));
+            prop_assert!(matches!(decoded, Ok(_) | Err(DecodeError::InvalidMap)));
         }
     }
 
