--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -6,8 +6,8 @@
 
 /// The maximum nesting depth of a value. Decoding is recursive, so the depth bounds its use of the stack.
 const MAX_DEPTH: u32 = 16;
-/// How many more values than octets an input may contain. Array elements of width 0 take no octets, so without this limit
-/// a few octets could make the decoder allocate any number of values.
+/// How many more values than octets an input may contain. Array elements of width 0 take no octets, so without this
+/// limit a few octets could make the decoder allocate any number of values.
 const MAX_ZERO_WIDTH_VALUES: usize = 1024;
 
 /// A cursor that decodes values from a byte slice.
@@ -65,8 +65,8 @@
         self.octets(size)
     }
 
-    /// Reads the size and the element count of a list, map or array with this format code. Returns a reader of its elements,
-    /// and their count.
+    /// Reads the size and the element count of a list, map or array with this format code. Returns a reader of its
+    /// elements, and their count.
     #[inline]
     pub fn compound(&mut self, code: u8) -> Result<(Reader<'a>, usize)> {
         let narrow = matches!(code, format_code::LIST_8 | format_code::MAP_8 | format_code::ARRAY_8);
--- a/crates/amqp/src/codec/writer.rs
+++ b/crates/amqp/src/codec/writer.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Writes a binary, string or symbol. `narrow_code` is the type's format code with a 1-octet size; content that needs a
-/// 4-octet size gets the wide one.
+/// Writes a binary, string or symbol. `narrow_code` is the type's format code with a 1-octet size; content that
+/// needs a 4-octet size gets the wide one.
 pub fn put_variable(out: &mut Vec<u8>, narrow_code: u8, bytes: &[u8]) {
     match u8::try_from(bytes.len()) {
         Ok(size) => out.extend([narrow_code, size]),
@@ -220,15 +220,15 @@
     out.extend(bytes);
 }
 
-/// Starts a list, map or array and returns where its elements start. `narrow_code` is the type's format code with 1-octet
-/// length fields. The caller writes the elements and then calls [`close_compound`].
+/// Starts a list, map or array and returns where its elements start. `narrow_code` is the type's format code with
+/// 1-octet length fields. The caller writes the elements and then calls [`close_compound`].
 pub fn open_compound(out: &mut Vec<u8>, narrow_code: u8) -> usize {
     out.extend([narrow_code, 0, 0]);
     out.len()
 }
 
-/// Completes the compound value whose elements start at `start`: fills in its size and count, in four octets each if one
-/// octet is too few.
+/// Completes the compound value whose elements start at `start`: fills in its size and count, in four octets each
+/// if one octet is too few.
 pub fn close_compound(out: &mut Vec<u8>, start: usize, count: usize) {
     let size = out.len() - start;
     if count < 256 && size < 255 {
--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -1,5 +1,5 @@
-//! Composite types: described lists of fields (standard, section 1.4). They are decoded directly, without an intermediate
-//! [`Value`](crate::Value).
+//! Composite types: described lists of fields (standard, section 1.4). They are decoded directly, without an
+//! intermediate [`Value`](crate::Value).
 
 use crate::codec::{close_compound, format_code, open_compound, put_u64, DecodeError, Reader, Result};
 
@@ -150,7 +150,8 @@
     fn write(&self, out: &mut Vec<u8>);
 }
 
-/// Defines composite types whose fields are all optional on the wire: the structs and their [`Composite`] implementations.
+/// Defines composite types whose fields are all optional on the wire: the structs and their [`Composite`]
+/// implementations.
 macro_rules! composites {
     ($($(#[$doc:meta])* $name:ident $code:literal $symbol:literal {
         $($(#[$field_doc:meta])* $field:ident: $type:ty),* $(,)?
@@ -166,8 +167,8 @@
                 const CODE: u64 = $code;
                 const NAME: &'static str = $symbol;
 
-                // Inlined so that the struct is built in place. Copying it right after its fields were written would stall
-                // the CPU until those stores complete.
+                // Inlined so that the struct is built in place. Copying it right after its fields were written
+                // would stall the CPU until those stores complete.
                 #[inline(always)]
                 fn read_fields(fields: &mut FieldReader<'_>) -> Result<$name> {
                     Ok($name { $($field: fields.next(stringify!($field))?),* })
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -1,15 +1,15 @@
-//! Messages (standard, section 3.2): a forwarding node reads the sections before the body and forwards the
-//! rest as it is.
+//! Messages (standard, section 3.2). A forwarding node decodes the sections before the body, replaces the header and
+//! forwards the remaining octets unchanged.
 
 use crate::codec::{close_compound, format_code, open_compound, put_u32, text, DecodeError, Reader, Result};
 use crate::value::Value;
 use std::ops::Range;
 
-/// The longest header that is accepted, in octets. Its five fields take some 30 at most: it fits into one frame of any
-/// size.
+/// The longest header that is accepted, in octets. The five fields of a valid header take about 30 at most, and a
+/// header of this length fits into one frame of any size that the standard permits.
 const MAX_HEADER_BYTES: usize = 64;
 
-/// The descriptors of the sections.
+/// The numeric descriptors of the sections.
 mod section {
     pub const HEADER: u64 = 0x70;
     pub const DELIVERY_ANNOTATIONS: u64 = 0x71;
@@ -17,38 +17,38 @@
     pub const PROPERTIES: u64 = 0x73;
     pub const APPLICATION_PROPERTIES: u64 = 0x74;
     pub const DATA: u64 = 0x75;
-    pub const SEQUENCE: u64 = 0x76;
-    pub const VALUE: u64 = 0x77;
+    pub const AMQP_SEQUENCE: u64 = 0x76;
+    pub const AMQP_VALUE: u64 = 0x77;
     pub const FOOTER: u64 = 0x78;
 }
 
-/// The indexes of fields in the lists of their sections.
+/// The indexes of fields in the lists of their sections: the header's ttl, and the properties' to and reply-to.
 const TTL_FIELD: usize = 2;
 const TO_FIELD: usize = 2;
 const REPLY_TO_FIELD: usize = 4;
 
-/// The sections before the body: where they are, and the fields that forwarding needs.
+/// The sections before the body: their positions in the message, and the fields that forwarding needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The header's octets without its descriptor.
+    /// The header without its descriptor.
     header: Range<usize>,
-    /// Where the section after the header starts.
+    /// The position of the section after the header; 0 if there is no header.
     after_header: usize,
-    /// The map of the application properties.
+    /// The map of the application properties, without their descriptor.
     application_properties: Range<usize>,
-    /// Where the body starts.
-    body: usize,
-    /// The header's time to live, in milliseconds.
+    /// The position of the body.
+    body_start: usize,
+    /// `ttl` of the header: the time to live, in milliseconds.
     pub ttl: Option<u32>,
-    /// `to` of the properties: the node that the message is for.
+    /// `to` of the properties: the node that the message is sent to.
     pub to: Option<String>,
-    /// `reply-to` of the properties.
+    /// `reply-to` of the properties: the node to which replies are sent.
     pub reply_to: Option<String>,
 }
 
 impl Head {
-    /// Reads the sections before the body. None if the bytes end before the body starts: more are needed, unless the
-    /// message is complete.
+    /// Decodes the sections before the body. Returns none if `bytes` ends before the body starts: either more of
+    /// the message has to be received, or the message is complete and lacks a body.
     ///
     /// # Errors
     /// A section cannot be decoded, is unknown, or is out of order.
@@ -70,28 +70,29 @@
             }
             last_section = section;
             if section >= section::DATA {
-                head.body = start;
+                head.body_start = start;
                 return Ok(Some(head));
             }
-            let start = bytes.len() - reader.remaining.len();
+            let value_start = bytes.len() - reader.remaining.len();
             match reader.skip_value() {
                 Err(DecodeError::Truncated) => return Ok(None),
                 skipped => skipped?,
             }
             let end = bytes.len() - reader.remaining.len();
-            head.read_section(section, start..end, bytes)?;
+            head.read_section(section, value_start..end, bytes)?;
         }
     }
 
-    fn read_section(&mut self, section: u64, at: Range<usize>, bytes: &[u8]) -> Result<()> {
-        let octets = &bytes[at.clone()];
+    /// Decodes a section before the body. `range` is its value in `bytes`, without its descriptor.
+    fn read_section(&mut self, section: u64, range: Range<usize>, bytes: &[u8]) -> Result<()> {
+        let octets = &bytes[range.clone()];
         match (section, octets[0]) {
             (section::HEADER, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32)
                 if octets.len() <= MAX_HEADER_BYTES =>
             {
                 self.ttl = read_ttl(octets)?;
-                self.after_header = at.end;
-                self.header = at;
+                self.after_header = range.end;
+                self.header = range;
             }
             (section::PROPERTIES, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32) => {
                 self.to = read_address(octets, TO_FIELD)?;
@@ -101,7 +102,7 @@
                 for (key, _) in map_pairs(octets) {
                     key.ok_or(DecodeError::Field("application-properties"))?;
                 }
-                self.application_properties = at;
+                self.application_properties = range;
             }
             (
                 section::DELIVERY_ANNOTATIONS | section::MESSAGE_ANNOTATIONS,
@@ -112,14 +113,15 @@
         Ok(())
     }
 
-    /// An application property; `bytes` is the message that this is the head of.
+    /// Decodes an application property. `bytes` is the message that the head was read from.
     pub fn value(&self, bytes: &[u8], name: &str) -> Option<Value> {
         let map = bytes.get(self.application_properties.clone()).filter(|map| !map.is_empty())?;
         let (_, mut value) = map_pairs(map).find(|(key, _)| *key == Some(name))?;
         value.value().ok()
     }
 
-    /// An application property's text or number, as text.
+    /// Returns an application property as text if it is a string, a symbol or an integer of 32 or 64 bits. `bytes`
+    /// is the message that the head was read from.
     pub fn property(&self, bytes: &[u8], name: &str) -> Option<String> {
         match self.value(bytes, name)? {
             Value::Text(text) | Value::Symbol(text) => Some(text),
@@ -131,8 +133,8 @@
         }
     }
 
-    /// Writes the header of the forwarded message, with this time to live in milliseconds. The message's bytes from
-    /// [`Head::after_header`] on follow it unchanged.
+    /// Encodes the header of the forwarded message: the received one with its time to live, in milliseconds,
+    /// replaced. The caller appends the message's bytes from [`Head::after_header`] on.
     pub fn encode(&self, bytes: &[u8], ttl: u32, out: &mut Vec<u8>) {
         out.extend_from_slice(&[format_code::DESCRIBED, format_code::SMALL_ULONG, section::HEADER as u8]);
         let start = open_compound(out, format_code::LIST_8);
@@ -142,7 +144,7 @@
             let octets = match &mut fields {
                 Some((reader, remaining)) if *remaining > 0 => {
                     *remaining -= 1;
-                    match skipped_octets(reader) {
+                    match read_encoded_value(reader) {
                         Some(octets) => octets,
                         None => break,
                     }
@@ -160,20 +162,20 @@
         close_compound(out, start, count);
     }
 
-    /// Where in the message's bytes the section after the header starts.
+    /// Returns the position of the section after the header in the message's bytes.
     pub fn after_header(&self) -> usize {
         self.after_header
     }
 }
 
-/// The octets of the next value, which is skipped.
-fn skipped_octets<'a>(reader: &mut Reader<'a>) -> Option<&'a [u8]> {
+/// Reads the next value without decoding it. Returns its encoding.
+fn read_encoded_value<'a>(reader: &mut Reader<'a>) -> Option<&'a [u8]> {
     let before = reader.remaining;
     reader.skip_value().ok()?;
     Some(&before[..before.len() - reader.remaining.len()])
 }
 
-/// The time to live of a header.
+/// Decodes the time to live of a header.
 fn read_ttl(header: &[u8]) -> Result<Option<u32>> {
     let Some(mut field) = read_field(header, TTL_FIELD)? else { return Ok(None) };
     match field.value()? {
@@ -183,7 +185,8 @@
     }
 }
 
-/// An address of the properties. One that is not text (3.2.4) names no node here.
+/// Decodes an address field of the properties. Addresses may be of any type (3.2.4); those that are not strings
+/// name no node here and are ignored.
 fn read_address(properties: &[u8], index: usize) -> Result<Option<String>> {
     let name = if index == TO_FIELD { "to" } else { "reply-to" };
     match read_field(properties, index)?.map(|mut field| field.value()) {
@@ -193,7 +196,7 @@
     }
 }
 
-/// A reader of a list's fields, and their count.
+/// Returns a reader of a list's elements, and their count.
 fn read_list(bytes: &[u8]) -> Result<(Reader<'_>, usize)> {
     let mut reader = Reader::new(bytes);
     match reader.byte()? {
@@ -203,7 +206,7 @@
     }
 }
 
-/// A reader at a list's field, if there is one.
+/// Returns a reader positioned at a list's element, if the list is that long.
 fn read_field(bytes: &[u8], index: usize) -> Result<Option<Reader<'_>>> {
     let (mut reader, count) = read_list(bytes)?;
     if count <= index {
@@ -215,7 +218,8 @@
     Ok(Some(reader))
 }
 
-/// The pairs of a map that has been checked: the key if it is text, and a reader of the value.
+/// Iterates over the pairs of a map that has been validated. Yields the key if it is a string, and a reader
+/// positioned at the value.
 fn map_pairs(bytes: &[u8]) -> impl Iterator<Item = (Option<&str>, Reader<'_>)> {
     let mut map = Reader::new(bytes);
     let body = map.byte().and_then(|code| map.compound(code)).ok();
@@ -238,7 +242,7 @@
     })
 }
 
-/// Reads the descriptor of the section that starts here.
+/// Decodes the descriptor at the start of a section. Returns the numeric one of the same section.
 fn read_section_descriptor(reader: &mut Reader<'_>) -> Result<u64> {
     if reader.byte()? != format_code::DESCRIBED {
         return Err(DecodeError::Field("section"));
@@ -246,16 +250,16 @@
     if let Some([format_code::SMALL_ULONG, code, ..]) = reader.remaining.get(..2) {
         let code = u64::from(*code);
         reader.remaining = &reader.remaining[2..];
-        return check_section(code);
+        return validate_section_code(code);
     }
     match reader.value()? {
-        Value::Ulong(code) => check_section(code),
-        Value::Symbol(name) => section_named(&name).ok_or(DecodeError::UnexpectedDescriptor),
+        Value::Ulong(code) => validate_section_code(code),
+        Value::Symbol(name) => section_code(&name).ok_or(DecodeError::UnexpectedDescriptor),
         _ => Err(DecodeError::Field("section")),
     }
 }
 
-fn check_section(code: u64) -> Result<u64> {
+fn validate_section_code(code: u64) -> Result<u64> {
     if (section::HEADER..=section::FOOTER).contains(&code) {
         Ok(code)
     } else {
@@ -263,8 +267,8 @@
     }
 }
 
-/// The section with this symbolic descriptor.
-fn section_named(name: &str) -> Option<u64> {
+/// Returns the numeric descriptor of the section with this symbolic one.
+fn section_code(name: &str) -> Option<u64> {
     Some(match name {
         "amqp:header:list" => section::HEADER,
         "amqp:delivery-annotations:map" => section::DELIVERY_ANNOTATIONS,
@@ -272,14 +276,14 @@
         "amqp:properties:list" => section::PROPERTIES,
         "amqp:application-properties:map" => section::APPLICATION_PROPERTIES,
         "amqp:data:binary" => section::DATA,
-        "amqp:amqp-sequence:list" => section::SEQUENCE,
-        "amqp:amqp-value:*" => section::VALUE,
+        "amqp:amqp-sequence:list" => section::AMQP_SEQUENCE,
+        "amqp:amqp-value:*" => section::AMQP_VALUE,
         "amqp:footer:map" => section::FOOTER,
         _ => return None,
     })
 }
 
-/// A complete message, checked section by section.
+/// A complete message whose sections have been validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message<'a> {
     /// The sections before the body.
@@ -288,17 +292,17 @@
 }
 
 impl<'a> Message<'a> {
-    /// Checks that this is a message: every section is valid, in its order, and there is a body.
+    /// Validates a message: every section is valid and in order, and there is a body.
     ///
     /// # Errors
-    /// It is not.
+    /// A section cannot be decoded, is unknown or is out of order, or there is no body.
     pub fn decode(bytes: &'a [u8]) -> Result<Message<'a>> {
         let head = Head::read(bytes)?.ok_or(DecodeError::Field("body"))?;
-        check_body(&bytes[head.body..])?;
+        validate_body(&bytes[head.body_start..])?;
         Ok(Message { head, bytes })
     }
 
-    /// The forwarded message: unchanged except for its time to live, in milliseconds.
+    /// Encodes the message for forwarding: unchanged except for its time to live, in milliseconds.
     pub fn encode(&self, ttl: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.bytes.len() + 16);
         self.head.encode(self.bytes, ttl, &mut out);
@@ -306,14 +310,14 @@
         out
     }
 
-    /// An application property's text or number, as text.
+    /// Returns an application property as text if it is a string, a symbol or an integer of 32 or 64 bits.
     pub fn property(&self, name: &str) -> Option<String> {
         self.head.property(self.bytes, name)
     }
 }
 
-/// Checks the body and the footer.
-fn check_body(bytes: &[u8]) -> Result<()> {
+/// Validates the body and the footer.
+fn validate_body(bytes: &[u8]) -> Result<()> {
     let mut reader = Reader::new(bytes);
     let mut last_section = 0;
     while !reader.remaining.is_empty() {
@@ -323,11 +327,11 @@
             (section::DATA, 0 | section::DATA) => {
                 matches!(code, format_code::BINARY_8 | format_code::BINARY_32)
             }
-            (section::SEQUENCE, 0 | section::SEQUENCE) => {
+            (section::AMQP_SEQUENCE, 0 | section::AMQP_SEQUENCE) => {
                 matches!(code, format_code::LIST_0 | format_code::LIST_8 | format_code::LIST_32)
             }
-            (section::VALUE, 0) => true,
-            (section::FOOTER, section::DATA..=section::VALUE) => {
+            (section::AMQP_VALUE, 0) => true,
+            (section::FOOTER, section::DATA..=section::AMQP_VALUE) => {
                 matches!(code, format_code::MAP_8 | format_code::MAP_32)
             }
             _ => false,
--- a/crates/amqp/src/performative.rs
+++ b/crates/amqp/src/performative.rs
@@ -1,4 +1,4 @@
-//! Performatives (standard, section 2.7) and SASL frame bodies (5.3.3).
+//! Frame bodies: performatives (standard, section 2.7) and SASL frames (5.3.3).
 
 use crate::codec::{DecodeError, Reader, Result};
 use crate::composite::{
@@ -29,18 +29,18 @@
         initial_delivery_count: u32, max_message_size: u64, offered_capabilities: Value,
         desired_capabilities: Value, properties: Value,
     }
-    /// Windows and credit (2.7.4).
+    /// Updates the session windows and link credit (2.7.4).
     Flow 0x13 "amqp:flow:list" {
         next_incoming_id: u32, incoming_window: u32, next_outgoing_id: u32, outgoing_window: u32,
         handle: u32, delivery_count: u32, link_credit: u32, available: u32, drain: bool,
         echo: bool, properties: Box<Value>,
     }
-    /// Carries a delivery or a piece of it (2.7.5).
+    /// Transfers a delivery, or one frame's part of it (2.7.5).
     Transfer 0x14 "amqp:transfer:list" {
         handle: u32, delivery_id: u32, delivery_tag: Tag, message_format: u32, settled: bool,
         more: bool, rcv_settle_mode: u8, state: State, resume: bool, aborted: bool, batchable: bool,
     }
-    /// The state of deliveries has changed (2.7.6).
+    /// Informs the peer of changes of the state of deliveries (2.7.6).
     Disposition 0x15 "amqp:disposition:list" {
         role: bool, first: u32, last: u32, settled: bool, state: State, batchable: bool,
     }
@@ -50,20 +50,20 @@
     End 0x17 "amqp:end:list" { error: Box<Error> }
     /// Closes a connection (2.7.9).
     Close 0x18 "amqp:close:list" { error: Box<Error> }
-    /// The mechanisms that a server offers (5.3.3.1).
+    /// Lists the mechanisms that the server offers (5.3.3.1).
     SaslMechanisms 0x40 "amqp:sasl-mechanisms:list" { mechanisms: Value }
-    /// The mechanism that a client has chosen (5.3.3.2).
+    /// Selects a mechanism and starts the exchange (5.3.3.2).
     SaslInit 0x41 "amqp:sasl-init:list" { mechanism: Symbol, initial_response: Vec<u8>, hostname: String }
-    /// A server's challenge (5.3.3.3).
+    /// Carries the server's challenge (5.3.3.3).
     SaslChallenge 0x42 "amqp:sasl-challenge:list" { challenge: Vec<u8> }
-    /// A client's response (5.3.3.4).
+    /// Carries the client's response (5.3.3.4).
     SaslResponse 0x43 "amqp:sasl-response:list" { response: Vec<u8> }
-    /// How the exchange ended (5.3.3.6).
+    /// Carries the outcome of the exchange (5.3.3.6).
     SaslOutcome 0x44 "amqp:sasl-outcome:list" { code: u8, additional_data: Vec<u8> }
 }
 
 impl Attach {
-    /// The tags of the unsettled map (2.7.3): the deliveries that the peer has not settled.
+    /// Returns the keys of the unsettled map (2.7.3): the tags of the deliveries that the peer has not settled.
     pub fn unsettled_tags(&self) -> Vec<Tag> {
         let Some(Value::Map(pairs)) = &self.unsettled else { return Vec::new() };
         let tag = |(key, _): &(Value, Value)| if let Value::Binary(tag) = key { Tag::new(tag) } else { None };
@@ -75,15 +75,16 @@
     ($($name:ident),*; boxed: $($boxed:ident),*) => {
         /// The body of a frame.
         #[derive(Clone, Debug, PartialEq)]
-        // The variants are the standard's frame bodies, by name. The large ones that are not boxed are the most frequent.
+        // The variants are named as in the standard, which describes them. The most frequent bodies are not boxed
+        // although they are large.
         #[allow(missing_docs, clippy::large_enum_variant)]
         pub enum Performative { $($name($name),)* $($boxed(Box<$boxed>)),* }
 
         impl Performative {
-            /// Reads the body at the start of a frame; the payload follows it.
+            /// Decodes the body of a frame. The reader is then at the frame's payload.
             ///
             /// # Errors
-            /// The body is unknown, or a field cannot be decoded.
+            /// The descriptor is unknown, or a field cannot be decoded.
             #[inline(always)]
             pub fn read(reader: &mut Reader<'_>) -> Result<Performative> {
                 match read_descriptor(reader)? {
@@ -103,7 +104,7 @@
                 }
             }
 
-            /// Writes it.
+            /// Encodes the body.
             pub fn write(&self, out: &mut Vec<u8>) {
                 match self {
                     $(Performative::$name(body) => body.write(out),)*
--- a/crates/amqp/src/primitives.rs
+++ b/crates/amqp/src/primitives.rs
@@ -1,4 +1,4 @@
-//! The primitive types that a composite's field can have.
+//! Decoding and encoding of a composite's fields of primitive types.
 
 use crate::codec::{
     encode, format_code, put_fixed, put_u32, put_u64, put_variable, symbol, text, DecodeError, Reader, Result,
@@ -7,7 +7,7 @@
 use crate::value::Value;
 use std::fmt;
 
-/// A field of another type. The name is added by the reader of the composite's fields.
+/// The field is not of the expected type. `FieldReader::next` replaces the empty name by the field's.
 const WRONG_TYPE: DecodeError = DecodeError::Field("");
 
 impl Field for bool {
@@ -132,7 +132,7 @@
     }
 }
 
-/// A symbol in a field.
+/// A field that is a symbol.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Symbol(pub String);
 
@@ -151,10 +151,10 @@
     }
 }
 
-/// The most octets of a delivery tag.
+/// The maximum length of a delivery tag (standard, section 2.8.7).
 const MAX_TAG_BYTES: usize = 32;
 
-/// A delivery tag: up to 32 octets (standard, section 2.8.7), stored without an allocation.
+/// A delivery tag: up to 32 octets (standard, section 2.8.7), stored inline.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Tag {
     len: u8,
@@ -162,7 +162,7 @@
 }
 
 impl Tag {
-    /// A tag, unless it is too long.
+    /// Creates a tag. Returns none if `bytes` is longer than 32 octets.
     pub fn new(bytes: &[u8]) -> Option<Tag> {
         let len = u8::try_from(bytes.len()).ok().filter(|len| usize::from(*len) <= MAX_TAG_BYTES)?;
         let mut tag = Tag { len, bytes: [0; MAX_TAG_BYTES] };
@@ -170,7 +170,7 @@
         Some(tag)
     }
 
-    /// Its octets.
+    /// Returns the tag's octets.
     pub fn as_bytes(&self) -> &[u8] {
         &self.bytes[..self.len as usize]
     }
--- a/crates/amqp/src/state.rs
+++ b/crates/amqp/src/state.rs
@@ -5,7 +5,7 @@
 use crate::error::Error;
 use crate::value::Value;
 
-/// The descriptors of the standard's states.
+/// The numeric descriptors of the delivery states.
 const RECEIVED: u8 = 0x23;
 const ACCEPTED: u8 = 0x24;
 const REJECTED: u8 = 0x25;
@@ -15,47 +15,47 @@
 /// The state of a delivery (standard, section 3.4).
 #[derive(Clone, Debug, PartialEq)]
 pub enum State {
-    /// Received up to this point; the delivery goes on.
+    /// Received in part, up to the given position in the message. Not terminal.
     Received {
-        /// The section.
+        /// The number of the section.
         section: u32,
-        /// The octet in it.
+        /// The offset in the section, in octets.
         offset: u64,
     },
-    /// It was processed.
+    /// The message was processed.
     Accepted,
-    /// It is invalid.
+    /// The message is invalid and cannot be processed.
     Rejected(Option<Box<Error>>),
-    /// It was not processed, and nothing has changed.
+    /// The message was not processed and is unmodified.
     Released,
-    /// It was not processed in this form.
+    /// The message was not processed and is modified.
     Modified {
-        /// A delivery was tried and failed.
+        /// Whether this counts as a failed delivery attempt.
         failed: bool,
-        /// It should not come here again.
+        /// Whether the message must not be delivered on this link again.
         undeliverable_here: bool,
-        /// Annotations to be merged into the message's.
+        /// Annotations to merge into those of the message.
         annotations: Option<Box<Value>>,
     },
-    /// Any other, such as those of transactions.
+    /// Any other state, such as those of transactions.
     Other(Box<Value>),
 }
 
 impl State {
-    /// The state as a value, as in an unsettled map (2.7.3).
+    /// Converts the state to a value, as unsettled maps contain it (2.7.3).
     pub fn to_value(&self) -> Value {
         let mut bytes = Vec::new();
         self.write(&mut bytes);
         decode(&mut &bytes[..]).unwrap_or(Value::Null)
     }
 
-    /// Whether it is a terminal state (3.4): the delivery has ended with it.
+    /// Whether the state is terminal (3.4): it is the outcome of the delivery.
     pub fn is_final(&self) -> bool {
         !matches!(self, State::Received { .. } | State::Other(_))
     }
 }
 
-/// A standard state's number by its name.
+/// Returns the numeric descriptor of the state with this symbolic one.
 fn state_code(name: &[u8]) -> Option<u8> {
     Some(match name {
         b"amqp:received:list" => RECEIVED,
@@ -102,14 +102,14 @@
 
     fn write(&self, out: &mut Vec<u8>) {
         match self {
-            State::Accepted => write_empty(ACCEPTED, out),
-            State::Released => write_empty(RELEASED, out),
+            State::Accepted => write_without_fields(ACCEPTED, out),
+            State::Released => write_without_fields(RELEASED, out),
             State::Other(value) => encode(value, out),
             State::Received { section, offset } => {
                 let fields = vec![Value::Uint(*section), Value::Ulong(*offset)];
                 encode(&Value::composite(RECEIVED.into(), fields), out);
             }
-            State::Rejected(None) => write_empty(REJECTED, out),
+            State::Rejected(None) => write_without_fields(REJECTED, out),
             State::Rejected(Some(error)) => {
                 out.extend([format_code::DESCRIBED, format_code::SMALL_ULONG, REJECTED]);
                 let start = open_compound(out, format_code::LIST_8);
@@ -125,7 +125,7 @@
     }
 }
 
-/// Writes a state without fields.
-fn write_empty(descriptor: u8, out: &mut Vec<u8>) {
+/// Encodes a state whose list of fields is empty.
+fn write_without_fields(descriptor: u8, out: &mut Vec<u8>) {
     out.extend([format_code::DESCRIBED, format_code::SMALL_ULONG, descriptor, format_code::LIST_0]);
 }
--- a/crates/amqp/src/terminus.rs
+++ b/crates/amqp/src/terminus.rs
@@ -7,17 +7,17 @@
 use crate::primitives::Symbol;
 use crate::value::Value;
 
-/// The descriptor of a coordinator.
+/// The numeric descriptor of a coordinator.
 const COORDINATOR: u64 = 0x30;
 
-/// What a link sends to: a node, or a transaction coordinator (3.5.4, 4.5.1).
+/// The target end of a link: a node, or a transaction coordinator (3.5.4, 4.5.1).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Terminus {
     /// A node.
     Target(Target),
-    /// The coordinator of transactions.
+    /// A transaction coordinator.
     Coordinator,
-    /// Something else.
+    /// A target of an unknown type.
     Other(Value),
 }
 
@@ -50,13 +50,13 @@
 }
 
 composites! {
-    /// Where a link's messages come from (3.5.3).
+    /// The node that a link's messages come from (3.5.3).
     Source 0x28 "amqp:source:list" {
         address: String, durable: u32, expiry_policy: Symbol, timeout: u32, dynamic: bool,
         dynamic_node_properties: Value, distribution_mode: Symbol, filter: Value,
         default_outcome: Value, outcomes: Value, capabilities: Value,
     }
-    /// Where a link's messages go (3.5.4).
+    /// The node that a link's messages go to (3.5.4).
     Target 0x29 "amqp:target:list" {
         address: String, durable: u32, expiry_policy: Symbol, timeout: u32, dynamic: bool,
         dynamic_node_properties: Value, capabilities: Value,
--- a/crates/amqp/src/value.rs
+++ b/crates/amqp/src/value.rs
@@ -1,6 +1,6 @@
-//! The types of AMQP (standard, section 1.6).
+//! Values of the AMQP type system (standard, section 1).
 
-/// A value of any AMQP type (standard, section 1.6).
+/// A value of any primitive type (standard, section 1.6), or a described value.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Value {
     /// The absence of a value.
@@ -27,56 +27,57 @@
     Float(f32),
     /// IEEE 754 binary64.
     Double(f64),
-    /// IEEE 754 decimal32, as on the wire.
+    /// IEEE 754 decimal32, in its encoding on the wire.
     Decimal32([u8; 4]),
-    /// IEEE 754 decimal64, as on the wire.
+    /// IEEE 754 decimal64, in its encoding on the wire.
     Decimal64([u8; 8]),
-    /// IEEE 754 decimal128, as on the wire.
+    /// IEEE 754 decimal128, in its encoding on the wire.
     Decimal128([u8; 16]),
     /// A Unicode character.
     Char(char),
     /// Milliseconds since the Unix epoch.
     Timestamp(i64),
-    /// An RFC 4122 identifier.
+    /// A UUID as RFC 4122 defines it.
     Uuid([u8; 16]),
-    /// Octets.
+    /// A sequence of octets.
     Binary(Vec<u8>),
-    /// UTF-8 text.
+    /// A UTF-8 string.
     Text(String),
-    /// A symbol: ASCII from a constrained domain.
+    /// A symbol: an ASCII string from a constrained domain.
     Symbol(String),
-    /// Values of any types, in their order.
+    /// An ordered sequence of values of any types.
     List(Vec<Value>),
-    /// Pairs of key and value, in their order. Decoding rejects a map that has a key twice.
+    /// Pairs of key and value, in order. Decoding rejects a duplicate key among the first 64 pairs.
     Map(Vec<(Value, Value)>),
-    /// Elements of one type. One whose elements differ in type is written as a list.
+    /// An ordered sequence of values of one type. If the types of the elements differ, a list is encoded instead;
+    /// inside another array, the elements of another type than the first are omitted.
     Array(Vec<Value>),
-    /// A value under a descriptor.
+    /// A descriptor, and the value that it describes.
     Described(Box<Value>, Box<Value>),
 }
 
 impl Value {
-    /// A value under a numeric descriptor.
+    /// Creates a described value with a numeric descriptor.
     pub fn described(code: u64, value: Value) -> Value {
         Value::Described(Box::new(Value::Ulong(code)), Box::new(value))
     }
 
-    /// A composite: a list under a numeric descriptor (standard, section 1.4).
+    /// Creates a composite value: a list of fields with a numeric descriptor (standard, section 1.4).
     pub fn composite(code: u64, fields: Vec<Value>) -> Value {
         Value::described(code, Value::List(fields))
     }
 
-    /// A symbol.
+    /// Creates a symbol.
     pub fn symbol(text: &str) -> Value {
         Value::Symbol(text.to_string())
     }
 
-    /// Text.
+    /// Creates a string.
     pub fn text(text: &str) -> Value {
         Value::Text(text.to_string())
     }
 
-    /// The symbol or text in it.
+    /// Returns the content of a symbol or string.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             Value::Symbol(text) | Value::Text(text) => Some(text),
@@ -84,15 +85,16 @@
         }
     }
 
-    /// Symbols in a field that the standard marks `multiple`: none, one, or an array (standard, section 1.4).
+    /// Returns the symbols of a field that the standard marks `multiple`: null, a single symbol, or an array of
+    /// them (standard, section 1.4). Strings are taken as symbols.
     pub fn symbols(&self) -> Vec<&str> {
         match self {
             Value::Array(items) => items.iter().filter_map(Value::as_str).collect(),
-            one => one.as_str().into_iter().collect(),
+            single => single.as_str().into_iter().collect(),
         }
     }
 
-    /// The value of a map at this symbol or text.
+    /// Returns the value of a map at a key that is this symbol or string.
     pub fn get(&self, name: &str) -> Option<&Value> {
         let Value::Map(pairs) = self else { return None };
         pairs.iter().find(|(key, _)| key.as_str() == Some(name)).map(|(_, value)| value)
