--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -1,6 +1,7 @@
-//! The codec against itself, against noise, and against a client library's types.
+//! The codec: round trips, arbitrary and malformed input, and interoperability with the types of the client library
+//! fe2o3-amqp.
 
-use fe2o3_amqp_types::performatives as theirs;
+use fe2o3_amqp_types::performatives as fe2o3;
 use proptest::prelude::*;
 use rstest::rstest;
 use sparbank_amqp::{
@@ -9,7 +10,7 @@
     AMQP,
 };
 
-/// A value that contains no other.
+/// Generates values that contain no other values.
 fn leaf() -> impl Strategy<Value = Value> {
     prop_oneof![
         Just(Value::Null),
@@ -36,12 +37,13 @@
     ]
 }
 
+/// Generates values of all types, nested up to four levels deep.
 fn value() -> impl Strategy<Value = Value> {
     leaf().prop_recursive(4, 32, 8, |inner| {
         prop_oneof![
             prop::collection::vec(inner.clone(), 0..8).prop_map(Value::List),
             prop::collection::vec((inner.clone(), inner.clone()), 0..4).prop_map(|pairs| {
-                // A key comes once.
+                // Keys must be unique.
                 let mut map: Vec<(Value, Value)> = Vec::new();
                 for pair in pairs {
                     if !map.iter().any(|(key, _)| *key == pair.0) {
@@ -50,7 +52,7 @@
                 }
                 Value::Map(map)
             }),
-            // Elements of one type: the same value, repeated.
+            // All elements must be of one type, so the same value is repeated.
             (inner.clone(), 0usize..5).prop_map(|(v, n)| Value::Array(vec![v; n])),
             inner.prop_map(|v| Value::Described(Box::new(Value::Ulong(0x77)), Box::new(v))),
         ]
@@ -61,45 +63,46 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_is_encoded_is_decoded(value in value()) {
+    fn decoding_an_encoded_value_returns_it(value in value()) {
         let mut bytes = Vec::new();
         encode(&value, &mut bytes);
-        let mut left = &bytes[..];
-        prop_assert_eq!(decode(&mut left), Ok(value));
-        prop_assert!(left.is_empty());
+        let mut rest = &bytes[..];
+        prop_assert_eq!(decode(&mut rest), Ok(value));
+        prop_assert!(rest.is_empty());
     }
 
     #[test]
-    fn noise_is_an_error_and_never_a_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&mut &bytes[..]);
         let _ = Message::decode(&bytes);
-        // As the body of a frame whose size is right.
+        // The same bytes as the body of a frame with the correct size.
         let size = (bytes.len() as u32 + 8).to_be_bytes();
         bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
         let _ = read_frame(&mut &bytes[..], 4096);
     }
 
-    /// A value that is only checked has to meet the same rules as one that is decoded, except for a map's keys.
+    /// Messages are validated without being decoded. Validation has to accept the same values as decoding does,
+    /// except that it does not look for duplicate keys in maps.
     #[test]
-    fn a_message_is_checked_as_it_would_be_decoded(value in value(), at in 0usize..400, to in any::<u8>()) {
+    fn message_validation_agrees_with_decoding(value in value(), index in 0usize..400, replacement in any::<u8>()) {
         let mut bytes = Vec::new();
         encode(&Value::described(0x77, value), &mut bytes);
-        let at = at % bytes.len();
-        bytes[at] = to;
-        let mut left = &bytes[..];
-        let decoded = decode(&mut left);
-        let is_complete = left.is_empty();
-        let checked = Message::decode(&bytes);
+        let index = index % bytes.len();
+        bytes[index] = replacement;
+        let mut rest = &bytes[..];
+        let decoded = decode(&mut rest);
+        let is_complete = rest.is_empty();
+        let validated = Message::decode(&bytes);
         if decoded.is_ok() && is_complete && bytes[..3] == [0x00, 0x53, 0x77] {
-            prop_assert!(checked.is_ok(), "{:?} {:?}", decoded, checked);
+            prop_assert!(validated.is_ok(), "{:?} {:?}", decoded, validated);
         }
-        if checked.is_ok() && bytes[..3] == [0x00, 0x53, 0x77] {
+        if validated.is_ok() && bytes[..3] == [0x00, 0x53, 0x77] {
             prop_assert!(matches!(decoded, Ok(_) | Err(DecodeError::InvalidMap)));
         }
     }
 
     #[test]
-    fn a_sound_value_cut_short_is_an_error(value in value(), cut in 1usize..50) {
+    fn truncated_value_is_rejected(value in value(), cut in 1usize..50) {
         let mut bytes = Vec::new();
         encode(&value, &mut bytes);
         bytes.truncate(bytes.len().saturating_sub(cut));
@@ -107,26 +110,27 @@
     }
 }
 
-/// Our bytes, read and written again by the library, are what we meant.
-fn through<T>(body: impl Into<Performative>)
+/// Checks that a frame body is unchanged after fe2o3-amqp has decoded our encoding of it and encoded it again.
+/// `Fe2o3Body` is the type of the body there.
+fn assert_fe2o3_round_trip<Fe2o3Body>(body: impl Into<Performative>)
 where
-    T: serde::de::DeserializeOwned + serde::Serialize,
+    Fe2o3Body: serde::de::DeserializeOwned + serde::Serialize,
 {
     let body = body.into();
-    let mut ours = Vec::new();
-    write_frame(&mut ours, AMQP, 0, Some(&body), &[]);
-    let read: T = serde_amqp::from_slice(&ours[8..]).expect("the library reads it");
-    let written = serde_amqp::to_vec(&read).expect("the library writes it");
-    let mut frame = ((written.len() + 8) as u32).to_be_bytes().to_vec();
+    let mut encoded = Vec::new();
+    write_frame(&mut encoded, AMQP, 0, Some(&body), &[]);
+    let decoded: Fe2o3Body = serde_amqp::from_slice(&encoded[8..]).expect("serde_amqp decodes it");
+    let reencoded = serde_amqp::to_vec(&decoded).expect("serde_amqp encodes it");
+    let mut frame = ((reencoded.len() + 8) as u32).to_be_bytes().to_vec();
     frame.extend([2, AMQP, 0, 0]);
-    frame.extend(written);
-    let back = read_frame(&mut &frame[..], 4096).expect("sound").expect("is_complete");
-    assert_eq!(back.body, Some(body));
+    frame.extend(reencoded);
+    let decoded = read_frame(&mut &frame[..], 4096).expect("well-formed").expect("complete");
+    assert_eq!(decoded.body, Some(body));
 }
 
 #[rstest]
-fn a_client_library_means_the_same_by_our_bytes_for_connections_and_sessions() {
-    through::<theirs::Open>(Open {
+fn fe2o3_round_trips_open_begin_and_flow() {
+    assert_fe2o3_round_trip::<fe2o3::Open>(Open {
         container_id: Some("n1".into()),
         hostname: Some("h".into()),
         max_frame_size: Some(4096),
@@ -134,7 +138,7 @@
         idle_time_out: Some(5000),
         ..Default::default()
     });
-    through::<theirs::Begin>(Begin {
+    assert_fe2o3_round_trip::<fe2o3::Begin>(Begin {
         remote_channel: Some(0),
         next_outgoing_id: Some(7),
         incoming_window: Some(256),
@@ -142,7 +146,7 @@
         handle_max: Some(7),
         ..Default::default()
     });
-    through::<theirs::Flow>(Flow {
+    assert_fe2o3_round_trip::<fe2o3::Flow>(Flow {
         next_incoming_id: Some(1),
         incoming_window: Some(256),
         next_outgoing_id: Some(2),
@@ -158,8 +162,8 @@
 }
 
 #[rstest]
-fn a_client_library_means_the_same_by_our_bytes_for_deliveries() {
-    through::<theirs::Transfer>(Transfer {
+fn fe2o3_round_trips_transfer_and_disposition() {
+    assert_fe2o3_round_trip::<fe2o3::Transfer>(Transfer {
         handle: Some(1),
         delivery_id: Some(300),
         delivery_tag: Tag::new(&[1, 2]),
@@ -169,7 +173,7 @@
         aborted: Some(true),
         ..Default::default()
     });
-    through::<theirs::Disposition>(Disposition {
+    assert_fe2o3_round_trip::<fe2o3::Disposition>(Disposition {
         role: Some(true),
         first: Some(1),
         last: Some(9),
@@ -180,17 +184,19 @@
 }
 
 #[rstest]
-fn a_client_library_means_the_same_by_our_bytes_for_ends_and_links() {
-    through::<theirs::Detach>(Detach {
+fn fe2o3_round_trips_attach_detach_end_and_close() {
+    assert_fe2o3_round_trip::<fe2o3::Detach>(Detach {
         handle: Some(1),
         closed: Some(true),
         error: Some(Box::new(Error::new("amqp:not-found", "no class"))),
     });
-    through::<theirs::End>(End { error: Some(Box::new(Error::new("amqp:not-found", "no class"))) });
-    through::<theirs::Close>(Close {
-        error: Some(Box::new(Error::new("amqp:connection:forced", "the node leaves"))),
+    assert_fe2o3_round_trip::<fe2o3::End>(End {
+        error: Some(Box::new(Error::new("amqp:not-found", "no class"))),
+    });
+    assert_fe2o3_round_trip::<fe2o3::Close>(Close {
+        error: Some(Box::new(Error::new("amqp:connection:forced", "the node is shutting down"))),
     });
-    through::<theirs::Attach>(Attach {
+    assert_fe2o3_round_trip::<fe2o3::Attach>(Attach {
         name: Some("readings".into()),
         handle: Some(3),
         role: Some(false),
@@ -212,22 +218,22 @@
 }
 
 #[rstest]
-#[case::list8(b"\xc0\xff\xff")]
-#[case::count_without_octets(b"\xd0\x00\x00\x00\x04\xff\xff\xff\xff")]
-#[case::nulls_without_end(b"\xf0\x00\x00\x00\x05\xff\xff\xff\xff\x40")]
-#[case::nested_bomb(&[0xc0, 2, 1].repeat(400))]
-#[case::described_bomb(&[0; 400])]
-#[case::a_map_of_three(b"\xc1\x04\x03\x40\x41\x42")]
-#[case::a_key_twice(b"\xc1\x05\x04\x41\x40\x41\x40")]
-#[case::a_symbol_not_ascii(b"\xa3\x02\xc3\xa9")]
-#[case::text_not_utf8(b"\xa1\x01\xff")]
-#[case::a_char_that_is_none(b"\x73\x00\x00\xd8\x00")]
-#[case::octets_beyond_the_count(b"\xc0\x03\x01\x40\x40")]
-fn what_lies_about_itself_is_an_error(#[case] bytes: &[u8]) {
+#[case::size_exceeds_the_input(b"\xc0\xff\xff")]
+#[case::count_exceeds_the_elements(b"\xd0\x00\x00\x00\x04\xff\xff\xff\xff")]
+#[case::too_many_zero_width_elements(b"\xf0\x00\x00\x00\x05\xff\xff\xff\xff\x40")]
+#[case::lists_nested_too_deeply(&[0xc0, 2, 1].repeat(400))]
+#[case::descriptors_nested_too_deeply(&[0; 400])]
+#[case::map_with_odd_count(b"\xc1\x04\x03\x40\x41\x42")]
+#[case::map_with_duplicate_key(b"\xc1\x05\x04\x41\x40\x41\x40")]
+#[case::symbol_that_is_not_ascii(b"\xa3\x02\xc3\xa9")]
+#[case::string_that_is_not_utf8(b"\xa1\x01\xff")]
+#[case::char_that_is_a_surrogate(b"\x73\x00\x00\xd8\x00")]
+#[case::octets_after_the_last_element(b"\xc0\x03\x01\x40\x40")]
+fn malformed_value_is_rejected(#[case] bytes: &[u8]) {
     assert!(decode(&mut &bytes[..]).is_err());
 }
 
-/// All encodings of the same value (standard, section 1.6) are read alike.
+/// The standard (section 1.6) defines several encodings of some values; all of them have to decode to the same value.
 #[rstest]
 #[case(&[&b"\x41"[..], &b"\x56\x01"[..]], Value::Bool(true))]
 #[case(&[&b"\x42"[..], &b"\x56\x00"[..]], Value::Bool(false))]
@@ -243,10 +249,10 @@
     Value::Map(vec![(Value::Bool(true), Value::Null)]))]
 #[case(&[&b"\xe0\x04\x02\x50\x01\x02"[..], &b"\xf0\x00\x00\x00\x07\x00\x00\x00\x02\x50\x01\x02"[..]],
     Value::Array(vec![Value::Ubyte(1), Value::Ubyte(2)]))]
-fn every_encoding_of_a_value_is_read(#[case] forms: &[&[u8]], #[case] value: Value) {
-    for form in forms {
-        let mut left = *form;
-        assert_eq!(decode(&mut left), Ok(value.clone()), "{form:x?}");
-        assert!(left.is_empty());
+fn every_encoding_decodes_to_the_value(#[case] encodings: &[&[u8]], #[case] value: Value) {
+    for encoding in encodings {
+        let mut rest = *encoding;
+        assert_eq!(decode(&mut rest), Ok(value.clone()), "{encoding:x?}");
+        assert!(rest.is_empty());
     }
 }
