--- a/benches/amqp_node/generator.rs
+++ b/benches/amqp_node/generator.rs
@@ -1,7 +1,7 @@
-//! The load generator of one thread.
+//! The load generator: the clients of one thread.
 
 use crate::load::{new_histogram, Load, Shared};
-use crate::peer::{settings, Peer, READ_BYTES, START};
+use crate::peer::{settings, Peer, FIXED_TIME, READ_BUFFER_BYTES};
 use crate::poller::Poller;
 use crate::CLASS;
 use hdrhistogram::Histogram;
@@ -12,11 +12,12 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// How long a thread waits for its sockets: without and with a rate.
+/// How long a poll lasts at most if the rate is not limited.
 const POLL_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a poll lasts at most if the rate is limited.
 const PACED_POLL_TIMEOUT: Duration = Duration::from_millis(1);
 
-/// One client, with one link.
+/// A client: one connection with one link.
 struct Client {
     peer: Peer,
     link: Option<LinkId>,
@@ -34,31 +35,32 @@
     buffer: Vec<u8>,
 }
 
-/// How far a thread has come.
+/// The progress of a thread's clients, all together.
 struct Progress {
     started: Instant,
     latency: Histogram<u64>,
     attached_links: usize,
-    /// All links of all threads are attached.
+    /// Whether the links of all threads are attached, so that deliveries may be sent.
     has_begun: bool,
     in_flight: u64,
+    /// Whether no delivery of the run is left to be sent.
     has_sent_all: bool,
 }
 
-/// Spreads deliveries over the time.
+/// Limits the rate of deliveries.
 struct Pacer {
-    /// Deliveries a second.
+    /// Deliveries per second.
     rate: f64,
     /// Deliveries that may be sent now.
     allowance: f64,
     /// When the allowance was last computed.
     updated_at: Instant,
-    /// Rotates the client that is served first.
+    /// The offset of the client that may send first. It advances with each poll, so that the clients take turns.
     rotation: usize,
 }
 
 impl<'a> Generator<'a> {
-    /// Connects the clients.
+    /// Connects the clients of one thread.
     pub fn connect(load: &'a Load, shared: &'a Shared) -> Generator<'a> {
         let poller = Poller::new();
         let clients = (0..load.connections).map(|index| Client::connect(load, &poller, index)).collect();
@@ -72,24 +74,26 @@
             in_flight: 0,
             has_sent_all: false,
         };
-        Generator { load, shared, poller, clients, progress, pacer, buffer: vec![0; READ_BYTES] }
+        Generator { load, shared, poller, clients, progress, pacer, buffer: vec![0; READ_BUFFER_BYTES] }
     }
 
-    /// Sends until no delivery is left and all are answered. Returns the latencies.
+    /// Runs until all deliveries of the run have been sent, and those of this thread settled. Returns their
+    /// latencies.
     pub fn run(mut self) -> Histogram<u64> {
         for client in &mut self.clients {
             client.peer.write();
         }
         while !self.progress.has_sent_all || self.progress.in_flight > 0 {
             for index in self.next_clients() {
-                self.serve(index);
+                self.process_client(index);
             }
             self.progress.has_sent_all |= self.shared.unsent.load(Ordering::Relaxed) == 0;
         }
         self.progress.latency
     }
 
-    /// Waits for sockets. Returns the clients to be served, in order: with a rate, all of them.
+    /// Polls the sockets. Returns the clients to process, in order: those whose sockets are ready or, if the rate is
+    /// limited, all of them.
     fn next_clients(&mut self) -> Vec<usize> {
         let timeout = if self.pacer.is_some() { PACED_POLL_TIMEOUT } else { POLL_TIMEOUT };
         let mut ready = self.poller.wait(timeout);
@@ -109,12 +113,12 @@
         (0..count).map(|index| (index + rotation) % count).collect()
     }
 
-    /// Reads a client's answers and sends what it may.
-    fn serve(&mut self, index: usize) {
+    /// Reads the outcomes of a client's deliveries and sends as many new ones as allowed.
+    fn process_client(&mut self, index: usize) {
         let client = &mut self.clients[index];
         loop {
             let has_read = client.peer.read(&mut self.buffer);
-            assert!(!client.peer.is_closed, "the connection is over");
+            assert!(!client.peer.is_closed, "the connection was closed");
             client.handle_events(&mut self.progress);
             client.send(self.load, self.shared, &mut self.progress, self.pacer.as_mut());
             client.peer.write();
@@ -127,8 +131,8 @@
 
 impl Client {
     fn connect(load: &Load, poller: &Poller, index: usize) -> Client {
-        let stream = TcpStream::connect(load.address).expect("it listens");
-        let conn = Connection::dial(START, settings(), Some(Credentials::Anonymous));
+        let stream = TcpStream::connect(load.address).expect("connect");
+        let conn = Connection::dial(FIXED_TIME, settings(), Some(Credentials::Anonymous));
         let peer = Peer::new(stream, conn);
         poller.add(&peer.stream, index);
         Client { peer, link: None, in_flight: 0 }
@@ -143,7 +147,7 @@
             Event::Settled { key, state, .. } => {
                 assert_eq!(state, Some(State::Accepted));
                 let latency = progress.now() - key;
-                progress.latency.record(latency.max(1)).expect("in range");
+                progress.latency.record(latency.max(1)).expect("a latency in the histogram's range");
                 *in_flight -= 1;
                 progress.in_flight -= 1;
             }
@@ -151,7 +155,7 @@
         });
     }
 
-    /// Sends as much as the credit, the bound on unanswered deliveries and the rate allow.
+    /// Sends as many deliveries as the credit, the limit of deliveries in flight and the rate allow.
     fn send(&mut self, load: &Load, shared: &Shared, progress: &mut Progress, mut pacer: Option<&mut Pacer>) {
         let conn = &mut self.peer.conn;
         let is_ready = |link: &LinkId| progress.has_begun && conn.is_attached(*link);
@@ -171,7 +175,7 @@
             let key = progress.now();
             let delivery = Outgoing { key, tag: key.into(), settled: false };
             let sent = conn.send(link, delivery, &load.message, true, usize::MAX);
-            assert!(sent.complete, "it fits into a frame");
+            assert!(sent.complete, "the message fits into one frame");
             self.in_flight += 1;
             progress.in_flight += 1;
         }
@@ -186,7 +190,7 @@
 }
 
 impl Pacer {
-    /// Adds the deliveries of the time that has passed.
+    /// Increases the allowance by the rate multiplied by the time since the last update.
     fn update(&mut self) {
         let now = Instant::now();
         self.allowance += (now - self.updated_at).as_nanos() as f64 / 1e9 * self.rate;
@@ -194,7 +198,7 @@
     }
 }
 
-/// Attaches a link on which deliveries for the class of the bench are sent.
+/// Attaches a sending link to the benchmark's class. Returns none if no handle is free.
 pub fn attach(conn: &mut Connection, channel: u16, name: &str) -> Option<LinkId> {
     let target = Target { address: Some(CLASS.into()), ..Target::default() };
     let target = Some(Terminus::Target(target));
--- a/benches/amqp_node/load.rs
+++ b/benches/amqp_node/load.rs
@@ -1,4 +1,4 @@
-//! The load: clients that send deliveries of one size, on one or two threads.
+//! A load: clients that send deliveries of one size, on one or two threads.
 
 use crate::generator::Generator;
 use crate::process::cpu_seconds;
@@ -8,49 +8,49 @@
 use std::sync::{Arc, Barrier};
 use std::time::Instant;
 
-/// What the clients of one run send.
+/// The parameters of a run.
 #[derive(Clone)]
 pub struct Load {
-    /// Where they connect.
+    /// The address that the clients connect to.
     pub address: SocketAddr,
     pub connections: usize,
-    /// Deliveries of all clients together.
+    /// The number of deliveries of all clients together.
     pub deliveries: u64,
-    /// The message that each delivery is.
+    /// The encoded message that every delivery carries.
     pub message: Vec<u8>,
-    /// The most unanswered deliveries of one client.
+    /// The maximum number of unsettled deliveries per client.
     pub max_in_flight: u64,
-    /// Deliveries a second of all clients together; none for as many as they can.
+    /// Deliveries per second of all clients together. None does not limit the rate.
     pub rate: Option<f64>,
 }
 
-/// How a run went.
+/// The measurements of a run.
 pub struct Run {
-    /// From when all links were attached.
+    /// The duration from when all links were attached to the end.
     pub seconds: f64,
-    /// CPU seconds of the node in that time.
+    /// CPU seconds that the node used in that time.
     pub node_cpu_seconds: f64,
-    /// Nanoseconds from the sending of a delivery to its answer.
+    /// Nanoseconds from the sending of each delivery to its settlement.
     pub latency: Histogram<u64>,
 }
 
-/// What the threads of a run share.
+/// The state that the threads of a run share.
 pub struct Shared {
-    /// Deliveries that no client has sent.
+    /// The number of deliveries that have not been sent.
     pub unsent: AtomicU64,
-    /// Passed once the links of all threads are attached.
+    /// Holds the threads back until the links of all of them are attached.
     pub all_attached: Barrier,
 }
 
 impl Load {
-    /// Runs the load, and measures the process `pid` meanwhile.
+    /// Runs the load and measures the CPU time of the process `pid` during it.
     pub fn run(&self, pid: u32) -> Run {
         let threads = if self.connections == 1 { 1 } else { 2 };
         let unsent = AtomicU64::new(self.deliveries);
         let shared = Arc::new(Shared { unsent, all_attached: Barrier::new(threads + 1) });
         let handles: Vec<_> = (0..threads)
             .map(|thread| {
-                let (load, shared) = (self.of_thread(thread, threads), shared.clone());
+                let (load, shared) = (self.share_of_thread(thread, threads), shared.clone());
                 std::thread::spawn(move || Generator::connect(&load, &shared).run())
             })
             .collect();
@@ -58,14 +58,17 @@
         shared.all_attached.wait();
         let (started, cpu_before) = (Instant::now(), cpu_seconds(pid));
         for handle in handles {
-            latency.add(handle.join().expect("a client's thread")).expect("alike");
+            latency
+                .add(handle.join().expect("a thread of the load generator"))
+                .expect("histograms of the same range");
         }
         let seconds = started.elapsed().as_secs_f64();
         Run { seconds, node_cpu_seconds: cpu_seconds(pid) - cpu_before, latency }
     }
 
-    /// The part of one of the threads.
-    fn of_thread(&self, thread: usize, threads: usize) -> Load {
+    /// Returns the share of one thread: its connections and its part of the rate. The deliveries are not divided, but
+    /// taken from [`Shared::unsent`].
+    fn share_of_thread(&self, thread: usize, threads: usize) -> Load {
         let remainder = usize::from(thread < self.connections % threads);
         Load {
             connections: self.connections / threads + remainder,
@@ -75,7 +78,7 @@
     }
 }
 
-/// A histogram of latencies.
+/// Creates a histogram for latencies in nanoseconds.
 pub fn new_histogram() -> Histogram<u64> {
-    Histogram::new(3).expect("a histogram")
+    Histogram::new(3).expect("a valid precision")
 }
--- a/benches/amqp_node/main.rs
+++ b/benches/amqp_node/main.rs
@@ -1,9 +1,10 @@
-//! The AMQP frontend under load: `cargo bench --bench amqp_node [-- QUICK]`. Stand-in servers and clients
-//! on loopback around the built program; the cost is the node's own CPU time, which the system counts.
+//! Load benchmark of the AMQP frontend: `cargo bench --bench amqp_node [-- QUICK]`. Runs the built program between
+//! stand-in servers and clients on loopback. The cost is the CPU time of the node's process alone, as the kernel
+//! reports it.
 //!
-//! Prints CPU seconds per 100,000 deliveries of 256 octets at 1, 64 and 1,000 connections, per
-//! GB at 64 KiB, memory at 1,000 connections of 4 links, and at half load what the node adds to the
-//! latency that the same clients see at the servers directly, in the same run.
+//! Prints CPU seconds per 100,000 deliveries of 256 octets at 1, 64 and 1,000 connections, CPU seconds per GB of 64
+//! KiB messages, the latency at half load through the node and, in the same run, from the same clients to a server
+//! directly, and the memory at 1,000 connections of 4 links.
 
 mod generator;
 mod load;
@@ -22,12 +23,12 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 
-/// The traffic class of all deliveries.
+/// The class of all deliveries.
 const CLASS: &str = "live-readings";
 const SERVERS: usize = 4;
-/// The numbers of clients whose costs are compared.
+/// The numbers of connections at which the cost is measured.
 const CONNECTIONS: [usize; 3] = [1, 64, 1000];
-/// Deliveries a second while the latency is measured.
+/// Deliveries per second while the latency is measured.
 const LATENCY_RATE: f64 = 20_000.0;
 
 fn main() {
@@ -38,7 +39,7 @@
     let server_address = servers[0].local_addr().expect("bound");
     let node = Node::start(servers);
     let message = message(60_000, "7f3a", &[7; 200]);
-    println!("{} octets a message, {SERVERS} servers", message.len());
+    println!("{} octets per message, {SERVERS} servers", message.len());
     let small =
         Load { address: node.address, connections: 4, deliveries, message, max_in_flight: 64, rate: None };
     Load { deliveries: deliveries / 10, ..small.clone() }.run(node.pid);
@@ -53,22 +54,22 @@
 fn start_servers(stop: &Arc<AtomicBool>) -> Vec<TcpListener> {
     let servers: Vec<TcpListener> = (0..SERVERS).map(|_| listener()).collect();
     for server in &servers {
-        let (server, stop) = (server.try_clone().expect("a second handle"), stop.clone());
+        let (server, stop) = (server.try_clone().expect("duplicate the listener"), stop.clone());
         std::thread::spawn(move || server::serve(server, stop));
     }
     servers
 }
 
 fn print_cost_of_deliveries(node: &Node, small: &Load) {
-    // The same number in flight at each client, and the same over all, however many there are.
-    let each = CONNECTIONS.map(|count| (count, 16));
-    let over_all = CONNECTIONS.map(|count| (count, (4096 / count as u64).clamp(1, 256)));
-    for (connections, max_in_flight) in each.into_iter().chain(over_all) {
+    // First a fixed number of deliveries in flight per connection, then a fixed total of at most 256 per connection.
+    let fixed_per_connection = CONNECTIONS.map(|count| (count, 16));
+    let fixed_total = CONNECTIONS.map(|count| (count, (4096 / count as u64).clamp(1, 256)));
+    for (connections, max_in_flight) in fixed_per_connection.into_iter().chain(fixed_total) {
         let load = Load { connections, max_in_flight, ..small.clone() };
         let run = load.run(node.pid);
         let (deliveries, cpu) = (load.deliveries as f64, run.node_cpu_seconds);
         println!(
-            "{connections:>5} connections, {max_in_flight:>3} in hand at each: {:.3} CPU s per 100,000 deliveries ({:.0} a CPU second), {:.0} a second",
+            "{connections:>5} connections, {max_in_flight:>3} in flight on each: {:.3} CPU s per 100,000 deliveries ({:.0} per CPU second), {:.0} per second",
             cpu * 100_000.0 / deliveries,
             deliveries / cpu,
             deliveries / run.seconds
@@ -83,7 +84,7 @@
         Load { address: node.address, connections: 64, deliveries, message, max_in_flight: 2, rate: None };
     let run = load.run(node.pid);
     println!(
-        "64 KiB messages: {:.2} CPU s per GB, {:.2} GB a second",
+        "64 KiB messages: {:.2} CPU s per GB, {:.2} GB per second",
         run.node_cpu_seconds / gigabytes,
         gigabytes / run.seconds
     );
@@ -98,7 +99,7 @@
     for quantile in [0.5, 0.99, 0.999] {
         let milliseconds = |latency: &Histogram<u64>| latency.value_at_quantile(quantile) as f64 / 1e6;
         println!(
-            "p{:<5} at {LATENCY_RATE:.0} a second: {:.2} ms through the node, {:.2} ms at a server directly",
+            "p{:<5} at {LATENCY_RATE:.0} per second: {:.2} ms through the node, {:.2} ms to a server directly",
             quantile * 100.0,
             milliseconds(&through_node),
             milliseconds(&direct)
--- a/benches/amqp_node/node.rs
+++ b/benches/amqp_node/node.rs
@@ -1,9 +1,8 @@
-//! The node under load: the built program with its AMQP frontend.
+//! The node under test: the built program with its AMQP frontend.
 
 use sparbank_test_support::Bench;
 use std::net::{SocketAddr, TcpListener};
 
-/// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 const AMQP_CONFIG: &str =
     r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
@@ -11,18 +10,22 @@
 /// A running node.
 pub struct Node {
     pub pid: u32,
-    /// Where AMQP clients connect.
+    /// The address of the AMQP frontend.
     pub address: SocketAddr,
-    /// Ends the process when it is dropped.
+    /// Terminates the process when it is dropped.
     _bench: Bench,
 }
 
 impl Node {
-    /// Starts a node in front of these servers.
+    /// Starts a node that forwards to these servers.
     pub fn start(servers: Vec<TcpListener>) -> Node {
         let bench = Bench::with_args(PROGRAM, servers, Some(AMQP_CONFIG), &[], |settings| {
             settings.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
         });
-        Node { pid: bench.process.id(), address: bench.amqp.expect("the frontend is on"), _bench: bench }
+        Node {
+            pid: bench.process.id(),
+            address: bench.amqp.expect("the AMQP frontend is enabled"),
+            _bench: bench,
+        }
     }
 }
--- a/benches/amqp_node/peer.rs
+++ b/benches/amqp_node/peer.rs
@@ -1,4 +1,4 @@
-//! One end of an AMQP connection, for the stand-ins of servers and clients.
+//! One end of an AMQP connection, used by the stand-in servers and clients.
 
 use sparbank_amqp::{Connection, Event, Settings};
 use sparbank_time::MonotonicTime;
@@ -6,12 +6,12 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// The time of each call of the protocol library: no timeout is on, so that it does not matter.
-pub const START: MonotonicTime = MonotonicTime::ZERO;
-/// Octets that are read at once.
-pub const READ_BYTES: usize = 256 * 1024;
+/// The time that is passed to every call of the protocol library. It can be constant since all timeouts are off.
+pub const FIXED_TIME: MonotonicTime = MonotonicTime::ZERO;
+/// The size of the buffer for reads from a socket.
+pub const READ_BUFFER_BYTES: usize = 256 * 1024;
 
-/// The settings of both stand-ins: so wide that only the node's own bounds count.
+/// The settings of the stand-in servers and clients. Their limits are so high that only the node's own take effect.
 pub fn settings() -> Settings {
     Settings {
         incoming_window: 8192,
@@ -23,7 +23,7 @@
     }
 }
 
-/// One end of a connection, non-blocking.
+/// One end of a connection, on a non-blocking socket.
 pub struct Peer {
     pub stream: TcpStream,
     pub conn: Connection,
@@ -34,12 +34,12 @@
 
 impl Peer {
     pub fn new(stream: TcpStream, conn: Connection) -> Peer {
-        stream.set_nonblocking(true).expect("non-blocking");
-        stream.set_nodelay(true).expect("no delay");
+        stream.set_nonblocking(true).expect("set non-blocking");
+        stream.set_nodelay(true).expect("set TCP_NODELAY");
         Peer { stream, conn, is_closed: false, input: Vec::new(), output: Vec::new() }
     }
 
-    /// Reads once into `buffer`. False if there was nothing.
+    /// Reads once from the socket, through `buffer`. Returns false if nothing was received.
     pub fn read(&mut self, buffer: &mut [u8]) -> bool {
         match self.stream.read(buffer) {
             Ok(0) => self.is_closed = true,
@@ -53,9 +53,9 @@
         false
     }
 
-    /// Writes as much as the socket takes.
+    /// Writes as much pending output as the socket accepts.
     pub fn write(&mut self) {
-        self.conn.append_output(START, &mut self.output);
+        self.conn.append_output(FIXED_TIME, &mut self.output);
         while !self.output.is_empty() {
             match self.stream.write(&self.output) {
                 Ok(count) => drop(self.output.drain(..count)),
@@ -68,12 +68,12 @@
         }
     }
 
-    /// Handles the received events.
+    /// Passes the events of the received octets to `handle`.
     pub fn handle_events(&mut self, mut handle: impl FnMut(&mut Connection, Event<'_>)) {
         let input = std::mem::take(&mut self.input);
         let mut rest = &input[..];
         while let Some(event) =
-            self.conn.next_event(START, &mut rest).expect("the node keeps to the standard")
+            self.conn.next_event(FIXED_TIME, &mut rest).expect("the other end conforms to the standard")
         {
             handle(&mut self.conn, event);
         }
--- a/benches/amqp_node/server.rs
+++ b/benches/amqp_node/server.rs
@@ -1,6 +1,6 @@
-//! The stand-in of a server: it accepts every link and every delivery at once.
+//! The stand-in server: accepts every link and every delivery immediately.
 
-use crate::peer::{settings, Peer, READ_BYTES, START};
+use crate::peer::{settings, Peer, FIXED_TIME, READ_BUFFER_BYTES};
 use crate::poller::Poller;
 use sparbank_amqp::{Attach, Connection, Event, State};
 use std::net::TcpListener;
@@ -8,24 +8,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The credit of each link, and what is left of it when it is renewed.
+/// The credit that each link is granted.
 const CREDIT: u32 = 10_000;
+/// Credit is granted again when less than this remains.
 const MIN_CREDIT: u32 = 5_000;
-/// How long it waits before it checks whether to stop.
+/// How long a poll lasts at most. `stop` is checked between polls.
 const POLL_TIMEOUT: Duration = Duration::from_millis(50);
-/// The listener's index; connections follow it.
-const LISTENER: usize = 0;
+/// The poller's index of the listener. Connections have the indexes from 1 on.
+const LISTENER_INDEX: usize = 0;
 
-/// Serves connections until `stop` is set.
+/// Accepts and serves connections until `stop` is set.
 pub fn serve(listener: TcpListener, stop: Arc<AtomicBool>) {
-    listener.set_nonblocking(true).expect("non-blocking");
+    listener.set_nonblocking(true).expect("set non-blocking");
     let poller = Poller::new();
-    poller.add(&listener, LISTENER);
+    poller.add(&listener, LISTENER_INDEX);
     let mut peers: Vec<Peer> = Vec::new();
-    let mut buffer = vec![0; READ_BYTES];
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
     while !stop.load(Ordering::Relaxed) {
         for index in poller.wait(POLL_TIMEOUT) {
-            if index == LISTENER {
+            if index == LISTENER_INDEX {
                 accept_all(&listener, &poller, &mut peers);
             } else {
                 serve_peer(&mut peers[index - 1], &mut buffer);
@@ -36,7 +37,7 @@
 
 fn accept_all(listener: &TcpListener, poller: &Poller, peers: &mut Vec<Peer>) {
     while let Ok((stream, _)) = listener.accept() {
-        let peer = Peer::new(stream, Connection::accept(START, settings(), None));
+        let peer = Peer::new(stream, Connection::accept(FIXED_TIME, settings(), None));
         poller.add(&peer.stream, peers.len() + 1);
         peers.push(peer);
     }
--- a/crates/amqp/benches/codec.rs
+++ b/crates/amqp/benches/codec.rs
@@ -1,8 +1,9 @@
-//! Decoding and encoding beside serde_amqp, both in one run: `cargo bench -p sparbank-amqp`.
-//! Prints the median of rounds for each, and the ratio.
+//! Compares decoding and encoding with serde_amqp in the same run: `cargo bench -p sparbank-amqp`.
+//!
+//! Prints the median time per item of each library, the fastest and slowest round, and the ratio of the medians.
 
-use fe2o3_amqp_types::messaging as msg;
-use fe2o3_amqp_types::performatives as theirs;
+use fe2o3_amqp_types::messaging;
+use fe2o3_amqp_types::performatives as fe2o3;
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use serde_amqp::{from_slice, to_vec};
@@ -12,16 +13,19 @@
 use std::hint::black_box;
 use std::time::Instant;
 
+/// Measured rounds for each operation.
 const ROUNDS: usize = 21;
+/// Operations per round.
 const ITEMS: usize = 20_000;
-/// Octets of a frame before its body.
+/// Octets that precede a frame's body.
 const FRAME_HEADER_BYTES: usize = 8;
 const MAX_FRAME_SIZE: u32 = 4096;
 
-/// A message of theirs as it is decoded.
-type TheirMessage = msg::message::__private::Deserializable<msg::Message<msg::Body<serde_amqp::Value>>>;
+/// The type that serde_amqp decodes a message into.
+type Fe2o3Message =
+    messaging::message::__private::Deserializable<messaging::Message<messaging::Body<serde_amqp::Value>>>;
 
-/// Nanoseconds an item takes, over all rounds.
+/// Nanoseconds per operation, averaged over each round.
 struct Timing {
     median: f64,
     fastest: f64,
@@ -29,17 +33,17 @@
 }
 
 fn main() {
-    compare_performative::<theirs::Transfer>("transfer", &transfer());
-    compare_performative::<theirs::Disposition>("disposition", &disposition());
+    compare_performative::<fe2o3::Transfer>("transfer", &transfer());
+    compare_performative::<fe2o3::Disposition>("disposition", &disposition());
     compare_messages();
 }
 
-/// Times rounds of work, after one that does not count.
-fn time(mut work: impl FnMut()) -> Timing {
+/// Times rounds of an operation, after one round of warm-up.
+fn time(mut operation: impl FnMut()) -> Timing {
     let mut rounds: Vec<f64> = (0..=ROUNDS)
         .map(|_| {
             let start = Instant::now();
-            (0..ITEMS).for_each(|_| work());
+            (0..ITEMS).for_each(|_| operation());
             start.elapsed().as_nanos() as f64 / ITEMS as f64
         })
         .skip(1)
@@ -48,22 +52,23 @@
     Timing { median: rounds[ROUNDS / 2], fastest: rounds[0], slowest: rounds[ROUNDS - 1] }
 }
 
-fn compare(name: &str, ours: impl FnMut(), theirs: impl FnMut()) {
-    let (ours, theirs) = (time(ours), time(theirs));
+/// Times the same operation in both libraries and prints the result.
+fn compare(name: &str, sparbank_operation: impl FnMut(), serde_amqp_operation: impl FnMut()) {
+    let (sparbank, serde_amqp) = (time(sparbank_operation), time(serde_amqp_operation));
     println!(
-        "{name:<22} ours {:>7.0} ns ({:.0}..{:.0})  serde_amqp {:>7.0} ns ({:.0}..{:.0})  ratio {:.1}",
-        ours.median,
-        ours.fastest,
-        ours.slowest,
-        theirs.median,
-        theirs.fastest,
-        theirs.slowest,
-        theirs.median / ours.median
+        "{name:<22} sparbank_amqp {:>7.0} ns ({:.0}..{:.0})  serde_amqp {:>7.0} ns ({:.0}..{:.0})  ratio {:.1}",
+        sparbank.median,
+        sparbank.fastest,
+        sparbank.slowest,
+        serde_amqp.median,
+        serde_amqp.fastest,
+        serde_amqp.slowest,
+        serde_amqp.median / sparbank.median
     );
 }
 
-fn decode_theirs<T: DeserializeOwned>(bytes: &[u8]) -> T {
-    from_slice(bytes).expect("the library reads it")
+fn decode_with_serde_amqp<T: DeserializeOwned>(bytes: &[u8]) -> T {
+    from_slice(bytes).expect("serde_amqp decodes it")
 }
 
 fn transfer() -> Performative {
@@ -91,21 +96,21 @@
     disposition.into()
 }
 
-/// Compares a frame body. `Theirs` is its type in the other library.
-fn compare_performative<Theirs: DeserializeOwned + Serialize>(name: &str, body: &Performative) {
+/// Compares decoding and encoding of a frame body. `Fe2o3Body` is its type for serde_amqp.
+fn compare_performative<Fe2o3Body: DeserializeOwned + Serialize>(name: &str, body: &Performative) {
     let mut frame = Vec::new();
     write_frame(&mut frame, AMQP, 0, Some(body), &[]);
     let encoded = &frame[FRAME_HEADER_BYTES..];
     compare(
         &format!("{name} decode"),
         || {
-            black_box(read_frame(&mut black_box(&frame[..]), MAX_FRAME_SIZE).expect("sound"));
+            black_box(read_frame(&mut black_box(&frame[..]), MAX_FRAME_SIZE).expect("well-formed"));
         },
         || {
-            black_box(decode_theirs::<Theirs>(black_box(encoded)));
+            black_box(decode_with_serde_amqp::<Fe2o3Body>(black_box(encoded)));
         },
     );
-    let value: Theirs = decode_theirs(encoded);
+    let value: Fe2o3Body = decode_with_serde_amqp(encoded);
     let mut out = Vec::new();
     compare(
         &format!("{name} encode"),
@@ -115,12 +120,12 @@
             black_box(&out);
         },
         || {
-            black_box(to_vec(black_box(&value)).expect("the library writes it"));
+            black_box(to_vec(black_box(&value)).expect("serde_amqp encodes it"));
         },
     );
 }
 
-/// A message with a header, application properties and a body of 256 octets.
+/// Encodes a message with a header, application properties and a body of 256 octets.
 fn encoded_message() -> Vec<u8> {
     let section = |code, value| Value::described(code, value);
     let pair = |key: &str, value: &str| (Value::text(key), Value::text(value));
@@ -134,27 +139,28 @@
     bytes
 }
 
+/// Compares decoding and encoding of a message.
 fn compare_messages() {
     let bytes = encoded_message();
     compare(
         "message 256 decode",
         || {
-            black_box(Message::decode(black_box(&bytes)).expect("sound"));
+            black_box(Message::decode(black_box(&bytes)).expect("well-formed"));
         },
         || {
-            black_box(decode_theirs::<TheirMessage>(black_box(&bytes)));
+            black_box(decode_with_serde_amqp::<Fe2o3Message>(black_box(&bytes)));
         },
     );
-    let message = Message::decode(&bytes).expect("sound");
-    let value: TheirMessage = decode_theirs(&bytes);
-    let theirs = msg::message::__private::Serializable(value.0);
+    let message = Message::decode(&bytes).expect("well-formed");
+    let value: Fe2o3Message = decode_with_serde_amqp(&bytes);
+    let serializable = messaging::message::__private::Serializable(value.0);
     compare(
         "message 256 encode",
         || {
             black_box(message.encode(black_box(900)));
         },
         || {
-            black_box(to_vec(black_box(&theirs)).expect("the library writes it"));
+            black_box(to_vec(black_box(&serializable)).expect("serde_amqp encodes it"));
         },
     );
 }
