--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -100,7 +100,7 @@
 #[rstest]
 #[case::never_settles(true, "attempt_timeout", true)]
 #[case::never_gives_credit(false, "attempt_connect_failed", false)]
-fn a_server_that_accepts_links_and_leaves_it_there_is_timed_out(
+fn a_server_that_attaches_and_then_stalls_is_timed_out(
     #[case] credit: bool,
     #[case] counter: &str,
     #[case] may_have_run: bool,
@@ -265,7 +265,7 @@
 }
 
 #[rstest]
-fn sigterm_answers_what_is_in_hand_and_ends_the_connection_politely() {
+fn on_sigterm_running_requests_are_answered_before_the_connection_closes() {
     let mut bench = bench(1);
     let mut client = client(&bench, CLASS);
     client.deliver(0, &message(1200, "7f3a", b"in hand"));
@@ -337,7 +337,7 @@
 }
 
 #[rstest]
-fn the_two_frontends_account_alike_side_by_side() {
+fn both_frontends_count_the_same_outcomes_alike() {
     use Act::*;
     let plan: [&[Act]; 5] =
         [&[Serve], &[Full, Serve], &[Fail, Serve], &[Full, Full, Full], &[Fail, Full, Serve]];
@@ -381,7 +381,7 @@
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
 #[case::only_a_header("AMQP\u{0}\u{1}\u{0}\u{0}")]
-fn a_client_that_does_not_open_is_closed(#[case] said: &str) {
+fn a_connection_without_an_open_is_closed(#[case] said: &str) {
     let bench = bench(1);
     let mut client = Peer::connect(bench.amqp.expect("the frontend is on"));
     client.send(said);
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -153,7 +153,7 @@
 
 /// A hundred guesses at once are felt by nobody who is in.
 #[rstest]
-fn guessers_do_not_slow_the_usual_clients() {
+fn password_guessing_does_not_delay_authenticated_clients() {
     let on = format!(
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users("anna", "wind", &[]).to_str().expect("a path")
@@ -189,7 +189,7 @@
 #[rstest]
 #[case::no_such_file("nowhere.json", "nowhere.json")]
 #[case::not_a_key("", "users.anna.stored_key")]
-fn a_users_file_that_is_wrong_is_named(#[case] path: &str, #[case] names: &str) {
+fn an_invalid_users_file_is_named_in_the_error(#[case] path: &str, #[case] names: &str) {
     let path = if path.is_empty() {
         let wrong =
             r#"{"users":{"anna":{"salt":"AA==","rounds":4096,"stored_key":"!","server_key":"AA=="}}}"#;
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -77,7 +77,7 @@
 #[rstest]
 #[case::a_server_with_sasl(true)]
 #[case::a_server_without(false)]
-fn the_library_sends_receives_and_comes_again(#[case] sasl: bool) {
+fn the_library_sends_receives_and_resumes_a_link(#[case] sasl: bool) {
     let mut bench = Bench::with(PROGRAM, vec![listener()], Some(ON));
     let addr = bench.amqp.expect("on");
     let copy = bench.servers[0].try_clone().expect("a second handle");
@@ -121,7 +121,7 @@
 #[rstest]
 #[case::right("wind", true)]
 #[case::wrong("rain", false)]
-fn the_library_makes_itself_known_by_plain(#[case] password: &str, #[case] good: bool) {
+fn the_library_authenticates_by_plain(#[case] password: &str, #[case] good: bool) {
     let users = temp_file("users.json", r#"{"users":{}}"#);
     let mut child = node_command(PROGRAM, &["amqp-user", users.to_str().expect("a path"), "anna"], &users)
         .stdin(std::process::Stdio::piped())
--- a/tests/amqp_conformance_page.rs
+++ b/tests/amqp_conformance_page.rs
@@ -4,7 +4,7 @@
 
 /// Every test that the page of the conformance suite names is there.
 #[rstest]
-fn the_page_names_tests_that_exist() {
+fn every_test_that_the_page_names_exists() {
     let root = env!("CARGO_MANIFEST_DIR");
     let page = std::fs::read_to_string(format!("{root}/docs/AMQP-CONFORMANCE.md")).expect("the page");
     let mut sources = String::new();
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -28,7 +28,7 @@
 #[rstest]
 #[case::just_above_the_read_ahead_of_text(8_193)]
 #[case::as_large_as_agreed(16_300)]
-fn a_frame_of_any_agreed_size_is_taken(#[case] size: usize) {
+fn a_frame_of_any_agreed_size_is_accepted(#[case] size: usize) {
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
@@ -63,7 +63,7 @@
 }
 
 #[rstest]
-fn a_large_message_that_fails_half_way_is_tried_elsewhere_only_if_all_of_it_is_still_here() {
+fn a_large_message_is_retried_only_while_it_is_buffered_completely() {
     for (keep, tried) in [(1_000_000, 2), (10_000, 1)] {
         let on = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
         let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&on));
@@ -126,7 +126,7 @@
 }
 
 #[rstest]
-fn a_server_that_answers_before_the_last_frame_is_believed_and_the_rest_is_not_sent() {
+fn a_delivery_settled_before_its_last_frame_is_answered_and_the_rest_is_not_sent() {
     let bench = bench(1);
     let mut client = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 40_000]);
@@ -180,7 +180,7 @@
 }
 
 #[rstest]
-fn a_long_message_delays_its_own_link_and_no_other_client() {
+fn an_incomplete_message_delays_no_other_client() {
     let bench = bench(1);
     let mut slow = client(&bench);
     let sent = message(60_000, "7f3a", &[7; 30_000]);
@@ -236,7 +236,7 @@
 
 /// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
 #[rstest]
-fn a_slow_server_delays_its_clients_and_memory_stays_bounded() {
+fn memory_stays_bounded_with_a_slow_server() {
     let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
     let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -47,7 +47,7 @@
 }
 
 #[rstest]
-fn deliveries_flow_by_the_clients_credit_and_settlements_flow_back() {
+fn deliveries_follow_the_clients_credit_and_outcomes_reach_the_server() {
     let bench = bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 3);
@@ -78,7 +78,7 @@
 }
 
 #[rstest]
-fn a_delivery_in_parts_and_an_abort_pass_through() {
+fn multi_transfer_deliveries_and_aborts_are_passed_through() {
     let bench = bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
@@ -146,7 +146,7 @@
 }
 
 #[rstest]
-fn a_server_that_never_answers_the_attach_is_given_up_for_another() {
+fn an_unanswered_attach_is_retried_at_another_server() {
     let bench = bench(2);
     let mut client = client(&bench);
     attach_receiver(&mut client, 0);
@@ -163,7 +163,7 @@
 }
 
 #[rstest]
-fn a_killed_server_is_passed_on_within_a_second_and_a_silent_one_within_seven() {
+fn a_lost_server_detaches_its_clients_within_a_second_and_a_silent_one_within_seven() {
     let mut bench = bench(1);
     let (mut client, _, server) = established_link(&bench);
     let killed = Instant::now();
@@ -187,7 +187,7 @@
 #[case::served_to_its_end(None, None)]
 #[case::sent_away(Some(condition::DETACH_FORCED), Some(condition::DETACH_FORCED))]
 #[case::broken(Some(condition::INTERNAL_ERROR), Some(condition::INTERNAL_ERROR))]
-fn what_the_server_ends_ends_the_same_way_at_the_client(
+fn a_servers_detach_reaches_the_client_with_the_same_condition(
     #[case] sent: Option<&str>,
     #[case] expected: Option<&str>,
 ) {
@@ -201,7 +201,7 @@
 }
 
 #[rstest]
-fn sigterm_sends_clients_away_between_two_deliveries() {
+fn on_sigterm_established_links_are_detached_between_deliveries() {
     let mut bench = bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
@@ -240,7 +240,7 @@
 }
 
 #[rstest]
-fn a_slow_client_slows_only_itself() {
+fn a_slow_receiver_delays_no_other_client() {
     let bench = bench(1);
     let (mut slow, _, mut server) = established_link(&bench);
     let mut quick = client(&bench);
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -26,7 +26,7 @@
 }
 
 #[rstest]
-fn a_server_without_sasl_is_met_again_without_it() {
+fn a_server_without_sasl_is_reconnected_without_sasl() {
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
@@ -39,7 +39,7 @@
 }
 
 #[rstest]
-fn a_server_that_names_no_target_but_grants_credit_is_sent_to() {
+fn a_server_that_grants_credit_without_a_target_receives_deliveries() {
     let bench = bench(1);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
@@ -211,7 +211,7 @@
 #[case::unauthorized(condition::UNAUTHORIZED_ACCESS)]
 #[case::internal(condition::INTERNAL_ERROR)]
 #[case::not_implemented(condition::NOT_IMPLEMENTED)]
-fn a_server_that_refuses_the_link_never_ran_it_whatever_its_reason(#[case] reason: &str) {
+fn a_delivery_whose_link_is_refused_is_retried_whatever_the_condition(#[case] reason: &str) {
     let bench = bench(2);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
@@ -234,7 +234,7 @@
 }
 
 #[rstest]
-fn a_server_that_floods_or_breaks_the_protocol_is_left_and_the_delivery_goes_elsewhere() {
+fn a_server_that_breaks_the_protocol_is_disconnected_and_the_delivery_is_retried_elsewhere() {
     let mut bench = bench(2);
     let mut client = client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
@@ -277,7 +277,7 @@
 }
 
 #[rstest]
-fn a_coordinator_of_requests_is_declined_cleanly() {
+fn a_transaction_coordinator_link_is_refused() {
     let bench = bench(1);
     let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
     let (name, initial_delivery_count) = (Some("tx".to_string()), Some(0));
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -17,7 +17,7 @@
 }
 
 #[rstest]
-fn ten_thousand_links_on_a_hundred_connections_fit_and_serve() {
+fn ten_thousand_links_on_a_hundred_connections_fit_in_memory_and_are_served() {
     let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
     let addr = bench.amqp.expect("the frontend is on");
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| AmqpPeer::client(addr, None)).collect();
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -164,14 +164,14 @@
 }
 
 #[rstest]
-fn a_password_in_the_clear_is_not_offered(keys: Keys) {
+fn plain_is_not_offered_without_tls(keys: Keys) {
     let (bench, _) = bench(&keys.folder, &users(&keys));
     let refused = AmqpPeer::known(bench.amqp.expect("on"), "PLAIN", b"\0anna.test\0wind").err();
     assert_eq!(refused, Some(1));
 }
 
 #[rstest]
-fn certificates_are_read_again_on_sighup_and_open_connections_stay(keys: Keys) {
+fn certificates_are_reloaded_on_sighup_and_open_connections_stay(keys: Keys) {
     let (mut bench, addr) = bench(&keys.folder, "");
     let mut old = open(&keys, addr, "node.test", None, Credentials::Anonymous).expect("the first name");
     keys.renew("renewed.test");
@@ -185,7 +185,7 @@
 }
 
 #[rstest]
-fn a_certificate_that_is_wrong_changes_nothing_and_is_named(keys: Keys) {
+fn an_invalid_certificate_is_rejected_and_named_in_the_log(keys: Keys) {
     let (mut bench, addr) = bench(&keys.folder, "");
     std::fs::write(keys.folder.join("node.pem"), "not a certificate").expect("written");
     bench.signal(Signal::HUP);
