--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -1,4 +1,4 @@
-//! Stories over loopback for the AMQP frontend, against stand-in clients and servers.
+//! The AMQP frontend over loopback, against stand-in clients and servers.
 
 use rstest::rstest;
 use sparbank_amqp::{condition, Detach, Message, Performative, State, Tag, Transfer, Value};
@@ -12,57 +12,57 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
 fn modified(failed: bool) -> State {
     State::Modified { failed, undeliverable_here: false, annotations: None }
 }
 
-fn bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
+fn start_bench(servers: usize) -> Bench {
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-/// A client with a link to this class.
-fn client(bench: &Bench, class: &str) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
+/// Connects a client and attaches a sending link to this class.
+fn connect_client(bench: &Bench, class: &str) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     assert!(client.attach(class).expect("the class is known") > 0);
     client
 }
 
-/// The answer to a delivery.
-fn answer(client: &mut AmqpPeer) -> State {
-    let (d, _) = until!(client, Disposition);
-    assert_eq!((d.role, d.settled), (Some(true), Some(true)));
-    d.state.expect("a state")
+/// Reads the final answer to a delivery, which must settle it.
+fn receive_answer(client: &mut AmqpPeer) -> State {
+    let (disposition, _) = until!(client, Disposition);
+    assert_eq!((disposition.role, disposition.settled), (Some(true), Some(true)));
+    disposition.state.expect("a state")
 }
 
-/// Whether an answer is a rejection with the time after which to retry.
+/// Whether an answer is a rejection that tells the client when to retry.
 fn is_rejection(state: &State) -> bool {
-    let State::Modified { failed: false, annotations: Some(notes), .. } = state else { return false };
-    matches!(notes.get("retry-after"), Some(Value::Uint(_)))
+    let State::Modified { failed: false, annotations: Some(annotations), .. } = state else { return false };
+    matches!(annotations.get("retry-after"), Some(Value::Uint(_)))
 }
 
-/// Whether an answer says that it may have run.
-fn has_failed(state: &State) -> bool {
+/// Whether an answer says that the request may have run.
+fn is_delivery_failed(state: &State) -> bool {
     matches!(state, State::Modified { failed: true, .. })
 }
 
 #[rstest]
 fn a_delivery_is_forwarded_unchanged_except_for_its_ttl_and_accepted() {
-    let bench = bench(1);
-    let mut client = client(&bench, CLASS);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench, CLASS);
     let sent = message(1200, "7f3a", b"wind 12");
     client.deliver(0, &sent);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, payload) = until!(server, Transfer);
-    let (received, went) =
-        (Message::decode(&sent).expect("sound"), Message::decode(&payload).expect("sound"));
-    assert!(went.head.ttl.expect("a ttl") < 1200);
-    assert_eq!(went.encode(1), received.encode(1), "all else is unchanged");
+    let (original, forwarded) =
+        (Message::decode(&sent).expect("valid"), Message::decode(&payload).expect("valid"));
+    assert!(forwarded.head.ttl.expect("a ttl") < 1200);
+    assert_eq!(forwarded.encode(1), original.encode(1), "only the ttl differs");
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-    assert_eq!(answer(&mut client), State::Accepted);
+    assert_eq!(receive_answer(&mut client), State::Accepted);
     let counters = bench.stop();
     assert_eq!(
         [
@@ -80,20 +80,20 @@
 #[case::modified_failed(modified(true), "attempt_error", true)]
 #[case::rejected(State::Rejected(None), "attempt_error", true)]
 fn what_a_server_settles_with_decides_whether_it_may_have_run(
-    #[case] with: State,
+    #[case] outcome: State,
     #[case] counter: &str,
     #[case] may_have_run: bool,
 ) {
-    let bench = bench(1);
-    // This class must not run twice: an attempt that may have run makes the answer failed.
-    let mut client = client(&bench, "station-notes");
+    let bench = start_bench(1);
+    // Requests of this class are not idempotent: an attempt that may have run makes the answer failed.
+    let mut client = connect_client(&bench, "station-notes");
     client.deliver(0, &message(800, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
-    server.settle(transfer.delivery_id.expect("an id"), with);
-    let state = answer(&mut client);
-    assert_eq!((has_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
+    server.settle(transfer.delivery_id.expect("an id"), outcome);
+    let state = receive_answer(&mut client);
+    assert_eq!((is_delivery_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
     assert_eq!(counter_value(&bench.stop(), counter), 1);
 }
 
@@ -105,22 +105,22 @@
     #[case] counter: &str,
     #[case] may_have_run: bool,
 ) {
-    let bench = bench(1);
-    let mut client = client(&bench, "station-notes");
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench, "station-notes");
     client.deliver(0, &message(400, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(u32::from(credit) * 10, 100);
-    let state = answer(&mut client);
-    assert_eq!((has_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
+    let state = receive_answer(&mut client);
+    assert_eq!((is_delivery_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
     assert!(counter_value(&bench.stop(), counter) >= 1);
 }
 
 #[rstest]
 #[case::by_detach(true)]
-#[case::by_losing_the_connection(false)]
+#[case::by_connection_loss(false)]
 fn an_attempt_whose_link_is_lost_after_the_last_transfer_may_have_run(#[case] detach: bool) {
-    let bench = bench(1);
-    let mut client = client(&bench, "station-notes");
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench, "station-notes");
     client.deliver(0, &message(60_000, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
@@ -130,18 +130,18 @@
     } else {
         drop(server);
     }
-    assert!(has_failed(&answer(&mut client)));
+    assert!(is_delivery_failed(&receive_answer(&mut client)));
     assert_eq!(counter_value(&bench.stop(), "attempt_reset"), 1);
 }
 
 #[rstest]
 fn a_drain_notice_in_mid_transfer_aborts_it_and_it_is_delivered_elsewhere() {
-    let mut bench = bench(2);
+    let mut bench = start_bench(2);
     let mut watch = bench.accept_watch();
-    let mut client = client(&bench, CLASS);
+    let mut client = connect_client(&bench, CLASS);
     client.deliver(0, &message(60_000, "7f3a", &[7; 3000]));
     let (first, stream) = accept_any(&bench.servers);
-    // Frames of 512 and room for one of them: the transfer stops in its middle.
+    // Frames of 512 octets and a window of one frame: the delivery stops after its first transfer.
     let mut server = AmqpPeer::server(stream, 1, 512);
     server.link(10, 1);
     assert_eq!(until!(server, Transfer).0.more, Some(true));
@@ -150,8 +150,8 @@
     other.link(10, 100);
     let (transfer, _) = until!(other, Transfer);
     other.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-    assert_eq!(answer(&mut client), State::Accepted);
-    // The abort keeps to the window too: it comes once there is room.
+    assert_eq!(receive_answer(&mut client), State::Accepted);
+    // The abort needs window too: it is sent once the server has opened its window.
     server.flow(10, 1, 100);
     assert_eq!(until!(server, Transfer).0.aborted, Some(true));
     let counters = bench.stop();
@@ -164,12 +164,14 @@
 #[rstest]
 #[case::no_sections(b"\x01\x02".to_vec())]
 #[case::no_body(message(5, "k", b"")[..12].to_vec())]
-#[case::cut_short({ let m = message(5, "k", b"body"); m[..m.len() - 2].to_vec() })]
+#[case::truncated_body({ let m = message(5, "k", b"body"); m[..m.len() - 2].to_vec() })]
 fn a_malformed_delivery_is_rejected_with_the_standard_condition(#[case] bytes: Vec<u8>) {
-    let bench = bench(1);
-    let mut client = client(&bench, CLASS);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench, CLASS);
     client.deliver(0, &bytes);
-    let State::Rejected(Some(error)) = answer(&mut client) else { panic!("rejected") };
+    let State::Rejected(Some(error)) = receive_answer(&mut client) else {
+        panic!("the delivery is not rejected")
+    };
     assert!([condition::DECODE_ERROR, condition::INVALID_FIELD].contains(&&*error.condition));
     let counters = bench.stop();
     assert_eq!([counter_value(&counters, "malformed"), counter_value(&counters, "requests")], [1, 0]);
@@ -177,26 +179,28 @@
 
 #[rstest]
 fn an_address_that_names_no_class_is_detached() {
-    let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
-    let detach = client.attach("nothing").expect_err("no class");
-    assert_eq!(detach.error.expect("why").condition, condition::NOT_FOUND);
+    let bench = start_bench(1);
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
+    let detach = client.attach("nothing").expect_err("the class is unknown");
+    assert_eq!(detach.error.expect("an error").condition, condition::NOT_FOUND);
 }
 
 #[rstest]
 fn a_frame_above_the_agreed_size_closes_the_connection() {
-    let bench = bench(1);
-    let mut client = client(&bench, CLASS);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench, CLASS);
     client.deliver(0, &[0; 70_000]);
     let (close, _) = until!(client, Close);
-    assert_eq!(close.error.expect("why").condition, condition::FRAMING_ERROR);
+    assert_eq!(close.error.expect("an error").condition, condition::FRAMING_ERROR);
     client.peer.expect_closed();
 }
 
+/// An aborted delivery is no request, a detach settles the running delivery at its server and counts its client as
+/// disconnected, and an expired delivery is rejected without an attempt.
 #[rstest]
 fn a_client_that_aborts_detaches_or_expires_is_owed_nothing_twice() {
-    let mut bench = bench(1);
-    let mut client = client(&bench, CLASS);
+    let mut bench = start_bench(1);
+    let mut client = connect_client(&bench, CLASS);
     let (handle, delivery_id) = (Some(0), Some(0));
     let delivery_tag = Tag::new(b"t");
     let transfer = Transfer { handle, delivery_id, delivery_tag, more: Some(true), ..Default::default() };
@@ -207,124 +211,127 @@
     server.link(10, 100);
     until!(server, Transfer);
     client.put(Detach { handle, closed: Some(true), error: None });
-    // The node settles on its side: nobody waits any more.
+    // The node settles the delivery itself, since no client waits for it any more.
     assert_eq!(until!(server, Disposition).0.settled, Some(true));
     until!(client, Detach);
     assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 1]);
-    // Nor does a delivery reach a server after its time.
-    assert!(client.attach(CLASS).expect("again") > 0);
+    // A delivery whose ttl has expired is rejected and never reaches a server.
+    assert!(client.attach(CLASS).expect("a second link") > 0);
     client.deliver(2, &message(0, "7f3a", b"late"));
-    assert!(is_rejection(&answer(&mut client)));
+    assert!(is_rejection(&receive_answer(&mut client)));
     assert_eq!(bench.counter("sent"), 1);
 }
 
+/// The node sends heartbeats within the idle time-out that the client announces.
 #[rstest]
 fn heartbeats_keep_the_clients_idle_time_out() {
-    let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), Some(400));
+    let bench = start_bench(1);
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), Some(400));
     assert!(matches!(client.frame(), NextFrame::Heartbeat), "an empty frame");
 }
 
 #[rstest]
 fn a_message_too_large_detaches_its_link_and_the_connection_goes_on() {
     let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0","max_message":100}"#));
-    let mut client = client(&bench, CLASS);
+    let mut client = connect_client(&bench, CLASS);
     client.deliver(0, &message(1200, "7f3a", &[0; 200]));
     client.deliver(1, &message(1200, "7f3a", b"sent before the detach came"));
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::MESSAGE_SIZE_EXCEEDED);
+    assert_eq!(detach.error.expect("an error").condition, condition::MESSAGE_SIZE_EXCEEDED);
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    assert!(client.attach(CLASS).expect("it may attach again") > 0);
+    assert!(client.attach(CLASS).expect("the link may be attached again") > 0);
 }
 
 #[rstest]
 fn slow_start_limits_the_burst_sent_to_a_server_that_is_warming_up() {
-    let mut bench = bench(2);
+    let mut bench = start_bench(2);
     let mut watch = bench.accept_watch();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
     let entry = instance(1, bench.servers[1].local_addr().expect("bound"), "ready")
         .replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, now.as_millis()));
     bench.send_endpoint(&mut watch, &entry);
-    // The watch ends after the list, so that its loss shows that the list was applied.
+    // The watch ends after the list, so the log line about its loss shows that the list was applied.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
     let scripts = [Script::default(), Script::default()];
     for (server, script) in bench.servers.iter().zip(&scripts) {
-        script.lock().expect("fresh").extend([Act::Serve; 12]);
+        script.lock().expect("a new script").extend([Outcome::Serve; 12]);
         let (server, script) = (server.try_clone().expect("a second handle"), script.clone());
         std::thread::spawn(move || amqp_server(Peer::accept(&server), &script));
     }
-    let mut client = client(&bench, CLASS);
+    let mut client = connect_client(&bench, CLASS);
     for id in 0..12 {
         client.deliver(id, &message(60_000, &format!("{id:x}"), b"reading"));
-        assert_eq!(answer(&mut client), State::Accepted);
+        assert_eq!(receive_answer(&mut client), State::Accepted);
     }
-    // The module lets one go there in the time in which a server that is warming up would be overloaded, some two seconds.
+    // The policy sends one request to a server that is warming up in the time in which it would be overloaded,
+    // about two seconds.
     let sent = 12 - scripts[1].lock().expect("no test thread failed").len();
     assert!(sent <= 3, "{sent} of 12");
 }
 
 #[rstest]
 fn on_sigterm_running_requests_are_answered_before_the_connection_closes() {
-    let mut bench = bench(1);
-    let mut client = client(&bench, CLASS);
-    client.deliver(0, &message(1200, "7f3a", b"in hand"));
+    let mut bench = start_bench(1);
+    let mut client = connect_client(&bench, CLASS);
+    client.deliver(0, &message(1200, "7f3a", b"running"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
-    // Its credit is taken back first.
+    // The node first withdraws the credit that it granted.
     while until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-    assert_eq!(answer(&mut client), State::Accepted);
-    let error = until!(client, Close).0.error.expect("why");
+    assert_eq!(receive_answer(&mut client), State::Accepted);
+    let error = until!(client, Close).0.error.expect("an error");
     assert_eq!(error.condition, condition::CONNECTION_FORCED);
     assert!(bench.process.wait().success());
 }
 
-/// What happens to attempts, one after another, at whichever server they reach.
+/// The outcome of one attempt at a stand-in server.
 #[derive(Clone, Copy, PartialEq)]
-enum Act {
+enum Outcome {
     Serve,
     Full,
     Fail,
 }
 
-type Script = Arc<Mutex<VecDeque<Act>>>;
+/// Outcomes of the next attempts, in order, at whichever servers they reach.
+type Script = Arc<Mutex<VecDeque<Outcome>>>;
 
-fn next(script: &Script) -> Act {
-    script.lock().expect("no test thread failed").pop_front().expect("no more routed tasks than planned")
+fn next_outcome(script: &Script) -> Outcome {
+    script.lock().expect("no test thread failed").pop_front().expect("no more attempts than planned")
 }
 
-fn text_server(mut task: Peer, script: &Script) {
-    task.read_line();
-    task.send(match next(script) {
-        Act::Serve => "UP r\r\nBYE\r\n",
-        Act::Full => "BUSY\r\n",
-        Act::Fail => "ERR\r\n",
+fn text_server(mut attempt: Peer, script: &Script) {
+    attempt.read_line();
+    attempt.send(match next_outcome(script) {
+        Outcome::Serve => "UP r\r\nBYE\r\n",
+        Outcome::Full => "BUSY\r\n",
+        Outcome::Fail => "ERR\r\n",
     });
 }
 
-fn amqp_server(task: Peer, script: &Script) {
-    let mut server = AmqpPeer::server(task, 100, 4096);
+fn amqp_server(connection: Peer, script: &Script) {
+    let mut server = AmqpPeer::server(connection, 100, 4096);
     server.link(100, 100);
     while let NextFrame::Body(body, _) = server.frame() {
         if let Performative::Transfer(transfer) = *body {
-            let state = match next(script) {
-                Act::Serve => State::Accepted,
-                Act::Full => State::Released,
-                Act::Fail => State::Rejected(None),
+            let state = match next_outcome(script) {
+                Outcome::Serve => State::Accepted,
+                Outcome::Full => State::Released,
+                Outcome::Fail => State::Rejected(None),
             };
             server.settle(transfer.delivery_id.expect("an id"), state);
         }
     }
 }
 
-/// They count at their own times, whichever frontend is at work.
+/// Counters that grow with time, independently of the requests of either frontend.
 const DISCOVERY_COUNTERS: [&str; 3] = ["discovery_polls", "discovery_failures", "stale_lists"];
 
-/// Serves all connections to these listeners by one script.
+/// Serves all connections to these listeners; their attempts share one script.
 fn serve_script(listeners: Vec<TcpListener>, script: &Script, serve_connection: fn(Peer, &Script)) {
     for listener in listeners {
         let script = script.clone();
@@ -338,54 +345,57 @@
 
 #[rstest]
 fn both_frontends_count_the_same_outcomes_alike() {
-    use Act::*;
-    let plan: [&[Act]; 5] =
+    use Outcome::*;
+    let plan: [&[Outcome]; 5] =
         [&[Serve], &[Full, Serve], &[Fail, Serve], &[Full, Full, Full], &[Fail, Full, Serve]];
     let script = Script::default();
-    // Each server speaks text at discovery's address and AMQP at the one that the frontend's file names.
+    // Each server speaks the text protocol at the address that discovery lists, and AMQP at the address in the
+    // frontend's settings.
     let (servers, amqp): (Vec<_>, Vec<_>) = (0..4).map(|_| (listener(), listener())).unzip();
-    let place = |(at, l): (usize, &TcpListener)| format!(r#""s-{at}":"{}""#, l.local_addr().expect("bound"));
-    let places: Vec<String> = amqp.iter().enumerate().map(place).collect();
-    let file = format!(r#"{{"listen":"127.0.0.1:0","servers":{{{}}}}}"#, places.join(","));
+    let address =
+        |(index, l): (usize, &TcpListener)| format!(r#""s-{index}":"{}""#, l.local_addr().expect("bound"));
+    let addresses: Vec<String> = amqp.iter().enumerate().map(address).collect();
+    let settings = format!(r#"{{"listen":"127.0.0.1:0","servers":{{{}}}}}"#, addresses.join(","));
     let copies: Vec<TcpListener> = servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     serve_script(copies, &script, text_server);
     serve_script(amqp, &script, amqp_server);
-    let mut bench = Bench::with(PROGRAM, servers, Some(&file));
-    let mut client = client(&bench, CLASS);
+    let mut bench = Bench::with(PROGRAM, servers, Some(&settings));
+    let mut client = connect_client(&bench, CLASS);
     let mut counted = Vec::new();
     for text in [true, false] {
         let before = bench.counters();
-        for (id, acts) in plan.iter().enumerate() {
-            script.lock().expect("no test thread failed").extend(*acts);
-            let served = acts.contains(&Serve);
+        for (id, outcomes) in plan.iter().enumerate() {
+            script.lock().expect("no test thread failed").extend(*outcomes);
+            let served = outcomes.contains(&Serve);
             if text {
                 let mut client = bench.connect_client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=60000,g=5c0f");
                 assert_eq!(client.read_line() == "UP r", served);
                 while !client.read_line().is_empty() {}
             } else {
                 client.deliver(id as u32, &message(60_000, "7f3a", b"reading"));
-                assert_eq!(answer(&mut client) == State::Accepted, served);
+                assert_eq!(receive_answer(&mut client) == State::Accepted, served);
             }
         }
         let after = bench.counters();
-        let grown = |(name, count): (&String, &u64)| (name.clone(), count - before[name]);
-        let of_a_frontend = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
-        counted.push(after.iter().map(grown).filter(of_a_frontend).collect::<Vec<_>>());
+        let growth = |(name, count): (&String, &u64)| (name.clone(), count - before[name]);
+        let of_requests = |(name, _): &(String, u64)| !DISCOVERY_COUNTERS.contains(&name.as_str());
+        counted.push(after.iter().map(growth).filter(of_requests).collect::<Vec<_>>());
     }
     assert_eq!(counted[0], counted[1]);
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` uses a descriptor as a silent client of the text frontend does.
+/// A connection without an `open` holds a descriptor, as a silent client of the text frontend does, and is
+/// closed as idle in the same way.
 #[rstest]
 #[case::nothing("")]
 #[case::half_a_header("AMQP")]
-#[case::only_a_header("AMQP\u{0}\u{1}\u{0}\u{0}")]
-fn a_connection_without_an_open_is_closed(#[case] said: &str) {
-    let bench = bench(1);
-    let mut client = Peer::connect(bench.amqp.expect("the frontend is on"));
-    client.send(said);
-    if said.len() == 8 {
+#[case::header_only("AMQP\u{0}\u{1}\u{0}\u{0}")]
+fn a_connection_without_an_open_is_closed(#[case] input: &str) {
+    let bench = start_bench(1);
+    let mut client = Peer::connect(bench.amqp.expect("AMQP is on"));
+    client.send(input);
+    if input.len() == 8 {
         client.read_exact(&mut [0; 8]);
     }
     client.expect_closed();
