--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -17,33 +17,34 @@
 
 const CLASS: &str = "live-readings";
 
-/// A users' file made by the sub-command, with one user and its classes.
-fn users(name: &str, password: &str, classes: &[&str]) -> std::path::PathBuf {
+/// Writes a users file with one user and its classes by the `amqp-user` sub-command.
+fn create_users_file(name: &str, password: &str, classes: &[&str]) -> std::path::PathBuf {
     let path = temp_file("users.json", r#"{"users":{}}"#);
     let mut args = vec!["amqp-user", path.to_str().expect("a path"), name, "--subscriber", "porto-catania"];
     for class in classes {
         args.extend(["--class", class]);
     }
-    let mut child = node_command(PROGRAM, &args, &path).stdin(Stdio::piped()).spawn().expect("it starts");
-    let mut stdin = child.stdin.take().expect("its input");
+    let mut child =
+        node_command(PROGRAM, &args, &path).stdin(Stdio::piped()).spawn().expect("the program starts");
+    let mut stdin = child.stdin.take().expect("standard input");
     stdin.write_all(format!("{password}\n").as_bytes()).expect("written");
     drop(stdin);
-    assert!(child.wait().expect("it ends").success());
+    assert!(child.wait().expect("the program ends").success());
     let text = std::fs::read_to_string(&path).expect("the file");
-    assert!(!text.contains(password), "no password is kept");
+    assert!(!text.contains(password), "the file does not contain the password");
     path
 }
 
-fn bench(users: &std::path::Path) -> Bench {
-    let on = format!(
+fn start_bench(users: &std::path::Path) -> Bench {
+    let settings = format!(
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users.to_str().expect("a path")
     );
-    Bench::with(PROGRAM, vec![listener()], Some(&on))
+    Bench::with(PROGRAM, vec![listener()], Some(&settings))
 }
 
-/// Comes in by SCRAM-SHA-256 with the library's own client; whether it is let in.
-fn scram(addr: SocketAddr, user: &str, password: &str) -> bool {
+/// Authenticates by SCRAM-SHA-256 with the client of the AMQP crate; returns whether the node accepts it.
+fn authenticates_by_scram(addr: SocketAddr, user: &str, password: &str) -> bool {
     let mut stream = TcpStream::connect(addr).expect("the node listens");
     stream.set_read_timeout(Some(Duration::from_secs(20))).expect("a time-out");
     let (user, password) = (user.to_string(), password.to_string());
@@ -58,84 +59,85 @@
             return false;
         }
         input.extend(&chunk[..count]);
-        let mut left = &input[..];
+        let mut unread = &input[..];
         loop {
-            match conn.next_event(MonotonicTime::ZERO, &mut left) {
+            match conn.next_event(MonotonicTime::ZERO, &mut unread) {
                 Ok(Some(Event::Opened {})) => return true,
                 Ok(Some(Event::SaslRequest(SaslRequest::Anonymous))) => {
-                    unreachable!("the server asks nothing")
+                    unreachable!("a server sends no SASL request")
                 }
                 Ok(Some(_)) => {}
                 Ok(None) => break,
-                Err(why) => {
-                    assert_eq!(why.condition, condition::UNAUTHORIZED_ACCESS);
+                Err(error) => {
+                    assert_eq!(error.condition, condition::UNAUTHORIZED_ACCESS);
                     return false;
                 }
             }
         }
-        let taken = input.len() - left.len();
-        input.drain(..taken);
+        let consumed = input.len() - unread.len();
+        input.drain(..consumed);
     }
 }
 
 #[rstest]
 fn plain_and_scram_let_in_who_knows_the_password() {
-    let mut bench = bench(&users("anna", "wind and rain", &[]));
-    let addr = bench.amqp.expect("on");
-    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind and rain").expect("known");
+    let mut bench = start_bench(&create_users_file("anna", "wind and rain", &[]));
+    let addr = bench.amqp.expect("AMQP is on");
+    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind and rain").expect("authenticated");
     client.open("c", None, 4096);
     until!(client, Open);
-    assert!(scram(addr, "anna", "wind and rain"));
-    assert!(!scram(addr, "anna", "wind"));
-    assert!(!scram(addr, "nobody", "wind and rain"));
+    assert!(authenticates_by_scram(addr, "anna", "wind and rain"));
+    assert!(!authenticates_by_scram(addr, "anna", "wind"));
+    assert!(!authenticates_by_scram(addr, "nobody", "wind and rain"));
     assert_eq!(counter_value(&bench.frontend_counters("amqp"), "logins_refused"), 2);
 }
 
 #[rstest]
-#[case::a_wrong_password("PLAIN", b"\0anna\0wrong", true)]
-#[case::an_unknown_user("PLAIN", b"\0nobody\0wind", true)]
+#[case::wrong_password("PLAIN", b"\0anna\0wrong", true)]
+#[case::unknown_user("PLAIN", b"\0nobody\0wind", true)]
 #[case::no_user("PLAIN", b"\0\0", true)]
-#[case::no_plain_response("PLAIN", b"anna", false)]
-#[case::nobody_in_particular("ANONYMOUS", b"", false)]
-#[case::a_mechanism_that_is_not_offered("CRAM-MD5", b"", false)]
+#[case::malformed_plain_response("PLAIN", b"anna", false)]
+#[case::anonymous("ANONYMOUS", b"", false)]
+#[case::mechanism_not_offered("CRAM-MD5", b"", false)]
 fn who_is_not_known_is_refused_and_a_guess_costs_time(
     #[case] mechanism: &str,
     #[case] response: &[u8],
-    #[case] slow: bool,
+    #[case] is_delayed: bool,
 ) {
-    let bench = bench(&users("anna", "wind", &[]));
+    let bench = start_bench(&create_users_file("anna", "wind", &[]));
     let started = Instant::now();
-    let code = AmqpPeer::known(bench.amqp.expect("on"), mechanism, response).err();
+    let code = AmqpPeer::known(bench.amqp.expect("AMQP is on"), mechanism, response).err();
     assert_eq!(code, Some(1));
-    assert_eq!(started.elapsed() >= Duration::from_secs(1), slow);
+    assert_eq!(started.elapsed() >= Duration::from_secs(1), is_delayed);
 }
 
 #[rstest]
 fn without_sasl_nobody_gets_in_where_there_are_users() {
-    let bench = bench(&users("anna", "wind", &[]));
-    let mut peer = Peer::connect(bench.amqp.expect("on"));
+    let bench = start_bench(&create_users_file("anna", "wind", &[]));
+    let mut peer = Peer::connect(bench.amqp.expect("AMQP is on"));
     peer.send("AMQP\u{0}\u{1}\u{0}\u{0}");
     let mut header = [0; 8];
     peer.read_exact(&mut header);
-    assert_eq!(&header, b"AMQP\x03\x01\x00\x00", "it is told what to speak");
+    assert_eq!(&header, b"AMQP\x03\x01\x00\x00", "the node answers with the header that it expects");
     peer.expect_closed();
 }
 
 #[rstest]
 fn a_user_attaches_to_its_classes_only() {
-    let bench = bench(&users("anna", "wind", &[CLASS]));
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "PLAIN", b"\0anna\0wind").expect("known");
+    let bench = start_bench(&create_users_file("anna", "wind", &[CLASS]));
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "PLAIN", b"\0anna\0wind").expect("authenticated");
     client.open("c", None, 4096);
     until!(client, Open);
     client.begin(None, 100);
     until!(client, Begin);
-    let detach = client.attach("station-notes").expect_err("not its class");
-    assert_eq!(detach.error.expect("why").condition, condition::UNAUTHORIZED_ACCESS);
+    let detach = client.attach("station-notes").expect_err("not a class of this user");
+    assert_eq!(detach.error.expect("an error").condition, condition::UNAUTHORIZED_ACCESS);
     client.put(sparbank_amqp::Detach { handle: Some(0), closed: Some(true), error: None });
     let source = sparbank_amqp::Source { address: Some("station-notes".into()), ..Default::default() };
-    let detach = client.receive(4, source).expect_err("nor to receive");
-    assert_eq!(detach.error.expect("why").condition, condition::UNAUTHORIZED_ACCESS);
-    assert!(client.attach(CLASS).expect("its class") > 0);
+    let detach = client.receive(4, source).expect_err("nor for receiving");
+    assert_eq!(detach.error.expect("an error").condition, condition::UNAUTHORIZED_ACCESS);
+    assert!(client.attach(CLASS).expect("a class of this user") > 0);
 }
 
 /// Starts a server that accepts all deliveries of one connection.
@@ -151,24 +153,24 @@
     });
 }
 
-/// A hundred guesses at once are felt by nobody who is in.
+/// A hundred simultaneous password guesses do not delay the deliveries of an authenticated client.
 #[rstest]
 fn password_guessing_does_not_delay_authenticated_clients() {
-    let on = format!(
+    let settings = format!(
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
-        users("anna", "wind", &[]).to_str().expect("a path")
+        create_users_file("anna", "wind", &[]).to_str().expect("a path")
     );
-    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(&on), &[], |text| {
+    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(&settings), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
-    let addr = bench.amqp.expect("on");
-    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind").expect("known");
+    let addr = bench.amqp.expect("AMQP is on");
+    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind").expect("authenticated");
     client.open("c", None, 4096);
     until!(client, Open);
     client.begin(None, 1000);
     until!(client, Begin);
-    assert!(client.attach(CLASS).expect("known") > 0);
-    let mut guessers: Vec<Peer> = (0..100).map(|_| Peer::connect(addr)).collect();
+    assert!(client.attach(CLASS).expect("the class is known") > 0);
+    let mut guessing_peers: Vec<Peer> = (0..100).map(|_| Peer::connect(addr)).collect();
     let init = sparbank_amqp::SaslInit {
         mechanism: Some(sparbank_amqp::Symbol("PLAIN".into())),
         initial_response: Some(b"\0anna\0guess".to_vec()),
@@ -176,32 +178,36 @@
     };
     let mut bytes = b"AMQP\x03\x01\x00\x00".to_vec();
     sparbank_amqp::write_frame(&mut bytes, sparbank_amqp::SASL, 0, Some(&init.into()), &[]);
-    for guesser in &mut guessers {
-        guesser.stream.write_all(&bytes).expect("written");
+    for peer in &mut guessing_peers {
+        peer.stream.write_all(&bytes).expect("written");
     }
     accept_all_deliveries(bench.servers[0].try_clone().expect("a second handle"));
     for id in 0..20 {
         client.deliver(id, &message(1000, "7f3a", b"reading"));
-        assert_eq!(until!(client, Disposition).0.state, Some(State::Accepted), "within its second");
+        assert_eq!(
+            until!(client, Disposition).0.state,
+            Some(State::Accepted),
+            "within the ttl of one second"
+        );
     }
 }
 
 #[rstest]
-#[case::no_such_file("nowhere.json", "nowhere.json")]
-#[case::not_a_key("", "users.anna.stored_key")]
-fn an_invalid_users_file_is_named_in_the_error(#[case] path: &str, #[case] names: &str) {
+#[case::missing_file("nowhere.json", "nowhere.json")]
+#[case::invalid_key("", "users.anna.stored_key")]
+fn an_invalid_users_file_is_named_in_the_error(#[case] path: &str, #[case] named: &str) {
     let path = if path.is_empty() {
-        let wrong =
+        let invalid =
             r#"{"users":{"anna":{"salt":"AA==","rounds":4096,"stored_key":"!","server_key":"AA=="}}}"#;
-        temp_file("users.json", wrong).to_str().expect("a path").to_string()
+        temp_file("users.json", invalid).to_str().expect("a path").to_string()
     } else {
         path.to_string()
     };
     let amqp = temp_file("amqp.json", &format!(r#"{{"users":{path:?}}}"#));
     let node = temp_file("node.json", &config(listener().local_addr().expect("bound"), "", 256));
     let args = ["check-config", "--amqp", amqp.to_str().expect("a path")];
-    let output = node_command(PROGRAM, &args, &node).output().expect("it runs");
+    let output = node_command(PROGRAM, &args, &node).output().expect("the program runs");
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8(output.stderr).expect("text");
-    assert!(text.contains(names) && text.lines().count() == 1, "{text}");
+    assert!(text.contains(named) && text.lines().count() == 1, "{text}");
 }
