--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -1,5 +1,5 @@
-//! Sentences of the standard (OASIS AMQP 1.0) that bind this node, each driven through real sockets.
-//! `docs/AMQP-CONFORMANCE.md` lists them all with their sections; here are those that no other test shows.
+//! Requirements of the standard (OASIS AMQP 1.0) on this node, each tested over real sockets.
+//! `docs/AMQP-CONFORMANCE.md` lists all of them with their sections; this file has those that no other test covers.
 
 use rstest::rstest;
 use sparbank_amqp::{
@@ -11,18 +11,19 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(on: &str) -> Bench {
-    Bench::with(PROGRAM, vec![listener()], Some(on))
+fn start_bench(settings: &str) -> Bench {
+    Bench::with(PROGRAM, vec![listener()], Some(settings))
 }
 
-fn client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("the frontend is on"), None)
+fn connect_client(bench: &Bench) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
 }
 
-fn attach(name: &str, handle: u32) -> Attach {
+/// The attach of a sending link.
+fn sender_attach(name: &str, handle: u32) -> Attach {
     let target = Target { address: Some(CLASS.into()), ..Default::default() };
     Attach {
         name: Some(name.into()),
@@ -43,9 +44,9 @@
     }
 }
 
-/// What the node closes the connection with.
-fn closed(client: &mut AmqpPeer) -> String {
-    let error = until!(client, Close).0.error.expect("why");
+/// Waits for the node to close the connection; returns the condition of its close.
+fn expect_close(client: &mut AmqpPeer) -> String {
+    let error = until!(client, Close).0.error.expect("an error");
     client.peer.expect_closed();
     error.condition
 }
@@ -56,7 +57,7 @@
     out
 }
 
-/// A transfer whose tag is one octet longer than tags may be (2.8.7).
+/// A transfer whose delivery tag is one octet longer than the limit of 32 (2.8.7).
 fn tag_of_33_octets() -> Vec<u8> {
     let mut out = Vec::new();
     let fields = vec![Value::Uint(0), Value::Uint(0), Value::Binary(vec![7; 33])];
@@ -66,12 +67,12 @@
 }
 
 #[rstest]
-#[case::another_version(b"AMQP\x00\x02\x00\x00")]
+#[case::unsupported_version(b"AMQP\x00\x02\x00\x00")]
 #[case::tls(b"AMQP\x02\x01\x00\x00")]
-#[case::another_protocol(b"HTTP/1.1")]
+#[case::other_protocol(b"HTTP/1.1")]
 fn a_header_that_is_not_spoken_is_answered_with_one_that_is(#[case] header: &[u8]) {
-    let bench = bench(ON);
-    let mut peer = Peer::connect(bench.amqp.expect("on"));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut peer = Peer::connect(bench.amqp.expect("AMQP is on"));
     std::io::Write::write_all(&mut peer.stream, header).expect("written");
     let mut answer = [0; 8];
     peer.read_exact(&mut answer);
@@ -81,8 +82,9 @@
 
 #[rstest]
 fn an_extended_frame_header_is_skipped() {
-    let bench = bench(ON);
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "ANONYMOUS", b"").expect("in");
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
     let mut open = frame(0, Open { container_id: Some("c".into()), ..Default::default() });
     open.splice(8..8, [0xde, 0xad, 0xbe, 0xef]);
     open[4] = 3;
@@ -91,13 +93,15 @@
     until!(client, Open);
 }
 
+/// A client may pipeline open, begin and attach without waiting for the answers.
 #[rstest]
 fn all_that_a_client_may_say_ahead_is_taken_in_one_go() {
-    let bench = bench(ON);
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "ANONYMOUS", b"").expect("in");
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
     let mut bytes = frame(0, Open { container_id: Some("c".into()), ..Default::default() });
     bytes.extend(frame(0, begin()));
-    bytes.extend(frame(0, attach("l", 0)));
+    bytes.extend(frame(0, sender_attach("l", 0)));
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
     until!(client, Open);
     until!(client, Begin);
@@ -107,8 +111,9 @@
 
 #[rstest]
 fn performatives_by_their_symbolic_descriptors_are_read() {
-    let bench = bench(ON);
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "ANONYMOUS", b"").expect("in");
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
     let mut body = Vec::new();
     let fields = Value::List(vec![Value::text("c")]);
     encode(&Value::Described(Box::new(Value::symbol(Open::NAME)), Box::new(fields)), &mut body);
@@ -120,37 +125,38 @@
 }
 
 #[rstest]
-#[case::no_container(Open::default(), condition::INVALID_FIELD)]
-#[case::frames_below_512(
+#[case::no_container_id(Open::default(), condition::INVALID_FIELD)]
+#[case::max_frame_size_below_512(
     Open { container_id: Some("c".into()), max_frame_size: Some(511), ..Default::default() },
     condition::INVALID_FIELD
 )]
 fn an_open_that_lacks_what_it_must_say_is_refused(#[case] open: Open, #[case] expected: &str) {
-    let bench = bench(ON);
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "ANONYMOUS", b"").expect("in");
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
     client.put(open);
-    assert_eq!(closed(&mut client), expected);
+    assert_eq!(expect_close(&mut client), expected);
 }
 
 #[rstest]
-#[case::a_second_open(frame(0, Open { container_id: Some("c".into()), ..Default::default() }), condition::ILLEGAL_STATE)]
-#[case::a_channel_that_never_began(frame(5, Flow::default()), condition::ILLEGAL_STATE)]
-#[case::a_channel_twice(frame(0, begin()), condition::FRAMING_ERROR)]
-#[case::a_sasl_body(frame(0, sparbank_amqp::SaslOutcome::default()), condition::NOT_ALLOWED)]
-#[case::a_tag_of_33_octets(tag_of_33_octets(), condition::INVALID_FIELD)]
-#[case::an_unknown_performative(b"\x00\x00\x00\x0c\x02\x00\x00\x00\x00\x53\x77\x45".to_vec(), condition::DECODE_ERROR)]
-#[case::a_frame_cut_short_inside(b"\x00\x00\x00\x0d\x02\x00\x00\x00\x00\x53\x13\xc0\x20".to_vec(), condition::DECODE_ERROR)]
+#[case::second_open(frame(0, Open { container_id: Some("c".into()), ..Default::default() }), condition::ILLEGAL_STATE)]
+#[case::channel_without_a_session(frame(5, Flow::default()), condition::ILLEGAL_STATE)]
+#[case::channel_in_use(frame(0, begin()), condition::FRAMING_ERROR)]
+#[case::sasl_body(frame(0, sparbank_amqp::SaslOutcome::default()), condition::NOT_ALLOWED)]
+#[case::tag_of_33_octets(tag_of_33_octets(), condition::INVALID_FIELD)]
+#[case::unknown_performative(b"\x00\x00\x00\x0c\x02\x00\x00\x00\x00\x53\x77\x45".to_vec(), condition::DECODE_ERROR)]
+#[case::truncated_performative(b"\x00\x00\x00\x0d\x02\x00\x00\x00\x00\x53\x13\xc0\x20".to_vec(), condition::DECODE_ERROR)]
 fn what_breaks_the_connection_closes_it_with_its_condition(#[case] bytes: Vec<u8>, #[case] expected: &str) {
-    let bench = bench(ON);
-    let mut client = client(&bench);
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
-    assert_eq!(closed(&mut client), expected);
+    assert_eq!(expect_close(&mut client), expected);
 }
 
 #[rstest]
 fn close_is_answered_with_close_and_nothing_follows() {
-    let bench = bench(ON);
-    let mut client = client(&bench);
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
     client.put(Close::default());
     assert_eq!(until!(client, Close).0.error, None);
     client.peer.expect_closed();
@@ -158,110 +164,118 @@
 
 #[rstest]
 fn end_is_answered_with_end_and_its_channel_may_begin_again() {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
     client.put(End::default());
     assert_eq!(until!(client, End).0.error, None);
     client.put(begin());
     until!(client, Begin);
-    assert!(client.attach(CLASS).expect("the handle is free again") > 0);
+    assert!(client.attach(CLASS).expect("the handle may be used again") > 0);
 }
 
 #[rstest]
-#[case::no_such_link(frame(0, Detach { handle: Some(9), ..Default::default() }), condition::UNATTACHED_HANDLE)]
-#[case::a_handle_twice(frame(0, attach("other", 0)), condition::HANDLE_IN_USE)]
-#[case::a_handle_above_the_highest(frame(0, attach("other", 4096)), condition::HANDLE_IN_USE)]
-#[case::a_transfer_on_nothing(
+#[case::unattached_handle_in_detach(frame(0, Detach { handle: Some(9), ..Default::default() }), condition::UNATTACHED_HANDLE)]
+#[case::handle_in_use(frame(0, sender_attach("other", 0)), condition::HANDLE_IN_USE)]
+#[case::handle_above_the_maximum(frame(0, sender_attach("other", 4096)), condition::HANDLE_IN_USE)]
+#[case::unattached_handle_in_transfer(
     frame(0, Transfer { handle: Some(9), ..Default::default() }),
     condition::UNATTACHED_HANDLE
 )]
 fn what_breaks_a_session_ends_it_and_the_connection_goes_on(#[case] bytes: Vec<u8>, #[case] expected: &str) {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
-    assert_eq!(until!(client, End).0.error.expect("why").condition, expected);
+    assert_eq!(until!(client, End).0.error.expect("an error").condition, expected);
     client.put(End::default());
     client.put(begin());
     until!(client, Begin);
     assert!(client.attach(CLASS).expect("the connection goes on") > 0);
 }
 
+/// The configured limits are announced in the node's open, begin and attach.
 #[rstest]
 fn the_bounds_are_announced_before_they_bind() {
-    let bench = bench(
+    let bench = start_bench(
         r#"{"listen":"127.0.0.1:0","max_frame":4096,"channel_max":2,"handle_max":5,"window":9,"max_message":1000}"#,
     );
-    let mut client = AmqpPeer::known(bench.amqp.expect("on"), "ANONYMOUS", b"").expect("in");
+    let mut client =
+        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
     client.open("c", None, 4096);
     let (open, _) = until!(client, Open);
     assert_eq!((open.max_frame_size, open.channel_max), (Some(4096), Some(2)));
     assert!(open.idle_time_out.is_some());
     client.put(begin());
-    let (begun, _) = until!(client, Begin);
-    assert_eq!((begun.remote_channel, begun.handle_max, begun.incoming_window), (Some(0), Some(5), Some(9)));
-    client.put(attach("l", 0));
-    let (attached, _) = until!(client, Attach);
-    assert_eq!((attached.role, attached.max_message_size), (Some(true), Some(1000)));
+    let (node_begin, _) = until!(client, Begin);
+    assert_eq!(
+        (node_begin.remote_channel, node_begin.handle_max, node_begin.incoming_window),
+        (Some(0), Some(5), Some(9))
+    );
+    client.put(sender_attach("l", 0));
+    let (node_attach, _) = until!(client, Attach);
+    assert_eq!((node_attach.role, node_attach.max_message_size), (Some(true), Some(1000)));
 }
 
 #[rstest]
 fn a_link_attached_again_under_its_name_is_stolen_from_its_older_self() {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
-    client.put(attach("l", 1));
+    client.put(sender_attach("l", 1));
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::STOLEN);
+    assert_eq!(detach.error.expect("an error").condition, condition::STOLEN);
     until!(client, Attach);
     assert!(until!(client, Flow).0.link_credit > Some(0));
 }
 
+/// A detach is answered by a detach with the same `closed` flag.
 #[rstest]
-#[case::for_good(Some(true))]
-#[case::for_now(None)]
-fn a_detach_is_answered_alike(#[case] how: Option<bool>) {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+#[case::closing(Some(true))]
+#[case::not_closing(None)]
+fn a_detach_is_answered_alike(#[case] closed: Option<bool>) {
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
-    client.put(Detach { handle: Some(0), closed: how, error: None });
+    client.put(Detach { handle: Some(0), closed, error: None });
     let (answer, _) = until!(client, Detach);
-    assert_eq!((answer.closed, answer.error), (how, None));
+    assert_eq!((answer.closed, answer.error), (closed, None));
 }
 
 #[rstest]
 fn a_delivery_beyond_the_credit_detaches_its_link() {
-    let bench = bench(r#"{"listen":"127.0.0.1:0","unsettled":3}"#);
-    let mut client = client(&bench);
-    assert_eq!(client.attach(CLASS).expect("known"), 3);
+    let bench = start_bench(r#"{"listen":"127.0.0.1:0","unsettled":3}"#);
+    let mut client = connect_client(&bench);
+    assert_eq!(client.attach(CLASS).expect("the class is known"), 3);
     for id in 0..4 {
         client.deliver(id, &message(60_000, "7f3a", b"reading"));
     }
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::TRANSFER_LIMIT_EXCEEDED);
+    assert_eq!(detach.error.expect("an error").condition, condition::TRANSFER_LIMIT_EXCEEDED);
 }
 
+/// A disposition of unknown deliveries is ignored, even one whose range wraps around all delivery ids.
 #[rstest]
 fn a_disposition_of_what_is_not_there_changes_nothing_however_wide() {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
     let (first, last, settled) = (Some(7), Some(6), Some(true));
     for role in [Some(true), Some(false)] {
         let state = Some(State::Accepted);
         client.put(Disposition { role, first, last, settled, state, ..Default::default() });
     }
-    client.put(Flow { echo: Some(true), ..complete_flow() });
+    client.put(Flow { echo: Some(true), ..session_flow() });
     until!(client, Flow);
 }
 
-fn complete_flow() -> Flow {
+/// A session flow with all of its mandatory fields.
+fn session_flow() -> Flow {
     Flow {
         next_incoming_id: Some(0),
         incoming_window: Some(100),
@@ -273,9 +287,9 @@
 
 #[rstest]
 fn a_sender_that_settles_what_it_sent_wants_no_answer_any_more() {
-    let mut bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let mut bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
     client.deliver(0, &message(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
@@ -283,51 +297,51 @@
     until!(server, Transfer);
     let (role, first, settled) = (Some(false), Some(0), Some(true));
     client.put(Disposition { role, first, settled, ..Default::default() });
-    assert_eq!(until!(server, Disposition).0.settled, Some(true), "the server learns that no request waits");
+    assert_eq!(until!(server, Disposition).0.settled, Some(true), "the node settles it at the server");
     assert_eq!(bench.counter("client_disconnected"), 1);
 }
 
 #[rstest]
-#[case::the_header_after_the_body({
+#[case::header_after_body({
     let mut bytes = Vec::new();
     encode(&Value::described(0x75, Value::Binary(vec![1])), &mut bytes);
     encode(&Value::composite(0x70, Vec::new()), &mut bytes);
     bytes
 })]
-#[case::two_amqp_value_bodies({
+#[case::two_amqp_value_sections({
     let mut bytes = Vec::new();
     encode(&Value::described(0x77, Value::Null), &mut bytes);
     encode(&Value::described(0x77, Value::Null), &mut bytes);
     bytes
 })]
-#[case::a_key_that_is_no_text({
+#[case::application_property_key_not_a_string({
     let mut bytes = Vec::new();
     encode(&Value::described(0x74, Value::Map(vec![(Value::Uint(1), Value::Null)])), &mut bytes);
     encode(&Value::described(0x77, Value::Null), &mut bytes);
     bytes
 })]
-#[case::a_section_that_does_not_exist({
+#[case::unknown_section({
     let mut bytes = Vec::new();
     encode(&Value::described(0x79, Value::Null), &mut bytes);
     bytes
 })]
 fn a_message_out_of_its_form_is_rejected_and_the_link_goes_on(#[case] bytes: Vec<u8>) {
-    let bench = bench(ON);
-    let mut client = client(&bench);
-    client.put(attach("l", 0));
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = connect_client(&bench);
+    client.put(sender_attach("l", 0));
     until!(client, Flow);
     client.deliver(0, &bytes);
-    let (d, _) = until!(client, Disposition);
-    assert!(matches!(d.state, Some(State::Rejected(Some(_)))));
+    let (disposition, _) = until!(client, Disposition);
+    assert!(matches!(disposition.state, Some(State::Rejected(Some(_)))));
     client.deliver(1, &bytes);
     assert_eq!(until!(client, Disposition).0.first, Some(1));
 }
 
 #[rstest]
 fn sasl_frames_are_read_on_any_channel_and_are_no_larger_than_512_octets() {
-    let bench = bench(ON);
-    let addr = bench.amqp.expect("on");
-    for (size, taken) in [(10, true), (600, false)] {
+    let bench = start_bench(AMQP_SETTINGS);
+    let addr = bench.amqp.expect("AMQP is on");
+    for (size, is_accepted) in [(10, true), (600, false)] {
         let mut peer = Peer::connect(addr);
         let init = sparbank_amqp::SaslInit {
             mechanism: Some(sparbank_amqp::Symbol("ANONYMOUS".into())),
@@ -337,7 +351,7 @@
         let mut bytes = b"AMQP\x03\x01\x00\x00".to_vec();
         sparbank_amqp::write_frame(&mut bytes, sparbank_amqp::SASL, 77, Some(&init.into()), &[]);
         std::io::Write::write_all(&mut peer.stream, &bytes).expect("written");
-        if !taken {
+        if !is_accepted {
             peer.drain_until_closed(std::time::Duration::from_secs(3));
             continue;
         }
@@ -351,7 +365,7 @@
             let mut bytes = size.to_vec();
             bytes.resize(u32::from_be_bytes(size) as usize, 0);
             peer.read_exact(&mut bytes[4..]);
-            last = sparbank_amqp::read_frame(&mut &bytes[..], 512).expect("sound").and_then(|f| f.body);
+            last = sparbank_amqp::read_frame(&mut &bytes[..], 512).expect("valid").and_then(|f| f.body);
         }
         assert!(matches!(last, Some(Performative::SaslOutcome(outcome)) if outcome.code == Some(0)));
     }
@@ -359,18 +373,19 @@
 
 #[rstest]
 fn a_peer_that_is_silent_beyond_the_idle_time_is_closed_with_a_reason() {
-    let bench = bench(r#"{"listen":"127.0.0.1:0","idle_ms":400}"#);
-    let mut client = client(&bench);
-    assert_eq!(closed(&mut client), condition::RESOURCE_LIMIT_EXCEEDED);
+    let bench = start_bench(r#"{"listen":"127.0.0.1:0","idle_ms":400}"#);
+    let mut client = connect_client(&bench);
+    assert_eq!(expect_close(&mut client), condition::RESOURCE_LIMIT_EXCEEDED);
 }
 
+/// Transfer ids and delivery counts wrap around at 2^32.
 #[rstest]
 fn numbers_near_their_wrap_are_taken() {
-    let bench = bench(ON);
-    let mut client = AmqpPeer::opened(bench.amqp.expect("on"), "c", None);
+    let bench = start_bench(AMQP_SETTINGS);
+    let mut client = AmqpPeer::opened(bench.amqp.expect("AMQP is on"), "c", None);
     client.put(Begin { next_outgoing_id: Some(u32::MAX - 1), ..begin() });
     until!(client, Begin);
-    client.put(Attach { initial_delivery_count: Some(u32::MAX - 1), ..attach("l", 0) });
+    client.put(Attach { initial_delivery_count: Some(u32::MAX - 1), ..sender_attach("l", 0) });
     let (flow, _) = until!(client, Flow);
     assert_eq!(flow.delivery_count, Some(u32::MAX - 1));
     let mut server = None;
--- a/tests/amqp_conformance_page.rs
+++ b/tests/amqp_conformance_page.rs
@@ -1,8 +1,7 @@
-//! The page of the AMQP conformance suite (`docs/AMQP-CONFORMANCE.md`) against the tests.
+//! Checks that the tests listed on the AMQP conformance page (`docs/AMQP-CONFORMANCE.md`) exist.
 
 use rstest::rstest;
 
-/// Every test that the page of the conformance suite names is there.
 #[rstest]
 fn every_test_that_the_page_names_exists() {
     let root = env!("CARGO_MANIFEST_DIR");
@@ -20,9 +19,9 @@
     for line in page.lines().filter(|line| line.starts_with("| ") && !line.starts_with("| §")) {
         let last = line.trim_end_matches(" |").rsplit("| ").next().expect("a column");
         for name in last.split(", ").filter_map(|name| name.strip_prefix('`')?.strip_suffix('`')) {
-            assert!(sources.contains(&format!("fn {name}(")), "{name} is no test");
+            assert!(sources.contains(&format!("fn {name}(")), "{name}: no such test function");
             rows += 1;
         }
     }
-    assert!(rows > 40, "{rows}");
+    assert!(rows > 40, "the page names only {rows} tests");
 }
