--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of many frames from clients to servers: streaming, buffers, aborts, and the delay of others.
+//! Messages of many frames from clients to servers: streaming, buffering, aborts, and isolation of other clients.
 
 use rstest::rstest;
 use sparbank_amqp::{Attach, Flow, Performative, State, Tag, Transfer};
@@ -11,26 +11,26 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
+fn start_bench(servers: usize) -> Bench {
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn client(bench: &Bench) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
+fn connect_client(bench: &Bench) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     assert!(client.attach(CLASS).expect("the class is known") > 0);
     client
 }
 
-/// Regression: frames above 8 KiB were never taken, and the link hung without a word.
+/// Regression: frames above 8 KiB, the default read limit, were never read, and the link hung without an error.
 #[rstest]
-#[case::just_above_the_read_ahead_of_text(8_193)]
-#[case::as_large_as_agreed(16_300)]
+#[case::just_above_the_default_read_limit(8_193)]
+#[case::near_the_agreed_maximum(16_300)]
 fn a_frame_of_any_agreed_size_is_accepted(#[case] size: usize) {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
@@ -42,12 +42,12 @@
 
 #[rstest]
 fn a_large_message_is_streamed_and_never_buffered_completely() {
-    let on = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
-    let mut client = client(&bench);
+    let settings = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
+    let mut client = connect_client(&bench);
     let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
     let sent = message(60_000, "7f3a", &body);
-    // The client writes from a thread of its own: the node reads on only as the server does.
+    // The client writes from its own thread, since the node reads only as fast as the server does.
     let mut writer = client.try_clone();
     let copy = sent.clone();
     let writing = std::thread::spawn(move || writer.deliver_in_transfers(0, &copy, 12_000));
@@ -64,20 +64,20 @@
 
 #[rstest]
 fn a_large_message_is_retried_only_while_it_is_buffered_completely() {
-    for (keep, tried) in [(1_000_000, 2), (10_000, 1)] {
-        let on = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
-        let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&on));
-        let mut client = client(&bench);
+    for (keep, expected_attempts) in [(1_000_000, 2), (10_000, 1)] {
+        let settings = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
+        let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&settings));
+        let mut client = connect_client(&bench);
         client.deliver_in_transfers(0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
-        let (at, peer) = accept_any(&bench.servers);
+        let (failed, peer) = accept_any(&bench.servers);
         let mut server = AmqpPeer::server(peer, 40, 4096);
         server.link(10, 40);
         for _ in 0..40 {
             until!(server, Transfer);
         }
         drop(server);
-        if tried == 2 {
-            let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 1000, 65536);
+        if expected_attempts == 2 {
+            let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - failed]), 1000, 65536);
             other.link(10, 1000);
             let id = other.receive_message().delivery_id;
             other.settle(id, State::Accepted);
@@ -88,7 +88,7 @@
         let counters = bench.stop();
         assert_eq!(
             [counter_value(&counters, "sent"), counter_value(&counters, "attempt_connect_failed")],
-            [tried, 1]
+            [expected_attempts, 1]
         );
         assert_eq!(
             counter_value(&counters, "requests"),
@@ -98,11 +98,11 @@
 }
 
 #[rstest]
-#[case::by_going_away(false)]
+#[case::by_disconnecting(false)]
 #[case::by_an_abort(true)]
 fn a_client_that_stops_mid_message_has_it_aborted_at_the_server(#[case] abort: bool) {
-    let mut bench = bench(1);
-    let mut client = client(&bench);
+    let mut bench = start_bench(1);
+    let mut client = connect_client(&bench);
     let sent = message(60_000, "7f3a", &[7; 60_000]);
     let (handle, delivery_id) = (Some(0), Some(0));
     let first = Transfer {
@@ -127,8 +127,8 @@
 
 #[rstest]
 fn a_delivery_settled_before_its_last_frame_is_answered_and_the_rest_is_not_sent() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     let sent = message(60_000, "7f3a", &[7; 40_000]);
     let (handle, delivery_id) = (Some(0), Some(0));
     let tag = Tag::new(b"t");
@@ -139,7 +139,7 @@
     let (transfer, _) = until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(client.receive_answer(), State::Accepted);
-    // What still comes of it belongs to no request; the link goes on.
+    // Later transfers of this delivery belong to no request; the link stays attached.
     let rest = Transfer { handle, delivery_id, more: Some(false), ..Default::default() };
     client.put_kind(0, rest.into(), &sent[12_000..20_000]);
     client.deliver(1, &message(60_000, "7f3a", b"next"));
@@ -151,8 +151,8 @@
 
 #[rstest]
 fn a_window_of_one_and_frames_of_512_octets_carry_a_message_of_any_size() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     let sent = message(60_000, "7f3a", &[9; 20_000]);
     client.deliver_in_transfers(0, &sent, 5000);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1, 512);
@@ -181,8 +181,8 @@
 
 #[rstest]
 fn an_incomplete_message_delays_no_other_client() {
-    let bench = bench(1);
-    let mut slow = client(&bench);
+    let bench = start_bench(1);
+    let mut slow = connect_client(&bench);
     let sent = message(60_000, "7f3a", &[7; 30_000]);
     let first = Transfer {
         handle: Some(0),
@@ -195,8 +195,8 @@
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
-    // The rest of it does not come. Another client's delivery opens a lane of its own.
-    let mut quick = client(&bench);
+    // The rest of the message is not sent. The node attaches a second link for another client's delivery.
+    let mut quick = connect_client(&bench);
     quick.deliver(0, &message(60_000, "7f3b", b"quick"));
     let (attach, _) = until!(server, Attach);
     let (name, target) = (attach.name, attach.target);
@@ -207,7 +207,7 @@
     assert_eq!(quick.receive_answer(), State::Accepted);
 }
 
-/// A server accepts all links, and so many messages of more than 1 MiB, while it pauses after each frame.
+/// Runs a server that accepts all links and this many messages of more than 1 MiB, with a pause after each frame.
 fn receive_slowly(server: &mut AmqpPeer, messages: u32) {
     let (mut completed, mut sizes) = (0, HashMap::<u32, usize>::new());
     while completed < messages {
@@ -234,13 +234,14 @@
     }
 }
 
-/// Three messages of 1 MiB at once, to a server that reads slowly: the buffered octets stay within their bound.
+/// Three messages of 1 MiB are sent at once to a server that reads slowly: the octets that the node buffers stay
+/// within the configured limit.
 #[rstest]
 fn memory_stays_bounded_with_a_slow_server() {
-    let on = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(on));
+    let settings = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
+    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
     let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
-    let clients: Vec<AmqpPeer> = (0..3).map(|_| client(&bench)).collect();
+    let clients: Vec<AmqpPeer> = (0..3).map(|_| connect_client(&bench)).collect();
     let writing: Vec<_> = clients
         .into_iter()
         .map(|mut client| {
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -1,5 +1,5 @@
-//! Clients that receive: a receiving link is an established connection, and the rules of established connections hold
-//! for it.
+//! Clients that receive: a receiving link is an established connection and follows the same rules as one of the text
+//! protocol.
 
 use rstest::rstest;
 use sparbank_amqp::{
@@ -13,42 +13,42 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
+fn start_bench(servers: usize) -> Bench {
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("the frontend is on"), None)
+fn connect_client(bench: &Bench) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
 }
 
-fn from(address: &str) -> Source {
+fn source(address: &str) -> Source {
     Source { address: Some(address.into()), ..Default::default() }
 }
 
 /// Attaches a receiving link from a class, without waiting for the answer.
 fn attach_receiver(client: &mut AmqpPeer, handle: u32) {
     let (name, role) = (Some(format!("from-{handle}")), Some(true));
-    let (source, target) = (Some(from(CLASS)), Some(Terminus::Target(Default::default())));
+    let (source, target) = (Some(source(CLASS)), Some(Terminus::Target(Default::default())));
     client.put(Attach { name, handle: Some(handle), role, source, target, ..Default::default() });
 }
 
-/// A client with an established link from a server, which sends at handle 7.
+/// Establishes a receiving link: the client, the index of its server, and the server, which sends at handle 7.
 fn established_link(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
-    let mut client = client(bench);
+    let mut client = connect_client(bench);
     attach_receiver(&mut client, 0);
-    let (at, peer) = accept_any(&bench.servers);
+    let (index, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 1000, 65536);
-    assert_eq!(server.source(7).source.expect("passed on").address.as_deref(), Some(CLASS));
+    assert_eq!(server.source(7).source.expect("the source is passed on").address.as_deref(), Some(CLASS));
     assert!(until!(client, Attach).0.source.is_some());
-    (client, at, server)
+    (client, index, server)
 }
 
 #[rstest]
 fn deliveries_follow_the_clients_credit_and_outcomes_reach_the_server() {
-    let bench = bench(1);
+    let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 3);
     let (flow, _) = until!(server, Flow);
@@ -58,13 +58,16 @@
     }
     for id in 0..3u32 {
         let (transfer, payload) = until!(client, Transfer);
-        assert_eq!(transfer.delivery_tag, Tag::new(&id.to_be_bytes()), "the server's own tag");
+        assert_eq!(transfer.delivery_tag, Tag::new(&id.to_be_bytes()), "the tag that the server chose");
         assert!(payload.ends_with(format!("reading {id}").as_bytes()));
         let state = if id == 1 { State::Released } else { State::Accepted };
         client.settle(transfer.delivery_id.expect("an id"), state);
-        let (d, _) = until!(server, Disposition);
+        let (disposition, _) = until!(server, Disposition);
         let expected = if id == 1 { State::Released } else { State::Accepted };
-        assert_eq!((d.first, d.settled, d.state), (Some(id), Some(true), Some(expected)));
+        assert_eq!(
+            (disposition.first, disposition.settled, disposition.state),
+            (Some(id), Some(true), Some(expected))
+        );
     }
     client.grant(0, 3, 5);
     assert_eq!(until!(server, Flow).0.link_credit, Some(5));
@@ -72,14 +75,14 @@
     until!(client, Detach);
     until!(server, Detach);
     let counters = bench.stop();
-    let all = ["requests", "sent", "established", "served", "ended", "failed"]
+    let values = ["requests", "sent", "established", "served", "ended", "failed"]
         .map(|name| counter_value(&counters, name));
-    assert_eq!(all, [1, 1, 1, 1, 1, 0]);
+    assert_eq!(values, [1, 1, 1, 1, 1, 0]);
 }
 
 #[rstest]
 fn multi_transfer_deliveries_and_aborts_are_passed_through() {
-    let bench = bench(1);
+    let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
     until!(server, Flow);
@@ -110,10 +113,10 @@
 
 #[rstest]
 fn a_server_that_refuses_is_passed_over_and_when_all_do_the_client_hears_when_to_come_again() {
-    let bench = bench(2);
-    let mut client = client(&bench);
+    let bench = start_bench(2);
+    let mut client = connect_client(&bench);
     attach_receiver(&mut client, 0);
-    // Both servers refuse: each is attempted until no retry is left.
+    // Both servers refuse every link; the node tries them until no retry is left.
     for listener in &bench.servers {
         let listener = listener.try_clone().expect("a second handle");
         std::thread::spawn(move || {
@@ -137,26 +140,26 @@
         });
     }
     assert_eq!(until!(client, Attach).0.source, None);
-    let error = until!(client, Detach).0.error.expect("why");
+    let error = until!(client, Detach).0.error.expect("an error");
     assert_eq!(error.condition, condition::RESOURCE_LIMIT_EXCEEDED);
     assert!(matches!(error.info.expect("info").get("retry-after"), Some(Value::Uint(_))));
     let counters = bench.stop();
     assert_eq!(counter_value(&counters, "rejected"), 1);
-    assert!(counter_value(&counters, "attempt_rejected") >= 2, "each was asked");
+    assert!(counter_value(&counters, "attempt_rejected") >= 2, "both servers were attempted");
 }
 
 #[rstest]
 fn an_unanswered_attach_is_retried_at_another_server() {
-    let bench = bench(2);
-    let mut client = client(&bench);
+    let bench = start_bench(2);
+    let mut client = connect_client(&bench);
     attach_receiver(&mut client, 0);
-    let (at, peer) = accept_any(&bench.servers);
+    let (silent_index, peer) = accept_any(&bench.servers);
     let mut silent = AmqpPeer::server(peer, 100, 65536);
     until!(silent, Attach);
-    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - silent_index]), 100, 65536);
     other.source(7);
     assert!(until!(client, Attach).0.source.is_some());
-    // The first one is notified that no request waits there any more.
+    // The node detaches the link at the first server, since no request waits there any more.
     until!(silent, Detach);
     let counters = bench.stop();
     assert_eq!([counter_value(&counters, "attempt_timeout"), counter_value(&counters, "served")], [1, 1]);
@@ -164,15 +167,15 @@
 
 #[rstest]
 fn a_lost_server_detaches_its_clients_within_a_second_and_a_silent_one_within_seven() {
-    let mut bench = bench(1);
+    let mut bench = start_bench(1);
     let (mut client, _, server) = established_link(&bench);
     let killed = Instant::now();
     drop(server);
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::DETACH_FORCED);
+    assert_eq!(detach.error.expect("an error").condition, condition::DETACH_FORCED);
     assert!(killed.elapsed() < Duration::from_secs(1));
     client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    // It attaches again; this time the server sends nothing more, not even a heartbeat.
+    // The client attaches again; this server then sends nothing more, not even a heartbeat.
     attach_receiver(&mut client, 0);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.source(7);
@@ -184,14 +187,14 @@
 }
 
 #[rstest]
-#[case::served_to_its_end(None, None)]
-#[case::sent_away(Some(condition::DETACH_FORCED), Some(condition::DETACH_FORCED))]
-#[case::broken(Some(condition::INTERNAL_ERROR), Some(condition::INTERNAL_ERROR))]
+#[case::without_an_error(None, None)]
+#[case::detach_forced(Some(condition::DETACH_FORCED), Some(condition::DETACH_FORCED))]
+#[case::internal_error(Some(condition::INTERNAL_ERROR), Some(condition::INTERNAL_ERROR))]
 fn a_servers_detach_reaches_the_client_with_the_same_condition(
     #[case] sent: Option<&str>,
     #[case] expected: Option<&str>,
 ) {
-    let mut bench = bench(1);
+    let mut bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     let error = sent.map(|condition| Box::new(sparbank_amqp::Error::new(condition, "why")));
     server.put(Detach { handle: Some(7), closed: Some(true), error });
@@ -202,11 +205,11 @@
 
 #[rstest]
 fn on_sigterm_established_links_are_detached_between_deliveries() {
-    let mut bench = bench(1);
+    let mut bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 10);
     until!(server, Flow);
-    // Half a delivery is out when the node leaves.
+    // The client has an incomplete delivery when the node shuts down.
     let half = Transfer {
         handle: Some(7),
         delivery_id: Some(0),
@@ -217,22 +220,23 @@
     server.put_kind(0, half.into(), b"half");
     until!(client, Transfer);
     bench.signal(Signal::TERM);
-    assert_eq!(until!(client, Transfer).0.aborted, Some(true), "not in the middle of a delivery");
-    let error = until!(client, Detach).0.error.expect("why");
+    assert_eq!(until!(client, Transfer).0.aborted, Some(true), "the incomplete delivery is aborted first");
+    let error = until!(client, Detach).0.error.expect("an error");
     assert_eq!(error.condition, condition::DETACH_FORCED);
     assert_eq!(error.info.expect("info").get("retry-after"), Some(&Value::Uint(0)));
-    assert_eq!(until!(client, Close).0.error.expect("why").condition, condition::CONNECTION_FORCED);
+    assert_eq!(until!(client, Close).0.error.expect("an error").condition, condition::CONNECTION_FORCED);
     let counters = bench.wait_for_log("counters");
     assert_eq!(counter_value(&counters, "migrated"), 1);
 }
 
 #[rstest]
 fn when_the_node_leaves_clients_are_redirected_where_the_settings_say_so() {
-    let to = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{to}}}"#)));
-    let mut client = client(&bench);
+    let redirect = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
+    let bench =
+        Bench::with(PROGRAM, vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{redirect}}}"#)));
+    let mut client = connect_client(&bench);
     bench.signal(Signal::TERM);
-    let error = until!(client, Close).0.error.expect("why");
+    let error = until!(client, Close).0.error.expect("an error");
     assert_eq!(error.condition, condition::CONNECTION_REDIRECT);
     let info = error.info.expect("info");
     assert_eq!(info.get("network-host"), Some(&Value::text("127.0.0.2")));
@@ -241,16 +245,16 @@
 
 #[rstest]
 fn a_slow_receiver_delays_no_other_client() {
-    let bench = bench(1);
+    let bench = start_bench(1);
     let (mut slow, _, mut server) = established_link(&bench);
-    let mut quick = client(&bench);
+    let mut quick = connect_client(&bench);
     attach_receiver(&mut quick, 0);
     server.source(8);
     until!(quick, Attach);
     quick.grant(0, 0, 1000);
     until!(server, Flow);
     slow.grant(0, 0, 1000);
-    // The slow one reads nothing, while its server sends all that it is granted.
+    // The slow client reads nothing while its server uses up all of the credit.
     let body = message(60_000, "k", &[7; 16_000]);
     let (mut sent, mut granted) = (0, until!(server, Flow).0.link_credit.expect("credit"));
     let mut id = 0;
@@ -264,7 +268,7 @@
         let (transfer, _) = until!(quick, Transfer);
         quick.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     }
-    // The slow one reads at last, and nothing of its is lost.
+    // When the slow client reads at last, none of its deliveries is lost.
     for _ in 0..sent {
         while until!(slow, Transfer).0.more == Some(true) {}
     }
@@ -272,7 +276,7 @@
 
 #[rstest]
 fn a_drain_by_the_client_gives_its_credit_back() {
-    let bench = bench(1);
+    let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant(0, 0, 5);
     until!(server, Flow);
@@ -291,8 +295,8 @@
     assert_eq!((flow.delivery_count, flow.link_credit), (Some(5), Some(0)));
 }
 
-/// A server's link for replies to this address.
-fn reply_link(handle: u32, address: &str) -> Attach {
+/// The attach of a server's sending link for replies to this address.
+fn reply_attach(handle: u32, address: &str) -> Attach {
     let target = sparbank_amqp::Target { address: Some(address.into()), ..Default::default() };
     Attach {
         name: Some(format!("reply-{handle}")),
@@ -305,7 +309,8 @@
     }
 }
 
-/// The client gets a reply that ends like this, which it accepts, and the answer to its own request, in either order.
+/// Waits for a reply that ends with these octets, which the client accepts, and for the answer to its own request, in
+/// either order.
 fn expect_reply_and_answer(client: &mut AmqpPeer, reply: &[u8]) {
     let (mut is_replied, mut is_answered) = (false, false);
     while !(is_replied && is_answered) {
@@ -326,29 +331,29 @@
 
 #[rstest]
 fn replies_come_to_a_dynamic_node_from_whichever_server_has_the_request() {
-    let mut bench = bench(1);
-    let mut client = client(&bench);
+    let mut bench = start_bench(1);
+    let mut client = connect_client(&bench);
     let source = Source { dynamic: Some(true), ..Default::default() };
     let attach = client.receive(5, source).expect("accepted");
-    let address = attach.source.expect("a source").address.expect("a name of the node's");
+    let address = attach.source.expect("a source").address.expect("an address that the node generated");
     client.grant(5, 0, 10);
-    assert!(client.attach(CLASS).expect("known") > 0);
+    assert!(client.attach(CLASS).expect("the class is known") > 0);
     client.deliver(0, &addressed(CLASS, Some(&address), 60_000, b"request"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
     server.link(10, 1000);
     let (request, payload) = until!(server, Transfer);
-    let head = sparbank_amqp::Head::read(&payload).expect("sound").expect("whole");
+    let head = sparbank_amqp::Head::read(&payload).expect("valid").expect("complete");
     assert_eq!(head.reply_to.as_deref(), Some(address.as_str()));
-    // The server answers on a link of its own.
-    server.put(reply_link(9, "reply/1/guessed"));
+    // The server replies on a link that it attaches. A guessed reply address is refused.
+    server.put(reply_attach(9, "reply/1/guessed"));
     until!(server, Attach);
-    assert_eq!(until!(server, Detach).0.error.expect("why").condition, condition::NOT_FOUND);
-    server.put(reply_link(10, &address));
+    assert_eq!(until!(server, Detach).0.error.expect("an error").condition, condition::NOT_FOUND);
+    server.put(reply_attach(10, &address));
     assert!(until!(server, Flow).0.link_credit > Some(0));
     server.send(10, 0, &message(60_000, "k", b"reply"));
     server.settle(request.delivery_id.expect("an id"), State::Accepted);
     expect_reply_and_answer(&mut client, b"reply");
-    let (d, _) = until!(server, Disposition);
-    assert_eq!((d.first, d.state), (Some(0), Some(State::Accepted)));
+    let (disposition, _) = until!(server, Disposition);
+    assert_eq!((disposition.first, disposition.state), (Some(0), Some(State::Accepted)));
     assert_eq!([bench.counter("requests"), bench.counter("served")], [1, 1]);
 }
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -1,5 +1,5 @@
-//! Links that are resumed (standard, section 2.6.13): a settled delivery is not run again, a running one goes on, and
-//! one of unknown fate is answered so.
+//! Resumption of links (standard, section 2.6.13): a settled delivery is not run again, a running one continues, and
+//! one whose fate is unknown is answered as such.
 
 use rstest::rstest;
 use sparbank_amqp::{Attach, Detach, State, Tag, Target, Terminus, Transfer, Value};
@@ -10,13 +10,13 @@
 
 const CLASS: &str = "live-readings";
 
-fn bench(on: &str) -> Bench {
-    Bench::with(PROGRAM, vec![listener()], Some(on))
+fn start_bench(settings: &str) -> Bench {
+    Bench::with(PROGRAM, vec![listener()], Some(settings))
 }
 
-/// Attaches a link that may be resumed for so many seconds, with the client's unsettled map.
-/// Gives the node's unsettled map.
-fn attach(client: &mut AmqpPeer, seconds: u32, unsettled: &[u8]) -> Vec<(Value, Value)> {
+/// Attaches a link that may be resumed for this many seconds, with these tags in the client's unsettled map.
+/// Returns the node's unsettled map.
+fn attach_resumable(client: &mut AmqpPeer, seconds: u32, unsettled: &[u8]) -> Vec<(Value, Value)> {
     let timeout = Some(seconds).filter(|seconds| *seconds > 0);
     let target = Target { address: Some(CLASS.into()), timeout, ..Default::default() };
     let map = unsettled.iter().map(|tag| (Value::Binary(vec![*tag]), Value::Null)).collect();
@@ -37,12 +37,12 @@
     }
 }
 
-fn client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("on"), None)
+fn connect_client(bench: &Bench) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
 }
 
-/// Goes on with a delivery from before.
-fn resume(client: &mut AmqpPeer, id: u32, tag: u8) {
+/// Resumes a delivery under a new delivery id.
+fn resume_delivery(client: &mut AmqpPeer, id: u32, tag: u8) {
     let transfer = Transfer {
         handle: Some(0),
         delivery_id: Some(id),
@@ -53,39 +53,40 @@
     client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"again"));
 }
 
-fn answer(client: &mut AmqpPeer) -> (Option<u32>, State) {
-    let (d, _) = until!(client, Disposition);
-    (d.first, d.state.expect("a state"))
+/// Reads the next disposition; returns its first delivery id and its state.
+fn receive_answer(client: &mut AmqpPeer) -> (Option<u32>, State) {
+    let (disposition, _) = until!(client, Disposition);
+    (disposition.first, disposition.state.expect("a state"))
 }
 
 #[rstest]
 fn what_was_settled_before_the_connection_was_lost_is_not_run_again() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
-    let mut first = client(&bench);
-    attach(&mut first, 10, &[]);
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
+    let mut first = connect_client(&bench);
+    attach_resumable(&mut first, 10, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
     first.deliver(2, &message(60_000, "7f3a", b"two"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let ids: Vec<u32> = (0..2).map(|_| until!(server, Transfer).0.delivery_id.expect("an id")).collect();
     server.settle(ids[0], State::Accepted);
-    assert_eq!(answer(&mut first), (Some(1), State::Accepted));
-    // The client never read that, as far as it knows, and its connection is lost.
+    assert_eq!(receive_answer(&mut first), (Some(1), State::Accepted));
+    // The connection is lost. The client resumes below as though it had not read this disposition.
     drop(first);
-    // The node must have seen that end: a link that comes before it is taken over, and not resumed.
-    let gone = (0..300).any(|_| counter_value(&bench.frontend_counters("amqp"), "clients") == 0);
-    assert!(gone, "the node sees the first connection's end");
-    let mut second = client(&bench);
-    let known = attach(&mut second, 10, &[1, 2, 3]);
-    assert_eq!(known.len(), 2, "the third never came");
-    assert!(known.contains(&(Value::Binary(vec![1]), State::Accepted.to_value())));
-    assert!(known.contains(&(Value::Binary(vec![2]), Value::Null)));
-    resume(&mut second, 7, 1);
-    assert_eq!(answer(&mut second), (Some(7), State::Accepted));
-    // The second still runs at its server: it is waited for, and not sent again.
-    resume(&mut second, 8, 2);
+    // The node must have noticed the loss: a link that is attached earlier is stolen and not resumed.
+    let is_closed = (0..300).any(|_| counter_value(&bench.frontend_counters("amqp"), "clients") == 0);
+    assert!(is_closed, "the node notices the loss of the first connection");
+    let mut second = connect_client(&bench);
+    let node_unsettled = attach_resumable(&mut second, 10, &[1, 2, 3]);
+    assert_eq!(node_unsettled.len(), 2, "the third delivery was never sent");
+    assert!(node_unsettled.contains(&(Value::Binary(vec![1]), State::Accepted.to_value())));
+    assert!(node_unsettled.contains(&(Value::Binary(vec![2]), Value::Null)));
+    resume_delivery(&mut second, 7, 1);
+    assert_eq!(receive_answer(&mut second), (Some(7), State::Accepted));
+    // The second delivery still runs at its server: the node waits for its answer and does not send it again.
+    resume_delivery(&mut second, 8, 2);
     server.settle(ids[1], State::Accepted);
-    assert_eq!(answer(&mut second), (Some(8), State::Accepted));
+    assert_eq!(receive_answer(&mut second), (Some(8), State::Accepted));
     assert_eq!(
         [bench.counter("sent"), bench.counter("served"), bench.counter("client_disconnected")],
         [2, 2, 0]
@@ -96,9 +97,9 @@
 
 #[rstest]
 fn a_resumed_link_learns_the_state_of_a_delivery_settled_meanwhile() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
-    let mut first = client(&bench);
-    attach(&mut first, 10, &[]);
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
+    let mut first = connect_client(&bench);
+    attach_resumable(&mut first, 10, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
@@ -106,36 +107,36 @@
     drop(first);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     while bench.counter("served") == 0 {}
-    let mut second = client(&bench);
-    let known = attach(&mut second, 10, &[1]);
-    assert_eq!(known, [(Value::Binary(vec![1]), State::Accepted.to_value())]);
+    let mut second = connect_client(&bench);
+    let node_unsettled = attach_resumable(&mut second, 10, &[1]);
+    assert_eq!(node_unsettled, [(Value::Binary(vec![1]), State::Accepted.to_value())]);
 }
 
 #[rstest]
 fn a_link_detached_without_close_is_resumed_on_its_session() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
-    let mut client = client(&bench);
-    attach(&mut client, 0, &[]);
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
+    let mut client = connect_client(&bench);
+    attach_resumable(&mut client, 0, &[]);
     client.deliver(1, &message(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let (transfer, _) = until!(server, Transfer);
     client.put(Detach { handle: Some(0), closed: None, error: None });
     until!(client, Detach);
-    let known = attach(&mut client, 0, &[1]);
-    assert_eq!(known, [(Value::Binary(vec![1]), Value::Null)]);
-    resume(&mut client, 5, 1);
+    let node_unsettled = attach_resumable(&mut client, 0, &[1]);
+    assert_eq!(node_unsettled, [(Value::Binary(vec![1]), Value::Null)]);
+    resume_delivery(&mut client, 5, 1);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-    assert_eq!(answer(&mut client), (Some(5), State::Accepted));
+    assert_eq!(receive_answer(&mut client), (Some(5), State::Accepted));
     assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 0]);
 }
 
 #[rstest]
 fn a_resumed_delivery_of_unknown_fate_is_answered_so_and_not_run() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
-    let mut client = client(&bench);
-    // The node was restarted, or has forgotten: it knows nothing of this link.
-    assert!(attach(&mut client, 10, &[1]).is_empty());
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
+    let mut client = connect_client(&bench);
+    // The node has no state of this link, as after a restart or an expiry.
+    assert!(attach_resumable(&mut client, 10, &[1]).is_empty());
     let transfer = Transfer {
         handle: Some(0),
         delivery_id: Some(0),
@@ -143,41 +144,44 @@
         ..Default::default()
     };
     client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"one"));
-    let (_, State::Modified { failed: true, annotations: Some(notes), .. }) = answer(&mut client) else {
-        panic!("modified")
+    let (_, State::Modified { failed: true, annotations: Some(annotations), .. }) =
+        receive_answer(&mut client)
+    else {
+        panic!("the state is not modified with failed set")
     };
-    assert_eq!(notes.get("fate"), Some(&Value::symbol("unknown")));
+    assert_eq!(annotations.get("fate"), Some(&Value::symbol("unknown")));
     assert_eq!(bench.counter("requests"), 0);
 }
 
+/// The state that is kept for the resumption of links expires, and `resume_links` limits it.
 #[rstest]
 fn what_is_remembered_expires_and_is_bounded() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0","resume_links":1,"resume_ms":300}"#);
-    let mut first = client(&bench);
-    attach(&mut first, 3600, &[]);
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0","resume_links":1,"resume_ms":300}"#);
+    let mut first = connect_client(&bench);
+    attach_resumable(&mut first, 3600, &[]);
     first.deliver(1, &message(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     until!(server, Transfer);
-    // A second link that may come again is one too many: it is served, and not remembered.
-    let mut other = AmqpPeer::opened(bench.amqp.expect("on"), "another", None);
+    // A second resumable link exceeds the limit of one: it is served, but its state is not kept.
+    let mut other = AmqpPeer::opened(bench.amqp.expect("AMQP is on"), "another", None);
     other.begin(None, 100);
     until!(other, Begin);
-    attach(&mut other, 10, &[]);
+    attach_resumable(&mut other, 10, &[]);
     drop(first);
-    // After its timeout the request is abandoned, and its server is notified.
+    // When the state expires, the request is abandoned and its server is notified.
     until!(server, Disposition);
     assert_eq!([bench.counter("client_disconnected"), bench.counter("requests")], [1, 1]);
-    let mut second = client(&bench);
-    assert!(attach(&mut second, 10, &[1]).is_empty());
+    let mut second = connect_client(&bench);
+    assert!(attach_resumable(&mut second, 10, &[1]).is_empty());
     assert_eq!(counter_value(&bench.frontend_counters("amqp"), "remembered"), 1);
 }
 
 #[rstest]
 fn a_link_that_is_closed_is_forgotten_at_once() {
-    let mut bench = bench(r#"{"listen":"127.0.0.1:0"}"#);
-    let mut client = client(&bench);
-    attach(&mut client, 10, &[]);
+    let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
+    let mut client = connect_client(&bench);
+    attach_resumable(&mut client, 10, &[]);
     client.deliver(1, &message(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -1,4 +1,4 @@
-//! Clients that send: settlement, credit and bounds, and servers that misbehave.
+//! Clients that send: settlement, credit, limits, and servers that break the protocol.
 
 use rstest::rstest;
 use sparbank_amqp::{
@@ -12,23 +12,23 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-const ON: &str = r#"{"listen":"127.0.0.1:0"}"#;
+const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(ON))
+fn start_bench(servers: usize) -> Bench {
+    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn client(bench: &Bench) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("the frontend is on"), None);
+fn connect_client(bench: &Bench) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     assert!(client.attach(CLASS).expect("the class is known") > 0);
     client
 }
 
 #[rstest]
 fn a_server_without_sasl_is_reconnected_without_sasl() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server_without_sasl(&bench.servers[0], 100);
     server.link(10, 100);
@@ -40,8 +40,8 @@
 
 #[rstest]
 fn a_server_that_grants_credit_without_a_target_receives_deliveries() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     let (attach, _) = until!(server, Attach);
@@ -54,8 +54,8 @@
 
 #[rstest]
 fn at_the_anonymous_terminus_each_message_names_its_class() {
-    let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
+    let bench = start_bench(1);
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     let target = Some(Terminus::Target(Target::default()));
     let (name, initial_delivery_count) = (Some("any".to_string()), Some(0));
     let attach = Attach {
@@ -69,7 +69,9 @@
     client.put(attach);
     until!(client, Flow);
     client.deliver(0, &addressed("nowhere", None, 5000, b"x"));
-    let State::Rejected(Some(error)) = client.receive_answer() else { panic!("rejected") };
+    let State::Rejected(Some(error)) = client.receive_answer() else {
+        panic!("the delivery is not rejected")
+    };
     assert_eq!(error.condition, condition::NOT_FOUND);
     client.deliver(1, &addressed(CLASS, None, 5000, b"x"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
@@ -81,10 +83,10 @@
 
 #[rstest]
 fn one_credit_is_shared_by_a_hundred_clients_in_turns() {
-    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(ON), &[], |text| {
+    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(AMQP_SETTINGS), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
-    let mut clients: Vec<AmqpPeer> = (0..100).map(|_| client(&bench)).collect();
+    let mut clients: Vec<AmqpPeer> = (0..100).map(|_| connect_client(&bench)).collect();
     for client in &mut clients {
         client.deliver(0, &message(60_000, "7f3a", b"reading"));
     }
@@ -110,13 +112,14 @@
     assert_eq!(counter_value(&bench.stop(), "served"), 100);
 }
 
+/// The node opens one connection per class to a server that allows one link on a connection.
 #[rstest]
 fn a_server_of_one_link_a_connection_is_met_on_a_connection_for_each_class() {
-    let bench = bench(1);
+    let bench = start_bench(1);
     let mut servers = Vec::new();
     for class in [CLASS, "station-notes"] {
-        let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
-        assert!(client.attach(class).expect("known") > 0);
+        let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
+        assert!(client.attach(class).expect("the class is known") > 0);
         client.deliver(0, &message(5000, "7f3a", b"reading"));
         let mut server = AmqpPeer::narrow_server(Peer::accept(&bench.servers[0]));
         server.link(10, 100);
@@ -130,8 +133,8 @@
 
 #[rstest]
 fn a_delivery_that_its_sender_settled_is_a_request_without_an_answer() {
-    let mut bench = bench(1);
-    let mut client = client(&bench);
+    let mut bench = start_bench(1);
+    let mut client = connect_client(&bench);
     let transfer = Transfer {
         handle: Some(0),
         delivery_id: Some(0),
@@ -147,15 +150,16 @@
         let id = server.receive_message().delivery_id;
         server.settle(id, State::Accepted);
     }
-    let (d, _) = until!(client, Disposition);
-    assert_eq!((d.first, d.last), (Some(1), None), "only the second is answered");
+    let (disposition, _) = until!(client, Disposition);
+    assert_eq!((disposition.first, disposition.last), (Some(1), None), "only the second is answered");
     assert_eq!(bench.counter("served"), 2);
 }
 
+/// Receiver settle mode second: the node answers without settling, and the client settles after that.
 #[rstest]
 fn a_client_that_settles_second_is_answered_first_and_then_settles() {
-    let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
+    let bench = start_bench(1);
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
     client.put(Attach {
         name: Some("second".into()),
@@ -172,8 +176,8 @@
     server.link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    let (d, _) = until!(client, Disposition);
-    assert_eq!((d.settled, d.state), (None, Some(State::Accepted)));
+    let (disposition, _) = until!(client, Disposition);
+    assert_eq!((disposition.settled, disposition.state), (None, Some(State::Accepted)));
     let (role, first, settled) = (Some(false), Some(0), Some(true));
     client.put(Disposition { role, first, settled, ..Default::default() });
     client.deliver(1, &message(60_000, "7f3a", b"the session goes on"));
@@ -184,8 +188,8 @@
 
 #[rstest]
 fn answers_that_run_on_come_as_one_range() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     for id in 0..10 {
         client.deliver(id, &message(60_000, "7f3a", b"reading"));
     }
@@ -197,8 +201,11 @@
     }
     let (role, first, last, settled) = (Some(true), Some(0), Some(last), Some(true));
     server.put(Disposition { role, first, last, settled, state: Some(State::Accepted), batchable: None });
-    let (d, _) = until!(client, Disposition);
-    assert_eq!((d.first, d.last, d.state), (Some(0), Some(9), Some(State::Accepted)));
+    let (disposition, _) = until!(client, Disposition);
+    assert_eq!(
+        (disposition.first, disposition.last, disposition.state),
+        (Some(0), Some(9), Some(State::Accepted))
+    );
     assert_eq!(counter_value(&bench.stop(), "served"), 10);
 }
 
@@ -211,17 +218,17 @@
 #[case::unauthorized(condition::UNAUTHORIZED_ACCESS)]
 #[case::internal(condition::INTERNAL_ERROR)]
 #[case::not_implemented(condition::NOT_IMPLEMENTED)]
-fn a_delivery_whose_link_is_refused_is_retried_whatever_the_condition(#[case] reason: &str) {
-    let bench = bench(2);
-    let mut client = client(&bench);
+fn a_delivery_whose_link_is_refused_is_retried_whatever_the_condition(#[case] condition: &str) {
+    let bench = start_bench(2);
+    let mut client = connect_client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let (at, peer) = accept_any(&bench.servers);
+    let (first, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
     let (attach, _) = until!(server, Attach);
     server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
-    let error = Some(Box::new(sparbank_amqp::Error::new(reason, "no")));
+    let error = Some(Box::new(sparbank_amqp::Error::new(condition, "no")));
     server.put(Detach { handle: Some(7), closed: Some(true), error });
-    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
     other.link(10, 100);
     let id = other.receive_message().delivery_id;
     other.settle(id, State::Accepted);
@@ -235,19 +242,19 @@
 
 #[rstest]
 fn a_server_that_breaks_the_protocol_is_disconnected_and_the_delivery_is_retried_elsewhere() {
-    let mut bench = bench(2);
-    let mut client = client(&bench);
+    let mut bench = start_bench(2);
+    let mut client = connect_client(&bench);
     client.deliver(0, &message(5000, "7f3a", b"reading"));
-    let (at, peer) = accept_any(&bench.servers);
+    let (first, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
     until!(server, Attach);
-    // Sends on a link that takes none.
+    // The server sends on a handle that is not attached.
     let (handle, delivery_tag) = (Some(99), Tag::new(b"t"));
     for id in 0..500 {
         let transfer = Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
         server.put_kind(0, transfer.into(), &[0; 100]);
     }
-    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - at]), 100, 65536);
+    let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
     other.link(10, 100);
     let id = other.receive_message().delivery_id;
     other.settle(id, State::Accepted);
@@ -257,8 +264,8 @@
 
 #[rstest]
 fn flow_with_echo_is_answered_and_credit_comes_back_before_it_runs_out() {
-    let bench = bench(1);
-    let mut client = client(&bench);
+    let bench = start_bench(1);
+    let mut client = connect_client(&bench);
     client.put(Flow {
         next_incoming_id: Some(0),
         incoming_window: Some(100),
@@ -278,8 +285,8 @@
 
 #[rstest]
 fn a_transaction_coordinator_link_is_refused() {
-    let bench = bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("on"), None);
+    let bench = start_bench(1);
+    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
     let (name, initial_delivery_count) = (Some("tx".to_string()), Some(0));
     let target = Some(Terminus::Coordinator);
     client.put(Attach {
@@ -293,16 +300,16 @@
     });
     assert_eq!(until!(client, Attach).0.target, None);
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::NOT_IMPLEMENTED);
+    assert_eq!(detach.error.expect("an error").condition, condition::NOT_IMPLEMENTED);
     client.put(Detach { handle: Some(3), closed: Some(true), error: None });
     assert!(client.attach(CLASS).expect("the connection goes on") > 0);
 }
 
 #[rstest]
 fn links_sessions_and_connections_are_bounded_by_their_settings() {
-    let on = r#"{"listen":"127.0.0.1:0","max_links":3,"channel_max":1,"peer_connections":2}"#;
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(on));
-    let addr = bench.amqp.expect("on");
+    let settings = r#"{"listen":"127.0.0.1:0","max_links":3,"channel_max":1,"peer_connections":2}"#;
+    let bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
+    let addr = bench.amqp.expect("AMQP is on");
     let mut client = AmqpPeer::client(addr, None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
     for handle in 0..4 {
@@ -311,9 +318,9 @@
         client.put(Attach { name, handle, role, target, initial_delivery_count, ..Default::default() });
     }
     let (detach, _) = until!(client, Detach);
-    assert_eq!(detach.error.expect("why").condition, condition::RESOURCE_LIMIT_EXCEEDED);
+    assert_eq!(detach.error.expect("an error").condition, condition::RESOURCE_LIMIT_EXCEEDED);
     let mut second = AmqpPeer::client(addr, None);
-    // A third connection from this address is closed at once.
+    // A third connection from the same address is closed at once.
     Peer::connect(addr).send("AMQP").expect_closed();
     // A channel above the highest agreed one is a framing error (2.4.1).
     let begin = sparbank_amqp::Begin {
@@ -323,17 +330,17 @@
         ..Default::default()
     };
     second.put_on(2, begin);
-    assert_eq!(until!(second, Close).0.error.expect("why").condition, condition::FRAMING_ERROR);
+    assert_eq!(until!(second, Close).0.error.expect("an error").condition, condition::FRAMING_ERROR);
     assert_eq!(counter_value(&bench.stop(), "capacity_rejected"), 1);
 }
 
 #[rstest]
 fn bad_clients_get_an_error_or_a_close_within_three_seconds_and_harm_nobody() {
-    let bench = bench(1);
-    let addr = bench.amqp.expect("on");
-    let mut usual = client(&bench);
+    let bench = start_bench(1);
+    let addr = bench.amqp.expect("AMQP is on");
+    let mut well_behaved = connect_client(&bench);
     let started = Instant::now();
-    let bad: [&[u8]; 8] = [
+    let inputs: [&[u8]; 8] = [
         b"GET / HTTP/1.1\r\n\r\n",
         b"AMQP\x02\x01\x00\x00",
         b"AMQP\x00\x01\x00\x00\xff\xff\xff\xff\x02\x00\x00\x00",
@@ -343,17 +350,17 @@
         b"AMQP\x00\x01\x00\x00\x00\x00\x00\x10\x02\x00\x00\x00\x00\x53\x14\xc0\x03\x01\x43\x00",
         b"OPEN 9b1f 7f3a c=live-readings\r\n",
     ];
-    for bytes in bad {
+    for bytes in inputs {
         let mut peer = Peer::connect(addr);
-        // It may be closed before all is written.
+        // The node may close the connection before everything is written.
         let _ = std::io::Write::write_all(&mut peer.stream, bytes);
         peer.drain_until_closed(Duration::from_secs(3));
     }
-    assert!(started.elapsed() < Duration::from_secs(10), "none of them waited out its time");
-    usual.deliver(0, &message(60_000, "7f3a", b"reading"));
+    assert!(started.elapsed() < Duration::from_secs(10), "no connection was held until its time-out");
+    well_behaved.deliver(0, &message(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
     server.link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(usual.receive_answer(), State::Accepted);
+    assert_eq!(well_behaved.receive_answer(), State::Accepted);
 }
