--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -1,4 +1,4 @@
-//! Size: 10,000 links on 100 connections, within the memory of the smallest node.
+//! Memory: 10,000 links on 100 connections fit into the memory of the smallest node.
 
 use rstest::rstest;
 use sparbank_amqp::{Attach, State, Target, Terminus};
@@ -10,16 +10,16 @@
 const CLASS: &str = "live-readings";
 
 /// The resident memory of a process, in MB.
-fn resident(pid: u32) -> f64 {
-    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("its status");
+fn resident_memory_mb(pid: u32) -> f64 {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).expect("the status of the process");
     let line = status.lines().find(|line| line.starts_with("VmRSS")).expect("VmRSS");
-    line.split_whitespace().nth(1).and_then(|kb| kb.parse::<f64>().ok()).expect("kB") / 1024.0
+    line.split_whitespace().nth(1).and_then(|kb| kb.parse::<f64>().ok()).expect("a number of kB") / 1024.0
 }
 
 #[rstest]
 fn ten_thousand_links_on_a_hundred_connections_fit_in_memory_and_are_served() {
     let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
-    let addr = bench.amqp.expect("the frontend is on");
+    let addr = bench.amqp.expect("AMQP is on");
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| AmqpPeer::client(addr, None)).collect();
     for client in &mut clients {
         for handle in 0..100 {
@@ -37,10 +37,10 @@
             assert!(until!(client, Flow).0.link_credit > Some(0));
         }
     }
-    let resident_mb = resident(bench.process.id());
-    assert!(resident_mb < 32.0, "{resident_mb:.1} MB for 10,000 links");
+    let resident_mb = resident_memory_mb(bench.process.id());
+    assert!(resident_mb < 32.0, "{resident_mb:.1} MB resident with 10,000 links");
     println!("{resident_mb:.1} MB resident with 10,000 links");
-    // The last link of each connection carries a delivery.
+    // The last link of each connection sends a delivery.
     for client in &mut clients {
         client.send(99, 0, &message(60_000, "7f3a", b"reading"));
     }
