--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -150,7 +150,7 @@
         let is_retryable = delivery.is_retryable();
         if outcome != Outcome::Ok
             && !is_retryable
-            && ctx.requests.on_unrepeatable_attempt_ended(ctx.now, request_id, outcome)
+            && ctx.requests.on_non_retryable_attempt_ended(ctx.now, request_id, outcome)
         {
             return self.answer(peers, request_id, failed_state());
         }
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -227,7 +227,7 @@
         }
     }
 
-    fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
+    fn on_migration_step(&mut self, ctx: &mut FrontendContext) {
         self.clients.start_drain();
         self.client_events(ctx).check_connections();
     }
--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -54,7 +54,7 @@
     /// The periodic tick for checks without a timer of their own.
     Tick,
     /// The next step of a drain.
-    DrainStep,
+    MigrationStep,
     /// The next exchange with the grantor of quota leases.
     LeaseExchange,
     /// The time-out for reading an admin request.
@@ -148,7 +148,7 @@
     fn is_idle(&self) -> bool;
 
     /// Called at each step of a drain, a handover or a shutdown, starting when connections are being migrated.
-    fn on_drain_step(&mut self, _ctx: &mut FrontendContext) {}
+    fn on_migration_step(&mut self, _ctx: &mut FrontendContext) {}
 
     /// Releases at most `max_connections` connections for transfer to the successor process. Connections that are not
     /// handed over end in this process.
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -78,7 +78,7 @@
     #[error("{0}")]
     Config(#[source] Box<dyn Error>),
     /// The configuration has the type of another frontend.
-    #[error("not this frontend's file")]
+    #[error("configuration belongs to another frontend")]
     WrongConfigType,
     /// A listening socket could not be opened.
     #[error("{socket}: {error}")]
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -195,7 +195,7 @@
         started_at: transferred.started_at,
         load: transferred.load,
     };
-    let request_id = ctx.requests.receive_handed_over(ctx.now, connection);
+    let request_id = ctx.requests.receive_handed_over_connection(ctx.now, connection);
     let established = EstablishedSession {
         server_connection,
         unanswered_since: transferred.unanswered_since,
--- a/src/frontend/text/mod.rs
+++ b/src/frontend/text/mod.rs
@@ -119,7 +119,7 @@
         match event.kind {
             SocketEventKind::Accepted => {
                 self.awaiting.insert(token, 0);
-                ctx.net.set_farewell(token, Some(EVICTION_ANSWER));
+                ctx.net.set_eviction_answer(token, Some(EVICTION_ANSWER));
             }
             SocketEventKind::Evicted => {
                 ctx.requests.counters_mut().idle_closed += 1;
@@ -245,7 +245,7 @@
     }
 
     /// Closes the connections without a request when the process shuts down.
-    fn on_drain_step(&mut self, ctx: &mut FrontendContext) {
+    fn on_migration_step(&mut self, ctx: &mut FrontendContext) {
         if !ctx.shutting_down {
             return;
         }
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -49,7 +49,7 @@
     // Any answer other than PONG tells the external load balancer not to route clients to this node.
     let answer: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
     ctx.net.send(token, answer);
-    ctx.net.set_farewell(token, None);
+    ctx.net.set_eviction_answer(token, None);
 }
 
 // ---- Ends before a request ---------------------------------------------------------------------
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -182,7 +182,7 @@
             has_request: true,
             is_answered: self.is_answered,
             is_established: self.is_established(),
-            is_announced: self.end_announced,
+            is_end_announced: self.end_announced,
         }
     }
 
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -144,7 +144,7 @@
 
     /// Writes to the newly established connections, as the last step of an iteration.
     fn flush_connected(&mut self) {
-        for connected in self.net.take_connected() {
+        for connected in self.net.take_established() {
             self.with_frontend(|frontend, ctx| frontend.on_connected(ctx, connected.token));
             self.net.flush(connected.token);
         }
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -46,7 +46,7 @@
     }
 
     /// Accepts all connections that are queued at the frontends' listeners. Returns whether there were any.
-    pub(super) fn accept_waiting(
+    pub(super) fn accept_pending(
         &mut self,
         sockets: &mut BufferedSockets,
         candidates: &mut EvictionCandidates,
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -129,10 +129,10 @@
 fn evict_if_handshake_incomplete(store: &mut SocketStore, token: Token) {
     let Some(socket) = store.get(token) else { return };
     if socket.is_awaiting_handshake() && socket.is_open() {
-        if let Some(farewell) = socket.farewell() {
+        if let Some(eviction_answer) = socket.eviction_answer() {
             // Best effort, without buffering the rest. A request may already be on its way, and this is its
             // answer.
-            let _ = system::write(&socket.fd, farewell);
+            let _ = system::write(&socket.fd, eviction_answer);
         }
         store.emit(token, SocketEventKind::Evicted);
         store.close(token);
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -137,7 +137,7 @@
     // ---- Connecting ----------------------------------------------------------------------------
 
     /// Starts a connection. Bytes sent before it is established are buffered
-    /// ([`SocketReactor::take_connected`]).
+    /// ([`SocketReactor::take_established`]).
     ///
     /// # Errors
     /// Returns an error if no descriptor is available or the connection fails immediately.
@@ -148,7 +148,7 @@
     /// Takes the connections that were established since the last call, in the order of establishment.
     /// Nothing is written to them yet: their owners decide what is written first, once all other events of
     /// the iteration are handled, and then call [`SocketReactor::flush`].
-    pub fn take_connected(&mut self) -> Vec<ConnectedSocket> {
+    pub fn take_established(&mut self) -> Vec<ConnectedSocket> {
         self.connector.take_established(&self.sockets.store)
     }
 
@@ -236,8 +236,8 @@
     /// Accepts all connections that are queued at the frontends' listeners, so that a process that exits
     /// leaves none of them unanswered. Returns whether there were any; their events are returned by the next
     /// poll.
-    pub fn accept_waiting(&mut self) -> bool {
-        self.acceptor.accept_waiting(&mut self.sockets, &mut self.candidates)
+    pub fn accept_pending(&mut self) -> bool {
+        self.acceptor.accept_pending(&mut self.sockets, &mut self.candidates)
     }
 
     /// Marks the peer's handshake as complete: the connection is no longer a candidate for eviction.
@@ -357,9 +357,9 @@
 
     /// Sets what the peer is sent if its connection is evicted before its handshake is complete. `None` once
     /// the peer has been sent an answer.
-    pub fn set_farewell(&mut self, token: Token, farewell: Option<&'static [u8]>) {
+    pub fn set_eviction_answer(&mut self, token: Token, eviction_answer: Option<&'static [u8]>) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
-            socket.set_farewell(farewell);
+            socket.set_eviction_answer(eviction_answer);
         }
     }
 
--- a/src/net/reactor/tests.rs
+++ b/src/net/reactor/tests.rs
@@ -44,7 +44,7 @@
 }
 
 fn flush_connected(reactor: &mut SocketReactor) {
-    for connected in reactor.take_connected() {
+    for connected in reactor.take_established() {
         reactor.flush(connected.token);
     }
 }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -48,7 +48,7 @@
     /// The owner has not reported a complete handshake yet.
     awaiting_handshake: bool,
     /// What the peer is sent if the connection is evicted.
-    farewell: Option<&'static [u8]>,
+    eviction_answer: Option<&'static [u8]>,
     /// The socket uses a reserved descriptor, or is the listener whose connections use them.
     uses_reserve: bool,
 }
@@ -85,7 +85,7 @@
             accept_info: AcceptInfo {
                 listener: None,
                 awaiting_handshake: false,
-                farewell: None,
+                eviction_answer: None,
                 uses_reserve: false,
             },
         }
@@ -249,12 +249,12 @@
     }
 
     /// Sets what the peer is sent if the connection is evicted.
-    pub(super) fn set_farewell(&mut self, farewell: Option<&'static [u8]>) {
-        self.accept_info.farewell = farewell;
+    pub(super) fn set_eviction_answer(&mut self, eviction_answer: Option<&'static [u8]>) {
+        self.accept_info.eviction_answer = eviction_answer;
     }
 
     /// What the peer is sent if the connection is evicted.
-    pub(super) fn farewell(&self) -> Option<&'static [u8]> {
-        self.accept_info.farewell
+    pub(super) fn eviction_answer(&self) -> Option<&'static [u8]> {
+        self.accept_info.eviction_answer
     }
 }
--- a/src/net/transfer/tests.rs
+++ b/src/net/transfer/tests.rs
@@ -58,7 +58,7 @@
         reactor
             .listen(addr, SocketOwner::Frontend(FrontendId { index: 0, name: "text" }))
             .expect("listen on the inherited socket");
-        assert!(!reactor.accept_waiting(), "no connection is queued");
+        assert!(!reactor.accept_pending(), "no connection is queued");
         drop(client);
         done.send(()).expect("notify the test");
     });
--- a/src/node/drain.rs
+++ b/src/node/drain.rs
@@ -13,7 +13,7 @@
 /// Starts drains, handovers and shutdowns, and executes their migration steps.
 #[derive(Debug, Default)]
 pub(super) struct DrainManager {
-    /// Whether a [`TimerEvent::DrainStep`] is on the timer wheel.
+    /// Whether a [`TimerEvent::MigrationStep`] is on the timer wheel.
     is_scheduled: bool,
 }
 
@@ -56,7 +56,7 @@
     fn schedule(&mut self, host: &mut FrontendHost) {
         if !self.is_scheduled {
             self.is_scheduled = true;
-            host.state.wheel.schedule(host.state.now(), TimerEvent::DrainStep);
+            host.state.wheel.schedule(host.state.now(), TimerEvent::MigrationStep);
         }
     }
 
@@ -71,7 +71,7 @@
             return;
         };
         if let MigrationStep::Migrate { clients, fail_arrived_before } = step {
-            executor.host.for_each(|frontend, ctx| frontend.on_drain_step(ctx));
+            executor.host.for_each(|frontend, ctx| frontend.on_migration_step(ctx));
             if let Some(fail_arrived_before) = fail_arrived_before {
                 let commands = executor.host.state.requests.fail_unanswered(now, fail_arrived_before);
                 executor.execute_all(now, commands);
@@ -81,7 +81,7 @@
             }
         }
         let next_step_at = now + lifecycle::MIGRATION_STEP_INTERVAL;
-        executor.host.state.wheel.schedule(next_step_at, TimerEvent::DrainStep);
+        executor.host.state.wheel.schedule(next_step_at, TimerEvent::MigrationStep);
     }
 }
 
@@ -102,7 +102,7 @@
 pub(super) fn end_all_requests(executor: &mut Executor) {
     executor.host.for_each(|frontend, ctx| {
         ctx.shutting_down = true;
-        frontend.on_drain_step(ctx);
+        frontend.on_migration_step(ctx);
     });
     let now = executor.host.state.now();
     let commands = executor.host.state.requests.fail_unanswered(now, MonotonicTime::MAX);
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -110,7 +110,7 @@
     /// may have been stalled since the poll, and must respect a server drain that was announced in the meantime.
     fn send_on_connected(&mut self) {
         let Executor { host, endpoints } = &mut self.executor;
-        let connected = host.state.net.take_connected();
+        let connected = host.state.net.take_established();
         if connected.is_empty() {
             return;
         }
@@ -138,7 +138,7 @@
                 host.call(id, |frontend, ctx| frontend.on_timer(ctx, token));
             }
             TimerEvent::Tick => self.on_tick(),
-            TimerEvent::DrainStep => self.drain.step(&mut self.executor),
+            TimerEvent::MigrationStep => self.drain.step(&mut self.executor),
             TimerEvent::LeaseExchange => self.leases.exchange(&mut self.executor),
             TimerEvent::AdminTimeout(token) => self.admin.on_timeout(&mut host.state.net, token),
         }
@@ -156,7 +156,7 @@
     /// Ends all open work before the process exits, so that no connection is reset without an answer: accepts and
     /// answers the connections in the accept queue, fails unanswered requests, and migrates established connections.
     fn end_open_work(&mut self) {
-        self.executor.host.state.net.accept_waiting();
+        self.executor.host.state.net.accept_pending();
         for event in self.executor.host.state.net.take_pending_events() {
             self.on_socket_event(event);
         }
--- a/src/node/tests.rs
+++ b/src/node/tests.rs
@@ -26,7 +26,7 @@
     ServeError::Settings(SettingsError { field: "classes", problem: "there must be a request class" }),
     "setting classes: there must be a request class"
 )]
-#[case(ServeError::Frontend(FrontendError::WrongConfigType), "not this frontend's file")]
+#[case(ServeError::Frontend(FrontendError::WrongConfigType), "configuration belongs to another frontend")]
 fn a_start_error_names_what_failed(#[case] error: ServeError, #[case] line: &str) {
     assert_eq!(error.to_string(), line);
 }
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -85,7 +85,11 @@
     }
 
     /// Adds an established connection that the predecessor has handed over.
-    pub fn receive_handed_over(&mut self, now: MonotonicTime, connection: HandedOverConnection) -> RequestId {
+    pub fn receive_handed_over_connection(
+        &mut self,
+        now: MonotonicTime,
+        connection: HandedOverConnection,
+    ) -> RequestId {
         let HandedOverConnection { frontend, arrival, server, started_at, load } = connection;
         self.ledger.counters_mut().inherited += 1;
         let id = self.insert_established(now, frontend, arrival, server);
@@ -148,7 +152,7 @@
 
     /// Reports that the attempt in flight has ended and cannot be retried, since its frontend no longer has the bytes
     /// to send. Returns whether the frontend still has to send the final answer "failed".
-    pub fn on_unrepeatable_attempt_ended(
+    pub fn on_non_retryable_attempt_ended(
         &mut self,
         now: MonotonicTime,
         id: RequestId,
@@ -207,10 +211,10 @@
         commands
     }
 
-    /// Fails the requests that arrived before `before` and have no answer yet. Called while the node drains or shuts
+    /// Fails the requests that arrived before `arrived_before` and have no answer yet. Called while the node drains or shuts
     /// down.
-    pub fn fail_unanswered(&mut self, now: MonotonicTime, before: MonotonicTime) -> Vec<Command> {
-        let is_due = |request: &Request| !request.is_established() && request.started_at < before;
+    pub fn fail_unanswered(&mut self, now: MonotonicTime, arrived_before: MonotonicTime) -> Vec<Command> {
+        let is_due = |request: &Request| !request.is_established() && request.started_at < arrived_before;
         let mut commands = Vec::new();
         for request_id in self.ledger.open().ids_oldest_first(is_due) {
             let Some(ended) = self.ledger.fail_unanswered(now, request_id) else { continue };
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -180,8 +180,8 @@
 fn attempt_that_cannot_be_retried_fails_its_request_once() {
     let mut requests = table_with_two_servers();
     let (id, _) = start_request(&mut requests, START);
-    assert!(requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
-    assert!(!requests.on_unrepeatable_attempt_ended(START, id, Outcome::Reset));
+    assert!(requests.on_non_retryable_attempt_ended(START, id, Outcome::Reset));
+    assert!(!requests.on_non_retryable_attempt_ended(START, id, Outcome::Reset));
     let commands = requests.decide(START);
     assert!(!commands.iter().any(|command| matches!(command, Command::StartAttempt { .. })), "{commands:?}");
     assert_eq!((requests.counters_mut().failed, requests.counters_mut().attempt_reset), (1, 1));
@@ -239,7 +239,7 @@
         started_at,
         load: Some(Duration::from_nanos(7)),
     };
-    let id = successor.receive_handed_over(START + 4 * SECOND, connection);
+    let id = successor.receive_handed_over_connection(START + 4 * SECOND, connection);
     successor.on_attempt_ended(START + 5 * SECOND, id, Outcome::Ok);
     let flows = successor.take_flow_records();
     let [flow] = &flows[..] else { panic!("expected one ended flow, got {flows:?}") };
--- a/src/rules/close.rs
+++ b/src/rules/close.rs
@@ -12,7 +12,7 @@
     /// The request's session is established. It may only end after a `MOVE`, or when the client or the server ends it.
     pub is_established: bool,
     /// A `MOVE` was sent to the client, or the client or the server has ended the session.
-    pub is_announced: bool,
+    pub is_end_announced: bool,
 }
 
 /// Checks whether a connection may be closed.
@@ -23,7 +23,7 @@
     if inputs.has_request && !inputs.is_answered {
         return Err(Violation::ClosedUnanswered);
     }
-    if inputs.is_established && !inputs.is_announced {
+    if inputs.is_established && !inputs.is_end_announced {
         return Err(Violation::CutOff);
     }
     Ok(())
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -83,10 +83,10 @@
     #[case] has_request: bool,
     #[case] is_answered: bool,
     #[case] is_established: bool,
-    #[case] is_announced: bool,
+    #[case] is_end_announced: bool,
     #[case] expected: Result<(), Violation>,
 ) {
-    let inputs = CloseInputs { has_request, is_answered, is_established, is_announced };
+    let inputs = CloseInputs { has_request, is_answered, is_established, is_end_announced };
     assert_eq!(check_close(&inputs), expected);
 }
 
