--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Settings, endpoints and requests for the tests of the policy.
+//! Settings, endpoints and requests for tests of the policy.
 
 use sparbank::model::{
     Arrival, DedupScope, Discovery, Effect, Endpoint, RequestClass, RequestId, ServerId, Settings, Status,
@@ -7,16 +7,16 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// A millisecond, to be multiplied.
+/// Unit of short durations, as in `300 * MILLIS`.
 pub const MILLIS: Duration = Duration::from_millis(1);
-/// A second, to be multiplied.
+/// Unit of long durations, as in `2 * SECOND`.
 pub const SECOND: Duration = Duration::from_secs(1);
-/// When a server started that is not in slow start.
+/// Start time of a server whose slow start is over.
 pub const LONG_AGO: MonotonicTime = MonotonicTime::ZERO;
-/// When the nodes of the tests start.
+/// Time at which the nodes under test start.
 pub const START: MonotonicTime = MonotonicTime::from_nanos(100_000_000_000);
 
-/// A request class, of which retries are discarded for 0.8 s where its effect says so.
+/// A request class whose duplicates are discarded for 0.8 s if its effect says so.
 pub fn class(effect: Effect, dedup_scope: DedupScope) -> RequestClass {
     RequestClass {
         objective: 300 * MILLIS,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Three classes: read-like, idempotent with a key within a zone, non-idempotent.
+/// Settings with three classes: read-like, idempotent by a key within a zone, and non-idempotent.
 pub fn settings() -> Settings {
     Settings {
         instances: 10,
@@ -56,7 +56,7 @@
     }
 }
 
-/// A server in one of two zones and three cells.
+/// An endpoint in one of two zones and one of three cells, by the server's number.
 pub fn endpoint(server: u32, started_at: MonotonicTime, status: Status) -> Endpoint {
     let name_hash = (u64::from(server) + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     Endpoint {
@@ -70,12 +70,12 @@
     }
 }
 
-/// Servers that are not in slow start.
+/// Serving endpoints whose slow start is over.
 pub fn serving_endpoints(servers: u32) -> Vec<Endpoint> {
     (0..servers).map(|server| endpoint(server, LONG_AGO, Status::Serving)).collect()
 }
 
-/// A new client's request.
+/// The first request of a new client.
 pub fn arrival(id: u64, class: usize) -> Arrival {
     Arrival {
         id: RequestId(id),
--- a/tests/policy_rules/deduplication.rs
+++ b/tests/policy_rules/deduplication.rs
@@ -21,23 +21,27 @@
         let actions = node.end_attempt(1, first, Outcome::Error);
         let actions = node.elapse_timer(&actions);
         let second = attempted_server(&actions).expect("its zone has more servers");
-        assert_eq!(first.0 % 2, second.0 % 2, "the repeat is discarded only within the zone");
+        assert_eq!(first.0 % 2, second.0 % 2, "duplicates are discarded within the zone only");
         node.now += 800 * MILLIS;
         let actions = node.end_attempt(1, second, Outcome::ConnectFailed);
-        assert_eq!(node.elapse_timer(&actions), [Action::Fail(RequestId(1))], "the window is over");
+        assert_eq!(
+            node.elapse_timer(&actions),
+            [Action::Fail(RequestId(1))],
+            "the deduplication window has ended"
+        );
     }
 }
 
-/// A request is sent once its connection is established: a retry whose connection may be established only after the
-/// window must not start within it.
+/// A request is sent once its connection is established, so no retry may start if its connection may be established
+/// only after the deduplication window.
 #[test]
-fn a_retry_is_sent_before_the_dedup_window_ends_however_late_its_connection() {
-    let slow = Settings { dial_timeout: 250 * MILLIS, ..settings() };
+fn a_retry_is_sent_before_the_dedup_window_ends_even_on_a_late_connection() {
+    let slow_to_connect = Settings { dial_timeout: 250 * MILLIS, ..settings() };
     let mut latest = Duration::ZERO;
     for seed in 0..400 {
-        let mut node = Node::new(seed, slow.clone(), serving_endpoints(8));
+        let mut node = Node::new(seed, slow_to_connect.clone(), serving_endpoints(8));
         let first = attempted_server(&node.request(1, 1)).expect("placed");
-        let sent = node.now;
+        let first_sent_at = node.now;
         node.now += 500 * MILLIS;
         let mut actions = node.end_attempt(1, first, Outcome::Reset);
         while let Some((after, token)) = requested_timer(&actions) {
@@ -45,11 +49,11 @@
             actions = node.handle(Event::Timer(token));
         }
         if attempted_server(&actions).is_some() {
-            latest = latest.max((node.now + 250 * MILLIS).saturating_duration_since(sent));
+            latest = latest.max((node.now + 250 * MILLIS).saturating_duration_since(first_sent_at));
         }
     }
     assert!(
         (750 * MILLIS..800 * MILLIS).contains(&latest),
-        "the last repeat may be sent {latest:?} after the first"
+        "the latest retry may be sent {latest:?} after the first attempt"
     );
 }
--- a/tests/policy_rules/endpoint_list.rs
+++ b/tests/policy_rules/endpoint_list.rs
@@ -19,8 +19,8 @@
     }
 }
 
-/// However many polls have failed and whatever the settings allow after that, the next one is due soon enough that a
-/// change is known 6 s after discovery could be reached: 2 s for a poll that times out, the backoff, an answer.
+/// After any number of failed polls and under any setting, the next poll is due early enough that a change is known
+/// within 6 s of discovery becoming reachable: 2 s for a poll that times out, the backoff, and the response.
 #[test]
 fn the_next_poll_is_due_within_the_notification_time() {
     let cases = [
@@ -28,14 +28,14 @@
         (Discovery::Polled, SECOND, SECOND),
         (Discovery::LocalAgent, 60 * SECOND, 200 * MILLIS),
     ];
-    for (discovery, poll_within, most) in cases {
+    for (discovery, poll_within, max_delay) in cases {
         let polled = Settings { discovery, poll_within, ..settings() };
         for seed in 0..50 {
             let mut node = Node::new(seed, polled.clone(), serving_endpoints(3));
-            for failed in 0..20 {
+            for failures in 0..20 {
                 let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
-                let (after, token) = requested_timer(&actions).expect("it polls again");
-                assert!(after <= most, "{discovery:?}: {after:?} after {failed} failures");
+                let (after, token) = requested_timer(&actions).expect("a timer for the next poll");
+                assert!(after <= max_delay, "{discovery:?}: {after:?} after {failures} earlier failures");
                 node.now += after;
                 assert_eq!(node.handle(Event::Timer(token)), [Action::Subscribe]);
             }
@@ -49,18 +49,21 @@
 #[test]
 fn nodes_poll_at_different_times_and_again_after_a_failure() {
     let polled = Settings { discovery: Discovery::Polled, ..settings() };
-    let mut first = Vec::new();
+    let mut delays = Vec::new();
     for seed in 0..50 {
         let mut node = Node::new(seed, polled.clone(), serving_endpoints(3));
         let actions = node.handle(Event::EndpointList(ListKind::Failed, vec![]));
-        let (after, token) = requested_timer(&actions).expect("it polls later");
-        first.push(after);
+        let (after, token) = requested_timer(&actions).expect("a timer for the next poll");
+        delays.push(after);
         node.now += after;
         assert_eq!(node.handle(Event::Timer(token)), [Action::Subscribe]);
-        assert!(attempted_server(&node.request(1, 0)).is_some(), "the last list stays in force in an outage");
+        assert!(
+            attempted_server(&node.request(1, 0)).is_some(),
+            "the last list is used while discovery is unavailable"
+        );
     }
-    first.sort_unstable();
-    first.dedup();
-    assert!(first.len() > 40, "no stampede");
-    assert!(first.iter().all(|after| *after <= 10 * SECOND), "it polls before it counts as notified");
+    delays.sort_unstable();
+    delays.dedup();
+    assert!(delays.len() > 40, "nodes must not poll at the same time");
+    assert!(delays.iter().all(|after| *after <= 10 * SECOND), "each node must poll within `poll_within`");
 }
--- a/tests/policy_rules/final_answer.rs
+++ b/tests/policy_rules/final_answer.rs
@@ -28,7 +28,7 @@
         }
         answers += final_answers(&actions);
     }
-    assert_eq!((answers, attempts), (1, 3), "a server that does not answer costs one attempt's timeout");
+    assert_eq!((answers, attempts), (1, 3), "a server that does not answer costs the timeout of one attempt");
     assert!(node.now <= start + 2 * SECOND);
 }
 
@@ -43,17 +43,17 @@
             assert_eq!(attempted_server(&actions), None);
             actions = node.elapse_timer(&actions);
         }
-        assert!(matches!(actions[..], [Action::Reject { .. }]), "nothing ran: a rejection is safe");
+        assert!(matches!(actions[..], [Action::Reject { .. }]), "nothing ran, so a rejection is safe");
         assert!(node.now <= start + 2 * SECOND);
     }
 }
 
-/// Regression: a timer may elapse early by a rounding error, and the request was lost.
+/// Regression: a timer elapsed early by a rounding error, and its request was lost.
 #[test]
 fn a_timer_that_elapses_early_is_not_lost() {
     let mut node = Node::new(1, settings(), vec![]);
     let actions = node.request(1, 0);
-    let (after, token) = requested_timer(&actions).expect("a backoff");
+    let (after, token) = requested_timer(&actions).expect("a backoff timer");
     node.now += after.saturating_sub(Duration::from_nanos(1));
     assert!(!node.handle(Event::Timer(token)).is_empty());
 }
--- a/tests/policy_rules/groups.rs
+++ b/tests/policy_rules/groups.rs
@@ -1,14 +1,14 @@
-//! Requests of a group gather at few servers.
+//! Requests of a group are concentrated at few servers.
 
 use crate::common::{arrival, settings};
 use crate::node::{attempted_server, large_fleet_settings, same_zone_endpoints, Node};
 use sparbank::model::{Arrival, Event, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Regression: in a large fleet no node has enough connections to know where a group is, and in the end every server
-/// paid for every group. A server pays for each group of which it serves any request.
+/// Regression: in a large fleet no node has enough connections to know which servers serve a group, and every server
+/// ended up serving every group. Each group of which a server serves any request adds a fixed load to it.
 #[test]
-fn nodes_that_see_little_gather_a_group_without_coordination() {
+fn nodes_with_few_connections_concentrate_a_group_without_coordination() {
     let mut placed: BTreeMap<ServerId, usize> = BTreeMap::new();
     for seed in 0..100 {
         let mut node = Node::new(seed, large_fleet_settings(), same_zone_endpoints(12));
@@ -17,30 +17,31 @@
             .entry(attempted_server(&node.handle(Event::Request(request))).expect("placed"))
             .or_default() += 1;
     }
-    assert!(placed.len() <= 3, "{placed:?}: 100 of one group on twelve servers");
+    assert!(placed.len() <= 3, "100 requests of one group on twelve servers: {placed:?}");
 }
 
-/// A server pays once for each group of which it serves any request, as much as for three connections: requests
-/// of a group go where one is already, unless that server has too much other load.
+/// Each group of which a server serves any request adds the load of three connections to it, once: requests of a
+/// group go to a server that already serves it, unless that server has too much other load.
 #[test]
-fn a_group_gathers_and_different_groups_spread() {
+fn a_group_is_concentrated_and_different_groups_spread() {
     let mut node = Node::new(1, settings(), same_zone_endpoints(3));
     let mut place = |id, group| {
         let request = Arrival { group: Some(group), ..arrival(id, 0) };
         attempted_server(&node.handle(Event::Request(request))).expect("placed")
     };
-    let groups: Vec<_> = (0..3).map(|id| place(id, id)).collect();
-    let servers: BTreeSet<_> = groups.iter().collect();
+    let group_servers: Vec<_> = (0..3).map(|id| place(id, id)).collect();
+    let servers: BTreeSet<_> = group_servers.iter().collect();
     assert_eq!(servers.len(), 3, "three groups, three servers");
-    assert_eq!([place(3, 1), place(4, 1)], [groups[1]; 2], "where the group is");
+    assert_eq!([place(3, 1), place(4, 1)], [group_servers[1]; 2], "at the server of the group");
     let more: Vec<_> = (5..30).map(|id| place(id, 1)).collect();
-    assert!(more.iter().any(|server| *server != groups[1]), "not without limit");
+    assert!(more.iter().any(|server| *server != group_servers[1]), "the concentration is limited");
 }
 
-/// Regression (3 nodes, 10 to 15 servers, each server pays 3 mean loads for each group that it serves): a node with many connections drew candidates by the request alone, and in the end every server paid for
-/// the group. A group has the same candidates at every node, whatever connections the node has.
+/// Regression, with 3 nodes and 10 to 15 servers, where each group adds three mean loads to a server that serves it:
+/// a node with many connections drew candidates by the request alone, and every server ended up serving the group. A
+/// group has the same candidates at every node, regardless of the node's connections.
 #[test]
-fn a_group_keeps_to_its_own_few_servers_however_many_connections_a_node_has() {
+fn a_group_stays_at_few_servers_regardless_of_a_nodes_connections() {
     let mut node = Node::new(5, settings(), same_zone_endpoints(12));
     for id in 0..120 {
         let server = attempted_server(&node.request(id, 0)).expect("placed");
@@ -53,5 +54,5 @@
         node.establish(id, server);
         servers.insert(server);
     }
-    assert!(servers.len() <= 3, "40 of one group at {} of 12 servers: {servers:?}", servers.len());
+    assert!(servers.len() <= 3, "40 requests of one group at {} of 12 servers: {servers:?}", servers.len());
 }
--- a/tests/policy_rules/invalid_input.rs
+++ b/tests/policy_rules/invalid_input.rs
@@ -6,8 +6,8 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// The longest span of whole nanoseconds that fits 64 bits.
-const LONGEST: Duration = Duration::from_nanos(u64::MAX);
+/// The longest duration whose nanoseconds fit into 64 bits.
+const MAX_DURATION: Duration = Duration::from_nanos(u64::MAX);
 
 #[test]
 fn invalid_settings_are_rejected_by_name() {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn invalid_lists_clocks_and_ids_do_no_harm() {
+fn invalid_lists_clocks_and_ids_are_harmless() {
     let mut node = Node::new(1, settings(), vec![]);
     let invalid = |server, nominal| Endpoint { nominal, ..endpoint(server, LONG_AGO, Status::Serving) };
     let endpoints = vec![
@@ -35,29 +35,29 @@
     for id in 0..20 {
         assert!(
             attempted_server(&node.request(id, 7)).is_some(),
-            "a clock that does not advance, an unknown class"
+            "an unknown class, and a clock that does not advance"
         );
     }
     assert_eq!(node.handle(Event::ClientDisconnected(RequestId(12345))), []);
     assert_eq!(node.end_attempt(12345, ServerId(77), Outcome::Ok), []);
-    assert_eq!(node.handle(Event::LatencyReport { server: ServerId(77), latency: LONGEST }), []);
-    node.handle(Event::LatencyReport { server: ServerId(1), latency: LONGEST });
+    assert_eq!(node.handle(Event::LatencyReport { server: ServerId(77), latency: MAX_DURATION }), []);
+    node.handle(Event::LatencyReport { server: ServerId(1), latency: MAX_DURATION });
     node.establish(12345, ServerId(77));
     node.now = MonotonicTime::MAX;
     node.request(21, 0);
     node.now = MonotonicTime::MAX - Duration::from_nanos(1);
-    node.handle(Event::Request(Arrival { time_left: LONGEST, ..arrival(22, 0) }));
+    node.handle(Event::Request(Arrival { time_left: MAX_DURATION, ..arrival(22, 0) }));
     for earlier in 0..5 {
         node.handle(Event::EndpointList(
             ListKind::Incremental,
             vec![endpoint(0, node.now - Duration::from_nanos(earlier), Status::Serving)],
         ));
     }
-    let many = Node::new(1, settings(), serving_endpoints(5000)).request(1, 0);
-    assert!(attempted_server(&many).is_some());
+    let actions = Node::new(1, settings(), serving_endpoints(5000)).request(1, 0);
+    assert!(attempted_server(&actions).is_some());
 }
 
-/// Every way in which an attempt ends is harmless at a server that no list has named.
+/// Every outcome of an attempt except success is harmless at a server that no list has contained.
 #[test]
 fn an_attempt_that_ends_at_a_server_that_was_never_listed_is_harmless() {
     let outcomes = [
--- a/tests/policy_rules/large_fleet_slow_start.rs
+++ b/tests/policy_rules/large_fleet_slow_start.rs
@@ -6,25 +6,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Regression: five of nine servers had just started and together got one connection per
-/// second, while the others reset what they were sent.
+/// Regression: five of nine servers had just started and together got one connection per second, while the others
+/// reset the connections that they got.
 #[test]
-fn servers_in_slow_start_get_what_they_admit_of_a_thin_fleet_and_no_more() {
+fn servers_in_slow_start_get_what_they_admit_in_a_large_fleet_and_no_more() {
     let (mut starting, mut other) = (0, 0);
     for seed in 0..100 {
         let slow =
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, same_zone_endpoints(5));
         let now = node.now;
-        let started_at = |m: Endpoint| Endpoint {
-            started_at: if m.server.0 < 3 { now - 3 * SECOND } else { LONG_AGO },
-            ..m
+        let started_at = |endpoint: Endpoint| Endpoint {
+            started_at: if endpoint.server.0 < 3 { now - 3 * SECOND } else { LONG_AGO },
+            ..endpoint
         };
         node.handle(Event::EndpointList(
             ListKind::Full,
             same_zone_endpoints(5).into_iter().map(started_at).collect(),
         ));
-        // Two seconds at twice the rate of the quotas: 40 placements of all nodes.
+        // Two seconds at twice the rate of the quotas: 40 placements by all nodes together.
         if seed % 5 < 2 {
             node.now += Duration::from_millis(seed * 20);
             match attempted_server(&node.request(seed + 1, 0)).expect("placed").0 {
@@ -33,28 +33,28 @@
             }
         }
     }
-    // Each has a quota of a fifth of 500 connections after 23 s, and takes twice that. At a quarter of its capacity,
-    // times the overload multiple of 3: 12 in 2 s.
+    // Each server has a quota of a fifth of 500 connections after 23 s, and takes twice that. At a quarter of its
+    // capacity, times the overload multiple of 3, it admits 12 in 2 s.
     assert!(
         (6..40).contains(&starting) && other >= 4,
-        "{starting} to three starting servers, {other} to others"
+        "{starting} to the three starting servers, {other} to the others"
     );
 }
 
-/// Regression: the clients of two zones reconnected to all nodes at once, several to each,
-/// and a server in slow start got 27 connections in 2 s, which overloaded it. Each request was weighed by the rate of
-/// arrivals until then, so the first ones of a burst brought it twice what it admits.
+/// Regression: the clients of two zones reconnected to all nodes at once, several to each, and a server in slow start
+/// got 27 connections in 2 s, which overloaded it. Each request was weighted by the arrival rate before it, so the
+/// first requests of a burst brought the server twice what it admits.
 #[test]
-fn a_burst_at_all_nodes_brings_a_server_in_slow_start_no_more_than_the_time_allows() {
+fn a_burst_at_all_nodes_brings_a_server_in_slow_start_no_more_than_it_admits() {
     let (mut starting, mut first) = (0, 0);
     for seed in 0..100 {
         let slow =
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, same_zone_endpoints(5));
         let now = node.now;
-        let started_at = |m: Endpoint| Endpoint {
-            started_at: if m.server.0 == 0 { now - 3 * SECOND } else { LONG_AGO },
-            ..m
+        let started_at = |endpoint: Endpoint| Endpoint {
+            started_at: if endpoint.server.0 == 0 { now - 3 * SECOND } else { LONG_AGO },
+            ..endpoint
         };
         node.handle(Event::EndpointList(
             ListKind::Full,
@@ -70,15 +70,16 @@
         }
     }
     // Each server has a quota of a fifth of 500 connections after 23 s, and takes twice that: at a third of its
-    // capacity, times the overload multiple of 3, it admits 8 per second, so about 21 here; with a margin for chance.
-    assert!((10..45).contains(&starting), "{starting} in half a second, {first} of them the first");
+    // capacity, times the overload multiple of 3, it admits 8 per second, so about 21 here. The bounds leave a margin
+    // for chance.
+    assert!((10..45).contains(&starting), "{starting} in half a second, {first} of them as first requests");
     assert!(
         starting < first + 20,
-        "{starting}, {first} of them the first: the others of a burst bring what its time allows"
+        "{starting}, {first} of them as first requests: the rest of a burst must be limited by its duration"
     );
 }
 
-/// Of servers in slow start, each of which gets its share of all requests, two groups prefer different ones.
+/// Each server in slow start gets its share of all requests, but two groups prefer different ones of these servers.
 #[test]
 fn groups_prefer_different_servers_in_slow_start() {
     let mut placed: BTreeMap<(u64, ServerId), f64> = BTreeMap::new();
@@ -87,9 +88,9 @@
             Settings { slow_start_floor: 0.12, slow_start_duration: 23 * SECOND, ..large_fleet_settings() };
         let mut node = Node::new(seed, slow, Vec::new());
         let now = node.now;
-        let started_at = |m: Endpoint| Endpoint {
-            started_at: if m.server.0 < 6 { now - 3 * SECOND } else { LONG_AGO },
-            ..m
+        let started_at = |endpoint: Endpoint| Endpoint {
+            started_at: if endpoint.server.0 < 6 { now - 3 * SECOND } else { LONG_AGO },
+            ..endpoint
         };
         node.handle(Event::EndpointList(
             ListKind::Full,
@@ -105,6 +106,6 @@
     let difference: f64 = (0..6).map(|s| (count(0, s) - count(1, s)).abs()).sum();
     assert!(
         starting > 200.0 && difference > starting * 0.3,
-        "{starting} to starting servers, {difference} of difference: {placed:?}"
+        "{starting} to starting servers, the groups differ by {difference}: {placed:?}"
     );
 }
--- a/tests/policy_rules/main.rs
+++ b/tests/policy_rules/main.rs
@@ -1,4 +1,4 @@
-//! The four rules that each node keeps by itself, and a regression test for each fault that was found:
+//! The four rules that each node enforces on its own, and a regression test for each fault that was found:
 //!
 //! 1. A request gets one final answer, before its deadline, and nothing after it.
 //! 2. No effect runs twice.
--- a/tests/policy_rules/node.rs
+++ b/tests/policy_rules/node.rs
@@ -1,4 +1,4 @@
-//! A node for the tests, and what its actions say.
+//! A node under test, and functions that read its actions.
 
 use crate::common::{arrival, serving_endpoints, settings, MILLIS, START};
 use sparbank::model::{Action, Endpoint, Event, ListKind, Outcome, RequestId, ServerId, Settings};
@@ -6,31 +6,34 @@
 use sparbank_time::MonotonicTime;
 use std::time::Duration;
 
-/// Servers of the node's own zone: crossing zones has a cost, which counts in the selection.
+/// Endpoints in the node's own zone: server selection counts the cost of crossing zones.
 pub fn same_zone_endpoints(servers: u32) -> Vec<Endpoint> {
-    serving_endpoints(servers).into_iter().map(|m| Endpoint { zone: settings().zone, ..m }).collect()
+    serving_endpoints(servers)
+        .into_iter()
+        .map(|endpoint| Endpoint { zone: settings().zone, ..endpoint })
+        .collect()
 }
 
-/// A balancer with its clock.
+/// A balancer and its clock.
 pub struct Node {
     pub balancer: Balancer,
     pub now: MonotonicTime,
 }
 
 impl Node {
-    /// A node that has these endpoints from its cache.
+    /// A node that starts with these endpoints from its cached list.
     pub fn new(seed: u64, settings: Settings, endpoints: Vec<Endpoint>) -> Node {
-        let balancer = Balancer::new(seed, settings).expect("settings are right");
+        let balancer = Balancer::new(seed, settings).expect("valid settings");
         let mut node = Node { balancer, now: START };
         node.handle(Event::EndpointList(ListKind::Saved, endpoints));
         node
     }
 
-    /// Handles an event now, and gives the actions that follow.
+    /// Handles an event at the current time. Returns the resulting actions.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
     /// A new client's request of this class arrives.
@@ -44,12 +47,12 @@
         self.handle(Event::AttemptEnded { id: RequestId(id), server, outcome, done })
     }
 
-    /// An attempt succeeds, fast.
+    /// An attempt succeeds within 20 ms.
     pub fn establish(&mut self, id: u64, server: ServerId) {
         self.handle(Event::Established { id: RequestId(id), server, setup_time: 20 * MILLIS });
     }
 
-    /// Lets the timer that these actions set elapse, and gives the actions that follow.
+    /// Advances the clock to the timer that these actions set. Returns the actions that result.
     pub fn elapse_timer(&mut self, actions: &[Action]) -> Vec<Action> {
         let (after, token) = requested_timer(actions).expect("a timer was set");
         self.now += after;
--- a/tests/policy_rules/retry_admission.rs
+++ b/tests/policy_rules/retry_admission.rs
@@ -1,4 +1,4 @@
-//! Reconnects and retries wait for their admission; first attempts of new clients do not.
+//! Reconnects and retries wait for admission; first attempts of new clients do not.
 
 use crate::common::{arrival, serving_endpoints, settings, MILLIS, SECOND};
 use crate::node::{attempted_server, requested_timer, Node};
@@ -14,10 +14,10 @@
     assert!(attempted_server(&node.elapse_timer(&actions)).is_some());
 }
 
-/// Eight attempts are in flight when a zone fails: the window narrows once for that, not eight times.
+/// Eight attempts are in flight when a zone fails: the admission window shrinks once for that, not eight times.
 #[test]
-fn failures_of_attempts_sent_before_the_last_failure_do_not_narrow_the_window() {
-    let admitted_after = |at_once: bool| {
+fn failures_of_attempts_sent_before_the_last_failure_do_not_shrink_the_window() {
+    let admitted_after_failures = |simultaneous: bool| {
         let mut node = Node::new(3, settings(), serving_endpoints(20));
         for id in 500..510 {
             let server = attempted_server(&node.request(id, 0)).expect("placed");
@@ -28,8 +28,8 @@
         node.now += 400 * MILLIS;
         for (id, server) in in_flight {
             node.end_attempt(id, server, Outcome::Timeout);
-            // One after another, each sent after the last failure was known.
-            if !at_once {
+            // Consecutive failures: each attempt is sent after the failure before it was known.
+            if !simultaneous {
                 let next =
                     attempted_server(&node.request(100 + id, 0)).expect("a new client's attempt starts");
                 node.now += 400 * MILLIS;
@@ -47,16 +47,16 @@
             .filter(|(_, token)| attempted_server(&node.handle(Event::Timer(*token))).is_some())
             .count()
     };
-    let (once, often) = (admitted_after(true), admitted_after(false));
+    let (simultaneous, consecutive) = (admitted_after_failures(true), admitted_after_failures(false));
     assert!(
-        once >= 10 && often == 1,
-        "{once} out after one failure of eight, {often} after failures in a row"
+        simultaneous >= 10 && consecutive == 1,
+        "{simultaneous} admitted after eight simultaneous failures, {consecutive} after consecutive ones"
     );
 }
 
-/// Regression: hundreds of connections, established at once, overload a store that all servers share.
+/// Regression: hundreds of connections that were established at once overloaded a store that all servers share.
 #[test]
-fn failures_in_a_row_pace_reconnects_and_no_new_client() {
+fn consecutive_failures_pace_reconnects_and_no_new_client() {
     let mut node = Node::new(1, settings(), serving_endpoints(20));
     for id in 0..8 {
         node.now += SECOND;
@@ -73,7 +73,7 @@
         timers.iter().filter(|(_, token)| attempted_server(&node.handle(Event::Timer(*token))).is_some());
     let retries = retries.count();
     let new = (200..210).filter(|id| attempted_server(&node.request(*id, 0)).is_some()).count();
-    assert!(retries <= 1, "{retries} of 50 started at once into a shared failure");
+    assert!(retries <= 1, "{retries} of 50 reconnects started at once during a shared failure");
     assert_eq!(new, 10, "a new client's first attempt starts at once");
 }
 
@@ -83,15 +83,16 @@
     let polled = Settings { discovery: Discovery::Polled, ..settings() };
     let mut node = Node::new(1, polled, serving_endpoints(20));
     node.handle(Event::EndpointList(ListKind::Incremental, vec![]));
-    let lost = |node: &mut Node| log_lines(&node.handle(Event::EndpointList(ListKind::Failed, vec![])));
-    assert_eq!((lost(&mut node), lost(&mut node)), (1, 0));
+    let failed_poll =
+        |node: &mut Node| log_lines(&node.handle(Event::EndpointList(ListKind::Failed, vec![])));
+    assert_eq!((failed_poll(&mut node), failed_poll(&mut node)), (1, 0));
     let mut lines = 0;
     for id in 0..10 {
         node.now += 3 * SECOND;
         let server = attempted_server(&node.request(id, 0)).expect("placed");
         lines += log_lines(&node.end_attempt(id, server, Outcome::Timeout));
     }
-    assert_eq!(lines, 1, "ten failures in a row are one change");
+    assert_eq!(lines, 1, "ten consecutive failures are one change");
     let mut lines = 0;
     for id in 10..30 {
         node.now += 3 * SECOND;
@@ -102,5 +103,5 @@
             setup_time: 20 * MILLIS,
         }));
     }
-    assert_eq!(lines, 1);
+    assert_eq!(lines, 1, "the end of pacing is one change");
 }
