--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -1,4 +1,4 @@
-//! Ended flows as an IPFIX collector receives them.
+//! Records of ended flows, as an IPFIX collector receives them.
 
 use rstest::rstest;
 use sparbank_test_support::{listener, Bench, Peer};
@@ -13,7 +13,7 @@
 const SET_HEADER_BYTES: usize = 4;
 const TEMPLATE_SET_ID: u64 = 2;
 const TEMPLATE_ID: u64 = 256;
-/// The field length of a string that has its own length in each record.
+/// The template's field length of a string whose length each record contains.
 const VARIABLE_LENGTH: u64 = 0xffff;
 const END_OF_FLOW: u64 = 3;
 /// A time in 2017, in Unix milliseconds: exported times are Unix times.
@@ -24,7 +24,7 @@
     bytes.iter().fold(0, |number, byte| (number << 8) | u64::from(*byte))
 }
 
-/// The only set of a message.
+/// The only set in a message.
 struct Set {
     id: u64,
     body: Vec<u8>,
@@ -70,13 +70,13 @@
         };
         values.insert(field.element, record.drain(..length).collect());
     }
-    assert!(record.is_empty(), "nothing beyond the template");
+    assert!(record.is_empty(), "a record has no bytes beyond its template");
     values
 }
 
 #[rstest]
-fn ended_flow_is_exported_as_its_template_describes() {
-    let collector = UdpSocket::bind("127.0.0.1:0").expect("a port");
+fn an_ended_flow_is_exported_as_its_template_describes() {
+    let collector = UdpSocket::bind("127.0.0.1:0").expect("a UDP socket");
     collector.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a time-out");
     let address = collector.local_addr().expect("bound").to_string();
     let bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--ipfix", &address], str::to_string);
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,16 +1,16 @@
-//! The log: a reader that stands still delays no client.
+//! The log: a reader that does not read its pipe delays no client.
 
 use sparbank_test_support::{listener, open_line, Bench, Peer};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// Requests at a time; the node may hold 256 sockets.
+/// Requests that are open at once. The node may hold 256 sockets.
 const BATCH: u64 = 150;
-/// Batches whose trace lines are more than a pipe holds.
+/// Enough batches that their trace lines exceed the capacity of a pipe.
 const BATCHES: u64 = 4;
 
-/// Nobody reads the node's log, which fills its pipe: every request still gets its answer.
+/// The pipe of the node's log is full because nobody reads it. Every request still gets its answer.
 #[test]
 fn a_log_that_nobody_reads_delays_no_answer() {
     let servers = vec![listener()];
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP over loopback: the configuration is reloaded while the node serves.
+//! Reload of the configuration by SIGHUP while the node serves, over loopback.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -10,7 +10,8 @@
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
-/// Connects a client and establishes its connection at this server.
+/// Establishes a connection of a new client, which must be placed at this server. Returns the ends of client and
+/// server.
 fn establish_at(bench: &Bench, server: usize, key: u64) -> (Peer, Peer) {
     let mut client = bench.connect_client(&open_line(key));
     let mut attempt = Peer::accept(&bench.servers[server]);
@@ -23,7 +24,7 @@
 #[rstest]
 #[case::draining("draining")]
 #[case::missing("")]
-fn the_watch_moves_and_its_first_list_replaces_the_known_one(#[case] lifecycle: &str) {
+fn after_discovery_moves_the_first_list_replaces_the_known_one(#[case] lifecycle: &str) {
     let mut bench = Bench::start(PROGRAM, 2);
     let _old = bench.accept_watch();
     let mut client = bench.connect_client(OPEN);
@@ -33,20 +34,20 @@
     assert_eq!(client.read_line(), "UP r1");
     bench.move_discovery();
     bench.wait_for_log("configuration reloaded");
-    // The new discovery counts its versions from elsewhere.
+    // The new discovery counts generations on its own.
     bench.generation = 0;
     let mut watch = bench.accept_watch();
-    let address = |at: usize| bench.servers[at].local_addr().expect("an address");
+    let address = |server: usize| bench.servers[server].local_addr().expect("an address");
     let mut entries = vec![instance(1, address(1), "ready")];
     if !lifecycle.is_empty() {
         entries.push(instance(0, address(0), lifecycle));
     }
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries.join(","));
-    // The watch ends after the list, so that its loss shows that the list was handled.
+    // The watch ends after the list: once its loss is logged, the list has been handled.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
     let _placed: Vec<_> = (0..4).map(|key| establish_at(&bench, 1, key)).collect();
-    // The established connection goes on, at whichever server.
+    // The established connection continues, whichever server it is at.
     client.send("M 1 x\r\n");
     assert_eq!(attempt.read_line(), "M 1 x");
     attempt.send("M 1 x\r\n");
@@ -55,14 +56,14 @@
 }
 
 #[rstest]
-fn a_new_address_that_fails_is_polled_again_and_known_servers_stay() {
+fn a_failed_poll_of_a_new_address_is_repeated_and_known_servers_are_kept() {
     let mut bench = Bench::start(PROGRAM, 1);
     let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
     bench.wait_for_log("endpoint watch lost");
     let _established = establish_at(&bench, 0, 1);
-    // One reload during the poll that follows, and one more: each ends the watch before it.
+    // One reload during the next poll and another one right after: each ends the watch before it.
     let mut pending = Peer::accept(&bench.discovery);
     bench.move_discovery();
     assert!(pending.read_line().starts_with("GET"));
@@ -82,10 +83,10 @@
     let mut bench = Bench::start(PROGRAM, 1);
     let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
-    let refusal = bench.wait_for_log("configuration reload rejected");
-    assert!(refusal.contains("node.json") && refusal.contains(expected), "{refusal}");
+    let rejection = bench.wait_for_log("configuration reload rejected");
+    assert!(rejection.contains("node.json") && rejection.contains(expected), "{rejection}");
     let _established = establish_at(&bench, 0, 1);
-    // The watch is still the same.
+    // The watch is still the same one.
     bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
@@ -93,12 +94,12 @@
 }
 
 #[rstest]
-fn what_needs_a_restart_is_named_and_the_rest_is_applied() {
+fn fields_that_need_a_restart_are_named_and_the_others_are_applied() {
     let amqp = r#"{"listen":"127.0.0.1:0"}"#;
     let mut bench = Bench::with(PROGRAM, vec![listener()], Some(amqp));
     let _watch = bench.accept_watch();
     bench.reconfigure(|text| {
-        // Of 20 descriptors none is left for a client.
+        // With a limit of 20 sockets, none is left for a client.
         text.replace(r#""sockets":256"#, r#""sockets":20"#)
             .replace(r#""name":"n1""#, r#""name":"n2""#)
             .replace(r#""seed":"7""#, r#""seed":"8""#)
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -5,21 +5,21 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// Runs the program on these lines, to its end.
+/// Runs the program with these lines as its input until it exits.
 fn run(lines: &[String]) -> Output {
-    let mut host = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator-adapter"))
+    let mut adapter = Command::new(env!("CARGO_BIN_EXE_sparbank-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the host starts");
+        .expect("the adapter starts");
     let text = lines.join("\n") + "\n";
-    // A host that stops at a bad line closes its end: what is written after that may fail.
-    let _ = host.stdin.take().expect("piped").write_all(text.as_bytes());
-    host.wait_with_output().expect("the host ends at the end of its input")
+    // An adapter that exits at an invalid line closes the pipe, and a later write fails.
+    let _ = adapter.stdin.take().expect("piped").write_all(text.as_bytes());
+    adapter.wait_with_output().expect("the adapter exits at the end of its input")
 }
 
-/// The replies to valid batches, one for each.
+/// Runs valid batches. Returns one reply for each.
 fn run_batches(lines: &[String]) -> Vec<Value> {
     let output = run(lines);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
@@ -37,7 +37,7 @@
         "FamilyInfo": {"MessageAimNs": [100_000_000u64]}})
 }
 
-/// A batch of events by instance; frames are a second apart.
+/// A batch of events by instance. Consecutive frames are one second apart.
 fn batch(frame: u64, instances: Value) -> String {
     json!({"TsNs": 1_000_000_000u64 * (frame + 1), "frame": frame, "parts": instances}).to_string()
 }
@@ -46,14 +46,14 @@
     json!({"msg": "INIT", "Seed": seed, "Settings": settings()})
 }
 
-/// An endpoint list for the `MEMBERS` events of its slot.
+/// The endpoint list that `MEMBERS` events refer to by its slot.
 fn endpoint_list(slot: u64, servers: &[&str]) -> Value {
     let endpoint =
         |name: &&str| json!({"Backend": name, "Hall": 0, "Nominal": 1, "Status": "SERVING", "New": 0});
     json!({"msg": "CENSUS", "Slot": slot, "NodesList": servers.iter().map(endpoint).collect::<Vec<_>>()})
 }
 
-/// The endpoint list of a slot reaches an instance.
+/// The event that an instance receives the endpoint list of a slot.
 fn list_received(kind: &str, slot: u64) -> Value {
     json!({"msg": "MEMBERS", "Index": 1, "Kind": kind, "Slot": slot})
 }
@@ -62,12 +62,12 @@
     json!({"msg": "REQUEST", "Txn": id, "GraceNs": 2_000_000_000u64, "Category": 0, "Key": id, "Later": "x"})
 }
 
-/// An attempt has ended.
+/// The event that an attempt has ended.
 fn attempt_ended(id: u64, server: &str, status: u32) -> Value {
     json!({"msg": "RESPONSE", "Txn": id, "Shot": 0, "Backend": server, "Status": status, "WaitTimeNs": 5})
 }
 
-/// The actions of this name in a reply, of all instances.
+/// The actions with this name of all instances in a reply.
 fn actions<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
     let instances = reply["parts"].as_array().expect("parts").iter();
     let all = instances.flat_map(|instance| instance["outbox"].as_array().expect("outbox"));
@@ -107,7 +107,7 @@
     assert_eq!(actions(&replies[1], "TRY")[0]["Backend"], "s");
     let retry_timer = &actions(&replies[2], "NOTIFY_ME")[0];
     assert_eq!(retry_timer["Cookie"], 8);
-    assert_eq!(actions(&replies[4], "DECLINE")[0]["Txn"], 8, "two seconds on, its time is over");
+    assert_eq!(actions(&replies[4], "DECLINE")[0]["Txn"], 8, "its deadline has passed, two seconds later");
 }
 
 #[test]
@@ -128,11 +128,11 @@
 }
 
 #[test]
-fn a_crash_and_a_restart_in_one_batch_forget_everything() {
+fn a_crash_and_a_restart_in_one_batch_discard_all_state() {
     let first = json!([init(1), endpoint_list(0, &["s"]), list_received("SAVED", 0), request(1)]);
-    let again = json!([{"msg": "CRASH_NOW"}, init(2), list_received("SAVED", 0), attempt_ended(1, "s", 301), request(2)]);
+    let restart = json!([{"msg": "CRASH_NOW"}, init(2), list_received("SAVED", 0), attempt_ended(1, "s", 301), request(2)]);
     let replies =
-        run_batches(&[batch(0, json!([{"I": 0, "in": first}])), batch(1, json!([{"I": 0, "in": again}]))]);
+        run_batches(&[batch(0, json!([{"I": 0, "in": first}])), batch(1, json!([{"I": 0, "in": restart}]))]);
     assert_eq!(actions(&replies[1], "TRY").len(), 1);
     assert_eq!(actions(&replies[1], "TRY")[0]["Txn"], 2);
 }
@@ -144,7 +144,7 @@
     let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
     let first = json!([start, endpoint_list(0, &["s", "t"]), list_received("SAVED", 0), request(1)]);
     let replies = run_batches(&[batch(0, json!([{"I": 0, "in": first}]))]);
-    let backend = actions(&replies[0], "TRY")[0]["Backend"].as_str().expect("a name").to_string();
+    let backend = actions(&replies[0], "TRY")[0]["Backend"].as_str().expect("a server name").to_string();
     let replies = run_batches(&[
         batch(0, json!([{"I": 0, "in": first}])),
         batch(
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn an_instance_decides_alike_in_a_shared_host_and_in_its_own() {
+fn an_instance_decides_the_same_in_a_shared_process_and_in_its_own() {
     let names: Vec<String> = (0..30).map(|n| format!("server-{n}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
     let start = |id: u64| json!({"I": id, "in": [init(id), endpoint_list(1, &names[id as usize..]), list_received("SAVED", 1)]});
@@ -172,12 +172,12 @@
     let together = run_batches(&script(&[0, 1, 2]));
     for id in 0..3 {
         let alone = run_batches(&script(&[id]));
-        for (one, all) in alone.iter().zip(&together) {
-            let all = all["parts"].as_array().expect("parts").iter().find(|p| p["I"] == id);
-            assert_eq!(one["parts"].get(0), all);
+        for (separate, shared) in alone.iter().zip(&together) {
+            let in_shared = shared["parts"].as_array().expect("parts").iter().find(|part| part["I"] == id);
+            assert_eq!(separate["parts"].get(0), in_shared);
         }
     }
-    assert_eq!(together, run_batches(&script(&[0, 1, 2])), "the same events, the same actions");
+    assert_eq!(together, run_batches(&script(&[0, 1, 2])), "the same events cause the same actions");
 }
 
 #[test]
@@ -189,7 +189,7 @@
     assert_eq!(replies.len(), 2);
 }
 
-/// The program fails with one line on standard error that names these, and without output.
+/// Asserts that the program fails without output, with one line on standard error that contains all these names.
 fn assert_rejected(lines: &[String], names: &[&str]) {
     let output = run(lines);
     let error = String::from_utf8_lossy(&output.stderr).to_string();
@@ -226,7 +226,7 @@
     assert_rejected(&[batch(5, json!([{"I": 9, "in": [init(1), event]}]))], names);
 }
 
-/// A batch that starts one instance with these settings.
+/// A batch that starts an instance with these settings.
 fn start_with(settings: Value) -> String {
     let start = json!({"msg": "INIT", "Seed": 1, "Settings": settings});
     batch(1, json!([{"I": 0, "in": [start]}]))
@@ -247,7 +247,7 @@
     assert_rejected(&[start_with(settings)], &["INIT", name]);
 }
 
-/// Requests refer to classes by their index.
+/// Requests refer to a class by its index, so a class needs no name.
 #[test]
 fn classes_need_no_name() {
     let mut settings = settings();
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -1,4 +1,4 @@
-//! The platform's text protocol over loopback: one test for each failure met or guarded against.
+//! The text protocol over loopback: one test for each failure that occurred or is guarded against.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -13,12 +13,12 @@
 
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
-/// Accepts the attempt at whichever server it reaches; yields the server's index with it.
+/// Accepts an attempt at whichever server it reaches. Returns the server's index and the connection.
 fn accept_attempt(bench: &Bench) -> (usize, Peer) {
     accept_any(&bench.servers)
 }
 
-/// A server whose backlog is full: connections to it are never established.
+/// A server with a full backlog: connections to it are never established.
 fn full_backlog() -> TcpListener {
     FullBacklogServer::start().into_listener()
 }
@@ -26,15 +26,15 @@
 // ---- Forwarding --------------------------------------------------------------------------------
 
 #[rstest]
-fn lines_are_forwarded_unchanged_and_the_end_propagates() {
+fn lines_are_forwarded_unchanged_and_the_end_is_propagated() {
     let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     let request_line = attempt.read_line();
     let (before, rest) = request_line.split_once("d=").expect("d is forwarded");
-    let (deadline, after) = rest.split_once(',').expect("what follows d");
+    let (deadline, after) = rest.split_once(',').expect("a field after d");
     assert_eq!((before, after), ("OPEN 9b1f 7f3a c=live-readings,t=acme,", "g=5c0f"));
-    assert!(deadline.parse::<u32>().expect("a number") < 1200, "d is what the node waits");
+    assert!(deadline.parse::<u32>().expect("a number") < 1200, "d is the time that is left");
     // What arrives in the same read as UP is forwarded too.
     attempt.send("UP r1\r\nLOAD 12.5\r\nhel").send("lo\r\n");
     assert_eq!([client.read_line(), client.read_line(), client.read_line()], ["UP r1", "LOAD 12.5", "hello"]);
@@ -47,8 +47,8 @@
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "ended"]), [1, 1, 1]);
 }
 
-/// Where the settings say that latencies are reported too, a `LOAD` is a load all the same, whenever it is sent and
-/// however small it is: servers send it whenever it changes, so no interval and no ratio makes it a latency.
+/// A `LOAD` line reports a load even where the settings say that latencies are reported too, at any time and with any
+/// value: servers send it whenever the load changes, so neither an interval nor a ratio can mark it as a latency.
 #[rstest]
 fn every_load_line_is_a_load() {
     let with_latencies =
@@ -59,7 +59,8 @@
     attempt.read_line();
     attempt.send("UP r1\r\nLOAD 2727\r\n");
     assert!(bench.wait_for_log("load report").ends_with(" load_us_per_s=2727"));
-    // A second later, and nearer to the class's latency objective in milliseconds than to the load before it.
+    // One second later, with a value closer to the class's latency objective in milliseconds than to the previous
+    // load.
     std::thread::sleep(Duration::from_millis(1_000));
     attempt.send("LOAD 90\r\n");
     assert!(bench.wait_for_log("load report").ends_with(" load_us_per_s=90"));
@@ -69,12 +70,12 @@
     );
 }
 
-/// Found on reading the second deployment's protocol page: `BYE`, `ERR` and `BUSY` may end with a load report.
-/// A `BYE` with one was taken for a broken line, and the connection that it ended counted as reset.
+/// Regression: in the protocol of the second deployment `BYE`, `ERR` and `BUSY` may end with a load report. A `BYE`
+/// with one was taken for a malformed line, and the connection that it ended counted as reset.
 #[rstest]
 #[case::report("BYE inflight=7,queue=2,util=0.61\r\n")]
 #[case::malformed_report("BYE inflight\r\n")]
-fn a_bye_with_a_report_completes_the_service(#[case] bye: &str) {
+fn a_bye_with_a_load_report_ends_the_connection_without_failure(#[case] bye: &str) {
     let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], str::to_string);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
@@ -135,7 +136,7 @@
 }
 
 #[rstest]
-fn where_all_servers_reject_the_answer_is_busy_with_retry_after_at_once() {
+fn if_all_servers_reject_the_answer_is_busy_with_retry_after_at_once() {
     let bench = Bench::start(PROGRAM, 3);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     for _ in 0..3 {
@@ -143,14 +144,14 @@
         attempt.read_line();
         attempt.send("BUSY\r\n");
     }
-    // The deadline is a minute away; the time-out of a read in this test is not.
+    // The deadline is 60 s away, later than the time-out of this read.
     let answer = client.read_line();
     assert!(answer.strip_prefix("BUSY ").is_some_and(|ms| ms.parse::<u32>().is_ok()), "{answer}");
     client.expect_closed();
 }
 
 #[rstest]
-fn a_server_that_never_answers_does_not_cost_the_client_its_answer() {
+fn a_client_whose_server_never_answers_is_rejected_in_time() {
     let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=400"));
     let (_, mut hung) = accept_attempt(&bench);
@@ -167,20 +168,20 @@
 #[rstest]
 #[case::unknown_class("OPEN 1 2 c=nothing,t=a,d=100")]
 #[case::no_class("OPEN 1 2 t=a,d=100")]
-#[case::a_bad_deadline("OPEN 1 2 c=live-readings,d=soon")]
-#[case::no_list("OPEN 1 2")]
+#[case::a_deadline_that_is_no_number("OPEN 1 2 c=live-readings,d=soon")]
+#[case::no_fields("OPEN 1 2")]
 #[case::no_id("OPEN  2 c=live-readings,d=100")]
 #[case::a_negative_deadline("OPEN 1 2 c=live-readings,d=-5")]
 #[case::a_signed_deadline("OPEN 1 2 c=live-readings,d=+5")]
-#[case::an_absurd_deadline("OPEN 1 2 c=live-readings,d=4294967295")]
-#[case::a_deadline_beyond_all("OPEN 1 2 c=live-readings,d=99999999999999999999999")]
+#[case::the_largest_deadline_of_32_bits("OPEN 1 2 c=live-readings,d=4294967295")]
+#[case::a_deadline_beyond_64_bits("OPEN 1 2 c=live-readings,d=99999999999999999999999")]
 #[case::two_deadlines("OPEN 1 2 c=live-readings,d=100,d=100")]
-#[case::a_load_that_is_none("OPEN 1 2 c=live-readings,d=100,h=-1")]
+#[case::an_invalid_load("OPEN 1 2 c=live-readings,d=100,h=-1")]
 #[case::control_bytes("OPEN 1 2 c=live-readings,t=a\u{7},d=100")]
 #[case::a_name_without_a_value("OPEN 1 2 c=live-readings,d=100,g")]
 #[case::another_verb("GET / HTTP/1.1")]
 #[case::too_long(&"x".repeat(5000))]
-#[case::no_text("\u{0}\u{1}")]
+#[case::not_text("\u{0}\u{1}")]
 fn a_malformed_line_gets_one_failed_answer(#[case] line: &str) {
     let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(line);
@@ -190,7 +191,7 @@
 }
 
 #[rstest]
-fn the_id_of_an_open_request_is_rejected_and_that_request_goes_on() {
+fn a_request_with_the_id_of_an_open_request_is_rejected_and_the_open_one_continues() {
     let bench = Bench::start(PROGRAM, 2);
     let (mut client, mut server) = established_client(&bench, 0x9b1f);
     assert_eq!(bench.connect_client(OPEN).read_line(), "ERR");
@@ -199,7 +200,7 @@
     drop(client);
     server.expect_closed();
     drop(server);
-    // Once the request has ended, its id is free again.
+    // After the request has ended, its id can be used again.
     let _established = established_client(&bench, 0x9b1f);
     assert_eq!(counter_values(&bench.stop(), ["malformed", "requests"]), [1, 2]);
 }
@@ -223,7 +224,7 @@
 }
 
 #[rstest]
-fn a_client_from_before_the_run_goes_to_its_server_and_is_no_placement() {
+fn a_resumed_client_reaches_its_server_and_does_not_count_as_placed() {
     let mut bench = Bench::start(PROGRAM, 3);
     let mut client = bench.connect_client("PING");
     assert_eq!(client.read_line(), "PONG");
@@ -240,11 +241,11 @@
 // ---- Endpoint lists ----------------------------------------------------------------------------
 
 #[rstest]
-fn a_draining_server_gets_no_attempts_and_an_ended_watch_is_opened_again() {
+fn a_draining_server_gets_no_attempts_and_an_ended_watch_is_reopened() {
     let mut bench = Bench::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
-    // The watch ends after the change, so that its loss shows that the change was handled.
+    // The watch ends after the change: once its loss is logged, the change has been handled.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
     for key in 0..4 {
@@ -257,13 +258,13 @@
 
 #[rstest]
 fn a_connection_attempt_to_a_server_that_begins_to_drain_is_cancelled() {
-    // With a minute to connect in, only the drain can end the attempt.
+    // The connect time-out is a minute, so only the drain can end the attempt.
     let long_connect_timeout =
         |text: &str| text.replace(r#""DialTimeoutNs":250000000"#, r#""DialTimeoutNs":60000000000"#);
     let mut bench =
         Bench::with_args(PROGRAM, vec![full_backlog(), listener()], None, &[], long_connect_timeout);
     let mut watch = bench.accept_watch();
-    // Until the first server is selected, the other accepts its clients.
+    // Connects clients until the first server is selected; the second one accepts those before.
     let mut key = 0;
     let mut client = loop {
         let mut client = bench.connect_client(&open_line(key).replace("1200", "60000"));
@@ -279,13 +280,13 @@
 }
 
 #[rstest]
-#[case::no_http("what\r\n\r\n")]
-#[case::no_json("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{]\n\r\n")]
+#[case::not_http("what\r\n\r\n")]
+#[case::not_json("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{]\n\r\n")]
 #[case::unavailable("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")]
-fn a_wrong_answer_of_discovery_is_a_failed_list(#[case] answer: &str) {
+fn an_invalid_response_from_discovery_is_a_failed_poll(#[case] answer: &str) {
     let mut bench = Bench::start(PROGRAM, 1);
-    let mut call = Peer::accept(&bench.discovery);
-    call.send(answer);
+    let mut poll = Peer::accept(&bench.discovery);
+    poll.send(answer);
     bench.wait_for_log("endpoint watch lost");
     let _established = established_client(&bench, 0x9b1f);
     let _watch = bench.accept_watch();
@@ -311,7 +312,8 @@
     bench.process.expect_success();
 }
 
-/// SIGKILL comes 0.7 s after the longest deadline: a request that no server answers is answered before it.
+/// SIGKILL follows 0.7 s after the longest deadline. A request that no server answers gets its final answer before
+/// it.
 #[rstest]
 fn sigterm_leaves_no_request_without_an_answer() {
     let mut bench = Bench::start(PROGRAM, 1);
--- a/tests/text_overload.rs
+++ b/tests/text_overload.rs
@@ -1,4 +1,4 @@
-//! The text frontend under overload: idle clients, endless lines, and a shortage of descriptors.
+//! The text frontend under overload: idle clients, lines without an end, and a shortage of descriptors.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -11,35 +11,39 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// The limit on descriptors above which a test does not go.
+/// The hard limit on the node's descriptors.
 const MAX_DESCRIPTORS: u64 = 1024;
-/// A client without a complete line is answered and closed within this.
+/// A client without a complete line is answered and closed within this time.
 const IDLE_CLOSE_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// How long the process gets no descriptors: long enough for many attempts and polls.
-const LOCAL_SHORTAGE: Duration = Duration::from_millis(2_000);
+const DESCRIPTOR_SHORTAGE: Duration = Duration::from_millis(2_000);
 
-/// Changes how many descriptors the system gives the node.
+/// Changes the number of descriptors that the system allows the node.
 fn limit_descriptors(bench: &Bench, descriptors: u64) {
     bench.process.limit_descriptors(descriptors, MAX_DESCRIPTORS);
 }
 
-/// Closed connections and idle clients are evicted for a request, the oldest first.
+/// A request that needs sockets evicts idle clients, the oldest first.
 #[rstest]
 fn idle_clients_are_evicted_for_a_request() {
     let bench = Bench::start(PROGRAM, 1);
-    // The node may hold 256 sockets and reserves some for established connections.
+    // The node may hold 256 sockets, of which it reserves some for established connections.
     let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
     let _established = established_client(&bench, 0x9b1f);
-    assert_eq!(idle[0].read_line(), "BUSY", "a request of its may be on its way");
+    assert_eq!(
+        idle[0].read_line(),
+        "BUSY",
+        "an evicted client gets an answer, since its request may be in transit"
+    );
     idle[0].expect_closed();
     let counters = bench.stop();
     assert_eq!(counter_values(&counters, ["capacity_rejected", "served"]), [0, 1]);
     assert!(counter_value(&counters, "idle_closed") > 100);
 }
 
-/// An answer and a close are due within 3 s of connecting, however slowly bytes arrive: a request that arrives in the
-/// instant of the close has its answer already.
+/// A client without a request line is answered and closed within 3 s of connecting, however slowly bytes arrive. A
+/// request that arrives at the moment of the close has been answered already.
 #[rstest]
 #[case::nothing("", "BUSY")]
 #[case::half_a_line("OPEN 1 2 c=live-re", "BUSY")]
@@ -55,7 +59,7 @@
     assert_eq!(counter_value(&bench.stop(), "idle_closed"), 1);
 }
 
-/// Megabytes without the end of a line: the reset that stops them does not overtake the answer.
+/// A client sends megabytes without a line end: it gets the answer before the reset that stops it.
 #[rstest]
 fn a_line_without_an_end_is_answered_while_it_is_sent() {
     const CHUNKS: usize = 960;
@@ -68,11 +72,11 @@
         (0..CHUNKS).take_while(|_| sender.write_all(&chunk).is_ok()).count()
     });
     assert_eq!(client.read_line(), "ERR");
-    assert!(sending.join().expect("it ends") < CHUNKS);
+    assert!(sending.join().expect("the sender stops") < CHUNKS);
 }
 
 #[rstest]
-fn idle_clients_are_evicted_where_the_system_gives_fewer_descriptors_than_configured() {
+fn idle_clients_are_evicted_if_the_system_allows_fewer_descriptors_than_configured() {
     let bench = Bench::start(PROGRAM, 1);
     limit_descriptors(&bench, 32);
     let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
@@ -81,7 +85,7 @@
 }
 
 #[rstest]
-fn accepting_pauses_where_the_system_has_no_descriptors_and_resumes() {
+fn accepting_pauses_while_no_descriptor_is_available_and_resumes() {
     let mut bench = Bench::start(PROGRAM, 1);
     limit_descriptors(&bench, 4);
     let mut client = bench.connect_client(&open_line(0x9b1f));
@@ -91,8 +95,8 @@
     establish(&mut client, &mut attempt);
 }
 
-/// While the process gets no descriptor, no connection to a server can be opened. That says nothing of the server: the
-/// request waits, uses up none of its attempts, and is served once there are descriptors.
+/// Without a free descriptor the process can open no connection to a server. This is no failure of the server: the
+/// request waits, uses none of its attempts, and is served once descriptors are available.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_the_server() {
     let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], |text| {
@@ -103,13 +107,13 @@
     limit_descriptors(&bench, 4);
     client.send(&open_line(0x9b1f).replace("d=1200", "d=9000")).send("\r\n");
     bench.wait_for_log("client arrived");
-    std::thread::sleep(LOCAL_SHORTAGE);
+    std::thread::sleep(DESCRIPTOR_SHORTAGE);
     limit_descriptors(&bench, 64);
     let (_, mut attempt) = accept_any(&bench.servers);
     establish(&mut client, &mut attempt);
 }
 
-/// The watch cannot be opened again while the process gets no descriptor: discovery has not failed, so nothing backs off.
+/// Without a free descriptor the watch cannot be reopened. Discovery has not failed, so no backoff follows.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_discovery() {
     let mut bench = Bench::start(PROGRAM, 1);
@@ -118,21 +122,21 @@
     limit_descriptors(&bench, 4);
     drop(watch);
     bench.wait_for_log("endpoint watch lost");
-    std::thread::sleep(LOCAL_SHORTAGE);
-    assert_eq!(bench.counter("discovery_failures"), 1, "the lost watch alone");
+    std::thread::sleep(DESCRIPTOR_SHORTAGE);
+    assert_eq!(bench.counter("discovery_failures"), 1, "only the lost watch counts");
     limit_descriptors(&bench, 64);
     bench.accept_watch();
 }
 
-/// A client that is evicted for a descriptor has its answer, as a request that crosses the end has: it may be on its way.
+/// A client that is evicted for its descriptor is answered first, since its request may be in transit.
 #[test]
-fn an_evicted_client_has_its_answer() {
+fn an_evicted_client_is_answered() {
     let bench = Bench::start(PROGRAM, 1);
     let mut half_a_line = Peer::connect(bench.addr);
     half_a_line.send("OPEN 9b1f 7f3a c=li");
-    let mut resting = Peer::connect(bench.addr);
+    let mut idle = Peer::connect(bench.addr);
     assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     limit_descriptors(&bench, 4);
-    let _next: Vec<Peer> = (0..4).map(|_| Peer::connect(bench.addr)).collect();
-    assert_eq!([half_a_line.read_line(), resting.read_line()], ["BUSY", "BUSY"]);
+    let _later: Vec<Peer> = (0..4).map(|_| Peer::connect(bench.addr)).collect();
+    assert_eq!([half_a_line.read_line(), idle.read_line()], ["BUSY", "BUSY"]);
 }
