--- a/tests/configuration_errors.rs
+++ b/tests/configuration_errors.rs
@@ -1,4 +1,4 @@
-//! Configurations that the node rejects at its start.
+//! Invalid configurations, which the node rejects when it starts.
 
 use rstest::rstest;
 use sparbank_test_support::{config, node_command, temp_file};
@@ -14,9 +14,12 @@
     &config(([127, 0, 0, 1], 1).into(), "", 64).replace("read_like", "odd"),
     "field settings.Profiles[0].Effect"
 )]
-fn a_wrong_configuration_is_one_line_and_exit_2(#[case] text: &str, #[case] expected: &str) {
+fn an_invalid_configuration_is_reported_in_one_line_with_exit_code_2(
+    #[case] text: &str,
+    #[case] expected: &str,
+) {
     let path = temp_file("wrong.json", text);
-    let output = node_command(PROGRAM, &["serve"], &path).output().expect("it runs");
+    let output = node_command(PROGRAM, &["serve"], &path).output().expect("it exits");
     let errors = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -1,5 +1,5 @@
-//! Other deployments' settings: serving, retrying, rejecting and draining with other request classes, names, effects,
-//! deadlines and kinds of discovery; and many processes that start at once while discovery is unavailable.
+//! The settings of other deployments: requests are served, retried and rejected and servers drain with other request
+//! classes, names, effects, deadlines and kinds of discovery. Many processes start at once without discovery.
 
 use rstest::rstest;
 use sparbank_test_support::{accept_any, listener, open_line, Bench, Peer};
@@ -26,7 +26,7 @@
     fn profile(&self) -> String {
         let ClassSettings { name, effect, deadline_ms } = self;
         let hard_limit = deadline_ms * NANOS_PER_MILLISECOND;
-        // A quarter of the deadline, of which no more than 1.2 s counts.
+        // A quarter of the deadline, or of 1.2 s if that is shorter.
         let objective = (*deadline_ms).min(1_200) * NANOS_PER_MILLISECOND / 4;
         format!(
             r#"{{"Effect":"{effect}","HardLimitNs":{hard_limit},"Name":"{name}","ObjectiveNs":{objective},"DedupScope":"all","WindowNs":5000000000}}"#
@@ -34,7 +34,7 @@
     }
 }
 
-/// Replaces a configuration's settings by those of a deployment with these classes, zones and kind of discovery.
+/// Replaces the settings in a configuration by those of a deployment with these classes, zones and kind of discovery.
 fn with_settings(text: &str, classes: &[ClassSettings], zones: &str, discovery: &str) -> String {
     let (head, _) = text.split_once(r#""settings":"#).expect("settings");
     let profiles: Vec<String> = classes.iter().map(ClassSettings::profile).collect();
@@ -86,7 +86,7 @@
 #[case::one_class_of_60_s(one_class_with_long_deadline, 1..2)]
 #[case::sixteen_classes(sixteen_classes_polled, 0..16)]
 #[case::sixteen_classes_pushed(sixteen_classes_pushed_with_zone, 0..16)]
-fn node_serves_retries_rejects_and_drains_under_other_settings(
+fn a_node_serves_retries_rejects_and_drains_under_other_settings(
     #[case] edit: fn(&str) -> String,
     #[case] classes: std::ops::Range<usize>,
 ) {
@@ -108,9 +108,9 @@
     format!("OPEN r{number} k{number} c={name},d={deadline_ms},g=g{number}")
 }
 
-/// An attempt that never ran is repeated at another server, whatever the class; then lines are forwarded.
+/// An attempt that never ran is retried at another server, whatever the class. After that, lines are forwarded.
 fn serve_after_a_retry(bench: &Bench, class: usize) {
-    /// Up to this deadline there is no time for a retry.
+    /// The longest deadline that leaves no time for a retry.
     const MAX_DEADLINE_WITHOUT_RETRY_MS: u64 = 500;
     let mut client = bench.connect_client(&request_line(class, class));
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -125,7 +125,7 @@
     assert_eq!([client.read_line(), client.read_line()], ["UP r", "M 1"]);
 }
 
-/// All servers reject: the client has its answer in time.
+/// All servers reject the request: the client gets its answer in time.
 fn reject_before_the_deadline(bench: &Bench, class: usize) {
     let requested_at = Instant::now();
     let mut client = bench.connect_client(&request_line(100, class));
@@ -140,7 +140,7 @@
     assert!(requested_at.elapsed() < Duration::from_secs(1));
 }
 
-/// The first server drains, after which discovery is lost: new requests go to the second one.
+/// The first server drains, and then the watch is lost: new requests go to the second server.
 fn drain_the_first_server(bench: &mut Bench, mut watch: Peer, class: usize) {
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
@@ -153,16 +153,16 @@
     }
 }
 
-/// A class that is not in the settings makes a request malformed.
+/// A request whose class is not in the settings is malformed.
 #[rstest]
-fn unknown_class_is_a_malformed_request() {
+fn a_request_of_an_unknown_class_is_malformed() {
     let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], sixteen_classes_polled);
     let mut client = bench.connect_client(&open_line(1));
     assert_eq!(client.read_to_end(), "ERR\r\n");
     bench.assert_no_attempts();
 }
 
-/// Each of the processes gets ready without discovery, from the endpoints in its configuration.
+/// Without discovery, each process becomes ready with the endpoints in its configuration.
 #[rstest]
 fn many_processes_start_within_ten_seconds_without_discovery() {
     let started_at = Instant::now();
@@ -175,7 +175,7 @@
             })
         })
         .collect();
-    let ready: Vec<_> = starts.into_iter().map(|start| start.join().expect("it is ready")).collect();
+    let ready: Vec<_> = starts.into_iter().map(|start| start.join().expect("the process is ready")).collect();
     let late = ready.iter().filter(|(took, _)| *took > Duration::from_secs(10)).count();
     assert!(late <= 2, "{late} of 24 were not ready within 10 s");
 }
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -1,5 +1,5 @@
-//! Handover between two processes of a node (hot restart), over loopback: the platform passes the listening socket, and
-//! the successor continues the connections of its predecessor.
+//! Handover between two processes of a node (hot restart), over loopback: the platform passes the listening socket,
+//! and the successor continues the connections of its predecessor.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -17,7 +17,7 @@
 const STATE_COMPLETE: &str = "\"Whole\"";
 const READY: &str = "\"Ready\"";
 
-/// A line each way over an established connection.
+/// Exchanges a line in each direction over an established connection.
 fn exchange_lines(client: &mut Peer, server: &mut Peer, text: &str) {
     client.send(text).send("\r\n");
     assert_eq!(server.read_line(), text);
@@ -31,12 +31,12 @@
     let mut watch = node.bench.accept_watch();
     let (mut client, mut server) = established_client(&node.bench, 1);
     exchange_lines(&mut client, &mut server, "M 1 x");
-    // Half a line each way, and half a first line.
+    // Half a line in each direction, and half of a request line on another connection.
     client.send("M 2");
     server.send("N 2");
-    let mut fresh = Peer::connect(node.bench.addr);
-    fresh.send("OPEN 2 2 c=live-rea");
-    // The node has read all that arrived before this answer.
+    let mut new_client = Peer::connect(node.bench.addr);
+    new_client.send("OPEN 2 2 c=live-rea");
+    // Once this is answered, the node has read everything that arrived earlier.
     assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "PONG");
     let counters = node.replace();
     assert_eq!(
@@ -47,19 +47,19 @@
     assert_eq!(server.read_line(), "M 2 y");
     server.send(" y\r\n");
     assert_eq!(client.read_line(), "N 2 y");
-    fresh.send("dings,t=acme,d=1200,g=5c0f\r\n");
+    new_client.send("dings,t=acme,d=1200,g=5c0f\r\n");
     let mut second = Peer::accept(&node.bench.servers[0]);
     second.read_line();
     second.send("UP r2\r\n");
-    assert_eq!(fresh.read_line(), "UP r2");
-    // The same watch continues, and the successor receives what it brings.
+    assert_eq!(new_client.read_line(), "UP r2");
+    // The same watch continues, and the successor receives its changes.
     node.bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
     node.bench.wait_for_log("endpoint watch lost");
     let counters = node.bench.counters();
     let counts = ["inherited", "requests", "migrated", "discovery_polls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
-    // The id of a transferred connection is in use here too.
+    // The id of a transferred connection is also in use in the successor.
     assert_eq!(node.bench.connect_client(&open_line(1)).read_line(), "ERR");
     drop(server);
     client.expect_closed();
@@ -94,9 +94,9 @@
     assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "BUSY");
 }
 
-/// It fails at its configuration, before it requests the state.
+/// The successor exits because of its configuration, before it requests the state.
 #[rstest]
-fn a_successor_that_does_not_start_changes_nothing() {
+fn a_successor_that_fails_to_start_changes_nothing() {
     let mut node = HandoverNode::start(PROGRAM);
     let (mut client, mut server) = established_client(&node.bench, 1);
     node.bench.rewrite_config(|_| "{".to_string());
@@ -107,28 +107,28 @@
     assert_eq!(node.bench.counter("handovers"), 0);
 }
 
-/// It exits after it has received the state, before any connection has reached it.
+/// The successor exits after it has received the state, before it has continued any connection.
 #[rstest]
 #[case::before_ready(false)]
 #[case::after_ready(true)]
-fn a_successor_that_exits_leaves_the_predecessor_serving(#[case] serves: bool) {
+fn a_successor_that_exits_leaves_the_predecessor_serving(#[case] is_ready: bool) {
     let mut node = HandoverNode::start(PROGRAM);
     let watch = node.bench.accept_watch();
     let (mut client, mut server) = established_client(&node.bench, 1);
     let successor = HandoverPeer::connect(&node.socket);
     successor.send(STATE_REQUEST);
     while successor.receive() != STATE_COMPLETE {}
-    if serves {
-        // It exits without having continued the connection that was sent to it: that client is lost with it.
+    if is_ready {
+        // It exits without having continued the connection that was sent to it, so that client is disconnected.
         successor.send(READY);
         node.bench.wait_for_log("handover to successor started");
         assert!(successor.receive().starts_with("{\"Terminal\""));
     }
     drop((successor, watch));
     node.bench.wait_for_log("handover ended peer=successor");
-    // A new watch is requested: the first one was transferred.
+    // The predecessor requests a new watch, since it has transferred the first one.
     let _watch = node.bench.accept_watch();
-    if serves {
+    if is_ready {
         client.expect_closed();
     } else {
         exchange_lines(&mut client, &mut server, "M 1 x");
@@ -146,14 +146,14 @@
     let (mut client, mut server) = established_client(&node.bench, 1);
     let peer = HandoverPeer::connect(&node.socket);
     peer.send(message);
-    assert_eq!(peer.receive(), "", "the link ends");
+    assert_eq!(peer.receive(), "", "the peer is disconnected");
     exchange_lines(&mut client, &mut server, "M 1 x");
-    // The next one is accepted.
+    // The next successor is accepted.
     node.replace();
     exchange_lines(&mut client, &mut server, "M 2 x");
 }
 
-/// A killed process leaves its socket; a file there is nobody's.
+/// A killed process leaves its socket behind, and a regular file at that path belongs to no process.
 #[rstest]
 #[case::a_file(false)]
 #[case::a_closed_socket(true)]
@@ -170,7 +170,7 @@
     exchange_lines(&mut client, &mut server, "M 1 x");
 }
 
-/// The process that listens at the handover socket sends half a state.
+/// The process that listens at the handover socket sends a truncated state.
 #[rstest]
 fn an_unreadable_state_starts_the_process_without_a_predecessor() {
     let folder = HandoverFolder::create();
@@ -184,10 +184,10 @@
     });
     let node = HandoverNode::start_in(PROGRAM, &folder, None);
     let _established = established_client(&node.bench, 1);
-    assert_eq!(predecessor.join().expect("it has sent all"), "", "the link ends");
+    assert_eq!(predecessor.join().expect("the state was sent"), "", "the predecessor is disconnected");
 }
 
-/// SIGTERM precedes the successor: established connections still reach it, and no line is lost.
+/// SIGTERM arrives before the successor starts: established connections are still transferred, and no line is lost.
 #[rstest]
 fn a_successor_after_sigterm_receives_established_connections() {
     let mut node = HandoverNode::start(PROGRAM);
@@ -200,25 +200,25 @@
     exchange_lines(&mut client, &mut server, "M 1 x");
 }
 
-/// AMQP connections are not transferred: their clients reconnect, where the successor listens.
+/// AMQP connections are not transferred. Their clients reconnect to the successor, at the same address.
 #[rstest]
 fn the_successor_inherits_the_amqp_listener() {
     let folder = HandoverFolder::create();
     let mut node = HandoverNode::start_in(PROGRAM, &folder, Some(r#"{"listen":"127.0.0.1:0"}"#));
-    let amqp = node.bench.amqp.expect("it is on");
+    let amqp = node.bench.amqp.expect("the AMQP frontend is on");
     node.replace();
     assert!(TcpStream::connect(amqp).is_ok());
 }
 
 #[rstest]
 #[case::closed("987")]
-#[case::no_number("x")]
-#[case::no_socket("0")]
+#[case::not_a_number("x")]
+#[case::not_a_socket("0")]
 fn an_invalid_passed_descriptor_is_named_in_the_error(#[case] number: &str) {
     let text = config(listener().local_addr().expect("an address"), "", 256);
     let mut command = node_command(PROGRAM, &["serve"], &temp_file("node.json", &text));
     command.env("NODE_PASSED_SOCKET", number).stdin(Stdio::null());
-    let output = command.output().expect("it ends");
+    let output = command.output().expect("it exits");
     let line = String::from_utf8_lossy(&output.stderr).into_owned();
     assert_eq!(output.status.code(), Some(2), "{line}");
     assert!(line.starts_with(&format!("ERROR NODE_PASSED_SOCKET: \"{number}\": ")), "{line}");
--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -1,7 +1,8 @@
-//! The messages that processes of versions 00677b7 and fd894e1 sent to their successors, played to a running process: it
-//! continues the connections and the watch. `tests/fixtures/handover-00677b7/README.md` says how they were recorded.
+//! Replays to the process under test the messages that processes of versions 00677b7 and fd894e1 sent to their
+//! successors: it continues the connections and the watch. `tests/fixtures/handover-00677b7/README.md` says how they
+//! were recorded.
 //!
-//! Only what belongs to the moment and the machine of the recording is replaced: times, and the addresses of servers.
+//! The tests replace only what depends on the time and the machine of the recording: times, and addresses of servers.
 
 use base64::prelude::{Engine, BASE64_STANDARD};
 use rstest::rstest;
@@ -18,12 +19,12 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// Times in the recording are within this of the time of the capture, in nanoseconds.
+/// The largest distance between a time in the recording and the time of the capture, in nanoseconds.
 const RECORDING_SPAN_NANOS: u64 = 3_600_000_000_000;
-/// Unix times in nanoseconds have as many digits.
+/// The number of digits of a Unix time in nanoseconds.
 const TIME_DIGITS: usize = 19;
 
-/// A recorded message and the number of descriptors that were sent beside it.
+/// A recorded message and the number of descriptors that were sent with it.
 struct Recorded {
     text: String,
     descriptors: usize,
@@ -52,14 +53,14 @@
         }
     }
 
-    /// The messages up to the complete state, and the connections after it.
+    /// The messages up to the end of the state, and those of the connections after it.
     fn state_and_connections(&self) -> (&[Recorded], &[Recorded]) {
         let complete = self.messages.iter().position(|recorded| recorded.text == "\"Whole\"");
         self.messages.split_at(complete.expect("a complete state") + 1)
     }
 
-    /// A message as if it had been recorded now.
-    fn at_present(&self, text: &str) -> String {
+    /// The message with its times shifted, as if it had been recorded now.
+    fn shifted_to_now(&self, text: &str) -> String {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_nanos() as u64;
         let mut shifted = String::new();
         let mut rest = text;
@@ -80,7 +81,7 @@
         shifted + rest
     }
 
-    /// The endpoint list in the state, which the `established` recording has in one piece.
+    /// The endpoint list in the state, which the `established` recording contains in one piece.
     fn endpoints(&self) -> Vec<Value> {
         let message: Value = serde_json::from_str(&self.messages[0].text).expect("a state");
         let piece = message["State"]["piece"].as_str().expect("a piece");
@@ -89,19 +90,19 @@
     }
 }
 
-/// The two ends of a connection: the predecessor's, and that of its peer.
+/// The two ends of a connection: the predecessor's and its peer's.
 fn connection() -> (TcpStream, Peer) {
     let listener = listener();
     let address = listener.local_addr().expect("an address");
     let peer = TcpStream::connect(address).expect("a connection");
     let (transferred, _) = listener.accept().expect("a connection");
-    // A process has non-blocking sockets only, and that travels with the descriptor.
+    // All sockets of a node are non-blocking, a property that is transferred with the descriptor.
     transferred.set_nonblocking(true).expect("non-blocking");
     (transferred, Peer::new(peer))
 }
 
-/// Plays the predecessor to a process that starts; the link to it stays open.
-fn play_state(
+/// Acts as the predecessor of a process that starts: sends it the state. Returns the link, which stays open.
+fn replay_state(
     listener: OwnedFd,
     messages: Vec<(String, Option<OwnedFd>)>,
 ) -> std::thread::JoinHandle<HandoverPeer> {
@@ -120,11 +121,11 @@
 /// A process that has received a recorded state.
 struct Successor {
     node: HandoverNode,
-    /// The link on which the recording goes on.
+    /// The link on which the recorded connections are sent.
     link: HandoverPeer,
     /// The discovery service's end of the transferred watch.
     watch: Peer,
-    /// Where the transferred listening socket of the AMQP frontend is bound.
+    /// The address of the transferred listening socket of the AMQP frontend.
     amqp: SocketAddr,
 }
 
@@ -141,7 +142,7 @@
     let mut transferred_watch = Some(transferred_watch.into());
     let mut messages = Vec::new();
     for recorded in state {
-        let text = edit(&recording.at_present(&recorded.text));
+        let text = edit(&recording.shifted_to_now(&recorded.text));
         let descriptor = if text.starts_with("{\"Listener\"") {
             let message: Value = serde_json::from_str(&text).expect("a listener");
             let address = message["Listener"]["at"].as_str().expect("an address");
@@ -155,13 +156,13 @@
         assert_eq!(usize::from(descriptor.is_some()), recorded.descriptors, "{text}");
         messages.push((text, descriptor));
     }
-    let predecessor = play_state(listen_for_handover(&folder.socket), messages);
+    let predecessor = replay_state(listen_for_handover(&folder.socket), messages);
     let node = HandoverNode::start_in(PROGRAM, &folder, amqp_settings.as_deref());
     let link = predecessor.join().expect("the state was sent");
     Successor { node, link, watch, amqp }
 }
 
-/// A transferred connection: its recorded state, and the ends of its peers.
+/// A transferred connection: its recorded state, and the peers' ends of its sockets.
 struct Transferred {
     state: Value,
     client: Peer,
@@ -171,10 +172,10 @@
 impl Transferred {
     /// Sends a recorded connection to the successor.
     fn send(recording: &Recording, recorded: &Recorded, link: &HandoverPeer) -> Transferred {
-        let text = recording.at_present(&recorded.text);
+        let text = recording.shifted_to_now(&recorded.text);
         let message: Value = serde_json::from_str(&text).expect("a connection");
-        let state = message["Terminal"]["luggage"].as_str().expect("its state");
-        let state = serde_json::from_str(state).expect("its state is JSON");
+        let state = message["Terminal"]["luggage"].as_str().expect("a state");
+        let state = serde_json::from_str(state).expect("a state in JSON");
         let (client_end, client) = connection();
         let (server_end, server) = connection();
         let ends = [client_end.as_fd(), server_end.as_fd()];
@@ -183,11 +184,11 @@
     }
 
     fn server(&mut self) -> &mut Peer {
-        self.server.as_mut().expect("it is established")
+        self.server.as_mut().expect("an established connection")
     }
 }
 
-/// Sends all recorded connections, in the order of the manifest.
+/// Sends all recorded connections in the order of the manifest.
 fn transfer_all(recording: &Recording, link: &HandoverPeer) -> [Transferred; 7] {
     let (_, connections) = recording.state_and_connections();
     let transferred = connections.iter().map(|recorded| Transferred::send(recording, recorded, link));
@@ -195,7 +196,7 @@
 }
 
 #[rstest]
-fn recorded_connections_continue_where_they_were(#[values("00677b7", "fd894e1")] version: &str) {
+fn recorded_connections_continue_in_their_state(#[values("00677b7", "fd894e1")] version: &str) {
     let recording = Recording::read(version, "established");
     let mut successor = start_successor(&recording, str::to_string);
     let [mut idle, mut half_a_line, mut unanswered, mut moved, mut buffered, ..] =
@@ -206,7 +207,7 @@
     idle.server().send("M 7 x\r\n");
     assert_eq!(idle.client.read_line(), "M 7 x");
 
-    // The client's half went to the server before; the server's half is in the recording.
+    // The recorded process had forwarded the client's half line; the server's half line is in the recording.
     half_a_line.client.send(" y\r\n");
     assert_eq!(half_a_line.server().read_line(), " y");
     half_a_line.server().send(" y\r\n");
@@ -215,16 +216,16 @@
     unanswered.server().send("M 3 y\r\n");
     assert_eq!(unanswered.client.read_line(), "M 3 y");
 
-    // The server announced the move: its end is no failure.
+    // The server had announced the move, so the end of its connection is no failure.
     drop(moved.server.take());
     moved.client.expect_closed();
 
-    let output = buffered.state["Standing"]["terminal"]["output"].as_str().expect("its output");
+    let output = buffered.state["Standing"]["terminal"]["output"].as_str().expect("the output");
     let output = BASE64_STANDARD.decode(output).expect("base64");
     assert!(!output.is_empty(), "output was buffered");
     let mut received = vec![0; output.len()];
     buffered.client.read_exact(&mut received);
-    assert!(received == output, "other output");
+    assert!(received == output, "the client received other output");
 
     let counters = successor.node.bench.counters();
     let counts = ["inherited", "migrated", "handovers"].map(|name| counters[name]);
@@ -274,14 +275,15 @@
     successor.watch.send(&third[third.len() - 85..]).send("\r\n");
     let second = object(2);
     successor.watch.send(&format!("{:x}\r\n{second}\r\n", second.len()));
-    // The third generation has been applied: the second one goes back.
+    // The third generation has been applied, so the second one is stale.
     let line = successor.node.bench.wait_for_log("endpoint list is older than the current one");
     assert_eq!(line, " WARN endpoint list is older than the current one version=2 current_version=3");
     let counters = successor.node.bench.counters();
     assert_eq!([counters["discovery_polls"], counters["stale_lists"]], [0, 1]);
 }
 
-/// The node calls the listener by the recorded address; the socket itself is this test's, and is answered at.
+/// The configuration has the recorded address of the listener. The socket is the test's own, and the node accepts
+/// connections at it.
 #[rstest]
 fn the_recorded_listener_is_inherited(#[values("00677b7", "fd894e1")] version: &str) {
     let successor = start_successor(&Recording::read(version, "established"), str::to_string);
@@ -293,7 +295,7 @@
 }
 
 #[rstest]
-fn a_recorded_drain_goes_on(#[values("00677b7", "fd894e1")] version: &str) {
+fn a_recorded_drain_continues(#[values("00677b7", "fd894e1")] version: &str) {
     let recording = Recording::read(version, "drained");
     let mut successor = start_successor(&recording, str::to_string);
     assert_eq!(Peer::connect(successor.node.bench.addr).send("PING\r\n").read_line(), "BUSY");
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -1,5 +1,5 @@
-//! Races of a shutdown, forced over loopback: each accepted request gets one final answer, and the node exits by itself
-//! in time. Where the order matters the node is paused while things happen.
+//! Races during a shutdown, forced over loopback: each accepted request gets one final answer, and the node exits by
+//! itself in time. Where the order of events matters, the node is paused while they happen.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -10,16 +10,16 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s here.
+/// SIGKILL follows 0.7 s after the longest deadline, which is 1.2 s in these tests.
 const SIGKILL_AFTER: Duration = Duration::from_millis(1_900);
-/// A process that is stalled this long keeps its deadlines.
+/// A process that is stalled for this long still meets its deadlines.
 const MAX_STALL: Duration = Duration::from_millis(150);
-/// Clients arrive for so long after SIGTERM.
+/// Clients may arrive until this long after SIGTERM.
 const LAST_ARRIVAL: Duration = Duration::from_millis(400);
-/// An operator's drain is over after this.
-const OPERATORS_DRAIN: Duration = Duration::from_millis(4_000);
+/// A drain by the admin API is complete after this time.
+const ADMIN_DRAIN_DURATION: Duration = Duration::from_millis(4_000);
 
-/// The node exits by itself before SIGKILL. Its last counters are the result.
+/// Asserts that the node exits by itself before SIGKILL. Returns its last `counters` line.
 fn expect_exit(mut bench: Bench, sigterm_at: Instant) -> String {
     let counters = bench.wait_for_log("counters");
     assert!(bench.process.wait().success(), "exit 0");
@@ -33,30 +33,30 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Arrival {
-    /// Its first line is half read.
-    HalfALine,
-    /// Its complete line is in the kernel's buffer, unread.
+    /// The node has read half of its first line.
+    PartialLine,
+    /// Its complete line is unread in the kernel's buffer.
     Unread,
-    /// Its connection is in the accept queue.
+    /// Its connection is in the accept queue, and its line follows SIGTERM.
     Queued,
 }
 
-/// A request that arrives around SIGTERM is served, and migrated before the exit.
+/// A request that arrives around SIGTERM is served, and its connection is migrated before the process exits.
 #[rstest]
 fn a_request_arriving_at_sigterm_is_served_and_migrated(
-    #[values(Arrival::HalfALine, Arrival::Unread, Arrival::Queued)] arrival: Arrival,
+    #[values(Arrival::PartialLine, Arrival::Unread, Arrival::Queued)] arrival: Arrival,
 ) {
     let bench = Bench::start(PROGRAM, 1);
     let line = format!("{}\r\n", open_line(1));
     let mut early = Peer::connect(bench.addr);
-    if let Arrival::HalfALine = arrival {
+    if let Arrival::PartialLine = arrival {
         early.send(&line[..9]);
-        // It has been read: a later request is answered.
+        // A later request has its answer, so the first part of the line has been read.
         assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     }
     bench.pause();
     let mut client = match arrival {
-        Arrival::HalfALine => early,
+        Arrival::PartialLine => early,
         Arrival::Unread => {
             early.send(&line);
             early
@@ -67,7 +67,7 @@
     let sigterm_at = Instant::now();
     bench.resume();
     match arrival {
-        Arrival::HalfALine => drop(client.send(&line[9..])),
+        Arrival::PartialLine => drop(client.send(&line[9..])),
         Arrival::Unread => {}
         Arrival::Queued => drop(client.send(&line)),
     }
@@ -86,7 +86,7 @@
     Answers,
     /// It never answers.
     Hangs,
-    /// It rejects every attempt: a retry waits for its backoff.
+    /// It rejects every attempt, so a retry waits for its backoff.
     Rejects,
 }
 
@@ -126,10 +126,9 @@
     assert_eq!((counter_value(&counters, "requests"), sum), (1, 1));
 }
 
-/// The configuration is reloaded just before SIGTERM, or would be just after: the node exits and its clients are
-/// migrated all the same.
+/// SIGHUP arrives just before or just after SIGTERM: the node still migrates its clients and exits.
 #[rstest]
-fn sighup_beside_sigterm_changes_nothing(#[values(true, false)] before: bool) {
+fn sighup_together_with_sigterm_does_not_disturb_the_shutdown(#[values(true, false)] before: bool) {
     let mut bench = Bench::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     bench.pause();
@@ -148,8 +147,8 @@
     expect_exit(bench, sigterm_at);
 }
 
-/// The process is stalled for 0.15 s as SIGTERM arrives, and a client that has its answer leaves its connection open: the
-/// process ends before SIGKILL all the same.
+/// The process is stalled for 0.15 s when SIGTERM arrives, and a client that has its answer leaves its connection
+/// open: the process still exits before SIGKILL.
 #[test]
 fn a_node_that_is_stalled_at_sigterm_exits_before_sigkill() {
     let bench = Bench::start(PROGRAM, 1);
@@ -165,8 +164,8 @@
     expect_exit(bench, sigterm_at);
 }
 
-/// An operator has drained the node, and its drain is over: SIGTERM ends the process at once. A request that arrives in
-/// that instant, on a new connection or on one that rests, gets its final answer.
+/// A drain by the admin API is complete, so SIGTERM ends the process at once. A request that arrives at that moment,
+/// on a new connection or on an idle one, gets its final answer.
 #[rstest]
 fn a_request_arriving_as_a_drained_node_exits_is_answered(#[values(true, false)] is_connected: bool) {
     let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], |text| {
@@ -176,12 +175,12 @@
     let admin = log_field(&line, "listen").parse().expect("an address");
     let mut caller = Peer::connect(admin);
     caller.send("POST /-/drain HTTP/1.1\r\nHost: node\r\n\r\n").read_to_end();
-    std::thread::sleep(OPERATORS_DRAIN);
-    let resting = is_connected.then(|| Peer::connect(bench.addr));
-    assert_eq!(bench.connect_client("PING").read_line(), "BUSY", "it is drained");
+    std::thread::sleep(ADMIN_DRAIN_DURATION);
+    let idle = is_connected.then(|| Peer::connect(bench.addr));
+    assert_eq!(bench.connect_client("PING").read_line(), "BUSY", "the node is drained");
     bench.pause();
     bench.signal(Signal::TERM);
-    let mut client = resting.unwrap_or_else(|| Peer::connect(bench.addr));
+    let mut client = idle.unwrap_or_else(|| Peer::connect(bench.addr));
     client.send(&open_line(1)).send("\r\n");
     bench.resume();
     let answer = client.read_line();
@@ -190,7 +189,8 @@
     assert!(bench.process.wait().success(), "exit 0");
 }
 
-/// Idle connections are answered and closed before the process exits; what they send from then on is not forwarded.
+/// Idle connections are answered and closed before the process exits. Requests that arrive on them later are not
+/// forwarded.
 #[rstest]
 fn idle_connections_are_closed_before_the_process_exits() {
     let bench = Bench::start(PROGRAM, 1);
@@ -207,6 +207,6 @@
     let servers: Vec<_> = bench.servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     let counters = expect_exit(bench, sigterm_at);
     servers[0].set_nonblocking(true).expect("non-blocking");
-    assert!(servers[0].accept().is_err(), "it was forwarded");
+    assert!(servers[0].accept().is_err(), "a request was forwarded to the server");
     assert_eq!(counter_value(&counters, "idle_closed"), 20);
 }
--- a/tests/startup_races.rs
+++ b/tests/startup_races.rs
@@ -1,4 +1,4 @@
-//! Races of the start-up: signals that arrive before the node serves.
+//! Races during the start: signals that arrive, and descriptors that are missing, before the node serves.
 
 use rstest::rstest;
 use rustix::fs::{mknodat, FileType, Mode, CWD};
@@ -11,11 +11,11 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// The process gets no descriptors for this long.
-const SHORTAGE: Duration = Duration::from_millis(700);
+/// How long the process gets no descriptors.
+const DESCRIPTOR_SHORTAGE: Duration = Duration::from_millis(700);
 
-/// A signal arrives while the process reads its configuration: SIGHUP and SIGUSR1 do not end it, and SIGTERM lets it end
-/// in order. The configuration is a FIFO, which holds the process up until the test has sent the signal.
+/// A signal arrives while the process reads its configuration: SIGHUP and SIGUSR1 do not end it, and SIGTERM shuts it
+/// down in order. The configuration file is a FIFO, which blocks the process until the test has sent the signal.
 #[rstest]
 #[case::reload(Signal::HUP, "configuration reloaded")]
 #[case::counters(Signal::USR1, "counters")]
@@ -24,27 +24,27 @@
     let discovery = listener();
     let text = config(discovery.local_addr().expect("an address"), "", 256);
     let path = temp_file("node.json", "");
-    std::fs::remove_file(&path).expect("it was there");
+    std::fs::remove_file(&path).expect("the empty file existed");
     mknodat(CWD, &path, FileType::Fifo, Mode::RUSR | Mode::WUSR, 0).expect("a FIFO");
     let mut child = node_command(PROGRAM, &["serve"], &path).spawn().expect("the node starts");
-    // This waits until the process has opened the FIFO to read.
-    let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("the process reads it");
-    std::fs::remove_file(&path).expect("the FIFO");
-    std::fs::write(&path, &text).expect("what a reload reads");
-    kill_process(Pid::from_child(&child), signal).expect("it has not ended");
-    fifo.write_all(text.as_bytes()).expect("the process still reads");
+    // Opening blocks until the process has opened the FIFO for reading.
+    let mut fifo = std::fs::OpenOptions::new().write(true).open(&path).expect("the process opened the FIFO");
+    std::fs::remove_file(&path).expect("the FIFO existed");
+    std::fs::write(&path, &text).expect("a file for the reload");
+    kill_process(Pid::from_child(&child), signal).expect("the process runs");
+    fifo.write_all(text.as_bytes()).expect("the process still reads the FIFO");
     drop(fifo);
     let log = BufReader::new(child.stderr.take().expect("its log"));
     let found = log.lines().map_while(Result::ok).any(|line| is_log_of(&line, message));
     if message != "node stopped" {
-        child.kill().expect("it still runs");
+        child.kill().expect("the process still runs");
     }
-    let status = child.wait().expect("it ends");
+    let status = child.wait().expect("the process exits");
     std::fs::remove_file(&path).expect("the file");
-    assert!(found, "no log line {message}: {status}");
+    assert!(found, "no log line with {message:?}: {status}");
 }
 
-/// The process gets no descriptors while it starts: it waits for them and then serves.
+/// The process gets no descriptors while it starts: it waits until some are available and then serves.
 #[test]
 fn a_shortage_of_descriptors_during_start_up_delays_it() {
     let discovery = listener();
@@ -52,14 +52,15 @@
     let path = temp_file("node.json", &text);
     let mut command = Command::new("sh");
     command.args(["-c", "ulimit -S -n 4; exec \"$0\" serve"]).arg(PROGRAM);
-    let mut child = command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).spawn().expect("it starts");
-    std::thread::sleep(SHORTAGE);
+    let mut child =
+        command.env("NODE_CONFIG", &path).stderr(Stdio::piped()).spawn().expect("the process starts");
+    std::thread::sleep(DESCRIPTOR_SHORTAGE);
     let limit = Rlimit { current: Some(64), maximum: Some(1024) };
     prlimit(Some(Pid::from_child(&child)), Resource::Nofile, limit).expect("a limit");
     let log = BufReader::new(child.stderr.take().expect("its log"));
     let lines: Vec<String> = log.lines().map_while(Result::ok).take(1).collect();
-    child.kill().expect("it is ended");
-    child.wait().expect("it ends");
+    child.kill().expect("the process runs");
+    child.wait().expect("the process exits");
     std::fs::remove_file(&path).expect("the file");
     assert!(lines.concat().starts_with(" INFO node started"), "{lines:?}");
 }
