--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -1,5 +1,5 @@
-//! Races of attempts, and floods, forced over loopback: one attempt in flight, one final answer, and never a second
-//! copy of a request that may have run.
+//! Races between attempts and other events, and floods of commands, forced over loopback: a request has one attempt
+//! in flight and one final answer, and a request that may have run is not sent again unless it is idempotent.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -11,23 +11,23 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// Requests of this class are idempotent.
+/// The class of idempotent requests.
 const IDEMPOTENT: &str = "live-readings";
-/// Requests of this class are not.
+/// The class of non-idempotent requests.
 const NON_IDEMPOTENT: &str = "station-notes";
-/// Sockets that the node may hold in the test of its limit.
-const FEW_SOCKETS: usize = 72;
+/// The limit on the node's sockets in the test of that limit.
+const SOCKET_LIMIT: usize = 72;
 
 fn request_line(class: &str) -> String {
     open_line(1).replace("c=live-readings", &format!("c={class}"))
 }
 
 #[rstest]
-// The server rejects the request, and then the connection is reset: it never ran.
+// The server rejects the request and then resets the connection: the request never ran.
 #[case::busy_then_reset("BUSY\r\n", true, true)]
-// Half of an answer, and then the end: it may have run.
-#[case::up_broken_off("UP r", false, false)]
-#[case::nothing_and_a_reset("", true, false)]
+// The connection ends within the answer: the request may have run.
+#[case::truncated_up("UP r", false, false)]
+#[case::reset_without_an_answer("", true, false)]
 #[case::an_error("ERR\r\n", false, false)]
 fn an_attempt_that_may_have_run_is_retried_only_if_idempotent(
     #[case] answer: &str,
@@ -56,9 +56,10 @@
     }
 }
 
-/// `UP` in pieces, and a second answer behind it: the first is the answer, the second a line like any other.
+/// `UP` arrives in pieces and a second answer follows. The first one is the answer, and the second one is forwarded
+/// like any line.
 #[rstest]
-fn up_in_pieces_is_one_answer() {
+fn an_up_in_pieces_is_one_answer() {
     let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
@@ -72,22 +73,21 @@
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 1, 0]);
 }
 
-/// An answer without the end of its line is given up at the attempt's time-out, and the client is answered within its
-/// deadline.
+/// An attempt whose answer has no line end times out, and the client gets its final answer within its deadline.
 #[rstest]
-fn an_answer_without_an_end_times_out() {
+fn an_attempt_whose_answer_has_no_end_times_out() {
     let bench = Bench::start(PROGRAM, 1);
     let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("UP r1 and so on");
     assert_eq!(client.read_to_end(), "ERR\r\n");
-    // What the server sends after that reaches nobody; its connection may be closed already.
+    // What the server sends now reaches no client. The write may fail, if the connection is closed already.
     let _ = attempt.stream.write_all(b"\r\n");
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 0, 1]);
 }
 
-/// The answer and the attempt's time-out meet in one iteration of the event loop: the answer counts, once.
+/// The answer arrives and the attempt times out in the same iteration of the event loop: the answer counts, once.
 #[rstest]
 fn an_answer_in_the_iteration_of_the_attempt_timeout_counts() {
     let bench = Bench::start(PROGRAM, 1);
@@ -103,10 +103,10 @@
     assert_eq!(counter_value(&bench.stop(), "served"), 1);
 }
 
-/// A hundred commands in one write: one answer that rejects the client, no attempt.
+/// A client sends a hundred commands in one write: it gets one failed answer, and no attempt starts.
 #[rstest]
 #[case::requests(|number| format!("{}\r\n", open_line(number)))]
-#[case::noise(|number| format!("GET /{number} HTTP/1.1\r\n"))]
+#[case::unknown_commands(|number| format!("GET /{number} HTTP/1.1\r\n"))]
 fn a_hundred_commands_in_one_write_get_one_failed_answer(#[case] command: fn(u64) -> String) {
     let mut bench = Bench::start(PROGRAM, 1);
     let mut client = Peer::connect(bench.addr);
@@ -116,24 +116,24 @@
     bench.assert_no_attempts();
 }
 
-fn with_few_sockets(text: &str) -> String {
+fn with_socket_limit(text: &str) -> String {
     assert!(text.contains(r#""sockets":256"#));
-    text.replace(r#""sockets":256"#, &format!(r#""sockets":{FEW_SOCKETS}"#))
+    text.replace(r#""sockets":256"#, &format!(r#""sockets":{SOCKET_LIMIT}"#))
 }
 
-/// Idle clients up to the limit while discovery is away: the watch gets its descriptor when discovery is back, a
-/// client with a request is served, and the node never exceeds its limit.
+/// Idle clients use up the node's sockets while discovery is unavailable. The watch still gets a descriptor when
+/// discovery is available again, a client with a request is served, and the node never exceeds its limit.
 #[rstest]
 fn idle_clients_do_not_take_the_watch_descriptor() {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], with_few_sockets);
+    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], with_socket_limit);
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
     let open_descriptors =
-        || std::fs::read_dir(format!("/proc/{}/fd", bench.process.id())).expect("listed").count();
+        || std::fs::read_dir(format!("/proc/{}/fd", bench.process.id())).expect("a readable folder").count();
     let descriptors = open_descriptors();
-    assert!(descriptors <= FEW_SOCKETS, "{descriptors} descriptors");
+    assert!(descriptors <= SOCKET_LIMIT, "{descriptors} open descriptors");
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -1,4 +1,4 @@
-//! Races between a client's disconnect, or a close by the node, and other events. The node is stopped (SIGSTOP) while
+//! Races between a client's disconnect, or a close by the node, and other events. The node is paused by SIGSTOP while
 //! the events happen, so that it handles them in one iteration of its event loop.
 
 use rstest::rstest;
@@ -12,17 +12,17 @@
 /// How a client disconnects.
 #[derive(Clone, Copy)]
 enum Disconnect {
-    /// It closes its sending side, by which a client gives up in this protocol, and still reads.
+    /// It shuts down its sending side, by which a client disconnects in this protocol, and still reads.
     Fin,
     /// It resets the connection.
     Rst,
 }
 
-/// Disconnects a client. Returns it if it can still read.
+/// Disconnects a client. Returns the client if it can still read.
 fn disconnect(client: Peer, how: Disconnect) -> Option<Peer> {
     match how {
         Disconnect::Fin => {
-            client.stream.shutdown(Shutdown::Write).expect("shut down");
+            client.stream.shutdown(Shutdown::Write).expect("an open connection");
             Some(client)
         }
         Disconnect::Rst => {
@@ -32,22 +32,22 @@
     }
 }
 
-/// Longer than the kernel takes over loopback to deliver a segment, for which there is no event to wait for.
+/// Longer than the kernel takes to deliver a segment over loopback. There is no event to wait for instead.
 const KERNEL_DELIVERY_TIME: Duration = Duration::from_millis(120);
 /// Longer than any backoff between attempts.
 const MAX_RETRY_BACKOFF: Duration = Duration::from_millis(1_300);
-/// Slightly less than the time after which the node closes a connection without a request.
+/// Slightly less than the time after which the node closes a connection that has no request.
 const NEARLY_IDLE_TIMEOUT: Duration = Duration::from_millis(2_700);
 
 fn wait_for_kernel() {
     std::thread::sleep(KERNEL_DELIVERY_TIME);
 }
 
-/// The complete line and the disconnect have arrived before the node reads either.
+/// The complete request line and the disconnect have arrived before the node reads either.
 #[rstest]
 #[case::fin(Disconnect::Fin)]
 #[case::rst(Disconnect::Rst)]
-fn client_closed_before_its_request_is_read_starts_no_attempt(#[case] how: Disconnect) {
+fn a_disconnect_before_the_request_is_read_prevents_any_attempt(#[case] how: Disconnect) {
     let mut bench = Bench::start(PROGRAM, 2);
     let mut client = Peer::connect(bench.addr);
     bench.pause();
@@ -61,9 +61,9 @@
     bench.assert_no_attempts();
 }
 
-/// The failure that would cause a retry and the client's disconnect arrive together, in either order.
+/// A failure that would cause a retry and the client's disconnect arrive together, in either order.
 #[rstest]
-fn client_closed_together_with_an_attempt_failure_gets_no_retry(
+fn a_disconnect_together_with_an_attempt_failure_prevents_a_retry(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
     #[values(true, false)] fails_first: bool,
 ) {
@@ -87,7 +87,7 @@
 
 /// The only server rejects the attempt, and the client disconnects while the retry waits for its backoff.
 #[rstest]
-fn client_closed_during_a_retry_backoff_gets_no_retry(
+fn a_disconnect_during_a_retry_backoff_prevents_the_retry(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
     let mut bench = Bench::start(PROGRAM, 1);
@@ -114,7 +114,7 @@
 
 /// The connection to the server is established late, together with the client's disconnect.
 #[rstest]
-fn client_closed_as_the_server_connection_is_established_sends_no_request(
+fn a_disconnect_as_the_server_connection_is_established_prevents_the_request(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
     let mut full_server = FullBacklogServer::start();
@@ -124,17 +124,17 @@
     bench.wait_for_log("client arrived");
     wait_for_kernel();
     bench.pause();
-    // The kernel completes the connection while the node is stopped.
+    // The kernel establishes the connection while the node is paused.
     let mut attempt = full_server.accept_next();
     let _client = disconnect(client, how);
     wait_for_kernel();
     bench.resume();
-    assert_eq!(attempt.read_to_end(), "", "no byte of the line");
+    assert_eq!(attempt.read_to_end(), "", "no byte of the request line was sent");
 }
 
-/// The server's drain is announced together with the establishment of the connection to it.
+/// The drain of a server is announced at the moment at which the connection to it is established.
 #[rstest]
-fn drain_as_the_server_connection_is_established_redirects_the_attempt() {
+fn a_drain_as_the_server_connection_is_established_redirects_the_attempt() {
     let mut full_server = FullBacklogServer::start();
     let server = full_server.listener.try_clone().expect("a second handle");
     let mut bench = Bench::with_args(PROGRAM, vec![server, listener()], None, &["--trace"], long_timeouts);
@@ -150,20 +150,20 @@
     bench.update_lifecycle(&mut watch, 1, "ready");
     wait_for_kernel();
     bench.resume();
-    assert_eq!(attempt.read_to_end(), "", "no byte of the line");
+    assert_eq!(attempt.read_to_end(), "", "no byte of the request line was sent");
     let mut other = Peer::accept(&bench.servers[1]);
     other.read_line();
     other.send("UP r1\r\n");
     assert_eq!(client.read_line(), "UP r1");
 }
 
-/// The node closes a connection without a request, whose request arrives at that moment: one that arrives before the
-/// node reads is served, and one that arrives later finds its answer already sent.
+/// A request arrives as the node closes its idle connection. One that arrives before the close is served. For one
+/// that arrives later, the node has already sent the answer.
 #[rstest]
-fn request_racing_with_an_idle_close_is_answered() {
+fn a_request_that_races_with_an_idle_close_is_answered() {
     let mut bench = Bench::start(PROGRAM, 1);
     let (mut early, mut late) = (Peer::connect(bench.addr), Peer::connect(bench.addr));
-    // Both have been accepted, since a later connection has its answer.
+    // A later connection has its answer, so both have been accepted.
     let mut third = bench.connect_client("PING");
     assert_eq!(third.read_line(), "PONG");
     bench.pause();
@@ -180,9 +180,9 @@
     bench.assert_no_attempts();
 }
 
-/// The client disconnects before the end of its line.
+/// The client disconnects before the end of its request line.
 #[rstest]
-fn client_closed_within_its_request_line_is_no_request(
+fn a_disconnect_within_the_request_line_is_no_request(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
     let mut bench = Bench::start(PROGRAM, 1);
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,5 +1,5 @@
-//! The wall clock steps by an hour under a running node, forward or back. Spans of time go on as they were, and servers
-//! that start afterwards are taken for what they are. A preloaded library steps the clock of the node alone.
+//! The wall clock of a running node steps forward or back. Durations are not affected, and the age of servers that
+//! start afterwards is known correctly. A preloaded library steps the clock of the node only.
 
 use rstest::rstest;
 use sparbank_test_support::{
@@ -14,21 +14,21 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const HOUR: i64 = 3_600;
-/// Requests that arrive at once. Each has one first attempt.
+/// The number of requests that arrive at once, each of which has one first attempt.
 const BURST: usize = 40;
-/// What a server that has just started may get of a burst.
+/// The largest number of first attempts of a burst at a server that has just started.
 const MAX_AT_WARMING_UP_SERVER: usize = 6;
-/// What a warm one of two servers gets of a burst at least.
+/// The smallest number of first attempts of a burst at one of two servers whose slow start is over.
 const MIN_AT_WARM_SERVER: usize = 8;
-/// A watch that was alive a moment ago is silent for at least this long before it is given up.
+/// A watch that was recently active is reopened only after it has been silent for at least this long.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
-/// The node looks at the wall clock at least this often.
+/// The node reads the wall clock at least this often.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
 /// The wall clock of one node.
 struct WallClock {
     library: PathBuf,
-    offset: PathBuf,
+    offset_file: PathBuf,
 }
 
 impl WallClock {
@@ -38,25 +38,25 @@
         let compiled =
             Command::new("cc").args(["-shared", "-fPIC", "-O1", "-o"]).arg(&library).arg(source).status();
         assert!(compiled.expect("a C compiler, which links Rust programs too").success());
-        WallClock { library, offset: temp_file("clock_offset", "0") }
+        WallClock { library, offset_file: temp_file("clock_offset", "0") }
     }
 
     fn step(&self, seconds: i64) {
-        std::fs::write(&self.offset, seconds.to_string()).expect("a file");
+        std::fs::write(&self.offset_file, seconds.to_string()).expect("a writable file");
         std::thread::sleep(CLOCK_CHECK_INTERVAL);
     }
 
-    /// Unix time in milliseconds on a clock that is off by so many seconds.
+    /// The Unix time in milliseconds on a clock that differs from the real one by `seconds`.
     fn now_ms(seconds: i64) -> i64 {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970");
         now.as_millis() as i64 + seconds * 1_000
     }
 
-    /// What has a process use this clock.
+    /// The environment variables that make a process use this clock.
     fn env(&self) -> [(&str, &str); 2] {
         let library = self.library.to_str().expect("a path");
-        let offset = self.offset.to_str().expect("a path");
-        [("LD_PRELOAD", library), ("CLOCK_OFFSET_FILE", offset)]
+        let offset_file = self.offset_file.to_str().expect("a path");
+        [("LD_PRELOAD", library), ("CLOCK_OFFSET_FILE", offset_file)]
     }
 
     fn start_node(&self, servers: usize, edit: fn(&str) -> String) -> Bench {
@@ -68,11 +68,11 @@
 impl Drop for WallClock {
     fn drop(&mut self) {
         let _ = std::fs::remove_file(&self.library);
-        let _ = std::fs::remove_file(&self.offset);
+        let _ = std::fs::remove_file(&self.offset_file);
     }
 }
 
-/// Notifies the node that a server has started now, on a wall clock that is off by so many seconds.
+/// Notifies the node that a server has started now, by a wall clock that differs from the real one by `seconds`.
 fn announce_start(bench: &mut Bench, watch: &mut Peer, server: usize, seconds: i64) {
     let address = bench.servers[server].local_addr().expect("an address");
     let started = format!(r#""startedAtMs":{}"#, WallClock::now_ms(seconds));
@@ -81,8 +81,8 @@
     bench.wait_for_log("endpoint list received kind=Incremental");
 }
 
-/// Sends a burst of requests; yields how many of the first attempts reached this server.
-fn attempts_of_a_burst_at(bench: &Bench, server: usize) -> usize {
+/// Sends a burst of requests. Returns how many of their first attempts reached this server.
+fn burst_attempts_at(bench: &Bench, server: usize) -> usize {
     let _clients: Vec<Peer> =
         (0..BURST).map(|number| bench.connect_client(&open_line(number as u64))).collect();
     let mut attempts = Vec::new();
@@ -95,7 +95,7 @@
     count
 }
 
-/// A server that starts after the step is warming up, however far the clock went.
+/// A server that starts after a step is warming up, whatever the size of the step.
 #[rstest]
 fn a_server_that_starts_after_a_step_is_in_slow_start(#[values(-HOUR, HOUR, -5, 5)] step: i64) {
     let clock = WallClock::new();
@@ -103,11 +103,11 @@
     let mut watch = bench.accept_watch();
     clock.step(step);
     announce_start(&mut bench, &mut watch, 1, step);
-    let count = attempts_of_a_burst_at(&bench, 1);
+    let count = burst_attempts_at(&bench, 1);
     assert!(count <= MAX_AT_WARMING_UP_SERVER, "{count} of {BURST} at a server that has just started");
 }
 
-/// Its slow start is over after its time, and not when the clock has caught up.
+/// The slow start of a server ends after its configured duration, not when the real clock has caught up.
 #[test]
 fn a_slow_start_lasts_no_longer_after_a_step_forward() {
     let clock = WallClock::new();
@@ -117,13 +117,13 @@
     clock.step(HOUR);
     announce_start(&mut bench, &mut watch, 1, HOUR);
     std::thread::sleep(Duration::from_secs(1));
-    let count = attempts_of_a_burst_at(&bench, 1);
-    assert!(count >= MIN_AT_WARM_SERVER, "{count} of {BURST} at a server that is warm");
+    let count = burst_attempts_at(&bench, 1);
+    assert!(count >= MIN_AT_WARM_SERVER, "{count} of {BURST} at a server whose slow start is over");
 }
 
-/// Lines, answers and the watch go on under a step.
+/// An established connection and the watch continue after a step.
 #[rstest]
-fn a_session_and_the_watch_go_on_under_a_step(#[values(-HOUR, HOUR)] step: i64) {
+fn a_session_and_the_watch_continue_after_a_step(#[values(-HOUR, HOUR)] step: i64) {
     let clock = WallClock::new();
     let mut bench = clock.start_node(1, str::to_string);
     let _watch = bench.accept_watch();
@@ -133,16 +133,16 @@
     assert_eq!(attempt.read_line(), "M 1");
     attempt.send("M 2\r\n");
     assert_eq!(client.read_line(), "M 2");
-    // Silent since the step, the watch is opened anew.
+    // The watch is silent after the step and is reopened.
     bench.accept_watch();
     drop((client, attempt));
     bench.stop();
 }
 
-/// The watch that a successor takes over falls silent after a step: it is opened anew in time, since the successor goes on
-/// with its predecessor's clock.
+/// A watch that a successor has received is silent after a step. It is reopened in time, since the successor
+/// continues with its predecessor's clock.
 #[rstest]
-fn a_watch_that_was_handed_over_is_found_silent_after_a_step(#[values(-HOUR, HOUR)] step: i64) {
+fn a_transferred_watch_that_is_silent_after_a_step_is_reopened(#[values(-HOUR, HOUR)] step: i64) {
     let clock = WallClock::new();
     let mut node = HandoverNode::start_with_env(PROGRAM, &HandoverFolder::create(), None, &clock.env());
     let mut watch = node.bench.accept_watch();
@@ -155,6 +155,6 @@
     node.bench.accept_watch();
     assert!(
         handed_over_at.elapsed() > MIN_SILENCE,
-        "it was opened anew at once: it had not been handed over"
+        "the watch was reopened at once, so it had not been transferred"
     );
 }
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -1,5 +1,5 @@
-//! Races of the endpoint list, forced over loopback: the node acts on every change that discovery has written to its
-//! watch, whatever else happens at that moment.
+//! Races between changes of the endpoint list and other events, forced over loopback: the node acts on every change
+//! that discovery has written to its watch.
 
 use rstest::rstest;
 use sparbank_test_support::{accept_any, instance, listener, open_line, Bench, ListKind, Peer};
@@ -9,7 +9,7 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// Pushed lists wait at the machine's agent: a node without a watch would never be notified of a drain.
+/// Pushed lists are held by the machine's agent, so a node without a watch would never be notified of a drain.
 #[rstest]
 fn with_pushed_lists_the_node_opens_a_watch_and_reopens_it() {
     let pushed = |text: &str| {
@@ -21,30 +21,30 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    // The node reopens the watch that was reset, and the drain is known by then.
+    // The node reopens the watch that was reset. By then it knows of the drain.
     let mut watch = bench.accept_watch();
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
     bench.send_endpoints(&mut watch, ListKind::Incremental, "");
 }
 
-/// Nothing new goes to server 0, which drains: each of these clients is connected to server 1.
-fn all_clients_connect_to_server_1(bench: &Bench, clients: Range<u64>) {
+/// Asserts that all these clients are connected to server 1, and none to server 0, which is draining.
+fn assert_clients_connect_to_server_1(bench: &Bench, clients: Range<u64>) {
     for number in clients {
         let mut client = bench.connect_client(&open_line(number));
         let (server, mut attempt) = accept_any(&bench.servers);
-        assert_eq!(server, 1, "nothing new goes to the one that drains");
+        assert_eq!(server, 1, "a draining server gets no new request");
         attempt.read_line();
         attempt.send("UP r1\r\n");
         assert_eq!(client.read_line(), "UP r1");
     }
 }
 
-/// Writes text to a watch, as a chunk of its own.
+/// Writes text to a watch as one chunk.
 fn send_chunk(watch: &mut Peer, text: &str) {
     watch.send(&format!("{:x}\r\n{text}\r\n", text.len()));
 }
 
-/// An object over several lines, in one chunk and with each byte in a chunk of its own.
+/// An object spans several lines, and arrives in one chunk or byte by byte.
 #[rstest]
 #[case::in_one_chunk(usize::MAX)]
 #[case::byte_by_byte(1)]
@@ -59,13 +59,13 @@
         send_chunk(&mut watch, std::str::from_utf8(piece).expect("plain text"));
     }
     drop(watch);
-    // The watch was valid to its end, and the next one is requested from the generation that it brought.
+    // The watch was valid to its end, so the next one is requested from its last generation.
     let mut next_watch = Peer::accept(&bench.discovery);
     assert!(next_watch.read_line().contains("from=2 "));
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// An object that is broken off is no list, and the node does not wait for the rest of it.
+/// A truncated object is no list, and the node does not wait for the rest of it.
 #[rstest]
 #[case::empty_line_follows("{\"generation\":2,\"inst\n\n")]
 #[case::line_end_inside_a_string("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
@@ -77,7 +77,7 @@
     bench.accept_watch();
 }
 
-/// While nothing changes, discovery writes an empty line every 2 s and nothing else: such a watch is healthy.
+/// While nothing changes, discovery writes only an empty line every 2 s. Such a watch is healthy.
 #[rstest]
 fn a_watch_with_empty_lines_only_stays_open() {
     let mut bench = Bench::start(PROGRAM, 2);
@@ -87,10 +87,10 @@
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// A watch that falls silent is reopened in time: a change counts as known to the node 6 s after it.
+/// A silent watch is reopened early enough: the node has to know of a change within 6 s.
 #[rstest]
 #[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
@@ -106,11 +106,11 @@
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     drop(next_watch);
     bench.wait_for_log("endpoint watch lost error=ended");
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// A change on the old watch and the signal that moves discovery's address are handled in one iteration of the event loop, and the
-/// new address is silent: the change counts.
+/// The node handles a change on the old watch and the signal that moves discovery in the same iteration of the event
+/// loop, and the new address is silent. The change counts.
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
     let mut bench = Bench::start(PROGRAM, 2);
@@ -122,12 +122,13 @@
     bench.resume();
     bench.wait_for_log("configuration reloaded");
     let _silent_watch = Peer::accept(&bench.discovery);
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// The new address answers with a list that is older than the last change from the old one: it revives nothing.
+/// The new address of discovery sends a list that is older than the last change from the old address. It does not
+/// undo that change.
 #[rstest]
-fn a_stale_list_from_another_address_revives_nothing() {
+fn a_stale_list_from_a_new_address_does_not_undo_a_drain() {
     let mut bench = Bench::start(PROGRAM, 2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
@@ -141,5 +142,5 @@
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries);
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
-    all_clients_connect_to_server_1(&bench, 0..6);
+    assert_clients_connect_to_server_1(&bench, 0..6);
 }
--- a/tests/forwarding_races.rs
+++ b/tests/forwarding_races.rs
@@ -1,4 +1,4 @@
-//! Races of forwarding with backpressure: what waits because one side was slow goes on as soon as it is not.
+//! Races between forwarding and backpressure: buffered lines are forwarded as soon as a slow side reads again.
 
 use sparbank_test_support::{counter_value, established_client, Bench};
 use std::io::Write;
@@ -7,17 +7,17 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// More than the node and the kernel buffer between a server and a client that does not read.
+/// More lines than the node and the kernel buffer between a server and a client that does not read.
 const BURST_LINES: usize = 400_000;
-/// A line of the burst, its end included.
+/// A line of the burst with its line end.
 const BURST_LINE: &[u8; 40] = b"M 0123456789abcdef0123456789abcdef0123\r\n";
-/// The client does not read for this long, in which the burst fills all buffers.
+/// How long the client does not read. Within this time the burst fills all buffers.
 const CLIENT_STALL: Duration = Duration::from_millis(800);
 
-/// The client stops reading in a burst that ends with `BYE` and the server's end. Once it reads again it gets every
-/// line and the end, although the server sends nothing more that would wake the node.
+/// The client stops reading during a burst that ends with `BYE` and a close by the server. Once it reads again it
+/// gets every line and the close, although the server sends nothing more that would wake the node.
 #[test]
-fn a_client_that_stalls_in_a_burst_gets_all_lines_and_the_end() {
+fn a_client_that_stalls_in_a_burst_gets_all_lines_and_the_close() {
     let bench = Bench::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     let mut sender = attempt.stream.try_clone().expect("a second handle");
@@ -31,12 +31,12 @@
     let received = client.read_to_end();
     assert_eq!(received.lines().count(), BURST_LINES + 1);
     assert_eq!(received.lines().last(), Some("BYE"));
-    sending.join().expect("all is sent");
+    sending.join().expect("all lines are sent");
 }
 
-/// A server that sends what is no line any more cannot be used: its client goes on elsewhere, and is not cut off.
+/// A server that sends an overlong line can no longer be used: its client is migrated and not just disconnected.
 #[test]
-fn the_client_of_a_server_whose_line_has_no_end_is_migrated() {
+fn the_client_of_a_server_that_sends_an_overlong_line_is_migrated() {
     let bench = Bench::start(PROGRAM, 1);
     let (mut client, mut attempt) = established_client(&bench, 1);
     attempt.send("M 1\r\n").send(&"x".repeat(5_000));
