--- a/src/admin/mod.rs
+++ b/src/admin/mod.rs
@@ -19,7 +19,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The most open connections of the admin API; a descriptor is reserved for each.
+/// The maximum number of open connections of the admin API; a descriptor is reserved for each.
 const MAX_CONNECTIONS: usize = 8;
 /// The time from accepting a connection after which an incomplete call is answered with status 408.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
@@ -60,8 +60,8 @@
         self.address
     }
 
-    /// Handles an event of one of the server's sockets. If it completes a call, returns the call, which the node answers
-    /// with [`AdminServer::respond`].
+    /// Handles an event of one of the server's sockets. If it completes a call, returns the call, which the node
+    /// answers with [`AdminServer::respond`].
     pub fn on_socket_event(
         &mut self,
         now: MonotonicTime,
--- a/src/admin/request.rs
+++ b/src/admin/request.rs
@@ -18,7 +18,7 @@
     Resume,
 }
 
-/// A path with the only method that it allows, and the call that they stand for.
+/// A path, the only method that it allows, and the call that a request with both makes.
 struct Route {
     path: &'static str,
     method: &'static str,
@@ -36,9 +36,9 @@
 pub enum ParsedHead {
     /// The head is not complete yet.
     Incomplete,
-    /// A valid call.
+    /// The head is complete and is a valid call.
     Call(AdminCall),
-    /// Not a valid call. It is answered with this response.
+    /// The input is not a valid call and is answered with this response.
     Rejected(Response),
 }
 
--- a/src/config/error.rs
+++ b/src/config/error.rs
@@ -17,7 +17,7 @@
     NotAnAddress {
         /// The name of the variable.
         variable: &'static str,
-        /// What is wrong with its value.
+        /// Why the value could not be parsed.
         source: AddrParseError,
     },
     /// The file could not be read.
@@ -25,7 +25,7 @@
     Unreadable {
         /// The path of the file.
         path: String,
-        /// The error of reading it.
+        /// Why the file could not be read.
         source: io::Error,
     },
     /// The content of the file is not a valid configuration.
@@ -33,12 +33,12 @@
     Invalid {
         /// The path of the file.
         path: String,
-        /// The invalid field and what is wrong with it.
+        /// The invalid field and the reason why it is invalid.
         source: ContentError,
     },
 }
 
-/// What is wrong with the content of a configuration file.
+/// Why the content of a configuration file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ContentError {
     /// The content is not JSON, or a field is missing or of the wrong type.
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,8 +1,8 @@
 //! The configuration of a node: the file at the path in `NODE_CONFIG`, and environment variables that override it.
 //!
 //! The file is JSON. Its `settings` object is the settings document, which the platform writes for the site.
-//! [`SettingsDocument`] is the schema of the document. It is mapped to the settings of the balancer ([`Settings`]) and to
-//! those of the frontends and the flow export ([`FrontendSettings`]).
+//! [`SettingsDocument`] is the schema of the document. It is mapped to the settings of the balancer ([`Settings`]) and
+//! to those of the frontends and the flow export ([`FrontendSettings`]).
 
 mod error;
 mod settings;
@@ -29,7 +29,7 @@
     pub name: String,
     /// The listen address for clients of the platform's text protocol.
     pub listen: SocketAddr,
-    /// The listen address of the admin API; none if the admin API is disabled.
+    /// The listen address of the admin API; `None` if the admin API is disabled.
     pub admin_listen: Option<SocketAddr>,
     /// The address of the discovery service.
     pub discovery: SocketAddr,
@@ -37,7 +37,7 @@
     discovery_in_file: SocketAddr,
     /// The seed of the balancer's random numbers.
     pub seed: u64,
-    /// The most descriptors that the process may have open.
+    /// The maximum number of file descriptors that the process may have open.
     pub max_descriptors: usize,
     /// The endpoint list to start with, which may be stale.
     pub known_endpoints: EndpointListDocument,
@@ -112,7 +112,8 @@
     /// Applies the changes of a newer configuration that do not need a restart. Returns the changed fields that do, by
     /// their names in the file.
     ///
-    /// Open connections refer to classes and zones by their index, so settings with other classes or zones need a restart.
+    /// Open connections refer to classes and zones by their index, so settings with other classes or zones need a
+    /// restart.
     pub fn apply_reload(&mut self, new: Config) -> Vec<&'static str> {
         let mut needs_restart = Vec::new();
         if new.frontend_settings.has_same_classes_and_zones(&self.frontend_settings) {
@@ -137,7 +138,7 @@
     /// Decodes and validates the text of the file.
     ///
     /// # Errors
-    /// The error names the field and what is wrong with it.
+    /// The error names the field and the reason why it is invalid.
     pub fn parse(text: &str) -> Result<Config, ContentError> {
         let document: ConfigDocument = json::parse(text)?;
         let settings_text = document.settings.get();
@@ -177,7 +178,7 @@
     Ok((settings, frontend_settings))
 }
 
-/// The address in an environment variable; none if the variable is not set or not valid Unicode.
+/// The address in an environment variable; `None` if the variable is not set or not valid Unicode.
 fn address_variable(variable: &'static str) -> Result<Option<SocketAddr>, ConfigError> {
     let Ok(text) = std::env::var(variable) else { return Ok(None) };
     match text.parse() {
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -141,8 +141,8 @@
 
 /// New connections per second that the quotas of all tenants admit together.
 ///
-/// The quotas are rounded to integers. In a small fleet some of them are rounded to zero, so their sum is too low. If the
-/// tenants' shares are known, the result is the largest rate of the fleet that is rounded to the same quotas.
+/// The quotas are rounded to integers. In a small fleet some of them are rounded to zero, so their sum is too low. If
+/// the tenants' shares are known, the result is the largest rate of the fleet that is rounded to the same quotas.
 fn quota_setups_per_second(tenants: &[TenantDocument]) -> f64 {
     let with_share = tenants.iter().filter(|tenant| tenant.share > 0.0);
     let largest_rates = with_share.map(|tenant| (tenant.quota_per_s + 0.5) / tenant.share);
--- a/src/config/settings/tests.rs
+++ b/src/config/settings/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// The cases: five quotas of 1 per second and three of 0; all quotas of 0, where the fleet still admits some connections;
-/// and quotas that are all above 0.
+/// The cases: five quotas of 1 per second and three of 0; all quotas of 0, where the fleet still admits some
+/// connections; and quotas that are all above 0.
 #[rstest::rstest]
 #[case([1.0, 1.0, 1.0, 1.0, 1.0, 0.0, 0.0, 0.0], 6.0)]
 #[case([0.0; 8], 2.0)]
--- a/src/config/settings_document.rs
+++ b/src/config/settings_document.rs
@@ -1,9 +1,9 @@
 //! The schema of the settings document that the platform writes.
 //!
-//! A node reads the document from its configuration file; a simulated node receives it in its first event. The platform
-//! defines the names of the fields. Where they are not the usual technical terms, the Rust name is the usual term, and a
-//! `rename` attribute has the platform's name. [`settings`](super::settings) converts the document to the types that the
-//! program uses.
+//! A node reads the document from its configuration file; a simulated node receives it in its first event. The
+//! platform defines the names of the fields. Where they are not the usual technical terms, the Rust name is the usual
+//! term, and a `rename` attribute has the platform's name. [`settings`](super::settings) converts the document to the
+//! types that the program uses.
 
 use serde::{Deserialize, Deserializer};
 
@@ -25,7 +25,7 @@
     /// How the endpoint list is discovered.
     #[serde(default)]
     pub discovery: String,
-    /// What a priority weight applies to: a request, or a unit of work.
+    /// The unit to which a priority weight applies: a request, or a unit of work.
     #[serde(default, rename = "WorthBy")]
     pub weight_by: String,
     pub limits: LimitsDocument,
@@ -38,7 +38,7 @@
     pub feedback: FeedbackDocument,
 }
 
-/// A request class.
+/// The time limits, the retry rules and the priority of the requests of one class.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct ClassDocument {
--- a/src/counters.rs
+++ b/src/counters.rs
@@ -6,7 +6,7 @@
 /// Counts since the start of the process. Each field appears in the log line as `name=value`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests that arrived.
+    /// Requests that arrived at any frontend, without resumed and inherited connections.
     pub requests: u64,
     /// Connections from before the start of this process that were resumed at a server.
     pub resumed: u64,
--- a/src/frontend_id.rs
+++ b/src/frontend_id.rs
@@ -3,8 +3,8 @@
 /// Identifies the frontend that owns a socket or through which a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontendId {
-    /// Its index among the enabled frontends.
+    /// The frontend's index among the enabled frontends.
     pub index: u8,
-    /// Its name in flow records and log lines.
+    /// The frontend's name in flow records and log lines.
     pub name: &'static str,
 }
--- a/src/handover/channel.rs
+++ b/src/handover/channel.rs
@@ -17,7 +17,7 @@
 
 /// The longest message: one that has the buffers of two connections, in base64, and their state.
 pub const MAX_MESSAGE_BYTES: usize = 128 * 1024;
-/// The most descriptors of one message: those of a client's connection and of its attempt at a server.
+/// The maximum number of descriptors of one message: those of a client's connection and of its attempt at a server.
 pub const MAX_DESCRIPTORS_PER_MESSAGE: usize = 2;
 /// The longest path of a Unix socket on Linux, without the terminating NUL.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
@@ -29,7 +29,7 @@
 pub struct EncodedMessage {
     /// The message, in JSON.
     pub bytes: Vec<u8>,
-    /// The descriptors.
+    /// At most [`MAX_DESCRIPTORS_PER_MESSAGE`] descriptors.
     pub fds: Vec<OwnedFd>,
 }
 
@@ -44,8 +44,8 @@
     Closed,
 }
 
-/// The path of the handover socket, which is in `$TMPDIR` and named after the node. None if `TMPDIR` is not set or the
-/// path is too long.
+/// The path of the handover socket, which is in `$TMPDIR` and named after the node. `None` if `TMPDIR` is not set or
+/// the path is too long.
 pub fn socket_path(node_name: &str) -> Option<PathBuf> {
     let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
     let name: String = node_name.chars().map(|c| if is_allowed(c) { c } else { '_' }).collect();
@@ -74,7 +74,7 @@
     Ok(fd)
 }
 
-/// Accepts a successor. None if none is waiting, or if it runs as another user than this process.
+/// Accepts a successor. `None` if no successor is waiting, or if it runs as another user than this process.
 pub fn accept(listener: impl AsFd) -> Option<OwnedFd> {
     let flags = SocketFlags::CLOEXEC | SocketFlags::NONBLOCK;
     let fd = rustix::net::accept_with(listener, flags).ok()?;
@@ -82,8 +82,8 @@
     (peer.uid == rustix::process::geteuid()).then_some(fd)
 }
 
-/// Connects to the process that listens at `path`. The socket is a blocking one: [`send`] and [`receive`] wait for up to
-/// `timeout` on it.
+/// Connects to the process that listens at `path`. The socket is a blocking one: [`send`] and [`receive`] wait for up
+/// to `timeout` on it.
 ///
 /// # Errors
 /// If no process listens at the path.
--- a/src/handover/event.rs
+++ b/src/handover/event.rs
@@ -4,7 +4,7 @@
 
 /// A connection that is transferred between two processes, with its frontend.
 pub struct FrontendConnection {
-    /// The name of the frontend that it belongs to.
+    /// The name of the frontend that the connection belongs to.
     pub frontend: String,
     /// The frontend's state of the connection, and its descriptors.
     pub connection: TransferredConnection,
@@ -17,7 +17,7 @@
     /// The successor serves. Stop accepting connections, and transfer the open ones with
     /// [`Handover::transfer`](super::Handover::transfer).
     SuccessorReady,
-    /// The successor is gone. Accept connections again.
+    /// The link to the successor was closed. Accept connections again.
     SuccessorLost {
         /// Connections that were released for the transfer but not sent. Serve them in this process again.
         unsent: Vec<FrontendConnection>,
--- a/src/handover/link.rs
+++ b/src/handover/link.rs
@@ -7,7 +7,7 @@
 use std::os::fd::OwnedFd;
 use thiserror::Error;
 
-/// The most connections that are sent or received in one iteration of the event loop.
+/// The maximum number of connections that are sent or received in one iteration of the event loop.
 pub const CONNECTIONS_PER_ITERATION: usize = 32;
 
 /// Why the link to the other process is closed.
@@ -49,7 +49,7 @@
 pub(super) struct ReceivedMessages {
     /// The events of the messages, in order.
     pub(super) events: Vec<HandoverEvent>,
-    /// Why the link is to be closed, if it is.
+    /// Why the link must be closed; `None` if it stays open.
     pub(super) link_error: Option<LinkError>,
 }
 
@@ -72,7 +72,7 @@
     ReceivedMessages { events, link_error: None }
 }
 
-/// Reads the next message; none if none has arrived.
+/// Reads the next message; `None` if no message has arrived.
 fn read_message(socket: &OwnedFd) -> Result<Option<Message>, LinkError> {
     match channel::receive(socket) {
         Ok(encoded) => Ok(Some(Message::decode(encoded)?)),
--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -22,13 +22,13 @@
     Unusable {
         /// The value of the variable.
         value: String,
-        /// What is wrong with it.
+        /// Why the descriptor with this number cannot be used.
         #[source]
         problem: ListenerProblem,
     },
 }
 
-/// What is wrong with a passed descriptor.
+/// Why a passed descriptor cannot be used as the listening socket for clients.
 #[derive(Debug, Error)]
 pub enum ListenerProblem {
     /// The value is not the number of a descriptor.
@@ -51,7 +51,7 @@
     NotTcp,
 }
 
-/// The listening TCP socket whose descriptor is in [`PASSED_SOCKET_VARIABLE`]; none if the variable is not set.
+/// The listening TCP socket whose descriptor is in [`PASSED_SOCKET_VARIABLE`]; `None` if the variable is not set.
 ///
 /// # Errors
 /// If the value of the variable is anything else.
--- a/src/handover/message.rs
+++ b/src/handover/message.rs
@@ -31,9 +31,9 @@
 pub enum Message {
     /// The successor requests the state of the predecessor.
     StateRequest {
-        /// The successor's [`PROTOCOL_VERSION`].
+        /// The successor's [`PROTOCOL_VERSION`]. The predecessor closes the link if it has another one.
         version: u32,
-        /// The node's name.
+        /// The name of the successor's node. It is not checked: the path of the socket already identifies the node.
         name: String,
     },
     /// A chunk of the JSON text of a [`StateSnapshot`](super::StateSnapshot).
@@ -45,7 +45,6 @@
     Listener {
         /// The address that the socket is bound to.
         address: SocketAddr,
-        /// The listening socket.
         socket: OwnedFd,
     },
     /// The watch on the discovery service.
@@ -56,7 +55,7 @@
     Ready,
     /// The connection of a client.
     Connection {
-        /// The name of the frontend that it belongs to.
+        /// The name of the frontend that the connection belongs to.
         frontend: String,
         /// The frontend's state of the connection, and its descriptors.
         connection: TransferredConnection,
@@ -108,10 +107,7 @@
     WrongDescriptors,
     /// The state is longer than the limit.
     #[error("state exceeds {max_bytes} bytes")]
-    StateTooLong {
-        /// The limit.
-        max_bytes: usize,
-    },
+    StateTooLong { max_bytes: usize },
 }
 
 impl From<serde_json::Error> for MessageError {
@@ -133,7 +129,8 @@
     /// Decodes a message that was received on the handover socket.
     ///
     /// # Errors
-    /// If it is not a valid message, or does not have the number of descriptors that its kind requires.
+    /// If the bytes are not a valid message, or the message does not have the number of descriptors that its kind
+    /// requires.
     pub fn decode(encoded: EncodedMessage) -> Result<Message, MessageError> {
         let wire_message = serde_json::from_slice(&encoded.bytes)?;
         Message::from_wire(wire_message, encoded.fds)
--- a/src/handover/mod.rs
+++ b/src/handover/mod.rs
@@ -2,11 +2,11 @@
 //!
 //! If the platform passes in the listening socket for clients, each process also listens on the handover socket, a
 //! Unix socket in `$TMPDIR`. A starting process that finds another one listening there requests its state. Once the new
-//! process serves, the old one transfers its established connections to it, without the clients noticing. [`message`]
-//! documents the sequence of messages.
+//! process serves, the old one transfers its established connections to it, which stay open for the clients.
+//! [`message`] documents the sequence of messages.
 //!
-//! A process can have a predecessor and a successor at the same time. [`Handover`] owns both links and reports to the
-//! node what it has to do as [`HandoverEvent`]s.
+//! A process can have a predecessor and a successor at the same time. [`Handover`] owns both links and reports
+//! [`HandoverEvent`]s to the node, which handles them.
 
 mod channel;
 mod event;
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -13,7 +13,7 @@
 }
 
 impl PredecessorLink {
-    /// Notifies the predecessor that this process serves. None if the predecessor has exited.
+    /// Notifies the predecessor that this process serves. `None` if the predecessor has exited.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<PredecessorLink> {
         let ready = Message::Ready.encode().ok()?;
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
@@ -28,12 +28,11 @@
         self.token
     }
 
-    /// Receives transferred connections.
+    /// Receives the connections that the predecessor has transferred since the previous call.
     pub(super) fn receive(&self, net: &SocketReactor) -> ReceivedMessages {
         read_messages(net, self.token, on_message)
     }
 
-    /// Closes the link.
     pub(super) fn close(self, net: &mut SocketReactor) {
         net.close(self.token);
     }
--- a/src/handover/state_request.rs
+++ b/src/handover/state_request.rs
@@ -16,11 +16,11 @@
 /// predecessor: the platform allows a process 6 s to become ready.
 const MESSAGE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a process received from its predecessor.
+/// The state, the sockets and the watch that a process has received from its predecessor.
 pub struct PredecessorState {
     /// The handover socket, on which connections follow. It is closed when the predecessor exits.
     pub channel: OwnedFd,
-    /// The predecessor's state.
+    /// The state from which this process starts.
     pub snapshot: StateSnapshot,
     /// The listening sockets of the predecessor's optional frontends, with their addresses.
     pub listeners: Vec<ListeningSocket>,
@@ -46,7 +46,7 @@
     Message(#[from] MessageError),
 }
 
-/// Requests the state of the process that listens on the handover socket at `path`. Returns none if there is no such
+/// Requests the state of the process that listens on the handover socket at `path`. Returns `None` if there is no such
 /// process or if it does not send its complete state: this process then starts without a predecessor.
 pub fn request_state(path: &Path, node_name: &str) -> Option<PredecessorState> {
     match exchange(path, node_name) {
--- a/src/handover/successor.rs
+++ b/src/handover/successor.rs
@@ -8,12 +8,12 @@
 use std::collections::VecDeque;
 use std::os::fd::OwnedFd;
 
-/// What the successor is ready for.
+/// The progress of the start of the successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// It has connected and may request the state.
+    /// The successor has connected and may request the state.
     Starting,
-    /// It serves and accepts transferred connections.
+    /// The successor serves and accepts transferred connections.
     Serving,
 }
 
@@ -21,12 +21,12 @@
 pub(super) struct SuccessorLink {
     token: Token,
     stage: Stage,
-    /// Messages that are not sent yet: at most one state, and the connections of one iteration of the event loop.
+    /// Messages that have not been sent yet: at most one state, and the connections of one iteration of the event loop.
     send_queue: VecDeque<EncodedMessage>,
 }
 
 impl SuccessorLink {
-    /// Opens the link to a successor that has connected. None if its socket cannot be registered with the reactor.
+    /// Opens the link to a successor that has connected. `None` if its socket cannot be registered with the reactor.
     pub(super) fn open(net: &mut SocketReactor, channel: OwnedFd) -> Option<SuccessorLink> {
         let token = net.register_raw(channel, SocketOwner::Handover).ok()?;
         Some(SuccessorLink { token, stage: Stage::Starting, send_queue: VecDeque::new() })
@@ -57,7 +57,7 @@
     /// Sends as many queued messages as the socket accepts now.
     ///
     /// # Errors
-    /// If the successor is gone. The caller then closes the link.
+    /// If the successor has closed the socket or the socket failed. The caller then closes the link.
     pub(super) fn flush(&mut self, net: &mut SocketReactor) -> Result<(), LinkError> {
         while let Some(encoded) = self.send_queue.front() {
             let Some(socket) = net.raw_descriptor(self.token) else { return Ok(()) };
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -40,7 +40,7 @@
     Draining(Draining),
     /// A successor serves instead of this process.
     HandedOver(HandedOver),
-    /// SIGTERM has arrived.
+    /// SIGTERM has arrived: the process exits before SIGKILL follows.
     ShuttingDown(ShuttingDown),
 }
 
@@ -91,7 +91,7 @@
         };
     }
 
-    /// The successor is gone: the process serves or drains again, unless it is shutting down.
+    /// The successor was lost: the process serves or drains again, unless it is shutting down.
     pub fn successor_lost(&mut self, now: MonotonicTime) {
         *self = match *self {
             Lifecycle::HandedOver(handed_over) => match handed_over.successor_lost(now) {
@@ -138,7 +138,7 @@
         matches!(self, Lifecycle::ShuttingDown(shutting_down) if shutting_down.schedule.is_over(now))
     }
 
-    /// The migration step that is due now, given the number of established clients. None if the clients stay.
+    /// The migration step that is due now, given the number of established clients. `None` if the clients stay.
     pub fn migration_step(&self, now: MonotonicTime, established: usize) -> Option<MigrationStep> {
         match self {
             Lifecycle::Serving(_) => None,
--- a/src/lifecycle/phases.rs
+++ b/src/lifecycle/phases.rs
@@ -32,7 +32,7 @@
 pub enum Activity {
     /// No open request, no client, and no connection that is still closing.
     Idle,
-    /// Something is open.
+    /// A request, a client or a closing connection is open.
     Busy,
 }
 
@@ -90,7 +90,7 @@
     }
 }
 
-/// The phase to which a process returns when its successor is gone.
+/// The phase to which a process returns when its successor was lost.
 pub(super) enum RestoredPhase {
     Serving(Serving),
     Draining(Draining),
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -8,22 +8,22 @@
 /// The time between the announcement of a migration and its first step. Until the load balancer in front of the nodes
 /// has noticed the announcement, it would send a migrated client back to this node.
 const MIGRATION_DELAY: Duration = Duration::from_millis(300);
-/// All established clients have been told to reconnect this long before the end of the schedule.
+/// The migration of all established clients is complete this long before the end of the schedule.
 const MIGRATED_BEFORE_END: Duration = Duration::from_millis(400);
 /// Requests that are still unanswered fail this long before the end of the schedule: their deadline has passed, or no
 /// time is left.
 const UNANSWERED_FAILED_BEFORE_END: Duration = Duration::from_millis(250);
 
-/// What the node has to do in one migration step.
+/// The work of one migration step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MigrationStep {
-    /// Nothing yet: the load balancer would still send migrated clients back to this node.
+    /// No client is migrated yet: the load balancer would still send migrated clients back to this node.
     NotStarted,
     /// Migrate clients, and fail requests whose time is over.
     Migrate {
         /// The number of established clients to migrate now.
         clients: usize,
-        /// Unanswered requests that arrived before this time fail now. None if all requests may still wait.
+        /// Unanswered requests that arrived before this time fail now. `None` if all requests may still wait.
         fail_arrived_before: Option<MonotonicTime>,
     },
 }
--- a/src/lifecycle/tests.rs
+++ b/src/lifecycle/tests.rs
@@ -53,7 +53,7 @@
     let half =
         migrations(lifecycle.migration_step(at(SECOND + 2 * SECOND), established).expect("a migration step"));
     assert!(half <= established.div_ceil(60), "{half} of {established} in one step");
-    assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process stays");
+    assert!(!lifecycle.should_exit(at(100 * SECOND), Activity::Idle), "a drained process keeps running");
     // A client that is established later is migrated at the next step.
     assert_eq!(
         lifecycle.migration_step(at(60 * SECOND), 7),
--- a/src/log.rs
+++ b/src/log.rs
@@ -1,8 +1,8 @@
 //! Logging to standard error: the subscriber for `tracing` events. `docs/ON-CALL.md` lists the events.
 //!
-//! A line is `LEVEL MESSAGE key=value ...`. One thread serves all clients, so it must not block if nobody reads the log:
-//! a line that cannot be written to standard error without blocking is dropped. The next line that is written is
-//! preceded by a warning with the number of dropped lines.
+//! A line is `LEVEL MESSAGE key=value ...`. One thread serves all clients, so it must not block when the reader of the
+//! log falls behind: a line that cannot be written to standard error without blocking is dropped. The next line that is
+//! written is preceded by a warning with the number of dropped lines.
 
 use rustix::event::{poll, PollFd, PollFlags, Timespec};
 use std::io::{self, Write};
@@ -21,7 +21,7 @@
 /// The events that are logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Verbosity {
-    /// Events for operators.
+    /// Errors, warnings and informational events, for operators.
     #[default]
     Normal,
     /// Additionally one event for each attempt, timer and discovery request (`--trace`).
--- a/src/model/action.rs
+++ b/src/model/action.rs
@@ -9,9 +9,9 @@
 pub enum Action {
     /// Start an attempt.
     StartAttempt {
-        /// The request.
+        /// The request that is sent; it has no other attempt in flight.
         id: RequestId,
-        /// The server.
+        /// The server to which the request is sent.
         server: ServerId,
         /// The attempt fails if it has not succeeded within this time.
         timeout: Duration,
@@ -20,14 +20,14 @@
     },
     /// Cancel an attempt in flight.
     CancelAttempt {
-        /// The request.
+        /// The request whose attempt is cancelled.
         id: RequestId,
         /// The number of the attempt, counted from zero.
         attempt: u32,
     },
     /// Final answer: rejected. A retry by the client cannot run an effect twice.
     Reject {
-        /// The request.
+        /// The request, which has no attempt in flight.
         id: RequestId,
         /// How long the client should wait before it retries; zero for no advice.
         retry_after: Duration,
--- a/src/model/endpoint.rs
+++ b/src/model/endpoint.rs
@@ -7,11 +7,11 @@
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Status {
-    /// Accepts new requests.
+    /// The server is in the list and accepts new requests.
     Serving,
-    /// Completes its requests in flight and accepts no new ones.
+    /// The server completes its requests in flight and accepts no new ones.
     Draining,
-    /// Removed from the list, or never in it.
+    /// The server was removed from the list, or was never in it.
     #[default]
     Removed,
 }
@@ -19,7 +19,7 @@
 /// One entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// The server.
+    /// The id that the node assigned to the server.
     pub server: ServerId,
     /// Hash of the server's name; the same at every node.
     pub name_hash: u64,
@@ -56,7 +56,7 @@
 /// The location of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
-    /// The zone.
+    /// The zone, numbered as in [`Settings::zone`](super::Settings::zone).
     pub zone: u32,
     /// The cell within the zone.
     pub cell: u32,
@@ -89,7 +89,7 @@
     Saved,
     /// A complete list from discovery: servers that it does not contain have been removed.
     Full,
-    /// Changed entries only.
+    /// The entries that have changed; all other servers keep their state.
     Incremental,
     /// A poll failed or the watch ended. There are no entries; the last list remains valid.
     Failed,
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -47,7 +47,7 @@
 /// A request that has arrived, or a connection that was handed over at start-up.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// The request.
+    /// The id of the request, by which later events and actions refer to it.
     pub id: RequestId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
@@ -94,41 +94,41 @@
     Resumed(Arrival, ServerId),
     /// An attempt succeeded: the connection is established.
     Established {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The server.
+        /// The server that accepted the attempt.
         server: ServerId,
         /// The time since the attempt was started.
         setup_time: Duration,
     },
     /// The current load of an established connection.
     LoadReport {
-        /// The request.
+        /// The request that established the connection.
         id: RequestId,
         /// Load, as work time per second.
         cost: Duration,
     },
     /// The result of a health check.
     HealthCheckResult {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
         /// Load divided by capacity; `None` if the check failed or its report does not contain the utilization.
         utilization: Option<f64>,
     },
     /// The current latency of messages at a server.
     LatencyReport {
-        /// The server.
+        /// The server that reported the latency.
         server: ServerId,
         /// The latency of a message.
         latency: Duration,
     },
     /// An attempt or the connection that it established has ended.
     AttemptEnded {
-        /// The request.
+        /// The request of the attempt.
         id: RequestId,
-        /// The server.
+        /// The server of the attempt.
         server: ServerId,
-        /// How it ended.
+        /// How the attempt or its connection ended.
         outcome: Outcome,
         /// The client has its final answer, so no retry follows.
         done: bool,
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! Types shared by the whole program: settings, endpoints, and the events and actions of the balancer.
+//! Types that all parts of the program share: settings, endpoints, and the events and actions of the balancer.
 //!
 //! All instants are of the node's own monotonic clock. This module contains no decision logic.
 
--- a/src/model/settings.rs
+++ b/src/model/settings.rs
@@ -16,7 +16,7 @@
 /// The servers that discard each other's retries of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
-    /// All servers.
+    /// All servers, in every zone.
     All,
     /// The servers of one zone.
     Zone,
@@ -46,7 +46,7 @@
     Work,
 }
 
-/// A request class.
+/// The time limits, the retry rules and the priority of the requests of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
     /// The full priority weight counts for a connection that is established within this time.
@@ -68,11 +68,11 @@
 /// The settings of a balancer.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Settings {
-    /// Number of nodes.
+    /// The number of nodes of the fleet, at least one.
     pub instances: u32,
     /// The zone of this node.
     pub zone: u32,
-    /// The request classes.
+    /// The request classes, at least one. Requests refer to a class by its index.
     pub classes: Vec<RequestClass>,
     /// How the endpoint list is discovered.
     pub discovery: Discovery,
@@ -104,13 +104,13 @@
     pub health_checks: bool,
 }
 
-/// An invalid setting.
+/// A setting that is out of range; see [`Settings::validate`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("setting {field}: {problem}")]
 pub struct SettingsError {
     /// The name of the setting.
     pub field: &'static str,
-    /// The reason why it is invalid.
+    /// The reason why the setting is invalid.
     pub problem: &'static str,
 }
 
--- a/src/node/admin.rs
+++ b/src/node/admin.rs
@@ -9,7 +9,7 @@
 
 /// Owns the server of the admin API and executes its calls.
 pub(super) struct AdminHandler {
-    /// None if the admin API is off.
+    /// `None` if the admin API is disabled.
     server: Option<AdminServer>,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The outcomes of the calls so far; none if the admin API is off.
+    /// The numbers of calls by their result; `None` if the admin API is disabled.
     pub(super) fn counts(&self) -> Option<CallCounts> {
         self.server.as_ref().map(AdminServer::counts)
     }
--- a/src/node/clock.rs
+++ b/src/node/clock.rs
@@ -30,7 +30,7 @@
         WallTime::from_unix_nanos(since_epoch.map_or(0, |duration| duration.as_nanos_u64()))
     }
 
-    /// The current time.
+    /// The clock's time, which never decreases.
     pub(super) fn now(&self) -> MonotonicTime {
         self.started_at + self.started.elapsed()
     }
--- a/src/node/endpoint_watch.rs
+++ b/src/node/endpoint_watch.rs
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Closes a watch that has been silent for too long, and retries a watch request that failed for lack of a socket.
+    /// Closes a watch on which no data has arrived for too long, and retries a watch request that failed for lack of a
+    /// socket.
     pub(super) fn on_tick(&mut self, host: &mut FrontendHost, now: MonotonicTime) {
         if let Some(event) = self.client.close_silent_watch(now, &mut host.state.net) {
             report_list(host, event);
@@ -74,12 +75,12 @@
         }
     }
 
-    /// Releases the watch for transfer to another process. None if there is no watch or it cannot be transferred now.
+    /// Releases the watch for transfer to another process. `None` if there is no watch or it cannot be transferred now.
     pub(super) fn release(&mut self, net: &mut SocketReactor) -> Option<TransferredWatch> {
         self.client.release_watch(net)
     }
 
-    /// The successor, to which the watch was transferred, is gone: makes the balancer request a new one.
+    /// Makes the balancer request a new watch if the watch was transferred to a successor that has been lost.
     pub(super) fn on_successor_lost(&mut self, host: &mut FrontendHost) {
         if !self.is_open() {
             report_list(host, Event::EndpointList(ListKind::Failed, Vec::new()));
--- a/src/node/error.rs
+++ b/src/node/error.rs
@@ -38,9 +38,9 @@
     /// The admin API's address cannot be listened on.
     #[error("operator: {address}: {source}")]
     AdminListen {
-        /// The configured address.
+        /// The value of `operator` in the configuration file, or of `NODE_OPERATOR`.
         address: SocketAddr,
-        /// Why it cannot be listened on.
+        /// Why the address cannot be listened on.
         source: io::Error,
     },
     /// The address for text protocol clients cannot be listened on.
@@ -57,7 +57,7 @@
     LeaseTransport {
         /// This node's index among the members in the quota file.
         member: usize,
-        /// Why its address cannot be listened on.
+        /// Why the member's address cannot be listened on.
         source: io::Error,
     },
 }
--- a/src/node/event_loop.rs
+++ b/src/node/event_loop.rs
@@ -15,7 +15,7 @@
 use crate::net::{ConnectedSocket, SocketEvent, SocketOwner, Token};
 use std::time::Duration;
 
-/// How often silent peers are detected and flows are exported.
+/// The interval at which unresponsive peers are detected and ended flows are exported.
 const TICK_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A running node: its parts, and the event loop that calls them.
@@ -32,7 +32,8 @@
 }
 
 impl Node {
-    /// Runs the balancer on the endpoints that are known at start, and then restores the predecessor's state, if any.
+    /// Runs the balancer on the endpoint list that is available at start, and then restores the predecessor's state,
+    /// if any.
     pub(super) fn initialize(&mut self, predecessor: Option<&StateSnapshot>) {
         self.executor.run_balancer();
         if let Some(snapshot) = predecessor {
--- a/src/node/executor.rs
+++ b/src/node/executor.rs
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Migrates an established connection: tells its client to reconnect.
+    /// Migrates an established connection: its frontend closes it gracefully, so that the client reconnects.
     pub(super) fn migrate_established(&mut self, now: MonotonicTime, request_id: RequestId) {
         let frontend = self.host.state.requests.close_for_migration(now, request_id, Outcome::Cancelled);
         if let Some(frontend) = frontend {
--- a/src/node/frontend_host.rs
+++ b/src/node/frontend_host.rs
@@ -15,7 +15,7 @@
         FrontendHost { state, frontends }
     }
 
-    /// Calls the frontend with this id. None if there is no such frontend.
+    /// Calls the frontend with this id. Returns `None` if there is no such frontend.
     pub(super) fn call<R>(
         &mut self,
         id: FrontendId,
--- a/src/node/handover.rs
+++ b/src/node/handover.rs
@@ -9,7 +9,7 @@
 
 /// Owns the links to the predecessor and the successor, and executes the events of these links.
 pub(super) struct HandoverManager {
-    /// None if the platform passes no listening socket: this node then has no handover.
+    /// `None` if the platform passes no listening socket: this node then has no handover.
     handover: Option<Handover>,
 }
 
@@ -112,7 +112,7 @@
     host.state.net.set_descriptor_limit(limit);
 }
 
-/// Resumes serving after the successor is gone, and takes back the connections that were not sent to it.
+/// Resumes serving after the link to the successor was closed, and takes back the connections that were not sent on it.
 fn on_successor_lost(executor: &mut Executor, unsent: Vec<FrontendConnection>) {
     for connection in unsent {
         receive_connection(&mut executor.host, connection);
--- a/src/node/quota_leases.rs
+++ b/src/node/quota_leases.rs
@@ -9,7 +9,7 @@
 
 /// Owns the transport of the lease protocol.
 pub(super) struct QuotaLeases {
-    /// None if this node is not a member of a fleet with quotas.
+    /// `None` if this node is not a member of a fleet with quotas.
     transport: Option<LeaseTransport>,
 }
 
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -5,7 +5,7 @@
 use crate::frontend::FrontendFiles;
 
 /// Reads the configuration again and applies the fields that can change at runtime; the log names the other changed
-/// fields. An invalid configuration changes nothing. Established connections and known servers are kept.
+/// fields. An invalid configuration changes nothing. Established connections and the endpoint list are kept.
 pub(super) fn reload(executor: &mut Executor, frontend_files: &FrontendFiles) {
     match Configuration::reread(&executor.host.state.config, frontend_files) {
         Ok(configuration) => apply(executor, configuration),
@@ -14,7 +14,7 @@
 }
 
 fn apply(executor: &mut Executor, new: Configuration) {
-    let discovery_moved = new.node.discovery != executor.host.state.config.discovery;
+    let discovery_changed = new.node.discovery != executor.host.state.config.discovery;
     let mut needs_restart = executor.host.state.config.apply_reload(new.node);
     for file in new.frontends {
         needs_restart.extend(executor.host.reload(file));
@@ -28,7 +28,7 @@
     if !needs_restart.is_empty() {
         tracing::warn!(fields = %needs_restart.join(","), "changed fields need a restart");
     }
-    if discovery_moved {
+    if discovery_changed {
         executor.endpoints.change_address(&mut executor.host);
     }
 }
--- a/src/node/reports.rs
+++ b/src/node/reports.rs
@@ -11,7 +11,7 @@
 
 /// Owns the export of flow records.
 pub(super) struct FlowReporter {
-    /// None if the export is off.
+    /// `None` if the export is disabled.
     export: Option<FlowExport>,
 }
 
--- a/src/node/signals.rs
+++ b/src/node/signals.rs
@@ -38,7 +38,7 @@
     Ok(OwnedFd::from(reader))
 }
 
-/// What a signal asks the node to do.
+/// The action that a signal requests from the node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum SignalRequest {
     /// SIGTERM or SIGINT: shut down gracefully.
--- a/src/node/startup.rs
+++ b/src/node/startup.rs
@@ -40,7 +40,7 @@
     start(prepared)?.run()
 }
 
-/// Opens all sockets, and runs the balancer on the endpoints that are known at start.
+/// Opens all sockets, and runs the balancer on the endpoint list that is available at start.
 ///
 /// # Errors
 /// Returns an error if a socket cannot be opened or the balancer rejects the settings.
@@ -52,8 +52,8 @@
     let signals = signals.map_err(ServeError::Signals)?;
     let mut startup = Startup::new(config, net)?;
     let admin = startup.open_admin()?;
-    // The predecessor's state is requested only after the steps that can fail without its sockets: with the state, the
-    // predecessor gives up its discovery watch.
+    // The predecessor's state is requested only after the steps that can fail without its sockets: when the predecessor
+    // sends its state, it releases its discovery watch.
     let handover_path =
         prepared.passed_listener.as_ref().and_then(|_| handover::socket_path(&startup.config.name));
     let predecessor = startup.take_over_state(handover_path.as_deref());
@@ -93,7 +93,7 @@
     wheel
 }
 
-/// What is needed to complete the handover from a predecessor. Both fields are None if there is no predecessor.
+/// The inputs for completing the handover from a predecessor. Both fields are `None` if there is no predecessor.
 #[derive(Default)]
 struct Predecessor {
     /// The predecessor's state. The balancer's part is restored after the balancer has run on the endpoint list.
--- a/src/node/state.rs
+++ b/src/node/state.rs
@@ -12,7 +12,8 @@
 
 /// The shared state. Frontends access it through a [`FrontendContext`] per call, the other parts of the node directly.
 ///
-/// The fields are visible to the whole module so that several can be borrowed at once; each keeps its own invariants.
+/// The fields are visible to all parts of the node so that several can be borrowed at once; each field maintains its
+/// own invariants.
 pub(super) struct NodeState {
     pub(super) clock: Clock,
     pub(super) net: SocketReactor,
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,5 +1,5 @@
 //! The balancer: consumes events, tracks the state of requests and emits actions. A first attempt starts
-//! immediately. A request whose attempt failed, or for which no server is available, is placed again after
+//! immediately. A request whose attempt failed, or for which no server is available, is tried again after
 //! a Full Jitter backoff.
 
 use super::migration::Migration;
@@ -27,14 +27,15 @@
     requests: Requests,
     admission: RetryAdmission,
     subscription: EndpointSubscription,
-    /// Time of the last server selection: servers in slow start accrue admissible requests from then on.
+    /// The time of the last server selection. Servers in slow start accrue admissible requests from then on.
     last_selection_at: MonotonicTime,
     /// The actions emitted by the event being handled.
     actions: Vec<Action>,
 }
 
 impl Balancer {
-    /// Creates a balancer that knows no servers. The seed determines all its random decisions.
+    /// Creates a balancer with an empty endpoint list. The seed determines all its random decisions.
+    ///
     /// # Errors
     /// Returns the first setting that is out of range.
     pub fn new(seed: u64, settings: Settings) -> Result<Balancer, SettingsError> {
@@ -69,6 +70,7 @@
 
     /// Restores a snapshot. Must be called after the servers are listed and before any connection is resumed.
     /// Servers that are not listed are ignored.
+    ///
     /// # Errors
     /// The snapshot cannot be decoded; the state is unchanged.
     pub fn restore_state(&mut self, snapshot: &str) -> Result<(), serde_json::Error> {
@@ -110,7 +112,7 @@
         if self.register(arrival, Phase::BackingOff).first_attempt_kind == AttemptKind::Retry {
             self.back_off(arrival.id);
         } else {
-            self.place(arrival.id);
+            self.start_attempt_or_back_off(arrival.id);
         }
     }
 
@@ -180,7 +182,7 @@
         if self.subscription.is_poll_due(token) {
             self.actions.push(Action::Subscribe);
         } else if self.requests.get(&id).is_some_and(|request| request.phase == Phase::BackingOff) {
-            self.place(id);
+            self.start_attempt_or_back_off(id);
         }
     }
 
@@ -217,11 +219,11 @@
         self.actions.push(Action::SetTimer { after, token: id.0 });
     }
 
-    /// Starts the next attempt, backs off if none may start now, or gives up if no further one is allowed.
-    fn place(&mut self, id: RequestId) {
+    /// Starts the next attempt, backs off if none may start now, or gives the final answer if no further one is allowed.
+    fn start_attempt_or_back_off(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Err(refusal) = self.may_attempt(request) {
-            return self.give_up(id, refusal);
+            return self.reject_or_fail(id, refusal);
         }
         let time_left = request.deadline.saturating_duration_since(self.now);
         let timeout = request.attempts.next_timeout(time_left, self.settings.max_attempts);
@@ -254,7 +256,7 @@
     }
 
     /// Gives the final answer: a rejection if a retry by the client is safe, otherwise a failure.
-    fn give_up(&mut self, id: RequestId, refusal: RetryRefusal) {
+    fn reject_or_fail(&mut self, id: RequestId, refusal: RetryRefusal) {
         tracing::trace!(request = id.0, reason = %refusal, "no further attempt");
         let queue_delay = self.admission.queue_delay(self.setup_interval());
         let Some(request) = self.requests.remove(&id) else { return };
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -11,7 +11,7 @@
 const MAX_CANDIDATES: usize = 3;
 /// Load of each group at a server, as a multiple of this node's usual connections per server.
 const GROUP_COST: f64 = 0.15;
-/// Load added to a server in another zone, in the same unit. Its influence decreases as the load of all
+/// Load added to a server in another zone, in the unit of [`GROUP_COST`]. Its influence decreases as the load of all
 /// servers grows, so that a zone under load sends requests to other zones.
 const CROSS_ZONE_COST: f64 = 0.6;
 
@@ -37,7 +37,7 @@
     }
 
     /// Returns the server that probably has the connection of a rerouted request: of the servers that are not
-    /// warming up, the first in the rank order of its key. A wrong one costs an ordinary attempt.
+    /// warming up, the first in the rank order of the request's key. A wrong guess costs an ordinary attempt.
     pub fn probable_current_server(&self, request: &Request) -> Option<ServerId> {
         let is_warm = |id: &&ServerId| self.capacity_factor(self.servers.get(**id)) >= 1.0;
         let rank = |id: &ServerId| candidate_rank(request, self.servers.get(*id));
@@ -75,7 +75,7 @@
         eligible
     }
 
-    /// Rule 2: once an attempt may have run, only servers that discard a duplicate may take the request.
+    /// Once an attempt may have run, only servers that discard a duplicate may take the request.
     fn is_retry_safe(&self, request: &Request, server: &Server) -> bool {
         let Some(run) = request.attempts.first_possible_run() else { return true };
         let Some(first) = self.servers.find(run.server) else { return false };
@@ -87,7 +87,7 @@
         self.slow_start.capacity_factor(self.now, server.attributes.started_at)
     }
 
-    /// Rule 4: a server in slow start takes only its admissible fraction of the requests, regardless of the
+    /// A server in slow start takes only its admissible fraction of the requests, regardless of the
     /// number of other servers and of this node's connections to it.
     fn slow_start_defers(&self, request: &Request, id: ServerId, total_nominal: f64) -> bool {
         let server = self.servers.get(id);
--- a/src/quota/file.rs
+++ b/src/quota/file.rs
@@ -31,12 +31,12 @@
 enum QuotaFileProblem {
     #[error("{0}")]
     Unreadable(#[from] io::Error),
-    /// Not JSON, or a field with an unknown name or the wrong type; the message names the field.
+    /// The file is not JSON, or a field has an unknown name or the wrong type; the message names the field.
     #[error("{0}")]
     Malformed(#[source] Box<dyn Error + Send + Sync>),
     #[error("field {0}")]
     Invalid(#[from] PlanError),
-    /// Valid, but not yet supported by `serve`.
+    /// The plan is valid, but `serve` does not support the field yet.
     #[error("field {0}: is not served yet")]
     Unsupported(UnsupportedField),
     #[error("field members: none is named {name:?}, the name of this node")]
@@ -63,7 +63,7 @@
 ///
 /// # Errors
 ///
-/// The file cannot be read or parsed, or a field is invalid.
+/// If the file cannot be read or parsed, or a field is invalid.
 pub fn read_plan(path: &Path) -> Result<QuotaPlan, QuotaFileError> {
     parse_plan_file(path).map_err(|problem| QuotaFileError { path: path.to_path_buf(), problem })
 }
--- a/src/quota/transport/grantor_service.rs
+++ b/src/quota/transport/grantor_service.rs
@@ -11,7 +11,7 @@
 pub(super) enum Requester {
     /// Another node, identified by its connection.
     Remote(Token),
-    /// This node.
+    /// This node, which holds leases from its own grantor.
     Local,
 }
 
--- a/src/requests/command.rs
+++ b/src/requests/command.rs
@@ -4,14 +4,13 @@
 use crate::model::{Notice, RequestId, ServerId};
 use std::time::Duration;
 
-/// A command for the node to execute.
+/// A command for the node to execute. `frontend` is the frontend through which the request arrived; the command is
+/// addressed to it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Command {
     /// Start an attempt of a request that has no other attempt in flight.
     StartAttempt {
-        /// The request's frontend.
         frontend: FrontendId,
-        /// The request.
         request_id: RequestId,
         /// The server to send the request to.
         server: ServerId,
@@ -19,41 +18,21 @@
         timeout: Duration,
     },
     /// Cancel the attempt in flight of a request.
-    CancelAttempt {
-        /// The request's frontend.
-        frontend: FrontendId,
-        /// The request.
-        request_id: RequestId,
-    },
+    CancelAttempt { frontend: FrontendId, request_id: RequestId },
     /// Send the final answer "rejected".
     Reject {
-        /// The request's frontend.
         frontend: FrontendId,
-        /// The request.
         request_id: RequestId,
         /// How long the client should wait before it retries; zero for no advice.
         retry_after: Duration,
     },
     /// Send the final answer "failed".
-    Fail {
-        /// The request's frontend.
-        frontend: FrontendId,
-        /// The request.
-        request_id: RequestId,
-    },
-    /// Tell the client of an established connection to reconnect.
-    Migrate {
-        /// The request's frontend.
-        frontend: FrontendId,
-        /// The request.
-        request_id: RequestId,
-    },
+    Fail { frontend: FrontendId, request_id: RequestId },
+    /// Close an established connection gracefully, so that its client reconnects.
+    Migrate { frontend: FrontendId, request_id: RequestId },
     /// Check a server's load once; the result is an
     /// [`Event::HealthCheckResult`](crate::model::Event::HealthCheckResult).
-    HealthCheck {
-        /// The server.
-        server: ServerId,
-    },
+    HealthCheck { server: ServerId },
     /// Push an [`Event::Timer`](crate::model::Event::Timer) with this token after a delay.
     SetTimer {
         /// The delay from now.
--- a/src/requests/decision_queue.rs
+++ b/src/requests/decision_queue.rs
@@ -29,7 +29,7 @@
         &mut self.balancer
     }
 
-    /// Queues an event.
+    /// Queues an event for the next [`DecisionQueue::handle_pending`].
     pub fn push(&mut self, event: Event) {
         self.pending_events.push(event);
     }
--- a/src/requests/ledger.rs
+++ b/src/requests/ledger.rs
@@ -26,7 +26,7 @@
 }
 
 impl RequestLedger {
-    /// The open requests.
+    /// The requests that have arrived and not ended yet.
     pub fn open(&self) -> &OpenRequests {
         &self.open
     }
@@ -77,7 +77,7 @@
         decision
     }
 
-    /// Adds a request whose connection is already established. Its id is also written into `arrival`.
+    /// Adds a request whose connection is already established. The new id is also written into `arrival`.
     pub fn insert_established(
         &mut self,
         now: MonotonicTime,
@@ -237,7 +237,7 @@
     }
 
     /// Removes an established connection that is handed over to another process. No flow record is written here, since
-    /// that process records the whole flow.
+    /// that process records the complete flow.
     pub fn hand_over(&mut self, id: RequestId) -> Option<ReleasedConnection> {
         let RequestState::Established(server) = self.open.get(id)?.state else { return None };
         let request = self.open.remove(id)?;
--- a/src/requests/open_requests.rs
+++ b/src/requests/open_requests.rs
@@ -43,7 +43,6 @@
     pub deadline: MonotonicTime,
     /// The number of attempts started so far.
     pub attempts: u32,
-    /// The current state.
     pub state: RequestState,
     /// Whether the request counts against the quotas until it ends.
     pub uses_quota: bool,
@@ -75,7 +74,7 @@
     pub server: ServerId,
     /// When the request arrived, on this node's clock.
     pub started_at: MonotonicTime,
-    /// The load in its last load report: work time per second.
+    /// The load in the connection's last load report, as work time per second; `None` if there was no report.
     pub load: Option<Duration>,
 }
 
--- a/src/requests/quota_usage.rs
+++ b/src/requests/quota_usage.rs
@@ -9,7 +9,6 @@
 /// A request that was rejected by the quotas on arrival and has no final answer yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuotaRejection {
-    /// The request.
     pub request_id: RequestId,
     /// How long the client should wait before it retries.
     pub retry_after: Duration,
--- a/src/requests/records.rs
+++ b/src/requests/records.rs
@@ -72,13 +72,12 @@
 /// An ended flow: a request from its arrival to its final answer or to the end of its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FlowRecord {
-    /// The request.
     pub request_id: RequestId,
     /// The frontend through which the request arrived.
     pub frontend: FrontendId,
     /// The request's class, an index into [`Settings::classes`](crate::model::Settings::classes).
     pub class: usize,
-    /// The server of its last attempt, unless the request ended between two attempts.
+    /// The server of the request's last attempt, unless the request ended between two attempts.
     pub server: Option<ServerId>,
     /// When the request arrived.
     pub started_at: MonotonicTime,
@@ -95,9 +94,9 @@
 pub enum FlowResult {
     /// Served, then ended by the client or the server.
     Served,
-    /// Rejected.
+    /// The final answer was "rejected": a retry cannot run an effect twice.
     Rejected,
-    /// Failed.
+    /// The final answer was "failed": the request may have had an effect.
     Failed,
     /// The client disconnected before the final answer.
     ClientDisconnected,
@@ -110,17 +109,14 @@
 /// One step of an attempt, for the attempt trace.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AttemptRecord {
-    /// The request.
     pub request_id: RequestId,
-    /// The attempt's server.
     pub server: ServerId,
-    /// What happened.
     pub step: AttemptStep,
     /// Time since the attempt was started; for the end of an established connection, time since the request arrived.
     pub elapsed: Duration,
 }
 
-/// What happened to an attempt.
+/// The steps of an attempt that are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptStep {
     /// The attempt's connection was established.
--- a/src/requests/table.rs
+++ b/src/requests/table.rs
@@ -54,8 +54,6 @@
         self.decisions.balancer_mut().restore_state(snapshot)
     }
 
-    // ---- Frontend reports -------------------------------------------------------------------------
-
     /// Reports the arrival of a request. Returns the id assigned to it.
     pub fn on_request(
         &mut self,
@@ -113,7 +111,7 @@
     }
 
     /// Removes an established connection that is handed over to the successor. No flow record is written here, since
-    /// the successor records the whole flow. Returns when the request arrived, or `None` if its connection is not
+    /// the successor records the complete flow. Returns when the request arrived, or `None` if its connection is not
     /// established.
     pub fn hand_over(&mut self, id: RequestId) -> Option<MonotonicTime> {
         let released = self.ledger.hand_over(id)?;
@@ -184,8 +182,6 @@
         self.decisions.push(event);
     }
 
-    // ---- Migrations and failures initiated by the node --------------------------------------------
-
     /// Closes an established connection that the node migrates, either during a drain or because its server has stopped
     /// responding. Returns the frontend that has to notify the client, or `None` if the connection is not established.
     pub fn close_for_migration(
@@ -211,8 +207,8 @@
         commands
     }
 
-    /// Fails the requests that arrived before `arrived_before` and have no answer yet. Called while the node drains or shuts
-    /// down.
+    /// Fails the requests that arrived before `arrived_before` and have no answer yet. Called while the node drains or
+    /// shuts down.
     pub fn fail_unanswered(&mut self, now: MonotonicTime, arrived_before: MonotonicTime) -> Vec<Command> {
         let is_due = |request: &Request| !request.is_established() && request.started_at < arrived_before;
         let mut commands = Vec::new();
@@ -229,8 +225,6 @@
         commands
     }
 
-    // ---- Decisions -----------------------------------------------------------------------------------
-
     /// Whether [`RequestTable::decide`] has anything to process.
     pub fn has_pending_events(&self) -> bool {
         self.decisions.has_pending_events() || self.ledger.quota_usage().has_rejections()
@@ -309,8 +303,6 @@
         }
     }
 
-    // ---- Queries -------------------------------------------------------------------------------------
-
     /// The frontend of a request if its attempt with this number is still in flight. Used by the attempt's time-out.
     pub fn frontend_of_attempt(&self, id: RequestId, number: u32) -> Option<FrontendId> {
         let request = self.ledger.open().get(id)?;
@@ -333,8 +325,6 @@
         self.ledger.open().is_empty()
     }
 
-    // ---- Accounting ----------------------------------------------------------------------------------
-
     /// The counters since the start of the process.
     pub fn counters(&self) -> &Counters {
         self.ledger.counters()
--- a/src/requests/tests.rs
+++ b/src/requests/tests.rs
@@ -1,4 +1,4 @@
-//! State transitions of requests, with a balancer that knows two servers.
+//! State transitions of requests, with a balancer whose endpoint list has two servers.
 
 use super::*;
 use crate::model::{
@@ -67,7 +67,7 @@
     }
 }
 
-/// A table whose balancer knows two servers, with flow records and attempt records enabled.
+/// A table whose balancer has two servers in its endpoint list, with flow records and attempt records enabled.
 fn table_with_two_servers() -> RequestTable {
     let mut requests = RequestTable::new(42, settings()).expect("valid settings");
     requests.enable_flow_records();
--- a/src/requests/transition.rs
+++ b/src/requests/transition.rs
@@ -20,7 +20,6 @@
 /// An attempt that has been started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartedAttempt {
-    /// The request's frontend.
     pub frontend: FrontendId,
     /// The attempt's time-out, limited to the time left until the request's deadline.
     pub timeout: Duration,
@@ -65,7 +64,6 @@
 /// A connection that has been closed so that its client reconnects.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MigratedConnection {
-    /// The request's frontend.
     pub frontend: FrontendId,
     /// The server of the connection.
     pub server: ServerId,
@@ -74,7 +72,6 @@
 /// A request that this node has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedRequest {
-    /// The request's frontend.
     pub frontend: FrontendId,
     /// The request's state before it ended.
     pub state: RequestState,
--- a/src/resilience/connection_value.rs
+++ b/src/resilience/connection_value.rs
@@ -11,9 +11,9 @@
 /// A connection that may be migrated.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Connection {
-    /// The request that established it.
+    /// The request that established the connection.
     pub id: RequestId,
-    /// Its priority weight relative to its load; see [`connection_value`].
+    /// The connection's priority weight relative to its load; see [`connection_value`].
     pub value: f64,
     /// Orders connections of equal value.
     pub tie_breaker: u64,
--- a/src/resilience/endpoint_subscription.rs
+++ b/src/resilience/endpoint_subscription.rs
@@ -22,7 +22,7 @@
 pub struct ScheduledPoll {
     /// The token of the poll's timer.
     pub token: u64,
-    /// The upper limit of its Full Jitter delay.
+    /// The upper limit of the poll's Full Jitter delay.
     pub max_delay: Duration,
 }
 
--- a/src/resilience/endpoint_subscription/tests.rs
+++ b/src/resilience/endpoint_subscription/tests.rs
@@ -17,7 +17,7 @@
     assert_eq!(subscription.schedule_poll(ListKind::Full, &settings), None);
     assert!(subscription.on_list(ListKind::Failed), "the subscription is lost");
     let third = subscription.schedule_poll(ListKind::Failed, &settings).expect("a poll");
-    assert_eq!(third.max_delay, Duration::from_nanos(100), "the backoff starts anew");
+    assert_eq!(third.max_delay, Duration::from_nanos(100), "the backoff restarts from its base");
 }
 
 #[test]
--- a/src/resilience/fleet_limits.rs
+++ b/src/resilience/fleet_limits.rs
@@ -1,4 +1,4 @@
-//! This node's share of the limits of the whole fleet, derived from the settings and the node's own load.
+//! This node's share of the limits of the fleet, derived from the settings and the node's own load.
 //!
 //! A rate that is harmless from a single node can overload what a hundred nodes share. Nodes do not coordinate to
 //! enforce these limits: each node computes its share from the settings and stays within it.
@@ -52,7 +52,7 @@
     }
 
     /// Returns this node's fraction of the fleet's load, given the number of its open requests: an even share, or its
-    /// actual share if that is larger, for example because other nodes are gone and it has taken over their load.
+    /// actual share if that is larger, for example because other nodes have failed and it has taken over their load.
     pub fn load_share(&self, requests: usize) -> f64 {
         let even_share = 1.0 / self.nodes;
         let actual_share =
--- a/src/resilience/in_flight.rs
+++ b/src/resilience/in_flight.rs
@@ -7,12 +7,12 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct InFlight {
     requests: BTreeSet<RequestId>,
-    /// Number of requests in flight of each group; groups without any are removed.
+    /// The number of requests in flight of each group. A group is removed with its last request.
     groups: BTreeMap<u64, u32>,
 }
 
 impl InFlight {
-    /// Adds a request.
+    /// Adds a request that is sent to the server. `group` is the group of the request, if it has one.
     pub fn insert(&mut self, id: RequestId, group: Option<u64>) {
         self.requests.insert(id);
         if let Some(group) = group {
--- a/src/resilience/outlier.rs
+++ b/src/resilience/outlier.rs
@@ -22,10 +22,10 @@
 /// The outlier state of one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize, Serialize)]
 pub struct OutlierState {
-    /// Consecutive failures.
+    /// Failures since the last success or reset.
     failures: u32,
     ejected_until: MonotonicTime,
-    /// Only a cached list contains it. Not part of a handover, as the successor receives a newer list.
+    /// Only a cached list contains the endpoint. Not part of a handover, as the successor receives a newer list.
     #[serde(skip)]
     unconfirmed: bool,
 }
--- a/src/resilience/poll_backoff.rs
+++ b/src/resilience/poll_backoff.rs
@@ -4,12 +4,12 @@
 use crate::model::{Discovery, Settings};
 use std::time::Duration;
 
-/// A node must learn of a change within 6 s of the time at which discovery knows of it and is reachable. A poll that
-/// times out after 2 s, this delay and the answer to the next poll fit into these 6 s.
+/// The upper limit of the delay. A node must receive a change within 6 s of the time at which discovery has it and is
+/// reachable. A poll that times out after 2 s, this delay and the answer to the next poll fit into these 6 s.
 const MAX_POLL_DELAY: Duration = Duration::from_millis(2_500);
-/// The same for the first poll after a watch has ended. A silent watch is detected after 4.2 s, at the next tick
-/// (0.2 s) of a process that may be stalled (0.15 s); this delay and the answer to the poll fit into the rest of the
-/// 6 s.
+/// The upper limit of the delay of the first poll after a watch has ended. An unresponsive watch is detected after
+/// 4.2 s, at the next tick (0.2 s) of a process that may be stalled (0.15 s); this delay and the answer to the poll fit
+/// into the rest of the 6 s.
 const MAX_FIRST_POLL_DELAY: Duration = Duration::from_millis(1_250);
 /// The base of the delay for an agent on this machine. Polls of it are cheap; the delay only limits the rate at which a
 /// failed agent is polled.
--- a/src/resilience/rendezvous.rs
+++ b/src/resilience/rendezvous.rs
@@ -12,7 +12,7 @@
 pub struct Ranked<T> {
     /// The rank; lower ones come first.
     pub rank: f64,
-    /// The item.
+    /// The ranked item, such as the id of a server.
     pub item: T,
 }
 
--- a/src/resilience/retry_safety.rs
+++ b/src/resilience/retry_safety.rs
@@ -10,9 +10,9 @@
 /// An attempt that may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PossibleRun {
-    /// The server to which it was sent.
+    /// The server to which the attempt was sent.
     pub server: ServerId,
-    /// The time at which it was sent.
+    /// The time at which the attempt was sent.
     pub sent_at: MonotonicTime,
 }
 
--- a/src/resilience/slow_start.rs
+++ b/src/resilience/slow_start.rs
@@ -37,13 +37,13 @@
 /// The state of a server that its slow start depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServerRamp {
-    /// See [`SlowStart::capacity_factor`].
+    /// The fraction of its nominal capacity that the server has now; see [`SlowStart::capacity_factor`].
     pub capacity_factor: f64,
     /// Capacity relative to other servers.
     pub nominal: f64,
-    /// The end of its recovery from overload.
+    /// The end of the server's recovery from overload.
     pub recovering_until: MonotonicTime,
-    /// The time at which this node last sent it an attempt.
+    /// The time at which this node last sent an attempt to the server.
     pub last_sent_at: MonotonicTime,
 }
 
--- a/src/rules/retry.rs
+++ b/src/rules/retry.rs
@@ -7,13 +7,10 @@
 /// The state of a request that is waiting for its next attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryInputs<'a> {
-    /// The current time.
     pub now: MonotonicTime,
-    /// The request's deadline.
     pub deadline: MonotonicTime,
     /// The attempts so far.
     pub attempts: &'a AttemptHistory,
-    /// The request's class.
     pub class: &'a RequestClass,
     /// The request is queued for admission and would be admitted only after its deadline.
     pub misses_deadline: bool,
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the rules: each check returns the first reason against.
+//! Unit tests of the rules: each check returns the first reason for a refusal.
 
 use super::*;
 use crate::model::{DedupScope, Effect, Outcome, RequestClass, ServerId, Settings};
--- a/src/rules/violation.rs
+++ b/src/rules/violation.rs
@@ -1,6 +1,6 @@
 //! Rules that were broken. They are counted, and logged with the ids that help to find the cause.
 
-/// A rule that this node has broken. Every violation is a fault of this program.
+/// A rule that this node has broken. Every violation is a bug in this program.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// A client's connection was closed after its request had been read and before it was answered.
