--- a/src/handover/listener.rs
+++ b/src/handover/listener.rs
@@ -54,7 +54,7 @@
 /// The listening TCP socket whose descriptor is in [`PASSED_SOCKET_VARIABLE`]; `None` if the variable is not set.
 ///
 /// # Errors
-/// If the value of the variable is anything else.
+/// If the value of the variable is not the number of a listening TCP socket.
 pub fn passed_listener() -> Result<Option<OwnedFd>, PassedListenerError> {
     let value = match std::env::var(PASSED_SOCKET_VARIABLE) {
         Ok(value) => value,
--- a/src/handover/predecessor.rs
+++ b/src/handover/predecessor.rs
@@ -28,7 +28,7 @@
         self.token
     }
 
-    /// Receives the connections that the predecessor has transferred since the previous call.
+    /// Receives the transferred connections that have arrived, up to the limit of one iteration of the event loop.
     pub(super) fn receive(&self, net: &SocketReactor) -> ReceivedMessages {
         read_messages(net, self.token, on_message)
     }
--- a/src/lifecycle/mod.rs
+++ b/src/lifecycle/mod.rs
@@ -117,7 +117,7 @@
     }
 
     /// Whether the load balancer in front of the nodes should send clients here; this determines the answer to `PING`.
-    /// SIGTERM alone does not change it, since clients arrive until the platform has noticed the shutdown.
+    /// SIGTERM alone does not change it, since clients arrive until the platform has detected the shutdown.
     pub fn accepts_clients(&self) -> bool {
         match self {
             Lifecycle::Serving(_) => true,
--- a/src/lifecycle/schedule.rs
+++ b/src/lifecycle/schedule.rs
@@ -6,7 +6,7 @@
 /// The time between two migration steps.
 pub const MIGRATION_STEP_INTERVAL: Duration = Duration::from_millis(25);
 /// The time between the announcement of a migration and its first step. Until the load balancer in front of the nodes
-/// has noticed the announcement, it would send a migrated client back to this node.
+/// has detected the announcement, it would send a migrated client back to this node.
 const MIGRATION_DELAY: Duration = Duration::from_millis(300);
 /// The migration of all established clients is complete this long before the end of the schedule.
 const MIGRATED_BEFORE_END: Duration = Duration::from_millis(400);
--- a/src/model/event.rs
+++ b/src/model/event.rs
@@ -51,7 +51,7 @@
     pub id: RequestId,
     /// Index into [`Settings::classes`](super::Settings::classes).
     pub class: usize,
-    /// Time left until the client gives up.
+    /// Time left until the client stops waiting for an answer.
     pub time_left: Duration,
     /// Expected load, as work time per second; unknown in some deployments.
     pub cost: Option<Duration>,
--- a/src/node/reload.rs
+++ b/src/node/reload.rs
@@ -20,7 +20,7 @@
         needs_restart.extend(executor.host.reload(file));
     }
     let state = &mut executor.host.state;
-    // This ignores the descriptors of a predecessor that is still running, until it reports them with the next
+    // The new limit ignores the descriptors of a predecessor that is still running, until it reports them with the next
     // connection that it transfers.
     state.net.set_descriptor_limit(state.config.max_descriptors);
     state.requests.update_settings(state.config.settings.clone());
--- a/src/policy/server.rs
+++ b/src/policy/server.rs
@@ -112,8 +112,8 @@
     pub fn restore(&mut self, servers: Vec<Server>) {
         for restored in servers {
             let key = |server: &Server| (server.attributes.name_hash, server.attributes.started_at);
-            if let Some(known) = self.servers.iter_mut().find(|known| key(known) == key(&restored)) {
-                *known = Server { status: known.status, ..restored };
+            if let Some(listed) = self.servers.iter_mut().find(|listed| key(listed) == key(&restored)) {
+                *listed = Server { status: listed.status, ..restored };
             }
         }
     }
--- a/src/resilience/retry_admission/tests.rs
+++ b/src/resilience/retry_admission/tests.rs
@@ -50,7 +50,7 @@
         assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(sent_at), at(now)), None);
         assert_eq!(admission.throttled_rate(), None);
     }
-    // This attempt was sent before the last failure was known: it does not narrow the window again.
+    // This attempt was sent before the last failure was recorded: it does not narrow the window again.
     assert_eq!(admission.on_attempt_ended(Outcome::Timeout, at(12), at(14)), None);
     assert_eq!(admission.throttled_rate(), None);
     assert_eq!(admission.on_attempt_ended(Outcome::Error, at(13), at(14)), Some(Notice::PacingStarted));
