--- a/src/node/endpoint_watch.rs
+++ b/src/node/endpoint_watch.rs
@@ -43,8 +43,7 @@
         }
     }
 
-    /// Closes a watch on which no data has arrived for too long, and retries a watch request that failed for lack of a
-    /// socket.
+    /// Closes an unresponsive watch, and retries a watch request that failed for lack of a socket.
     pub(super) fn on_tick(&mut self, host: &mut FrontendHost, now: MonotonicTime) {
         if let Some(event) = self.client.close_silent_watch(now, &mut host.state.net) {
             report_list(host, event);
--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -219,7 +219,8 @@
         self.actions.push(Action::SetTimer { after, token: id.0 });
     }
 
-    /// Starts the next attempt, backs off if none may start now, or gives the final answer if no further one is allowed.
+    /// Starts the next attempt, backs off if none may start now, or gives the final answer if no further one is
+    /// allowed.
     fn start_attempt_or_back_off(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Err(refusal) = self.may_attempt(request) {
