--- a/src/frontend_id.rs
+++ b/src/frontend_id.rs
@@ -3,8 +3,8 @@
 /// Identifies the frontend that owns a socket or through which a request arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrontendId {
-    /// Its index among the enabled frontends.
+    /// Index of the frontend among the enabled frontends.
     pub index: u8,
-    /// Its name in flow records and log lines.
+    /// Name of the frontend in flow records and log lines.
     pub name: &'static str,
 }
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -17,8 +17,8 @@
 /// Connections accepted from one listener per iteration. This is less than the number of descriptors that are
 /// kept free, so that the arrivals of a single iteration cannot use up the last ones.
 const ACCEPTS_PER_ITERATION: usize = 16;
-/// The same limit for a listener with reserved descriptors. It is less than the size of the reserve, so that
-/// every connection is read before it can be evicted.
+/// Connections accepted per iteration from one listener with reserved descriptors. This is less than the size of
+/// the reserve, so that every connection is read before it can be evicted.
 const RESERVED_ACCEPTS_PER_ITERATION: usize = 4;
 /// How long accepting pauses after a shortage of descriptors or kernel memory.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
@@ -92,18 +92,16 @@
                 Err(Errno::MFILE | Errno::NFILE | Errno::NOBUFS | Errno::NOMEM) => {
                     return self.pause(&mut sockets.store);
                 }
-                // This connection failed before it was accepted; the next one may be fine.
+                // This connection failed before it was accepted; the next accept may succeed.
                 Err(_) => failures += 1,
             }
         }
-        // The listener itself may be at fault. It stays readable, so accepting pauses.
+        // The listener itself may have failed. It stays readable, which would keep the event loop from sleeping.
         if failures == max_accepts {
             self.pause(&mut sockets.store);
         }
     }
 
-    // ---- Pauses --------------------------------------------------------------------------------
-
     /// Suspends the interest in all listeners for a while: they stay readable, which would keep the event
     /// loop from sleeping.
     fn pause(&mut self, store: &mut SocketStore) {
--- a/src/net/buffered_sockets.rs
+++ b/src/net/buffered_sockets.rs
@@ -45,8 +45,6 @@
         })
     }
 
-    // ---- Reading -------------------------------------------------------------------------------
-
     /// Reads whatever has arrived on an established connection.
     pub(super) fn read_available(&mut self, token: Token) {
         let readable = |socket: &Socket| socket.is_open() && !socket.is_read_closed();
@@ -99,8 +97,6 @@
         self.store.emit(token, SocketEventKind::Readable);
     }
 
-    // ---- Writing -------------------------------------------------------------------------------
-
     /// Sends bytes. What cannot be written immediately is buffered and written as the peer reads.
     pub(super) fn send(&mut self, token: Token, bytes: &[u8]) {
         let Some(socket) = self.store.get_mut(token) else { return };
@@ -164,8 +160,6 @@
         had_output
     }
 
-    // ---- Pausing -------------------------------------------------------------------------------
-
     /// Suspends reading and writing of a connection for a short time.
     fn pause(&mut self, token: Token) {
         let now = self.store.now();
@@ -191,8 +185,6 @@
         &self.pauses
     }
 
-    // ---- Ending --------------------------------------------------------------------------------
-
     /// Shuts down the write direction once the buffered output is written. The peer may continue to send.
     pub(super) fn shutdown_write(&mut self, token: Token) {
         let Some(socket) = self.store.get_mut(token) else { return };
--- a/src/net/buffers.rs
+++ b/src/net/buffers.rs
@@ -19,12 +19,12 @@
     input: Vec<u8>,
     output: Vec<u8>,
     bytes_written: u64,
-    /// Limit of buffered input.
+    /// Limit of `input`; reading stops when it is reached.
     read_limit_bytes: usize,
 }
 
 impl Buffers {
-    /// Creates empty buffers.
+    /// Creates empty buffers with the default read limit.
     pub(super) fn new() -> Buffers {
         Buffers::restored(Vec::new(), Vec::new(), 0)
     }
@@ -34,8 +34,6 @@
         Buffers { input, output, bytes_written, read_limit_bytes: DEFAULT_READ_LIMIT_BYTES }
     }
 
-    // ---- Input ---------------------------------------------------------------------------------
-
     /// The received bytes that the owner has not consumed.
     pub(super) fn input(&self) -> &[u8] {
         &self.input
@@ -56,7 +54,7 @@
         self.read_limit_bytes.saturating_sub(self.input.len())
     }
 
-    /// Appends received bytes.
+    /// Appends received bytes without checking the read limit.
     pub(super) fn append_input(&mut self, bytes: &[u8]) {
         self.input.extend_from_slice(bytes);
     }
@@ -74,8 +72,6 @@
         self.append_input(&chunk[..count]);
     }
 
-    // ---- Output --------------------------------------------------------------------------------
-
     /// Number of buffered output bytes.
     pub(super) fn pending_output_bytes(&self) -> usize {
         self.output.len()
@@ -91,7 +87,7 @@
         self.bytes_written + self.output.len() as u64
     }
 
-    /// Appends bytes to the output buffer.
+    /// Buffers output without attempting to write it.
     pub(super) fn append_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
--- a/src/net/connect.rs
+++ b/src/net/connect.rs
@@ -21,7 +21,7 @@
 }
 
 impl Connector {
-    /// Starts a connection.
+    /// Starts a connection, and counts it if it fails because of a local shortage.
     ///
     /// # Errors
     /// Returns an error if no descriptor is available or the connection fails immediately.
--- a/src/net/descriptors.rs
+++ b/src/net/descriptors.rs
@@ -28,12 +28,10 @@
         self.limit = limit;
     }
 
-    /// The reserved descriptors.
     pub(super) fn reserve(&self) -> &DescriptorReserve {
         &self.reserve
     }
 
-    /// The reserved descriptors, mutably.
     pub(super) fn reserve_mut(&mut self) -> &mut DescriptorReserve {
         &mut self.reserve
     }
--- a/src/net/epoll_set.rs
+++ b/src/net/epoll_set.rs
@@ -22,7 +22,7 @@
     state: RegistrationState,
 }
 
-/// What the kernel currently has registered for a socket.
+/// Whether the kernel's registration of a socket matches the requested interest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RegistrationState {
     /// The socket is registered with its current interest.
--- a/src/net/event.rs
+++ b/src/net/event.rs
@@ -6,13 +6,13 @@
 /// The module that receives a socket's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketOwner {
-    /// A frontend.
+    /// The frontend with this id.
     Frontend(FrontendId),
     /// The client that watches the endpoint registry.
     Discovery,
     /// The pipe that signal handlers write to.
     Signal,
-    /// The admin API.
+    /// The admin API, for its listener and its connections.
     Admin,
     /// The handover channel to the predecessor or to the successor.
     Handover,
@@ -20,7 +20,7 @@
     Quota,
 }
 
-/// What happened on a socket.
+/// The kind of a socket event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SocketEventKind {
     /// A listener accepted the connection.
@@ -46,19 +46,19 @@
 /// An event on one socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SocketEvent {
-    /// The socket.
+    /// Token of the socket. No longer valid if `kind` is [`SocketEventKind::Evicted`].
     pub token: Token,
     /// The module that handles the event.
     pub owner: SocketOwner,
-    /// What happened.
+    /// The change of the socket's state that the owner has to handle.
     pub kind: SocketEventKind,
 }
 
 /// A connection that has been established.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectedSocket {
-    /// The socket.
+    /// Token of the socket, to which nothing has been written yet.
     pub token: Token,
-    /// The module that opened it.
+    /// The module that started the connection.
     pub owner: SocketOwner,
 }
--- a/src/net/eviction.rs
+++ b/src/net/eviction.rs
@@ -28,8 +28,6 @@
 }
 
 impl EvictionCandidates {
-    // ---- Closed connections --------------------------------------------------------------------
-
     /// Closes a connection once its output is written, then waits a limited time for the peer to close its
     /// side.
     pub(super) fn close(&mut self, sockets: &mut BufferedSockets, token: Token) {
@@ -50,8 +48,6 @@
         self.lingering.tokens().all(|token| store.get(token).is_none())
     }
 
-    // ---- Incomplete handshakes -----------------------------------------------------------------
-
     /// Starts the time limit for the handshake of an accepted connection.
     pub(super) fn await_handshake(&mut self, now: MonotonicTime, token: Token) {
         self.awaiting_handshake.push_latest(now + HANDSHAKE_TIMEOUT, token);
@@ -79,8 +75,6 @@
         }
     }
 
-    // ---- Eviction ------------------------------------------------------------------------------
-
     /// Evicts connections while descriptors are short: lingering connections first, oldest first, then those
     /// with an incomplete handshake. Returns false if only connections in use are left.
     pub(super) fn reclaim_descriptors(&mut self, sockets: &mut BufferedSockets) -> bool {
--- a/src/net/listener.rs
+++ b/src/net/listener.rs
@@ -14,9 +14,9 @@
 /// A listening socket, which several processes may share.
 #[derive(Debug)]
 pub struct ListeningSocket {
-    /// The bound address.
+    /// The bound address, with the actual port if port 0 was requested.
     pub addr: SocketAddr,
-    /// The socket.
+    /// The descriptor of the socket. Closing it does not affect other processes that share the socket.
     pub fd: OwnedFd,
 }
 
--- a/src/net/poller.rs
+++ b/src/net/poller.rs
@@ -17,7 +17,6 @@
     pub(super) flags: Interest,
 }
 
-/// An epoll instance.
 pub(super) struct Poller {
     epoll: OwnedFd,
 }
--- a/src/net/reactor.rs
+++ b/src/net/reactor.rs
@@ -62,8 +62,6 @@
         })
     }
 
-    // ---- Waiting -------------------------------------------------------------------------------
-
     /// Waits for at most `timeout` and returns the events. Those of connections on reserved descriptors come
     /// first.
     ///
@@ -111,7 +109,7 @@
     }
 
     fn report_raw_readiness(&mut self, token: Token, flags: Interest) {
-        // ERR and HUP count as readable too: the owner learns of the peer's close by reading.
+        // ERR and HUP count as readable too: the owner detects the peer's close by reading.
         if flags != Interest::OUT {
             self.sockets.store.emit(token, SocketEventKind::Readable);
         }
@@ -134,8 +132,6 @@
         self.sockets.store.update_interest(token);
     }
 
-    // ---- Connecting ----------------------------------------------------------------------------
-
     /// Starts a connection. Bytes sent before it is established are buffered
     /// ([`SocketReactor::take_established`]).
     ///
@@ -152,8 +148,6 @@
         self.connector.take_established(&self.sockets.store)
     }
 
-    // ---- Listening -----------------------------------------------------------------------------
-
     /// Listens on an address. Returns the bound address, which has the actual port if port 0 was requested.
     ///
     /// # Errors
@@ -247,8 +241,6 @@
         }
     }
 
-    // ---- Other descriptors ---------------------------------------------------------------------
-
     /// Registers a descriptor that is read through a buffer, such as a signal pipe.
     ///
     /// # Errors
@@ -268,17 +260,15 @@
     }
 
     /// Sets whether the owner of a raw descriptor is notified when it is writable.
-    pub fn set_writable_interest(&mut self, token: Token, wanted: bool) {
+    pub fn set_writable_interest(&mut self, token: Token, enabled: bool) {
         let Some(socket) = self.sockets.store.get(token) else { return };
-        let writable = if wanted { Interest::OUT } else { Interest::empty() };
+        let writable = if enabled { Interest::OUT } else { Interest::empty() };
         let interest = Interest::IN | writable;
         if socket.state() == SocketState::Raw && socket.registration.interest() != interest {
             self.sockets.store.change_interest(token, interest);
         }
     }
 
-    // ---- Reading and writing -------------------------------------------------------------------
-
     /// The received bytes. The owner removes the bytes that it has consumed.
     pub fn input_buffer(&mut self, token: Token) -> Option<&mut Vec<u8>> {
         self.sockets.store.get_mut(token).map(|socket| socket.buffers.input_mut())
@@ -290,7 +280,8 @@
         self.sockets.store.update_interest(token);
     }
 
-    /// Sets how many bytes of input are buffered. A frame that is handled as a whole must fit.
+    /// Sets how many bytes of input are buffered. If the owner handles a frame only once it is complete, the limit
+    /// must be at least the size of the frame.
     pub fn set_read_limit(&mut self, token: Token, bytes: usize) {
         if let Some(socket) = self.sockets.store.get_mut(token) {
             socket.buffers.set_read_limit(bytes);
@@ -313,8 +304,6 @@
         self.sockets.flush(token);
     }
 
-    // ---- Closing -------------------------------------------------------------------------------
-
     /// Shuts down the write direction once the buffered output is written. The peer may continue to send.
     pub fn shutdown_write(&mut self, token: Token) {
         self.sockets.shutdown_write(token);
@@ -337,8 +326,6 @@
         self.sockets.reset(token);
     }
 
-    // ---- Descriptors ---------------------------------------------------------------------------
-
     /// Changes how many descriptors the process may open.
     pub fn set_descriptor_limit(&mut self, limit: usize) {
         self.sockets.store.descriptors_mut().set_limit(limit);
@@ -363,8 +350,6 @@
         }
     }
 
-    // ---- Transfer to another process -----------------------------------------------------------
-
     /// Removes a connection from the reactor so that another process can continue it. Returns `None` if
     /// [`SocketReactor::can_transfer`] is false.
     pub fn export_connection(&mut self, token: Token) -> Option<ExportedConnection> {
--- a/src/net/reactor/queries.rs
+++ b/src/net/reactor/queries.rs
@@ -7,8 +7,6 @@
 use std::os::fd::OwnedFd;
 
 impl SocketReactor {
-    // ---- One socket ----------------------------------------------------------------------------
-
     /// The descriptor of a raw socket.
     pub fn raw_descriptor(&self, token: Token) -> Option<&OwnedFd> {
         self.socket(token).filter(|socket| socket.state() == SocketState::Raw).map(|socket| &socket.fd)
@@ -71,8 +69,6 @@
         self.sockets.store.get(token)
     }
 
-    // ---- All sockets ---------------------------------------------------------------------------
-
     /// Whether both sides of every closed connection have finished closing.
     pub fn all_closes_complete(&self) -> bool {
         self.candidates.all_closes_complete(&self.sockets.store)
--- a/src/net/reserve.rs
+++ b/src/net/reserve.rs
@@ -12,7 +12,7 @@
 }
 
 impl DescriptorReserve {
-    /// Reserves additional descriptors.
+    /// Increases the number of reserved descriptors by `descriptors`.
     pub(super) fn grow(&mut self, descriptors: usize) {
         self.size += descriptors;
     }
--- a/src/net/slab.rs
+++ b/src/net/slab.rs
@@ -56,7 +56,7 @@
         Slab { slots: Vec::new(), free: Vec::new(), occupied: 0 }
     }
 
-    /// Number of values.
+    /// Number of occupied slots.
     pub(super) fn len(&self) -> usize {
         self.occupied
     }
--- a/src/net/socket.rs
+++ b/src/net/socket.rs
@@ -8,13 +8,13 @@
 use std::os::fd::OwnedFd;
 
 /// How many bytes a peer may send after its connection was closed here. Beyond this the socket is closed, and
-/// the resulting reset tells the peer to stop.
+/// the resulting reset makes the peer stop sending.
 const LINGER_DISCARD_BYTES: usize = 1024 * 1024;
 
 /// The state of a socket.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum SocketState {
-    /// Accepts connections.
+    /// The socket accepts connections.
     Listening,
     /// A connection is being established.
     Connecting,
@@ -33,7 +33,7 @@
 /// State of the write direction.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum WriteState {
-    /// Sending is possible.
+    /// The owner may send bytes.
     Open,
     /// The write direction is shut down once the buffered output is written.
     ShutdownPending,
@@ -47,7 +47,7 @@
     listener: Option<Token>,
     /// The owner has not reported a complete handshake yet.
     awaiting_handshake: bool,
-    /// What the peer is sent if the connection is evicted.
+    /// Bytes that the peer is sent if the connection is evicted; `None` if it is evicted without an answer.
     eviction_answer: Option<&'static [u8]>,
     /// The socket uses a reserved descriptor, or is the listener whose connections use them.
     uses_reserve: bool,
@@ -58,7 +58,7 @@
     pub(super) fd: OwnedFd,
     pub(super) owner: SocketOwner,
     pub(super) buffers: Buffers,
-    /// Its epoll interest.
+    /// The events that epoll watches the socket for.
     pub(super) registration: EpollRegistration,
     state: SocketState,
     write_state: WriteState,
@@ -91,8 +91,6 @@
         }
     }
 
-    // ---- State ---------------------------------------------------------------------------------
-
     pub(super) fn state(&self) -> SocketState {
         self.state
     }
@@ -134,7 +132,7 @@
     }
 
     /// Returns the epoll interest that a buffered socket needs.
-    pub(super) fn wanted_interest(&self) -> Interest {
+    pub(super) fn required_interest(&self) -> Interest {
         if self.is_paused {
             return Interest::empty();
         }
@@ -150,8 +148,6 @@
         interest
     }
 
-    // ---- Steps of a connection -----------------------------------------------------------------
-
     /// Marks the connection as established.
     pub(super) fn establish(&mut self) {
         self.state = SocketState::Open;
@@ -211,8 +207,6 @@
         self.is_paused = false;
     }
 
-    // ---- Acceptance ----------------------------------------------------------------------------
-
     /// Records the listener that accepted the connection.
     pub(super) fn set_listener(&mut self, listener: Token) {
         self.accept_info.listener = Some(listener);
@@ -248,12 +242,12 @@
         self.accept_info.awaiting_handshake
     }
 
-    /// Sets what the peer is sent if the connection is evicted.
+    /// Sets the bytes that the peer is sent if the connection is evicted.
     pub(super) fn set_eviction_answer(&mut self, eviction_answer: Option<&'static [u8]>) {
         self.accept_info.eviction_answer = eviction_answer;
     }
 
-    /// What the peer is sent if the connection is evicted.
+    /// Returns the bytes that the peer is sent if the connection is evicted.
     pub(super) fn eviction_answer(&self) -> Option<&'static [u8]> {
         self.accept_info.eviction_answer
     }
--- a/src/net/socket_store.rs
+++ b/src/net/socket_store.rs
@@ -50,8 +50,6 @@
         self.now = now;
     }
 
-    // ---- Sockets -------------------------------------------------------------------------------
-
     /// Adds a socket and registers it with epoll.
     ///
     /// # Errors
@@ -81,7 +79,7 @@
         self.sockets.get_mut(token)
     }
 
-    /// Number of sockets.
+    /// Number of sockets, each of which uses one descriptor.
     pub(super) fn len(&self) -> usize {
         self.sockets.len()
     }
@@ -113,8 +111,6 @@
         Some(socket)
     }
 
-    // ---- Events --------------------------------------------------------------------------------
-
     /// Queues an event of a socket, unless the owner has already closed the socket.
     pub(super) fn emit(&mut self, token: Token, kind: SocketEventKind) {
         if let Some(socket) = self.sockets.get(token) {
@@ -142,8 +138,6 @@
         self.events.len()
     }
 
-    // ---- Descriptors ---------------------------------------------------------------------------
-
     /// The descriptor limit and the reserve.
     pub(super) fn descriptors_mut(&mut self) -> &mut DescriptorBudget {
         &mut self.descriptors
@@ -159,8 +153,6 @@
         self.descriptors.has_descriptor_for_attempt(self.sockets.len())
     }
 
-    // ---- Epoll ---------------------------------------------------------------------------------
-
     /// Waits for at most `timeout`.
     ///
     /// # Errors
@@ -182,7 +174,7 @@
         if matches!(socket.state(), SocketState::Failed | SocketState::Raw) {
             return;
         }
-        let interest = socket.wanted_interest();
+        let interest = socket.required_interest();
         if interest != socket.registration.interest() {
             self.epoll.change(token, &socket.fd, &mut socket.registration, interest);
         }
--- a/src/net/system.rs
+++ b/src/net/system.rs
@@ -29,7 +29,7 @@
     EpollModify,
 }
 
-/// Returns the error that the test has planned for this call.
+/// Returns the error that the test has planned for this call, if any.
 #[cfg(test)]
 fn injected_fault(call: SystemCall) -> Result<(), Errno> {
     faults::take_next(call).map_or(Ok(()), Err)
--- a/src/net/system/faults.rs
+++ b/src/net/system/faults.rs
@@ -14,6 +14,7 @@
     error: Errno,
     /// Number of calls of this kind that still succeed first.
     after: usize,
+    /// Number of calls of this kind that fail after them.
     times: usize,
 }
 
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -13,7 +13,6 @@
 /// Number of slots. A timer that is more than one revolution ahead stays in its slot for several revolutions.
 const SLOT_COUNT: usize = 1024;
 
-/// A scheduled item.
 struct Timer<T> {
     expires_at_tick: u64,
     item: T,
@@ -68,7 +67,8 @@
         }
     }
 
-    /// Returns how long the event loop may sleep.
+    /// Returns how long the event loop may sleep: until the next tick whose slot holds a timer, and at most for one
+    /// revolution.
     pub fn time_until_next(&self, now: MonotonicTime) -> Duration {
         let ticks_ahead = (1..=SLOT_COUNT as u64)
             .find(|ahead| !self.slots[slot_index(self.current_tick + ahead)].is_empty())
--- a/src/net/transfer.rs
+++ b/src/net/transfer.rs
@@ -43,7 +43,7 @@
 pub struct ExportedConnection {
     /// The socket, no longer registered with this process's epoll instance.
     pub fd: OwnedFd,
-    /// Its buffers and state.
+    /// The buffers and state of the connection.
     pub connection: BufferedConnection,
 }
 
