--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -44,7 +44,7 @@
     #[default]
     #[serde(rename = "Head")]
     Head,
-    /// A chunk-size line.
+    /// The line before the data of a chunk that gives its size.
     #[serde(rename = "Size")]
     ChunkSize,
     /// The data of a chunk, with the number of bytes that remain.
@@ -65,7 +65,7 @@
 }
 
 impl ChunkedDecoder {
-    /// Appends input.
+    /// Appends received bytes, which [`ChunkedDecoder::next_data`] decodes.
     pub fn feed(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -160,8 +160,8 @@
         events
     }
 
-    /// Reads the bytes that have already arrived on the watch. A change that the service has written to the watch counts
-    /// as known to this node, even if the socket event has not been handled yet.
+    /// Reads the bytes that have already arrived on the watch. The node must act on a change as soon as the service has
+    /// written it to the watch, even if the socket event has not been handled yet.
     pub fn read_pending(
         &mut self,
         now: MonotonicTime,
@@ -175,8 +175,8 @@
 
     /// Closes the watch and returns a failure event if one of its timeouts has elapsed.
     pub fn close_silent_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
-        let is_silent = self.watch.as_ref()?.state.is_silent(now);
-        is_silent.then(|| self.close_failed_watch(net, WatchError::Silent))
+        let has_timed_out = self.watch.as_ref()?.state.has_timed_out(now);
+        has_timed_out.then(|| self.close_failed_watch(net, WatchError::TimedOut))
     }
 
     /// Removes the watch from this client to hand it over to the successor. Returns `None` if there is no watch or it
--- a/src/discovery/document.rs
+++ b/src/discovery/document.rs
@@ -19,7 +19,7 @@
     pub endpoints: Vec<EndpointDocument>,
 }
 
-/// What a list contains.
+/// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// All endpoints; one that is not in the list has been removed.
@@ -29,7 +29,7 @@
 }
 
 impl EndpointListDocument {
-    /// Returns what the list contains according to the discovery service.
+    /// Returns which endpoints the list contains according to the discovery service.
     pub fn scope(&self) -> ListScope {
         if self.is_complete {
             ListScope::Complete
@@ -46,21 +46,21 @@
     /// The endpoint's name, which is the same after a restart.
     #[serde(rename = "instanceId")]
     pub name: String,
-    /// Address at which it accepts connections.
+    /// Address at which the endpoint accepts connections.
     #[serde(rename = "hostPort")]
     pub address: SocketAddr,
-    /// Name of its zone.
+    /// Name of the endpoint's zone; empty if the service reports none.
     #[serde(default)]
     pub zone: String,
-    /// Number of its cell.
+    /// Number of the endpoint's cell; 0 if the service reports none.
     #[serde(default)]
     pub cell: u32,
-    /// Whether it accepts new connections.
+    /// Whether the endpoint accepts new connections.
     pub lifecycle: EndpointLifecycle,
-    /// Its capacity relative to the other endpoints.
+    /// Capacity of the endpoint relative to the others; 1 if the service reports none.
     #[serde(default = "default_weight")]
     pub weight: f64,
-    /// Wall-clock time at which its process started, in Unix milliseconds. Zero means long ago.
+    /// Wall-clock time at which the endpoint's process started, in Unix milliseconds. Zero means long ago.
     #[serde(default)]
     pub started_at_ms: u64,
 }
@@ -69,11 +69,11 @@
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EndpointLifecycle {
-    /// Accepts new connections.
+    /// The endpoint accepts new connections.
     Ready,
-    /// Serves its established connections and accepts no new ones.
+    /// The endpoint serves its established connections and accepts no new ones.
     Draining,
-    /// Was removed.
+    /// The discovery service has removed the endpoint.
     Gone,
 }
 
--- a/src/discovery/registry.rs
+++ b/src/discovery/registry.rs
@@ -14,22 +14,22 @@
 /// The last known state of an endpoint.
 pub struct RegistryEntry {
     document: EndpointDocument,
-    /// When its process started, on the node's clock. Zero means long ago.
+    /// When the endpoint's process started, on the node's clock. Zero means long ago.
     started_at: MonotonicTime,
 }
 
 impl RegistryEntry {
-    /// Returns its name in the discovery service.
+    /// Returns the endpoint's name in the discovery service.
     pub fn name(&self) -> &str {
         &self.document.name
     }
 
-    /// Returns the address at which it accepts connections.
+    /// Returns the address at which the endpoint accepts connections.
     pub fn address(&self) -> SocketAddr {
         self.document.address
     }
 
-    /// Returns whether it accepts new connections.
+    /// Returns whether the endpoint accepts new connections.
     pub fn is_ready(&self) -> bool {
         self.document.lifecycle == EndpointLifecycle::Ready
     }
--- a/src/discovery/registry/tests.rs
+++ b/src/discovery/registry/tests.rs
@@ -22,10 +22,10 @@
     serde_json::from_str(&text).expect("valid endpoint list")
 }
 
-/// A list that arrives after a newer one must not bring back stopped servers or remove known ones. Endpoints that are
+/// A list that arrives after a newer one must not mark stopped servers as ready or remove known ones. Endpoints that are
 /// not known yet and endpoints that stop accepting connections are still applied.
 #[test]
-fn a_stale_list_does_not_revive_or_remove_endpoints() {
+fn a_stale_list_neither_reactivates_nor_removes_endpoints() {
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(
         &list(5, true, &[("a", "ready", 0), ("b", "ready", 0), ("c", "ready", 9)]),
@@ -47,10 +47,10 @@
     assert_eq!(registry.apply(&list(6, false, &[("b", "ready", 11)]), ListScope::Changes).len(), 1);
 }
 
-/// The first complete list from a new source sets the generation, even to a lower one. It must not bring back stopped
-/// servers if it is older than the last list from the previous source.
+/// The first complete list from a new source sets the generation, even to a lower one. It must not mark stopped
+/// servers as ready if it is older than the last list from the previous source.
 #[test]
-fn a_new_source_resets_the_generation_and_does_not_revive_endpoints() {
+fn a_new_source_resets_the_generation_and_does_not_reactivate_endpoints() {
     let mut registry = EndpointRegistry::new(Vec::new(), NOW, WALL_NOW);
     registry.apply(&list(5, true, &[("a", "ready", 0), ("b", "draining", 0)]), ListScope::Complete);
     registry.prepare_for_new_source();
--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -26,7 +26,7 @@
 /// An interval between two steps of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
-    /// Its start, on the node's clock.
+    /// Start of the interval, on the node's clock.
     start: MonotonicTime,
     /// The offset of the wall clock from the node's clock, in nanoseconds; negative if the wall clock is behind.
     offset_nanos: i128,
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -35,7 +35,7 @@
     InvalidDocument,
     /// One of the timeouts of the watch has elapsed.
     #[error("silent")]
-    Silent,
+    TimedOut,
 }
 
 /// Decodes the response to a watch request into frames: the JSON objects and empty lines of its body.
@@ -118,7 +118,7 @@
     }
 
     /// Returns whether one of the timeouts has elapsed: nothing arrives, or the bytes that arrive complete no frame.
-    pub fn is_silent(&self, now: MonotonicTime) -> bool {
+    pub fn has_timed_out(&self, now: MonotonicTime) -> bool {
         let is_unanswered = self.frame_count == 0 && self.last_byte_at == self.last_frame_at;
         let idle_timeout = if is_unanswered { RESPONSE_TIMEOUT } else { IDLE_TIMEOUT };
         let is_idle = now.saturating_duration_since(self.last_byte_at) > idle_timeout;
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -73,26 +73,26 @@
     assert_eq!((later.confirms_generation, later.outcome), (false, Ok(())));
 }
 
-/// A watch is silent after too long a time without a response, without a byte, or without a complete frame.
+/// A watch times out after too long a time without a response, without a byte, or without a complete frame.
 #[test]
-fn a_watch_is_silent_after_each_of_its_three_timeouts() {
+fn a_watch_times_out_after_each_of_its_three_timeouts() {
     let mut watch = WatchState::new(at(SECOND));
-    assert!(!watch.is_silent(at(SECOND + RESPONSE_TIMEOUT)));
-    assert!(watch.is_silent(at(SECOND + RESPONSE_TIMEOUT) + NANOSECOND));
+    assert!(!watch.has_timed_out(at(SECOND + RESPONSE_TIMEOUT)));
+    assert!(watch.has_timed_out(at(SECOND + RESPONSE_TIMEOUT) + NANOSECOND));
 
     let head_at = at(2 * SECOND);
     assert_eq!(watch.receive(head_at, HEAD.as_bytes()).outcome, Ok(()));
-    assert!(!watch.is_silent(head_at + IDLE_TIMEOUT));
-    assert!(watch.is_silent(head_at + IDLE_TIMEOUT + NANOSECOND));
+    assert!(!watch.has_timed_out(head_at + IDLE_TIMEOUT));
+    assert!(watch.has_timed_out(head_at + IDLE_TIMEOUT + NANOSECOND));
 
     let frame_timeout_at = at(SECOND + FRAME_TIMEOUT);
     watch.receive(frame_timeout_at, b"1");
-    assert!(!watch.is_silent(frame_timeout_at));
-    assert!(watch.is_silent(frame_timeout_at + NANOSECOND), "bytes without a complete frame");
+    assert!(!watch.has_timed_out(frame_timeout_at));
+    assert!(watch.has_timed_out(frame_timeout_at + NANOSECOND), "bytes without a complete frame");
 
     watch.receive(frame_timeout_at, b"\r\n\n\r\n");
-    assert!(!watch.is_silent(frame_timeout_at + IDLE_TIMEOUT));
-    assert!(watch.is_silent(frame_timeout_at + IDLE_TIMEOUT + MILLISECOND));
+    assert!(!watch.has_timed_out(frame_timeout_at + IDLE_TIMEOUT));
+    assert!(watch.has_timed_out(frame_timeout_at + IDLE_TIMEOUT + MILLISECOND));
 }
 
 #[test]
@@ -110,7 +110,7 @@
 #[case(WatchError::Response(ResponseError::Status(503)), "HTTP status 503")]
 #[case(WatchError::Framing(FramingError::Truncated), "malformed JSON")]
 #[case(WatchError::InvalidDocument, "malformed JSON")]
-#[case(WatchError::Silent, "silent")]
+#[case(WatchError::TimedOut, "silent")]
 fn errors_are_displayed_as_documented(#[case] error: WatchError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/src/flow_export/ipfix.rs
+++ b/src/flow_export/ipfix.rs
@@ -44,10 +44,10 @@
     field(278, 4),               // connectionCountNew: attempts sent
     field(96, VARIABLE_LENGTH),  // applicationName: the class
     field(94, VARIABLE_LENGTH),  // applicationDescription: the frontend
-    field(372, VARIABLE_LENGTH), // applicationCategoryName: how it ended
+    field(372, VARIABLE_LENGTH), // applicationCategoryName: the result
 ];
 
-/// IANA's flowEndReason values.
+/// The values of the information element flowEndReason that are used here, as registered with IANA.
 #[derive(Clone, Copy)]
 enum EndReason {
     EndOfFlow = 3,
@@ -58,9 +58,9 @@
 /// The type of records in a message.
 #[derive(Clone, Copy)]
 pub enum SetKind {
-    /// The template record.
+    /// The template record, which lists the fields of a data record.
     Template,
-    /// Data records.
+    /// Data records, one for each flow.
     Data,
 }
 
--- a/src/flow_export/mod.rs
+++ b/src/flow_export/mod.rs
@@ -1,7 +1,7 @@
 //! Exports flow records as IPFIX over UDP if `--ipfix ADDRESS` is given.
 //!
 //! UDP is not acknowledged: records are lost while the collector cannot be reached, but the node is not delayed. The
-//! sequence number in each message tells the collector how many records it missed.
+//! collector detects how many records were lost from the sequence number in each message.
 
 mod ipfix;
 
@@ -14,7 +14,7 @@
 use std::net::{IpAddr, SocketAddr, UdpSocket};
 use std::time::Duration;
 
-/// Interval at which the template is sent again, for collectors that started later or missed it. Over UDP it can be
+/// Interval at which the template is sent again, for collectors that started later and because a UDP datagram can be
 /// lost.
 const TEMPLATE_REFRESH_INTERVAL: Duration = Duration::from_secs(60);
 
