--- a/src/simulator_adapter/instance.rs
+++ b/src/simulator_adapter/instance.rs
@@ -33,7 +33,7 @@
     Ok(json::parse(text)?)
 }
 
-/// A simulated node.
+/// A simulated node, which the simulator calls an instance.
 pub struct Instance {
     balancer: Balancer,
     server_ids: HashMap<Rc<str>, ServerId>,
@@ -42,7 +42,7 @@
 }
 
 impl Instance {
-    /// Starts a node from its `INIT` event.
+    /// Starts a node with the seed and the settings of its `INIT` event.
     ///
     /// # Errors
     ///
--- a/src/simulator_adapter/outgoing.rs
+++ b/src/simulator_adapter/outgoing.rs
@@ -20,11 +20,11 @@
     pub actions: Vec<ActionDocument>,
 }
 
-/// One action.
+/// An action of the balancer, under the name and with the fields that the simulator defines.
 #[derive(Serialize)]
 #[serde(tag = "msg", rename_all_fields = "PascalCase")]
 pub enum ActionDocument {
-    /// Start an attempt.
+    /// Start an attempt of a request. The simulator reports its outcome with `ESTABLISHED` or `RESPONSE`.
     #[serde(rename = "TRY")]
     StartAttempt {
         #[serde(rename = "Txn")]
@@ -34,7 +34,7 @@
         /// Time after which the attempt has failed, in nanoseconds.
         give_up_after_ns: u64,
     },
-    /// Cancel an attempt.
+    /// Cancel the attempt with this number of a request.
     #[serde(rename = "RECALL")]
     CancelAttempt {
         #[serde(rename = "Txn")]
@@ -56,19 +56,19 @@
         #[serde(rename = "Txn")]
         request_id: u64,
     },
-    /// Migrate an established connection: its client is asked to reconnect.
+    /// Migrate an established connection: its client has to reconnect.
     #[serde(rename = "GO_AWAY")]
     Migrate {
         #[serde(rename = "Txn")]
         request_id: u64,
     },
-    /// Check a server's health.
+    /// Check a server's health. The simulator reports the result with `CHECK_RESULT`.
     #[serde(rename = "INSPECT")]
     HealthCheck {
         #[serde(rename = "Backend")]
         server: String,
     },
-    /// Set a timer.
+    /// Set a timer. When it elapses, the simulator sends `TICK_DUE` with the same token.
     #[serde(rename = "NOTIFY_ME")]
     SetTimer {
         #[serde(rename = "FromNowNs")]
