--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -61,7 +61,7 @@
     AdminTimeout(Token),
 }
 
-/// A parsed configuration file. The concrete type is known only to its frontend, which downcasts it.
+/// A parsed configuration file, which its frontend downcasts to the concrete type.
 pub type FrontendConfig = Box<dyn Any>;
 
 /// The server side of one client protocol.
@@ -74,8 +74,6 @@
 ///
 /// Only the methods without a default implementation are required.
 pub trait Frontend {
-    // ---- Sockets -------------------------------------------------------------------------------
-
     /// Handles an event on one of the frontend's sockets.
     fn on_socket_event(&mut self, ctx: &mut FrontendContext, event: SocketEvent);
 
@@ -86,8 +84,8 @@
     /// read the client's socket and check the deadline again before it writes a request.
     fn on_connected(&mut self, _ctx: &mut FrontendContext, _token: Token) {}
 
-    /// Called when [`TimerEvent::ConnectTimeout`] elapses. If the connection has been established meanwhile, nothing
-    /// is to be done.
+    /// Called when [`TimerEvent::ConnectTimeout`] elapses. If the connection has been established meanwhile, the
+    /// frontend ignores the call.
     fn on_connect_timeout(&mut self, _ctx: &mut FrontendContext, _token: Token) {}
 
     /// Called when a [`TimerEvent::FrontendTimer`] of this frontend elapses. Timers are not cancelled when their
@@ -100,8 +98,6 @@
     /// Called after each batch of balancer decisions: writes the output buffered for each socket at once.
     fn flush(&mut self, _ctx: &mut FrontendContext) {}
 
-    // ---- Requests ------------------------------------------------------------------------------
-
     /// Starts an attempt of a request, which may take at most `timeout`. A request has at most one attempt at a time.
     fn start_attempt(
         &mut self,
@@ -126,11 +122,10 @@
     /// Sends the final answer "failed".
     fn fail(&mut self, ctx: &mut FrontendContext, request_id: RequestId);
 
-    /// Tells the client of an established connection to reconnect. The request table has already removed the request.
+    /// Instructs the client of an established connection to reconnect. The request table has already removed the
+    /// request.
     fn migrate(&mut self, ctx: &mut FrontendContext, request_id: RequestId);
 
-    // ---- Servers -------------------------------------------------------------------------------
-
     /// Called when servers stop accepting new attempts: cancels the attempts at these servers that have not been sent
     /// yet.
     fn on_servers_draining(&mut self, ctx: &mut FrontendContext, servers: &[ServerId]);
@@ -142,8 +137,6 @@
         ctx.requests.push_event(Event::HealthCheckResult { server, utilization: None });
     }
 
-    // ---- Drain, handover and shutdown ----------------------------------------------------------
-
     /// Whether no client is connected.
     fn is_idle(&self) -> bool;
 
@@ -166,8 +159,6 @@
     /// Called when the node accepts clients again after a drain.
     fn resume_serving(&mut self, _ctx: &mut FrontendContext) {}
 
-    // ---- Configuration and counters ------------------------------------------------------------
-
     /// Applies a new configuration, as read by [`OptionalFrontend::read`](super::OptionalFrontend::read). Returns the
     /// names of the changed fields that take effect only after a restart.
     fn reload(&mut self, _new: FrontendConfig) -> Vec<&'static str> {
--- a/src/frontend/optional.rs
+++ b/src/frontend/optional.rs
@@ -57,7 +57,7 @@
 pub struct ParsedFrontendFile {
     /// The frontend that the file configures.
     pub frontend: &'static OptionalFrontend,
-    /// The parsed configuration.
+    /// The result of [`OptionalFrontend::read`].
     pub config: FrontendConfig,
 }
 
@@ -65,7 +65,7 @@
 pub struct FrontendSetup<'a> {
     /// The reactor that the frontend registers its listening sockets with.
     pub net: &'a mut SocketReactor,
-    /// The node's name.
+    /// The node's name, by which the frontend identifies itself to its peers.
     pub node_name: &'a str,
     /// The settings that only frontends use.
     pub settings: &'a FrontendSettings,
--- a/src/frontend/text/handover.rs
+++ b/src/frontend/text/handover.rs
@@ -33,7 +33,7 @@
     /// The client's request line.
     #[serde(rename = "line")]
     request_line: String,
-    /// The server's name.
+    /// The server's name in the endpoint list, by which the receiving process finds the server's id.
     #[serde(rename = "region")]
     server_name: String,
     /// When the request arrived.
@@ -62,18 +62,11 @@
     /// A client that has not sent a request.
     AwaitingRequest(Token),
     /// A client with an established session.
-    Established {
-        /// The client's connection.
-        client: Token,
-        /// The connection to its server.
-        server_connection: Token,
-    },
+    Established { client: Token, server_connection: Token },
     /// The session could not be continued; the client was sent `MOVE` so that it reconnects.
     Migrated,
 }
 
-// ---- Export ------------------------------------------------------------------------------------
-
 /// Returns at most `max_connections` client connections that another process can continue in their current state.
 pub(super) fn transferable_connections(
     awaiting: &AwaitingClients,
@@ -144,8 +137,6 @@
     Some(TransferredConnection { state: serde_json::to_string(session).ok()?, fds })
 }
 
-// ---- Import ------------------------------------------------------------------------------------
-
 /// Takes over a client connection that was transferred to this process.
 ///
 /// # Errors
--- a/src/frontend/text/health_check.rs
+++ b/src/frontend/text/health_check.rs
@@ -24,7 +24,7 @@
 /// that takes longer for a check than the latency objective of a message does not help server selection.
 const HEALTH_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A health-check connection.
+/// An open health-check connection to one server.
 struct CheckConnection {
     token: Token,
     /// When the check in flight was sent, if there is one.
@@ -51,9 +51,9 @@
 enum CheckStep {
     /// A check is already in flight; its answer is used.
     AlreadyInFlight,
-    /// Send it on the existing connection to the server.
+    /// Send the check on the existing connection to the server.
     Reuse(Token),
-    /// Send it on a new connection.
+    /// Send the check on a new connection.
     Connect,
 }
 
--- a/src/frontend/text/load_report.rs
+++ b/src/frontend/text/load_report.rs
@@ -53,13 +53,13 @@
         Ok(LoadReport { values })
     }
 
-    /// Parses the report that may follow `word` (`BYE`, `ERR` or `BUSY`) in an answer. Returns None if there is none.
+    /// Parses the report that may follow `word` (`BYE`, `ERR` or `BUSY`) in an answer. Returns `None` if there is none.
     pub(super) fn parse_trailing(line: &str, word: &str) -> Option<Result<LoadReport, LoadReportError>> {
         let report = line.trim_end().strip_prefix(word)?.strip_prefix(' ')?;
         Some(LoadReport::parse(report))
     }
 
-    /// Parses the answer to a health check. Returns None if the server answered `ERR` or `NO`.
+    /// Parses the answer to a health check. Returns `None` if the server answered `ERR` or `NO`.
     pub(super) fn parse_health_check_answer(line: &str) -> Result<Option<LoadReport>, LoadReportError> {
         let line = line.trim_end();
         let (word, report) = line.split_once(' ').unwrap_or((line, ""));
--- a/src/frontend/text/protocol_error.rs
+++ b/src/frontend/text/protocol_error.rs
@@ -27,7 +27,7 @@
 }
 
 impl ServerProtocolError {
-    /// Logs the violation.
+    /// Logs the violation as a warning that names the server, if it is known.
     pub(super) fn log(&self, ctx: &FrontendContext, server: Option<ServerId>) {
         tracing::warn!(server = %server_name(ctx, server), error = %self, "server protocol error");
     }
--- a/src/frontend/text/request_line.rs
+++ b/src/frontend/text/request_line.rs
@@ -19,7 +19,7 @@
 /// A client's line before its request is open.
 #[derive(Debug, PartialEq)]
 pub(super) enum RequestLine {
-    /// `PING`: asks whether the node accepts clients.
+    /// `PING`: probes whether the node accepts clients.
     Ping,
     /// `OPEN`: opens a request.
     Open(OpenRequest),
@@ -53,7 +53,7 @@
 }
 
 impl RequestLine {
-    /// Parses a line including the line end. Returns None if the line is malformed; the node answers such a line
+    /// Parses a line including the line end. Returns `None` if the line is malformed; the node answers such a line
     /// itself.
     pub(super) fn parse(
         line: &[u8],
--- a/src/frontend/text/request_opening.rs
+++ b/src/frontend/text/request_opening.rs
@@ -46,14 +46,12 @@
 }
 
 fn answer_ping(ctx: &mut FrontendContext, token: Token) {
-    // Any answer other than PONG tells the external load balancer not to route clients to this node.
+    // The external load balancer routes clients to this node only if the answer is PONG.
     let answer: &[u8] = if ctx.accepts_clients { b"PONG\r\n" } else { b"BUSY\r\n" };
     ctx.net.send(token, answer);
     ctx.net.set_eviction_answer(token, None);
 }
 
-// ---- Ends before a request ---------------------------------------------------------------------
-
 /// Closes a connection on which no request has been received. A request that arrives at the same time is still
 /// answered: a complete line that is already readable is handled first, and for a line that arrives later the `BUSY`
 /// that is sent here is the answer.
@@ -97,8 +95,6 @@
     close(awaiting, ctx, token);
 }
 
-// ---- A request ---------------------------------------------------------------------------------
-
 fn open_request(
     awaiting: &mut AwaitingClients,
     sessions: &mut Sessions,
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -13,7 +13,7 @@
 pub(super) struct Session {
     /// The client's request line.
     open: OpenRequest,
-    /// None while a session from before this process started is being restored: it becomes a request once its server
+    /// `None` while a session from before this process started is being restored: it becomes a request once its server
     /// has accepted it.
     request_id: Option<RequestId>,
     /// The server of the latest attempt.
@@ -111,14 +111,12 @@
         }
     }
 
-    // ---- State ---------------------------------------------------------------------------------
-
     /// The client's request line.
     pub(super) fn open(&self) -> &OpenRequest {
         &self.open
     }
 
-    /// The request; None while a session from before this process started is being restored.
+    /// The request; `None` while a session from before this process started is being restored.
     pub(super) fn request_id(&self) -> Option<RequestId> {
         self.request_id
     }
@@ -143,7 +141,7 @@
         matches!(self.state, SessionState::Established(_))
     }
 
-    /// The state of the established session; None if it is not established.
+    /// The state of the established session; `None` if it is not established.
     pub(super) fn established(&self) -> Option<&EstablishedSession> {
         match &self.state {
             SessionState::Established(established) => Some(established),
@@ -151,7 +149,7 @@
         }
     }
 
-    /// Mutable access to the state of the established session; None if it is not established.
+    /// Mutable access to the state of the established session; `None` if it is not established.
     pub(super) fn established_mut(&mut self) -> Option<&mut EstablishedSession> {
         match &mut self.state {
             SessionState::Established(established) => Some(established),
@@ -186,8 +184,6 @@
         }
     }
 
-    // ---- Steps ---------------------------------------------------------------------------------
-
     /// Records the id of the session's request in the request table.
     pub(super) fn set_request_id(&mut self, request_id: RequestId) {
         self.request_id = Some(request_id);
@@ -224,7 +220,8 @@
         Ok(())
     }
 
-    /// Records that the client knows about the end of its established session, or that another process continues it.
+    /// Records that the client need not be sent `MOVE`: the client or the server has ended the established session, or
+    /// another process continues it.
     pub(super) fn announce_end(&mut self) {
         self.end_announced = true;
     }
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -16,8 +16,6 @@
     Reset,
 }
 
-// ---- Answers -----------------------------------------------------------------------------------
-
 /// Sends a client the final answer, or `MOVE` if its session is established, and closes its connection.
 pub(super) fn answer_and_close(
     sessions: &mut Sessions,
@@ -58,8 +56,6 @@
     }
 }
 
-// ---- Attempts ----------------------------------------------------------------------------------
-
 /// Handles the end of an attempt, before or after the session was established.
 pub(super) fn on_attempt_end(
     sessions: &mut Sessions,
@@ -127,8 +123,6 @@
     }
 }
 
-// ---- Sessions ----------------------------------------------------------------------------------
-
 /// Ends an established session and closes or resets both of its connections.
 pub(super) fn end_session(
     sessions: &mut Sessions,
--- a/src/frontend/text/sessions.rs
+++ b/src/frontend/text/sessions.rs
@@ -20,8 +20,6 @@
 }
 
 impl Sessions {
-    // ---- Look-ups ------------------------------------------------------------------------------
-
     /// Returns the session of a client.
     pub(super) fn get(&self, client: Token) -> Option<&Session> {
         self.by_client.get(&client)
@@ -63,8 +61,6 @@
         self.by_client.is_empty()
     }
 
-    // ---- Changes -------------------------------------------------------------------------------
-
     /// Adds a session for a client whose request is not in the request table yet.
     pub(super) fn open(&mut self, client: Token, open: OpenRequest) {
         self.insert(client, Session::new(open));
--- a/src/frontend/tls/config.rs
+++ b/src/frontend/tls/config.rs
@@ -21,8 +21,8 @@
     pub certificate: PathBuf,
     /// The private key of the certificate, in PEM.
     pub key: PathBuf,
-    /// The certificate authorities for client certificates, in PEM. If absent, clients are not asked for a
-    /// certificate.
+    /// The certificate authorities for client certificates, in PEM. If absent, no certificate is requested from
+    /// clients.
     #[serde(default)]
     pub client_ca: Option<PathBuf>,
     /// Whether clients without a certificate are rejected.
@@ -78,7 +78,7 @@
         parent_field: String,
         /// The field of the [`TlsListenerConfig`].
         field: TlsFileField,
-        /// The file.
+        /// Path of the file, as configured or joined with the folder of the configuration file.
         path: PathBuf,
         /// Why the file cannot be used.
         #[source]
