--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -11,8 +11,8 @@
 //! When the result is uncertain, it is too late rather than too early, since a server that started later is sent fewer
 //! requests.
 //!
-//! This is the only place where wall-clock times are converted to the node's clock. Both are numbers of nanoseconds; the
-//! offset is their signed difference.
+//! No other module converts wall-clock times to the node's clock. Both are numbers of nanoseconds; the offset is their
+//! signed difference.
 
 use sparbank_time::{MonotonicTime, WallTime};
 use std::time::Duration;
--- a/src/frontend/api.rs
+++ b/src/frontend/api.rs
@@ -26,7 +26,7 @@
     pub net: &'a mut SocketReactor,
     /// All requests and their attempts.
     pub requests: &'a mut RequestTable,
-    /// The servers known from the endpoint list.
+    /// The servers of the endpoint list, with their ids and addresses.
     pub registry: &'a EndpointRegistry,
     /// Schedules timers; an elapsed timer is delivered as the [`TimerEvent`] it was scheduled with.
     pub wheel: &'a mut TimerWheel<TimerEvent>,
--- a/src/frontend/text/client_input.rs
+++ b/src/frontend/text/client_input.rs
@@ -35,7 +35,8 @@
         // session.
         reject_malformed(sessions, ctx, client);
     } else {
-        // The client has disconnected, but it may have closed only its sending side, so it still gets a final answer.
+        // The client has disconnected, but it may have closed only its sending side, so it is still sent a final
+        // answer.
         answer_and_close(sessions, ctx, client, b"BUSY\r\n");
     }
 }
--- a/src/frontend/text/session.rs
+++ b/src/frontend/text/session.rs
@@ -210,7 +210,7 @@
     /// Records that the client is sent its final answer, or `MOVE` if its session is established.
     ///
     /// # Errors
-    /// If the client already got its final answer.
+    /// If the client has already been sent its final answer.
     pub(super) fn record_answer(&mut self) -> Result<(), Violation> {
         if self.is_established() {
             self.end_announced = true;
--- a/src/frontend/text/session_end.rs
+++ b/src/frontend/text/session_end.rs
@@ -173,8 +173,8 @@
     ctx.net.is_read_closed(token) || ctx.net.is_failed(token)
 }
 
-/// Checks that the client of an ended session got its final answer and, if the session was established, that its end
-/// was announced.
+/// Checks that the client of an ended session was sent its final answer and, if the session was established, that its
+/// end was announced.
 fn check_session_close(ctx: &mut FrontendContext, session: &Session) {
     if let Err(violation) = check_close(&session.close_inputs()) {
         ctx.requests.record_violation(violation, violation_context(session));
--- a/src/frontend/text/tests.rs
+++ b/src/frontend/text/tests.rs
@@ -166,7 +166,7 @@
         panic!("no attempt")
     }
 
-    /// Accepts the connection that is waiting at one of the servers, and returns it with the bytes received so far.
+    /// Accepts the connection that is queued at one of the servers, and returns it with the bytes received so far.
     fn received_by_a_server(&mut self) -> (TcpStream, String) {
         std::thread::sleep(KERNEL_DELIVERY_TIME);
         for server in &self.servers {
--- a/src/net/accept.rs
+++ b/src/net/accept.rs
@@ -102,8 +102,8 @@
         }
     }
 
-    /// Suspends the interest in all listeners for a while: they stay readable, which would keep the event
-    /// loop from sleeping.
+    /// Suspends the interest in all listeners for [`ACCEPT_PAUSE`]: they stay readable, which would keep the
+    /// event loop from sleeping.
     fn pause(&mut self, store: &mut SocketStore) {
         self.paused_until = Some(store.now() + ACCEPT_PAUSE);
         self.pause_count += 1;
--- a/src/net/epoll_set.rs
+++ b/src/net/epoll_set.rs
@@ -62,10 +62,10 @@
         Ok(EpollSet { poller: Poller::new()?, pending_retries: Vec::new(), refused_changes: 0 })
     }
 
-    /// Adds a socket.
+    /// Registers a socket with its requested interest.
     ///
     /// # Errors
-    /// Returns an error if the socket cannot be watched at all. A shortage of memory is not an error: the
+    /// Returns an error if epoll cannot watch the socket. A shortage of memory is not an error: the
     /// socket is added later.
     pub(super) fn add(
         &mut self,
--- a/src/simulator_adapter/host.rs
+++ b/src/simulator_adapter/host.rs
@@ -34,7 +34,7 @@
     /// # Errors
     ///
     /// A [`BatchError`] for the first event that cannot be handled. The events before it have been handled, but their
-    /// actions are lost, so the host must not be used afterwards.
+    /// actions are discarded, so the host must not be used afterwards.
     pub fn handle_batch(&mut self, line: &[u8]) -> Result<String, BatchError> {
         let text = std::str::from_utf8(line).map_err(BatchError::in_batch)?;
         let batch: BatchDocument = decode(text).map_err(BatchError::in_batch)?;
