--- a/src/discovery/wall_clock.rs
+++ b/src/discovery/wall_clock.rs
@@ -11,8 +11,8 @@
 //! When the result is uncertain, it is too late rather than too early, since a server that started later is sent fewer
 //! requests.
 //!
-//! This is the only place where wall-clock times are converted to the node's clock. Both are numbers of nanoseconds; the
-//! offset is their signed difference.
+//! No other module converts wall-clock times to the node's clock. Both are numbers of nanoseconds; the offset is their
+//! signed difference.
 
 use sparbank_time::{MonotonicTime, WallTime};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 /// An interval between two steps of the wall clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Segment {
-    /// Its start, on the node's clock.
+    /// Start of the interval, on the node's clock.
     start: MonotonicTime,
     /// The offset of the wall clock from the node's clock, in nanoseconds; negative if the wall clock is behind.
     offset_nanos: i128,
