--- a/benches/amqp_node/generator.rs
+++ b/benches/amqp_node/generator.rs
@@ -6,7 +6,7 @@
 use crate::CLASS;
 use hdrhistogram::Histogram;
 use sparbank_amqp::{
-    Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, State, Target, Terminus,
+    Attach, Connection, Credentials, Event, LinkId, OutgoingDelivery, Role, State, Target, Terminus,
 };
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -173,7 +173,7 @@
                 pacer.allowance -= 1.0;
             }
             let key = progress.now();
-            let delivery = Outgoing { key, tag: key.into(), settled: false };
+            let delivery = OutgoingDelivery { key, tag: key.into(), settled: false };
             let sent = conn.send(link, delivery, &load.message, true, usize::MAX);
             assert!(sent.complete, "the message fits into one frame");
             self.in_flight += 1;
--- a/crates/amqp/src/codec/error.rs
+++ b/crates/amqp/src/codec/error.rs
@@ -14,7 +14,7 @@
     InvalidText,
     /// Values are nested too deeply, there are too many of them, or a compound value is longer than its elements.
     #[error("nested too deep or too many values")]
-    TooMuch,
+    LimitExceeded,
     /// A map has an odd number of elements, or a duplicate key.
     #[error("a map of an odd count or with a key twice")]
     InvalidMap,
--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -87,8 +87,8 @@
     }
 
     fn value_with_code(&mut self, code: u8, depth: u32) -> Result<Value> {
-        let depth = depth.checked_sub(1).ok_or(DecodeError::TooMuch)?;
-        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::TooMuch)?;
+        let depth = depth.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
+        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
         Ok(match code {
             format_code::DESCRIBED => {
                 let descriptor = self.value_at(depth)?;
@@ -168,7 +168,7 @@
         if body.remaining.is_empty() {
             Ok(())
         } else {
-            Err(DecodeError::TooMuch)
+            Err(DecodeError::LimitExceeded)
         }
     }
 
@@ -178,7 +178,7 @@
         let mut code = self.byte()?;
         while code == format_code::DESCRIBED {
             if descriptors.len() as u32 >= depth {
-                return Err(DecodeError::TooMuch);
+                return Err(DecodeError::LimitExceeded);
             }
             descriptors.push(self.value_at(depth)?);
             code = self.byte()?;
@@ -204,8 +204,8 @@
     }
 
     fn skip_with_code(&mut self, code: u8, depth: u32) -> Result<()> {
-        let depth = depth.checked_sub(1).ok_or(DecodeError::TooMuch)?;
-        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::TooMuch)?;
+        let depth = depth.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
+        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
         let width = match code {
             format_code::DESCRIBED => {
                 self.skip_at(depth)?;
@@ -253,7 +253,7 @@
         while element_code == format_code::DESCRIBED {
             descriptors += 1;
             if descriptors > depth {
-                return Err(DecodeError::TooMuch);
+                return Err(DecodeError::LimitExceeded);
             }
             body.skip_at(depth)?;
             element_code = body.byte()?;
--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -90,12 +90,12 @@
         let last = disposition.last.unwrap_or(first);
         let is_from_receiver = disposition.role.ok_or_else(|| missing("role"))?;
         let settled = disposition.settled == Some(true);
-        let is_final = disposition.state.as_ref().is_some_and(State::is_final);
+        let is_terminal = disposition.state.as_ref().is_some_and(State::is_terminal);
         if !is_from_receiver {
             if settled {
                 self.on_sender_settlement(channel, first, last);
             }
-        } else if settled || is_final {
+        } else if settled || is_terminal {
             self.on_receiver_disposition(channel, first, last, settled, disposition.state);
         }
         Ok(())
--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -19,7 +19,7 @@
 
 /// A delivery to be sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outgoing {
+pub struct OutgoingDelivery {
     /// The application's key for the delivery, which events about it carry.
     pub key: u64,
     /// The delivery tag.
@@ -30,27 +30,27 @@
 
 /// How a link is detached (2.6.4 to 2.6.6).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum LinkEnd {
+pub enum DetachMode {
     /// The link is closed and its terminus is discarded.
     Closed,
     /// The link is suspended and may be resumed.
     Suspended,
 }
 
-impl LinkEnd {
+impl DetachMode {
     /// Reads the `closed` field of a detach.
-    pub(super) fn from_field(closed: Option<bool>) -> LinkEnd {
+    pub(super) fn from_field(closed: Option<bool>) -> DetachMode {
         match closed {
-            Some(true) => LinkEnd::Closed,
-            Some(false) | None => LinkEnd::Suspended,
+            Some(true) => DetachMode::Closed,
+            Some(false) | None => DetachMode::Suspended,
         }
     }
 
     /// The value for the `closed` field of a detach.
     pub(super) fn to_field(self) -> Option<bool> {
         match self {
-            LinkEnd::Closed => Some(true),
-            LinkEnd::Suspended => None,
+            DetachMode::Closed => Some(true),
+            DetachMode::Suspended => None,
         }
     }
 }
@@ -174,7 +174,7 @@
         /// The link.
         link: LinkId,
         /// Whether the link was closed or may be resumed.
-        end: LinkEnd,
+        end: DetachMode,
         /// The error that the peer gave as the reason.
         error: Option<Box<Error>>,
     },
@@ -195,7 +195,7 @@
     /// The connection properties.
     pub properties: Option<Value>,
     /// The extension capabilities that the peer supports.
-    pub offered: Option<Value>,
+    pub offered_capabilities: Option<Value>,
     /// The extension capabilities that the peer wants to use.
-    pub desired: Option<Value>,
+    pub desired_capabilities: Option<Value>,
 }
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -29,7 +29,7 @@
             (Auth::Client(Some(_)), Stage::AwaitingHeader, SASL_HEADER) => self.stage = Stage::Sasl,
             (Auth::Client(_), Stage::AwaitingAmqpHeader, AMQP_HEADER) => self.stage = Stage::AwaitingOpen,
             (Auth::Client(Some(_)), Stage::AwaitingHeader, AMQP_HEADER) => {
-                self.peer_has_no_sasl = true;
+                self.peer_lacks_sasl = true;
                 self.stage = Stage::Closed;
                 return Err(fault(condition::FRAMING_ERROR, "the peer speaks no SASL"));
             }
@@ -124,8 +124,8 @@
             container,
             hostname: open.hostname,
             properties: open.properties,
-            offered: open.offered_capabilities,
-            desired: open.desired_capabilities,
+            offered_capabilities: open.offered_capabilities,
+            desired_capabilities: open.desired_capabilities,
         };
         if matches!(self.auth, Auth::Server(_)) {
             self.send_open();
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -1,6 +1,6 @@
 //! Receiving deliveries (2.6.14) and granting credit (2.6.7).
 
-use super::{Connection, Event, IncomingTransfer, LinkEnd, LinkId};
+use super::{Connection, DetachMode, Event, IncomingTransfer, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{IncompleteDelivery, Link, Phase as LinkPhase, Role};
 use crate::performative::Transfer;
@@ -35,8 +35,12 @@
             Ok(transfer) => Ok(Some(Event::Transfer { link: link_id, transfer })),
             Err(Violation::Fatal(fault)) => Err(fault),
             Err(Violation::Link(error)) => {
-                self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
-                self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Closed, error: None });
+                self.detach(link_id, DetachMode::Closed, Some(Box::new(error)));
+                self.events.push_back(Event::Detached {
+                    link: link_id,
+                    end: DetachMode::Closed,
+                    error: None,
+                });
                 Ok(None)
             }
         }
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -1,6 +1,6 @@
 //! Attaching and detaching links (2.6.3 to 2.6.6).
 
-use super::{Connection, Event, LinkEnd, LinkId};
+use super::{Connection, DetachMode, Event, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{Link, Phase as LinkPhase, Role};
 use crate::performative::{Attach, Detach};
@@ -67,8 +67,8 @@
         if phase != LinkPhase::DetachSent {
             // The new attachment replaces the existing one (2.6.1).
             let error = Error::new(condition::STOLEN, "the link was attached again");
-            self.detach(link_id, LinkEnd::Suspended, Some(Box::new(error)));
-            self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Suspended, error: None });
+            self.detach(link_id, DetachMode::Suspended, Some(Box::new(error)));
+            self.events.push_back(Event::Detached { link: link_id, end: DetachMode::Suspended, error: None });
         }
         self.add_requested_link(channel, remote);
         Ok(None)
@@ -135,11 +135,11 @@
             ..Attach::default()
         };
         self.send_performative(link_id.channel, attach);
-        self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
+        self.detach(link_id, DetachMode::Closed, Some(Box::new(error)));
     }
 
     /// Detaches a link. [`Event::DeliveryLost`] reports each of its unsettled deliveries.
-    pub fn detach(&mut self, link_id: LinkId, end: LinkEnd, error: Option<Box<Error>>) {
+    pub fn detach(&mut self, link_id: LinkId, end: DetachMode, error: Option<Box<Error>>) {
         let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::DetachSent);
         let Some(link) = link else { return };
         let role = link.role;
@@ -158,7 +158,7 @@
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
         let link_id = self.link_by_remote_handle(channel, handle)?;
         let is_detach_sent = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::DetachSent);
-        let end = LinkEnd::from_field(detach.closed);
+        let end = DetachMode::from_field(detach.closed);
         if !is_detach_sent {
             let handle = Some(link_id.handle);
             let answer = Detach { handle, closed: end.to_field(), error: None };
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -17,7 +17,7 @@
 mod sessions;
 mod settings;
 
-pub use event::{AbandonedDelivery, Event, IncomingTransfer, LinkEnd, LinkId, Outgoing, PeerInfo};
+pub use event::{AbandonedDelivery, DetachMode, Event, IncomingTransfer, LinkId, OutgoingDelivery, PeerInfo};
 pub use settings::Settings;
 
 use crate::error::{condition, fault, Error, Fault};
@@ -65,7 +65,7 @@
     settings: Settings,
     auth: Auth,
     stage: Stage,
-    peer_has_no_sasl: bool,
+    peer_lacks_sasl: bool,
     peer: PeerInfo,
     remote_max_frame_size: u32,
     remote_channel_max: u16,
@@ -108,7 +108,7 @@
             settings,
             auth,
             stage: Stage::AwaitingHeader,
-            peer_has_no_sasl: false,
+            peer_lacks_sasl: false,
             peer: PeerInfo::default(),
             remote_max_frame_size: MIN_MAX_FRAME_SIZE,
             remote_channel_max: 0,
@@ -132,8 +132,8 @@
 
     /// Whether the server answered the SASL protocol header with the AMQP one, which means that it does not support
     /// SASL.
-    pub fn peer_has_no_sasl(&self) -> bool {
-        self.peer_has_no_sasl
+    pub fn peer_lacks_sasl(&self) -> bool {
+        self.peer_lacks_sasl
     }
 
     /// The contents of the peer's open.
@@ -193,7 +193,7 @@
     }
 
     /// The number of octets that are ready for [`Connection::take_output`].
-    pub fn pending(&self) -> usize {
+    pub fn pending_output(&self) -> usize {
         self.output.len()
     }
 
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -1,13 +1,13 @@
 //! Sending deliveries (2.6.14) and using credit (2.6.7).
 
 use super::dispositions::OutgoingDisposition;
-use super::{Connection, LinkId, Outgoing, Stage};
+use super::{Connection, LinkId, OutgoingDelivery, Stage};
 use crate::codec::{format_code, put_u32, put_variable};
 use crate::frame::{write_frame_with, AMQP};
 use crate::link::{Phase as LinkPhase, Role};
 use crate::performative::Transfer;
 use crate::primitives::Tag;
-use crate::session::{Direction, Sent};
+use crate::session::{Direction, SendResult};
 
 /// The fields of a transfer to be sent.
 struct TransferFields {
@@ -27,12 +27,12 @@
     pub fn send(
         &mut self,
         link_id: LinkId,
-        delivery: Outgoing,
+        delivery: OutgoingDelivery,
         mut payload: &[u8],
         last: bool,
         capacity: usize,
-    ) -> Sent {
-        let mut sent = Sent::default();
+    ) -> SendResult {
+        let mut sent = SendResult::default();
         self.flush_dispositions();
         let max_payload = (self.remote_max_frame_size as usize).saturating_sub(MAX_TRANSFER_OVERHEAD_BYTES);
         while (last || !payload.is_empty()) && self.output.len() < capacity && self.stage == Stage::Open {
@@ -63,7 +63,12 @@
 
     /// Counts a transfer against the session's window and, if it starts a delivery, against the link credit. Returns
     /// None if the link cannot send now.
-    fn start_transfer(&mut self, link_id: LinkId, delivery: &Outgoing, more: bool) -> Option<TransferFields> {
+    fn start_transfer(
+        &mut self,
+        link_id: LinkId,
+        delivery: &OutgoingDelivery,
+        more: bool,
+    ) -> Option<TransferFields> {
         let session = self.session_mut(link_id.channel)?;
         let next_delivery_id = session.next_delivery_id;
         let is_window_closed = session.remote_window == 0;
@@ -83,7 +88,7 @@
         if is_first {
             session.next_delivery_id = next_delivery_id.wrapping_add(1);
         }
-        let Outgoing { tag, settled, .. } = *delivery;
+        let OutgoingDelivery { tag, settled, .. } = *delivery;
         Some(TransferFields { handle: link_id.handle, is_first, delivery_id, tag, settled, more })
     }
 
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -1,6 +1,6 @@
 //! Session handling: begin, end and flow (2.5).
 
-use super::{Connection, Event, LinkEnd, LinkId};
+use super::{Connection, DetachMode, Event, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{Phase as LinkPhase, Role};
 use crate::performative::{Begin, End, Flow};
@@ -94,7 +94,7 @@
             self.remove_link(link);
             if phase != LinkPhase::DetachSent {
                 let error = error.cloned().map(Box::new);
-                self.events.push_back(Event::Detached { link, end: LinkEnd::Suspended, error });
+                self.events.push_back(Event::Detached { link, end: DetachMode::Suspended, error });
             }
         }
     }
--- a/crates/amqp/src/lib.rs
+++ b/crates/amqp/src/lib.rs
@@ -52,7 +52,8 @@
 pub use codec::{decode, encode, DecodeError};
 pub use composite::Composite;
 pub use connection::{
-    AbandonedDelivery, Connection, Event, IncomingTransfer, LinkEnd, LinkId, Outgoing, PeerInfo, Settings,
+    AbandonedDelivery, Connection, DetachMode, Event, IncomingTransfer, LinkId, OutgoingDelivery, PeerInfo,
+    Settings,
 };
 pub use error::{condition, fault, Error, Fault};
 pub use frame::{read_frame, write_frame, write_frame_with, Frame, AMQP, SASL};
@@ -65,7 +66,7 @@
 pub use primitives::{Symbol, Tag};
 pub use sasl::{Credentials, Mechanism, SaslRequest};
 pub use scram::{Pbkdf2, SaltedKeys};
-pub use session::Sent;
+pub use session::SendResult;
 pub use state::State;
 pub use terminus::{Source, Target, Terminus};
 pub use value::Value;
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -114,7 +114,7 @@
     }
 
     /// Decodes an application property. `bytes` is the message that the head was read from.
-    pub fn value(&self, bytes: &[u8], name: &str) -> Option<Value> {
+    pub fn application_property(&self, bytes: &[u8], name: &str) -> Option<Value> {
         let map = bytes.get(self.application_properties.clone()).filter(|map| !map.is_empty())?;
         let (_, mut value) = map_pairs(map).find(|(key, _)| *key == Some(name))?;
         value.value().ok()
@@ -122,8 +122,8 @@
 
     /// Returns an application property as text if it is a string, a symbol or an integer of 32 or 64 bits. `bytes`
     /// is the message that the head was read from.
-    pub fn property(&self, bytes: &[u8], name: &str) -> Option<String> {
-        match self.value(bytes, name)? {
+    pub fn application_property_text(&self, bytes: &[u8], name: &str) -> Option<String> {
+        match self.application_property(bytes, name)? {
             Value::Text(text) | Value::Symbol(text) => Some(text),
             Value::Uint(number) => Some(number.to_string()),
             Value::Ulong(number) => Some(number.to_string()),
@@ -311,8 +311,8 @@
     }
 
     /// Returns an application property as text if it is a string, a symbol or an integer of 32 or 64 bits.
-    pub fn property(&self, name: &str) -> Option<String> {
-        self.head.property(self.bytes, name)
+    pub fn application_property_text(&self, name: &str) -> Option<String> {
+        self.head.application_property_text(self.bytes, name)
     }
 }
 
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -34,25 +34,25 @@
 }
 
 impl Pbkdf2 {
-    /// Starts the computation for a password. `rounds` is the iteration count and has to be at least 1.
-    pub fn new(password: &[u8], salt: &[u8], rounds: u32) -> Pbkdf2 {
+    /// Starts the computation for a password. `iterations` is the iteration count and has to be at least 1.
+    pub fn new(password: &[u8], salt: &[u8], iterations: u32) -> Pbkdf2 {
         let mac = new_mac(password);
         let mut first = mac.clone();
         first.update(salt);
         first.update(&1u32.to_be_bytes());
         let last_block: Key = first.finalize().into_bytes().into();
-        Pbkdf2 { mac, last_block, sum: last_block, remaining: rounds.saturating_sub(1) }
+        Pbkdf2 { mac, last_block, sum: last_block, remaining: iterations.saturating_sub(1) }
     }
 
-    /// Performs at most `rounds` iterations. Returns the derived key once all are done.
-    pub fn step(&mut self, rounds: u32) -> Option<[u8; 32]> {
-        for _ in 0..rounds.min(self.remaining) {
+    /// Performs at most `iterations` iterations. Returns the derived key once all are done.
+    pub fn step(&mut self, iterations: u32) -> Option<[u8; 32]> {
+        for _ in 0..iterations.min(self.remaining) {
             let mut mac = self.mac.clone();
             mac.update(&self.last_block);
             self.last_block = mac.finalize().into_bytes().into();
             xor_into(&mut self.sum, &self.last_block);
         }
-        self.remaining -= rounds.min(self.remaining);
+        self.remaining -= iterations.min(self.remaining);
         (self.remaining == 0).then_some(self.sum)
     }
 }
@@ -64,7 +64,7 @@
     /// The salt.
     pub salt: Vec<u8>,
     /// The iteration count of PBKDF2. RFC 7677 requires at least 4096.
-    pub rounds: u32,
+    pub iterations: u32,
     /// H(HMAC(salted password, "Client Key")).
     pub stored_key: [u8; 32],
     /// HMAC(salted password, "Server Key").
@@ -73,10 +73,10 @@
 
 impl SaltedKeys {
     /// Derives the keys from a salted password.
-    pub fn from_salted(salted_password: &[u8; 32], salt: Vec<u8>, rounds: u32) -> SaltedKeys {
+    pub fn from_salted(salted_password: &[u8; 32], salt: Vec<u8>, iterations: u32) -> SaltedKeys {
         let client_key = hmac(salted_password, b"Client Key");
         let stored_key = Sha256::digest(client_key).into();
-        SaltedKeys { salt, rounds, stored_key, server_key: hmac(salted_password, b"Server Key") }
+        SaltedKeys { salt, iterations, stored_key, server_key: hmac(salted_password, b"Server Key") }
     }
 
     /// Whether the keys belong to the salted password.
@@ -147,9 +147,9 @@
         server_nonce: &str,
     ) -> Server {
         let nonce = format!("{}{server_nonce}", client_first.nonce);
-        let (salt, rounds) =
-            keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.rounds));
-        let server_first = format!("r={nonce},s={},i={rounds}", STANDARD.encode(salt));
+        let (salt, iterations) =
+            keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.iterations));
+        let server_first = format!("r={nonce},s={},i={iterations}", STANDARD.encode(salt));
         Server {
             client_first_bare: client_first.bare,
             gs2_header: client_first.gs2_header,
@@ -218,12 +218,12 @@
         let field = |name: &str| text.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
         let nonce = field("r")?;
         let salt = STANDARD.decode(field("s")?).ok()?;
-        let rounds: u32 = field("i")?.parse().ok()?;
-        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || rounds > MAX_ROUNDS {
+        let iterations: u32 = field("i")?.parse().ok()?;
+        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || iterations > MAX_ROUNDS {
             return None;
         }
-        let salted_password = Pbkdf2::new(self.password.as_bytes(), &salt, rounds).step(rounds)?;
-        let keys = SaltedKeys::from_salted(&salted_password, salt, rounds);
+        let salted_password = Pbkdf2::new(self.password.as_bytes(), &salt, iterations).step(iterations)?;
+        let keys = SaltedKeys::from_salted(&salted_password, salt, iterations);
         let without_proof = format!("c=biws,r={nonce}");
         let auth_message = format!("{},{text},{without_proof}", self.client_first_bare);
         let mut proof = hmac(&salted_password, b"Client Key");
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -10,7 +10,7 @@
 
 /// The result of [`Connection::send`](crate::Connection::send).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SendResult {
     /// The number of payload octets that were sent.
     pub octets: usize,
     /// Whether the last transfer of the delivery was sent.
--- a/crates/amqp/src/state.rs
+++ b/crates/amqp/src/state.rs
@@ -31,7 +31,7 @@
     /// The message was not processed and is modified.
     Modified {
         /// Whether this counts as a failed delivery attempt.
-        failed: bool,
+        delivery_failed: bool,
         /// Whether the message must not be delivered on this link again.
         undeliverable_here: bool,
         /// Annotations to merge into those of the message.
@@ -50,7 +50,7 @@
     }
 
     /// Whether the state is terminal (3.4): it is the outcome of the delivery.
-    pub fn is_final(&self) -> bool {
+    pub fn is_terminal(&self) -> bool {
         !matches!(self, State::Received { .. } | State::Other(_))
     }
 }
@@ -87,7 +87,7 @@
                     REJECTED => State::Rejected(fields.next("error")?),
                     RELEASED => State::Released,
                     _ => State::Modified {
-                        failed: fields.next("delivery-failed")?.unwrap_or(false),
+                        delivery_failed: fields.next("delivery-failed")?.unwrap_or(false),
                         undeliverable_here: fields.next("undeliverable-here")?.unwrap_or(false),
                         annotations: fields.next("message-annotations")?,
                     },
@@ -116,8 +116,8 @@
                 error.write(out);
                 close_compound(out, start, 1);
             }
-            State::Modified { failed, undeliverable_here, annotations } => {
-                let mut fields = vec![Value::Bool(*failed), Value::Bool(*undeliverable_here)];
+            State::Modified { delivery_failed, undeliverable_here, annotations } => {
+                let mut fields = vec![Value::Bool(*delivery_failed), Value::Bool(*undeliverable_here)];
                 fields.extend(annotations.iter().map(|annotations| Value::clone(annotations)));
                 encode(&Value::composite(MODIFIED.into(), fields), out);
             }
--- a/crates/amqp/tests/fuzz.rs
+++ b/crates/amqp/tests/fuzz.rs
@@ -7,8 +7,8 @@
 
 use proptest::prelude::*;
 use sparbank_amqp::{
-    condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach,
-    Disposition, End, Error, Event, Flow, Head, LinkEnd, Mechanism, Message, Open, Outgoing, Performative,
+    condition, decode, encode, read_frame, write_frame, Attach, Begin, Close, Connection, Detach, DetachMode,
+    Disposition, End, Error, Event, Flow, Head, Mechanism, Message, Open, OutgoingDelivery, Performative,
     Role, SaslInit, SaslRequest, SaslResponse, Settings, Source, State, Symbol, Tag, Target, Terminus,
     Transfer, Value, AMQP, SASL,
 };
@@ -182,12 +182,12 @@
             conn.set_credit(link, 3);
         }
         (Event::Credit { link }, Answer::Accept) => {
-            let delivery = Outgoing { key: 1, tag: 1.into(), settled: false };
+            let delivery = OutgoingDelivery { key: 1, tag: 1.into(), settled: false };
             conn.send(link, delivery, &[1; 700], true, 10_000);
             conn.return_credit(link);
         }
         (Event::Credit { link }, Answer::Refuse) => conn.abort(link),
-        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, LinkEnd::Closed, None),
+        (Event::Detached { link, .. }, Answer::Refuse) => conn.detach(link, DetachMode::Closed, None),
         (Event::Began { channel }, Answer::Accept) => {
             conn.attach(channel, "ours", Role::Sender, Attach::default());
         }
@@ -354,7 +354,7 @@
         encode(&Value::described(0x75, Value::Binary(body)), &mut bytes);
         let complete = Message::decode(&bytes).expect("a valid message");
         prop_assert_eq!(complete.head.ttl, Some(ttl));
-        prop_assert_eq!(complete.property("key"), Some(key.clone()));
+        prop_assert_eq!(complete.application_property_text("key"), Some(key.clone()));
         let prefix_size = prefix_size.min(bytes.len());
         if let Some(head) = Head::read(&bytes[..prefix_size]).expect("a valid prefix") {
             prop_assert_eq!(&head, &complete.head);
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -11,7 +11,7 @@
 use proptest::prelude::*;
 use rstest::rstest;
 use sparbank_amqp::{
-    condition, read_frame, write_frame, Attach, Connection, Credentials, Error, Event, LinkEnd, LinkId,
+    condition, read_frame, write_frame, Attach, Connection, Credentials, DetachMode, Error, Event, LinkId,
     Mechanism, Pbkdf2, Performative, Role, SaltedKeys, SaslRequest, Settings, State, Tag, Transfer, AMQP,
 };
 use sparbank_time::MonotonicTime;
@@ -76,7 +76,7 @@
         for key in 0..5u64 {
             pair.ends[0].send(sender_link, outgoing(key, key == 3), &[7; 100], true, 1 << 16);
         }
-        pair.ends[0].detach(sender_link, LinkEnd::Closed, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
+        pair.ends[0].detach(sender_link, DetachMode::Closed, Some(Box::new(Error::new(condition::NOT_FOUND, "why"))));
         pair.ends[0].close(None);
         let mut bytes = pair.ends[0].take_output(MonotonicTime::ZERO);
         let index = index % bytes.len();
--- a/crates/amqp/tests/pair/pair.rs
+++ b/crates/amqp/tests/pair/pair.rs
@@ -1,7 +1,8 @@
 //! Two connections that are linked in memory.
 
 use sparbank_amqp::{
-    Attach, Connection, Event, Fault, IncomingTransfer, LinkId, Outgoing, Role, Settings, Target, Terminus,
+    Attach, Connection, Event, Fault, IncomingTransfer, LinkId, OutgoingDelivery, Role, Settings, Target,
+    Terminus,
 };
 use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
@@ -17,8 +18,8 @@
 }
 
 /// A delivery with its key as the tag.
-pub fn outgoing(key: u64, settled: bool) -> Outgoing {
-    Outgoing { key, tag: key.into(), settled }
+pub fn outgoing(key: u64, settled: bool) -> OutgoingDelivery {
+    OutgoingDelivery { key, tag: key.into(), settled }
 }
 
 /// Converts an event to an owned one. The payload is replaced with zeros of the same size, as the tests check only
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -266,7 +266,7 @@
         for link in client.take_links() {
             match link {
                 ClientLink::Receiving(forwarder) => {
-                    self.forwarding.on_client_gone(self.ctx, self.peers.servers, forwarder)
+                    self.forwarding.on_client_disconnected(self.ctx, self.peers.servers, forwarder)
                 }
                 ClientLink::Sending(link) => self.requests.drop_incomplete(&link.incomplete),
             }
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -3,7 +3,7 @@
 
 use super::arrival::{default_time_limit, RequestAttributes};
 use super::class_names::AddressField;
-use super::clients::{ClientLink, IncompleteDelivery, SendingLink};
+use super::clients::{ClientLink, ClientSendingLink, IncompleteDelivery};
 use super::connection_link::ConnectionLink;
 use super::delivery_requests::{DeliveryRequests, DetachedLink};
 use super::forwarding::Forwarding;
@@ -14,7 +14,7 @@
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use crate::frontend::FrontendContext;
 use crate::model::RequestId;
-use sparbank_amqp::{condition, Attach, Error, LinkEnd, Role, Source, State, Target, Terminus, Value};
+use sparbank_amqp::{condition, Attach, DetachMode, Error, Role, Source, State, Target, Terminus, Value};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 
     /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` tells
     /// whether the detach closes the link.
-    pub fn on_detached(&mut self, at: ConnectionLink, end: LinkEnd) {
+    pub fn on_detached(&mut self, at: ConnectionLink, end: DetachMode) {
         let client = self.peers.clients.get(at.token);
         let requests = client.map(|client| client.take_detached_requests()).unwrap_or_default();
         match self.peers.clients.remove_link(at) {
@@ -52,12 +52,12 @@
                 let client = self.peers.clients.get(at.token);
                 let has_session = client.is_some_and(|client| client.conn.has_begun(at.id.channel));
                 let can_resume = link.is_remembered || has_session;
-                let end = if can_resume { end } else { LinkEnd::Closed };
+                let end = if can_resume { end } else { DetachMode::Closed };
                 let detached = DetachedLink { token: at.token, link, end, requests };
                 self.requests.on_link_detached(self.ctx, &mut self.peers, detached);
             }
             Some(ClientLink::Receiving(forwarder)) => {
-                self.forwarding.on_client_gone(self.ctx, self.peers.servers, forwarder)
+                self.forwarding.on_client_disconnected(self.ctx, self.peers.servers, forwarder)
             }
             None => {}
         }
@@ -125,11 +125,11 @@
         if let Some(client) = self.peers.clients.get(at.token) {
             client.conn.accept_link(at.id, answer);
         }
-        let sending_link = SendingLink {
+        let sending_link = ClientSendingLink {
             class,
             is_remembered: self.requests.is_remembered(&key),
             key: Rc::new(key),
-            unknown: resumed.unknown,
+            unknown_deliveries: resumed.unknown_deliveries,
             incomplete: IncompleteDelivery::None,
         };
         self.peers.clients.add_sending_link(at, sending_link);
@@ -165,7 +165,7 @@
             return self.refuse(link, error);
         }
         let request_id = self.start_receiving_request(class, &attach);
-        let forwarder = self.forwarding.add(request_id, link, attach);
+        let forwarder = self.forwarding.add_forwarder(request_id, link, attach);
         if let Some(client) = self.peers.clients.get(link.token) {
             client.add_receiving_link(link.id, forwarder);
         }
--- a/src/frontend/amqp/clients/client.rs
+++ b/src/frontend/amqp/clients/client.rs
@@ -40,14 +40,14 @@
 /// The purpose of a client's link.
 pub enum ClientLink {
     /// The client sends on the link; each delivery is a request.
-    Sending(SendingLink),
+    Sending(ClientSendingLink),
     /// The client receives a forwarder's deliveries on the link: those of an established request, or replies to a
     /// dynamic node.
     Receiving(ForwarderId),
 }
 
 /// A link on which a client sends.
-pub struct SendingLink {
+pub struct ClientSendingLink {
     /// The class that the link's target names; `None` for the anonymous terminus.
     pub class: Option<usize>,
     /// The key that identifies the link across connections.
@@ -55,7 +55,7 @@
     /// Whether the states of its deliveries are retained for resumption.
     pub is_remembered: bool,
     /// Deliveries that the peer's unsettled map contained at the attach and of which the node has no record.
-    pub unknown: HashSet<Tag>,
+    pub unknown_deliveries: HashSet<Tag>,
     /// The delivery whose last transfer has not been received.
     pub incomplete: IncompleteDelivery,
 }
@@ -128,7 +128,7 @@
     }
 
     /// The sending link with this id, if there is one.
-    pub fn sending_link(&mut self, link: LinkId) -> Option<&mut SendingLink> {
+    pub fn sending_link(&mut self, link: LinkId) -> Option<&mut ClientSendingLink> {
         match self.links.get_mut(&link)? {
             ClientLink::Sending(link) => Some(link),
             ClientLink::Receiving(_) => None,
@@ -175,12 +175,12 @@
     }
 
     /// Counts a request of this client that has arrived, or whose link was attached again.
-    pub fn count_open_request(&mut self) {
+    pub fn add_open_request(&mut self) {
         self.open_requests += 1;
     }
 
     /// Stops counting a request that was answered, or whose link was detached.
-    pub fn uncount_open_request(&mut self) {
+    pub fn remove_open_request(&mut self) {
         self.open_requests -= 1;
     }
 
--- a/src/frontend/amqp/clients/mod.rs
+++ b/src/frontend/amqp/clients/mod.rs
@@ -5,7 +5,7 @@
 mod client;
 mod credit;
 
-pub use client::{Client, ClientLink, IncompleteDelivery, SendingLink};
+pub use client::{Client, ClientLink, ClientSendingLink, IncompleteDelivery};
 
 use super::config::AmqpConfig;
 use super::connection_link::ConnectionLink;
@@ -118,7 +118,7 @@
     }
 
     /// Adds a sending link that was attached.
-    pub fn add_sending_link(&mut self, at: ConnectionLink, link: SendingLink) {
+    pub fn add_sending_link(&mut self, at: ConnectionLink, link: ClientSendingLink) {
         let Some(client) = self.by_token.get_mut(&at.token) else { return };
         client.links.insert(at.id, ClientLink::Sending(link));
         self.subscriber_links.add(client.identity().subscriber());
--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -6,7 +6,7 @@
 
 pub mod transfers;
 
-use super::clients::{Client, IncompleteDelivery, SendingLink};
+use super::clients::{Client, ClientSendingLink, IncompleteDelivery};
 use super::connection_link::ConnectionLink;
 use super::deliveries::{Attempt, AttemptStage, Deliveries};
 use super::peers::Peers;
@@ -16,7 +16,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
-use sparbank_amqp::{AbandonedDelivery, LinkEnd, Role, State, Tag};
+use sparbank_amqp::{AbandonedDelivery, DetachMode, Role, State, Tag};
 use std::time::Duration;
 
 /// All requests that clients sent as deliveries.
@@ -51,9 +51,9 @@
     /// The client's connection.
     pub token: Token,
     /// The link as it was before the detach.
-    pub link: SendingLink,
+    pub link: ClientSendingLink,
     /// Whether the link was closed or only suspended, in which case it may be resumed.
-    pub end: LinkEnd,
+    pub end: DetachMode,
     /// The requests whose deliveries were unsettled on the link.
     pub requests: Vec<RequestId>,
 }
@@ -171,7 +171,7 @@
         let outcome = match state {
             Some(State::Accepted) => Outcome::Ok,
             // The server reports that it did not process the delivery, so the request has not run.
-            Some(State::Released | State::Modified { failed: false, .. }) => Outcome::Rejected,
+            Some(State::Released | State::Modified { delivery_failed: false, .. }) => Outcome::Rejected,
             // After any other state, or none, the request may have run.
             _ => Outcome::Error,
         };
@@ -215,7 +215,7 @@
         self.recovery.record_settled(peers.config.recovery_limits(), request_id, &state);
         let client = peers.clients.get(delivery.link.token).filter(|_| delivery.is_attached);
         let Some(client) = client else { return };
-        client.uncount_open_request();
+        client.remove_open_request();
         client.conn.settle(delivery.link.id.channel, delivery.delivery_id, state);
         peers.clients.mark_dirty(delivery.link.token);
         self.replenish_credit(peers, delivery.link);
@@ -235,7 +235,7 @@
         self.recovery.forget_request(request_id);
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
         if let Some(client) = peers.clients.get(delivery.link.token).filter(|_| delivery.is_attached) {
-            client.uncount_open_request();
+            client.remove_open_request();
         }
     }
 
@@ -257,7 +257,7 @@
         let delivery = self.deliveries.get_mut(request_id).filter(|delivery| delivery.is_attached);
         let Some(delivery) = delivery else { return };
         if let Some(client) = peers.clients.get(delivery.link.token) {
-            client.uncount_open_request();
+            client.remove_open_request();
         }
         delivery.is_attached = false;
         self.recovery.record_running(key, delivery.tag, request_id);
@@ -291,7 +291,7 @@
         let DetachedLink { token, link, end, requests } = detached;
         let limits = peers.config.recovery_limits();
         let is_suspended =
-            end == LinkEnd::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
+            end == DetachMode::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
         for request_id in requests {
             if is_suspended && self.deliveries.is_complete(request_id) {
                 self.suspend(peers, &link.key, request_id);
--- a/src/frontend/amqp/delivery_requests/transfers.rs
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -3,7 +3,7 @@
 use super::DeliveryRequests;
 use crate::frontend::amqp::arrival::{default_time_limit, RequestAttributes};
 use crate::frontend::amqp::class_names::AddressField;
-use crate::frontend::amqp::clients::{IncompleteDelivery, SendingLink};
+use crate::frontend::amqp::clients::{ClientSendingLink, IncompleteDelivery};
 use crate::frontend::amqp::connection_link::ConnectionLink;
 use crate::frontend::amqp::deliveries::Delivery;
 use crate::frontend::amqp::info::FrontendInfo;
@@ -48,7 +48,7 @@
         let class = sending_link.class;
         let incomplete = std::mem::take(&mut sending_link.incomplete);
         let has_earlier_deliveries =
-            transfer.resume || sending_link.is_remembered || !sending_link.unknown.is_empty();
+            transfer.resume || sending_link.is_remembered || !sending_link.unknown_deliveries.is_empty();
         let may_be_resumed = has_earlier_deliveries && transfer.first && !transfer.aborted;
         let incomplete = if may_be_resumed && self.answer_resumed(link, &transfer) {
             IncompleteDelivery::Ignored
@@ -67,7 +67,7 @@
         self.requests.replenish_credit(&mut self.peers, link);
     }
 
-    fn sending_link(&mut self, link: ConnectionLink) -> Option<&mut SendingLink> {
+    fn sending_link(&mut self, link: ConnectionLink) -> Option<&mut ClientSendingLink> {
         self.peers.clients.get(link.token)?.sending_link(link.id)
     }
 
@@ -118,7 +118,7 @@
                 return true;
             }
             None => {
-                let is_unknown = sending_link.unknown.remove(&transfer.tag)
+                let is_unknown = sending_link.unknown_deliveries.remove(&transfer.tag)
                     || (transfer.resume && !sending_link.is_remembered);
                 if !is_unknown {
                     return false;
@@ -138,7 +138,7 @@
         client.conn.set_delivery_key(link.id.channel, delivery_id, request_id.0);
         if let Some(delivery) = self.requests.deliveries.get_mut(request_id) {
             if !delivery.is_attached {
-                client.count_open_request();
+                client.add_open_request();
             }
             delivery.link = link;
             delivery.delivery_id = delivery_id;
@@ -205,9 +205,9 @@
         let attributes = RequestAttributes {
             class,
             time_limit: time_to_live.unwrap_or(default_time_limit(self.ctx, class)),
-            key: head.property(&bytes, "key"),
-            group: head.property(&bytes, "group"),
-            is_reconnect: head.value(&bytes, "again") == Some(Value::Bool(true)),
+            key: head.application_property_text(&bytes, "key"),
+            group: head.application_property_text(&bytes, "group"),
+            is_reconnect: head.application_property(&bytes, "again") == Some(Value::Bool(true)),
         };
         let request_id = self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival());
         self.record_request(received, request_id);
@@ -242,7 +242,7 @@
     fn record_request(&mut self, received: ReceivedTransfer<'_, '_>, request_id: RequestId) {
         let ReceivedTransfer { link, transfer, .. } = received;
         let Some(client) = self.peers.clients.get(link.token) else { return };
-        client.count_open_request();
+        client.add_open_request();
         client.conn.set_delivery_key(link.id.channel, transfer.id, request_id.0);
         if transfer.settled {
             return;
@@ -261,7 +261,7 @@
     }
     let head = Head::read(bytes)?;
     if head.is_none() && bytes.len() > MAX_HEAD_BYTES {
-        return Err(DecodeError::TooMuch);
+        return Err(DecodeError::LimitExceeded);
     }
     Ok(head)
 }
--- a/src/frontend/amqp/forwarding/forwarder.rs
+++ b/src/frontend/amqp/forwarding/forwarder.rs
@@ -7,7 +7,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{RequestId, ServerId};
 use crate::net::OUTPUT_HIGH_WATERMARK_BYTES;
-use sparbank_amqp::{Attach, IncomingTransfer, Outgoing, State, Tag};
+use sparbank_amqp::{Attach, IncomingTransfer, OutgoingDelivery, State, Tag};
 use std::collections::VecDeque;
 
 /// Octets queued from one source above which its server is granted no more credit, because the client is slow.
@@ -193,7 +193,7 @@
             // Without a state, the client may or may not have processed the delivery. The server has to decide what to
             // do with it.
             let state = state.unwrap_or(State::Modified {
-                failed: true,
+                delivery_failed: true,
                 undeliverable_here: false,
                 annotations: None,
             });
@@ -256,7 +256,7 @@
             let Some(source) = self.sources.get_mut(index).and_then(Option::as_mut) else { break };
             let Some(transfer) = source.transfers.front_mut() else { break };
             let key = DeliveryKey { source_index: index, delivery_id: transfer.delivery_id }.encode();
-            let delivery = Outgoing { key, tag: transfer.tag, settled: transfer.is_settled };
+            let delivery = OutgoingDelivery { key, tag: transfer.tag, settled: transfer.is_settled };
             let sent =
                 client.conn.send(self.client.id, delivery, &transfer.bytes, transfer.is_last, capacity);
             if sent.started && self.sending_source.is_none() {
@@ -266,7 +266,7 @@
             source.queued_bytes -= sent.octets;
             if sent.octets < transfer.bytes.len() || (transfer.is_last && !sent.complete) {
                 transfer.bytes.drain(..sent.octets);
-                client.set_stalled(client.conn.pending() >= capacity);
+                client.set_stalled(client.conn.pending_output() >= capacity);
                 break;
             }
             if sent.complete {
--- a/src/frontend/amqp/forwarding/mod.rs
+++ b/src/frontend/amqp/forwarding/mod.rs
@@ -18,7 +18,7 @@
 use crate::net::Token;
 use forwarder::Forwarder;
 use outcome::{detached_outcome, refused_attach_outcome};
-use sparbank_amqp::{condition, Attach, Error, IncomingTransfer, LinkEnd, Role, State, Target, Terminus};
+use sparbank_amqp::{condition, Attach, DetachMode, Error, IncomingTransfer, Role, State, Target, Terminus};
 use table::ForwarderTable;
 
 /// All forwarders.
@@ -50,7 +50,12 @@
     // ---- Requests ----------------------------------------------------------------------------------
 
     /// Adds a forwarder for the request of a client's receiving link.
-    pub fn add(&mut self, request_id: RequestId, client: ConnectionLink, attach: Box<Attach>) -> ForwarderId {
+    pub fn add_forwarder(
+        &mut self,
+        request_id: RequestId,
+        client: ConnectionLink,
+        attach: Box<Attach>,
+    ) -> ForwarderId {
         self.forwarders.insert(Forwarder::for_request(request_id, client, attach))
     }
 
@@ -201,7 +206,12 @@
     }
 
     /// Removes a forwarder whose client has detached the link or has disconnected.
-    pub fn on_client_gone(&mut self, ctx: &mut FrontendContext, servers: &mut Servers, id: ForwarderId) {
+    pub fn on_client_disconnected(
+        &mut self,
+        ctx: &mut FrontendContext,
+        servers: &mut Servers,
+        id: ForwarderId,
+    ) {
         if let Some(request_id) = self.remove(servers, id).and_then(|forwarder| forwarder.request_id) {
             ctx.requests.on_client_disconnected(ctx.now, request_id);
         }
@@ -217,7 +227,7 @@
                 self.aborted += 1;
                 client.conn.abort(link.id);
             }
-            client.conn.detach(link.id, LinkEnd::Closed, error.map(Box::new));
+            client.conn.detach(link.id, DetachMode::Closed, error.map(Box::new));
         }
         peers.clients.mark_dirty(link.token);
     }
--- a/src/frontend/amqp/password_checks.rs
+++ b/src/frontend/amqp/password_checks.rs
@@ -57,7 +57,7 @@
         }
         let keys = users.keys(&user).cloned();
         let derivation = match &keys {
-            Some(keys) => Pbkdf2::new(password, &keys.salt, keys.rounds),
+            Some(keys) => Pbkdf2::new(password, &keys.salt, keys.iterations),
             None => Pbkdf2::new(password, &fake_salt(&user), DEFAULT_ROUNDS),
         };
         self.queue.push_back(PasswordCheck { token, user, keys, derivation });
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -78,7 +78,7 @@
     /// Deliveries in the peer's unsettled map that are remembered.
     pub known: Vec<KnownDelivery>,
     /// Deliveries in the peer's unsettled map, if the link is not remembered. They may have run.
-    pub unknown: HashSet<Tag>,
+    pub unknown_deliveries: HashSet<Tag>,
     /// Running requests whose deliveries are no longer in the peer's unsettled map.
     pub abandoned: Vec<RequestId>,
 }
@@ -108,8 +108,8 @@
             if !timeout.is_zero() {
                 self.remember(limits, key, token, timeout);
             }
-            let unknown = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
-            return ResumedLink { unknown, ..ResumedLink::default() };
+            let unknown_deliveries = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
+            return ResumedLink { unknown_deliveries, ..ResumedLink::default() };
         };
         self.resumed_links += u64::from(!link.is_attached);
         link.token = token;
@@ -121,7 +121,7 @@
         for request_id in &abandoned {
             self.running.remove(request_id);
         }
-        ResumedLink { known, unknown: HashSet::new(), abandoned }
+        ResumedLink { known, unknown_deliveries: HashSet::new(), abandoned }
     }
 
     /// Starts to remember a link. Returns false if the limit on links is reached.
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -43,7 +43,7 @@
     let resumed =
         recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
     assert_eq!(resumed.known, [known(0, Some(State::Accepted)), known(1, None)]);
-    assert_eq!((resumed.unknown.len(), resumed.abandoned), (0, vec![RequestId(2)]));
+    assert_eq!((resumed.unknown_deliveries.len(), resumed.abandoned), (0, vec![RequestId(2)]));
     assert_eq!(
         recovery.status(&link, &tag(9)),
         None,
@@ -54,7 +54,7 @@
     assert_eq!(recovery.expire(at(1200)), [RequestId(1)]);
     assert_eq!((recovery.len(), recovery.running.len()), (0, 0));
     let resumed = recovery.attach(LIMITS, &link, token(3), Duration::from_nanos(500), &[tag(1)]);
-    assert!(resumed.unknown.contains(&tag(1)), "an expired delivery is reported as unknown");
+    assert!(resumed.unknown_deliveries.contains(&tag(1)), "an expired delivery is reported as unknown");
 }
 
 #[test]
--- a/src/frontend/amqp/replies.rs
+++ b/src/frontend/amqp/replies.rs
@@ -9,18 +9,26 @@
 /// The state of a request that was rejected and has not run. The client may retry it after this time.
 pub fn rejected_state(retry_after_ms: u32) -> State {
     let annotations = Value::Map(vec![(Value::symbol("retry-after"), Value::Uint(retry_after_ms))]);
-    State::Modified { failed: false, undeliverable_here: false, annotations: Some(Box::new(annotations)) }
+    State::Modified {
+        delivery_failed: false,
+        undeliverable_here: false,
+        annotations: Some(Box::new(annotations)),
+    }
 }
 
 /// The state of a request that failed and may have run.
 pub fn failed_state() -> State {
-    State::Modified { failed: true, undeliverable_here: false, annotations: None }
+    State::Modified { delivery_failed: true, undeliverable_here: false, annotations: None }
 }
 
 /// The state of a resumed delivery that is no longer remembered. It may have run.
 pub fn unknown_state() -> State {
     let annotations = Value::Map(vec![(Value::symbol("fate"), Value::symbol("unknown"))]);
-    State::Modified { failed: true, undeliverable_here: false, annotations: Some(Box::new(annotations)) }
+    State::Modified {
+        delivery_failed: true,
+        undeliverable_here: false,
+        annotations: Some(Box::new(annotations)),
+    }
 }
 
 /// The state of a message that the node cannot accept: it violates the standard, or it names no class that the client
--- a/src/frontend/amqp/server_events.rs
+++ b/src/frontend/amqp/server_events.rs
@@ -29,7 +29,7 @@
         let token = event.token;
         let fault = self.process_input(token);
         let Some(connection) = self.peers.servers.connection(token) else { return };
-        if let Some(fault) = fault.filter(|_| !connection.conn.peer_has_no_sasl()) {
+        if let Some(fault) = fault.filter(|_| !connection.conn.peer_lacks_sasl()) {
             tracing::warn!(
                 condition = %fault.condition,
                 description = %fault.description,
@@ -193,7 +193,7 @@
                 self.on_connection_lost(token);
                 continue;
             }
-            if connection.conn.pending() > 0 {
+            if connection.conn.pending_output() > 0 {
                 self.peers.servers.mark_connection_dirty(token);
             }
             if self.peers.servers.is_drained(self.ctx, token) {
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -28,7 +28,7 @@
 use link_placement::LinkPlacer;
 use sending::{DeliverySender, MAX_UNWRITTEN_BYTES};
 use server::{ClassQueue, Server, WaitingForwarder};
-use sparbank_amqp::{Attach, LinkEnd};
+use sparbank_amqp::{Attach, DetachMode};
 
 /// What is affected by the loss of a connection.
 #[derive(Default)]
@@ -135,7 +135,7 @@
             let Some(connection) = self.connections.get_mut(*token) else { continue };
             if let Some(link) = connection.link_of_forwarder(forwarder) {
                 connection.remove_link(link);
-                connection.conn.detach(link, LinkEnd::Closed, None);
+                connection.conn.detach(link, DetachMode::Closed, None);
                 is_attached = true;
             }
         }
@@ -149,7 +149,7 @@
     pub fn detach_source(&mut self, link: ConnectionLink) {
         if let Some(connection) = self.connections.get_mut(link.token) {
             connection.remove_link(link.id);
-            connection.conn.detach(link.id, LinkEnd::Closed, None);
+            connection.conn.detach(link.id, DetachMode::Closed, None);
         }
         self.mark_connection_dirty(link.token);
     }
@@ -278,7 +278,7 @@
         let server_id = connection.server();
         let Some(server) = self.by_id.get_mut(&server_id) else { return lost };
         server.remove_connection(token);
-        if connection.conn.peer_has_no_sasl() && server.sasl != SaslSupport::Absent {
+        if connection.conn.peer_lacks_sasl() && server.sasl != SaslSupport::Absent {
             // The queued requests wait for the next connection, which is opened without SASL.
             server.sasl = SaslSupport::Absent;
             self.mark_dirty(server_id);
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -9,7 +9,7 @@
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
 use crate::rules::PeerStatus;
-use sparbank_amqp::{Connection, LinkId, Outgoing, Sent};
+use sparbank_amqp::{Connection, LinkId, OutgoingDelivery, SendResult};
 use sparbank_time::{DurationExt, MonotonicTime};
 
 /// The maximum number of octets that one link sends before the next link is served.
@@ -97,11 +97,11 @@
         conn: &mut Connection,
     ) -> ChunkResult {
         let capacity = self.unwritten_capacity(sending_link.link.token);
-        if conn.pending() >= capacity {
+        if conn.pending_output() >= capacity {
             let has_more = sending_link.sending.is_some() || !waiting.is_empty();
             return if has_more { ChunkResult::ConnectionFull } else { ChunkResult::Idle };
         }
-        let capacity = capacity.min(conn.pending() + CHUNK_BYTES);
+        let capacity = capacity.min(conn.pending_output() + CHUNK_BYTES);
         let Some(request_id) = next_request(waiting, sending_link, conn) else { return ChunkResult::Idle };
         sending_link.sending = None;
         let Some(delivery) = self.deliveries.get(request_id) else { return ChunkResult::Progress };
@@ -148,7 +148,7 @@
         let Some(attempt) = attempt else { return ChunkResult::Progress };
         let delivery_id = progress.delivery_id;
         if progress.sent.complete {
-            let end = self.ctx.net.output_position(sending_link.link.token) + conn.pending() as u64;
+            let end = self.ctx.net.output_position(sending_link.link.token) + conn.pending_output() as u64;
             attempt.stage = AttemptStage::Sent { link: sending_link.link, delivery_id, end };
             return ChunkResult::Progress;
         }
@@ -174,7 +174,7 @@
 
 /// The progress of a delivery after a chunk was sent.
 struct Progress {
-    sent: Sent,
+    sent: SendResult,
     delivery_id: u32,
     /// The number of octets of the client's message that have been sent so far.
     position: usize,
@@ -213,8 +213,9 @@
         Progress { sent, delivery_id, position: position + sent.octets }
     }
 
-    fn send(&self, conn: &mut Connection, delivery: &Delivery, octets: &[u8]) -> Sent {
-        let outgoing = Outgoing { key: self.request_id.0, tag: self.request_id.0.into(), settled: false };
+    fn send(&self, conn: &mut Connection, delivery: &Delivery, octets: &[u8]) -> SendResult {
+        let outgoing =
+            OutgoingDelivery { key: self.request_id.0, tag: self.request_id.0.into(), settled: false };
         conn.send(self.link, outgoing, octets, delivery.is_complete, self.capacity)
     }
 }
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -29,7 +29,8 @@
 #[serde(deny_unknown_fields)]
 struct UserEntry {
     salt: String,
-    rounds: u32,
+    #[serde(rename = "rounds")]
+    iterations: u32,
     stored_key: String,
     server_key: String,
     #[serde(flatten)]
@@ -141,7 +142,7 @@
         let keys = SaltedKeys::from_salted(&salted_password, salt, DEFAULT_ROUNDS);
         Ok(UserEntry {
             salt: STANDARD.encode(&keys.salt),
-            rounds: keys.rounds,
+            iterations: keys.iterations,
             stored_key: STANDARD.encode(keys.stored_key),
             server_key: STANDARD.encode(keys.server_key),
             rights,
@@ -157,13 +158,13 @@
             let bytes = STANDARD.decode(text).ok();
             bytes.and_then(|bytes| bytes.try_into().ok()).ok_or_else(|| invalid_base64(field))
         };
-        if self.rounds == 0 || self.rounds > MAX_ROUNDS {
+        if self.iterations == 0 || self.iterations > MAX_ROUNDS {
             let field = format!("users.{user}.rounds");
             return Err(FileError::field(path, field, format!("1 to {MAX_ROUNDS}")));
         }
         Ok(SaltedKeys {
             salt: STANDARD.decode(&self.salt).map_err(|_| invalid_base64("salt"))?,
-            rounds: self.rounds,
+            iterations: self.iterations,
             stored_key: decode_key(&self.stored_key, "stored_key")?,
             server_key: decode_key(&self.server_key, "server_key")?,
         })
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -16,7 +16,7 @@
 const CLASS: &str = "live-readings";
 
 fn modified(failed: bool) -> State {
-    State::Modified { failed, undeliverable_here: false, annotations: None }
+    State::Modified { delivery_failed: failed, undeliverable_here: false, annotations: None }
 }
 
 fn start_bench(servers: usize) -> Bench {
@@ -39,13 +39,15 @@
 
 /// Whether an answer is a rejection that tells the client when to retry.
 fn is_rejection(state: &State) -> bool {
-    let State::Modified { failed: false, annotations: Some(annotations), .. } = state else { return false };
+    let State::Modified { delivery_failed: false, annotations: Some(annotations), .. } = state else {
+        return false;
+    };
     matches!(annotations.get("retry-after"), Some(Value::Uint(_)))
 }
 
 /// Whether an answer says that the request may have run.
 fn is_delivery_failed(state: &State) -> bool {
-    matches!(state, State::Modified { failed: true, .. })
+    matches!(state, State::Modified { delivery_failed: true, .. })
 }
 
 #[rstest]
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -83,7 +83,7 @@
             other.settle(id, State::Accepted);
             assert_eq!(client.receive_answer(), State::Accepted);
         } else {
-            assert!(matches!(client.receive_answer(), State::Modified { failed: true, .. }));
+            assert!(matches!(client.receive_answer(), State::Modified { delivery_failed: true, .. }));
         }
         let counters = bench.stop();
         assert_eq!(
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -144,7 +144,7 @@
         ..Default::default()
     };
     client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"one"));
-    let (_, State::Modified { failed: true, annotations: Some(annotations), .. }) =
+    let (_, State::Modified { delivery_failed: true, annotations: Some(annotations), .. }) =
         receive_answer(&mut client)
     else {
         panic!("the state is not modified with failed set")
--- a/tests/mixed/servers.rs
+++ b/tests/mixed/servers.rs
@@ -208,7 +208,8 @@
 
     fn on_delivery(&mut self, link: LinkId, id: u32, payload: &[u8]) {
         let head = sparbank_amqp::Head::read(payload).expect("well-formed").expect("complete");
-        let item = head.property(payload, "item").expect("an item").parse().expect("a number");
+        let item =
+            head.application_property_text(payload, "item").expect("an item").parse().expect("a number");
         self.connection.set_delivery_key(link.channel, id, item);
         let attempt = self.server.begin_attempt(item);
         self.unsettled.push(UnsettledDelivery { link, id, attempt });
