--- a/src/frontend/amqp/authentication.rs
+++ b/src/frontend/amqp/authentication.rs
@@ -18,7 +18,7 @@
 /// The delay before a failed login is answered. It limits the rate of password guessing.
 const FAILED_LOGIN_DELAY: Duration = Duration::from_secs(1);
 
-/// Authenticates clients.
+/// Runs the SASL logins of all clients: password checks, SCRAM exchanges and delayed rejections.
 pub struct Authenticator {
     frontend: FrontendId,
     password_checks: PasswordChecks,
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -29,7 +29,7 @@
     pub requests: &'a mut DeliveryRequests,
     /// The forwarders of clients' receiving links.
     pub forwarding: &'a mut Forwarding,
-    /// Authenticates the clients.
+    /// The state of the clients' pending logins.
     pub authenticator: &'a mut Authenticator,
 }
 
@@ -90,10 +90,8 @@
         }
     }
 
-    // ---- Input -------------------------------------------------------------------------------------
-
-    /// Reads again from the clients that were paused because messages used up the memory, once less than three quarters
-    /// of `max_buffered_bytes` are in use.
+    /// Reads again from the clients that were paused because the buffered messages reached `max_buffered_bytes`, once
+    /// less than three quarters of it are in use.
     pub fn resume_paused_reads(&mut self) {
         if self.requests.buffered_bytes() < self.peers.config.max_buffered_bytes / 4 * 3 {
             for token in self.peers.clients.take_paused() {
@@ -102,7 +100,7 @@
         }
     }
 
-    /// Processes a client's input, unless the client does not read its output or the memory for messages is used up.
+    /// Processes a client's input, unless its pending output or the buffered messages have reached their limit.
     fn read(&mut self, token: Token) {
         if self.ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
             return self.ctx.net.update_interest(token);
@@ -241,8 +239,6 @@
         }
     }
 
-    // ---- Output and end ----------------------------------------------------------------------------
-
     /// Writes the pending output of the clients that are marked dirty.
     pub fn flush(&mut self) {
         for token in self.peers.clients.take_dirty() {
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -1,5 +1,5 @@
 //! Attach and detach of clients' links. Each delivery on a sending link is a request. A receiving link whose source is
-//! a class is one request. A receiving link with a dynamic source creates a dynamic node for replies.
+//! a class is one request. A receiving link with a dynamic source creates a reply node.
 
 use super::arrival::{default_time_limit, RequestAttributes};
 use super::class_names::AddressField;
@@ -10,7 +10,7 @@
 use super::info::FrontendInfo;
 use super::nonce::nonce;
 use super::peers::Peers;
-use super::recovery::{KnownDelivery, LinkKey, RecoveryLimits};
+use super::recovery::{LinkKey, RecoveryLimits, RetainedDelivery};
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use crate::frontend::FrontendContext;
 use crate::model::RequestId;
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` tells
-    /// whether the detach closes the link.
+    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` is the
+    /// mode of the detach: closing or suspending.
     pub fn on_detached(&mut self, at: ConnectionLink, end: DetachMode) {
         let client = self.peers.clients.get(at.token);
         let requests = client.map(|client| client.take_detached_requests()).unwrap_or_default();
@@ -51,7 +51,7 @@
                 // A link without a timeout may be resumed until its session ends (AMQP 1.0, section 3.5.6).
                 let client = self.peers.clients.get(at.token);
                 let has_session = client.is_some_and(|client| client.conn.has_begun(at.id.channel));
-                let can_resume = link.is_remembered || has_session;
+                let can_resume = link.is_retained || has_session;
                 let end = if can_resume { end } else { DetachMode::Closed };
                 let detached = DetachedLink { token: at.token, link, end, requests };
                 self.requests.on_link_detached(self.ctx, &mut self.peers, detached);
@@ -85,8 +85,6 @@
         self.peers.clients.mark_dirty(link.token);
     }
 
-    // ---- Sending links -----------------------------------------------------------------------------
-
     /// Handles the attach of a link on which the client sends. The target is a class, or the anonymous terminus, where
     /// the field `to` of each message names the class.
     fn attach_sending_link(&mut self, link: ConnectionLink, attach: &Attach) {
@@ -119,7 +117,7 @@
             snd_settle_mode: attach.snd_settle_mode,
             source: attach.source.clone(),
             target: Some(Terminus::Target(Target { timeout: timeout_seconds, ..target })),
-            unsettled: (!unsettled.is_empty()).then(|| unsettled_map(&resumed.known)),
+            unsettled: (!unsettled.is_empty()).then(|| unsettled_map(&resumed.retained_deliveries)),
             ..Attach::default()
         };
         if let Some(client) = self.peers.clients.get(at.token) {
@@ -127,7 +125,7 @@
         }
         let sending_link = ClientSendingLink {
             class,
-            is_remembered: self.requests.is_remembered(&key),
+            is_retained: self.requests.is_retained(&key),
             key: Rc::new(key),
             unknown_deliveries: resumed.unknown_deliveries,
             incomplete: IncompleteDelivery::None,
@@ -148,9 +146,7 @@
         })
     }
 
-    // ---- Receiving links ---------------------------------------------------------------------------
-
-    /// Handles the attach of a link on which the client receives, from a class or from a dynamic node for replies.
+    /// Handles the attach of a link on which the client receives, from a class or from a reply node.
     fn attach_receiving_link(&mut self, link: ConnectionLink, attach: Box<Attach>) {
         let source = attach.source.clone().unwrap_or_default();
         if source.dynamic == Some(true) {
@@ -190,13 +186,13 @@
         self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival())
     }
 
-    /// Handles the attach of a link with a dynamic source: creates a dynamic node to which servers may send replies
-    /// until the link is detached.
+    /// Handles the attach of a link with a dynamic source: creates a reply node, to which servers may send until the link
+    /// is detached.
     fn attach_reply_link(&mut self, link: ConnectionLink, attach: Box<Attach>, source: Source) {
         let Some(client) = self.peers.clients.get(link.token) else { return };
         let target = attach.target.clone();
         let forwarder = self.forwarding.add_reply_node(link, attach);
-        // The address contains a nonce so that other clients cannot guess it. Servers learn it from requests.
+        // The address contains a nonce so that other clients cannot guess it. Clients pass it to servers in their requests.
         let address = format!("reply/{forwarder}/{}", nonce());
         let source = Source { address: Some(address.clone()), dynamic: Some(true), ..source };
         client.conn.accept_link(link.id, Attach { source: Some(source), target, ..Attach::default() });
@@ -234,8 +230,8 @@
 
 /// The unsettled map of an attach (AMQP 1.0, section 2.7.3): the deliveries' tags with their states, or null for
 /// deliveries that have none yet.
-fn unsettled_map(deliveries: &[KnownDelivery]) -> Value {
-    let entry = |delivery: &KnownDelivery| {
+fn unsettled_map(deliveries: &[RetainedDelivery]) -> Value {
+    let entry = |delivery: &RetainedDelivery| {
         let state = delivery.state.as_ref().map_or(Value::Null, State::to_value);
         (Value::Binary(delivery.tag.as_bytes().to_vec()), state)
     };
--- a/src/frontend/amqp/clients/client.rs
+++ b/src/frontend/amqp/clients/client.rs
@@ -14,9 +14,9 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-/// A client's connection.
+/// A connection of a client, with the state that the frontend holds for it.
 pub struct Client {
-    /// The protocol state.
+    /// The state of the AMQP connection. Its output is passed to the socket by [`Client::write_pending`].
     pub conn: Connection,
     /// Whether the connection is listed among those that may have pending output.
     pub(super) is_dirty: bool,
@@ -41,8 +41,8 @@
 pub enum ClientLink {
     /// The client sends on the link; each delivery is a request.
     Sending(ClientSendingLink),
-    /// The client receives a forwarder's deliveries on the link: those of an established request, or replies to a
-    /// dynamic node.
+    /// The client receives a forwarder's deliveries on the link: those of an established request, or those sent to
+    /// a reply node.
     Receiving(ForwarderId),
 }
 
@@ -52,8 +52,8 @@
     pub class: Option<usize>,
     /// The key that identifies the link across connections.
     pub key: Rc<LinkKey>,
-    /// Whether the states of its deliveries are retained for resumption.
-    pub is_remembered: bool,
+    /// Whether the states of the link's deliveries are retained for resumption.
+    pub is_retained: bool,
     /// Deliveries that the peer's unsettled map contained at the attach and of which the node has no record.
     pub unknown_deliveries: HashSet<Tag>,
     /// The delivery whose last transfer has not been received.
@@ -122,7 +122,7 @@
         self.reject_login_at = Some(at);
     }
 
-    /// Whether the rejection of a failed login is due. If it is, it is cleared, so that it is reported once.
+    /// Whether the rejection of a failed login is due. If so, clears it, so that it is reported once.
     pub fn take_due_login_rejection(&mut self, now: MonotonicTime) -> bool {
         self.reject_login_at.take_if(|at| *at <= now).is_some()
     }
--- a/src/frontend/amqp/clients/mod.rs
+++ b/src/frontend/amqp/clients/mod.rs
@@ -32,7 +32,7 @@
     Closed,
 }
 
-/// All clients' connections.
+/// All clients' connections, with the counts and lists that span several of them.
 #[derive(Default)]
 pub struct Clients {
     by_token: FastHashMap<Token, Box<Client>>,
@@ -40,7 +40,7 @@
     subscriber_links: SubscriberLinks,
     /// The connections that may have pending output, in the order in which they were marked.
     dirty: Vec<Token>,
-    /// The clients that are not read while messages use up the memory.
+    /// The clients whose input is not read while the buffered messages reach the memory limit.
     paused: Vec<Token>,
     /// Whether the node drains; clients are granted no credit then.
     is_draining: bool,
@@ -134,8 +134,6 @@
         Some(link)
     }
 
-    // ---- Output ------------------------------------------------------------------------------------
-
     /// Marks a connection dirty: it may have pending output.
     pub fn mark_dirty(&mut self, token: Token) {
         if let Some(client) = self.by_token.get_mut(&token).filter(|client| !client.is_dirty) {
@@ -183,8 +181,6 @@
         can_resume
     }
 
-    // ---- Input -------------------------------------------------------------------------------------
-
     /// Stops reading from a client until [`Clients::take_paused`].
     pub fn pause(&mut self, token: Token) {
         if !self.paused.contains(&token) {
@@ -197,8 +193,6 @@
         std::mem::take(&mut self.paused)
     }
 
-    // ---- Credit ------------------------------------------------------------------------------------
-
     /// Whether the node drains: new requests are rejected, and clients without open requests are disconnected.
     pub fn is_draining(&self) -> bool {
         self.is_draining
--- a/src/frontend/amqp/config.rs
+++ b/src/frontend/amqp/config.rs
@@ -15,14 +15,14 @@
 
 /// Every peer must accept frames of this size (AMQP 1.0, section 2.4.1).
 const MIN_MAX_FRAME_BYTES: u32 = 512;
-/// The largest permitted `max_frame`: frames are buffered whole.
+/// The largest permitted `max_frame`, in octets: a frame is buffered until all of it has arrived.
 const MAX_MAX_FRAME_BYTES: u32 = 1024 * 1024;
 /// Octets of input that are buffered in addition to one frame.
 const READ_AHEAD_BEYOND_FRAME_BYTES: usize = 1024;
 /// The highest handle on a session with a server.
 const SERVER_HANDLE_MAX: u32 = 1023;
 
-/// The configuration file.
+/// The contents of the configuration file; absent fields have the values of [`AmqpConfig::default`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct AmqpConfig {
@@ -120,7 +120,7 @@
     /// The user to authenticate as.
     #[serde(default)]
     pub user: Option<String>,
-    /// The user's password.
+    /// The password of `user`; unused if there is no user.
     #[serde(default)]
     pub password: String,
     /// The SASL mechanism: `plain` (the default), `scram-sha-256`, or `none` for no SASL layer.
@@ -138,7 +138,7 @@
     /// SCRAM-SHA-256 if a user is configured, otherwise ANONYMOUS.
     #[serde(rename = "scram-sha-256")]
     ScramSha256,
-    /// No SASL layer.
+    /// The connection starts with the AMQP header, without a SASL layer.
     None,
 }
 
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -12,7 +12,7 @@
     pub link: ConnectionLink,
     /// The delivery id on the client's session.
     pub delivery_id: u32,
-    /// The delivery tag.
+    /// The delivery tag that the client assigned; it identifies the delivery when its link is resumed.
     pub tag: Tag,
     /// Whether the client's link is attached, so that the answer can be sent.
     pub is_attached: bool,
@@ -32,7 +32,7 @@
 
 /// An attempt to send a delivery to a server.
 pub struct Attempt {
-    /// The server.
+    /// The server to which the delivery is sent.
     pub server: ServerId,
     /// When the attempt times out.
     pub deadline: MonotonicTime,
--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -1,6 +1,6 @@
 //! Requests that clients send as deliveries, from the first transfer until the delivery is settled.
 //!
-//! [`DeliveryRequests`] owns the deliveries and the state that is remembered for resumable links. `transfers` turns
+//! [`DeliveryRequests`] owns the deliveries and the state that is retained for resumable links. `transfers` turns
 //! received transfers into requests. The methods in this file handle the rest of a request's life: attempts at servers,
 //! the final answer, and the loss of the client or of its link.
 
@@ -38,7 +38,7 @@
     pub peak_buffered_bytes: usize,
     /// Deliveries that were aborted after part of them was sent to a server.
     pub aborted: u64,
-    /// Links that are currently remembered for resumption.
+    /// Links whose state is currently retained for resumption. Printed as `remembered`.
     pub remembered_links: usize,
     /// Number of times that a link was resumed.
     pub resumed_links: u64,
@@ -48,7 +48,7 @@
 
 /// A client's sending link that was detached.
 pub struct DetachedLink {
-    /// The client's connection.
+    /// The socket of the client's connection.
     pub token: Token,
     /// The link as it was before the detach.
     pub link: ClientSendingLink,
@@ -81,8 +81,6 @@
         &mut self.deliveries
     }
 
-    // ---- Attempts ----------------------------------------------------------------------------------
-
     /// Queues an attempt of a request at a server.
     pub fn start_attempt(
         &mut self,
@@ -98,8 +96,8 @@
         servers.enqueue(server, delivery.class, delivery.link.token, request_id);
     }
 
-    /// Cancels the attempt of a request and returns its outcome. The outcome tells whether the server may have run the
-    /// request: it has not if the delivery was not sent completely.
+    /// Cancels the attempt of a request and returns its outcome, which shows whether the server may have run the
+    /// request. The server has not run a request whose delivery was not sent completely.
     pub fn cancel_attempt(
         &mut self,
         ctx: &FrontendContext,
@@ -207,8 +205,6 @@
         }
     }
 
-    // ---- Answers -----------------------------------------------------------------------------------
-
     /// Settles the delivery of a request with its final state.
     pub fn answer(&mut self, peers: &mut Peers<'_>, request_id: RequestId, state: State) {
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
@@ -226,13 +222,11 @@
         peers.clients.replenish_credit(link, peers.config, self.buffered_bytes());
     }
 
-    // ---- Loss of clients and links -----------------------------------------------------------------
-
     /// Drops a request whose client has cancelled it or has disconnected.
     pub fn abandon(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>, request_id: RequestId) {
         self.cancel_attempt(ctx, peers.servers, request_id);
         ctx.requests.on_client_disconnected(ctx.now, request_id);
-        self.recovery.forget_request(request_id);
+        self.recovery.remove_request(request_id);
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
         if let Some(client) = peers.clients.get(delivery.link.token).filter(|_| delivery.is_attached) {
             client.remove_open_request();
@@ -251,7 +245,7 @@
         }
     }
 
-    /// Keeps a request running after the loss of its link, which may be resumed. The answer is remembered for the
+    /// Keeps a request running after the loss of its link, which may be resumed. The answer is retained for the
     /// resumed link.
     fn suspend(&mut self, peers: &mut Peers<'_>, key: &LinkKey, request_id: RequestId) {
         let delivery = self.deliveries.get_mut(request_id).filter(|delivery| delivery.is_attached);
@@ -264,7 +258,7 @@
     }
 
     /// Handles the attach of a client's sending link. `unsettled` holds the tags of the client's unsettled map. If the
-    /// link is lost, it is remembered for `timeout`.
+    /// link is lost, its state is retained for `timeout`.
     pub fn on_link_attached(
         &mut self,
         peers: &Peers<'_>,
@@ -276,9 +270,9 @@
         self.recovery.attach(peers.config.recovery_limits(), key, token, timeout, unsettled)
     }
 
-    /// Whether the deliveries of a link are remembered.
-    pub fn is_remembered(&self, key: &LinkKey) -> bool {
-        self.recovery.is_remembered(key)
+    /// Whether the deliveries of a link are retained.
+    pub fn is_retained(&self, key: &LinkKey) -> bool {
+        self.recovery.is_retained(key)
     }
 
     /// Handles the detach of a client's sending link. Its requests are abandoned, unless the link is suspended.
@@ -300,8 +294,8 @@
             }
         }
         if !is_suspended {
-            let forgotten = self.recovery.forget_link(&link.key);
-            self.abandon_all(ctx, peers, forgotten);
+            let removed = self.recovery.remove_link(&link.key);
+            self.abandon_all(ctx, peers, removed);
         }
         self.drop_incomplete(&link.incomplete);
     }
@@ -319,14 +313,14 @@
                 continue;
             }
             let request_id = RequestId(key);
-            let link = client.sending_link(link).filter(|link| link.is_remembered);
+            let link = client.sending_link(link).filter(|link| link.is_retained);
             match link.filter(|_| self.deliveries.is_complete(request_id)) {
                 Some(link) => self.suspend(peers, &link.key.clone(), request_id),
                 None => self.abandon(ctx, peers, request_id),
             }
         }
-        let forgotten = self.recovery.on_connection_lost(token, ctx.now);
-        self.abandon_all(ctx, peers, forgotten);
+        let removed = self.recovery.on_connection_lost(token, ctx.now);
+        self.abandon_all(ctx, peers, removed);
     }
 
     /// Releases the octets buffered for a delivery that has not become a request and will not be continued.
@@ -334,7 +328,7 @@
         self.deliveries.subtract_buffered(incomplete.buffered_bytes());
     }
 
-    /// Forgets the links that were not resumed before their timeout, and abandons their requests.
+    /// Removes the links that were not resumed before their timeout, and abandons their requests.
     pub fn expire(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>) {
         let expired = self.recovery.expire(ctx.now);
         self.abandon_all(ctx, peers, expired);
--- a/src/frontend/amqp/delivery_requests/transfers.rs
+++ b/src/frontend/amqp/delivery_requests/transfers.rs
@@ -48,7 +48,7 @@
         let class = sending_link.class;
         let incomplete = std::mem::take(&mut sending_link.incomplete);
         let has_earlier_deliveries =
-            transfer.resume || sending_link.is_remembered || !sending_link.unknown_deliveries.is_empty();
+            transfer.resume || sending_link.is_retained || !sending_link.unknown_deliveries.is_empty();
         let may_be_resumed = has_earlier_deliveries && transfer.first && !transfer.aborted;
         let incomplete = if may_be_resumed && self.answer_resumed(link, &transfer) {
             IncompleteDelivery::Ignored
@@ -119,7 +119,7 @@
             }
             None => {
                 let is_unknown = sending_link.unknown_deliveries.remove(&transfer.tag)
-                    || (transfer.resume && !sending_link.is_remembered);
+                    || (transfer.resume && !sending_link.is_retained);
                 if !is_unknown {
                     return false;
                 }
@@ -238,7 +238,7 @@
         class.map_err(invalid_state)
     }
 
-    /// Registers a new request with its client's connection and, if the link is remembered, for link recovery.
+    /// Registers a new request with its client's connection and, if the link is retained, for link recovery.
     fn record_request(&mut self, received: ReceivedTransfer<'_, '_>, request_id: RequestId) {
         let ReceivedTransfer { link, transfer, .. } = received;
         let Some(client) = self.peers.clients.get(link.token) else { return };
@@ -247,14 +247,14 @@
         if transfer.settled {
             return;
         }
-        if let Some(link) = client.sending_link(link.id).filter(|link| link.is_remembered) {
+        if let Some(link) = client.sending_link(link.id).filter(|link| link.is_retained) {
             self.requests.recovery.record_running(&link.key, transfer.tag, request_id);
         }
     }
 }
 
-/// Decodes the sections before the body. Returns `None` if more octets are needed. A complete message is validated as a
-/// whole.
+/// Decodes the sections before the body. Returns `None` if more octets are needed. A complete message is
+/// validated including its body.
 fn read_head(bytes: &[u8], is_complete: bool) -> Result<Option<Head>, DecodeError> {
     if is_complete {
         return Message::decode(bytes).map(|message| Some(message.head));
--- a/src/frontend/amqp/recovery.rs
+++ b/src/frontend/amqp/recovery.rs
@@ -1,10 +1,10 @@
-//! Link recovery (AMQP 1.0, sections 2.6.5 and 2.6.13): remembers the deliveries of links that may be resumed, so that
-//! no delivery is run twice. It records which deliveries are still running and the final states of the others. This
-//! module performs no I/O.
+//! Link recovery (AMQP 1.0, sections 2.6.5 and 2.6.13): retains the state of the deliveries of links that may be
+//! resumed, so that no delivery is run twice: which deliveries are still running, and the final states of the others.
+//! This module performs no I/O.
 //!
 //! A link is identified by the container id of its peer, the authenticated user and the link name. A link whose target
-//! requests a timeout is remembered from its attach on. Any other link is remembered only after a detach that does not
-//! close it, and only as long as its connection lasts.
+//! requests a timeout is retained from its attach on. Any other link is retained only after a detach that does not
+//! close it, and only as long as its connection is open.
 
 use super::fast_map::FastHashMap;
 use crate::model::RequestId;
@@ -21,47 +21,48 @@
     pub container: String,
     /// The authenticated user; `None` for an anonymous peer.
     pub user: Option<String>,
-    /// The link's name.
+    /// The link name from the attach, unique per container and direction.
     pub name: String,
 }
 
-/// The status of a delivery on a remembered link.
+/// The status of a delivery on a retained link.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DeliveryStatus {
-    /// Its request has no final answer yet.
+    /// The delivery's request has no final answer yet.
     Running(RequestId),
-    /// It was settled with this state.
+    /// The delivery was settled with this state.
     Settled(State),
 }
 
-/// A link that may be resumed.
-struct RememberedLink {
+/// A link that may be resumed, and the status of its deliveries.
+struct RetainedLink {
     /// The connection of the link, or its last connection if it is not attached.
     token: Token,
     is_attached: bool,
     deliveries: FastHashMap<Tag, DeliveryStatus>,
     /// The tags of settled deliveries, oldest first.
     settled: VecDeque<Tag>,
-    /// How long it is remembered after it is lost. Zero means as long as its connection lasts.
+    /// How long the link is retained after it is lost. Zero means until its connection ends.
     timeout: Duration,
+    /// When the link is removed unless it is resumed before; `None` while it is attached, or if its timeout is zero.
     expires_at: Option<MonotonicTime>,
 }
 
 /// Limits on the memory used for link recovery.
 #[derive(Clone, Copy, Debug)]
 pub struct RecoveryLimits {
-    /// The maximum number of remembered links.
+    /// The maximum number of retained links.
     pub max_links: usize,
-    /// The maximum number of settled deliveries that are remembered for each link.
+    /// The maximum number of settled deliveries that are retained for each link.
     pub max_settled_per_link: usize,
     /// Upper bound on the timeout of a link.
     pub max_timeout: Duration,
 }
 
-/// All remembered links and their deliveries.
+/// All retained links and their deliveries.
 #[derive(Default)]
 pub struct Recovery {
-    links: FastHashMap<LinkKey, RememberedLink>,
+    links: FastHashMap<LinkKey, RetainedLink>,
     running: FastHashMap<RequestId, RunningDelivery>,
     resumed_links: u64,
 }
@@ -72,29 +73,29 @@
     tag: Tag,
 }
 
-/// What is known about the deliveries of a link at the time of its attach.
+/// The retained state of a link's deliveries at the time of its attach.
 #[derive(Debug, Default, PartialEq)]
 pub struct ResumedLink {
-    /// Deliveries in the peer's unsettled map that are remembered.
-    pub known: Vec<KnownDelivery>,
-    /// Deliveries in the peer's unsettled map, if the link is not remembered. They may have run.
+    /// Deliveries in the peer's unsettled map whose status is retained.
+    pub retained_deliveries: Vec<RetainedDelivery>,
+    /// Deliveries in the peer's unsettled map, if the link was not retained before its attach. They may have run.
     pub unknown_deliveries: HashSet<Tag>,
     /// Running requests whose deliveries are no longer in the peer's unsettled map.
     pub abandoned: Vec<RequestId>,
 }
 
-/// A remembered delivery of a link that is being resumed.
+/// A retained delivery of a link that is being resumed.
 #[derive(Debug, PartialEq)]
-pub struct KnownDelivery {
-    /// Its delivery tag.
+pub struct RetainedDelivery {
+    /// The delivery tag, which identifies the delivery across resumptions of the link.
     pub tag: Tag,
-    /// Its final state; `None` if it is not settled.
+    /// The delivery's final state; `None` while its request is running.
     pub state: Option<State>,
 }
 
 impl Recovery {
     /// Handles the attach of a link. `unsettled` holds the tags of the peer's unsettled map. If the timeout is above
-    /// zero, the link is remembered from now on, provided that the limit on links allows it.
+    /// zero, the link is retained from now on, provided that the limit on links allows it.
     pub fn attach(
         &mut self,
         limits: RecoveryLimits,
@@ -106,7 +107,7 @@
         let timeout = timeout.min(limits.max_timeout);
         let Some(link) = self.links.get_mut(key) else {
             if !timeout.is_zero() {
-                self.remember(limits, key, token, timeout);
+                self.retain_link(limits, key, token, timeout);
             }
             let unknown_deliveries = unsettled.iter().take(limits.max_settled_per_link).copied().collect();
             return ResumedLink { unknown_deliveries, ..ResumedLink::default() };
@@ -116,20 +117,26 @@
         link.is_attached = true;
         link.expires_at = None;
         link.timeout = timeout;
-        let known = link.known_among(unsettled);
+        let retained_deliveries = link.retained_among(unsettled);
         let abandoned = link.retain_unsettled(unsettled);
         for request_id in &abandoned {
             self.running.remove(request_id);
         }
-        ResumedLink { known, unknown_deliveries: HashSet::new(), abandoned }
+        ResumedLink { retained_deliveries, unknown_deliveries: HashSet::new(), abandoned }
     }
 
-    /// Starts to remember a link. Returns false if the limit on links is reached.
-    fn remember(&mut self, limits: RecoveryLimits, key: &LinkKey, token: Token, timeout: Duration) -> bool {
+    /// Starts to retain the state of a link. Returns false if the limit on links is reached.
+    fn retain_link(
+        &mut self,
+        limits: RecoveryLimits,
+        key: &LinkKey,
+        token: Token,
+        timeout: Duration,
+    ) -> bool {
         if self.links.len() >= limits.max_links {
             return false;
         }
-        let link = RememberedLink {
+        let link = RetainedLink {
             token,
             is_attached: true,
             deliveries: FastHashMap::default(),
@@ -141,17 +148,17 @@
         true
     }
 
-    /// Whether a link is remembered.
-    pub fn is_remembered(&self, key: &LinkKey) -> bool {
+    /// Whether the state of a link is retained.
+    pub fn is_retained(&self, key: &LinkKey) -> bool {
         self.links.contains_key(key)
     }
 
-    /// Returns the status of a delivery, if it is remembered.
+    /// Returns the status of a delivery, if it is retained.
     pub fn status(&self, key: &LinkKey, tag: &Tag) -> Option<&DeliveryStatus> {
         self.links.get(key)?.deliveries.get(tag)
     }
 
-    /// Records the request of a delivery on a remembered link.
+    /// Records the request of a delivery, if its link is retained.
     pub fn record_running(&mut self, key: &LinkKey, tag: Tag, request_id: RequestId) {
         if let Some(link) = self.links.get_mut(key) {
             link.deliveries.insert(tag, DeliveryStatus::Running(request_id));
@@ -160,7 +167,7 @@
     }
 
     /// Records the final state of a request's delivery. Beyond the limit on settled deliveries, the oldest is
-    /// forgotten.
+    /// evicted.
     pub fn record_settled(&mut self, limits: RecoveryLimits, request_id: RequestId, state: &State) {
         let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
         let Some(link) = self.links.get_mut(&link) else { return };
@@ -173,8 +180,8 @@
         }
     }
 
-    /// Forgets the delivery of an abandoned request.
-    pub fn forget_request(&mut self, request_id: RequestId) {
+    /// Removes the delivery of an abandoned request.
+    pub fn remove_request(&mut self, request_id: RequestId) {
         let Some(RunningDelivery { link, tag }) = self.running.remove(&request_id) else { return };
         if let Some(link) = self.links.get_mut(&link) {
             link.deliveries.remove(&tag);
@@ -182,7 +189,7 @@
     }
 
     /// Handles a detach that does not close the link, so that it may be resumed. Returns false if the link cannot be
-    /// remembered because the limit on links is reached.
+    /// retained because the limit on links is reached.
     pub fn suspend(
         &mut self,
         limits: RecoveryLimits,
@@ -190,7 +197,7 @@
         token: Token,
         now: MonotonicTime,
     ) -> bool {
-        if !self.is_remembered(key) && !self.remember(limits, key, token, Duration::ZERO) {
+        if !self.is_retained(key) && !self.retain_link(limits, key, token, Duration::ZERO) {
             return false;
         }
         if let Some(link) = self.links.get_mut(key) {
@@ -200,36 +207,36 @@
         true
     }
 
-    /// Handles the loss of a connection. Returns the running requests of the links that are forgotten with it: no
+    /// Handles the loss of a connection. Returns the running requests of the links that are removed with it: no
     /// client can obtain their outcome.
     pub fn on_connection_lost(&mut self, token: Token, now: MonotonicTime) -> Vec<RequestId> {
-        let mut forgotten = Vec::new();
+        let mut removed = Vec::new();
         for (key, link) in &mut self.links {
             if link.token == token {
                 link.is_attached = false;
                 link.expires_at.get_or_insert(now + link.timeout);
                 if link.timeout.is_zero() {
-                    forgotten.push(key.clone());
+                    removed.push(key.clone());
                 }
             }
         }
-        self.forget_links(forgotten)
+        self.remove_links(removed)
     }
 
-    /// Forgets a link that was closed. Returns its running requests: no client can obtain their outcome.
-    pub fn forget_link(&mut self, key: &LinkKey) -> Vec<RequestId> {
-        self.forget_links(vec![key.clone()])
+    /// Removes a link that was closed. Returns its running requests: no client can obtain their outcome.
+    pub fn remove_link(&mut self, key: &LinkKey) -> Vec<RequestId> {
+        self.remove_links(vec![key.clone()])
     }
 
-    /// Forgets the links whose timeout has passed. Returns their running requests: no client can obtain their outcome.
+    /// Removes the links whose timeout has passed. Returns their running requests: no client can obtain their outcome.
     pub fn expire(&mut self, now: MonotonicTime) -> Vec<RequestId> {
         let expired = self.links.iter().filter(|(_, link)| link.is_expired(now));
         let expired = expired.map(|(key, _)| key.clone()).collect();
-        self.forget_links(expired)
+        self.remove_links(expired)
     }
 
-    /// Forgets several links. Returns their running requests, in order.
-    fn forget_links(&mut self, mut keys: Vec<LinkKey>) -> Vec<RequestId> {
+    /// Removes several links. Returns their running requests, in order.
+    fn remove_links(&mut self, mut keys: Vec<LinkKey>) -> Vec<RequestId> {
         keys.sort_unstable();
         let mut abandoned = Vec::new();
         for key in keys {
@@ -250,36 +257,36 @@
         self.resumed_links
     }
 
-    /// The current number of remembered links.
+    /// The current number of retained links.
     pub fn len(&self) -> usize {
         self.links.len()
     }
 }
 
-impl RememberedLink {
-    /// Returns the remembered deliveries among these tags, in the order of the tags.
-    fn known_among(&self, unsettled: &[Tag]) -> Vec<KnownDelivery> {
-        let known = |tag: &Tag| {
+impl RetainedLink {
+    /// Returns the retained deliveries among these tags, in the order of the tags.
+    fn retained_among(&self, unsettled: &[Tag]) -> Vec<RetainedDelivery> {
+        let retained = |tag: &Tag| {
             let state = match self.deliveries.get(tag)? {
                 DeliveryStatus::Settled(state) => Some(state.clone()),
                 DeliveryStatus::Running(_) => None,
             };
-            Some(KnownDelivery { tag: *tag, state })
+            Some(RetainedDelivery { tag: *tag, state })
         };
-        unsettled.iter().filter_map(known).collect()
+        unsettled.iter().filter_map(retained).collect()
     }
 
-    /// Forgets all deliveries except those with these tags. Returns the running requests among the forgotten
-    /// deliveries, in order.
+    /// Removes all deliveries except those with these tags. Returns the running requests of the removed deliveries, in
+    /// order.
     fn retain_unsettled(&mut self, unsettled: &[Tag]) -> Vec<RequestId> {
         let unsettled: HashSet<Tag> = unsettled.iter().copied().collect();
         let mut abandoned = Vec::new();
         self.deliveries.retain(|tag, status| {
-            let retained = unsettled.contains(tag);
-            if let (DeliveryStatus::Running(request_id), false) = (&status, retained) {
+            let is_retained = unsettled.contains(tag);
+            if let (DeliveryStatus::Running(request_id), false) = (&status, is_retained) {
                 abandoned.push(*request_id);
             }
-            retained
+            is_retained
         });
         self.settled.retain(|tag| unsettled.contains(tag));
         abandoned.sort_unstable();
--- a/src/frontend/amqp/recovery/tests.rs
+++ b/src/frontend/amqp/recovery/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of link recovery: limits, expiry and the states of remembered deliveries.
+//! Tests of link recovery: limits, expiry and the states of retained deliveries.
 
-use super::{KnownDelivery, LinkKey, Recovery, RecoveryLimits, ResumedLink};
+use super::{LinkKey, Recovery, RecoveryLimits, ResumedLink, RetainedDelivery};
 use crate::model::RequestId;
 use crate::net::token_for_tests as token;
 use sparbank_amqp::{State, Tag};
@@ -22,8 +22,8 @@
     Tag::new(&[n]).expect("a one-octet tag is valid")
 }
 
-fn known(n: u8, state: Option<State>) -> KnownDelivery {
-    KnownDelivery { tag: tag(n), state }
+fn retained(n: u8, state: Option<State>) -> RetainedDelivery {
+    RetainedDelivery { tag: tag(n), state }
 }
 
 #[test]
@@ -42,7 +42,7 @@
     assert!(recovery.expire(at(599)).is_empty());
     let resumed =
         recovery.attach(LIMITS, &link, token(2), Duration::from_nanos(500), &[tag(0), tag(1), tag(9)]);
-    assert_eq!(resumed.known, [known(0, Some(State::Accepted)), known(1, None)]);
+    assert_eq!(resumed.retained_deliveries, [retained(0, Some(State::Accepted)), retained(1, None)]);
     assert_eq!((resumed.unknown_deliveries.len(), resumed.abandoned), (0, vec![RequestId(2)]));
     assert_eq!(
         recovery.status(&link, &tag(9)),
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn remembered_links_and_deliveries_are_bounded() {
+fn retained_links_and_deliveries_are_bounded() {
     let mut recovery = Recovery::default();
     let link = key("a");
     recovery.attach(LIMITS, &link, token(1), Duration::from_nanos(9_999), &[]);
@@ -75,22 +75,22 @@
     recovery.attach(LIMITS, &key("b"), token(1), Duration::from_nanos(1), &[]);
     recovery.attach(LIMITS, &key("c"), token(1), Duration::from_nanos(1), &[]);
     assert!(
-        !recovery.is_remembered(&key("c"))
+        !recovery.is_retained(&key("c"))
             && !recovery.suspend(LIMITS, &key("c"), token(1), MonotonicTime::ZERO)
     );
 }
 
 #[test]
-fn a_link_without_a_timeout_is_remembered_as_long_as_its_connection() {
+fn a_link_without_a_timeout_is_retained_as_long_as_its_connection() {
     let mut recovery = Recovery::default();
     let link = key("a");
     recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[]);
-    assert!(!recovery.is_remembered(&link));
+    assert!(!recovery.is_retained(&link));
     assert!(recovery.suspend(LIMITS, &link, token(1), at(5)));
     recovery.record_running(&link, tag(1), RequestId(7));
     assert!(recovery.expire(MonotonicTime::MAX).is_empty());
     let resumed = recovery.attach(LIMITS, &link, token(1), Duration::ZERO, &[tag(1)]);
-    assert_eq!(resumed.known, [known(1, None)]);
+    assert_eq!(resumed.retained_deliveries, [retained(1, None)]);
     assert_eq!(recovery.on_connection_lost(token(1), at(9)), [RequestId(7)]);
-    assert!(!recovery.is_remembered(&link));
+    assert!(!recovery.is_retained(&link));
 }
--- a/src/frontend/amqp/replies.rs
+++ b/src/frontend/amqp/replies.rs
@@ -21,7 +21,7 @@
     State::Modified { delivery_failed: true, undeliverable_here: false, annotations: None }
 }
 
-/// The state of a resumed delivery that is no longer remembered. It may have run.
+/// The state of a resumed delivery whose status is not retained. Its request may have run.
 pub fn unknown_state() -> State {
     let annotations = Value::Map(vec![(Value::symbol("fate"), Value::symbol("unknown"))]);
     State::Modified {
@@ -37,7 +37,7 @@
     State::Rejected(Some(Box::new(error)))
 }
 
-/// An error that tells the client when to retry.
+/// An error whose `retry-after` information holds the time, in milliseconds, after which the client may retry.
 pub fn retry_error(condition: &str, description: &str, retry_after_ms: u32) -> Error {
     let info = Value::Map(vec![(Value::symbol("retry-after"), Value::Uint(retry_after_ms))]);
     Error { info: Some(info), ..Error::new(condition, description) }
