--- a/crates/amqp/benches/codec.rs
+++ b/crates/amqp/benches/codec.rs
@@ -13,11 +13,11 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-/// Measured rounds for each operation.
+/// The number of measured rounds for each operation.
 const ROUNDS: usize = 21;
-/// Operations per round.
+/// The number of operations in a round, over which their time is averaged.
 const ITEMS: usize = 20_000;
-/// Octets that precede a frame's body.
+/// The number of octets that precede a frame's body.
 const FRAME_HEADER_BYTES: usize = 8;
 const MAX_FRAME_SIZE: u32 = 4096;
 
--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -12,9 +12,9 @@
 
 /// A cursor that decodes values from a byte slice.
 pub struct Reader<'a> {
-    /// The unread octets.
+    /// The octets that are not decoded yet. The caller may advance it past octets that it decodes itself.
     pub remaining: &'a [u8],
-    /// How many more values may be decoded.
+    /// The number of values that may still be decoded. Nested values count, too.
     value_budget: usize,
 }
 
@@ -24,7 +24,7 @@
         Reader { remaining: bytes, value_budget: bytes.len() + MAX_ZERO_WIDTH_VALUES }
     }
 
-    /// Reads `count` octets.
+    /// Reads `count` octets as they are. They are borrowed from the input.
     #[inline]
     pub fn octets(&mut self, count: usize) -> Result<&'a [u8]> {
         let (head, tail) = self.remaining.split_at_checked(count).ok_or(DecodeError::Truncated)?;
@@ -32,7 +32,7 @@
         Ok(head)
     }
 
-    /// Reads one octet.
+    /// Reads one octet, for example a format code.
     #[inline]
     pub fn byte(&mut self) -> Result<u8> {
         let (first, rest) = self.remaining.split_first().ok_or(DecodeError::Truncated)?;
@@ -275,7 +275,7 @@
     let mut pairs: Vec<(Value, Value)> = Vec::new();
     for _ in 0..count / 2 {
         let pair = (body.value_at(depth)?, body.value_at(depth)?);
-        // The cost is quadratic in the number of pairs: beyond the limit, whoever uses the map has to check its keys.
+        // The cost is quadratic in the number of pairs: beyond the limit, the user of the map has to check its keys.
         if pairs.len() < MAX_CHECKED_KEYS && pairs.iter().any(|(key, _)| *key == pair.0) {
             return Err(DecodeError::InvalidMap);
         }
--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -14,7 +14,7 @@
     /// # Errors
     /// A field cannot be decoded, or a mandatory one is missing.
     fn read_fields(fields: &mut FieldReader<'_>) -> Result<Self>;
-    /// Encodes the fields.
+    /// Encodes the fields in the order of the standard, with [`FieldWriter::put`] for each.
     fn write_fields(&self, out: &mut FieldWriter<'_>);
 }
 
@@ -26,7 +26,7 @@
 }
 
 impl FieldReader<'_> {
-    /// Decodes the next field. Returns none if it is null or omitted. `name` is for error messages.
+    /// Decodes the next field. Returns `None` if it is null or omitted. `name` is for error messages.
     #[inline(always)]
     pub fn next<T: Field>(&mut self, name: &'static str) -> Result<Option<T>> {
         if self.remaining == 0 {
@@ -59,7 +59,7 @@
 }
 
 impl FieldWriter<'_> {
-    /// Appends a field: null if it is none.
+    /// Appends a field; `None` is encoded as null.
     pub fn put<T: Field>(&mut self, field: &Option<T>) {
         self.count += 1;
         match field {
--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -24,9 +24,10 @@
 pub(super) struct OutgoingDisposition {
     /// The local role on the link.
     pub role: Role,
-    /// The delivery id.
     pub id: u32,
+    /// Whether the local side has settled the delivery.
     pub settled: bool,
+    /// The outcome; `None` if the delivery is settled without one.
     pub state: Option<State>,
 }
 
--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -22,9 +22,9 @@
 pub struct OutgoingDelivery {
     /// The application's key for the delivery, which events about it carry.
     pub key: u64,
-    /// The delivery tag.
+    /// The delivery tag. It has to be unique among the unsettled deliveries of the link.
     pub tag: Tag,
-    /// Whether it is sent settled, so that no outcome is expected.
+    /// Whether the delivery is sent settled, so that no outcome is expected.
     pub settled: bool,
 }
 
@@ -58,13 +58,13 @@
 /// A received transfer, which contains all or part of a delivery.
 #[derive(Clone, Debug, PartialEq)]
 pub struct IncomingTransfer<'a> {
-    /// The delivery id.
+    /// The delivery id, which the sender chose. It identifies the delivery on the session until it is settled.
     pub id: u32,
-    /// The delivery tag.
+    /// The delivery tag, which the sender chose. It identifies the delivery when a link is resumed.
     pub tag: Tag,
-    /// Whether it is the first transfer of its delivery.
+    /// Whether this is the first transfer of its delivery.
     pub first: bool,
-    /// Whether it is the last transfer of its delivery.
+    /// Whether this is the last transfer of its delivery.
     pub last: bool,
     /// Whether the sender aborted the delivery. The payload received so far has to be discarded.
     pub aborted: bool,
@@ -72,14 +72,14 @@
     pub settled: bool,
     /// Whether the transfer resumes a delivery from an earlier attachment of the link.
     pub resume: bool,
-    /// The part of the message that this transfer contains.
+    /// The part of the message that this transfer contains; empty if the delivery is aborted.
     pub payload: &'a [u8],
 }
 
 /// An unsettled delivery of a connection whose transport was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AbandonedDelivery {
-    /// The link.
+    /// The link on which the delivery was sent or received.
     pub link: LinkId,
     /// The local role on the link.
     pub role: Role,
@@ -111,23 +111,24 @@
     /// [`Connection::accept_link`](super::Connection::accept_link) or
     /// [`Connection::refuse_link`](super::Connection::refuse_link).
     AttachRequested {
-        /// The link.
+        /// The id of the link, assigned by this end.
         link: LinkId,
         /// The local role on the link.
         role: Role,
-        /// The peer's attach.
+        /// The attach that requests the link. All fields that the standard requires are present.
         attach: Box<Attach>,
     },
     /// The peer has answered a local attach.
     Attached {
-        /// The link.
+        /// The link that [`Connection::attach`](super::Connection::attach) returned.
         link: LinkId,
-        /// The peer's attach.
+        /// The attach that answers the local one. If the peer's own terminus (source or target) is absent, the peer
+        /// refuses the link and detaches it next (2.6.3).
         attach: Box<Attach>,
     },
     /// A flow for a link was received: the credit may have changed, or the receiver may have requested a drain.
     Credit {
-        /// The link.
+        /// The link to whose handle the flow applies.
         link: LinkId,
     },
     /// A flow for a session was received: the peer's incoming window may have changed.
@@ -137,45 +138,46 @@
     },
     /// A transfer was received.
     Transfer {
-        /// The link.
+        /// The receiving link.
         link: LinkId,
-        /// The transfer.
+        /// The delivery's identity and payload, with the flags of the transfer.
         transfer: IncomingTransfer<'a>,
     },
     /// The receiver has reported the outcome of a sent delivery, or has settled it without one.
     Settled {
-        /// The link.
+        /// The sending link.
         link: LinkId,
-        /// The delivery id.
+        /// The delivery id that this end assigned.
         id: u32,
         /// The application's key for the delivery.
         key: u64,
-        /// The outcome.
+        /// The outcome; `None` if the receiver settled the delivery without one.
         state: Option<State>,
     },
-    /// The sender has settled a received delivery before an outcome was sent. It no longer expects one.
+    /// The sender has settled a received delivery before an outcome was sent. The sender no longer expects one.
     SettledBySender {
-        /// The link.
+        /// The receiving link.
         link: LinkId,
         /// The application's key for the delivery.
         key: u64,
     },
     /// The link of an unsettled delivery was detached, so its outcome remains unknown.
     DeliveryLost {
-        /// The link.
+        /// The link, which is being detached or is already removed.
         link: LinkId,
         /// The local role on the link.
         role: Role,
         /// The application's key for the delivery.
         key: u64,
     },
-    /// A link was detached.
+    /// A link was detached: by the peer, with its session, because the peer attached it again, or because of an invalid
+    /// transfer.
     Detached {
-        /// The link.
+        /// The link, which is no longer attached. Its id may be assigned to another link.
         link: LinkId,
         /// Whether the link was closed or may be resumed.
-        end: DetachMode,
-        /// The error that the peer gave as the reason.
+        mode: DetachMode,
+        /// The error of the peer's detach, or of the end of the session; `None` if there was none.
         error: Option<Box<Error>>,
     },
     /// The peer has closed the connection.
@@ -192,10 +194,10 @@
     pub container: String,
     /// The host name that the peer requested.
     pub hostname: Option<String>,
-    /// The connection properties.
+    /// The `properties` map of the open, which is not interpreted; `None` if the peer sent none.
     pub properties: Option<Value>,
-    /// The extension capabilities that the peer supports.
+    /// The extension capabilities that the peer supports: a symbol or an array of symbols.
     pub offered_capabilities: Option<Value>,
-    /// The extension capabilities that the peer wants to use.
+    /// The extension capabilities that the peer may use if the local end supports them: a symbol or an array of symbols.
     pub desired_capabilities: Option<Value>,
 }
--- a/crates/amqp/src/connection/handshake.rs
+++ b/crates/amqp/src/connection/handshake.rs
@@ -77,7 +77,7 @@
     }
 
     /// Answers [`SaslRequest::ScramKeys`](crate::SaslRequest::ScramKeys) with the keys of the user and a server
-    /// nonce. For an unknown user `keys` is None, and `fake_salt` is sent in place of the stored salt.
+    /// nonce. For an unknown user `keys` is `None`, and `fake_salt` is sent in place of the stored salt.
     pub fn provide_scram_keys(&mut self, keys: Option<SaltedKeys>, fake_salt: &[u8], nonce: &str) {
         if let Auth::Server(Some(server)) = &mut self.auth {
             if let Some(body) = server.provide_keys(keys, fake_salt, nonce) {
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -10,7 +10,7 @@
 enum Violation {
     /// Ends the connection or the session.
     Fatal(Fault),
-    /// Closes the link.
+    /// Closes the link with this error; the session and the connection continue.
     Link(Error),
 }
 
@@ -38,7 +38,7 @@
                 self.detach(link_id, DetachMode::Closed, Some(Box::new(error)));
                 self.events.push_back(Event::Detached {
                     link: link_id,
-                    end: DetachMode::Closed,
+                    mode: DetachMode::Closed,
                     error: None,
                 });
                 Ok(None)
@@ -90,7 +90,7 @@
             self.track_unsettled(link_id, Direction::Incoming, id, 0);
         }
         if aborted || (last && settled) {
-            // The sender expects no outcome for it.
+            // The sender expects no outcome for the delivery.
             self.remove_unsettled(link_id.channel, Direction::Incoming, id);
         }
         let resume = transfer.resume == Some(true);
--- a/crates/amqp/src/connection/input.rs
+++ b/crates/amqp/src/connection/input.rs
@@ -8,7 +8,7 @@
 use sparbank_time::MonotonicTime;
 
 impl Connection {
-    /// Processes received octets up to the next event and advances `input` past them. Returns None if more input is
+    /// Processes received octets up to the next event and advances `input` past them. Returns `None` if more input is
     /// needed: the caller keeps the rest of `input`, appends the octets that follow and calls this again.
     ///
     /// # Errors
@@ -137,7 +137,7 @@
     }
 }
 
-/// Reads the next frame, which must have the given type. Returns None if it is incomplete.
+/// Reads the next frame, which must have the given type. Returns `None` if it is incomplete.
 fn next_frame<'a>(input: &mut &'a [u8], max_size: u32, frame_type: u8) -> Result<Option<Frame<'a>>, Fault> {
     let frame = read_frame(input, max_size)?;
     if frame.as_ref().is_some_and(|frame| frame.frame_type != frame_type) {
--- a/crates/amqp/src/connection/links.rs
+++ b/crates/amqp/src/connection/links.rs
@@ -17,7 +17,7 @@
 
 impl Connection {
     /// Requests a link. `attach` contains the fields that the application chooses (source, target, settle modes,
-    /// unsettled); the connection sets the others. [`Event::Attached`] reports the peer's answer. Returns None if a
+    /// unsettled); the connection sets the others. [`Event::Attached`] reports the peer's answer. Returns `None` if a
     /// limit of either side allows no further link.
     pub fn attach(&mut self, channel: u16, name: &str, role: Role, mut attach: Attach) -> Option<LinkId> {
         if self.sessions.link_count() >= self.settings.max_links {
@@ -68,7 +68,11 @@
             // The new attachment replaces the existing one (2.6.1).
             let error = Error::new(condition::STOLEN, "the link was attached again");
             self.detach(link_id, DetachMode::Suspended, Some(Box::new(error)));
-            self.events.push_back(Event::Detached { link: link_id, end: DetachMode::Suspended, error: None });
+            self.events.push_back(Event::Detached {
+                link: link_id,
+                mode: DetachMode::Suspended,
+                error: None,
+            });
         }
         self.add_requested_link(channel, remote);
         Ok(None)
@@ -139,7 +143,7 @@
     }
 
     /// Detaches a link. [`Event::DeliveryLost`] reports each of its unsettled deliveries.
-    pub fn detach(&mut self, link_id: LinkId, end: DetachMode, error: Option<Box<Error>>) {
+    pub fn detach(&mut self, link_id: LinkId, mode: DetachMode, error: Option<Box<Error>>) {
         let link = self.link_mut(link_id).filter(|link| link.phase != LinkPhase::DetachSent);
         let Some(link) = link else { return };
         let role = link.role;
@@ -149,7 +153,7 @@
             self.events.extend(keys.map(|key| Event::DeliveryLost { link: link_id, role, key }));
         }
         let handle = Some(link_id.handle);
-        self.send_performative(link_id.channel, Detach { handle, closed: end.to_field(), error });
+        self.send_performative(link_id.channel, Detach { handle, closed: mode.to_field(), error });
     }
 
     /// Handles the peer's detach.
@@ -158,15 +162,15 @@
             detach.handle.ok_or_else(|| fault(condition::INVALID_FIELD, "detach without a handle"))?;
         let link_id = self.link_by_remote_handle(channel, handle)?;
         let is_detach_sent = self.link(link_id).is_some_and(|link| link.phase == LinkPhase::DetachSent);
-        let end = DetachMode::from_field(detach.closed);
+        let mode = DetachMode::from_field(detach.closed);
         if !is_detach_sent {
             let handle = Some(link_id.handle);
-            let answer = Detach { handle, closed: end.to_field(), error: None };
+            let answer = Detach { handle, closed: mode.to_field(), error: None };
             self.send_performative(channel, answer);
         }
         self.remove_link(link_id);
         if !is_detach_sent {
-            self.events.push_back(Event::Detached { link: link_id, end, error: detach.error });
+            self.events.push_back(Event::Detached { link: link_id, mode, error: detach.error });
         }
         Ok(())
     }
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,4 +1,4 @@
-//! A connection (standard, section 2.4) with its sessions and links. It serves both the client and the server end.
+//! A connection (standard, section 2.4) with its sessions and links. The same code serves the client and the server end.
 //!
 //! [`Connection`] is the protocol state machine. The application passes received octets to [`Connection::next_event`],
 //! handles the events, and writes the octets that [`Connection::take_output`] returns. The methods are split by part of
@@ -42,7 +42,7 @@
 enum Stage {
     /// Waiting for the peer's first protocol header.
     AwaitingHeader,
-    /// Exchanging SASL frames.
+    /// SASL frames are exchanged until the outcome is sent or received.
     Sasl,
     /// Waiting for the peer's AMQP protocol header.
     AwaitingAmqpHeader,
@@ -54,9 +54,9 @@
 
 /// The local role in the SASL exchange.
 enum Auth {
-    /// A server. With None no mechanisms were configured, and the client may start AMQP without SASL.
+    /// A server. With `None` no mechanisms were configured, and the client may start AMQP without SASL.
     Server(Option<sasl::Server>),
-    /// A client. With None it has no credentials and starts AMQP without SASL.
+    /// A client. With `None` the client has no credentials and starts AMQP without SASL.
     Client(Option<sasl::Client>),
 }
 
@@ -80,8 +80,8 @@
 }
 
 impl Connection {
-    /// Creates the client end, which opened the transport connection. Without credentials it skips SASL and sends the
-    /// AMQP protocol header first.
+    /// Creates the client end, which opened the transport connection. Without credentials the client skips SASL and
+    /// sends the AMQP protocol header first.
     pub fn dial(now: MonotonicTime, settings: Settings, credentials: Option<Credentials>) -> Connection {
         let uses_sasl = credentials.is_some();
         let auth = Auth::Client(credentials.map(sasl::Client::new));
@@ -97,7 +97,7 @@
     }
 
     /// Creates the server end, which accepted the transport connection. If mechanisms are offered, the client has to
-    /// authenticate with one of them. Otherwise it may use SASL ANONYMOUS or skip SASL.
+    /// authenticate with one of them. Otherwise the client may use SASL ANONYMOUS or skip SASL.
     pub fn accept(now: MonotonicTime, settings: Settings, offered: Option<Vec<Mechanism>>) -> Connection {
         Connection::new(now, settings, Auth::Server(offered.map(sasl::Server::new)))
     }
@@ -182,12 +182,12 @@
         self.link(link).map_or(0, |link| link.unsettled)
     }
 
-    /// The largest message that the peer accepts on a link, in octets. None if it announced no limit.
+    /// The largest message that the peer accepts on a link, in octets; `None` if it announced no limit.
     pub fn max_message_size(&self, link: LinkId) -> Option<u64> {
         self.link(link).and_then(|link| link.remote_max_message_size)
     }
 
-    /// A link's name.
+    /// The name in a link's attach; empty if there is no link with this id.
     pub fn name(&self, link: LinkId) -> &str {
         self.link(link).map_or("", |link| &link.name)
     }
@@ -246,8 +246,8 @@
         std::mem::take(&mut self.output)
     }
 
-    /// Appends the octets to write to `buffer`. Unlike [`Connection::take_output`] it keeps the allocation of the
-    /// output buffer.
+    /// Appends the octets to write to `buffer`. Unlike [`Connection::take_output`], this method keeps the
+    /// allocation of the output buffer.
     pub fn append_output(&mut self, now: MonotonicTime, buffer: &mut Vec<u8>) {
         self.flush_dispositions();
         if !self.output.is_empty() {
--- a/crates/amqp/src/connection/outgoing.rs
+++ b/crates/amqp/src/connection/outgoing.rs
@@ -62,7 +62,7 @@
     }
 
     /// Counts a transfer against the session's window and, if it starts a delivery, against the link credit. Returns
-    /// None if the link cannot send now.
+    /// `None` if the link cannot send now.
     fn start_transfer(
         &mut self,
         link_id: LinkId,
--- a/crates/amqp/src/connection/session_table.rs
+++ b/crates/amqp/src/connection/session_table.rs
@@ -28,7 +28,7 @@
         self.sessions.get_mut(channel as usize)?.as_mut()
     }
 
-    /// Adds a session at the lowest free channel. Returns None if that is above `channel_max`.
+    /// Adds a session at the lowest free channel. Returns `None` if that is above `channel_max`.
     pub fn insert(&mut self, session: Session, channel_max: u16) -> Option<u16> {
         let free = self.sessions.iter().position(Option::is_none).unwrap_or(self.sessions.len());
         if free > channel_max as usize {
--- a/crates/amqp/src/connection/sessions.rs
+++ b/crates/amqp/src/connection/sessions.rs
@@ -7,7 +7,7 @@
 use crate::session::{Phase as SessionPhase, Session};
 
 impl Connection {
-    /// Begins a session and returns its local channel, or None if all channels that both sides allow are in use.
+    /// Begins a session and returns its local channel, or `None` if all channels that both sides allow are in use.
     pub fn begin(&mut self) -> Option<u16> {
         let session = Session::new(self.settings.incoming_window, self.settings.initial_id);
         let begin = session.begin(None, self.settings.handle_max);
@@ -55,7 +55,7 @@
         Ok(Event::Began { channel: local_channel })
     }
 
-    /// Adds a session and returns its local channel, or None if all channels that both sides allow are in use.
+    /// Adds a session and returns its local channel, or `None` if all channels that both sides allow are in use.
     fn add_session(&mut self, session: Session) -> Option<u16> {
         let channel_max = self.channel_max();
         self.sessions.insert(session, channel_max)
@@ -94,7 +94,7 @@
             self.remove_link(link);
             if phase != LinkPhase::DetachSent {
                 let error = error.cloned().map(Box::new);
-                self.events.push_back(Event::Detached { link, end: DetachMode::Suspended, error });
+                self.events.push_back(Event::Detached { link, mode: DetachMode::Suspended, error });
             }
         }
     }
--- a/crates/amqp/src/connection/settings.rs
+++ b/crates/amqp/src/connection/settings.rs
@@ -25,7 +25,7 @@
     pub max_unsettled: u32,
     /// The largest accepted message, in octets.
     pub max_message_size: u64,
-    /// The time after which a silent peer is considered lost. Zero disables the timeout.
+    /// The time without received octets after which a peer is considered lost. Zero disables the timeout.
     pub idle_timeout: Duration,
     /// The id of the first transfer and the first delivery on a session. Peers must accept any value (RFC 1982). Tests
     /// choose values shortly before the wrap-around.
--- a/crates/amqp/src/error.rs
+++ b/crates/amqp/src/error.rs
@@ -39,7 +39,7 @@
 pub struct Fault {
     /// One of the constants in [`condition`].
     pub condition: &'static str,
-    /// A human-readable description.
+    /// The text for logs, and for the error that is sent to the peer.
     pub description: String,
 }
 
@@ -64,9 +64,9 @@
 pub struct Error {
     /// The error condition: a symbol of the standard or one defined by the sender.
     pub condition: String,
-    /// A human-readable description.
+    /// A text for people, which programs do not interpret; `None` if the sender gave none.
     pub description: Option<String>,
-    /// A map with additional information.
+    /// A map with additional information, whose keys depend on the condition.
     pub info: Option<Value>,
 }
 
--- a/crates/amqp/src/frame.rs
+++ b/crates/amqp/src/frame.rs
@@ -15,13 +15,13 @@
     pub frame_type: u8,
     /// The channel. SASL frames have none, and the value must be ignored.
     pub channel: u16,
-    /// The performative. None in an empty frame, which serves as a heartbeat.
+    /// The performative; `None` in an empty frame, which serves as a heartbeat.
     pub body: Option<Performative>,
     /// The octets after the performative.
     pub payload: &'a [u8],
 }
 
-/// Reads a frame from the start of `bytes` and advances `bytes` past it. Returns None if the frame is incomplete.
+/// Reads a frame from the start of `bytes` and advances `bytes` past it. Returns `None` if the frame is incomplete.
 ///
 /// # Errors
 /// The frame is larger than `max_frame_size` octets, or its header or body cannot be decoded.
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -6,9 +6,9 @@
 /// The local role on a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Sends deliveries.
+    /// The local end sends deliveries, within the credit that the peer grants.
     Sender,
-    /// Receives deliveries.
+    /// The local end receives deliveries and grants credit for them.
     Receiver,
 }
 
@@ -42,7 +42,7 @@
     pub role: Role,
     pub phase: Phase,
     pub remote_handle: Option<u32>,
-    /// The largest message that the peer accepts, in octets. None if it announced no limit.
+    /// The largest message that the peer accepts, in octets; `None` if it announced no limit.
     pub remote_max_message_size: Option<u64>,
     pub delivery_count: u32,
     pub credit: u32,
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -38,16 +38,16 @@
     application_properties: Range<usize>,
     /// The position of the body.
     body_start: usize,
-    /// `ttl` of the header: the time to live, in milliseconds.
+    /// The `ttl` field (time to live) of the header, in milliseconds.
     pub ttl: Option<u32>,
-    /// `to` of the properties: the node that the message is sent to.
+    /// The `to` field of the properties: the address of the node that the message is sent to.
     pub to: Option<String>,
-    /// `reply-to` of the properties: the node to which replies are sent.
+    /// The `reply-to` field of the properties: the address of the node to which replies are sent.
     pub reply_to: Option<String>,
 }
 
 impl Head {
-    /// Decodes the sections before the body. Returns none if `bytes` ends before the body starts: either more of
+    /// Decodes the sections before the body. Returns `None` if `bytes` ends before the body starts: either more of
     /// the message has to be received, or the message is complete and lacks a body.
     ///
     /// # Errors
@@ -113,7 +113,7 @@
         Ok(())
     }
 
-    /// Decodes an application property. `bytes` is the message that the head was read from.
+    /// Decodes the application property with this name; `None` if there is none. `bytes` is the message that the head was read from.
     pub fn application_property(&self, bytes: &[u8], name: &str) -> Option<Value> {
         let map = bytes.get(self.application_properties.clone()).filter(|map| !map.is_empty())?;
         let (_, mut value) = map_pairs(map).find(|(key, _)| *key == Some(name))?;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Encodes the header of the forwarded message: the received one with its time to live, in milliseconds,
+    /// Encodes the header of the forwarded message: the received one with its `ttl` field (in milliseconds)
     /// replaced. The caller appends the message's bytes from [`Head::after_header`] on.
     pub fn encode(&self, bytes: &[u8], ttl: u32, out: &mut Vec<u8>) {
         out.extend_from_slice(&[format_code::DESCRIBED, format_code::SMALL_ULONG, section::HEADER as u8]);
@@ -175,7 +175,7 @@
     Some(&before[..before.len() - reader.remaining.len()])
 }
 
-/// Decodes the time to live of a header.
+/// Decodes the `ttl` field of a header.
 fn read_ttl(header: &[u8]) -> Result<Option<u32>> {
     let Some(mut field) = read_field(header, TTL_FIELD)? else { return Ok(None) };
     match field.value()? {
@@ -302,7 +302,7 @@
         Ok(Message { head, bytes })
     }
 
-    /// Encodes the message for forwarding: unchanged except for its time to live, in milliseconds.
+    /// Encodes the message for forwarding: unchanged except for the header's `ttl` field, in milliseconds.
     pub fn encode(&self, ttl: u32) -> Vec<u8> {
         let mut out = Vec::with_capacity(self.bytes.len() + 16);
         self.head.encode(self.bytes, ttl, &mut out);
--- a/crates/amqp/src/performative.rs
+++ b/crates/amqp/src/performative.rs
@@ -81,7 +81,7 @@
         pub enum Performative { $($name($name),)* $($boxed(Box<$boxed>)),* }
 
         impl Performative {
-            /// Decodes the body of a frame. The reader is then at the frame's payload.
+            /// Decodes the body of a frame, and leaves the reader at the frame's payload.
             ///
             /// # Errors
             /// The descriptor is unknown, or a field cannot be decoded.
@@ -104,7 +104,7 @@
                 }
             }
 
-            /// Encodes the body.
+            /// Appends the encoding of the body, with its numeric descriptor.
             pub fn write(&self, out: &mut Vec<u8>) {
                 match self {
                     $(Performative::$name(body) => body.write(out),)*
--- a/crates/amqp/src/primitives.rs
+++ b/crates/amqp/src/primitives.rs
@@ -162,7 +162,7 @@
 }
 
 impl Tag {
-    /// Creates a tag. Returns none if `bytes` is longer than 32 octets.
+    /// Creates a tag. Returns `None` if `bytes` is longer than 32 octets.
     pub fn new(bytes: &[u8]) -> Option<Tag> {
         let len = u8::try_from(bytes.len()).ok().filter(|len| usize::from(*len) <= MAX_TAG_BYTES)?;
         let mut tag = Tag { len, bytes: [0; MAX_TAG_BYTES] };
--- a/crates/amqp/src/sasl.rs
+++ b/crates/amqp/src/sasl.rs
@@ -14,7 +14,7 @@
     Anonymous,
     /// A user name and a password in clear text (RFC 4616).
     Plain,
-    /// A proof that the client knows the password, which is not transmitted (RFC 7677).
+    /// A proof that the client has the password, which is not transmitted (RFC 7677).
     ScramSha256,
     /// The identity that the transport has verified, for example from a client certificate (RFC 4422, appendix A).
     External,
@@ -25,7 +25,7 @@
     pub const ALL: [Mechanism; 4] =
         [Mechanism::External, Mechanism::ScramSha256, Mechanism::Plain, Mechanism::Anonymous];
 
-    /// The registered name.
+    /// The name of the mechanism in the IANA registry, as it is sent on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Mechanism::Anonymous => "ANONYMOUS",
@@ -50,7 +50,7 @@
     Plain {
         /// The user that the client claims to be.
         user: String,
-        /// The password.
+        /// The password as received, which need not be UTF-8.
         password: Vec<u8>,
     },
     /// Look up the SCRAM keys of a user. The answer goes to [`crate::Connection::provide_scram_keys`].
@@ -62,7 +62,7 @@
     ScramProof {
         /// The user that the client claims to be.
         user: String,
-        /// Whether the proof is valid, so that the client knows the password.
+        /// Whether the proof is valid, which shows that the client has the password.
         is_valid: bool,
     },
     /// Decide whether to admit the identity that the transport has verified.
@@ -85,20 +85,20 @@
 /// The credentials of a client.
 #[derive(Clone, PartialEq, Eq)]
 pub enum Credentials {
-    /// Anonymous access.
+    /// No credentials: the server decides whether anonymous clients may connect.
     Anonymous,
     /// A password that is sent in clear text.
     Plain {
-        /// The user's name.
+        /// The user to authenticate as. It must not contain zero octets.
         user: String,
-        /// The password.
+        /// The user's password. It must not contain zero octets.
         password: String,
     },
     /// A password that is proven with SCRAM-SHA-256.
     Scram {
-        /// The user's name.
+        /// The user to authenticate as.
         user: String,
-        /// The password.
+        /// The user's password, which is not transmitted.
         password: String,
         /// The client nonce: printable characters without commas, different for each connection.
         nonce: String,
--- a/crates/amqp/src/scram.rs
+++ b/crates/amqp/src/scram.rs
@@ -34,7 +34,7 @@
 }
 
 impl Pbkdf2 {
-    /// Starts the computation for a password. `iterations` is the iteration count and has to be at least 1.
+    /// Starts the computation for a password. `iterations` is the total number of iterations, at least 1.
     pub fn new(password: &[u8], salt: &[u8], iterations: u32) -> Pbkdf2 {
         let mac = new_mac(password);
         let mut first = mac.clone();
@@ -44,15 +44,15 @@
         Pbkdf2 { mac, last_block, sum: last_block, remaining: iterations.saturating_sub(1) }
     }
 
-    /// Performs at most `iterations` iterations. Returns the derived key once all are done.
-    pub fn step(&mut self, iterations: u32) -> Option<[u8; 32]> {
-        for _ in 0..iterations.min(self.remaining) {
+    /// Performs at most `max_iterations` iterations. Returns the derived key once all are done.
+    pub fn step(&mut self, max_iterations: u32) -> Option<[u8; 32]> {
+        for _ in 0..max_iterations.min(self.remaining) {
             let mut mac = self.mac.clone();
             mac.update(&self.last_block);
             self.last_block = mac.finalize().into_bytes().into();
             xor_into(&mut self.sum, &self.last_block);
         }
-        self.remaining -= iterations.min(self.remaining);
+        self.remaining -= max_iterations.min(self.remaining);
         (self.remaining == 0).then_some(self.sum)
     }
 }
@@ -61,7 +61,7 @@
 /// guessing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SaltedKeys {
-    /// The salt.
+    /// The salt of the password, which is sent to the client.
     pub salt: Vec<u8>,
     /// The iteration count of PBKDF2. RFC 7677 requires at least 4096.
     pub iterations: u32,
@@ -87,7 +87,7 @@
 }
 
 /// The iteration count sent for an unknown user.
-const FAKE_ROUNDS: u32 = 4096;
+const FAKE_ITERATIONS: u32 = 4096;
 
 /// The server's side of an exchange after the client-first-message was received.
 #[derive(Debug)]
@@ -99,7 +99,7 @@
     keys: Option<SaltedKeys>,
 }
 
-/// A parsed client-first-message.
+/// A parsed client-first-message (RFC 5802, section 7).
 pub struct ClientFirst {
     /// The user that the client claims to be.
     pub user: String,
@@ -138,7 +138,7 @@
 }
 
 impl Server {
-    /// Creates the answer to a client-first-message. For an unknown user `keys` is None, and `fake_salt` is sent in
+    /// Creates the answer to a client-first-message. For an unknown user `keys` is `None`, and `fake_salt` is sent in
     /// place of the stored salt, so that the answer does not reveal which users exist.
     pub fn new(
         client_first: ClientFirst,
@@ -148,7 +148,7 @@
     ) -> Server {
         let nonce = format!("{}{server_nonce}", client_first.nonce);
         let (salt, iterations) =
-            keys.as_ref().map_or((fake_salt, FAKE_ROUNDS), |keys| (&keys.salt[..], keys.iterations));
+            keys.as_ref().map_or((fake_salt, FAKE_ITERATIONS), |keys| (&keys.salt[..], keys.iterations));
         let server_first = format!("r={nonce},s={},i={iterations}", STANDARD.encode(salt));
         Server {
             client_first_bare: client_first.bare,
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The server-first-message.
+    /// The server-first-message: the combined nonce, the salt and the iteration count.
     pub fn challenge(&self) -> Vec<u8> {
         self.server_first.clone().into_bytes()
     }
@@ -197,7 +197,7 @@
 }
 
 /// The highest iteration count that a client accepts. It prevents a server from keeping a client busy.
-const MAX_ROUNDS: u32 = 100_000;
+const MAX_ITERATIONS: u32 = 100_000;
 
 impl Client {
     /// Starts an exchange. The nonce consists of printable characters without commas.
@@ -207,19 +207,19 @@
         Client { client_first_bare, password: password.into(), nonce: nonce.into(), server_signature: None }
     }
 
-    /// The client-first-message.
+    /// The client-first-message: the user and the client nonce, without channel binding.
     pub fn client_first(&self) -> Vec<u8> {
         format!("n,,{}", self.client_first_bare).into_bytes()
     }
 
-    /// Creates the client-final-message in answer to the server-first-message. Returns None if that is invalid.
+    /// Creates the client-final-message in answer to the server-first-message. Returns `None` if the latter is invalid.
     pub fn client_final(&mut self, challenge: &[u8]) -> Option<Vec<u8>> {
         let text = std::str::from_utf8(challenge).ok()?;
         let field = |name: &str| text.split(',').find_map(|f| f.strip_prefix(name)?.strip_prefix('='));
         let nonce = field("r")?;
         let salt = STANDARD.decode(field("s")?).ok()?;
         let iterations: u32 = field("i")?.parse().ok()?;
-        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || iterations > MAX_ROUNDS {
+        if !nonce.starts_with(&self.nonce) || nonce.len() == self.nonce.len() || iterations > MAX_ITERATIONS {
             return None;
         }
         let salted_password = Pbkdf2::new(self.password.as_bytes(), &salt, iterations).step(iterations)?;
@@ -232,7 +232,7 @@
         Some(format!("{without_proof},p={}", STANDARD.encode(proof)).into_bytes())
     }
 
-    /// Whether the server-final-message proves that the server knows the user's keys.
+    /// Whether the server-final-message proves that the server has the user's keys.
     pub fn verify_server(&self, server_final: &[u8]) -> bool {
         let signature = std::str::from_utf8(server_final).ok().and_then(|t| t.strip_prefix("v="));
         let received = signature.and_then(|s| STANDARD.decode(s).ok());
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -15,7 +15,7 @@
     pub octets: usize,
     /// Whether the last transfer of the delivery was sent.
     pub complete: bool,
-    /// Whether a transfer was sent, so that the peer knows of the delivery.
+    /// Whether a transfer was sent, which starts the delivery for the peer.
     pub started: bool,
 }
 
@@ -42,9 +42,9 @@
 /// A delivery that is not settled on both sides.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnsettledDelivery {
-    /// The local handle of its link.
+    /// The local handle of the delivery's link.
     pub handle: u32,
-    /// The application's key for it.
+    /// The application's key for the delivery; 0 until the application sets the key of a received one.
     pub key: u64,
     /// Whether the outcome was sent and only the sender's settlement is outstanding.
     pub outcome_sent: bool,
--- a/crates/amqp/src/terminus.rs
+++ b/crates/amqp/src/terminus.rs
@@ -13,9 +13,9 @@
 /// The target end of a link: a node, or a transaction coordinator (3.5.4, 4.5.1).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Terminus {
-    /// A node.
+    /// A node. Without an address, it is the anonymous terminus, or a node to be created if `dynamic` is set.
     Target(Target),
-    /// A transaction coordinator.
+    /// A transaction coordinator. Its capabilities are ignored.
     Coordinator,
     /// A target of an unknown type.
     Other(Value),
--- a/crates/amqp/src/value.rs
+++ b/crates/amqp/src/value.rs
@@ -5,7 +5,7 @@
 pub enum Value {
     /// The absence of a value.
     Null,
-    /// True or false.
+    /// A boolean, which has encodings of 1 and of 2 octets.
     Bool(bool),
     /// An unsigned 8-bit integer.
     Ubyte(u8),
@@ -23,9 +23,9 @@
     Int(i32),
     /// A signed 64-bit integer.
     Long(i64),
-    /// IEEE 754 binary32.
+    /// An IEEE 754 binary32 number.
     Float(f32),
-    /// IEEE 754 binary64.
+    /// An IEEE 754 binary64 number.
     Double(f64),
     /// IEEE 754 decimal32, in its encoding on the wire.
     Decimal32([u8; 4]),
@@ -33,7 +33,7 @@
     Decimal64([u8; 8]),
     /// IEEE 754 decimal128, in its encoding on the wire.
     Decimal128([u8; 16]),
-    /// A Unicode character.
+    /// A Unicode scalar value; encoded as UTF-32BE.
     Char(char),
     /// Milliseconds since the Unix epoch.
     Timestamp(i64),
@@ -41,7 +41,7 @@
     Uuid([u8; 16]),
     /// A sequence of octets.
     Binary(Vec<u8>),
-    /// A UTF-8 string.
+    /// A string (the standard's type `string`); encoded as UTF-8.
     Text(String),
     /// A symbol: an ASCII string from a constrained domain.
     Symbol(String),
@@ -67,12 +67,12 @@
         Value::described(code, Value::List(fields))
     }
 
-    /// Creates a symbol.
+    /// Creates a symbol. The text has to be ASCII.
     pub fn symbol(text: &str) -> Value {
         Value::Symbol(text.to_string())
     }
 
-    /// Creates a string.
+    /// Creates a value of the type `string`.
     pub fn text(text: &str) -> Value {
         Value::Text(text.to_string())
     }
--- a/crates/amqp/tests/codec.rs
+++ b/crates/amqp/tests/codec.rs
@@ -75,7 +75,7 @@
     fn decoding_arbitrary_bytes_does_not_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&mut &bytes[..]);
         let _ = Message::decode(&bytes);
-        // The same bytes as the body of a frame with the correct size.
+        // A frame of the correct size with the same bytes as its body.
         let size = (bytes.len() as u32 + 8).to_be_bytes();
         bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
         let _ = read_frame(&mut &bytes[..], 4096);
--- a/crates/amqp/tests/pair/pair.rs
+++ b/crates/amqp/tests/pair/pair.rs
@@ -45,7 +45,7 @@
         Event::Settled { link, id, key, state } => Event::Settled { link, id, key, state },
         Event::SettledBySender { link, key } => Event::SettledBySender { link, key },
         Event::DeliveryLost { link, role, key } => Event::DeliveryLost { link, role, key },
-        Event::Detached { link, end, error } => Event::Detached { link, end, error },
+        Event::Detached { link, mode, error } => Event::Detached { link, mode, error },
         Event::Closed { error } => Event::Closed { error },
     }
 }
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -19,9 +19,9 @@
 
 /// Handles the events of clients' connections. The frontend creates a handler for each call from the event loop.
 pub struct ClientEvents<'a, 'b> {
-    /// The parts of the node that frontends use.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The frontend's immutable data.
+    /// The immutable properties of the frontend.
     pub info: &'a FrontendInfo,
     /// The connections on both sides.
     pub peers: Peers<'a>,
@@ -205,7 +205,9 @@
                     client.add_detached_request(RequestId(key));
                 }
             }
-            Event::Detached { link, end, .. } => self.link_handler().on_detached(connection_link(link), end),
+            Event::Detached { link, mode, .. } => {
+                self.link_handler().on_detached(connection_link(link), mode)
+            }
             _ => {}
         }
     }
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -20,9 +20,9 @@
 
 /// Handles the attaches and detaches of clients' links.
 pub struct ClientLinks<'a, 'b> {
-    /// The parts of the node that frontends use.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The frontend's immutable data.
+    /// The immutable properties of the frontend.
     pub info: &'a FrontendInfo,
     /// The connections on both sides.
     pub peers: Peers<'a>,
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` is the
-    /// mode of the detach: closing or suspending.
-    pub fn on_detached(&mut self, at: ConnectionLink, end: DetachMode) {
+    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `mode` is
+    /// that of the client's detach.
+    pub fn on_detached(&mut self, at: ConnectionLink, mode: DetachMode) {
         let client = self.peers.clients.get(at.token);
         let requests = client.map(|client| client.take_detached_requests()).unwrap_or_default();
         match self.peers.clients.remove_link(at) {
@@ -52,8 +52,8 @@
                 let client = self.peers.clients.get(at.token);
                 let has_session = client.is_some_and(|client| client.conn.has_begun(at.id.channel));
                 let can_resume = link.is_retained || has_session;
-                let end = if can_resume { end } else { DetachMode::Closed };
-                let detached = DetachedLink { token: at.token, link, end, requests };
+                let mode = if can_resume { mode } else { DetachMode::Closed };
+                let detached = DetachedLink { token: at.token, link, mode, requests };
                 self.requests.on_link_detached(self.ctx, &mut self.peers, detached);
             }
             Some(ClientLink::Receiving(forwarder)) => {
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -92,7 +92,7 @@
         self.by_request.get(&request_id)
     }
 
-    /// The delivery of a request.
+    /// The delivery of a request, mutably.
     pub fn get_mut(&mut self, request_id: RequestId) -> Option<&mut Delivery> {
         self.by_request.get_mut(&request_id)
     }
--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -1,7 +1,7 @@
 //! Requests that clients send as deliveries, from the first transfer until the delivery is settled.
 //!
 //! [`DeliveryRequests`] owns the deliveries and the state that is retained for resumable links. `transfers` turns
-//! received transfers into requests. The methods in this file handle the rest of a request's life: attempts at servers,
+//! received transfers into requests. The methods in this file handle what follows: attempts at servers,
 //! the final answer, and the loss of the client or of its link.
 
 pub mod transfers;
@@ -52,8 +52,8 @@
     pub token: Token,
     /// The link as it was before the detach.
     pub link: ClientSendingLink,
-    /// Whether the link was closed or only suspended, in which case it may be resumed.
-    pub end: DetachMode,
+    /// Whether the link was closed, or suspended so that it may be resumed.
+    pub mode: DetachMode,
     /// The requests whose deliveries were unsettled on the link.
     pub requests: Vec<RequestId>,
 }
@@ -282,10 +282,10 @@
         peers: &mut Peers<'_>,
         detached: DetachedLink,
     ) {
-        let DetachedLink { token, link, end, requests } = detached;
+        let DetachedLink { token, link, mode, requests } = detached;
         let limits = peers.config.recovery_limits();
         let is_suspended =
-            end == DetachMode::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
+            mode == DetachMode::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
         for request_id in requests {
             if is_suspended && self.deliveries.is_complete(request_id) {
                 self.suspend(peers, &link.key, request_id);
--- a/src/frontend/amqp/error.rs
+++ b/src/frontend/amqp/error.rs
@@ -10,7 +10,7 @@
     /// The file cannot be read or written.
     #[error("{}: {source}", .path.display())]
     Io {
-        /// The file.
+        /// The path that could not be accessed.
         path: PathBuf,
         /// The error of the operating system.
         source: io::Error,
@@ -18,7 +18,7 @@
     /// The file is not valid JSON, or its structure is not the expected one.
     #[error("{}: {problem}", .path.display())]
     Parse {
-        /// The file.
+        /// The path of the invalid file.
         path: PathBuf,
         /// The problem, and the field that it is in.
         problem: String,
@@ -26,7 +26,7 @@
     /// A field has an invalid value.
     #[error("{}: field {field}: {problem}", .path.display())]
     Field {
-        /// The file.
+        /// The path of the file that contains the field.
         path: PathBuf,
         /// The path of the field in the file.
         field: String,
@@ -36,7 +36,7 @@
     /// The certificates or the key that the file names cannot be used.
     #[error("{}: {source}", .path.display())]
     Tls {
-        /// The file.
+        /// The path of the configuration file, which names the certificate and key files.
         path: PathBuf,
         /// The problem with the certificates or the key.
         source: Box<TlsConfigError>,
--- a/src/frontend/amqp/forwarding/forwarder.rs
+++ b/src/frontend/amqp/forwarding/forwarder.rs
@@ -19,17 +19,17 @@
 
 /// Forwards deliveries from servers' links to one link of a client.
 pub struct Forwarder {
-    /// The request that it serves; `None` for a reply node.
+    /// The request that the forwarder serves; `None` for a reply node.
     pub(super) request_id: Option<RequestId>,
     /// The client's receiving link.
     pub(super) client: ConnectionLink,
     /// The attach that the client sent.
     pub(super) attach: Box<Attach>,
-    /// The server of the request's attempt.
+    /// The server of the request's current attempt; `None` for a reply node or between attempts.
     pub(super) server: Option<ServerId>,
     /// Whether the attach of the client's link has been answered.
     pub(super) is_established: bool,
-    /// The links that it receives on. A removed source leaves `None`, because the keys of deliveries contain indices
+    /// The links on which the forwarder receives. A removed source leaves `None`, because the keys of deliveries contain indices
     /// into this vector.
     sources: Vec<Option<Source>>,
     /// The index of the source whose delivery is only partly sent to the client.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether its attempt is at one of these servers and the server has not answered the attach.
+    /// Whether the request's attempt is at one of these servers and the server has not answered the attach.
     pub fn is_unanswered_at(&self, servers: &[ServerId]) -> bool {
         let is_attempted = self.server.is_some_and(|server| servers.contains(&server));
         !self.is_established && self.sources.is_empty() && is_attempted
@@ -278,7 +278,7 @@
         completed
     }
 
-    /// Distributes the client's credit equally among the sources. Each has at least one while the client has credit.
+    /// Distributes the client's credit equally among the sources. Each share is at least one while the client has credit.
     fn distribute_credit(&self, client_credit: u32, servers: &mut Servers) {
         let count = self.sources.iter().flatten().count().max(1) as u32;
         let fair_share = (client_credit / count).max(client_credit.min(1));
--- a/src/frontend/amqp/forwarding/mod.rs
+++ b/src/frontend/amqp/forwarding/mod.rs
@@ -21,7 +21,7 @@
 use sparbank_amqp::{condition, Attach, DetachMode, Error, IncomingTransfer, Role, State, Target, Terminus};
 use table::ForwarderTable;
 
-/// All forwarders.
+/// All forwarders, and counts of what they have forwarded.
 #[derive(Default)]
 pub struct Forwarding {
     forwarders: ForwarderTable,
@@ -47,8 +47,6 @@
         self.aborted
     }
 
-    // ---- Requests ----------------------------------------------------------------------------------
-
     /// Adds a forwarder for the request of a client's receiving link.
     pub fn add_forwarder(
         &mut self,
@@ -73,7 +71,7 @@
     }
 
     /// Cancels the attempt of a request's forwarder and returns its outcome, or `None` if the request has no forwarder.
-    /// The outcome tells whether the server may have run the request: it has not if the attach was not sent.
+    /// The outcome shows whether the server may have run the request: a request whose attach was not sent has not run.
     pub fn cancel_attempt(&mut self, servers: &mut Servers, request_id: RequestId) -> Option<Outcome> {
         let id = self.forwarders.find_by_request(request_id)?;
         Some(self.cancel(servers, id))
@@ -103,7 +101,8 @@
         peers.clients.mark_dirty(client_link.token);
     }
 
-    /// Migrates an established request by detaching the client's link with an error that asks the client to reconnect.
+    /// Migrates an established request by detaching the client's link. The error's retry time is 0, so that the client
+    /// reconnects at once.
     pub fn migrate(&mut self, peers: &mut Peers<'_>, request_id: RequestId) {
         let Some(id) = self.forwarders.find_by_request(request_id) else { return };
         if let Some(forwarder) = self.remove(peers.servers, id) {
@@ -149,8 +148,6 @@
         Some(forwarder)
     }
 
-    // ---- Reply nodes -------------------------------------------------------------------------------
-
     /// Adds a reply node for a client's receiving link. The caller has to set its address.
     pub fn add_reply_node(&mut self, client: ConnectionLink, attach: Box<Attach>) -> ForwarderId {
         self.forwarders.insert(Forwarder::for_replies(client, attach))
@@ -161,8 +158,6 @@
         self.forwarders.set_reply_address(address, id);
     }
 
-    // ---- Client side -------------------------------------------------------------------------------
-
     /// Sends queued transfers to a forwarder's client as far as its credit and its socket allow, and distributes its
     /// credit among the servers.
     pub fn forward(&mut self, ctx: &FrontendContext, peers: &mut Peers<'_>, id: ForwarderId) {
@@ -232,8 +227,6 @@
         peers.clients.mark_dirty(link.token);
     }
 
-    // ---- Server side -------------------------------------------------------------------------------
-
     /// Handles the attach with which a server answers a forwarder: the request is established, and the client's attach
     /// is answered.
     pub fn on_source_attached(
@@ -267,7 +260,8 @@
         self.forward(ctx, peers, id);
     }
 
-    /// Handles a link that a server initiates. Servers may only attach as senders to a reply node.
+    /// Handles an attach that a server initiates. It is accepted only if the server is the sender and the target is a
+    /// reply node.
     pub fn on_server_attach_request(
         &mut self,
         ctx: &mut FrontendContext,
@@ -340,7 +334,7 @@
         id: ForwarderId,
     ) {
         let Some(forwarder) = self.forwarders.get(id) else { return };
-        // A reply node is kept, because other servers may send to it.
+        // A reply node is not removed, because other servers may send to it.
         let Some(request_id) = forwarder.request_id else { return };
         if !forwarder.is_established {
             return self.on_attempt_failed(ctx, peers, id, Outcome::Reset);
@@ -361,7 +355,7 @@
     ) {
         let Some(forwarder) = self.forwarders.get(id) else { return };
         forwarder.remove_source(source, peers.clients);
-        // A reply node is kept, because other servers may send to it.
+        // A reply node is not removed, because other servers may send to it.
         let Some(request_id) = forwarder.request_id else { return };
         let condition = error.as_ref().map(|error| error.condition.as_str());
         if !forwarder.is_established {
--- a/src/frontend/amqp/mod.rs
+++ b/src/frontend/amqp/mod.rs
@@ -71,7 +71,7 @@
     },
 };
 
-/// The AMQP frontend.
+/// The state of the AMQP frontend, and its interface to the event loop.
 pub struct AmqpFrontend {
     info: FrontendInfo,
     config: AmqpConfig,
--- a/src/frontend/amqp/nonce.rs
+++ b/src/frontend/amqp/nonce.rs
@@ -17,7 +17,7 @@
 }
 
 /// The salt that is presented for a user who does not exist. Like a stored salt, it is the same for each login, so that
-/// clients cannot tell which users exist.
+/// clients cannot find out which users exist.
 pub fn fake_salt(user: &str) -> [u8; 16] {
     let high = fnv1a(user);
     let low = fnv1a(&format!("salt of {user}"));
--- a/src/frontend/amqp/password_checks.rs
+++ b/src/frontend/amqp/password_checks.rs
@@ -1,26 +1,27 @@
 //! Checks of PLAIN passwords. The work is split into slices so that no check stalls the event loop.
 
 use super::nonce::fake_salt;
-use super::users::{Users, DEFAULT_ROUNDS};
+use super::users::{Users, DEFAULT_ITERATIONS};
 use crate::net::Token;
 use sparbank_amqp::{Pbkdf2, SaltedKeys};
 use std::collections::VecDeque;
 
-/// The number of PBKDF2 rounds per slice; these take about 0.2 ms.
-const ROUNDS_PER_SLICE: u32 = 512;
+/// The number of PBKDF2 iterations per slice, which take about 0.2 ms.
+const ITERATIONS_PER_SLICE: u32 = 512;
 /// The maximum number of pending checks. Further clients are rejected without a check.
 const MAX_PENDING_CHECKS: usize = 64;
 
 struct PasswordCheck {
     token: Token,
     user: String,
+    /// The keys of the user; `None` if there is no user with this name.
     keys: Option<SaltedKeys>,
     derivation: Pbkdf2,
 }
 
 /// The result of a password check.
 pub struct CheckedPassword {
-    /// The client's connection.
+    /// The socket of the client's connection.
     pub token: Token,
     /// The user name that the client gave.
     pub user: String,
@@ -41,7 +42,7 @@
 
 impl PasswordChecks {
     /// Starts the check of a password. The check for an unknown user does as much work as that for a user with
-    /// [`DEFAULT_ROUNDS`], so that its duration does not reveal which users exist.
+    /// [`DEFAULT_ITERATIONS`], so that its duration does not reveal which users exist.
     ///
     /// # Errors
     /// The maximum number of checks is pending.
@@ -58,7 +59,7 @@
         let keys = users.keys(&user).cloned();
         let derivation = match &keys {
             Some(keys) => Pbkdf2::new(password, &keys.salt, keys.iterations),
-            None => Pbkdf2::new(password, &fake_salt(&user), DEFAULT_ROUNDS),
+            None => Pbkdf2::new(password, &fake_salt(&user), DEFAULT_ITERATIONS),
         };
         self.queue.push_back(PasswordCheck { token, user, keys, derivation });
         Ok(())
@@ -68,7 +69,7 @@
     /// end of the queue.
     pub fn step(&mut self) -> Option<CheckedPassword> {
         let mut check = self.queue.pop_front()?;
-        let Some(salted_password) = check.derivation.step(ROUNDS_PER_SLICE) else {
+        let Some(salted_password) = check.derivation.step(ITERATIONS_PER_SLICE) else {
             self.queue.push_back(check);
             return None;
         };
--- a/src/frontend/amqp/peers.rs
+++ b/src/frontend/amqp/peers.rs
@@ -7,7 +7,7 @@
 /// The connections to clients and servers, and the configuration that limits them. It is borrowed while one event is
 /// handled.
 pub struct Peers<'a> {
-    /// The frontend's configuration.
+    /// The current configuration, which a reload can replace between events.
     pub config: &'a AmqpConfig,
     /// The connections of clients.
     pub clients: &'a mut Clients,
--- a/src/frontend/amqp/server_events.rs
+++ b/src/frontend/amqp/server_events.rs
@@ -11,7 +11,7 @@
 use crate::net::{SocketEvent, SocketEventKind, Token};
 use sparbank_amqp::{Error, Event, Fault, LinkId, Role};
 
-/// Handles the events of servers' connections. The frontend creates one for each call from the event loop.
+/// Handles the events of servers' connections. The frontend creates a handler for each call from the event loop.
 pub struct ServerEvents<'a, 'b> {
     /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -32,15 +32,15 @@
 /// Whether a server has a SASL layer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum SaslSupport {
-    /// The server is assumed to have one, because nothing else is known.
+    /// The server is assumed to have a SASL layer, because it has not shown otherwise.
     #[default]
     Assumed,
-    /// The server has none: it answered the SASL header with the AMQP header.
+    /// The server has no SASL layer: it answered the SASL header with the AMQP header.
     Absent,
 }
 
 impl ServerConnection {
-    /// The server to which it connects.
+    /// The server to which the connection leads.
     pub fn server(&self) -> ServerId {
         self.server
     }
@@ -75,8 +75,8 @@
         forwarders
     }
 
-    /// Ends the attempts on this connection after its loss. `written` is the number of octets of its output that were
-    /// written to the socket.
+    /// Ends the attempts on this connection after its loss. `written` is the number of octets of the connection's output
+    /// that were written to the socket.
     pub fn end_attempts(&mut self, written: u64, deliveries: &Deliveries) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for AbandonedDelivery { link, role, key } in self.conn.abandon() {
--- a/src/frontend/amqp/servers/link_placement.rs
+++ b/src/frontend/amqp/servers/link_placement.rs
@@ -14,7 +14,7 @@
 
 /// Attaches the links to one server.
 pub struct LinkPlacer<'a> {
-    /// The frontend's configuration.
+    /// The configuration, which limits the connections to the server and the links on them.
     pub config: &'a AmqpConfig,
     /// The names of the classes, which are the addresses of sending links.
     pub classes: &'a ClassNames,
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -30,12 +30,12 @@
 use server::{ClassQueue, Server, WaitingForwarder};
 use sparbank_amqp::{Attach, DetachMode};
 
-/// What is affected by the loss of a connection.
+/// The attempts and forwarders that are affected by the loss of a connection.
 #[derive(Default)]
 pub struct LostConnection {
-    /// The attempts that ended with it.
+    /// The attempts that ended with the connection.
     pub ended: Vec<EndedAttempt>,
-    /// The forwarders that received on it, in the order of their ids.
+    /// The forwarders that received on the connection, in the order of their ids.
     pub forwarders: Vec<ForwarderId>,
 }
 
@@ -87,12 +87,12 @@
         self.connections.len()
     }
 
-    /// Whether a connection exists and is not open.
+    /// Whether a connection exists and is not open yet.
     pub fn is_opening(&self, token: Token) -> bool {
         self.connections.get(token).is_some_and(|connection| !connection.conn.is_open())
     }
 
-    /// Whether a connection is idle and its server is draining or gone.
+    /// Whether a connection is idle and its server is draining or was removed from the endpoint list.
     pub fn is_drained(&self, ctx: &FrontendContext, token: Token) -> bool {
         let Some(connection) = self.connections.get(token) else { return false };
         let is_serving = ctx.registry.entry(connection.server()).is_some_and(|server| server.is_ready());
@@ -290,8 +290,8 @@
         lost
     }
 
-    /// Removes a server without connections and ends its waiting attempts with `ConnectFailed`. If the server is known
-    /// to have no SASL layer, this is remembered for its next connection.
+    /// Removes a server without connections and ends its waiting attempts with `ConnectFailed`. If the server has
+    /// no SASL layer, an entry with this fact is retained for its next connection.
     fn remove_server(&mut self, server_id: ServerId) -> Vec<EndedAttempt> {
         let Some(mut server) = self.by_id.remove(&server_id) else { return Vec::new() };
         if server.sasl == SaslSupport::Absent {
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -44,7 +44,7 @@
     pub server_id: ServerId,
     /// The size, in octets, above which the sent part of a delivery is discarded, so that it can no longer be retried.
     pub max_retryable_bytes: usize,
-    /// All unsettled deliveries.
+    /// The unsettled deliveries of all clients, in which the progress of sending is recorded.
     pub deliveries: &'a mut Deliveries,
     /// A reusable buffer in which the start of a message is encoded.
     pub encode_buffer: &'a mut Vec<u8>,
@@ -233,7 +233,7 @@
     delivery: &Delivery,
 ) -> Result<(), Outcome> {
     let is_server_ready = ctx.registry.entry(server).is_some_and(|entry| entry.is_ready());
-    // A client that has disconnected may reconnect and resume the delivery, so it is never reported as gone here.
+    // A client that has disconnected may reconnect and resume the delivery, so `client_gone` is never set here.
     let peers = PeerStatus { client_gone: false, server_ready: is_server_ready };
     let permission = ctx.requests.may_send(ctx.now, chunk.request_id, peers);
     if let Err(refusal) = permission {
--- a/src/frontend/amqp/servers/server.rs
+++ b/src/frontend/amqp/servers/server.rs
@@ -12,7 +12,7 @@
 /// A server to which attempts are or were made.
 #[derive(Default)]
 pub struct Server {
-    /// Its connections, in the order in which they were opened.
+    /// The connections to the server, in the order in which they were opened.
     pub connections: Vec<Token>,
     /// The queue of each class, by class index. Empty until the first request is queued.
     pub classes: Vec<ClassQueue>,
@@ -20,7 +20,7 @@
     pub waiting_forwarders: Vec<WaitingForwarder>,
     /// Whether the server has a SASL layer.
     pub sasl: SaslSupport,
-    /// Whether it is in the list of servers that may have something to send.
+    /// Whether the server is in the list of those that may have something to send.
     pub is_dirty: bool,
     /// Determines the class that is served first. It is incremented with each flush, so that all classes take turns.
     pub rotation: usize,
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -9,10 +9,10 @@
 use std::path::Path;
 use std::rc::Rc;
 
-/// The number of PBKDF2 rounds for a new password. RFC 7677 requires at least 4,096.
-pub const DEFAULT_ROUNDS: u32 = 4096;
-/// The maximum number of rounds in a users file. Each check of a PLAIN password computes all rounds.
-const MAX_ROUNDS: u32 = 100_000;
+/// The number of PBKDF2 iterations for a new password. RFC 7677 requires at least 4,096.
+pub const DEFAULT_ITERATIONS: u32 = 4096;
+/// The maximum number of iterations in a users file. Each check of a PLAIN password computes all iterations.
+const MAX_ITERATIONS: u32 = 100_000;
 /// The length of the salt for a new password, in octets.
 const SALT_BYTES: usize = 16;
 
@@ -48,12 +48,13 @@
     pub subscriber: Option<String>,
 }
 
-/// An authenticated client.
+/// The identity of a client: its user and rights. The default is an anonymous client without restrictions, which applies
+/// if there is no users file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
     /// The user's name; `None` for an anonymous client.
     pub name: Option<String>,
-    /// The client's rights.
+    /// The user's rights; for an anonymous client, those of anonymous clients.
     pub rights: Rights,
 }
 
@@ -74,7 +75,7 @@
 pub struct TransportSecurity {
     /// Whether the client may send its password in plain text.
     pub allows_plain: bool,
-    /// Whether the client is asked for a TLS certificate, with which it can authenticate.
+    /// Whether the TLS handshake requests a client certificate, with which the client can authenticate.
     pub requests_certificate: bool,
 }
 
@@ -137,9 +138,9 @@
     fn new(password: &str, rights: Rights) -> Result<UserEntry, FileError> {
         let mut salt = vec![0; SALT_BYTES];
         getrandom::fill(&mut salt).map_err(FileError::Randomness)?;
-        let mut derivation = Pbkdf2::new(password.as_bytes(), &salt, DEFAULT_ROUNDS);
-        let salted_password = derivation.step(DEFAULT_ROUNDS).unwrap_or_default();
-        let keys = SaltedKeys::from_salted(&salted_password, salt, DEFAULT_ROUNDS);
+        let mut derivation = Pbkdf2::new(password.as_bytes(), &salt, DEFAULT_ITERATIONS);
+        let salted_password = derivation.step(DEFAULT_ITERATIONS).unwrap_or_default();
+        let keys = SaltedKeys::from_salted(&salted_password, salt, DEFAULT_ITERATIONS);
         Ok(UserEntry {
             salt: STANDARD.encode(&keys.salt),
             iterations: keys.iterations,
@@ -158,9 +159,9 @@
             let bytes = STANDARD.decode(text).ok();
             bytes.and_then(|bytes| bytes.try_into().ok()).ok_or_else(|| invalid_base64(field))
         };
-        if self.iterations == 0 || self.iterations > MAX_ROUNDS {
+        if self.iterations == 0 || self.iterations > MAX_ITERATIONS {
             let field = format!("users.{user}.rounds");
-            return Err(FileError::field(path, field, format!("1 to {MAX_ROUNDS}")));
+            return Err(FileError::field(path, field, format!("1 to {MAX_ITERATIONS}")));
         }
         Ok(SaltedKeys {
             salt: STANDARD.decode(&self.salt).map_err(|_| invalid_base64("salt"))?,
