--- a/crates/amqp/src/codec/reader.rs
+++ b/crates/amqp/src/codec/reader.rs
@@ -12,9 +12,9 @@
 
 /// A cursor that decodes values from a byte slice.
 pub struct Reader<'a> {
-    /// The unread octets.
+    /// The octets that are not decoded yet. The caller may advance it past octets that it decodes itself.
     pub remaining: &'a [u8],
-    /// How many more values may be decoded.
+    /// The number of values that may still be decoded. Nested values count, too.
     value_budget: usize,
 }
 
@@ -24,7 +24,7 @@
         Reader { remaining: bytes, value_budget: bytes.len() + MAX_ZERO_WIDTH_VALUES }
     }
 
-    /// Reads `count` octets.
+    /// Reads `count` octets as they are. They are borrowed from the input.
     #[inline]
     pub fn octets(&mut self, count: usize) -> Result<&'a [u8]> {
         let (head, tail) = self.remaining.split_at_checked(count).ok_or(DecodeError::Truncated)?;
@@ -32,7 +32,7 @@
         Ok(head)
     }
 
-    /// Reads one octet.
+    /// Reads one octet, for example a format code.
     #[inline]
     pub fn byte(&mut self) -> Result<u8> {
         let (first, rest) = self.remaining.split_first().ok_or(DecodeError::Truncated)?;
@@ -87,8 +87,8 @@
     }
 
     fn value_with_code(&mut self, code: u8, depth: u32) -> Result<Value> {
-        let depth = depth.checked_sub(1).ok_or(DecodeError::TooMuch)?;
-        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::TooMuch)?;
+        let depth = depth.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
+        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
         Ok(match code {
             format_code::DESCRIBED => {
                 let descriptor = self.value_at(depth)?;
@@ -168,7 +168,7 @@
         if body.remaining.is_empty() {
             Ok(())
         } else {
-            Err(DecodeError::TooMuch)
+            Err(DecodeError::LimitExceeded)
         }
     }
 
@@ -178,7 +178,7 @@
         let mut code = self.byte()?;
         while code == format_code::DESCRIBED {
             if descriptors.len() as u32 >= depth {
-                return Err(DecodeError::TooMuch);
+                return Err(DecodeError::LimitExceeded);
             }
             descriptors.push(self.value_at(depth)?);
             code = self.byte()?;
@@ -204,8 +204,8 @@
     }
 
     fn skip_with_code(&mut self, code: u8, depth: u32) -> Result<()> {
-        let depth = depth.checked_sub(1).ok_or(DecodeError::TooMuch)?;
-        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::TooMuch)?;
+        let depth = depth.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
+        self.value_budget = self.value_budget.checked_sub(1).ok_or(DecodeError::LimitExceeded)?;
         let width = match code {
             format_code::DESCRIBED => {
                 self.skip_at(depth)?;
@@ -253,7 +253,7 @@
         while element_code == format_code::DESCRIBED {
             descriptors += 1;
             if descriptors > depth {
-                return Err(DecodeError::TooMuch);
+                return Err(DecodeError::LimitExceeded);
             }
             body.skip_at(depth)?;
             element_code = body.byte()?;
@@ -275,7 +275,7 @@
     let mut pairs: Vec<(Value, Value)> = Vec::new();
     for _ in 0..count / 2 {
         let pair = (body.value_at(depth)?, body.value_at(depth)?);
-        // The cost is quadratic in the number of pairs: beyond the limit, whoever uses the map has to check its keys.
+        // The cost is quadratic in the number of pairs: beyond the limit, the user of the map has to check its keys.
         if pairs.len() < MAX_CHECKED_KEYS && pairs.iter().any(|(key, _)| *key == pair.0) {
             return Err(DecodeError::InvalidMap);
         }
--- a/crates/amqp/src/connection/dispositions.rs
+++ b/crates/amqp/src/connection/dispositions.rs
@@ -24,9 +24,10 @@
 pub(super) struct OutgoingDisposition {
     /// The local role on the link.
     pub role: Role,
-    /// The delivery id.
     pub id: u32,
+    /// Whether the local side has settled the delivery.
     pub settled: bool,
+    /// The outcome; `None` if the delivery is settled without one.
     pub state: Option<State>,
 }
 
@@ -90,12 +91,12 @@
         let last = disposition.last.unwrap_or(first);
         let is_from_receiver = disposition.role.ok_or_else(|| missing("role"))?;
         let settled = disposition.settled == Some(true);
-        let is_final = disposition.state.as_ref().is_some_and(State::is_final);
+        let is_terminal = disposition.state.as_ref().is_some_and(State::is_terminal);
         if !is_from_receiver {
             if settled {
                 self.on_sender_settlement(channel, first, last);
             }
-        } else if settled || is_final {
+        } else if settled || is_terminal {
             self.on_receiver_disposition(channel, first, last, settled, disposition.state);
         }
         Ok(())
--- a/crates/amqp/src/connection/incoming.rs
+++ b/crates/amqp/src/connection/incoming.rs
@@ -1,6 +1,6 @@
 //! Receiving deliveries (2.6.14) and granting credit (2.6.7).
 
-use super::{Connection, Event, IncomingTransfer, LinkEnd, LinkId};
+use super::{Connection, DetachMode, Event, IncomingTransfer, LinkId};
 use crate::error::{condition, fault, Error, Fault};
 use crate::link::{IncompleteDelivery, Link, Phase as LinkPhase, Role};
 use crate::performative::Transfer;
@@ -10,7 +10,7 @@
 enum Violation {
     /// Ends the connection or the session.
     Fatal(Fault),
-    /// Closes the link.
+    /// Closes the link with this error; the session and the connection continue.
     Link(Error),
 }
 
@@ -35,8 +35,12 @@
             Ok(transfer) => Ok(Some(Event::Transfer { link: link_id, transfer })),
             Err(Violation::Fatal(fault)) => Err(fault),
             Err(Violation::Link(error)) => {
-                self.detach(link_id, LinkEnd::Closed, Some(Box::new(error)));
-                self.events.push_back(Event::Detached { link: link_id, end: LinkEnd::Closed, error: None });
+                self.detach(link_id, DetachMode::Closed, Some(Box::new(error)));
+                self.events.push_back(Event::Detached {
+                    link: link_id,
+                    mode: DetachMode::Closed,
+                    error: None,
+                });
                 Ok(None)
             }
         }
@@ -86,7 +90,7 @@
             self.track_unsettled(link_id, Direction::Incoming, id, 0);
         }
         if aborted || (last && settled) {
-            // The sender expects no outcome for it.
+            // The sender expects no outcome for the delivery.
             self.remove_unsettled(link_id.channel, Direction::Incoming, id);
         }
         let resume = transfer.resume == Some(true);
--- a/crates/amqp/tests/pair/pair.rs
+++ b/crates/amqp/tests/pair/pair.rs
@@ -1,7 +1,8 @@
 //! Two connections that are linked in memory.
 
 use sparbank_amqp::{
-    Attach, Connection, Event, Fault, IncomingTransfer, LinkId, Outgoing, Role, Settings, Target, Terminus,
+    Attach, Connection, Event, Fault, IncomingTransfer, LinkId, OutgoingDelivery, Role, Settings, Target,
+    Terminus,
 };
 use sparbank_time::MonotonicTime;
 use std::collections::VecDeque;
@@ -17,8 +18,8 @@
 }
 
 /// A delivery with its key as the tag.
-pub fn outgoing(key: u64, settled: bool) -> Outgoing {
-    Outgoing { key, tag: key.into(), settled }
+pub fn outgoing(key: u64, settled: bool) -> OutgoingDelivery {
+    OutgoingDelivery { key, tag: key.into(), settled }
 }
 
 /// Converts an event to an owned one. The payload is replaced with zeros of the same size, as the tests check only
@@ -44,7 +45,7 @@
         Event::Settled { link, id, key, state } => Event::Settled { link, id, key, state },
         Event::SettledBySender { link, key } => Event::SettledBySender { link, key },
         Event::DeliveryLost { link, role, key } => Event::DeliveryLost { link, role, key },
-        Event::Detached { link, end, error } => Event::Detached { link, end, error },
+        Event::Detached { link, mode, error } => Event::Detached { link, mode, error },
         Event::Closed { error } => Event::Closed { error },
     }
 }
--- a/src/frontend/amqp/client_events.rs
+++ b/src/frontend/amqp/client_events.rs
@@ -19,9 +19,9 @@
 
 /// Handles the events of clients' connections. The frontend creates a handler for each call from the event loop.
 pub struct ClientEvents<'a, 'b> {
-    /// The parts of the node that frontends use.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The frontend's immutable data.
+    /// The immutable properties of the frontend.
     pub info: &'a FrontendInfo,
     /// The connections on both sides.
     pub peers: Peers<'a>,
@@ -29,7 +29,7 @@
     pub requests: &'a mut DeliveryRequests,
     /// The forwarders of clients' receiving links.
     pub forwarding: &'a mut Forwarding,
-    /// Authenticates the clients.
+    /// The state of the clients' pending logins.
     pub authenticator: &'a mut Authenticator,
 }
 
@@ -90,10 +90,8 @@
         }
     }
 
-    // ---- Input -------------------------------------------------------------------------------------
-
-    /// Reads again from the clients that were paused because messages used up the memory, once less than three quarters
-    /// of `max_buffered_bytes` are in use.
+    /// Reads again from the clients that were paused because the buffered messages reached `max_buffered_bytes`, once
+    /// less than three quarters of it are in use.
     pub fn resume_paused_reads(&mut self) {
         if self.requests.buffered_bytes() < self.peers.config.max_buffered_bytes / 4 * 3 {
             for token in self.peers.clients.take_paused() {
@@ -102,7 +100,7 @@
         }
     }
 
-    /// Processes a client's input, unless the client does not read its output or the memory for messages is used up.
+    /// Processes a client's input, unless its pending output or the buffered messages have reached their limit.
     fn read(&mut self, token: Token) {
         if self.ctx.net.pending_output_bytes(token) >= OUTPUT_HIGH_WATERMARK_BYTES {
             return self.ctx.net.update_interest(token);
@@ -207,7 +205,9 @@
                     client.add_detached_request(RequestId(key));
                 }
             }
-            Event::Detached { link, end, .. } => self.link_handler().on_detached(connection_link(link), end),
+            Event::Detached { link, mode, .. } => {
+                self.link_handler().on_detached(connection_link(link), mode)
+            }
             _ => {}
         }
     }
@@ -241,8 +241,6 @@
         }
     }
 
-    // ---- Output and end ----------------------------------------------------------------------------
-
     /// Writes the pending output of the clients that are marked dirty.
     pub fn flush(&mut self) {
         for token in self.peers.clients.take_dirty() {
@@ -266,7 +264,7 @@
         for link in client.take_links() {
             match link {
                 ClientLink::Receiving(forwarder) => {
-                    self.forwarding.on_client_gone(self.ctx, self.peers.servers, forwarder)
+                    self.forwarding.on_client_disconnected(self.ctx, self.peers.servers, forwarder)
                 }
                 ClientLink::Sending(link) => self.requests.drop_incomplete(&link.incomplete),
             }
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -1,28 +1,28 @@
 //! Attach and detach of clients' links. Each delivery on a sending link is a request. A receiving link whose source is
-//! a class is one request. A receiving link with a dynamic source creates a dynamic node for replies.
+//! a class is one request. A receiving link with a dynamic source creates a reply node.
 
 use super::arrival::{default_time_limit, RequestAttributes};
 use super::class_names::AddressField;
-use super::clients::{ClientLink, IncompleteDelivery, SendingLink};
+use super::clients::{ClientLink, ClientSendingLink, IncompleteDelivery};
 use super::connection_link::ConnectionLink;
 use super::delivery_requests::{DeliveryRequests, DetachedLink};
 use super::forwarding::Forwarding;
 use super::info::FrontendInfo;
 use super::nonce::nonce;
 use super::peers::Peers;
-use super::recovery::{KnownDelivery, LinkKey, RecoveryLimits};
+use super::recovery::{LinkKey, RecoveryLimits, RetainedDelivery};
 use super::replies::{retry_error, RETRY_AFTER_MS};
 use crate::frontend::FrontendContext;
 use crate::model::RequestId;
-use sparbank_amqp::{condition, Attach, Error, LinkEnd, Role, Source, State, Target, Terminus, Value};
+use sparbank_amqp::{condition, Attach, DetachMode, Error, Role, Source, State, Target, Terminus, Value};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Handles the attaches and detaches of clients' links.
 pub struct ClientLinks<'a, 'b> {
-    /// The parts of the node that frontends use.
+    /// The components of the node that the frontend uses.
     pub ctx: &'a mut FrontendContext<'b>,
-    /// The frontend's immutable data.
+    /// The immutable properties of the frontend.
     pub info: &'a FrontendInfo,
     /// The connections on both sides.
     pub peers: Peers<'a>,
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `end` tells
-    /// whether the detach closes the link.
-    pub fn on_detached(&mut self, at: ConnectionLink, end: LinkEnd) {
+    /// Handles a client's detach. The requests on the link are abandoned, unless the link may be resumed. `mode` is
+    /// that of the client's detach.
+    pub fn on_detached(&mut self, at: ConnectionLink, mode: DetachMode) {
         let client = self.peers.clients.get(at.token);
         let requests = client.map(|client| client.take_detached_requests()).unwrap_or_default();
         match self.peers.clients.remove_link(at) {
@@ -51,13 +51,13 @@
                 // A link without a timeout may be resumed until its session ends (AMQP 1.0, section 3.5.6).
                 let client = self.peers.clients.get(at.token);
                 let has_session = client.is_some_and(|client| client.conn.has_begun(at.id.channel));
-                let can_resume = link.is_remembered || has_session;
-                let end = if can_resume { end } else { LinkEnd::Closed };
-                let detached = DetachedLink { token: at.token, link, end, requests };
+                let can_resume = link.is_retained || has_session;
+                let mode = if can_resume { mode } else { DetachMode::Closed };
+                let detached = DetachedLink { token: at.token, link, mode, requests };
                 self.requests.on_link_detached(self.ctx, &mut self.peers, detached);
             }
             Some(ClientLink::Receiving(forwarder)) => {
-                self.forwarding.on_client_gone(self.ctx, self.peers.servers, forwarder)
+                self.forwarding.on_client_disconnected(self.ctx, self.peers.servers, forwarder)
             }
             None => {}
         }
@@ -85,8 +85,6 @@
         self.peers.clients.mark_dirty(link.token);
     }
 
-    // ---- Sending links -----------------------------------------------------------------------------
-
     /// Handles the attach of a link on which the client sends. The target is a class, or the anonymous terminus, where
     /// the field `to` of each message names the class.
     fn attach_sending_link(&mut self, link: ConnectionLink, attach: &Attach) {
@@ -119,17 +117,17 @@
             snd_settle_mode: attach.snd_settle_mode,
             source: attach.source.clone(),
             target: Some(Terminus::Target(Target { timeout: timeout_seconds, ..target })),
-            unsettled: (!unsettled.is_empty()).then(|| unsettled_map(&resumed.known)),
+            unsettled: (!unsettled.is_empty()).then(|| unsettled_map(&resumed.retained_deliveries)),
             ..Attach::default()
         };
         if let Some(client) = self.peers.clients.get(at.token) {
             client.conn.accept_link(at.id, answer);
         }
-        let sending_link = SendingLink {
+        let sending_link = ClientSendingLink {
             class,
-            is_remembered: self.requests.is_remembered(&key),
+            is_retained: self.requests.is_retained(&key),
             key: Rc::new(key),
-            unknown: resumed.unknown,
+            unknown_deliveries: resumed.unknown_deliveries,
             incomplete: IncompleteDelivery::None,
         };
         self.peers.clients.add_sending_link(at, sending_link);
@@ -148,9 +146,7 @@
         })
     }
 
-    // ---- Receiving links ---------------------------------------------------------------------------
-
-    /// Handles the attach of a link on which the client receives, from a class or from a dynamic node for replies.
+    /// Handles the attach of a link on which the client receives, from a class or from a reply node.
     fn attach_receiving_link(&mut self, link: ConnectionLink, attach: Box<Attach>) {
         let source = attach.source.clone().unwrap_or_default();
         if source.dynamic == Some(true) {
@@ -165,7 +161,7 @@
             return self.refuse(link, error);
         }
         let request_id = self.start_receiving_request(class, &attach);
-        let forwarder = self.forwarding.add(request_id, link, attach);
+        let forwarder = self.forwarding.add_forwarder(request_id, link, attach);
         if let Some(client) = self.peers.clients.get(link.token) {
             client.add_receiving_link(link.id, forwarder);
         }
@@ -190,13 +186,13 @@
         self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival())
     }
 
-    /// Handles the attach of a link with a dynamic source: creates a dynamic node to which servers may send replies
-    /// until the link is detached.
+    /// Handles the attach of a link with a dynamic source: creates a reply node, to which servers may send until the link
+    /// is detached.
     fn attach_reply_link(&mut self, link: ConnectionLink, attach: Box<Attach>, source: Source) {
         let Some(client) = self.peers.clients.get(link.token) else { return };
         let target = attach.target.clone();
         let forwarder = self.forwarding.add_reply_node(link, attach);
-        // The address contains a nonce so that other clients cannot guess it. Servers learn it from requests.
+        // The address contains a nonce so that other clients cannot guess it. Clients pass it to servers in their requests.
         let address = format!("reply/{forwarder}/{}", nonce());
         let source = Source { address: Some(address.clone()), dynamic: Some(true), ..source };
         client.conn.accept_link(link.id, Attach { source: Some(source), target, ..Attach::default() });
@@ -234,8 +230,8 @@
 
 /// The unsettled map of an attach (AMQP 1.0, section 2.7.3): the deliveries' tags with their states, or null for
 /// deliveries that have none yet.
-fn unsettled_map(deliveries: &[KnownDelivery]) -> Value {
-    let entry = |delivery: &KnownDelivery| {
+fn unsettled_map(deliveries: &[RetainedDelivery]) -> Value {
+    let entry = |delivery: &RetainedDelivery| {
         let state = delivery.state.as_ref().map_or(Value::Null, State::to_value);
         (Value::Binary(delivery.tag.as_bytes().to_vec()), state)
     };
--- a/src/frontend/amqp/delivery_requests/mod.rs
+++ b/src/frontend/amqp/delivery_requests/mod.rs
@@ -1,12 +1,12 @@
 //! Requests that clients send as deliveries, from the first transfer until the delivery is settled.
 //!
-//! [`DeliveryRequests`] owns the deliveries and the state that is remembered for resumable links. `transfers` turns
-//! received transfers into requests. The methods in this file handle the rest of a request's life: attempts at servers,
+//! [`DeliveryRequests`] owns the deliveries and the state that is retained for resumable links. `transfers` turns
+//! received transfers into requests. The methods in this file handle what follows: attempts at servers,
 //! the final answer, and the loss of the client or of its link.
 
 pub mod transfers;
 
-use super::clients::{Client, IncompleteDelivery, SendingLink};
+use super::clients::{Client, ClientSendingLink, IncompleteDelivery};
 use super::connection_link::ConnectionLink;
 use super::deliveries::{Attempt, AttemptStage, Deliveries};
 use super::peers::Peers;
@@ -16,7 +16,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{Outcome, RequestId, ServerId};
 use crate::net::Token;
-use sparbank_amqp::{AbandonedDelivery, LinkEnd, Role, State, Tag};
+use sparbank_amqp::{AbandonedDelivery, DetachMode, Role, State, Tag};
 use std::time::Duration;
 
 /// All requests that clients sent as deliveries.
@@ -38,7 +38,7 @@
     pub peak_buffered_bytes: usize,
     /// Deliveries that were aborted after part of them was sent to a server.
     pub aborted: u64,
-    /// Links that are currently remembered for resumption.
+    /// Links whose state is currently retained for resumption. Printed as `remembered`.
     pub remembered_links: usize,
     /// Number of times that a link was resumed.
     pub resumed_links: u64,
@@ -48,12 +48,12 @@
 
 /// A client's sending link that was detached.
 pub struct DetachedLink {
-    /// The client's connection.
+    /// The socket of the client's connection.
     pub token: Token,
     /// The link as it was before the detach.
-    pub link: SendingLink,
-    /// Whether the link was closed or only suspended, in which case it may be resumed.
-    pub end: LinkEnd,
+    pub link: ClientSendingLink,
+    /// Whether the link was closed, or suspended so that it may be resumed.
+    pub mode: DetachMode,
     /// The requests whose deliveries were unsettled on the link.
     pub requests: Vec<RequestId>,
 }
@@ -81,8 +81,6 @@
         &mut self.deliveries
     }
 
-    // ---- Attempts ----------------------------------------------------------------------------------
-
     /// Queues an attempt of a request at a server.
     pub fn start_attempt(
         &mut self,
@@ -98,8 +96,8 @@
         servers.enqueue(server, delivery.class, delivery.link.token, request_id);
     }
 
-    /// Cancels the attempt of a request and returns its outcome. The outcome tells whether the server may have run the
-    /// request: it has not if the delivery was not sent completely.
+    /// Cancels the attempt of a request and returns its outcome, which shows whether the server may have run the
+    /// request. The server has not run a request whose delivery was not sent completely.
     pub fn cancel_attempt(
         &mut self,
         ctx: &FrontendContext,
@@ -171,7 +169,7 @@
         let outcome = match state {
             Some(State::Accepted) => Outcome::Ok,
             // The server reports that it did not process the delivery, so the request has not run.
-            Some(State::Released | State::Modified { failed: false, .. }) => Outcome::Rejected,
+            Some(State::Released | State::Modified { delivery_failed: false, .. }) => Outcome::Rejected,
             // After any other state, or none, the request may have run.
             _ => Outcome::Error,
         };
@@ -207,15 +205,13 @@
         }
     }
 
-    // ---- Answers -----------------------------------------------------------------------------------
-
     /// Settles the delivery of a request with its final state.
     pub fn answer(&mut self, peers: &mut Peers<'_>, request_id: RequestId, state: State) {
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
         self.recovery.record_settled(peers.config.recovery_limits(), request_id, &state);
         let client = peers.clients.get(delivery.link.token).filter(|_| delivery.is_attached);
         let Some(client) = client else { return };
-        client.uncount_open_request();
+        client.remove_open_request();
         client.conn.settle(delivery.link.id.channel, delivery.delivery_id, state);
         peers.clients.mark_dirty(delivery.link.token);
         self.replenish_credit(peers, delivery.link);
@@ -226,16 +222,14 @@
         peers.clients.replenish_credit(link, peers.config, self.buffered_bytes());
     }
 
-    // ---- Loss of clients and links -----------------------------------------------------------------
-
     /// Drops a request whose client has cancelled it or has disconnected.
     pub fn abandon(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>, request_id: RequestId) {
         self.cancel_attempt(ctx, peers.servers, request_id);
         ctx.requests.on_client_disconnected(ctx.now, request_id);
-        self.recovery.forget_request(request_id);
+        self.recovery.remove_request(request_id);
         let Some(delivery) = self.deliveries.remove(request_id) else { return };
         if let Some(client) = peers.clients.get(delivery.link.token).filter(|_| delivery.is_attached) {
-            client.uncount_open_request();
+            client.remove_open_request();
         }
     }
 
@@ -251,20 +245,20 @@
         }
     }
 
-    /// Keeps a request running after the loss of its link, which may be resumed. The answer is remembered for the
+    /// Keeps a request running after the loss of its link, which may be resumed. The answer is retained for the
     /// resumed link.
     fn suspend(&mut self, peers: &mut Peers<'_>, key: &LinkKey, request_id: RequestId) {
         let delivery = self.deliveries.get_mut(request_id).filter(|delivery| delivery.is_attached);
         let Some(delivery) = delivery else { return };
         if let Some(client) = peers.clients.get(delivery.link.token) {
-            client.uncount_open_request();
+            client.remove_open_request();
         }
         delivery.is_attached = false;
         self.recovery.record_running(key, delivery.tag, request_id);
     }
 
     /// Handles the attach of a client's sending link. `unsettled` holds the tags of the client's unsettled map. If the
-    /// link is lost, it is remembered for `timeout`.
+    /// link is lost, its state is retained for `timeout`.
     pub fn on_link_attached(
         &mut self,
         peers: &Peers<'_>,
@@ -276,9 +270,9 @@
         self.recovery.attach(peers.config.recovery_limits(), key, token, timeout, unsettled)
     }
 
-    /// Whether the deliveries of a link are remembered.
-    pub fn is_remembered(&self, key: &LinkKey) -> bool {
-        self.recovery.is_remembered(key)
+    /// Whether the deliveries of a link are retained.
+    pub fn is_retained(&self, key: &LinkKey) -> bool {
+        self.recovery.is_retained(key)
     }
 
     /// Handles the detach of a client's sending link. Its requests are abandoned, unless the link is suspended.
@@ -288,10 +282,10 @@
         peers: &mut Peers<'_>,
         detached: DetachedLink,
     ) {
-        let DetachedLink { token, link, end, requests } = detached;
+        let DetachedLink { token, link, mode, requests } = detached;
         let limits = peers.config.recovery_limits();
         let is_suspended =
-            end == LinkEnd::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
+            mode == DetachMode::Suspended && self.recovery.suspend(limits, &link.key, token, ctx.now);
         for request_id in requests {
             if is_suspended && self.deliveries.is_complete(request_id) {
                 self.suspend(peers, &link.key, request_id);
@@ -300,8 +294,8 @@
             }
         }
         if !is_suspended {
-            let forgotten = self.recovery.forget_link(&link.key);
-            self.abandon_all(ctx, peers, forgotten);
+            let removed = self.recovery.remove_link(&link.key);
+            self.abandon_all(ctx, peers, removed);
         }
         self.drop_incomplete(&link.incomplete);
     }
@@ -319,14 +313,14 @@
                 continue;
             }
             let request_id = RequestId(key);
-            let link = client.sending_link(link).filter(|link| link.is_remembered);
+            let link = client.sending_link(link).filter(|link| link.is_retained);
             match link.filter(|_| self.deliveries.is_complete(request_id)) {
                 Some(link) => self.suspend(peers, &link.key.clone(), request_id),
                 None => self.abandon(ctx, peers, request_id),
             }
         }
-        let forgotten = self.recovery.on_connection_lost(token, ctx.now);
-        self.abandon_all(ctx, peers, forgotten);
+        let removed = self.recovery.on_connection_lost(token, ctx.now);
+        self.abandon_all(ctx, peers, removed);
     }
 
     /// Releases the octets buffered for a delivery that has not become a request and will not be continued.
@@ -334,7 +328,7 @@
         self.deliveries.subtract_buffered(incomplete.buffered_bytes());
     }
 
-    /// Forgets the links that were not resumed before their timeout, and abandons their requests.
+    /// Removes the links that were not resumed before their timeout, and abandons their requests.
     pub fn expire(&mut self, ctx: &mut FrontendContext, peers: &mut Peers<'_>) {
         let expired = self.recovery.expire(ctx.now);
         self.abandon_all(ctx, peers, expired);
--- a/src/frontend/amqp/forwarding/forwarder.rs
+++ b/src/frontend/amqp/forwarding/forwarder.rs
@@ -7,7 +7,7 @@
 use crate::frontend::FrontendContext;
 use crate::model::{RequestId, ServerId};
 use crate::net::OUTPUT_HIGH_WATERMARK_BYTES;
-use sparbank_amqp::{Attach, IncomingTransfer, Outgoing, State, Tag};
+use sparbank_amqp::{Attach, IncomingTransfer, OutgoingDelivery, State, Tag};
 use std::collections::VecDeque;
 
 /// Octets queued from one source above which its server is granted no more credit, because the client is slow.
@@ -19,17 +19,17 @@
 
 /// Forwards deliveries from servers' links to one link of a client.
 pub struct Forwarder {
-    /// The request that it serves; `None` for a reply node.
+    /// The request that the forwarder serves; `None` for a reply node.
     pub(super) request_id: Option<RequestId>,
     /// The client's receiving link.
     pub(super) client: ConnectionLink,
     /// The attach that the client sent.
     pub(super) attach: Box<Attach>,
-    /// The server of the request's attempt.
+    /// The server of the request's current attempt; `None` for a reply node or between attempts.
     pub(super) server: Option<ServerId>,
     /// Whether the attach of the client's link has been answered.
     pub(super) is_established: bool,
-    /// The links that it receives on. A removed source leaves `None`, because the keys of deliveries contain indices
+    /// The links on which the forwarder receives. A removed source leaves `None`, because the keys of deliveries contain indices
     /// into this vector.
     sources: Vec<Option<Source>>,
     /// The index of the source whose delivery is only partly sent to the client.
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Whether its attempt is at one of these servers and the server has not answered the attach.
+    /// Whether the request's attempt is at one of these servers and the server has not answered the attach.
     pub fn is_unanswered_at(&self, servers: &[ServerId]) -> bool {
         let is_attempted = self.server.is_some_and(|server| servers.contains(&server));
         !self.is_established && self.sources.is_empty() && is_attempted
@@ -193,7 +193,7 @@
             // Without a state, the client may or may not have processed the delivery. The server has to decide what to
             // do with it.
             let state = state.unwrap_or(State::Modified {
-                failed: true,
+                delivery_failed: true,
                 undeliverable_here: false,
                 annotations: None,
             });
@@ -256,7 +256,7 @@
             let Some(source) = self.sources.get_mut(index).and_then(Option::as_mut) else { break };
             let Some(transfer) = source.transfers.front_mut() else { break };
             let key = DeliveryKey { source_index: index, delivery_id: transfer.delivery_id }.encode();
-            let delivery = Outgoing { key, tag: transfer.tag, settled: transfer.is_settled };
+            let delivery = OutgoingDelivery { key, tag: transfer.tag, settled: transfer.is_settled };
             let sent =
                 client.conn.send(self.client.id, delivery, &transfer.bytes, transfer.is_last, capacity);
             if sent.started && self.sending_source.is_none() {
@@ -266,7 +266,7 @@
             source.queued_bytes -= sent.octets;
             if sent.octets < transfer.bytes.len() || (transfer.is_last && !sent.complete) {
                 transfer.bytes.drain(..sent.octets);
-                client.set_stalled(client.conn.pending() >= capacity);
+                client.set_stalled(client.conn.pending_output() >= capacity);
                 break;
             }
             if sent.complete {
@@ -278,7 +278,7 @@
         completed
     }
 
-    /// Distributes the client's credit equally among the sources. Each has at least one while the client has credit.
+    /// Distributes the client's credit equally among the sources. Each share is at least one while the client has credit.
     fn distribute_credit(&self, client_credit: u32, servers: &mut Servers) {
         let count = self.sources.iter().flatten().count().max(1) as u32;
         let fair_share = (client_credit / count).max(client_credit.min(1));
--- a/src/frontend/amqp/replies.rs
+++ b/src/frontend/amqp/replies.rs
@@ -9,18 +9,26 @@
 /// The state of a request that was rejected and has not run. The client may retry it after this time.
 pub fn rejected_state(retry_after_ms: u32) -> State {
     let annotations = Value::Map(vec![(Value::symbol("retry-after"), Value::Uint(retry_after_ms))]);
-    State::Modified { failed: false, undeliverable_here: false, annotations: Some(Box::new(annotations)) }
+    State::Modified {
+        delivery_failed: false,
+        undeliverable_here: false,
+        annotations: Some(Box::new(annotations)),
+    }
 }
 
 /// The state of a request that failed and may have run.
 pub fn failed_state() -> State {
-    State::Modified { failed: true, undeliverable_here: false, annotations: None }
+    State::Modified { delivery_failed: true, undeliverable_here: false, annotations: None }
 }
 
-/// The state of a resumed delivery that is no longer remembered. It may have run.
+/// The state of a resumed delivery whose status is not retained. Its request may have run.
 pub fn unknown_state() -> State {
     let annotations = Value::Map(vec![(Value::symbol("fate"), Value::symbol("unknown"))]);
-    State::Modified { failed: true, undeliverable_here: false, annotations: Some(Box::new(annotations)) }
+    State::Modified {
+        delivery_failed: true,
+        undeliverable_here: false,
+        annotations: Some(Box::new(annotations)),
+    }
 }
 
 /// The state of a message that the node cannot accept: it violates the standard, or it names no class that the client
@@ -29,7 +37,7 @@
     State::Rejected(Some(Box::new(error)))
 }
 
-/// An error that tells the client when to retry.
+/// An error whose `retry-after` information holds the time, in milliseconds, after which the client may retry.
 pub fn retry_error(condition: &str, description: &str, retry_after_ms: u32) -> Error {
     let info = Value::Map(vec![(Value::symbol("retry-after"), Value::Uint(retry_after_ms))]);
     Error { info: Some(info), ..Error::new(condition, description) }
--- a/src/frontend/amqp/servers/mod.rs
+++ b/src/frontend/amqp/servers/mod.rs
@@ -28,14 +28,14 @@
 use link_placement::LinkPlacer;
 use sending::{DeliverySender, MAX_UNWRITTEN_BYTES};
 use server::{ClassQueue, Server, WaitingForwarder};
-use sparbank_amqp::{Attach, LinkEnd};
+use sparbank_amqp::{Attach, DetachMode};
 
-/// What is affected by the loss of a connection.
+/// The attempts and forwarders that are affected by the loss of a connection.
 #[derive(Default)]
 pub struct LostConnection {
-    /// The attempts that ended with it.
+    /// The attempts that ended with the connection.
     pub ended: Vec<EndedAttempt>,
-    /// The forwarders that received on it, in the order of their ids.
+    /// The forwarders that received on the connection, in the order of their ids.
     pub forwarders: Vec<ForwarderId>,
 }
 
@@ -87,12 +87,12 @@
         self.connections.len()
     }
 
-    /// Whether a connection exists and is not open.
+    /// Whether a connection exists and is not open yet.
     pub fn is_opening(&self, token: Token) -> bool {
         self.connections.get(token).is_some_and(|connection| !connection.conn.is_open())
     }
 
-    /// Whether a connection is idle and its server is draining or gone.
+    /// Whether a connection is idle and its server is draining or was removed from the endpoint list.
     pub fn is_drained(&self, ctx: &FrontendContext, token: Token) -> bool {
         let Some(connection) = self.connections.get(token) else { return false };
         let is_serving = ctx.registry.entry(connection.server()).is_some_and(|server| server.is_ready());
@@ -135,7 +135,7 @@
             let Some(connection) = self.connections.get_mut(*token) else { continue };
             if let Some(link) = connection.link_of_forwarder(forwarder) {
                 connection.remove_link(link);
-                connection.conn.detach(link, LinkEnd::Closed, None);
+                connection.conn.detach(link, DetachMode::Closed, None);
                 is_attached = true;
             }
         }
@@ -149,7 +149,7 @@
     pub fn detach_source(&mut self, link: ConnectionLink) {
         if let Some(connection) = self.connections.get_mut(link.token) {
             connection.remove_link(link.id);
-            connection.conn.detach(link.id, LinkEnd::Closed, None);
+            connection.conn.detach(link.id, DetachMode::Closed, None);
         }
         self.mark_connection_dirty(link.token);
     }
@@ -278,7 +278,7 @@
         let server_id = connection.server();
         let Some(server) = self.by_id.get_mut(&server_id) else { return lost };
         server.remove_connection(token);
-        if connection.conn.peer_has_no_sasl() && server.sasl != SaslSupport::Absent {
+        if connection.conn.peer_lacks_sasl() && server.sasl != SaslSupport::Absent {
             // The queued requests wait for the next connection, which is opened without SASL.
             server.sasl = SaslSupport::Absent;
             self.mark_dirty(server_id);
@@ -290,8 +290,8 @@
         lost
     }
 
-    /// Removes a server without connections and ends its waiting attempts with `ConnectFailed`. If the server is known
-    /// to have no SASL layer, this is remembered for its next connection.
+    /// Removes a server without connections and ends its waiting attempts with `ConnectFailed`. If the server has
+    /// no SASL layer, an entry with this fact is retained for its next connection.
     fn remove_server(&mut self, server_id: ServerId) -> Vec<EndedAttempt> {
         let Some(mut server) = self.by_id.remove(&server_id) else { return Vec::new() };
         if server.sasl == SaslSupport::Absent {
