--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Simulated clients: ordinary ones, and such as disconnect early, flood, rest or stop in the middle of a line.
+//! Simulated clients: ordinary ones, and ones that disconnect early, send too much, stay idle or send half a line.
 
 use crate::node::Nodes;
 use crate::request::{class_name, DEADLINE};
@@ -15,67 +15,68 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, Instant};
 
-/// An answer later than this does not come.
+/// A client stops waiting for an answer, or for a second one, after this time.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(4_500);
-/// A bad client gets its answer or its close within this.
-const BAD_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_050);
-/// A server's end reaches its client within this.
-const END_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A line is delayed no longer than this.
-const LINE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// The client of a silent server is migrated within this.
-const SILENT_TIMEOUT: Duration = Duration::from_millis(7_000);
+/// The node closes a connection without a valid request, with or without an answer, within this time.
+const INVALID_CLIENT_TIMEOUT: Duration = Duration::from_millis(3_050);
+/// The end of a session at its server reaches the client within this time.
+const MAX_END_DELAY: Duration = Duration::from_millis(1_000);
+/// The node forwards a line within this time.
+const MAX_LINE_DELAY: Duration = Duration::from_millis(1_000);
+/// The client of a server that has stopped sending is migrated within this time.
+const SILENT_SERVER_TIMEOUT: Duration = Duration::from_millis(7_000);
+/// How often a client sends a line in an established session.
 const LINE_INTERVAL: Duration = Duration::from_millis(250);
-/// The longest session.
+/// Upper limit of the random lifetime of a session.
 const MAX_SESSION_MS: u64 = 2_500;
-/// How often clients disconnect while their requests wait, where that is the fault and otherwise.
+/// Probability that a client disconnects before its answer, during [`ClientBehaviour::disconnect`] and otherwise.
 const FAULT_DISCONNECT_PROBABILITY: f64 = 0.7;
 const DISCONNECT_PROBABILITY: f64 = 0.15;
-/// A client that stalls does not read for this long.
-const STALL: Duration = Duration::from_millis(600);
+/// Length of the occasional pauses in which a client reads nothing.
+const READ_PAUSE: Duration = Duration::from_millis(600);
 
-/// What is drawn from for each request.
-const SAFETIES: [RetrySafety; 4] =
+/// The retry safety of each request is drawn from these: half of the requests are idempotent.
+const RETRY_SAFETIES: [RetrySafety; 4] =
     [RetrySafety::Idempotent, RetrySafety::Idempotent, RetrySafety::Keyed, RetrySafety::NonIdempotent];
 
-/// What the clients do besides ordinary requests.
+/// The client faults that are active, for all clients of a run.
 #[derive(Default)]
-pub struct Behaviour {
-    /// They disconnect while their requests wait.
+pub struct ClientBehaviour {
+    /// Clients disconnect while their requests are pending.
     pub disconnect: Cell<bool>,
-    /// They send many lines at once.
+    /// Clients send many request lines at once.
     pub flood: Cell<bool>,
-    /// They rest.
+    /// Clients connect and send nothing.
     pub idle: Cell<bool>,
-    /// They send half a line.
-    pub half_line: Cell<bool>,
-    /// They come no more.
+    /// Clients send half a request line, and keep the connection open.
+    pub partial_line: Cell<bool>,
+    /// Clients send no further requests.
     pub stopped: Cell<bool>,
 }
 
-/// One client, which sends request after request.
+/// A client that sends one request after another, each to a random node.
 pub struct Client {
-    /// The checker.
+    /// Where requests and answers are recorded.
     pub checker: Rc<RefCell<InvariantChecker>>,
-    /// The nodes that it is spread over.
+    /// The nodes that it connects to.
     pub nodes: Nodes,
-    /// The servers, which know how sessions were ended.
+    /// The servers, which record how they ended their sessions.
     pub servers: Servers,
-    /// What it does.
-    pub behaviour: Rc<Behaviour>,
-    /// Its number.
+    /// The client faults that are active.
+    pub behaviour: Rc<ClientBehaviour>,
+    /// Its number, which makes its request ids unique.
     pub number: u64,
     rng: Pcg64Mcg,
     requests: u64,
 }
 
 impl Client {
-    /// A client with this number.
+    /// Creates a client whose random draws are determined by `seed` and `number`.
     pub fn new(
         checker: &Rc<RefCell<InvariantChecker>>,
         nodes: &Nodes,
         servers: &Servers,
-        behaviour: &Rc<Behaviour>,
+        behaviour: &Rc<ClientBehaviour>,
         number: u64,
         seed: u64,
     ) -> Client {
@@ -98,47 +99,48 @@
             let incarnation = self.checker.borrow().incarnation(node);
             let Ok(stream) = TcpStream::connect(self.nodes.address(node)).await else { continue };
             let _ = stream.set_nodelay(true);
-            let is_drawn = self.rng.random_bool(0.5);
-            if self.behaviour.idle.get() && is_drawn {
-                self.misbehave(node, incarnation, stream, "").await;
-            } else if self.behaviour.half_line.get() && is_drawn {
-                self.misbehave(node, incarnation, stream, "OPEN 9b1f 7f3a c=li").await;
-            } else if self.behaviour.flood.get() && is_drawn {
-                let line = "OPEN 9b1f 7f3a c=live,t=acme,d=1000,g=5c\r\n".repeat(100);
-                self.misbehave(node, incarnation, stream, &line).await;
+            let is_affected = self.rng.random_bool(0.5);
+            if self.behaviour.idle.get() && is_affected {
+                self.send_invalid_input(node, incarnation, stream, "").await;
+            } else if self.behaviour.partial_line.get() && is_affected {
+                self.send_invalid_input(node, incarnation, stream, "OPEN 9b1f 7f3a c=li").await;
+            } else if self.behaviour.flood.get() && is_affected {
+                let lines = "OPEN 9b1f 7f3a c=live,t=acme,d=1000,g=5c\r\n".repeat(100);
+                self.send_invalid_input(node, incarnation, stream, &lines).await;
             } else {
-                self.request(node, incarnation, stream).await;
+                self.send_request(node, incarnation, stream).await;
             }
         }
     }
 
-    /// A client without a sound request gets an answer or a close in time.
-    async fn misbehave(&mut self, node: usize, incarnation: u64, mut stream: TcpStream, text: &str) {
+    /// Sends text that is not a valid request, and checks that the node closes the connection in time.
+    async fn send_invalid_input(&mut self, node: usize, incarnation: u64, mut stream: TcpStream, text: &str) {
         let connected_at = Instant::now();
         if stream.write_all(text.as_bytes()).await.is_err() {
             return;
         }
         let mut bytes = [0; 64];
-        let limit = BAD_CLIENT_TIMEOUT + Duration::from_secs(2);
+        let limit = INVALID_CLIENT_TIMEOUT + Duration::from_secs(2);
         while timeout(limit, stream.read(&mut bytes))
             .await
             .is_ok_and(|read| read.is_ok_and(|count| count > 0))
         {}
         let waited = connected_at.elapsed();
         let mut checker = self.checker.borrow_mut();
-        let allowed = BAD_CLIENT_TIMEOUT + self.nodes.stalled(node) + checker.lateness();
+        let allowed = INVALID_CLIENT_TIMEOUT + self.nodes.excused_stall(node) + checker.lateness();
         if waited > allowed && !checker.is_excused(node, incarnation) {
             checker.report(
                 Rule::BadClient,
-                format!("node {node} left {:?} open for {waited:?}", text.get(..20)),
+                format!("node {node} left a connection with input {:?} open for {waited:?}", text.get(..20)),
             );
         }
     }
 
-    async fn request(&mut self, node: usize, incarnation: u64, stream: TcpStream) {
+    /// Sends one request, and uses the session if it is served.
+    async fn send_request(&mut self, node: usize, incarnation: u64, stream: TcpStream) {
         self.requests += 1;
         let id = format!("{:x}", (self.number << 24) | self.requests);
-        let safety = SAFETIES[self.rng.random_range(0..SAFETIES.len())];
+        let safety = RETRY_SAFETIES[self.rng.random_range(0..RETRY_SAFETIES.len())];
         let line = format!(
             "OPEN {id} {:x} c={},t=acme,d={},g=5c{:x}\r\n",
             self.number,
@@ -161,9 +163,9 @@
         let mut text = String::new();
         let answer = match read_answer(&mut read, &mut text).await {
             Ok(answer) => answer,
-            Err(what) => {
-                let what = format!("{what} after {:?}", sent_at.elapsed());
-                return self.checker.borrow_mut().on_no_answer(&id, &what);
+            Err(reason) => {
+                let reason = format!("{reason} after {:?}", sent_at.elapsed());
+                return self.checker.borrow_mut().on_no_answer(&id, &reason);
             }
         };
         self.checker.borrow_mut().on_answer(&id, answer, sent_at.elapsed());
@@ -173,23 +175,24 @@
             .await
             .is_ok_and(|more| more.is_ok_and(|count| count > 0))
         {
-            self.checker.borrow_mut().report(Rule::SecondAnswer, format!("{id} got {text:?}"));
+            self.checker.borrow_mut().report(Rule::SecondAnswer, format!("{id} received {text:?}"));
         }
     }
 
-    /// Writes a line, sometimes in two pieces.
+    /// Writes a line, sometimes in two parts with a pause between them. Returns whether all of it was written.
     async fn write_line(&mut self, write: &mut OwnedWriteHalf, line: &str) -> bool {
-        let cut = if self.rng.random_bool(0.2) { self.rng.random_range(1..line.len()) } else { line.len() };
-        if write.write_all(&line.as_bytes()[..cut]).await.is_err() {
+        let split_at =
+            if self.rng.random_bool(0.2) { self.rng.random_range(1..line.len()) } else { line.len() };
+        if write.write_all(&line.as_bytes()[..split_at]).await.is_err() {
             return false;
         }
-        if cut < line.len() {
+        if split_at < line.len() {
             sleep(Duration::from_millis(self.rng.random_range(0..40))).await;
         }
-        write.write_all(&line.as_bytes()[cut..]).await.is_ok()
+        write.write_all(&line.as_bytes()[split_at..]).await.is_ok()
     }
 
-    /// Disconnects after a while, with an end or a reset.
+    /// Disconnects after a random delay, with a FIN or a reset.
     async fn disconnect(&mut self, id: &str, read: BufReader<OwnedReadHalf>, write: OwnedWriteHalf) {
         sleep(Duration::from_millis(self.rng.random_range(0..400))).await;
         if self.rng.random_bool(0.5) {
@@ -199,7 +202,7 @@
         drop((read, write));
     }
 
-    /// Uses an established session until its lifetime is over or it is ended from the other side.
+    /// Sends and receives lines in an established session, until its lifetime is over or the other side ends it.
     async fn use_session(
         &mut self,
         node: usize,
@@ -209,11 +212,11 @@
         mut write: OwnedWriteHalf,
     ) {
         let end = Instant::now() + Duration::from_millis(self.rng.random_range(50..MAX_SESSION_MS));
-        let mut lines = Lines::default();
-        // A session that its server has ended is watched to its end.
+        let mut lines = ReceivedLines::default();
+        // A session that its server has ended is read to its end, beyond its lifetime.
         while Instant::now() < end || self.servers.ended_at(id).is_some() {
             if self.rng.random_bool(0.1) {
-                sleep(STALL).await;
+                sleep(READ_PAUSE).await;
             }
             if write.write_all(b"M 1\r\n").await.is_err() {
                 break;
@@ -223,7 +226,7 @@
                 let wait = LINE_INTERVAL.saturating_sub(written_at.elapsed());
                 match timeout(wait, read.read_until(b'\n', &mut lines.partial)).await {
                     Err(_) => break,
-                    Ok(Ok(count)) if count > 0 => lines.take(),
+                    Ok(Ok(count)) if count > 0 => lines.finish_line(),
                     Ok(ended) => return self.check_end(node, incarnation, id, &lines, &format!("{ended:?}")),
                 }
             }
@@ -232,34 +235,34 @@
         self.checker.borrow_mut().on_client_gone(id);
     }
 
-    /// A session whose server has ended it is over for its client within a second.
-    fn check_progress(&self, node: usize, incarnation: u64, id: &str, lines: &Lines) {
+    /// Checks that the server is not silent for too long, and that the end of the session arrives in time.
+    fn check_progress(&self, node: usize, incarnation: u64, id: &str, lines: &ReceivedLines) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_excused(node, incarnation) {
             return;
         }
-        let allowed = self.nodes.stalled(node) + checker.lateness();
-        if lines.last_at.elapsed() > SILENT_TIMEOUT + allowed {
+        let allowed = self.nodes.excused_stall(node) + checker.lateness();
+        if lines.last_at.elapsed() > SILENT_SERVER_TIMEOUT + allowed {
             checker.report(
                 Rule::SilentServer,
-                format!("{id} at node {node}: no line for {:?}", lines.last_at.elapsed()),
+                format!("{id} at node {node}: no line received for {:?}", lines.last_at.elapsed()),
             );
         }
         let ended_at = self.servers.ended_at(id);
-        let limit = END_TIMEOUT + LINE_TIMEOUT + STALL + allowed;
+        let limit = MAX_END_DELAY + MAX_LINE_DELAY + READ_PAUSE + allowed;
         if let Some(ended_at) =
-            ended_at.filter(|at| at.elapsed() > limit && lines.last_at.elapsed() > LINE_TIMEOUT)
+            ended_at.filter(|at| at.elapsed() > limit && lines.last_at.elapsed() > MAX_LINE_DELAY)
         {
             let elapsed = ended_at.elapsed();
             checker.report(
                 Rule::SessionEndDelayed,
-                format!("{id} at node {node}: its server ended {elapsed:?} ago"),
+                format!("{id} at node {node}: not ended, {elapsed:?} after its server ended the session"),
             );
         }
     }
 
-    /// A session ends with its server's end, or with `MOVE`.
-    fn check_end(&self, node: usize, incarnation: u64, id: &str, lines: &Lines, how: &str) {
+    /// Checks a session that has ended: its server ended it and all that it sent has arrived, or the last line is `MOVE`.
+    fn check_end(&self, node: usize, incarnation: u64, id: &str, lines: &ReceivedLines, read_result: &str) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_excused(node, incarnation) || lines.last == "MOVE" {
             return;
@@ -268,21 +271,25 @@
             let last = &lines.last;
             return checker.report(
                 Rule::CutOff,
-                format!("{id} at node {node} ended without MOVE, {how}, last {last:?}"),
+                format!("{id} at node {node}: ended without MOVE, read {read_result}, last line {last:?}"),
             );
         };
-        let is_short = ended.end != SessionEnd::Reset && (lines.burst < ended.lines || lines.last != "BYE");
-        if is_short {
-            let (got, sent) = (lines.burst, ended.lines);
+        let is_truncated =
+            ended.end != SessionEnd::Reset && (lines.burst_lines < ended.lines || lines.last != "BYE");
+        if is_truncated {
+            let (received, sent) = (lines.burst_lines, ended.lines);
             checker.report(
                 Rule::CutOff,
-                format!("{id} at node {node} got {got} of {sent} lines, last {:?}", lines.last),
+                format!(
+                    "{id} at node {node}: received {received} of {sent} lines, last line {:?}",
+                    lines.last
+                ),
             );
         }
     }
 }
 
-/// Reads a final answer; what happened instead, where none arrives.
+/// Reads a final answer, or describes why none has arrived.
 async fn read_answer(read: &mut BufReader<OwnedReadHalf>, text: &mut String) -> Result<Answer, String> {
     match timeout(ANSWER_TIMEOUT, read.read_line(text)).await {
         Err(_) => Err("no answer".to_string()),
@@ -295,27 +302,28 @@
     }
 }
 
-/// What a session has received.
-struct Lines {
-    /// What has come of the next line. A `read_line` that is given up loses it; `read_until` does not.
+/// The lines that a client has received in a session.
+struct ReceivedLines {
+    /// The received part of the next line. A cancelled `read_line` loses it; a cancelled `read_until` does not.
     partial: Vec<u8>,
     last: String,
     last_at: Instant,
-    burst: usize,
+    /// Number of burst lines received.
+    burst_lines: usize,
 }
 
-impl Default for Lines {
-    fn default() -> Lines {
-        Lines { partial: Vec::new(), last: String::new(), last_at: Instant::now(), burst: 0 }
+impl Default for ReceivedLines {
+    fn default() -> ReceivedLines {
+        ReceivedLines { partial: Vec::new(), last: String::new(), last_at: Instant::now(), burst_lines: 0 }
     }
 }
 
-impl Lines {
-    /// A line is complete.
-    fn take(&mut self) {
+impl ReceivedLines {
+    /// Turns the partial line, which is now complete, into the last line.
+    fn finish_line(&mut self) {
         self.last = String::from_utf8_lossy(&self.partial).trim_end().to_string();
         self.partial.clear();
         self.last_at = Instant::now();
-        self.burst += usize::from(self.last.starts_with("B "));
+        self.burst_lines += usize::from(self.last.starts_with("B "));
     }
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Simulated discovery. Each node has two addresses of its own here, so that it is known which of them was notified of what.
+//! Simulated discovery. It listens on two addresses for each node, so that it knows which node a watch belongs to.
 
 use crate::server::Servers;
 use sparbank_test_support::invariants::{InvariantChecker, ServerNotice};
@@ -16,61 +16,62 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// While nothing changes, an empty line this often shows that a watch is alive.
+/// How often an empty line is sent on a watch while the list does not change.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// How much of a list is written at a time in [`Mode::Pieces`].
-const PIECE_BYTES: usize = 7;
-/// Nodes count as notified of a change so long after discovery had it and could be reached.
-const NOTIFIED_WITHIN: Duration = Duration::from_secs(6);
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Size of each write in [`Mode::Fragmented`].
+const FRAGMENT_BYTES: usize = 7;
+/// A node is assumed to know a change once discovery has had it, and was reachable, for this long.
+const ASSUMED_NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
-/// What discovery does.
+/// How discovery responds to watch requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves watches.
+    /// It serves watches normally.
     Serves,
     /// It resets every connection.
     Down,
-    /// It answers 503.
+    /// It rejects requests with status 503.
     Rejects,
-    /// It serves watches a few bytes at a time.
-    Pieces,
+    /// It serves watches, and writes a few bytes at a time.
+    Fragmented,
 }
 
-/// What the list says of a server.
+/// The state of a server in the endpoint list.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct ServerEntry {
     is_ready: bool,
-    /// The generation of its last change.
+    /// The generation of the list in which the entry last changed.
     generation: u64,
 }
 
 struct State {
     mode: Cell<Mode>,
     generation: Cell<u64>,
-    /// By server.
+    /// Indexed by server.
     entries: RefCell<Vec<ServerEntry>>,
-    /// Watches opened before this one are silent.
+    /// Watches with a lower number send nothing more.
     silent_before: Cell<u64>,
-    /// Watches opened before this one are reset.
+    /// Watches with a lower number are reset.
     reset_before: Cell<u64>,
+    /// Number of the watch that was opened last.
     last_watch: Cell<u64>,
-    /// Since when discovery can be reached without a pause.
+    /// The start of the current period in which discovery is reachable.
     reachable_since: Cell<Instant>,
 }
 
-/// Discovery, for all nodes.
+/// The simulated discovery of all nodes.
 #[derive(Clone)]
 pub struct Discovery {
     checker: Rc<RefCell<InvariantChecker>>,
     servers: Servers,
     state: Rc<State>,
-    /// By node, the address in use and the other one.
+    /// Indexed by node: the address in use, and the spare one.
     addresses: Rc<RefCell<Vec<[SocketAddr; 2]>>>,
 }
 
 impl Discovery {
-    /// Starts discovery for so many nodes.
+    /// Starts discovery for `nodes` nodes.
     pub async fn start(
         checker: &Rc<RefCell<InvariantChecker>>,
         servers: &Servers,
@@ -92,15 +93,16 @@
             addresses: Rc::default(),
         };
         for node in 0..nodes {
-            let own = [discovery.listen(node).await, discovery.listen(node).await];
-            discovery.addresses.borrow_mut().push(own);
+            let node_addresses = [discovery.listen(node).await, discovery.listen(node).await];
+            discovery.addresses.borrow_mut().push(node_addresses);
         }
         discovery
     }
 
+    /// Serves one node on a new address.
     async fn listen(&self, node: usize) -> SocketAddr {
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("the address of a bound socket");
         let discovery = self.clone();
         spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
@@ -110,56 +112,57 @@
         address
     }
 
-    /// Where a node finds discovery now.
+    /// The address of discovery in the configuration of a node.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.addresses.borrow()[node][0]
     }
 
-    /// Discovery is at its other addresses from now on.
-    pub fn move_addresses(&self) {
-        self.addresses.borrow_mut().iter_mut().for_each(|own| own.swap(0, 1));
+    /// Switches every node to its spare address of discovery. The nodes learn of it by a reload.
+    pub fn swap_addresses(&self) {
+        self.addresses.borrow_mut().iter_mut().for_each(|node_addresses| node_addresses.swap(0, 1));
     }
 
-    /// Discovery behaves like this from now on.
+    /// Changes how discovery responds.
     pub fn set_mode(&self, mode: Mode) {
-        let was_reachable = matches!(self.state.mode.get(), Mode::Serves | Mode::Pieces);
+        let was_reachable = matches!(self.state.mode.get(), Mode::Serves | Mode::Fragmented);
         self.state.mode.set(mode);
         if !was_reachable {
             self.state.reachable_since.set(Instant::now());
         }
     }
 
-    /// Open watches fall silent.
+    /// Sends nothing more on the open watches, and keeps their connections.
     pub fn silence_watches(&self) {
         self.state.silent_before.set(self.state.last_watch.get() + 1);
         self.state.reachable_since.set(Instant::now());
     }
 
-    /// Open watches are reset.
+    /// Resets the open watches.
     pub fn reset_watches(&self) {
         self.state.reset_before.set(self.state.last_watch.get() + 1);
     }
 
-    /// A server drains, or takes new requests again.
+    /// Lists a server as ready or as draining.
     pub fn set_ready(&self, server: usize, is_ready: bool) {
         let generation = self.state.generation.get() + 1;
         self.state.generation.set(generation);
         self.state.entries.borrow_mut()[server] = ServerEntry { is_ready, generation };
         if !is_ready {
-            spawn_local(self.clone().count_as_notified(server, generation));
+            spawn_local(self.clone().assume_notified(server, generation));
         }
     }
 
-    /// All nodes count as notified of a drain once discovery could be reached for long enough, whether the change arrived or not.
-    async fn count_as_notified(self, server: usize, generation: u64) {
+    /// Records all nodes as notified of a drain once discovery has been reachable for long enough, even if no watch has
+    /// delivered the change.
+    async fn assume_notified(self, server: usize, generation: u64) {
         let changed_at = Instant::now();
         loop {
-            let is_reachable = matches!(self.state.mode.get(), Mode::Serves | Mode::Pieces);
-            let notified_at = changed_at.max(self.state.reachable_since.get()) + NOTIFIED_WITHIN;
+            let is_reachable = matches!(self.state.mode.get(), Mode::Serves | Mode::Fragmented);
+            let notified_at = changed_at.max(self.state.reachable_since.get()) + ASSUMED_NOTIFIED_AFTER;
             if is_reachable && Instant::now() >= notified_at {
                 break;
             }
-            sleep_until((Instant::now() + CHECK_INTERVAL).max(notified_at)).await;
+            sleep_until((Instant::now() + POLL_INTERVAL).max(notified_at)).await;
         }
         if self.state.entries.borrow()[server] != (ServerEntry { is_ready: false, generation }) {
             return;
@@ -171,20 +174,21 @@
         }
     }
 
-    /// The complete list as it is now.
+    /// The current list of all servers.
     pub fn complete_list(&self) -> String {
         self.list_since(0, ListKind::Complete)
     }
 
+    /// The current list: all servers, or those that changed after `generation`.
     fn list_since(&self, generation: u64, kind: ListKind) -> String {
         let entries = self.state.entries.borrow();
-        let is_named = |entry: &ServerEntry| kind == ListKind::Complete || entry.generation > generation;
-        let named = entries.iter().enumerate().filter(|(_, entry)| is_named(entry));
+        let is_included = |entry: &ServerEntry| kind == ListKind::Complete || entry.generation > generation;
+        let included = entries.iter().enumerate().filter(|(_, entry)| is_included(entry));
         let document = |(server, entry): (usize, &ServerEntry)| {
             let lifecycle = if entry.is_ready { "ready" } else { "draining" };
             endpoint_json(server, self.servers.address(server), lifecycle, 0)
         };
-        let documents: Vec<String> = named.map(document).collect();
+        let documents: Vec<String> = included.map(document).collect();
         list_json(self.state.generation.get(), kind, &documents.join(","))
     }
 
@@ -199,7 +203,7 @@
             Mode::Rejects => {
                 let _ = stream.write_all(REJECTION.as_bytes()).await;
             }
-            Mode::Serves | Mode::Pieces => self.serve_watch(node, incarnation, from, stream).await,
+            Mode::Serves | Mode::Fragmented => self.serve_watch(node, incarnation, from, stream).await,
         }
     }
 
@@ -223,7 +227,7 @@
             let generation = self.state.generation.get();
             let is_heartbeat_due = last_write.elapsed() >= HEARTBEAT_INTERVAL;
             if is_silent || (generation == sent && !is_heartbeat_due) {
-                sleep(CHECK_INTERVAL).await;
+                sleep(POLL_INTERVAL).await;
                 continue;
             }
             let entries = self.state.entries.borrow().clone();
@@ -246,11 +250,11 @@
 
     async fn write_chunk(&self, stream: &mut TcpStream, line: &str) -> std::io::Result<()> {
         let chunk = chunk(line);
-        if self.state.mode.get() != Mode::Pieces {
+        if self.state.mode.get() != Mode::Fragmented {
             return stream.write_all(chunk.as_bytes()).await;
         }
-        for piece in chunk.as_bytes().chunks(PIECE_BYTES) {
-            stream.write_all(piece).await?;
+        for fragment in chunk.as_bytes().chunks(FRAGMENT_BYTES) {
+            stream.write_all(fragment).await?;
             tokio::task::yield_now().await;
         }
         Ok(())
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,11 +1,10 @@
-//! A soak test of the node: real processes on loopback, overlapping faults, and a checker that sees the wire alone.
+//! Soak test of the node: real processes on loopback, overlapping faults, and a checker that observes only the wire.
 //!
-//! One run ([`run`]) has a few nodes of the program under test, simulated discovery, servers and clients in one thread, and a
-//! [`Schedule`] of faults that follows from its seed: each round has an ordered pair of faults with a gap near one of the
-//! node's constants, and a third one somewhere beside them. The
-//! [`InvariantChecker`](sparbank_test_support::invariants::InvariantChecker) records what clients, servers and discovery see and
-//! reports each broken rule. A failing schedule can be cut down
-//! ([`minimize`]).
+//! One run ([`run`]) starts several nodes of the program under test, and simulates discovery, servers and clients in one
+//! thread. Its [`Schedule`] of faults is derived from the seed: each round has an ordered pair of faults, separated by a gap
+//! close to one of the node's time constants, and a third fault at a random time. The
+//! [`InvariantChecker`](sparbank_test_support::invariants::InvariantChecker) records what clients, servers and discovery
+//! observe, and reports each rule that is broken. [`minimize`] reduces a failing schedule.
 
 pub mod client;
 pub mod discovery;
@@ -20,14 +19,14 @@
 
 use std::path::PathBuf;
 
-/// What is run.
+/// What to run.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program under test.
     pub program: PathBuf,
-    /// Nodes of one run.
+    /// Number of nodes in each run.
     pub nodes: usize,
-    /// Where the nodes' configurations and logs go.
+    /// Directory for the configurations and logs of the nodes.
     pub folder: PathBuf,
 }
 
@@ -38,37 +37,38 @@
     pub seed: u64,
     /// The faults that were injected.
     pub schedule: Schedule,
-    /// Rules that were broken.
+    /// Rules that were broken, in the order in which they were detected.
     pub violations: Vec<Violation>,
-    /// Requests that clients sent completely.
+    /// Number of requests that clients sent completely.
     pub requests: u64,
-    /// Of these, served ones.
+    /// Number of those requests that were served.
     pub served: u64,
 }
 
-/// Runs one schedule to its end, on this thread alone.
+/// Runs one schedule to its end on the current thread.
 ///
 /// # Panics
-/// The peers of the nodes cannot be set up.
+/// If the simulated peers or the nodes cannot be started.
 pub fn run(options: &Options, schedule: &Schedule) -> Report {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, environment::run(options, schedule))
 }
 
-/// Drops faults from a failing schedule, one after another, as long as it still fails in one of a few runs.
+/// Reduces a failing schedule: removes each fault without which at least one of a few runs still fails. One run is not
+/// enough, as the timing of processes and sockets differs between runs of the same schedule.
 pub fn minimize(options: &Options, failing: &Schedule) -> Schedule {
     const RUNS: usize = 3;
     let fails = |schedule: &Schedule| (0..RUNS).any(|_| !run(options, schedule).violations.is_empty());
-    let mut smallest = failing.clone();
+    let mut minimized = failing.clone();
     let mut index = 0;
-    while index < smallest.faults.len() {
-        let mut candidate = smallest.clone();
+    while index < minimized.faults.len() {
+        let mut candidate = minimized.clone();
         candidate.faults.remove(index);
         if fails(&candidate) {
-            smallest = candidate;
+            minimized = candidate;
         } else {
             index += 1;
         }
     }
-    smallest
+    minimized
 }
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs many seeds of the soak test: `sparbank-soak --program FILE --seeds 1..40 [--cells 8] [--nodes 4] [--minimize]`.
+//! Runs the soak test with many seeds: `sparbank-soak --program FILE --seeds 1..40 [--cells 8] [--nodes 4] [--minimize]`.
 
 use lexopt::prelude::{Long, ValueExt};
 use sparbank_soak::{minimize, run, Options, Report, Schedule};
@@ -14,8 +14,8 @@
 struct Arguments {
     options: Options,
     seeds: Range<u64>,
-    /// Runs at a time.
-    cells: usize,
+    /// Number of runs at a time (`--cells`).
+    parallel_runs: usize,
     minimize: bool,
 }
 
@@ -33,7 +33,7 @@
     let mut arguments = Arguments {
         options: Options { program: PathBuf::new(), nodes: 4, folder: std::env::temp_dir() },
         seeds: 1..9,
-        cells: 8,
+        parallel_runs: 8,
         minimize: false,
     };
     let mut parser = lexopt::Parser::from_env();
@@ -42,51 +42,52 @@
             Long("program") => arguments.options.program = PathBuf::from(parser.value()?),
             Long("nodes") => arguments.options.nodes = parser.value()?.parse()?,
             Long("folder") => arguments.options.folder = PathBuf::from(parser.value()?),
-            Long("cells") => arguments.cells = parser.value()?.parse()?,
+            Long("cells") => arguments.parallel_runs = parser.value()?.parse()?,
             Long("seeds") => arguments.seeds = parse_seeds(&parser.value()?.string()?)?,
             Long("minimize") => arguments.minimize = true,
             _ => return Err(argument.unexpected()),
         }
     }
     if arguments.options.program.as_os_str().is_empty() {
-        return Err("--program is missing".into());
+        return Err("missing option --program".into());
     }
     Ok(arguments)
 }
 
 fn parse_seeds(text: &str) -> Result<Range<u64>, lexopt::Error> {
-    let (from, to) = text.split_once("..").ok_or("--seeds FROM..TO")?;
-    let parse = |number: &str| number.parse::<u64>().map_err(|_| lexopt::Error::from("--seeds FROM..TO"));
-    Ok(parse(from)?..parse(to)?)
+    const FORMAT: &str = "--seeds takes a range FROM..TO of unsigned integers";
+    let (from, to) = text.split_once("..").ok_or(FORMAT)?;
+    let parse_seed = |number: &str| number.parse::<u64>().map_err(|_| lexopt::Error::from(FORMAT));
+    Ok(parse_seed(from)?..parse_seed(to)?)
 }
 
 fn run_all(arguments: &Arguments) -> ExitCode {
     let seeds = Mutex::new(arguments.seeds.clone().collect::<VecDeque<u64>>());
     let reports = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for _ in 0..arguments.cells {
+        for _ in 0..arguments.parallel_runs {
             scope.spawn(|| loop {
-                let Some(seed) = seeds.lock().expect("no panic").pop_front() else { return };
+                let Some(seed) = seeds.lock().expect("no run panicked").pop_front() else { return };
                 let report = run(&arguments.options, &Schedule::for_seed(seed));
                 print_report(&report);
-                reports.lock().expect("no panic").push(report);
+                reports.lock().expect("no run panicked").push(report);
             });
         }
     });
-    let reports = reports.into_inner().expect("no panic");
+    let reports = reports.into_inner().expect("no run panicked");
     let failed: Vec<&Report> = reports.iter().filter(|report| !report.violations.is_empty()).collect();
     let requests: u64 = reports.iter().map(|report| report.requests).sum();
     println!("{} runs, {} failed, {requests} requests", reports.len(), failed.len());
     if arguments.minimize {
         for report in &failed {
-            println!("smallest: {}", minimize(&arguments.options, &report.schedule));
+            println!("minimized: {}", minimize(&arguments.options, &report.schedule));
         }
     }
     ExitCode::from(u8::from(!failed.is_empty()))
 }
 
 fn print_report(report: &Report) {
-    let result = if report.violations.is_empty() { "kept" } else { "BROKEN" };
+    let result = if report.violations.is_empty() { "passed" } else { "FAILED" };
     println!("seed {} {result} requests={} served={}", report.seed, report.requests, report.served);
     if !report.violations.is_empty() {
         println!("  {}", report.schedule);
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -1,4 +1,4 @@
-//! The processes under test: started, signalled, and checked for how they end.
+//! The processes of the program under test: their starts, signals, limits and exits.
 
 use crate::discovery::Discovery;
 use crate::request::{class_name, DEADLINE, DEDUP_WINDOW};
@@ -17,36 +17,40 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Descriptors that a node may hold.
+/// `limits.sockets` of each node.
 const DESCRIPTORS: u64 = 256;
-/// The limit on descriptors above which it is not raised.
-const MAX_DESCRIPTORS: u64 = 4_096;
-/// Descriptors of a node that gets no new one, and what it gets beyond [`DESCRIPTORS`] otherwise.
-const STARVED_DESCRIPTORS: u64 = 4;
+/// The hard limit on the descriptors of a process.
+const DESCRIPTOR_HARD_LIMIT: u64 = 4_096;
+/// The soft limit during a shortage: below what a node holds, so that it gets no new descriptor.
+const EXHAUSTED_DESCRIPTORS: u64 = 4;
+/// By how much the soft limit exceeds [`DESCRIPTORS`] after a shortage.
 const SPARE_DESCRIPTORS: u64 = 64;
-/// A node is ready within this.
+/// A node answers a health check within this time after its start.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// SIGKILL follows SIGTERM after the longest deadline and this.
+/// SIGKILL follows SIGTERM after the longest deadline and this time.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// Clients keep coming for this long after SIGTERM.
+/// Clients still connect to a node for this long after SIGTERM.
 const ARRIVALS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
-/// Where nodes listen.
+/// The port of each node, at an address of its own.
 const NODE_PORT: u16 = 8080;
-/// The shell that starts a node has its trap within this.
-const SHELL_TIME: Duration = Duration::from_millis(20);
+/// After this time the shell that starts a node has set its trap, and SIGHUP no longer ends it.
+const SHELL_START_TIME: Duration = Duration::from_millis(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Log lines that say that a node broke a rule.
-const BROKEN_RULE_MARKS: [&str; 2] = ["invariant violated", "panicked"];
+/// Texts of log lines by which a node reports a broken invariant or a panic.
+const FAILURE_MARKERS: [&str; 2] = ["invariant violated", "panicked"];
 
 struct Node {
     address: SocketAddr,
     child: RefCell<Option<ChildProcess>>,
+    /// Whether clients connect to it.
     is_accepting: Cell<bool>,
-    /// A restart is under way.
+    /// A restart is in progress, or the process has exited unexpectedly and is not replaced.
     is_restarting: Cell<bool>,
+    /// Number of processes started so far.
     starts: Cell<u64>,
     started_at: Cell<Instant>,
-    stalled: Cell<Duration>,
+    /// Total length of the stalls of this process that extend its time limits.
+    excused_stall: Cell<Duration>,
 }
 
 /// All nodes of a run.
@@ -60,7 +64,7 @@
 }
 
 impl Nodes {
-    /// The nodes of a run, none of them started.
+    /// Creates the nodes of a run, without starting them.
     pub fn new(
         options: &Options,
         checker: &Rc<RefCell<InvariantChecker>>,
@@ -75,7 +79,7 @@
             is_restarting: Cell::new(false),
             starts: Cell::new(0),
             started_at: Cell::new(Instant::now()),
-            stalled: Cell::new(Duration::ZERO),
+            excused_stall: Cell::new(Duration::ZERO),
         };
         let nodes = (0..options.nodes).map(node).collect();
         Nodes {
@@ -92,44 +96,46 @@
         self.nodes.len()
     }
 
-    /// Whether there are none.
+    /// Whether the run has no nodes.
     pub fn is_empty(&self) -> bool {
         self.nodes.is_empty()
     }
 
-    /// Where a node listens.
+    /// The address that a node listens on.
     pub fn address(&self, node: usize) -> SocketAddr {
         self.nodes[node].address
     }
 
-    /// For how long a node has been stopped beyond what the rules allow for.
-    pub fn stalled(&self, node: usize) -> Duration {
-        self.nodes[node].stalled.get()
+    /// By how much stalls of the current process extend its time limits.
+    pub fn excused_stall(&self, node: usize) -> Duration {
+        self.nodes[node].excused_stall.get()
     }
 
-    /// Draws one of the nodes that clients are sent to.
+    /// A random node among those that clients connect to.
     pub fn draw_accepting(&self, rng: &mut Pcg64Mcg) -> Option<usize> {
         let accepting: Vec<usize> =
             (0..self.len()).filter(|node| self.nodes[*node].is_accepting.get()).collect();
         (!accepting.is_empty()).then(|| accepting[rng.random_range(0..accepting.len())])
     }
 
+    /// Path of a file of a node, unique among seeds.
     fn file(&self, node: usize, name: &str) -> PathBuf {
         self.options.folder.join(format!("seed{}-n{node}-{name}", self.seed))
     }
 
-    /// Starts a process of a node; clients come once it has answered.
+    /// Starts a process of a node. Clients connect to it once it has answered a health check.
     ///
     /// # Panics
-    /// The program cannot be started, or its files cannot be written.
+    /// If the program cannot be started or its files cannot be written.
     pub async fn start(&self, number: usize) {
         let node = &self.nodes[number];
         node.starts.set(node.starts.get() + 1);
-        node.stalled.set(Duration::ZERO);
+        node.excused_stall.set(Duration::ZERO);
         self.checker.borrow_mut().on_start(number);
         self.write_config(number);
-        let log = File::create(self.file(number, &format!("{}.log", node.starts.get()))).expect("a log");
-        // As the deploy file has it: a SIGHUP before the program has its handlers must not end it.
+        let log = File::create(self.file(number, &format!("{}.log", node.starts.get())))
+            .expect("a writable log file");
+        // Ignores SIGHUP, as `deploy/balancer.toml` does: the signal must not end the program before its handlers are installed.
         let mut command = Command::new("sh");
         command.args(["-c", "trap '' HUP; exec \"$0\" serve --trace"]).arg(&self.options.program);
         configure_node(&mut command, &self.file(number, "config.json"));
@@ -139,14 +145,17 @@
         node.started_at.set(started_at);
         while !answers_ping(node.address).await {
             if started_at.elapsed() > READY_TIMEOUT {
-                return self.checker.borrow_mut().report(Rule::Ready, format!("node {number} is not ready"));
+                return self.checker.borrow_mut().report(
+                    Rule::Ready,
+                    format!("node {number} did not answer a health check within {READY_TIMEOUT:?}"),
+                );
             }
             sleep(POLL_INTERVAL).await;
         }
         node.is_accepting.set(true);
     }
 
-    /// Writes a node's configuration as it is now.
+    /// Writes a node's configuration, with the current address and list of discovery.
     fn write_config(&self, number: usize) {
         let class = |safety: RetrySafety, effect: &str| {
             let name = class_name(safety);
@@ -173,7 +182,7 @@
             classes.join(","),
             self.len(),
         );
-        std::fs::write(self.file(number, "config.json"), config).expect("a configuration");
+        std::fs::write(self.file(number, "config.json"), config).expect("a writable configuration file");
     }
 
     fn signal(&self, number: usize, signal: Signal) {
@@ -182,7 +191,7 @@
         }
     }
 
-    /// Ends a node with SIGTERM and starts it again; arrivals go on for a while.
+    /// Ends a node with SIGTERM and starts it again. Clients connect for a while after the signal.
     pub async fn terminate_and_restart(&self, number: usize) {
         let node = &self.nodes[number];
         if node.is_restarting.replace(true) {
@@ -197,7 +206,9 @@
             let stalled = self.checker.borrow().stalled_since(number, sent_at);
             let limit = DEADLINE + KILL_DELAY + stalled + self.checker.borrow().lateness();
             if sent_at.elapsed() > limit && !std::mem::replace(&mut is_late, true) {
-                self.checker.borrow_mut().report(Rule::Exit, format!("node {number} runs on after SIGTERM"));
+                self.checker
+                    .borrow_mut()
+                    .report(Rule::Exit, format!("node {number} still runs {limit:?} after SIGTERM"));
                 self.signal(number, Signal::KILL);
             }
             sleep(POLL_INTERVAL).await;
@@ -206,7 +217,7 @@
         node.is_restarting.set(false);
     }
 
-    /// Kills a node and starts it again.
+    /// Ends a node with SIGKILL and starts it again.
     pub async fn kill_and_restart(&self, number: usize) {
         let node = &self.nodes[number];
         if node.is_restarting.replace(true) {
@@ -222,7 +233,7 @@
         node.is_restarting.set(false);
     }
 
-    /// Whether a node's process has ended by itself. Its exit has to be in order.
+    /// Whether a node's process has exited. Reports an exit status other than success.
     fn has_exited(&self, number: usize) -> bool {
         let mut child = self.nodes[number].child.borrow_mut();
         let Some(status) = child.as_mut().and_then(ChildProcess::try_wait) else {
@@ -230,68 +241,70 @@
         };
         *child = None;
         if !status.success() {
-            self.checker.borrow_mut().report(Rule::Crash, format!("node {number} ended with {status}"));
+            self.checker.borrow_mut().report(Rule::Crash, format!("node {number} exited with {status}"));
         }
         true
     }
 
-    /// Reports a node that has ended without a signal.
+    /// Reports nodes that have exited without having been signalled.
     pub fn check_running(&self) {
         for number in 0..self.len() {
             if !self.nodes[number].is_restarting.get() && self.has_exited(number) {
-                self.checker.borrow_mut().report(Rule::Crash, format!("node {number} is gone"));
+                self.checker
+                    .borrow_mut()
+                    .report(Rule::Crash, format!("node {number} exited without a signal"));
                 self.nodes[number].is_restarting.set(true);
                 self.nodes[number].is_accepting.set(false);
             }
         }
     }
 
-    /// Stops a node for a while. `is_allowed_for`: the rules hold all the same.
-    pub async fn stop_for(&self, number: usize, span: Duration, is_allowed_for: bool) {
-        if !is_allowed_for {
+    /// Pauses a node with SIGSTOP. Its time limits are extended unless `must_meet_limits`.
+    pub async fn pause_for(&self, number: usize, duration: Duration, must_meet_limits: bool) {
+        if !must_meet_limits {
             let node = &self.nodes[number];
-            node.stalled.set(node.stalled.get() + span);
-            self.checker.borrow_mut().on_stall(number, span);
+            node.excused_stall.set(node.excused_stall.get() + duration);
+            self.checker.borrow_mut().on_stall(number, duration);
         }
         self.signal(number, Signal::STOP);
-        sleep(span).await;
+        sleep(duration).await;
         self.signal(number, Signal::CONT);
     }
 
-    /// The nodes read their configuration again.
+    /// Makes all nodes reload their configuration.
     pub fn reload(&self) {
         for number in 0..self.len() {
             self.write_config(number);
-            // Before the shell has its trap a signal meets no program of ours; the start reads the configuration anyway.
-            if self.nodes[number].started_at.get().elapsed() > SHELL_TIME {
+            // Without the trap, SIGHUP would end the shell. The program reads the new configuration at its start anyway.
+            if self.nodes[number].started_at.get().elapsed() > SHELL_START_TIME {
                 self.signal(number, Signal::HUP);
             }
         }
     }
 
-    /// A node gets no new descriptor for a while.
-    pub async fn starve_of_descriptors(&self, number: usize, span: Duration) {
-        self.limit_descriptors(number, STARVED_DESCRIPTORS);
-        sleep(span).await;
+    /// Lowers the soft limit on the descriptors of a node for some time, so that it gets no new ones.
+    pub async fn exhaust_descriptors(&self, number: usize, duration: Duration) {
+        self.limit_descriptors(number, EXHAUSTED_DESCRIPTORS);
+        sleep(duration).await;
         self.limit_descriptors(number, DESCRIPTORS + SPARE_DESCRIPTORS);
     }
 
     fn limit_descriptors(&self, number: usize, limit: u64) {
         if let Some(child) = &*self.nodes[number].child.borrow() {
-            let _ = child.limit_descriptors(limit, MAX_DESCRIPTORS);
+            let _ = child.limit_descriptors(limit, DESCRIPTOR_HARD_LIMIT);
         }
     }
 
-    /// Ends all nodes, and reports what their logs say of broken rules.
+    /// Ends all nodes, and reports the broken invariants and panics in their logs.
     pub fn finish(&self) {
         for number in 0..self.len() {
             drop(self.nodes[number].child.borrow_mut().take());
             for start in 1..=self.nodes[number].starts.get() {
                 let log =
                     std::fs::read_to_string(self.file(number, &format!("{start}.log"))).unwrap_or_default();
-                let broken =
-                    log.lines().filter(|line| BROKEN_RULE_MARKS.iter().any(|mark| line.contains(mark)));
-                for line in broken {
+                let failures =
+                    log.lines().filter(|line| FAILURE_MARKERS.iter().any(|marker| line.contains(marker)));
+                for line in failures {
                     self.checker
                         .borrow_mut()
                         .report(Rule::OwnReport, format!("node {number} start {start}: {line}"));
@@ -300,7 +313,7 @@
         }
     }
 
-    /// Removes the files of a run.
+    /// Removes the configurations and logs of the nodes.
     pub fn remove_files(&self) {
         for number in 0..self.len() {
             let _ = std::fs::remove_file(self.file(number, "config.json"));
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -1,67 +1,67 @@
-//! Schedules of faults. A seed is a schedule: it is written out before it is run.
+//! Schedules of faults. A schedule is fully determined by its seed, before the run starts.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::fmt;
 
-/// A fault, or an administrative step beside one.
+/// A fault, or an administrative action that faults may overlap with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// SIGTERM to a node, and a new process after its end.
+    /// A node gets SIGTERM, and is started again after its exit.
     Terminate,
-    /// SIGKILL to a node, and a new process at once.
+    /// A node gets SIGKILL, and is started again at once.
     Kill,
-    /// A node is stopped for 0.15 s.
+    /// A node is paused for 0.15 s.
     ShortStall,
-    /// A node is stopped for a second.
+    /// A node is paused for 1 s.
     LongStall,
-    /// Discovery moves, and the nodes are notified by SIGHUP.
+    /// Discovery moves to other addresses, and the nodes reload their configuration on SIGHUP.
     MoveDiscovery,
-    /// SIGHUP without a change.
+    /// The nodes get SIGHUP without a change of their settings.
     Reload,
-    /// A node gets no new descriptor for a while.
+    /// A node gets no new file descriptors for some time.
     DescriptorShortage,
-    /// A server drains, and returns later.
+    /// A server drains, and is ready again later.
     Drain,
-    /// All open watches fall silent, and a server drains.
+    /// All open watches stop sending, and a server drains.
     SilentWatches,
     /// All open watches are reset.
     ResetWatches,
-    /// Discovery resets every connection for a while.
+    /// Discovery resets every connection for some time.
     DiscoveryDown,
-    /// Discovery answers 503 for a while.
+    /// Discovery rejects requests with status 503 for some time.
     DiscoveryRejects,
-    /// Lists come byte by byte for a while.
-    ListsInPieces,
+    /// Discovery writes endpoint lists a few bytes at a time for some time.
+    ListsFragmented,
     /// Half of the servers accept and never answer.
     ServersHang,
-    /// Half of the servers reject.
+    /// Half of the servers reject requests.
     ServersReject,
     /// Half of the servers reset requests that they have read.
     ServersReset,
-    /// Half of the servers break their first answer off.
-    ServersBreakOff,
+    /// Half of the servers send a part of their answer and reset the connection.
+    ServersTruncate,
     /// Half of the servers answer late.
     ServersLate,
-    /// A server refuses connections for a while.
+    /// A server refuses connections for some time.
     ServerRefuses,
-    /// Half of the servers end their sessions in order.
+    /// Half of the servers end their sessions with `BYE`.
     SessionsEnd,
     /// Half of the servers reset their sessions.
     SessionsReset,
-    /// Half of the servers send their sessions a burst and end them.
+    /// Half of the servers send a burst of lines in each session and end it.
     SessionsBurst,
-    /// Clients disconnect while their requests wait.
+    /// Clients disconnect while their requests are pending.
     ClientsDisconnect,
-    /// Clients send much more than one line.
+    /// Clients send many request lines at once.
     ClientsFlood,
-    /// Clients connect and rest.
+    /// Clients connect and send nothing.
     ClientsIdle,
-    /// Clients send half a line and stay.
-    ClientsHalfLine,
+    /// Clients send half a request line, and keep the connection open.
+    ClientsPartialLine,
 }
 
-/// All faults, in the order in which pairs are numbered.
+/// All faults. Their order determines the numbers of pairs, and with them the schedule of each seed.
 pub const FAULTS: [Fault; 26] = [
     Fault::Terminate,
     Fault::Kill,
@@ -75,11 +75,11 @@
     Fault::ResetWatches,
     Fault::DiscoveryDown,
     Fault::DiscoveryRejects,
-    Fault::ListsInPieces,
+    Fault::ListsFragmented,
     Fault::ServersHang,
     Fault::ServersReject,
     Fault::ServersReset,
-    Fault::ServersBreakOff,
+    Fault::ServersTruncate,
     Fault::ServersLate,
     Fault::ServerRefuses,
     Fault::SessionsEnd,
@@ -88,68 +88,68 @@
     Fault::ClientsDisconnect,
     Fault::ClientsFlood,
     Fault::ClientsIdle,
-    Fault::ClientsHalfLine,
+    Fault::ClientsPartialLine,
 ];
 
-/// Ordered pairs of two different faults.
+/// Number of ordered pairs of two different faults.
 pub const PAIRS: u64 = (FAULTS.len() * (FAULTS.len() - 1)) as u64;
-/// Rounds of one schedule.
+/// Number of rounds in one schedule.
 pub const ROUNDS: u64 = 3;
-/// When the first round begins.
+/// Start of the first round.
 const FIRST_ROUND_MS: u64 = 1_500;
-/// From one round to the next.
-const ROUND_MS: u64 = 3_500;
-/// Gaps between the two faults of a pair: none, one iteration of the event loop, just under and over the node's constants
-/// (a tick, a stall, the dial time-out, the end of arrivals after SIGTERM, a deadline).
+/// Time from the start of one round to the start of the next.
+const ROUND_INTERVAL_MS: u64 = 3_500;
+/// Gaps between the two faults of a pair: none, one iteration of the event loop, and times just below and above time
+/// constants (a tick, a stall, the dial timeout, the end of arrivals after SIGTERM, a deadline).
 const GAPS_MS: [u64; 12] = [0, 1, 5, 30, 140, 160, 195, 245, 260, 410, 950, 1_050];
-/// The third fault of a round begins within this.
+/// The third fault of a round starts at a random time below this.
 const THIRD_FAULT_MS: u64 = 1_200;
 
-/// A fault at a time.
+/// A fault and the time at which it is injected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PlannedFault {
+pub struct ScheduledFault {
     /// Milliseconds from the start of the run.
     pub at_ms: u64,
-    /// What happens.
+    /// The fault.
     pub fault: Fault,
-    /// Draws the node or servers that it hits.
+    /// A random number that selects the node or the servers that are affected.
     pub target: u64,
 }
 
 /// The faults of one run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Schedule {
-    /// The seed of all other random draws.
+    /// The seed that the faults were drawn with, and that all other random draws of the run use.
     pub seed: u64,
-    /// The faults, by time.
-    pub faults: Vec<PlannedFault>,
+    /// The faults, sorted by time.
+    pub faults: Vec<ScheduledFault>,
 }
 
 impl Schedule {
-    /// The schedule of a seed. Consecutive seeds cover all ordered pairs before one is repeated.
+    /// Creates the schedule of a seed. Consecutive seeds cover all ordered pairs before a pair is repeated.
     pub fn for_seed(seed: u64) -> Schedule {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut faults = Vec::new();
         for round in 0..ROUNDS {
-            let start = FIRST_ROUND_MS + round * ROUND_MS;
+            let start = FIRST_ROUND_MS + round * ROUND_INTERVAL_MS;
             let (first, second) = pair(seed.wrapping_mul(ROUNDS).wrapping_add(round) % PAIRS);
             let gap = GAPS_MS[rng.random_range(0..GAPS_MS.len())];
             let third = FAULTS[rng.random_range(0..FAULTS.len())];
             let third_at = rng.random_range(0..THIRD_FAULT_MS);
-            // Half of the pairs hit the same target.
+            // In about half of the pairs both faults have the same target.
             let target: u64 = rng.random();
-            let other_target = if rng.random_bool(0.5) { target } else { rng.random() };
-            faults.push(PlannedFault { at_ms: start, fault: first, target });
-            faults.push(PlannedFault { at_ms: start + gap, fault: second, target: other_target });
-            faults.push(PlannedFault { at_ms: start + third_at, fault: third, target: rng.random() });
+            let second_target = if rng.random_bool(0.5) { target } else { rng.random() };
+            faults.push(ScheduledFault { at_ms: start, fault: first, target });
+            faults.push(ScheduledFault { at_ms: start + gap, fault: second, target: second_target });
+            faults.push(ScheduledFault { at_ms: start + third_at, fault: third, target: rng.random() });
         }
-        faults.sort_by_key(|planned| planned.at_ms);
+        faults.sort_by_key(|scheduled| scheduled.at_ms);
         Schedule { seed, faults }
     }
 
-    /// When the last round is over, in milliseconds.
+    /// End of the last round, in milliseconds from the start of the run.
     pub fn end_ms(&self) -> u64 {
-        FIRST_ROUND_MS + ROUNDS * ROUND_MS
+        FIRST_ROUND_MS + ROUNDS * ROUND_INTERVAL_MS
     }
 }
 
@@ -158,14 +158,15 @@
     let others = FAULTS.len() - 1;
     let first = number as usize / others;
     let second = number as usize % others;
-    let skipped = second + usize::from(second >= first);
-    (FAULTS[first], FAULTS[skipped])
+    // Skips the first fault, so that the two differ.
+    let second = second + usize::from(second >= first);
+    (FAULTS[first], FAULTS[second])
 }
 
 impl fmt::Display for Schedule {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "seed {}:", self.seed)?;
-        for PlannedFault { at_ms, fault, target } in &self.faults {
+        for ScheduledFault { at_ms, fault, target } in &self.faults {
             write!(f, " {at_ms}ms {fault:?}/{}", target % 1000)?;
         }
         Ok(())
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -1,4 +1,4 @@
-//! Simulated servers: they answer request lines as their mode says, and echo the lines of established sessions.
+//! Simulated servers. They answer request lines according to their mode, and echo the lines of established sessions.
 
 use sparbank_test_support::invariants::InvariantChecker;
 use sparbank_test_support::loopback::reset_on_drop;
@@ -13,92 +13,94 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often an established session looks whether it is to end.
-const COMMAND_INTERVAL: Duration = Duration::from_millis(10);
-/// An ordinary answer takes this long.
-const ANSWER_TIME: Duration = Duration::from_millis(5);
-/// A late one takes longer than an attempt's time.
-const LATE_ANSWER_TIME: Duration = Duration::from_millis(420);
-/// A server waits this long for the other side's end.
+/// How often an established session checks whether its server has been told to end it.
+const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Time to an answer in [`Mode::Serves`].
+const ANSWER_DELAY: Duration = Duration::from_millis(5);
+/// Time to an answer in [`Mode::Late`]: longer than the timeout of an attempt.
+const LATE_ANSWER_DELAY: Duration = Duration::from_millis(420);
+/// How long a server that has ended a session waits for the other side to close it.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Lines of a burst.
+/// Number of lines in a burst.
 const BURST_LINES: usize = 200_000;
 
-/// What a server does with request lines.
+/// How a server responds to request lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves.
+    /// It serves requests.
     Serves,
     /// It reads and never answers.
     Hangs,
-    /// It rejects.
+    /// It rejects requests.
     Rejects,
-    /// It resets the connection once the line has come.
+    /// It resets the connection once the line has arrived.
     Resets,
-    /// It breaks its answer off.
-    BreaksOff,
-    /// It answers late.
+    /// It sends a part of its answer and resets the connection.
+    Truncates,
+    /// It serves requests, later than the timeout of an attempt.
     Late,
 }
 
-/// How established sessions end.
+/// How a server ends its established sessions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SessionEnd {
-    /// `BYE` and the end.
+    /// `BYE`, then a FIN.
     Orderly,
     /// A reset.
     Reset,
-    /// A burst of lines, `BYE` and the end.
+    /// A burst of lines, `BYE`, then a FIN.
     Burst,
 }
 
-/// How a session's server side has ended, for the client that watches it.
+/// How a server has ended a session, for the client to check what it receives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndedSession {
-    /// When.
+    /// When the server ended it.
     pub at: Instant,
-    /// How.
+    /// How the server ended it.
     pub end: SessionEnd,
-    /// Lines that were sent before the end.
+    /// Number of burst lines that were sent before the end.
     pub lines: usize,
 }
 
 struct Server {
     address: SocketAddr,
     mode: Cell<Mode>,
-    /// Rises with each command to end sessions.
-    command: Cell<(u64, SessionEnd)>,
+    /// The number of commands to end sessions so far, and how the latest one ends them.
+    end_command: Cell<(u64, SessionEnd)>,
+    /// The task that accepts connections; `None` while connections are refused.
     acceptor: RefCell<Option<JoinHandle<()>>>,
 }
 
-/// All servers of a run.
+/// All simulated servers of a run.
 #[derive(Clone)]
 pub struct Servers {
     checker: Rc<RefCell<InvariantChecker>>,
     servers: Rc<Vec<Server>>,
-    /// Sessions that their servers have ended, by request.
-    ended: Rc<RefCell<HashMap<String, EndedSession>>>,
+    /// Sessions that their servers have ended, by request id.
+    ended_sessions: Rc<RefCell<HashMap<String, EndedSession>>>,
 }
 
 impl Servers {
-    /// Starts so many servers.
+    /// Starts `count` servers.
     ///
     /// # Panics
-    /// The system has no free port.
+    /// If the system has no free port.
     pub async fn start(checker: &Rc<RefCell<InvariantChecker>>, count: usize) -> Servers {
         let mut servers = Vec::new();
         let mut listeners = Vec::new();
         for _ in 0..count {
-            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+            let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
             servers.push(Server {
-                address: listener.local_addr().expect("an address"),
+                address: listener.local_addr().expect("the address of a bound socket"),
                 mode: Cell::new(Mode::Serves),
-                command: Cell::new((0, SessionEnd::Orderly)),
+                end_command: Cell::new((0, SessionEnd::Orderly)),
                 acceptor: RefCell::new(None),
             });
             listeners.push(listener);
         }
-        let servers = Servers { checker: checker.clone(), servers: Rc::new(servers), ended: Rc::default() };
+        let servers =
+            Servers { checker: checker.clone(), servers: Rc::new(servers), ended_sessions: Rc::default() };
         for (number, listener) in listeners.into_iter().enumerate() {
             servers.accept(number, listener);
         }
@@ -110,48 +112,49 @@
         self.servers.len()
     }
 
-    /// Whether there are none.
+    /// Whether the run has no servers.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
 
-    /// Where a server listens.
+    /// The address that a server listens on.
     pub fn address(&self, number: usize) -> SocketAddr {
         self.servers[number].address
     }
 
-    /// A server does this with request lines from now on.
+    /// Changes how a server responds to request lines.
     pub fn set_mode(&self, number: usize, mode: Mode) {
         self.servers[number].mode.set(mode);
     }
 
-    /// A server ends its sessions.
+    /// Ends all established sessions of a server.
     pub fn end_sessions(&self, number: usize, end: SessionEnd) {
-        let command = &self.servers[number].command;
+        let command = &self.servers[number].end_command;
         command.set((command.get().0 + 1, end));
     }
 
-    /// How a request's session was ended by its server, if it was.
+    /// How a request's session was ended by its server; `None` if the server has not ended it.
     pub fn ended_session(&self, id: &str) -> Option<EndedSession> {
-        self.ended.borrow().get(id).copied()
+        self.ended_sessions.borrow().get(id).copied()
     }
 
-    /// When a request's session was ended by its server, if it was.
+    /// When a request's session was ended by its server; `None` if the server has not ended it.
     pub fn ended_at(&self, id: &str) -> Option<Instant> {
         self.ended_session(id).map(|ended| ended.at)
     }
 
-    /// A server refuses connections for a while.
-    pub async fn refuse_for(&self, number: usize, span: Duration) {
+    /// Makes a server refuse connections for some time. Established connections go on.
+    pub async fn refuse_for(&self, number: usize, duration: Duration) {
         let Some(acceptor) = self.servers[number].acceptor.borrow_mut().take() else { return };
         acceptor.abort();
         let _ = acceptor.await;
-        sleep(span).await;
+        sleep(duration).await;
         if let Ok(listener) = TcpListener::bind(self.servers[number].address).await {
             self.accept(number, listener);
         }
     }
 
+    /// Starts to accept connections.
     fn accept(&self, number: usize, listener: TcpListener) {
         let servers = self.clone();
         let acceptor = spawn_local(async move {
@@ -162,6 +165,7 @@
         *self.servers[number].acceptor.borrow_mut() = Some(acceptor);
     }
 
+    /// Reads the request line of a connection, and responds to it.
     async fn serve(self, number: usize, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (read, write) = stream.into_split();
@@ -184,54 +188,56 @@
         mut write: OwnedWriteHalf,
     ) {
         match self.servers[number].mode.get() {
-            Mode::Serves => self.establish(number, id, read, write, ANSWER_TIME).await,
-            Mode::Late => self.establish(number, id, read, write, LATE_ANSWER_TIME).await,
-            Mode::Hangs => drain(&mut read).await,
+            Mode::Serves => self.establish(number, id, read, write, ANSWER_DELAY).await,
+            Mode::Late => self.establish(number, id, read, write, LATE_ANSWER_DELAY).await,
+            Mode::Hangs => discard_input(&mut read).await,
             Mode::Rejects => {
                 self.checker.borrow_mut().on_attempt_rejected(id, number);
                 let _ = write.write_all(b"BUSY\r\n").await;
             }
             Mode::Resets => reset(read, write),
-            Mode::BreaksOff => {
+            Mode::Truncates => {
                 let _ = write.write_all(b"UP r").await;
                 reset(read, write);
             }
         }
     }
 
+    /// Answers after a delay, and echoes lines until either side ends the session.
     async fn establish(
         &self,
         number: usize,
         id: &str,
         mut read: BufReader<OwnedReadHalf>,
         mut write: OwnedWriteHalf,
-        answer_time: Duration,
+        answer_delay: Duration,
     ) {
         let mut line = String::new();
-        // The node gives up by ending its side.
-        if timeout(answer_time, read.read_line(&mut line)).await.is_ok() {
+        // A node that cancels the attempt ends its side of the connection.
+        if timeout(answer_delay, read.read_line(&mut line)).await.is_ok() {
             return;
         }
-        let (command, _) = self.servers[number].command.get();
+        let (command, _) = self.servers[number].end_command.get();
         if write.write_all(b"UP r1\r\n").await.is_err() {
             return;
         }
-        // A `read_line` that is given up loses what it has read; `read_until` does not.
-        let mut echoed = Vec::new();
+        // A cancelled `read_line` loses what it has read; a cancelled `read_until` does not.
+        let mut echo = Vec::new();
         loop {
-            if let Ok(result) = timeout(COMMAND_INTERVAL, read.read_until(b'\n', &mut echoed)).await {
-                if !result.is_ok_and(|count| count > 0) || write.write_all(&echoed).await.is_err() {
+            if let Ok(result) = timeout(COMMAND_POLL_INTERVAL, read.read_until(b'\n', &mut echo)).await {
+                if !result.is_ok_and(|count| count > 0) || write.write_all(&echo).await.is_err() {
                     return;
                 }
-                echoed.clear();
+                echo.clear();
             }
-            let (latest, end) = self.servers[number].command.get();
+            let (latest, end) = self.servers[number].end_command.get();
             if latest != command {
                 return self.end_session(id, end, read, write).await;
             }
         }
     }
 
+    /// Ends an established session as `end` says, and records it for its client.
     async fn end_session(
         &self,
         id: &str,
@@ -240,25 +246,27 @@
         mut write: OwnedWriteHalf,
     ) {
         let lines = if end == SessionEnd::Burst { BURST_LINES } else { 0 };
-        self.ended.borrow_mut().insert(id.to_string(), EndedSession { at: Instant::now(), end, lines });
+        self.ended_sessions
+            .borrow_mut()
+            .insert(id.to_string(), EndedSession { at: Instant::now(), end, lines });
         if end == SessionEnd::Reset {
             return reset(read, write);
         }
         let burst = "B 0123456789abcdef\r\n".repeat(lines) + "BYE\r\n";
         if write.write_all(burst.as_bytes()).await.is_ok() {
             let _ = write.shutdown().await;
-            // A close over unread lines of the client would reset what is still on its way.
-            let _ = timeout(CLOSE_TIMEOUT, drain(&mut read)).await;
+            // Closing a socket with unread input resets the connection, and the peer would lose lines that are in transit.
+            let _ = timeout(CLOSE_TIMEOUT, discard_input(&mut read)).await;
         }
     }
 }
 
-async fn drain(read: &mut BufReader<OwnedReadHalf>) {
+/// Reads and discards input until the other side ends.
+async fn discard_input(read: &mut BufReader<OwnedReadHalf>) {
     let mut chunk = [0; 1024];
     while read.read(&mut chunk).await.is_ok_and(|count| count > 0) {}
 }
 
-/// Resets a connection.
 fn reset(read: BufReader<OwnedReadHalf>, write: OwnedWriteHalf) {
     reset_on_drop(write.as_ref());
     drop((read, write));
