--- a/tests/fleet_file.rs
+++ b/tests/fleet_file.rs
@@ -1,5 +1,5 @@
-//! `check-config --fleet` and `serve --fleet`: an invalid file is one line that names
-//! file and field, and exit 2.
+//! `check-config --fleet` and `serve --fleet`: an invalid fleet file yields one line that names the file and the field, and
+//! exit code 2.
 
 use std::path::PathBuf;
 use std::process::Command;
@@ -8,6 +8,7 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
+/// The configuration of a node that is not a member of the example fleet.
 const CONFIG: &str = r#"{"name":"node-9","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1","limits":{"sockets":SOCKETS},
         "known":{"generation":1,"reset":true,"instances":[]},"settings":{"Profiles":[{"Effect":"read_like",
         "HardLimitNs":1200000000,"Name":"live-readings","ObjectiveNs":300000000,"Worth":2.0}],"Discovery":"ask",
@@ -21,23 +22,26 @@
     let name =
         format!("sparbank-fleet-{}-{}.json", std::process::id(), FILES.fetch_add(1, Ordering::Relaxed));
     let file = std::env::temp_dir().join(name);
-    std::fs::write(&file, text).expect("it is written");
+    std::fs::write(&file, text).expect("a writable temporary file");
     file
 }
 
-/// What `check-config --fleet` exits with and prints.
-struct Checked {
+/// The exit code of `check-config --fleet`, and what it prints to both streams.
+struct CheckResult {
     exit_code: Option<i32>,
     output: String,
 }
 
-fn check(text: &str) -> Checked {
+fn check(text: &str) -> CheckResult {
     let file = write_temporary(text);
-    let result =
-        Command::new(PROGRAM).args(["check-config", "--fleet"]).arg(&file).output().expect("it runs");
-    std::fs::remove_file(&file).expect("it is there");
+    let result = Command::new(PROGRAM)
+        .args(["check-config", "--fleet"])
+        .arg(&file)
+        .output()
+        .expect("the program starts");
+    std::fs::remove_file(&file).expect("the file exists");
     let output = String::from_utf8_lossy(&[result.stdout, result.stderr].concat()).into_owned();
-    Checked { exit_code: result.status.code(), output }
+    CheckResult { exit_code: result.status.code(), output }
 }
 
 #[rstest::rstest]
@@ -51,15 +55,20 @@
     "\"setups\", \"total\": 120",
     "field budgets[1].burst: one for each"
 )]
-fn invalid_file_is_one_line_and_exit_2(#[case] valid: &str, #[case] invalid: &str, #[case] error: &str) {
+fn invalid_file_yields_one_error_line_and_exit_code_2(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] error: &str,
+) {
     let example = include_str!("../deploy/fleet.json");
     assert!(example.contains(valid));
-    let Checked { exit_code, output } = check(&example.replace(valid, invalid));
+    let CheckResult { exit_code, output } = check(&example.replace(valid, invalid));
     assert_eq!((exit_code, output.lines().count()), (Some(2), 1), "{output}");
     assert!(output.contains(error) && output.contains(".json: "), "{output}");
 }
 
-/// What `serve` cannot do yet is refused before anything starts, and so is a node that is not a member.
+/// `serve` rejects, before it starts anything, fleet files with features that it does not support yet, and a node that is not
+/// a member.
 #[rstest::rstest]
 #[case(
     "[\"node-1\"]",
@@ -70,36 +79,45 @@
 #[case("\"retries\", \"total\"", "\"lists\", \"total\"", "field budgets[3].limits: lists: is not served yet")]
 #[case("node-1", "node-9", "field members: a grantor of 3 needs limits.sockets of 6 at least, not 5")]
 #[case("\"node-9\"", "\"node-9\"", "field members: none is named \"node-9\"")]
-fn unsupported_plan_is_rejected_at_start(#[case] valid: &str, #[case] invalid: &str, #[case] error: &str) {
+fn unsupported_fleet_file_is_rejected_at_start(
+    #[case] valid: &str,
+    #[case] invalid: &str,
+    #[case] error: &str,
+) {
     let file = write_temporary(&include_str!("../deploy/fleet.json").replace(valid, invalid));
     let config = write_temporary(&CONFIG.replace("SOCKETS", "5"));
     let mut serve = Command::new(PROGRAM);
-    let result =
-        serve.args(["serve", "--fleet"]).arg(&file).env("NODE_CONFIG", &config).output().expect("it runs");
+    let result = serve
+        .args(["serve", "--fleet"])
+        .arg(&file)
+        .env("NODE_CONFIG", &config)
+        .output()
+        .expect("the program starts");
     let output = String::from_utf8_lossy(&result.stderr).into_owned();
     assert_eq!((result.status.code(), output.lines().count()), (Some(2), 1), "{output}");
     assert!(output.contains(error), "{output}");
     for file in [file, config] {
-        std::fs::remove_file(file).expect("it is there");
+        std::fs::remove_file(file).expect("the file exists");
     }
 }
 
-/// Files with the earlier keys `seats` and `whole` are read; errors name the present keys.
+/// The former names `seats` and `whole` of two keys are still accepted. Errors use the current names.
 #[test]
-fn earlier_keys_are_read() {
-    let earlier = include_str!("../deploy/fleet.json")
+fn former_key_names_are_accepted() {
+    let with_former_names = include_str!("../deploy/fleet.json")
         .replace("\"members\"", "\"seats\"")
         .replace("\"total\"", "\"whole\"");
-    let Checked { exit_code, output } = check(&earlier);
+    let CheckResult { exit_code, output } = check(&with_former_names);
     assert_eq!(exit_code, Some(0), "{output}");
-    let Checked { exit_code, output } = check(&earlier.replace("\"whole\": 600", "\"whole\": 0"));
+    let CheckResult { exit_code, output } =
+        check(&with_former_names.replace("\"whole\": 600", "\"whole\": 0"));
     assert_eq!(exit_code, Some(2), "{output}");
     assert!(output.contains("field budgets[0].total: 1 to 1000000000 is allowed"), "{output}");
 }
 
 #[test]
 fn example_is_valid() {
-    let Checked { exit_code, output } = check(include_str!("../deploy/fleet.json"));
+    let CheckResult { exit_code, output } = check(include_str!("../deploy/fleet.json"));
     assert_eq!(exit_code, Some(0), "{output}");
     assert!(output.contains("3 seats, 4 budgets: right"), "{output}");
 }
--- a/tests/mixed/attempts.rs
+++ b/tests/mixed/attempts.rs
@@ -1,13 +1,13 @@
-//! The attempts at all servers, as the servers saw them, and the rules that they broke.
+//! Records the attempts as the servers observe them, and counts the rules that they violate.
 
-use crate::items::must_run_once;
+use crate::items::is_non_idempotent;
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// One thread may notice something this much later than another one.
+/// Tolerance for events that threads record in another order than they happened in.
 const REORDERING_SLACK: Duration = Duration::from_millis(150);
-/// A server may get something new this long after the node was notified that it drains.
+/// A draining server may get new attempts for this long after the node was notified of the drain.
 const DRAIN_GRACE: Duration = Duration::from_millis(250);
 
 struct Attempt {
@@ -18,8 +18,9 @@
 
 #[derive(Default)]
 struct Attempts {
-    /// By item.
+    /// The attempts of each item, in the order in which they began.
     attempts: HashMap<u64, Vec<Attempt>>,
+    /// Number of attempts that began at a server too long after its drain was announced.
     after_drain: u64,
 }
 
@@ -27,31 +28,31 @@
 #[derive(Clone, Copy)]
 pub struct AttemptId {
     pub item: u64,
-    /// Which of the item's attempts it is.
+    /// Index among the attempts of the item.
     index: usize,
 }
 
-/// The rules that were broken, with the number of times.
+/// The number of violations of each rule.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Breaches {
-    /// Attempts that overlapped with the one before.
+pub struct Violations {
+    /// Attempts that began before the previous attempt of the same item had ended.
     overlapping_attempts: usize,
-    /// Items that ran twice and must not.
+    /// Non-idempotent items that ran more than once.
     run_twice: usize,
-    /// Attempts at a server whose drain the node knew for long enough.
+    /// Attempts that began at a server too long after its drain was announced.
     after_drain: u64,
 }
 
-/// What happened to each item, as the servers saw it.
+/// The attempts of all items, as the servers observe them.
 #[derive(Default)]
 pub struct AttemptLog(Mutex<Attempts>);
 
 impl AttemptLog {
     fn lock(&self) -> MutexGuard<'_, Attempts> {
-        self.0.lock().expect("no thread failed")
+        self.0.lock().expect("no thread panicked")
     }
 
-    /// An attempt begins, at a server that drains since this time.
+    /// Records the start of an attempt at a server, and since when the server drains, if it does.
     pub fn begin(&self, item: u64, draining_since: Option<Instant>) -> AttemptId {
         let started_at = Instant::now();
         let mut log = self.lock();
@@ -63,36 +64,37 @@
         AttemptId { item, index: attempts.len() - 1 }
     }
 
-    /// An attempt has run.
+    /// Records that an attempt has run.
     pub fn end_served(&self, id: AttemptId) {
         self.end(id, |attempt| attempt.has_run = true);
     }
 
-    /// An attempt ended without having run.
+    /// Records that an attempt ended without having run.
     pub fn end_unserved(&self, id: AttemptId) {
         self.end(id, |_| {});
     }
 
     fn end(&self, id: AttemptId, update: impl FnOnce(&mut Attempt)) {
         let mut log = self.lock();
-        if let Some(attempt) = log.attempts.get_mut(&id.item).and_then(|all| all.get_mut(id.index)) {
+        if let Some(attempt) = log.attempts.get_mut(&id.item).and_then(|attempts| attempts.get_mut(id.index))
+        {
             attempt.ended_at.get_or_insert(Instant::now());
             update(attempt);
         }
     }
 
-    /// The rules that were broken so far.
-    pub fn breaches(&self) -> Breaches {
+    /// The violations so far.
+    pub fn violations(&self) -> Violations {
         let log = self.lock();
-        let mut breaches = Breaches { after_drain: log.after_drain, ..Breaches::default() };
+        let mut violations = Violations { after_drain: log.after_drain, ..Violations::default() };
         for (item, attempts) in &log.attempts {
-            let overlap = |pair: &[Attempt]| {
+            let overlaps = |pair: &[Attempt]| {
                 pair[0].ended_at.is_none_or(|ended_at| ended_at > pair[1].started_at + REORDERING_SLACK)
             };
-            breaches.overlapping_attempts += attempts.windows(2).filter(|pair| overlap(pair)).count();
+            violations.overlapping_attempts += attempts.windows(2).filter(|pair| overlaps(pair)).count();
             let runs = attempts.iter().filter(|attempt| attempt.has_run).count();
-            breaches.run_twice += usize::from(must_run_once(*item) && runs > 1);
+            violations.run_twice += usize::from(is_non_idempotent(*item) && runs > 1);
         }
-        breaches
+        violations
     }
 }
--- a/tests/mixed/clients.rs
+++ b/tests/mixed/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of both frontends, which count the answers to their items.
+//! Clients of both frontends. They count the answers to their items.
 
 use crate::items::{ItemNumbers, CLASSES};
 use crate::servers::{read_available, HEARTBEAT_INTERVAL};
@@ -11,95 +11,95 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The time of each call of the protocol library: no timeout is on, so that it is not looked at.
+/// The time that is passed to each call of the protocol library, which ignores it as no timeout is set.
 const START: MonotonicTime = MonotonicTime::ZERO;
-/// A client that has waited this long for an answer waits for one that will not come.
+/// After this time an item counts as unanswered.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// A client sends its items at least this far apart.
+/// Minimum time between two items of a client.
 const ITEM_INTERVAL: Duration = Duration::from_millis(3);
-/// How long an AMQP client waits for input before it may send again.
+/// How long an AMQP client waits for input before it checks whether it may send.
 const READ_TIMEOUT: Duration = Duration::from_millis(5);
+/// The deadline of each item.
 const DEADLINE_MS: u32 = 1_200;
 
-/// What clients of one frontend saw.
+/// The number of items that were sent, and of each answer to them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerCounts {
     pub items: u64,
     pub served: u64,
     pub rejected: u64,
     pub failed: u64,
-    /// Items with no answer, or with more than one.
-    pub wrong: u64,
+    /// Items without an answer, with an invalid one or with more than one.
+    pub invalid: u64,
 }
 
 impl AnswerCounts {
-    /// Counts the answer of a delivery.
+    /// Counts the answer to an AMQP delivery.
     fn count(&mut self, state: Option<State>) {
         match state {
             Some(State::Accepted) => self.served += 1,
             Some(State::Modified { failed: false, .. }) => self.rejected += 1,
             Some(State::Modified { failed: true, .. }) => self.failed += 1,
-            _ => self.wrong += 1,
+            _ => self.invalid += 1,
         }
     }
 
-    /// The sums of two counts.
     pub fn plus(self, other: AnswerCounts) -> AnswerCounts {
         AnswerCounts {
             items: self.items + other.items,
             served: self.served + other.served,
             rejected: self.rejected + other.rejected,
             failed: self.failed + other.failed,
-            wrong: self.wrong + other.wrong,
+            invalid: self.invalid + other.invalid,
         }
     }
 }
 
-/// A client of the text protocol: one request after another, each on a connection of its own.
-pub fn text_client(addr: SocketAddr, numbers: &ItemNumbers, until: Instant) -> AnswerCounts {
+/// Sends one request of the text protocol after another, each on its own connection.
+pub fn text_client(address: SocketAddr, numbers: &ItemNumbers, until: Instant) -> AnswerCounts {
     let mut counts = AnswerCounts::default();
     while Instant::now() < until {
         let item = numbers.next_item();
-        let mut stream = TcpStream::connect(addr).expect("the node listens");
-        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a time-out");
+        let mut stream = TcpStream::connect(address).expect("the node listens");
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT)).expect("a valid timeout");
         let (number, class) = (item.number, item.class);
         write!(stream, "OPEN {number:x} {number:x} c={class},t=acme,d={DEADLINE_MS},g=5c0f\r\n")
-            .expect("written");
+            .expect("the node reads the request");
         let mut lines = BufReader::new(stream).lines().map_while(Result::ok);
         counts.items += 1;
         match lines.next().as_deref() {
             Some(line) if line.starts_with("UP") => counts.served += 1,
             Some(line) if line.starts_with("BUSY") => counts.rejected += 1,
             Some("ERR") => counts.failed += 1,
-            _ => counts.wrong += 1,
+            _ => counts.invalid += 1,
         }
-        let rest: Vec<String> = lines.collect();
-        counts.wrong += u64::from(rest.iter().any(|line| line != "BYE"));
+        let later_lines: Vec<String> = lines.collect();
+        counts.invalid += u64::from(later_lines.iter().any(|line| line != "BYE"));
         std::thread::sleep(ITEM_INTERVAL);
     }
     counts
 }
 
-/// A message with an item's key and number.
+/// Encodes a message with the key and the number of an item.
 fn item_message(item: u64) -> Vec<u8> {
     let mut message = Vec::new();
     let header = vec![Value::Null, Value::Null, Value::Uint(DEADLINE_MS)];
     sparbank_amqp::encode(&Value::composite(0x70, header), &mut message);
-    let named = vec![
+    let properties = vec![
         (Value::text("key"), Value::text(&format!("{item:x}"))),
         (Value::text("item"), Value::Ulong(item)),
     ];
-    sparbank_amqp::encode(&Value::described(0x74, Value::Map(named)), &mut message);
+    sparbank_amqp::encode(&Value::described(0x74, Value::Map(properties)), &mut message);
     sparbank_amqp::encode(&Value::described(0x75, Value::Binary(vec![7; 100])), &mut message);
     message
 }
 
-/// An AMQP client with a sending link for each class.
+/// An AMQP client with one sender link for each class.
 struct AmqpClient {
     connection: Connection,
-    /// By class.
+    /// The sender link of each class.
     links: HashMap<&'static str, LinkId>,
-    /// Items without an answer.
+    /// Numbers of the items that have no answer yet.
     unsettled: HashSet<u64>,
     counts: AnswerCounts,
 }
@@ -119,7 +119,7 @@
         for class in CLASSES {
             let target = Target { address: Some(class.into()), ..Target::default() };
             let attach = Attach { target: Some(Terminus::Target(target)), ..Attach::default() };
-            let link = self.connection.attach(channel, class, Role::Sender, attach).expect("room");
+            let link = self.connection.attach(channel, class, Role::Sender, attach).expect("a free handle");
             self.links.insert(class, link);
         }
     }
@@ -129,7 +129,7 @@
             Event::Opened {} => drop(self.connection.begin()),
             Event::Began { channel } => self.attach_links(channel),
             Event::Settled { key, state, .. } => {
-                self.counts.wrong += u64::from(!self.unsettled.remove(&key));
+                self.counts.invalid += u64::from(!self.unsettled.remove(&key));
                 self.counts.count(state);
             }
             _ => {}
@@ -151,34 +151,30 @@
     }
 }
 
-/// Sends items on one AMQP connection, and waits for the answers to all of them.
-pub fn amqp_client(addr: SocketAddr, numbers: &ItemNumbers, until: Instant) -> AnswerCounts {
-    let mut stream = TcpStream::connect(addr).expect("the node listens");
-    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a time-out");
+/// Sends items on one AMQP connection until a time, and waits for the answers to all of them.
+pub fn amqp_client(address: SocketAddr, numbers: &ItemNumbers, until: Instant) -> AnswerCounts {
+    let mut stream = TcpStream::connect(address).expect("the node listens");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a valid timeout");
     let mut client = AmqpClient::new();
     let mut input = Vec::new();
     let (mut last_item, mut last_heartbeat) = (Instant::now(), Instant::now());
     while Instant::now() < until || !client.unsettled.is_empty() {
-        assert!(
-            Instant::now() < until + ANSWER_TIMEOUT,
-            "{} items without an answer",
-            client.unsettled.len()
-        );
+        assert!(Instant::now() < until + ANSWER_TIMEOUT, "{} items have no answer", client.unsettled.len());
         let mut output = client.connection.take_output(START);
         if last_heartbeat.elapsed() > HEARTBEAT_INTERVAL {
             last_heartbeat = Instant::now();
             sparbank_amqp::write_frame(&mut output, sparbank_amqp::AMQP, 0, None, &[]);
         }
-        stream.write_all(&output).expect("the node is there");
-        assert!(read_available(&mut stream, &mut input).is_ok(), "the node ended the connection");
+        stream.write_all(&output).expect("the node keeps the connection open");
+        assert!(read_available(&mut stream, &mut input).is_ok(), "the node closed the connection");
         let bytes = std::mem::take(&mut input);
-        let mut left = &bytes[..];
+        let mut unread = &bytes[..];
         while let Some(event) =
-            client.connection.next_event(START, &mut left).expect("the node keeps to the standard")
+            client.connection.next_event(START, &mut unread).expect("the node sends valid AMQP")
         {
             client.on_event(event);
         }
-        input = left.to_vec();
+        input = unread.to_vec();
         let is_due = last_item.elapsed() > ITEM_INTERVAL && Instant::now() < until;
         if is_due && client.can_send() {
             last_item = Instant::now();
--- a/tests/mixed/faults.rs
+++ b/tests/mixed/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a run: one after another, each at a server that its number gives.
+//! Injects one fault after another. The number of a fault determines its kind and its server.
 
 use crate::servers::{Mode, Server};
 use sparbank_test_support::{Bench, ListKind, Peer};
@@ -6,15 +6,16 @@
 use std::time::Duration;
 
 const FAULT_INTERVAL: Duration = Duration::from_millis(200);
-/// No more servers than this are hung or dead, and no more than this drain.
+/// Upper limit on the servers that are hung or dead at a time, and on those that drain.
 const MAX_FAULTY_SERVERS: usize = 2;
-/// Every so many faults an empty list shows that discovery is alive.
+/// After this many faults, an empty list is sent on the watch as a heartbeat.
 const FAULTS_PER_HEARTBEAT: u64 = 5;
 
 /// Injects the faults of a run.
 pub struct FaultInjector {
-    /// Discovery's end of the node's watch.
+    /// The connection of the node's watch, on the side of discovery.
     watch: Peer,
+    /// Number of the latest fault.
     step: u64,
 }
 
@@ -23,12 +24,13 @@
         FaultInjector { watch, step: 0 }
     }
 
-    /// Waits for the time of the next fault, and injects it. A server that has a fault already recovers instead.
+    /// Waits for the time of the next fault, and injects it. The server recovers instead if it has such a fault already, if
+    /// the limits allow no further one, or if the number of the fault selects a recovery.
     pub fn wait_and_inject(&mut self, bench: &mut Bench, servers: &[Arc<Server>]) {
         self.step += 1;
         std::thread::sleep(FAULT_INTERVAL);
-        let fault = scrambled(self.step) % 4;
-        let number = (scrambled(self.step * 77) % servers.len() as u64) as usize;
+        let fault = mix(self.step) % 4;
+        let number = (mix(self.step * 77) % servers.len() as u64) as usize;
         let server = &servers[number];
         let may_fail = server.mode() == Mode::Up
             && servers.iter().filter(|server| server.mode() != Mode::Up).count() < MAX_FAULTY_SERVERS;
@@ -57,8 +59,8 @@
     }
 }
 
-/// A number from a number (splitmix64), so that the faults are the same in each run.
-fn scrambled(seed: u64) -> u64 {
+/// The finalizer of splitmix64: a pseudorandom number that is the same in each run.
+fn mix(seed: u64) -> u64 {
     let x = (seed ^ (seed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
--- a/tests/mixed/items.rs
+++ b/tests/mixed/items.rs
@@ -1,12 +1,11 @@
-//! The items that clients send: their numbers, and which of them must not run twice.
+//! The items that clients send: their numbers and classes.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The class whose items may run twice.
+/// The class of items that may run more than once.
 const IDEMPOTENT_CLASS: &str = "live-readings";
-/// The class whose items must not run twice.
+/// The class of items that must not run more than once.
 const NON_IDEMPOTENT_CLASS: &str = "station-notes";
-/// The classes of all items.
 pub const CLASSES: [&str; 2] = [IDEMPOTENT_CLASS, NON_IDEMPOTENT_CLASS];
 
 /// An item that a client sends.
@@ -16,12 +15,12 @@
     pub class: &'static str,
 }
 
-/// Whether the item with this number must not run twice.
-pub fn must_run_once(number: u64) -> bool {
+/// Whether the item with this number must not run more than once: every fourth one.
+pub fn is_non_idempotent(number: u64) -> bool {
     number.is_multiple_of(4)
 }
 
-/// Numbers the items of all clients.
+/// Assigns unique numbers to the items of all clients.
 pub struct ItemNumbers(AtomicU64);
 
 impl Default for ItemNumbers {
@@ -31,10 +30,10 @@
 }
 
 impl ItemNumbers {
-    /// The next item. Its number gives its class.
+    /// The next item. Its class follows from its number.
     pub fn next_item(&self) -> Item {
         let number = self.0.fetch_add(1, Ordering::Relaxed);
-        let class = if must_run_once(number) { NON_IDEMPOTENT_CLASS } else { IDEMPOTENT_CLASS };
+        let class = if is_non_idempotent(number) { NON_IDEMPOTENT_CLASS } else { IDEMPOTENT_CLASS };
         Item { number, class }
     }
 }
--- a/tests/mixed/servers.rs
+++ b/tests/mixed/servers.rs
@@ -1,4 +1,4 @@
-//! Servers of both protocols that can be killed, hung and drained.
+//! Simulated servers of both protocols that can be killed, hung and drained.
 
 use crate::attempts::{AttemptId, AttemptLog};
 use sparbank_amqp::{Attach, Connection, Event, LinkId, Settings, State};
@@ -9,59 +9,61 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// The time of each call of the protocol library: no timeout is on, so that it is not looked at.
+/// The time that is passed to each call of the protocol library, which ignores it as no timeout is set.
 const START: MonotonicTime = MonotonicTime::ZERO;
-/// How long a server waits for input before it looks at its mode.
+/// How long a server waits for input before it checks its mode.
 const READ_TIMEOUT: Duration = Duration::from_millis(20);
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Connections that are kept to reset them when their server is killed.
-const MAX_OPEN_CONNECTIONS: usize = 500;
-/// How often an AMQP peer sends a heartbeat.
+/// Upper limit on the connections that are kept so as to close them when their server is killed. Beyond it, the oldest half
+/// is dropped.
+const MAX_TRACKED_CONNECTIONS: usize = 500;
+/// How often an AMQP client or server sends a heartbeat.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// The credit of an AMQP link, and the one below which it is raised to that again.
+/// The credit of an AMQP link, and the value below which it is renewed.
 const LINK_CREDIT: u32 = 100;
 const MIN_LINK_CREDIT: u32 = 50;
 
-/// What a server does.
+/// How a server responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
+    /// It serves requests.
     Up,
     /// It reads and never answers.
     Hung,
-    /// It closes all connections.
+    /// It closes all connections, and accepts none.
     Dead,
 }
 
 struct ServerState {
     mode: Mode,
     draining_since: Option<Instant>,
-    /// Handles of open connections, to close them when the server is killed.
+    /// Duplicate handles of connections, to close them when the server is killed.
     connections: Vec<TcpStream>,
 }
 
-/// A server.
+/// A simulated server of both protocols.
 pub struct Server {
     state: Mutex<ServerState>,
     attempts: Arc<AttemptLog>,
-    is_over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
 }
 
 impl Server {
-    /// A server that is up. It ends its connections once the test is over.
-    pub fn new(attempts: Arc<AttemptLog>, is_over: Arc<AtomicBool>) -> Server {
+    /// Creates a server that is up. It closes its connections once `stop` is set.
+    pub fn new(attempts: Arc<AttemptLog>, stop: Arc<AtomicBool>) -> Server {
         let state = ServerState { mode: Mode::Up, draining_since: None, connections: Vec::new() };
-        Server { state: Mutex::new(state), attempts, is_over }
+        Server { state: Mutex::new(state), attempts, stop }
     }
 
     fn state(&self) -> MutexGuard<'_, ServerState> {
-        self.state.lock().expect("no thread failed")
+        self.state.lock().expect("no thread panicked")
     }
 
     pub fn mode(&self) -> Mode {
         self.state().mode
     }
 
-    /// The server behaves like this from now on.
+    /// Changes how the server responds. A server that is killed closes its connections.
     pub fn set_mode(&self, mode: Mode) {
         let mut state = self.state();
         state.mode = mode;
@@ -76,18 +78,18 @@
         self.state().draining_since.is_some()
     }
 
-    /// The node has been notified that the server drains.
+    /// Records that the node has been notified of the drain.
     pub fn on_drain_announced(&self) {
         self.state().draining_since = Some(Instant::now());
     }
 
-    /// The node is about to be notified that the server takes requests again.
+    /// Records the end of the drain. Called before the node is notified of it.
     pub fn end_drain(&self) {
         self.state().draining_since = None;
     }
 
-    fn is_over(&self) -> bool {
-        self.is_over.load(Ordering::Relaxed)
+    fn is_stopped(&self) -> bool {
+        self.stop.load(Ordering::Relaxed)
     }
 
     fn begin_attempt(&self, item: u64) -> AttemptId {
@@ -96,20 +98,20 @@
     }
 
     fn track_connection(&self, stream: &TcpStream) {
-        let Ok(copy) = stream.try_clone() else { return };
+        let Ok(handle) = stream.try_clone() else { return };
         let connections = &mut self.state().connections;
-        connections.push(copy);
-        if connections.len() > MAX_OPEN_CONNECTIONS {
-            connections.drain(..MAX_OPEN_CONNECTIONS / 2);
+        connections.push(handle);
+        if connections.len() > MAX_TRACKED_CONNECTIONS {
+            connections.drain(..MAX_TRACKED_CONNECTIONS / 2);
         }
     }
 
-    /// Serves the connections to a listener, in threads of their own, as this function does.
+    /// Accepts connections on a listener, and serves each one in its own thread with `serve_connection`.
     pub fn serve(self: Arc<Server>, listener: TcpListener, serve_connection: fn(&Server, TcpStream)) {
         std::thread::spawn(move || {
             for stream in listener.incoming() {
                 let Ok(stream) = stream else { continue };
-                if self.is_over() {
+                if self.is_stopped() {
                     return;
                 }
                 if self.mode() == Mode::Dead {
@@ -119,20 +121,20 @@
                 self.track_connection(&stream);
                 let server = self.clone();
                 std::thread::spawn(move || {
-                    let copy = stream.try_clone();
+                    let handle = stream.try_clone();
                     serve_connection(&server, stream);
-                    // The tracked handle would keep the connection open.
-                    let _ = copy.map(|stream| stream.shutdown(Shutdown::Both));
+                    // A plain close is not enough: the tracked duplicate keeps the socket open.
+                    let _ = handle.map(|stream| stream.shutdown(Shutdown::Both));
                 });
             }
         });
     }
 }
 
-/// The connection has ended.
+/// Error: the connection has ended.
 pub struct Ended;
 
-/// Reads what has arrived.
+/// Appends the input that is available within the read timeout.
 pub fn read_available(stream: &mut TcpStream, input: &mut Vec<u8>) -> Result<(), Ended> {
     let mut chunk = [0; READ_CHUNK_BYTES];
     match stream.read(&mut chunk) {
@@ -146,16 +148,20 @@
     }
 }
 
-/// A connection of the text protocol: one request, which is served and ended.
+/// Serves a connection of the text protocol: one request, whose session is ended at once.
 pub fn serve_text(server: &Server, mut stream: TcpStream) {
     let mut input = Vec::new();
     while !input.contains(&b'\n') {
-        if server.is_over() || read_available(&mut stream, &mut input).is_err() {
+        if server.is_stopped() || read_available(&mut stream, &mut input).is_err() {
             return;
         }
     }
     let line = String::from_utf8_lossy(&input).to_string();
-    let item = line.split(' ').nth(1).and_then(|id| u64::from_str_radix(id, 16).ok()).expect("an id");
+    let item = line
+        .split(' ')
+        .nth(1)
+        .and_then(|id| u64::from_str_radix(id, 16).ok())
+        .expect("a hexadecimal request id");
     let attempt = server.begin_attempt(item);
     while server.mode() == Mode::Hung {
         if read_available(&mut stream, &mut input).is_err() {
@@ -170,21 +176,21 @@
     }
 }
 
-/// A delivery that is not settled.
+/// A delivery that the server has not settled yet.
 struct UnsettledDelivery {
     link: LinkId,
     id: u32,
     attempt: AttemptId,
 }
 
-/// A connection of AMQP.
-struct AmqpSession<'a> {
+/// The server side of an AMQP connection.
+struct AmqpServerConnection<'a> {
     server: &'a Server,
     connection: Connection,
     unsettled: Vec<UnsettledDelivery>,
 }
 
-impl AmqpSession<'_> {
+impl AmqpServerConnection<'_> {
     fn on_event(&mut self, event: Event<'_>) {
         match event {
             Event::SaslRequest(_) => self.connection.finish_sasl(true),
@@ -196,7 +202,7 @@
             Event::Transfer { link, transfer } if transfer.last && !transfer.aborted => {
                 self.on_delivery(link, transfer.id, transfer.payload);
             }
-            // The node waits no longer.
+            // The node has cancelled the attempt.
             Event::SettledBySender { key, .. } | Event::DeliveryLost { key, .. } => {
                 for delivery in self.unsettled.extract_if(.., |delivery| delivery.attempt.item == key) {
                     self.server.attempts.end_unserved(delivery.attempt);
@@ -207,8 +213,9 @@
     }
 
     fn on_delivery(&mut self, link: LinkId, id: u32, payload: &[u8]) {
-        let head = sparbank_amqp::Head::read(payload).expect("well-formed").expect("complete");
-        let item = head.property(payload, "item").expect("an item").parse().expect("a number");
+        let head =
+            sparbank_amqp::Head::read(payload).expect("a well-formed message").expect("a complete head");
+        let item = head.property(payload, "item").expect("an item property").parse().expect("an item number");
         self.connection.set_delivery_key(link.channel, id, item);
         let attempt = self.server.begin_attempt(item);
         self.unsettled.push(UnsettledDelivery { link, id, attempt });
@@ -228,18 +235,18 @@
         let mut input = Vec::new();
         let mut last_heartbeat = Instant::now();
         loop {
-            if self.server.is_over() || self.server.mode() == Mode::Dead {
+            if self.server.is_stopped() || self.server.mode() == Mode::Dead {
                 return Err(Ended);
             }
             read_available(&mut stream, &mut input)?;
             let bytes = std::mem::take(&mut input);
-            let mut left = &bytes[..];
+            let mut unread = &bytes[..];
             while let Some(event) =
-                self.connection.next_event(START, &mut left).expect("the node keeps to the standard")
+                self.connection.next_event(START, &mut unread).expect("the node sends valid AMQP")
             {
                 self.on_event(event);
             }
-            input = left.to_vec();
+            input = unread.to_vec();
             if self.server.mode() != Mode::Hung {
                 self.accept_all();
             }
@@ -253,13 +260,13 @@
     }
 }
 
-/// A connection of AMQP: deliveries are accepted as they arrive.
+/// Serves an AMQP connection: accepts deliveries as they arrive.
 pub fn serve_amqp(server: &Server, stream: TcpStream) {
     let settings = Settings { idle_timeout: Duration::ZERO, ..Settings::default() };
     let connection = Connection::accept(START, settings, None);
-    let mut session = AmqpSession { server, connection, unsettled: Vec::new() };
-    let _ = session.run(stream);
-    for delivery in &session.unsettled {
+    let mut server_connection = AmqpServerConnection { server, connection, unsettled: Vec::new() };
+    let _ = server_connection.run(stream);
+    for delivery in &server_connection.unsettled {
         server.attempts.end_unserved(delivery.attempt);
     }
 }
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -1,4 +1,4 @@
-//! The environment of one node: clients, servers and timers. It checks each action of the balancer.
+//! Simulates the environment of one balancer: clients, servers and timers. Checks each action of the balancer.
 
 use crate::common::{arrival, endpoint, serving_endpoints, settings, LONG_AGO, MILLIS, SECOND, START};
 use sparbank::model::{
@@ -9,18 +9,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The number of servers that are ever listed.
+/// Number of servers that endpoint lists may contain.
 pub const SERVERS: u32 = 6;
-/// Attempts may be sent to a draining server for this long.
+/// Attempts may be started at a server for this long after it began to drain or was removed.
 const DRAIN_GRACE: Duration = Duration::from_millis(500);
-/// A final answer may be this late.
+/// A final answer may be this much later than the deadline.
 const ANSWER_SLACK: Duration = Duration::from_millis(20);
-/// Timers and timeouts are handled at the first tick after their time.
+/// The simulated time advances in ticks. Timers and timeouts are handled at the first tick at or after their time.
 const TICK: Duration = Duration::from_millis(5);
-/// Latency reports and health checks also name servers that are never listed.
+/// Number of servers in latency reports and results of health checks: some of them are never listed.
 const REPORTED_SERVERS: u32 = 8;
-/// How attempts and connections end, other than by a timeout.
-const ENDS: [Outcome; 7] = [
+/// The outcomes of attempts and connections, except a timeout.
+const OUTCOMES: [Outcome; 7] = [
     Outcome::Error,
     Outcome::Rejected,
     Outcome::ConnectFailed,
@@ -30,13 +30,13 @@
     Outcome::Ok,
 ];
 
-/// One random step.
+/// One random step: an event, and the time that passes after it.
 pub struct Step {
-    /// What happens.
+    /// Selects the kind of event.
     pub kind: u8,
-    /// To which client or server it happens, and how.
+    /// Selects the client or server that is affected, and the parameters of the event.
     pub choice: u64,
-    /// The time that passes afterwards, in milliseconds.
+    /// The time that passes after the event, in milliseconds.
     pub pause_ms: u16,
 }
 
@@ -70,8 +70,8 @@
 struct Client {
     class: usize,
     deadline: MonotonicTime,
-    /// The final answer was given, or the client has disconnected.
-    is_over: bool,
+    /// The client got its final answer or has disconnected, or its connection has ended or was migrated.
+    is_finished: bool,
     attempts: Vec<Attempt>,
 }
 
@@ -85,7 +85,7 @@
     }
 
     fn is_overdue(&self, now: MonotonicTime) -> bool {
-        !self.is_over && !self.is_established() && now > self.deadline + ANSWER_SLACK
+        !self.is_finished && !self.is_established() && now > self.deadline + ANSWER_SLACK
     }
 
     fn has_timed_out(&self, now: MonotonicTime) -> bool {
@@ -93,7 +93,7 @@
         last.is_some_and(|last| matches!(last.state, AttemptState::InFlight { until } if until <= now))
     }
 
-    /// The server of the last attempt.
+    /// The server of the last attempt, or server 0 before the first attempt.
     fn server(&self) -> ServerId {
         self.attempts.last().map_or(ServerId(0), |attempt| attempt.server)
     }
@@ -104,14 +104,16 @@
     token: u64,
 }
 
+/// A balancer and its simulated environment.
 pub struct Simulation {
-    /// All actions so far.
-    pub journal: Vec<Action>,
+    /// All actions of the balancer so far.
+    pub actions: Vec<Action>,
     settings: Settings,
     balancer: Balancer,
     now: MonotonicTime,
     timers: Vec<Timer>,
     clients: BTreeMap<u64, Client>,
+    /// Since when servers are listed as draining or removed.
     draining_since: BTreeMap<ServerId, MonotonicTime>,
     listed: BTreeMap<ServerId, Status>,
     next_request: u64,
@@ -121,7 +123,7 @@
     pub fn new(seed: u64) -> Simulation {
         let settings = Settings { health_checks: seed.is_multiple_of(2), ..settings() };
         Simulation {
-            journal: Vec::new(),
+            actions: Vec::new(),
             balancer: Balancer::new(seed, settings.clone()).expect("valid settings"),
             settings,
             now: START,
@@ -133,12 +135,13 @@
         }
     }
 
+    /// Passes an event to the balancer, and checks and records its actions.
     fn handle(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in actions {
             self.check(&action);
-            self.journal.push(action);
+            self.actions.push(action);
         }
     }
 
@@ -148,9 +151,9 @@
             Action::Reject { id, .. } => self.check_final_answer(*id, true),
             Action::Fail(id) => self.check_final_answer(*id, false),
             Action::Migrate(id) => {
-                let client = self.clients.get_mut(&id.0).expect("a request that arrived");
-                assert!(!client.is_over && client.is_established());
-                client.is_over = true;
+                let client = self.clients.get_mut(&id.0).expect("a request that has arrived");
+                assert!(!client.is_finished && client.is_established());
+                client.is_finished = true;
             }
             Action::CancelAttempt { id, attempt } => {
                 assert!(self.clients[&id.0].attempts.len() > *attempt as usize)
@@ -159,30 +162,41 @@
                 self.timers.push(Timer { at: self.now + *after, token: *token });
             }
             Action::HealthCheck(server) => {
-                assert!(self.settings.health_checks, "a health check where none is allowed");
-                assert!(server.0 < SERVERS, "a health check of a server never listed");
+                assert!(self.settings.health_checks, "a health check although they are disabled");
+                assert!(server.0 < SERVERS, "a health check of a server that was never listed");
             }
             Action::Subscribe | Action::Log(_) => {}
         }
     }
 
     fn check_attempt(&mut self, id: RequestId, server: ServerId, timeout: Duration) {
-        let client = self.clients.get_mut(&id.0).expect("a request that arrived");
-        assert!(!client.is_over, "rule 1: an attempt after the end");
-        assert!(client.attempts.iter().all(Attempt::is_ended), "one attempt at a time");
-        assert!(client.attempts.len() < self.settings.max_attempts as usize, "attempts used up");
+        let client = self.clients.get_mut(&id.0).expect("a request that has arrived");
+        assert!(!client.is_finished, "rule 1: an attempt after the final answer");
+        assert!(
+            client.attempts.iter().all(Attempt::is_ended),
+            "an attempt while another one of the request is active"
+        );
+        assert!(
+            client.attempts.len() < self.settings.max_attempts as usize,
+            "an attempt beyond max_attempts"
+        );
         if let Some(since) = self.draining_since.get(&server) {
-            assert!(self.now <= *since + DRAIN_GRACE, "rule 3: {server:?} is draining or removed");
+            assert!(
+                self.now <= *since + DRAIN_GRACE,
+                "rule 3: an attempt at {server:?}, which is draining or removed"
+            );
         }
         let class = &self.settings.classes[client.class];
         if let Some(first) = client.attempts.iter().find(|attempt| attempt.may_have_run()) {
             match class.effect {
                 Effect::ReadLike => {}
-                Effect::NonIdempotent => panic!("rule 2: a non-idempotent request twice"),
+                Effect::NonIdempotent => {
+                    panic!("rule 2: a retry of a non-idempotent request that may have run")
+                }
                 Effect::IdempotencyKey => {
                     let age = self.now.saturating_duration_since(first.sent_at);
-                    assert!(age <= class.dedup_window, "rule 2: the repeat is not discarded any more");
-                    assert_eq!(first.server.0 % 2, server.0 % 2, "rule 2: another zone");
+                    assert!(age <= class.dedup_window, "rule 2: a retry after the deduplication window");
+                    assert_eq!(first.server.0 % 2, server.0 % 2, "rule 2: a retry in another zone");
                 }
             }
         }
@@ -192,25 +206,28 @@
     }
 
     fn check_final_answer(&mut self, id: RequestId, is_rejection: bool) {
-        let client = self.clients.get_mut(&id.0).expect("a request that arrived");
-        assert!(!client.is_over, "rule 1: two final answers");
-        assert!(self.now <= client.deadline + ANSWER_SLACK, "rule 1: too late");
-        client.is_over = true;
+        let client = self.clients.get_mut(&id.0).expect("a request that has arrived");
+        assert!(!client.is_finished, "rule 1: two final answers");
+        assert!(self.now <= client.deadline + ANSWER_SLACK, "rule 1: a final answer after the deadline");
+        client.is_finished = true;
         let may_have_run = client.attempts.iter().any(Attempt::may_have_run);
-        let is_safe = client.class == 0 || !may_have_run;
-        assert!(!is_rejection || is_safe, "rule 2: a rejection that may do harm");
+        let may_be_retried = client.class == 0 || !may_have_run;
+        assert!(
+            !is_rejection || may_be_retried,
+            "rule 2: a rejection, which invites a retry, although the request may have run"
+        );
     }
 
-    /// Lets time pass.
-    pub fn pass(&mut self, span: Duration) {
+    /// Advances the time tick by tick, handles timers and timeouts, and checks that no answer is overdue.
+    pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
             self.now += TICK;
             let timers = std::mem::take(&mut self.timers);
-            let (elapsed, later): (Vec<Timer>, Vec<Timer>) =
+            let (due, later): (Vec<Timer>, Vec<Timer>) =
                 timers.into_iter().partition(|timer| timer.at <= self.now);
             self.timers = later;
-            for timer in elapsed {
+            for timer in due {
                 self.handle(Event::Timer(timer.token));
             }
             let timed_out = self.clients.iter().filter(|(_, client)| client.has_timed_out(self.now));
@@ -219,30 +236,32 @@
                 self.end_attempt(id, server, Outcome::Timeout);
             }
             let is_overdue = |client: &Client| client.is_overdue(self.now);
-            assert!(!self.clients.values().any(is_overdue), "rule 1: no answer in time");
+            assert!(!self.clients.values().any(is_overdue), "rule 1: no final answer within the deadline");
         }
     }
 
     fn client_mut(&mut self, id: u64) -> &mut Client {
-        self.clients.get_mut(&id).expect("a client that sent a request")
+        self.clients.get_mut(&id).expect("a client whose request has arrived")
     }
 
+    /// Ends the last attempt of a client, and tells the balancer.
     fn end_attempt(&mut self, id: u64, server: ServerId, outcome: Outcome) {
         let client = self.client_mut(id);
         let was_established = client.is_established();
         client.attempts.last_mut().expect("an attempt").state = AttemptState::Ended(outcome);
-        client.is_over |= was_established || outcome == Outcome::Ok;
-        let done = client.is_over;
+        client.is_finished |= was_established || outcome == Outcome::Ok;
+        let done = client.is_finished;
         self.handle(Event::AttemptEnded { id: RequestId(id), server, outcome, done });
     }
 
-    /// One of the clients that match, and the server of its last attempt.
-    fn choose_client(&self, choice: u64, fits: impl Fn(&Client) -> bool) -> Option<(u64, ServerId)> {
-        let fitting: Vec<_> = self.clients.iter().filter(|(_, client)| fits(client)).collect();
-        let (id, client) = fitting.get(choice as usize % fitting.len().max(1))?;
+    /// One of the clients that satisfy `matches`, and the server of its last attempt.
+    fn choose_client(&self, choice: u64, matches: impl Fn(&Client) -> bool) -> Option<(u64, ServerId)> {
+        let matching: Vec<_> = self.clients.iter().filter(|(_, client)| matches(client)).collect();
+        let (id, client) = matching.get(choice as usize % matching.len().max(1))?;
         Some((**id, client.server()))
     }
 
+    /// Passes an endpoint list to the balancer, and records since when servers are listed as draining or removed.
     pub fn send_list(&mut self, kind: ListKind, endpoints: Vec<Endpoint>) {
         let status = |endpoint: &Endpoint| (endpoint.server, endpoint.status);
         let mut listed: BTreeMap<ServerId, Status> = endpoints.iter().map(status).collect();
@@ -262,6 +281,7 @@
         self.handle(Event::EndpointList(kind, endpoints));
     }
 
+    /// Lets one event happen, and advances the time.
     pub fn step(&mut self, step: &Step) {
         let choice = step.choice;
         let reported = ServerId(choice as u32 % REPORTED_SERVERS);
@@ -287,7 +307,7 @@
                 self.handle(Event::HealthCheckResult { server: reported, utilization });
             }
         }
-        self.pass(Duration::from_millis(step.pause_ms.into()));
+        self.advance(Duration::from_millis(step.pause_ms.into()));
     }
 
     fn send_request(&mut self, choice: u64) {
@@ -296,7 +316,7 @@
         let class = choice as usize % 3;
         let time_left = 50 * MILLIS + Duration::from_millis(choice % 1950);
         let deadline = self.now + time_left;
-        self.clients.insert(id, Client { class, deadline, is_over: false, attempts: Vec::new() });
+        self.clients.insert(id, Client { class, deadline, is_finished: false, attempts: Vec::new() });
         self.handle(Event::Request(Arrival {
             reconnect: choice.is_multiple_of(5),
             rerouted: choice.is_multiple_of(7),
@@ -313,12 +333,13 @@
         self.handle(Event::Established { id: RequestId(id), server, setup_time });
     }
 
-    fn end_one(&mut self, choice: u64, fits: impl Fn(&Client) -> bool) {
-        if let Some((id, server)) = self.choose_client(choice, fits) {
-            self.end_attempt(id, server, ENDS[choice as usize % ENDS.len()]);
+    fn end_one(&mut self, choice: u64, matches: impl Fn(&Client) -> bool) {
+        if let Some((id, server)) = self.choose_client(choice, matches) {
+            self.end_attempt(id, server, OUTCOMES[choice as usize % OUTCOMES.len()]);
         }
     }
 
+    /// Sends an incremental list with one changed endpoint, which it names twice.
     fn send_changed_endpoint(&mut self, choice: u64) {
         let status = [Status::Serving, Status::Draining, Status::Removed][choice as usize % 3];
         let started_at = if choice.is_multiple_of(2) { self.now - SECOND } else { LONG_AGO };
@@ -327,8 +348,8 @@
     }
 
     fn disconnect_one(&mut self, choice: u64) {
-        if let Some((id, _)) = self.choose_client(choice, |client| !client.is_over) {
-            self.client_mut(id).is_over = true;
+        if let Some((id, _)) = self.choose_client(choice, |client| !client.is_finished) {
+            self.client_mut(id).is_finished = true;
             self.handle(Event::ClientDisconnected(RequestId(id)));
         }
     }
