--- a/tests/fleet_restart.rs
+++ b/tests/fleet_restart.rs
@@ -1,8 +1,8 @@
 //! Recovery of a fleet after most of its nodes restart at once, without any communication between them.
 //!
-//! Each test starts several processes of the program, injects its faults, and is checked by the harness's auditor.
-//! `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` play others than those named here; `FLEET_LOGS=folder` writes the nodes'
-//! logs there, and `FLEET_LINES=1` prints each run second by second.
+//! Each test starts several processes of the program and injects faults; the auditor of the test cluster checks the run.
+//! `FLEET_SEEDS=1,2,3` and `FLEET_NODES=24` select other seeds and numbers of nodes. `FLEET_LOGS=folder` writes the logs of
+//! the nodes to a folder, and `FLEET_LINES=1` prints a line for each second of a run.
 
 use rstest::rstest;
 use sparbank_test_support::cluster::auditor::Summary;
@@ -15,12 +15,12 @@
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
-/// Set-ups in a second at the ledger, over what it serves.
+/// Upper limit on the set-ups that the ledger gets in a second, as a multiple of those that it can serve.
 const MAX_SETUP_OVERLOAD: f64 = 2.0;
-/// Attempts of one process at an endpoint that is gone.
+/// Upper limit on the attempts of one process at an endpoint that no longer exists.
 const MAX_ATTEMPTS_AT_DEAD_SERVER: u32 = 2;
 
-/// Prints the result of a run, for who reads the test's output.
+/// Prints the figures of a run as one line.
 fn print_summary(scenario: &str, seed: u64, nodes: usize, summary: &Summary) {
     let millis = |span: Option<Duration>| span.map_or(-1, |span| span.as_millis() as i64);
     println!(
@@ -44,30 +44,30 @@
     }
 }
 
-/// What is true of every scenario: the fleet recovers, the ledger never gets twice what it serves, and no node attempts
-/// an endpoint that is gone more than twice. (The harness itself checks that no invariant was violated.)
+/// Checks what holds in every scenario: the fleet recovers, the ledger gets at most twice the set-ups that it can serve, and
+/// no node makes more than two attempts at an endpoint that no longer exists. (`Cluster::finish` checks the invariants.)
 fn assert_recovered(scenario: &str, seed: u64, config: &ClusterConfig, summary: &Summary) {
     print_summary(scenario, seed, config.nodes, summary);
     let timeline = &summary.timeline;
     assert!(
         summary.recovery_from_last_fault.is_some(),
-        "{timeline}\n{scenario}, seed {seed}: service has not recovered"
+        "{timeline}\n{scenario}, seed {seed}: the service has not recovered"
     );
     let limit = MAX_SETUP_OVERLOAD * config.ledger_setups_per_second;
     let peak = f64::from(summary.peak_setups);
     assert!(
         peak <= limit,
-        "{timeline}\n{scenario}, seed {seed}: {peak} set-ups in a second, {limit} at most"
+        "{timeline}\n{scenario}, seed {seed}: {peak} set-ups in one second, more than the limit of {limit}"
     );
     let attempts = summary.max_attempts_at_dead_server;
     assert!(
         attempts <= MAX_ATTEMPTS_AT_DEAD_SERVER,
-        "{timeline}\n{scenario}, seed {seed}: a node made {attempts} attempts at an endpoint that was gone"
+        "{timeline}\n{scenario}, seed {seed}: a node made {attempts} attempts at an endpoint that no longer existed"
     );
 }
 
-/// Plays a scenario on each seed. The script gets the complete list from before it.
-fn play(scenario: &str, nodes: usize, script: impl AsyncFn(&mut Cluster, String)) {
+/// Runs a scenario with each seed. The script gets the complete endpoint list as it was before the first fault.
+fn run_scenario(scenario: &str, nodes: usize, script: impl AsyncFn(&mut Cluster, String)) {
     let plan = TestPlan::from_env_or(&[1], nodes);
     let program = std::env::var("FLEET_PROGRAM").unwrap_or(PROGRAM.to_string());
     for seed in plan.seeds {
@@ -92,7 +92,7 @@
     #[case] downtime_secs: u64,
 ) {
     let scenario = format!("killed {fraction} back after {downtime_secs} s");
-    play(&scenario, 12, async |cluster, saved_list| {
+    run_scenario(&scenario, 12, async |cluster, saved_list| {
         let nodes = cluster.draw_nodes(fraction);
         cluster.kill(&nodes);
         cluster.run_for_secs(downtime_secs).await;
@@ -101,10 +101,10 @@
     });
 }
 
-/// A tenth of the nodes at a time gets SIGTERM, while half of the servers are replaced.
+/// The nodes get SIGTERM, a tenth of them at a time, while half of the servers are replaced.
 #[rstest]
 fn the_fleet_recovers_from_a_rolling_restart_while_half_the_servers_are_replaced() {
-    play("rolling restart", 10, async |cluster, _| {
+    run_scenario("rolling restart", 10, async |cluster, _| {
         let nodes: Vec<usize> = (0..cluster.shared.config.nodes).collect();
         let half = cluster.shared.config.servers / 2;
         for (step, tenth) in nodes.chunks(nodes.len().div_ceil(10)).enumerate() {
@@ -115,8 +115,8 @@
             for node in tenth {
                 cluster.nodes.terminate(*node);
             }
-            let have_ended = |cluster: &mut Cluster| tenth.iter().all(|node| cluster.nodes.has_ended(*node));
-            cluster.wait_until("the nodes end by themselves", 8, have_ended).await;
+            let have_exited = |cluster: &mut Cluster| tenth.iter().all(|node| cluster.nodes.has_ended(*node));
+            cluster.wait_until("the nodes exit after SIGTERM", 8, have_exited).await;
             cluster.restart(tenth, &cluster.servers.complete_list_json());
         }
         for server in 0..half {
@@ -127,15 +127,15 @@
     });
 }
 
-/// The nodes have saved a list of which two in five endpoints are long gone and three in ten have just started, while
-/// discovery is unreachable or overloaded.
+/// All nodes restart with a saved list in which two of five endpoints no longer exist and three of ten have just started,
+/// while discovery is unreachable, overloaded or healthy.
 #[rstest]
 #[case::unreachable(Some(DiscoveryMode::Unreachable))]
 #[case::overloaded(Some(DiscoveryMode::Overloaded))]
 #[case::healthy(None)]
 fn the_fleet_recovers_with_a_stale_saved_list_and_discovery_faults(#[case] fault: Option<DiscoveryMode>) {
     let scenario = format!("stale saved list, discovery {fault:?}");
-    play(&scenario, 10, async |cluster, _| {
+    run_scenario(&scenario, 10, async |cluster, _| {
         let count = cluster.shared.config.servers;
         let mut removed = Vec::new();
         for server in 0..count {
@@ -165,12 +165,13 @@
     });
 }
 
-/// One node is paused for 5 s while others restart; what it owed meanwhile is excused, what it does afterwards is not.
+/// One node is paused for 5 s while others restart. Answers that it owes during the pause are excused; all that it does
+/// afterwards is checked.
 #[rstest]
 fn the_fleet_recovers_with_a_node_paused_among_restarts() {
-    play("paused", 10, async |cluster, saved_list| {
+    run_scenario("paused", 10, async |cluster, saved_list| {
         let nodes = cluster.draw_nodes(0.7);
-        let paused = (0..10).find(|node| !nodes.contains(node)).expect("three in ten are left");
+        let paused = (0..10).find(|node| !nodes.contains(node)).expect("30 % of the nodes are not killed");
         cluster.kill(&nodes);
         cluster.nodes.pause(paused);
         cluster.restart(&nodes, &saved_list);
@@ -182,10 +183,10 @@
     });
 }
 
-/// Each restarted node is killed again twice within 5 s.
+/// Nodes are killed three times within 5 s, shortly after each restart.
 #[rstest]
 fn the_fleet_recovers_from_a_crash_loop() {
-    play("crash loop", 10, async |cluster, saved_list| {
+    run_scenario("crash loop", 10, async |cluster, saved_list| {
         let nodes = cluster.draw_nodes(0.7);
         for _ in 0..3 {
             cluster.kill(&nodes);
@@ -197,11 +198,11 @@
     });
 }
 
-/// Discovery goes back to the list from before a server drained, and the link of one node to discovery is cut one way
-/// meanwhile: no server that drains gets anything new.
+/// Discovery returns to the list from before a server drained, while one node can send to discovery but receives nothing
+/// from it. Draining and removed servers must get no new attempts.
 #[rstest]
-fn a_stale_list_from_discovery_revives_nothing() {
-    play("stale discovery", 10, async |cluster, _| {
+fn a_stale_list_from_discovery_does_not_restore_draining_or_removed_servers() {
+    run_scenario("stale discovery", 10, async |cluster, _| {
         cluster.servers.save_list();
         cluster.servers.set_status(1, Status::Draining);
         cluster.servers.set_status(2, Status::Removed);
@@ -219,12 +220,12 @@
     });
 }
 
-/// Runs of a measurement that go on at a time.
+/// Number of measurement runs at a time.
 const CONCURRENT_RUNS: usize = 4;
-/// The time that counts for a run that did not recover.
+/// Recovery time that is recorded for a run that did not recover.
 const NOT_RECOVERED: Duration = Duration::from_secs(99);
 
-/// Kills this fraction of the nodes, restarts them, and gives the result after 30 s.
+/// Kills a fraction of the nodes, restarts them, and returns the result after 30 s.
 fn measure_restart(seed: u64, config: &ClusterConfig, program: &str, fraction: f64) -> Summary {
     block_on(async {
         let mut cluster = Cluster::start(seed, config.clone(), program).await;
@@ -237,23 +238,24 @@
     })
 }
 
-/// Plays a measurement on each seed, a few at a time.
+/// Runs a measurement with each seed, [`CONCURRENT_RUNS`] at a time.
 fn measure_seeds(seeds: &[u64], measure: impl Fn(u64) -> Summary + Sync) -> Vec<Summary> {
     let mut summaries = Vec::new();
     for concurrent in seeds.chunks(CONCURRENT_RUNS) {
         std::thread::scope(|scope| {
             let measure = &measure;
             let runs: Vec<_> = concurrent.iter().map(|seed| scope.spawn(move || measure(*seed))).collect();
-            summaries.extend(runs.into_iter().map(|run| run.join().expect("a run")));
+            summaries.extend(runs.into_iter().map(|run| run.join().expect("the run did not panic")));
         });
     }
     summaries
 }
 
-/// Prints the time to recovery of this version, of the one before (`FLEET_BEFORE=path`), and the least that the ledger
-/// allows. `FLEET_SEEDS`, `FLEET_NODES`; four runs at a time. Nothing is asserted: the design page quotes it.
+/// Prints the recovery times of this version and of an earlier one (`FLEET_BEFORE=path`), and the shortest time that the
+/// capacity of the ledger allows. `FLEET_SEEDS` and `FLEET_NODES` apply. Nothing is asserted; the design page of the fleet
+/// restart quotes the figures.
 #[test]
-#[ignore = "a measurement of some minutes"]
+#[ignore = "a measurement that takes several minutes"]
 fn time_to_recovery() {
     let plan = TestPlan::from_env_or(&[1, 2, 3, 4, 5, 6, 7, 8, 9, 10], 12);
     let before = std::env::var("FLEET_BEFORE").ok();
