--- a/tests/mixed/clients.rs
+++ b/tests/mixed/clients.rs
@@ -3,7 +3,8 @@
 use crate::items::{ItemNumbers, CLASSES};
 use crate::servers::{read_available, HEARTBEAT_INTERVAL};
 use sparbank_amqp::{
-    Attach, Connection, Credentials, Event, LinkId, Outgoing, Role, Settings, State, Target, Terminus, Value,
+    Attach, Connection, Credentials, Event, LinkId, OutgoingDelivery, Role, Settings, State, Target,
+    Terminus, Value,
 };
 use sparbank_time::MonotonicTime;
 use std::collections::{HashMap, HashSet};
@@ -143,7 +144,7 @@
     fn send(&mut self, numbers: &ItemNumbers) {
         let item = numbers.next_item();
         let payload = item_message(item.number);
-        let delivery = Outgoing { key: item.number, tag: item.number.into(), settled: false };
+        let delivery = OutgoingDelivery { key: item.number, tag: item.number.into(), settled: false };
         let link = self.links[item.class];
         assert!(self.connection.send(link, delivery, &payload, true, usize::MAX).complete);
         self.unsettled.insert(item.number);
