--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -27,13 +27,13 @@
 /// How discovery responds to watch requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves watches normally.
+    /// Serves watches normally.
     Serves,
-    /// It resets every connection.
+    /// Resets every connection.
     Down,
-    /// It rejects requests with status 503.
+    /// Rejects requests with status 503.
     Rejects,
-    /// It serves watches, and writes a few bytes at a time.
+    /// Serves watches, and writes a few bytes at a time.
     Fragmented,
 }
 
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Ends a node with SIGTERM and starts it again. Clients connect for a while after the signal.
+    /// Ends a node with SIGTERM and starts it again. Clients still connect for some time after the signal.
     pub async fn terminate_and_restart(&self, number: usize) {
         let node = &self.nodes[number];
         if node.is_restarting.replace(true) {
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -27,17 +27,17 @@
 /// How a server responds to request lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves requests.
+    /// Serves requests.
     Serves,
-    /// It reads and never answers.
+    /// Reads and never answers.
     Hangs,
-    /// It rejects requests.
+    /// Rejects requests.
     Rejects,
-    /// It resets the connection once the line has arrived.
+    /// Resets the connection once the line has arrived.
     Resets,
-    /// It sends a part of its answer and resets the connection.
+    /// Sends a part of its answer and resets the connection.
     Truncates,
-    /// It serves requests, later than the timeout of an attempt.
+    /// Serves requests, later than the timeout of an attempt.
     Late,
 }
 
--- a/tests/mixed/servers.rs
+++ b/tests/mixed/servers.rs
@@ -26,11 +26,11 @@
 /// How a server responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves requests.
+    /// Serves requests.
     Up,
-    /// It reads and never answers.
+    /// Reads and never answers.
     Hung,
-    /// It closes all connections, and accepts none.
+    /// Closes all connections, new ones at once.
     Dead,
 }
 
