--- a/crates/amqp/src/connection/event.rs
+++ b/crates/amqp/src/connection/event.rs
@@ -198,6 +198,7 @@
     pub properties: Option<Value>,
     /// The extension capabilities that the peer supports: a symbol or an array of symbols.
     pub offered_capabilities: Option<Value>,
-    /// The extension capabilities that the peer may use if the local end supports them: a symbol or an array of symbols.
+    /// The extension capabilities that the peer may use if the local end supports them: a symbol or an array of
+    /// symbols.
     pub desired_capabilities: Option<Value>,
 }
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -1,4 +1,5 @@
-//! A connection (standard, section 2.4) with its sessions and links. The same code serves the client and the server end.
+//! A connection (standard, section 2.4) with its sessions and links. The same code serves the client and the
+//! server end.
 //!
 //! [`Connection`] is the protocol state machine. The application passes received octets to [`Connection::next_event`],
 //! handles the events, and writes the octets that [`Connection::take_output`] returns. The methods are split by part of
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -113,7 +113,8 @@
         Ok(())
     }
 
-    /// Decodes the application property with this name; `None` if there is none. `bytes` is the message that the head was read from.
+    /// Decodes the application property with this name; `None` if there is none. `bytes` is the message that the
+    /// head was read from.
     pub fn application_property(&self, bytes: &[u8], name: &str) -> Option<Value> {
         let map = bytes.get(self.application_properties.clone()).filter(|map| !map.is_empty())?;
         let (_, mut value) = map_pairs(map).find(|(key, _)| *key == Some(name))?;
--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -19,7 +19,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Uses small frames, small windows, and ids that start at 0, at half of the range or shortly before the wrap-around.
+    /// Uses small frames, small windows, and ids that start at 0, at half of the range or shortly before the
+    /// wrap-around.
     #[test]
     fn every_delivery_ends_once_whatever_the_order(
         steps in prop::collection::vec(step(), 1..120),
@@ -59,7 +60,7 @@
         }
         let mut bytes = octets;
         if is_frame {
-            // Wrap them in a frame of the right size on channel 0.
+            // Wraps the octets in a frame of the right size on channel 0.
             let size = (bytes.len() as u32 + 8).to_be_bytes();
             bytes.splice(0..0, [size[0], size[1], size[2], size[3], 2, 0, 0, 0]);
         }
--- a/src/frontend/amqp/client_links.rs
+++ b/src/frontend/amqp/client_links.rs
@@ -186,13 +186,14 @@
         self.ctx.requests.on_request(self.ctx.now, self.info.id, attributes.into_arrival())
     }
 
-    /// Handles the attach of a link with a dynamic source: creates a reply node, to which servers may send until the link
-    /// is detached.
+    /// Handles the attach of a link with a dynamic source: creates a reply node, to which servers may send until the
+    /// link is detached.
     fn attach_reply_link(&mut self, link: ConnectionLink, attach: Box<Attach>, source: Source) {
         let Some(client) = self.peers.clients.get(link.token) else { return };
         let target = attach.target.clone();
         let forwarder = self.forwarding.add_reply_node(link, attach);
-        // The address contains a nonce so that other clients cannot guess it. Clients pass it to servers in their requests.
+        // The address contains a nonce so that other clients cannot guess it. The client passes it to servers in its
+        // requests.
         let address = format!("reply/{forwarder}/{}", nonce());
         let source = Source { address: Some(address.clone()), dynamic: Some(true), ..source };
         client.conn.accept_link(link.id, Attach { source: Some(source), target, ..Attach::default() });
--- a/src/frontend/amqp/clients/mod.rs
+++ b/src/frontend/amqp/clients/mod.rs
@@ -40,7 +40,7 @@
     subscriber_links: SubscriberLinks,
     /// The connections that may have pending output, in the order in which they were marked.
     dirty: Vec<Token>,
-    /// The clients whose input is not read while the buffered messages reach the memory limit.
+    /// The clients whose input is not read until the buffered messages are below the memory limit again.
     paused: Vec<Token>,
     /// Whether the node drains; clients are granted no credit then.
     is_draining: bool,
--- a/src/frontend/amqp/deliveries.rs
+++ b/src/frontend/amqp/deliveries.rs
@@ -157,8 +157,8 @@
         self.buffered_bytes -= octets;
     }
 
-    /// The outcome of an attempt whose link or connection was lost after `written` octets of the connection's output had
-    /// been written. The request may have run if its last octet was written.
+    /// The outcome of an attempt whose link or connection was lost after `written` octets of the connection's output
+    /// had been written. The request may have run if its last octet was written.
     pub fn interrupted_outcome(&self, request_id: RequestId, written: u64) -> Outcome {
         let attempt = self.get(request_id).and_then(|delivery| delivery.attempt.as_ref());
         match attempt.map(|attempt| &attempt.stage) {
--- a/src/frontend/amqp/forwarding/forwarder.rs
+++ b/src/frontend/amqp/forwarding/forwarder.rs
@@ -29,8 +29,8 @@
     pub(super) server: Option<ServerId>,
     /// Whether the attach of the client's link has been answered.
     pub(super) is_established: bool,
-    /// The links on which the forwarder receives. A removed source leaves `None`, because the keys of deliveries contain indices
-    /// into this vector.
+    /// The links on which the forwarder receives. A removed source leaves `None`, because the keys of deliveries
+    /// contain indices into this vector.
     sources: Vec<Option<Source>>,
     /// The index of the source whose delivery is only partly sent to the client.
     sending_source: Option<usize>,
@@ -278,7 +278,8 @@
         completed
     }
 
-    /// Distributes the client's credit equally among the sources. Each share is at least one while the client has credit.
+    /// Distributes the client's credit equally among the sources. Each share is at least one while the client has
+    /// credit.
     fn distribute_credit(&self, client_credit: u32, servers: &mut Servers) {
         let count = self.sources.iter().flatten().count().max(1) as u32;
         let fair_share = (client_credit / count).max(client_credit.min(1));
--- a/src/frontend/amqp/servers/connection.rs
+++ b/src/frontend/amqp/servers/connection.rs
@@ -75,8 +75,8 @@
         forwarders
     }
 
-    /// Ends the attempts on this connection after its loss. `written` is the number of octets of the connection's output
-    /// that were written to the socket.
+    /// Ends the attempts on this connection after its loss. `written` is the number of octets of the connection's
+    /// output that were written to the socket.
     pub fn end_attempts(&mut self, written: u64, deliveries: &Deliveries) -> Vec<EndedAttempt> {
         let mut ended = Vec::new();
         for AbandonedDelivery { link, role, key } in self.conn.abandon() {
--- a/src/frontend/amqp/users.rs
+++ b/src/frontend/amqp/users.rs
@@ -48,8 +48,8 @@
     pub subscriber: Option<String>,
 }
 
-/// The identity of a client: its user and rights. The default is an anonymous client without restrictions, which applies
-/// if there is no users file.
+/// The identity of a client: its user and rights. The default is an anonymous client without restrictions, which
+/// applies if there is no users file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Identity {
     /// The user's name; `None` for an anonymous client.
