--- a/crates/amqp/src/composite.rs
+++ b/crates/amqp/src/composite.rs
@@ -14,7 +14,7 @@
     /// # Errors
     /// A field cannot be decoded, or a mandatory one is missing.
     fn read_fields(fields: &mut FieldReader<'_>) -> Result<Self>;
-    /// Encodes the fields in the order of the standard, with [`FieldWriter::put`] for each.
+    /// Encodes the fields in the order of the standard, with one call of `put` for each.
     fn write_fields(&self, out: &mut FieldWriter<'_>);
 }
 
--- a/crates/amqp/src/connection/mod.rs
+++ b/crates/amqp/src/connection/mod.rs
@@ -49,7 +49,9 @@
     AwaitingAmqpHeader,
     /// Waiting for the peer's open.
     AwaitingOpen,
+    /// Both sides have sent open.
     Open,
+    /// A close was sent, or the connection failed. No frames are sent, and input is discarded.
     Closed,
 }
 
@@ -66,9 +68,13 @@
     settings: Settings,
     auth: Auth,
     stage: Stage,
+    /// Whether the server answered the SASL protocol header with the AMQP one.
     peer_lacks_sasl: bool,
+    /// The contents of the peer's open; empty until it is received.
     peer: PeerInfo,
+    /// The largest frame that the peer accepts, in octets.
     remote_max_frame_size: u32,
+    /// The highest channel number that the peer accepts.
     remote_channel_max: u16,
     idle: IdleTimer,
     sessions: SessionTable,
--- a/crates/amqp/src/connection/session_table.rs
+++ b/crates/amqp/src/connection/session_table.rs
@@ -7,7 +7,7 @@
 /// The sessions of a connection.
 #[derive(Default)]
 pub(super) struct SessionTable {
-    /// Indexed by local channel.
+    /// The sessions, indexed by local channel. A removed session leaves `None`, and its channel is used again.
     sessions: Vec<Option<Session>>,
     /// Maps the peer's channels to local channels.
     by_remote_channel: FastHashMap<u16, u16>,
--- a/crates/amqp/src/link.rs
+++ b/crates/amqp/src/link.rs
@@ -41,11 +41,15 @@
     pub name: String,
     pub role: Role,
     pub phase: Phase,
+    /// The handle that the peer uses for the link; `None` until its attach is received.
     pub remote_handle: Option<u32>,
     /// The largest message that the peer accepts, in octets; `None` if it announced no limit.
     pub remote_max_message_size: Option<u64>,
+    /// The sender's count of deliveries (2.6.7), a serial number. Drained credit counts as used.
     pub delivery_count: u32,
+    /// The number of deliveries that the sender may still start.
     pub credit: u32,
+    /// Whether the receiver has requested that the sender use or return its credit.
     pub drain: bool,
     /// Whether the receiver settle mode is `second`: the receiver settles after the sender (2.6.12).
     pub receiver_settles_second: bool,
--- a/crates/amqp/src/message.rs
+++ b/crates/amqp/src/message.rs
@@ -30,11 +30,11 @@
 /// The sections before the body: their positions in the message, and the fields that forwarding needs.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Head {
-    /// The header without its descriptor.
+    /// The position of the header's list, without its descriptor; empty if there is no header.
     header: Range<usize>,
     /// The position of the section after the header; 0 if there is no header.
     after_header: usize,
-    /// The map of the application properties, without their descriptor.
+    /// The position of the map of application properties, without its descriptor; empty if there is none.
     application_properties: Range<usize>,
     /// The position of the body.
     body_start: usize,
--- a/crates/amqp/src/session.rs
+++ b/crates/amqp/src/session.rs
@@ -54,20 +54,25 @@
 #[derive(Debug)]
 pub(crate) struct Session {
     pub phase: Phase,
+    /// The channel that the peer uses for the session; `None` until its begin is received.
     pub remote_channel: Option<u16>,
+    /// The id expected for the next transfer frame from the peer, a serial number (RFC 1982).
     pub next_incoming_id: u32,
     /// The number of transfer frames that the peer may still send.
     pub incoming_window: u32,
     /// The value to which `incoming_window` is reset.
     pub max_incoming_window: u32,
+    /// The id of the next transfer frame to be sent, a serial number.
     pub next_outgoing_id: u32,
     /// The number of transfer frames that may still be sent to the peer.
     pub remote_window: u32,
+    /// The highest link handle that the peer accepts on the session.
     pub remote_handle_max: u32,
-    /// Indexed by local handle.
+    /// The links, indexed by local handle. A removed link leaves `None`, and its handle is used again.
     pub links: Vec<Option<Box<Link>>>,
     /// Maps the peer's handles to local handles.
     pub by_remote_handle: FastHashMap<u32, u32>,
+    /// The delivery id of the next delivery to be sent, a serial number.
     pub next_delivery_id: u32,
     /// Unsettled received deliveries, by delivery id.
     pub incoming: FastHashMap<u32, UnsettledDelivery>,
