--- a/src/policy/balancer.rs
+++ b/src/policy/balancer.rs
@@ -1,6 +1,5 @@
-//! The balancer: consumes events, tracks the state of requests and emits actions. A first attempt starts
-//! immediately. A request whose attempt failed, or for which no server is available, is tried again after
-//! a Full Jitter backoff.
+//! Consumes events, tracks the state of requests and emits actions. A first attempt starts immediately. If
+//! an attempt failed or no server is available, the request is tried again after a Full Jitter backoff.
 
 use super::migration::Migration;
 use super::request::{Phase, Request, Requests};
@@ -219,8 +218,7 @@
         self.actions.push(Action::SetTimer { after, token: id.0 });
     }
 
-    /// Starts the next attempt, backs off if none may start now, or gives the final answer if no further one is
-    /// allowed.
+    /// Starts an attempt, backs off if none may start now, or gives the final answer if none is allowed.
     fn start_attempt_or_back_off(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else { return };
         if let Err(refusal) = self.may_attempt(request) {
--- a/src/policy/selection.rs
+++ b/src/policy/selection.rs
@@ -11,8 +11,8 @@
 const MAX_CANDIDATES: usize = 3;
 /// Load of each group at a server, as a multiple of this node's usual connections per server.
 const GROUP_COST: f64 = 0.15;
-/// Load added to a server in another zone, in the unit of [`GROUP_COST`]. Its influence decreases as the load of all
-/// servers grows, so that a zone under load sends requests to other zones.
+/// Load added to a server in another zone, in the unit of [`GROUP_COST`]. Its influence decreases as the
+/// load of all servers grows, so that a zone under load sends requests to other zones.
 const CROSS_ZONE_COST: f64 = 0.6;
 
 /// The inputs of a server selection.
