--- a/src/discovery/client.rs
+++ b/src/discovery/client.rs
@@ -174,7 +174,7 @@
     }
 
     /// Closes the watch and returns a failure event if one of its timeouts has elapsed.
-    pub fn close_silent_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
+    pub fn close_timed_out_watch(&mut self, now: MonotonicTime, net: &mut SocketReactor) -> Option<Event> {
         let has_timed_out = self.watch.as_ref()?.state.has_timed_out(now);
         has_timed_out.then(|| self.close_failed_watch(net, WatchError::TimedOut))
     }
--- a/src/frontend/amqp/servers/sending.rs
+++ b/src/frontend/amqp/servers/sending.rs
@@ -233,8 +233,8 @@
     delivery: &Delivery,
 ) -> Result<(), Outcome> {
     let is_server_ready = ctx.registry.entry(server).is_some_and(|entry| entry.is_ready());
-    // A client that has disconnected may reconnect and resume the delivery, so `client_gone` is never set here.
-    let peers = PeerStatus { client_gone: false, server_ready: is_server_ready };
+    // A client that has disconnected may reconnect and resume the delivery, so `client_disconnected` is never set here.
+    let peers = PeerStatus { client_disconnected: false, server_ready: is_server_ready };
     let permission = ctx.requests.may_send(ctx.now, chunk.request_id, peers);
     if let Err(refusal) = permission {
         tracing::trace!(request = chunk.request_id.0, reason = %refusal, "attempt not sent");
--- a/src/frontend/text/attempt.rs
+++ b/src/frontend/text/attempt.rs
@@ -77,14 +77,14 @@
 fn check_send(sessions: &Sessions, ctx: &mut FrontendContext, client: Token) -> Result<(), SendRefusal> {
     let Some(session) = sessions.get(client) else { return Err(SendRefusal::NotCurrent) };
     ctx.net.read_available(client);
-    let client_gone = has_disconnected(ctx, client);
+    let client_disconnected = has_disconnected(ctx, client);
     let server_ready = session.server().is_some_and(|server| is_ready(ctx, server));
     match session.request_id() {
         Some(request_id) => {
-            ctx.requests.may_send(ctx.now, request_id, PeerStatus { client_gone, server_ready })
+            ctx.requests.may_send(ctx.now, request_id, PeerStatus { client_disconnected, server_ready })
         }
         // A session being restored returns to its previous server, whatever the server's lifecycle state.
-        None if client_gone => Err(SendRefusal::ClientGone),
+        None if client_disconnected => Err(SendRefusal::ClientDisconnected),
         None => Ok(()),
     }
 }
@@ -93,7 +93,7 @@
     let request = sessions.get(client).map_or(0, |session| session.request_number());
     tracing::trace!(request, reason = %refusal, "attempt not sent");
     match refusal {
-        SendRefusal::ClientGone => {
+        SendRefusal::ClientDisconnected => {
             let event = ConnectionEvent::current(ctx, client);
             on_client_event(sessions, ctx, client, event);
         }
--- a/src/rules/send.rs
+++ b/src/rules/send.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
     /// The client has closed or reset its connection, or cancelled its request.
-    pub client_gone: bool,
+    pub client_disconnected: bool,
     /// The server is in the endpoint list and accepts new requests.
     pub server_ready: bool,
 }
@@ -30,7 +30,7 @@
 pub enum SendRefusal {
     /// The client is no longer waiting for the answer.
     #[error("client-gone")]
-    ClientGone,
+    ClientDisconnected,
     /// The request has been answered, or another attempt is its current one.
     #[error("not-current")]
     NotCurrent,
@@ -47,8 +47,8 @@
 /// # Errors
 /// Returns the first reason against it.
 pub fn may_send(inputs: &SendInputs) -> Result<(), SendRefusal> {
-    if inputs.peers.client_gone {
-        return Err(SendRefusal::ClientGone);
+    if inputs.peers.client_disconnected {
+        return Err(SendRefusal::ClientDisconnected);
     }
     if !inputs.is_current_attempt {
         return Err(SendRefusal::NotCurrent);
--- a/src/rules/tests.rs
+++ b/src/rules/tests.rs
@@ -12,7 +12,7 @@
     MonotonicTime::ZERO + Duration::from_millis(ms)
 }
 
-const READY: PeerStatus = PeerStatus { client_gone: false, server_ready: true };
+const READY: PeerStatus = PeerStatus { client_disconnected: false, server_ready: true };
 
 fn send_inputs() -> SendInputs {
     SendInputs {
@@ -25,7 +25,7 @@
 
 #[rstest]
 #[case(send_inputs(), Ok(()))]
-#[case(SendInputs { peers: PeerStatus { client_gone: true, server_ready: false }, ..send_inputs() }, Err(SendRefusal::ClientGone))]
+#[case(SendInputs { peers: PeerStatus { client_disconnected: true, server_ready: false }, ..send_inputs() }, Err(SendRefusal::ClientDisconnected))]
 #[case(SendInputs { is_current_attempt: false, ..send_inputs() }, Err(SendRefusal::NotCurrent))]
 #[case(SendInputs { peers: PeerStatus { server_ready: false, ..READY }, ..send_inputs() }, Err(SendRefusal::ServerNotReady))]
 #[case(SendInputs { now: MonotonicTime::from_nanos(11), ..send_inputs() }, Err(SendRefusal::TooLate))]
