--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -29,10 +29,10 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PlanProblem {
     /// A name is empty.
-    #[error("is empty")]
+    #[error("must not be empty")]
     Empty,
     /// An earlier element of the same list has the same value.
-    #[error("is there twice")]
+    #[error("is a duplicate")]
     Duplicate,
     /// A list is empty or has more than `max` elements.
     #[error("must have 1 to {max} elements")]
@@ -50,22 +50,22 @@
         name: String,
     },
     /// The lease is shorter or longer than allowed.
-    #[error("{LEASE_RANGE_MS:?} is allowed")]
+    #[error("must be {} to {}", LEASE_RANGE_MS.start(), LEASE_RANGE_MS.end())]
     LeaseOutOfRange,
     /// The value is larger than allowed.
-    #[error("at most {max} is allowed")]
+    #[error("must be at most {max}")]
     TooLarge {
         /// The largest value that is allowed.
         max: u64,
     },
     /// The total is zero or larger than allowed.
-    #[error("1 to {MAX_TOTAL} is allowed")]
+    #[error("must be 1 to {MAX_TOTAL}")]
     TotalOutOfRange,
     /// A level has a burst.
     #[error("must be 0 for connections")]
     BurstOfLevel,
     /// The burst of a rate is less than one event per member, or larger than the largest total.
-    #[error("one for each member is needed, {members} at least")]
+    #[error("must be at least {members}, one per member")]
     BurstOutOfRange {
         /// The number of members.
         members: usize,
--- a/src/discovery/chunked.rs
+++ b/src/discovery/chunked.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The last chunk has arrived, or the connection ended.
-    #[error("ended")]
+    #[error("discovery closed the connection")]
     Ended,
     /// The head is longer than [`MAX_HEAD_BYTES`].
     #[error("response head too long")]
--- a/src/discovery/chunked/tests.rs
+++ b/src/discovery/chunked/tests.rs
@@ -52,7 +52,7 @@
 
 /// The texts that `docs/ON-CALL.md` lists.
 #[rstest::rstest]
-#[case(ResponseError::Ended, "ended")]
+#[case(ResponseError::Ended, "discovery closed the connection")]
 #[case(ResponseError::HeadTooLong, "response head too long")]
 #[case(ResponseError::NotHttp, "response is not HTTP")]
 #[case(ResponseError::Status(503), "HTTP status 503")]
--- a/src/discovery/watch.rs
+++ b/src/discovery/watch.rs
@@ -34,7 +34,7 @@
     #[error("malformed JSON")]
     InvalidDocument,
     /// One of the timeouts of the watch has elapsed.
-    #[error("silent")]
+    #[error("no data within the time limit")]
     TimedOut,
 }
 
--- a/src/discovery/watch/tests.rs
+++ b/src/discovery/watch/tests.rs
@@ -110,7 +110,7 @@
 #[case(WatchError::Response(ResponseError::Status(503)), "HTTP status 503")]
 #[case(WatchError::Framing(FramingError::Truncated), "malformed JSON")]
 #[case(WatchError::InvalidDocument, "malformed JSON")]
-#[case(WatchError::TimedOut, "silent")]
+#[case(WatchError::TimedOut, "no data within the time limit")]
 fn errors_are_displayed_as_documented(#[case] error: WatchError, #[case] text: &str) {
     assert_eq!(error.to_string(), text);
 }
--- a/src/quota/file.rs
+++ b/src/quota/file.rs
@@ -37,12 +37,12 @@
     #[error("field {0}")]
     Invalid(#[from] PlanError),
     /// The plan is valid, but `serve` does not support the field yet.
-    #[error("field {0}: is not served yet")]
+    #[error("field {0}: is not supported yet")]
     Unsupported(UnsupportedField),
     #[error("field members: none is named {name:?}, the name of this node")]
     NotAMember { name: String },
     #[error(
-        "field members: a grantor of {members} needs limits.sockets of {} at least, not {sockets}",
+        "field members: a grantor for {members} members needs limits.sockets of at least {}, got {sockets}",
         SOCKETS_PER_MEMBER * members
     )]
     TooFewSockets { members: usize, sockets: usize },
--- a/tests/fleet_file.rs
+++ b/tests/fleet_file.rs
@@ -46,14 +46,14 @@
 
 #[rstest::rstest]
 #[case("\"total\": 600", "\"hole\": 600", "field budgets[0].hole: unknown field")]
-#[case("\"burst\": 60", "\"burst\": 2", "field budgets[2].burst: one for each member is needed, 3 at least")]
+#[case("\"burst\": 60", "\"burst\": 2", "field budgets[2].burst: must be at least 3, one per member")]
 #[case("\"grantors\": [\"node-1\"", "\"grantors\": [\"node-9\"", "field grantors[0]: no member is named")]
-#[case("\"lease_ms\": 5000", "\"lease_ms\": 5", "field lease_ms: 300..=60000 is allowed")]
-#[case("127.0.0.1:7102", "127.0.0.1:7101", "field members[1].address: is there twice")]
+#[case("\"lease_ms\": 5000", "\"lease_ms\": 5", "field lease_ms: must be 300 to 60000")]
+#[case("127.0.0.1:7102", "127.0.0.1:7101", "field members[1].address: is a duplicate")]
 #[case(
     "\"connections\", \"total\": 120",
     "\"setups\", \"total\": 120",
-    "field budgets[1].burst: one for each"
+    "field budgets[1].burst: must be at least 3"
 )]
 fn invalid_file_yields_one_error_line_and_exit_code_2(
     #[case] valid: &str,
@@ -73,11 +73,19 @@
 #[case(
     "[\"node-1\"]",
     "[\"node-1\", \"node-2\", \"node-3\"]",
-    "field grantors: more than one: is not served yet"
+    "field grantors: more than one: is not supported yet"
+)]
+#[case("\"class\"", "\"subscriber\"", "field budgets[1].subscriber: is not supported yet")]
+#[case(
+    "\"retries\", \"total\"",
+    "\"lists\", \"total\"",
+    "field budgets[3].limits: lists: is not supported yet"
+)]
+#[case(
+    "node-1",
+    "node-9",
+    "field members: a grantor for 3 members needs limits.sockets of at least 6, got 5"
 )]
-#[case("\"class\"", "\"subscriber\"", "field budgets[1].subscriber: is not served yet")]
-#[case("\"retries\", \"total\"", "\"lists\", \"total\"", "field budgets[3].limits: lists: is not served yet")]
-#[case("node-1", "node-9", "field members: a grantor of 3 needs limits.sockets of 6 at least, not 5")]
 #[case("\"node-9\"", "\"node-9\"", "field members: none is named \"node-9\"")]
 fn unsupported_fleet_file_is_rejected_at_start(
     #[case] valid: &str,
@@ -112,7 +120,7 @@
     let CheckResult { exit_code, output } =
         check(&with_former_names.replace("\"whole\": 600", "\"whole\": 0"));
     assert_eq!(exit_code, Some(2), "{output}");
-    assert!(output.contains("field budgets[0].total: 1 to 1000000000 is allowed"), "{output}");
+    assert!(output.contains("field budgets[0].total: must be 1 to 1000000000"), "{output}");
 }
 
 #[test]
