--- a/benches/amqp_node/main.rs
+++ b/benches/amqp_node/main.rs
@@ -18,7 +18,7 @@
 use hdrhistogram::Histogram;
 use load::Load;
 use node::Node;
-use sparbank_test_support::{listener, message};
+use sparbank_test_support::{listener, message_with_key};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -38,7 +38,7 @@
     let servers = start_servers(&stop);
     let server_address = servers[0].local_addr().expect("bound");
     let node = Node::start(servers);
-    let message = message(60_000, "7f3a", &[7; 200]);
+    let message = message_with_key(60_000, "7f3a", &[7; 200]);
     println!("{} octets per message, {SERVERS} servers", message.len());
     let small =
         Load { address: node.address, connections: 4, deliveries, message, max_in_flight: 64, rate: None };
@@ -78,7 +78,7 @@
 }
 
 fn print_cost_of_octets(node: &Node, deliveries: u64) {
-    let message = message(60_000, "7f3a", &vec![7; 64 * 1024]);
+    let message = message_with_key(60_000, "7f3a", &vec![7; 64 * 1024]);
     let gigabytes = deliveries as f64 * message.len() as f64 / 1e9;
     let load =
         Load { address: node.address, connections: 64, deliveries, message, max_in_flight: 2, rate: None };
--- a/benches/amqp_node/node.rs
+++ b/benches/amqp_node/node.rs
@@ -1,6 +1,6 @@
 //! The node under test: the built program with its AMQP frontend.
 
-use sparbank_test_support::Bench;
+use sparbank_test_support::TestNode;
 use std::net::{SocketAddr, TcpListener};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
@@ -13,18 +13,18 @@
     /// The address of the AMQP frontend.
     pub address: SocketAddr,
     /// Terminates the process when it is dropped.
-    _bench: Bench,
+    _bench: TestNode,
 }
 
 impl Node {
     /// Starts a node that forwards to these servers.
     pub fn start(servers: Vec<TcpListener>) -> Node {
-        let bench = Bench::with_args(PROGRAM, servers, Some(AMQP_CONFIG), &[], |settings| {
+        let bench = TestNode::start_with_args(PROGRAM, servers, Some(AMQP_CONFIG), &[], |settings| {
             settings.replace(r#""sockets":256"#, r#""sockets":4000"#).replace("1200000000", "10000000000")
         });
         Node {
             pid: bench.process.id(),
-            address: bench.amqp.expect("the AMQP frontend is enabled"),
+            address: bench.amqp_addr.expect("the AMQP frontend is enabled"),
             _bench: bench,
         }
     }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -4,7 +4,7 @@
 use sparbank_test_support::invariants::{InvariantChecker, ServerNotice};
 use sparbank_test_support::loopback::reset_on_drop;
 use sparbank_test_support::watch_protocol::{
-    chunk, endpoint_json, list_json, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD,
+    chunk, endpoint_json, list_json, read_watch_request, REJECTION_RESPONSE, WATCH_RESPONSE_HEAD,
 };
 use sparbank_test_support::ListKind;
 use std::cell::{Cell, RefCell};
@@ -170,7 +170,7 @@
         let mut checker = self.checker.borrow_mut();
         for node in 0..self.addresses.borrow().len() {
             let incarnation = checker.incarnation(node);
-            checker.on_notified(node, incarnation, server, ServerNotice::Stop);
+            checker.on_notified(node, incarnation, server, ServerNotice::Unavailable);
         }
     }
 
@@ -201,7 +201,7 @@
         match self.state.mode.get() {
             Mode::Down => reset_on_drop(&stream),
             Mode::Rejects => {
-                let _ = stream.write_all(REJECTION.as_bytes()).await;
+                let _ = stream.write_all(REJECTION_RESPONSE.as_bytes()).await;
             }
             Mode::Serves | Mode::Fragmented => self.serve_watch(node, incarnation, from, stream).await,
         }
@@ -239,7 +239,7 @@
             let mut checker = self.checker.borrow_mut();
             for (server, entry) in entries.iter().enumerate() {
                 if entry.generation > sent && entry.generation <= generation {
-                    let notice = if entry.is_ready { ServerNotice::Ready } else { ServerNotice::Stop };
+                    let notice = if entry.is_ready { ServerNotice::Ready } else { ServerNotice::Unavailable };
                     checker.on_notified(node, incarnation, server, notice);
                 }
             }
--- a/crates/soak/src/node.rs
+++ b/crates/soak/src/node.rs
@@ -71,9 +71,9 @@
         discovery: &Discovery,
         seed: u64,
     ) -> Nodes {
-        let addresses = AddressBlock::of_new_run(AddressRange::Soak);
+        let addresses = AddressBlock::allocate(AddressRange::Soak);
         let node = |number| Node {
-            address: addresses.of_node(number, NODE_PORT),
+            address: addresses.node_address(number, NODE_PORT),
             child: RefCell::new(None),
             is_accepting: Cell::new(false),
             is_restarting: Cell::new(false),
--- a/crates/test-support/src/amqp_messages.rs
+++ b/crates/test-support/src/amqp_messages.rs
@@ -4,7 +4,7 @@
 use sparbank_amqp::Value;
 
 /// Encodes a message with a destination address, a time to live and an optional reply address.
-pub fn addressed(to: &str, reply_to: Option<&str>, ttl: u32, body: &[u8]) -> Vec<u8> {
+pub fn message_to(to: &str, reply_to: Option<&str>, ttl: u32, body: &[u8]) -> Vec<u8> {
     let mut out = Vec::new();
     let header = vec![Value::Bool(false), Value::Null, Value::Uint(ttl)];
     amqp::encode(&Value::composite(0x70, header), &mut out);
@@ -18,7 +18,7 @@
 }
 
 /// Encodes a durable message with a time to live and an idempotency key.
-pub fn message(ttl: u32, key: &str, body: &[u8]) -> Vec<u8> {
+pub fn message_with_key(ttl: u32, key: &str, body: &[u8]) -> Vec<u8> {
     let section = |code: u64, value: Value| Value::Described(Box::new(Value::Ulong(code)), Box::new(value));
     let mut out = Vec::new();
     let header = vec![Value::Bool(true), Value::Null, Value::Uint(ttl)];
--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -40,10 +40,10 @@
 /// Reads frames up to the next one with this performative, and evaluates to its body and payload. Panics if the
 /// connection ends first.
 #[macro_export]
-macro_rules! until {
+macro_rules! read_until {
     ($peer:expr, $kind:ident) => {
         loop {
-            if let ($crate::amqp::Performative::$kind(body), payload) = $peer.next_body() {
+            if let ($crate::amqp::Performative::$kind(body), payload) = $peer.read_performative() {
                 break (body, payload);
             }
         }
@@ -68,17 +68,17 @@
 
     /// Connects a client and begins a session.
     pub fn client(addr: SocketAddr, idle_ms: Option<u32>) -> AmqpPeer {
-        let mut this = AmqpPeer::opened(addr, "client", idle_ms);
+        let mut this = AmqpPeer::client_without_session(addr, "client", idle_ms);
         this.begin(None, 100);
-        until!(this, Begin);
+        read_until!(this, Begin);
         this
     }
 
     /// Connects a client with this container id, without a session.
-    pub fn opened(addr: SocketAddr, container: &str, idle_ms: Option<u32>) -> AmqpPeer {
-        let mut this = AmqpPeer::known(addr, "ANONYMOUS", b"").expect("the node rejects ANONYMOUS");
+    pub fn client_without_session(addr: SocketAddr, container: &str, idle_ms: Option<u32>) -> AmqpPeer {
+        let mut this = AmqpPeer::authenticated(addr, "ANONYMOUS", b"").expect("the node rejects ANONYMOUS");
         this.open(container, idle_ms, u32::MAX);
-        until!(this, Open);
+        read_until!(this, Open);
         this
     }
 
@@ -87,14 +87,14 @@
     ///
     /// # Errors
     /// The code of the SASL outcome, if the node rejects the client.
-    pub fn known(addr: SocketAddr, mechanism: &str, response: &[u8]) -> Result<AmqpPeer, u8> {
+    pub fn authenticated(addr: SocketAddr, mechanism: &str, response: &[u8]) -> Result<AmqpPeer, u8> {
         let mut this = AmqpPeer::handshake(Peer::connect(addr), b"AMQP\x03\x01\x00\x00");
-        until!(this, SaslMechanisms);
+        read_until!(this, SaslMechanisms);
         let mechanism = Some(amqp::Symbol(mechanism.into()));
         let initial_response = Some(response.to_vec());
         let init = amqp::SaslInit { mechanism, initial_response, hostname: None };
-        this.put_kind(amqp::SASL, init.into(), &[]);
-        match until!(this, SaslOutcome).0.code {
+        this.send_frame(amqp::SASL, init.into(), &[]);
+        match read_until!(this, SaslOutcome).0.code {
             Some(0) => {}
             code => return Err(code.expect("SASL outcome without a code")),
         }
@@ -106,16 +106,21 @@
     pub fn open(&mut self, container: &str, idle_ms: Option<u32>, max_frame: u32) {
         let container_id = Some(container.to_string());
         let max_frame_size = Some(max_frame);
-        self.put(amqp::Open { container_id, idle_time_out: idle_ms, max_frame_size, ..Default::default() });
+        self.send_performative(amqp::Open {
+            container_id,
+            idle_time_out: idle_ms,
+            max_frame_size,
+            ..Default::default()
+        });
     }
 
     /// Accepts the SASL layer, the connection and a session as a server, with an incoming window of this many frames.
     pub fn server(peer: Peer, window: u32, max_frame: u32) -> AmqpPeer {
         let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Array(vec![Value::Symbol("ANONYMOUS".into())]));
-        this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
-        until!(this, SaslInit);
-        this.put_kind(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
+        this.send_frame(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
+        read_until!(this, SaslInit);
+        this.send_frame(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
         this.exchange_header(b"AMQP\x00\x01\x00\x00");
         this.accept_session(window, max_frame)
     }
@@ -133,18 +138,18 @@
     }
 
     /// Accepts a connection as a server that allows one session with one link (`channel_max` and `handle_max` are 0).
-    pub fn narrow_server(peer: Peer) -> AmqpPeer {
+    pub fn single_link_server(peer: Peer) -> AmqpPeer {
         let mut this = AmqpPeer::handshake(peer, b"AMQP\x03\x01\x00\x00");
         let mechanisms = Some(Value::Symbol("ANONYMOUS".into()));
-        this.put_kind(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
-        until!(this, SaslInit);
-        this.put_kind(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
+        this.send_frame(amqp::SASL, amqp::SaslMechanisms { mechanisms }.into(), &[]);
+        read_until!(this, SaslInit);
+        this.send_frame(amqp::SASL, amqp::SaslOutcome { code: Some(0), additional_data: None }.into(), &[]);
         this.exchange_header(b"AMQP\x00\x01\x00\x00");
-        until!(this, Open);
+        read_until!(this, Open);
         let container_id = Some("narrow".to_string());
-        this.put(amqp::Open { container_id, channel_max: Some(0), ..Default::default() });
-        until!(this, Begin);
-        this.put(amqp::Begin {
+        this.send_performative(amqp::Open { container_id, channel_max: Some(0), ..Default::default() });
+        read_until!(this, Begin);
+        this.send_performative(amqp::Begin {
             remote_channel: Some(0),
             next_outgoing_id: Some(0),
             incoming_window: Some(100),
@@ -157,9 +162,9 @@
 
     /// Answers the node's open and begin.
     fn accept_session(mut self, window: u32, max_frame: u32) -> AmqpPeer {
-        until!(self, Open);
+        read_until!(self, Open);
         self.open("server", None, max_frame);
-        until!(self, Begin);
+        read_until!(self, Begin);
         self.begin(Some(0), window);
         self
     }
@@ -176,12 +181,12 @@
             outgoing_window,
             ..Default::default()
         };
-        self.put(begin);
+        self.send_performative(begin);
     }
 
     /// Sends a performative on channel 0.
-    pub fn put(&mut self, body: impl Into<Performative>) {
-        self.put_kind(amqp::AMQP, body.into(), &[]);
+    pub fn send_performative(&mut self, body: impl Into<Performative>) {
+        self.send_frame(amqp::AMQP, body.into(), &[]);
     }
 
     /// Sends an empty frame, which prevents the node's idle time-out (AMQP 1.0, section 2.4.5).
@@ -192,7 +197,7 @@
     }
 
     /// Sends a performative on a channel.
-    pub fn put_on(&mut self, channel: u16, body: impl Into<Performative>) {
+    pub fn send_performative_on(&mut self, channel: u16, body: impl Into<Performative>) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, amqp::AMQP, channel, Some(&body.into()), &[]);
         self.peer.stream.write_all(&out).expect(WRITE_FAILED);
@@ -205,14 +210,14 @@
     }
 
     /// Sends a frame of this type on channel 0, with a payload.
-    pub fn put_kind(&mut self, kind: u8, body: Performative, payload: &[u8]) {
+    pub fn send_frame(&mut self, kind: u8, body: Performative, payload: &[u8]) {
         let mut out = Vec::new();
         amqp::write_frame(&mut out, kind, 0, Some(&body), payload);
         self.peer.stream.write_all(&out).expect(WRITE_FAILED);
     }
 
     /// Reads the next frame.
-    pub fn frame(&mut self) -> NextFrame {
+    pub fn read_frame(&mut self) -> NextFrame {
         loop {
             let mut remaining = &self.bytes[..];
             if let Some(frame) = amqp::read_frame(&mut remaining, u32::MAX).expect("malformed frame") {
@@ -234,9 +239,9 @@
     ///
     /// # Panics
     /// The connection ended.
-    pub fn next_body(&mut self) -> (Performative, Vec<u8>) {
+    pub fn read_performative(&mut self) -> (Performative, Vec<u8>) {
         loop {
-            match self.frame() {
+            match self.read_frame() {
                 NextFrame::Body(body, payload) => return (*body, payload),
                 NextFrame::Heartbeat => {}
                 NextFrame::Ended => panic!("the connection ended"),
@@ -248,16 +253,16 @@
     ///
     /// # Errors
     /// The node detached the link.
-    pub fn attach(&mut self, address: &str) -> Result<u32, amqp::Detach> {
+    pub fn attach_sender(&mut self, address: &str) -> Result<u32, amqp::Detach> {
         let address = Some(address.to_string());
         let target = Some(Terminus::Target(Target { address, ..Default::default() }));
         let (name, handle, role) = (Some("link".to_string()), Some(0), Some(false));
         let count = Some(0);
         let attach =
             amqp::Attach { name, handle, role, target, initial_delivery_count: count, ..Default::default() };
-        self.put(attach);
+        self.send_performative(attach);
         loop {
-            match self.next_body().0 {
+            match self.read_performative().0 {
                 Performative::Flow(flow) => return Ok(flow.link_credit.expect("flow without link credit")),
                 Performative::Detach(detach) => return Err(detach),
                 _ => {}
@@ -269,21 +274,21 @@
     ///
     /// # Errors
     /// The node detached the link.
-    pub fn receive(&mut self, handle: u32, source: Source) -> Result<Attach, amqp::Detach> {
+    pub fn attach_receiver(&mut self, handle: u32, source: Source) -> Result<Attach, amqp::Detach> {
         let (name, role) = (Some(format!("from-{handle}")), Some(true));
         let (source, target) = (Some(source), Some(Terminus::Target(Target::default())));
         let handle = Some(handle);
-        self.put(Attach { name, handle, role, source, target, ..Default::default() });
-        let (attach, _) = until!(self, Attach);
+        self.send_performative(Attach { name, handle, role, source, target, ..Default::default() });
+        let (attach, _) = read_until!(self, Attach);
         if attach.source.is_some() {
             return Ok(*attach);
         }
-        Err(until!(self, Detach).0)
+        Err(read_until!(self, Detach).0)
     }
 
     /// Grants credit on a receiving link of this client.
-    pub fn grant(&mut self, handle: u32, count: u32, credit: u32) {
-        self.put(amqp::Flow {
+    pub fn grant_credit(&mut self, handle: u32, count: u32, credit: u32) {
+        self.send_performative(amqp::Flow {
             next_incoming_id: Some(0),
             incoming_window: Some(1000),
             next_outgoing_id: Some(0),
@@ -296,8 +301,8 @@
     }
 
     /// Grants credit on a receiving link of this client, with an incoming window of a million frames.
-    pub fn grant_wide(&mut self, handle: u32, credit: u32) {
-        self.put(amqp::Flow {
+    pub fn grant_credit_wide(&mut self, handle: u32, credit: u32) {
+        self.send_performative(amqp::Flow {
             next_incoming_id: Some(0),
             incoming_window: Some(1_000_000),
             next_outgoing_id: Some(0),
@@ -310,10 +315,10 @@
     }
 
     /// Accepts the node's receiving link as a server, which sends on it with this handle. Returns the node's attach.
-    pub fn source(&mut self, handle: u32) -> Attach {
-        let (attach, _) = until!(self, Attach);
+    pub fn accept_receiving_link(&mut self, handle: u32) -> Attach {
+        let (attach, _) = read_until!(self, Attach);
         assert_eq!(attach.role, Some(true), "the node's link is not a receiving link");
-        self.put(Attach {
+        self.send_performative(Attach {
             name: attach.name.clone(),
             handle: Some(handle),
             role: Some(false),
@@ -329,14 +334,14 @@
     pub fn send(&mut self, handle: u32, id: u32, message: &[u8]) {
         let (handle, delivery_tag) = (Some(handle), amqp::Tag::new(&id.to_be_bytes()));
         let transfer = amqp::Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
-        self.put_kind(amqp::AMQP, transfer.into(), message);
+        self.send_frame(amqp::AMQP, transfer.into(), message);
     }
 
     /// Sends a delivery in a single transfer on the link with handle 0, with a one-byte delivery tag.
-    pub fn deliver(&mut self, id: u32, message: &[u8]) {
+    pub fn send_on_first_link(&mut self, id: u32, message: &[u8]) {
         let (handle, delivery_id, delivery_tag) = (Some(0), Some(id), amqp::Tag::new(&[id as u8]));
         let transfer = amqp::Transfer { handle, delivery_id, delivery_tag, ..Default::default() };
-        self.put_kind(amqp::AMQP, transfer.into(), message);
+        self.send_frame(amqp::AMQP, transfer.into(), message);
     }
 
     /// Sends a delivery on the link with handle 0, split into transfers of this size.
@@ -350,7 +355,7 @@
                 more: Some(index + 1 < count),
                 ..Default::default()
             };
-            self.put_kind(amqp::AMQP, transfer.into(), piece);
+            self.send_frame(amqp::AMQP, transfer.into(), piece);
         }
     }
 
@@ -358,7 +363,7 @@
     pub fn receive_message(&mut self) -> ReceivedMessage {
         let (mut delivery_id, mut bytes) = (None, Vec::new());
         loop {
-            let (transfer, payload) = until!(self, Transfer);
+            let (transfer, payload) = read_until!(self, Transfer);
             delivery_id = delivery_id.or(transfer.delivery_id);
             bytes.extend(payload);
             if transfer.more != Some(true) {
@@ -368,21 +373,21 @@
     }
 
     /// Reads the next disposition and returns its delivery state.
-    pub fn receive_answer(&mut self) -> State {
-        until!(self, Disposition).0.state.expect("disposition without a state")
+    pub fn receive_delivery_state(&mut self) -> State {
+        read_until!(self, Disposition).0.state.expect("disposition without a state")
     }
 
     /// Accepts the node's sending link, and grants it credit and an incoming window of this many frames.
-    pub fn link(&mut self, credit: u32, window: u32) {
-        let (attach, _) = until!(self, Attach);
+    pub fn accept_sending_link(&mut self, credit: u32, window: u32) {
+        let (attach, _) = read_until!(self, Attach);
         let (name, handle, target) = (attach.name, Some(7), attach.target);
-        self.put(amqp::Attach { name, handle, role: Some(true), target, ..Default::default() });
-        self.flow(credit, 0, window);
+        self.send_performative(amqp::Attach { name, handle, role: Some(true), target, ..Default::default() });
+        self.grant_server_credit(credit, 0, window);
     }
 
     /// Sends a flow that grants credit on the node's sending link, with an incoming window of this many frames.
-    pub fn flow(&mut self, credit: u32, next_incoming: u32, window: u32) {
-        self.put(amqp::Flow {
+    pub fn grant_server_credit(&mut self, credit: u32, next_incoming: u32, window: u32) {
+        self.send_performative(amqp::Flow {
             next_incoming_id: Some(next_incoming),
             incoming_window: Some(window),
             next_outgoing_id: Some(0),
@@ -397,6 +402,12 @@
     /// Settles one of the node's deliveries with this state.
     pub fn settle(&mut self, id: u32, state: State) {
         let (role, first, settled) = (Some(true), Some(id), Some(true));
-        self.put(amqp::Disposition { role, first, settled, state: Some(state), ..Default::default() });
+        self.send_performative(amqp::Disposition {
+            role,
+            first,
+            settled,
+            state: Some(state),
+            ..Default::default()
+        });
     }
 }
--- a/crates/test-support/src/bench.rs
+++ b/crates/test-support/src/bench.rs
@@ -1,8 +1,8 @@
-//! The test bench: one node with its discovery and its servers, which the test drives step by step.
+//! A node under test with its discovery and its servers, which the test drives step by step.
 
 use crate::listeners::{accept_any, listener, try_accept};
 use crate::log::{counter_value, log_field};
-use crate::node_config::{config, instance, open_line, temp_file};
+use crate::node_config::{config, endpoint_entry, request_line, temp_file};
 use crate::peer::Peer;
 use crate::process::{NodeProcess, StartOptions};
 use crate::watch_protocol::{chunk, list_json, ListKind, WATCH_RESPONSE_HEAD};
@@ -15,16 +15,16 @@
 const NODE_SOCKETS: u32 = 256;
 
 /// One node under test, with its discovery and its servers.
-pub struct Bench {
+pub struct TestNode {
     /// The newest process of the node.
     pub process: NodeProcess,
     start_options: StartOptions,
     /// Address of the node's listener for clients of the text protocol.
-    pub addr: SocketAddr,
+    pub text_addr: SocketAddr,
     /// Address of the AMQP frontend's listener, if the frontend is enabled.
-    pub amqp: Option<SocketAddr>,
+    pub amqp_addr: Option<SocketAddr>,
     /// The log line with the AMQP frontend's listeners; empty if the frontend is disabled.
-    pub amqp_line: String,
+    pub amqp_log_line: String,
     /// Listener of discovery.
     pub discovery: TcpListener,
     /// Listeners of the servers, by number.
@@ -35,58 +35,58 @@
     config: String,
 }
 
-impl Bench {
+impl TestNode {
     // ---- Starting ------------------------------------------------------------------------------
 
     /// Starts a node with this many servers and with the text protocol only.
-    pub fn start(program: &str, servers: usize) -> Bench {
-        Bench::with(program, (0..servers).map(|_| listener()).collect(), None)
+    pub fn start(program: &str, servers: usize) -> TestNode {
+        TestNode::start_with_servers(program, (0..servers).map(|_| listener()).collect(), None)
     }
 
     /// Starts a node with these servers, and with an AMQP frontend if its settings are given.
-    pub fn with(program: &str, servers: Vec<TcpListener>, amqp: Option<&str>) -> Bench {
-        Bench::with_args(program, servers, amqp, &[], str::to_string)
+    pub fn start_with_servers(program: &str, servers: Vec<TcpListener>, amqp: Option<&str>) -> TestNode {
+        TestNode::start_with_args(program, servers, amqp, &[], str::to_string)
     }
 
-    /// Like [`Bench::with`], with additional arguments and an edited configuration.
-    pub fn with_args(
+    /// Like [`TestNode::start_with_servers`], with additional arguments and an edited configuration.
+    pub fn start_with_args(
         program: &str,
         servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
         edit: fn(&str) -> String,
-    ) -> Bench {
-        Bench::with_env(program, servers, amqp, args, edit, &[])
+    ) -> TestNode {
+        TestNode::start_with_env(program, servers, amqp, args, edit, &[])
     }
 
-    /// Like [`Bench::with_args`], with additional environment variables.
-    pub fn with_env(
+    /// Like [`TestNode::start_with_args`], with additional environment variables.
+    pub fn start_with_env(
         program: &str,
         servers: Vec<TcpListener>,
         amqp: Option<&str>,
         args: &[&str],
         edit: fn(&str) -> String,
         env: &[(&str, &str)],
-    ) -> Bench {
+    ) -> TestNode {
         let discovery = listener();
         let discovery_addr = local_addr(&discovery);
         let instances: Vec<String> = servers
             .iter()
             .enumerate()
-            .map(|(index, server)| instance(index, local_addr(server), "ready"))
+            .map(|(index, server)| endpoint_entry(index, local_addr(server), "ready"))
             .collect();
         let config = edit(&config(discovery_addr, &instances.join(","), NODE_SOCKETS));
         let config_path = temp_file("node.json", &config);
         let start_options = start_options(program, amqp, args, env);
         let mut process = start_options.spawn(&config_path);
-        let addr = listen_addr(&process.wait_for_log("node started"));
-        let amqp_line = amqp.map(|_| process.wait_for_log("AMQP frontend ready"));
-        Bench {
+        let text_addr = listen_addr(&process.wait_for_log("node started"));
+        let amqp_log_line = amqp.map(|_| process.wait_for_log("AMQP frontend ready"));
+        TestNode {
             process,
             start_options,
-            addr,
-            amqp: amqp_line.as_deref().map(listen_addr),
-            amqp_line: amqp_line.unwrap_or_default(),
+            text_addr,
+            amqp_addr: amqp_log_line.as_deref().map(listen_addr),
+            amqp_log_line: amqp_log_line.unwrap_or_default(),
             discovery,
             servers,
             generation: 1,
@@ -119,7 +119,7 @@
 
     /// Sends an incremental list that changes the lifecycle of a server.
     pub fn update_lifecycle(&mut self, watch: &mut Peer, server: usize, lifecycle: &str) {
-        let entry = instance(server, local_addr(&self.servers[server]), lifecycle);
+        let entry = endpoint_entry(server, local_addr(&self.servers[server]), lifecycle);
         self.send_endpoint(watch, &entry);
     }
 
@@ -150,7 +150,7 @@
         std::fs::write(&self.config_path, edit(&self.config)).expect("failed to write the configuration");
     }
 
-    /// Like [`Bench::rewrite_config`], and then sends SIGHUP.
+    /// Like [`TestNode::rewrite_config`], and then sends SIGHUP.
     pub fn reconfigure(&mut self, edit: impl FnOnce(&str) -> String) {
         self.rewrite_config(edit);
         self.signal(Signal::HUP);
@@ -166,7 +166,7 @@
         self.process.pause();
     }
 
-    /// Continues the process after [`Bench::pause`].
+    /// Continues the process after [`TestNode::pause`].
     pub fn resume(&self) {
         self.process.resume();
     }
@@ -175,7 +175,7 @@
 
     /// Connects a client and sends a request line.
     pub fn connect_client(&self, line: &str) -> Peer {
-        let mut client = Peer::connect(self.addr);
+        let mut client = Peer::connect(self.text_addr);
         client.send(line).send("\r\n");
         client
     }
@@ -230,7 +230,7 @@
     }
 }
 
-impl Drop for Bench {
+impl Drop for TestNode {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!("unread log of the node:\n{}", self.process.kill_and_read_log());
@@ -241,8 +241,8 @@
 
 /// Establishes a connection for a new client with this number, at the server that the node selects. Returns the
 /// client's end and the server's end.
-pub fn established_client(bench: &Bench, number: u64) -> (Peer, Peer) {
-    let mut client = bench.connect_client(&open_line(number));
+pub fn established_client(bench: &TestNode, number: u64) -> (Peer, Peer) {
+    let mut client = bench.connect_client(&request_line(number));
     let (_, mut attempt) = accept_any(&bench.servers);
     establish(&mut client, &mut attempt);
     (client, attempt)
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -162,14 +162,17 @@
     pub fn on_list_sent(&mut self, node: usize, incarnation: u64, list: &EndpointList) {
         let mut notify = |server, notice| self.checker.on_notified(node, incarnation, server, notice);
         for endpoint in &list.endpoints {
-            notify(endpoint.server, if endpoint.is_ready { ServerNotice::Ready } else { ServerNotice::Stop });
+            notify(
+                endpoint.server,
+                if endpoint.is_ready { ServerNotice::Ready } else { ServerNotice::Unavailable },
+            );
         }
         if list.is_complete {
             let last = list.endpoints.iter().map(|endpoint| endpoint.server).max().unwrap_or(0);
             let is_named = |server: &usize| list.endpoints.iter().any(|endpoint| endpoint.server == *server);
             (0..=last)
                 .filter(|server| !is_named(server))
-                .for_each(|server| notify(server, ServerNotice::Stop));
+                .for_each(|server| notify(server, ServerNotice::Unavailable));
         }
     }
 
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -5,7 +5,7 @@
 use super::servers::Servers;
 use super::Shared;
 use crate::loopback::reset_on_drop;
-use crate::watch_protocol::{chunk, read_watch_request, REJECTION, WATCH_RESPONSE_HEAD};
+use crate::watch_protocol::{chunk, read_watch_request, REJECTION_RESPONSE, WATCH_RESPONSE_HEAD};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -117,7 +117,7 @@
         let Some(generation) = read_watch_request(&mut stream).await else { return };
         self.shared.auditor.borrow_mut().on_poll();
         if !self.wait_for_admission().await {
-            let _ = stream.get_mut().write_all(REJECTION.as_bytes()).await;
+            let _ = stream.get_mut().write_all(REJECTION_RESPONSE.as_bytes()).await;
             return;
         }
         if self.queue.mode.get() == DiscoveryMode::Unreachable {
--- a/crates/test-support/src/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -77,7 +77,7 @@
 impl Cluster {
     /// Starts all nodes and clients, and waits until the cluster is in service.
     pub async fn start(seed: u64, config: ClusterConfig, program: &str) -> Cluster {
-        let addresses = AddressBlock::of_new_run(AddressRange::Cluster);
+        let addresses = AddressBlock::allocate(AddressRange::Cluster);
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let auditor = Rc::new(RefCell::new(Auditor::new(config.nodes)));
         let shared = Shared { auditor, config: Rc::new(config) };
@@ -88,7 +88,7 @@
         let mut client_links = Vec::new();
         let mut discovery_links = Vec::new();
         for node in 0..shared.config.nodes {
-            client_links.push(Link::open(addresses.of_node(node, NODE_PORT)).await);
+            client_links.push(Link::open(addresses.node_address(node, NODE_PORT)).await);
             discovery_links.push(Link::open(discovery.address(node)).await);
         }
         let discovery_addresses = discovery_links.iter().map(|link| link.address).collect();
--- a/crates/test-support/src/cluster/nodes.rs
+++ b/crates/test-support/src/cluster/nodes.rs
@@ -47,7 +47,7 @@
         seed: u64,
     ) -> Nodes {
         let node = |(number, discovery): (usize, SocketAddr)| {
-            let address = addresses.of_node(number, super::NODE_PORT);
+            let address = addresses.node_address(number, super::NODE_PORT);
             let config_file = std::env::temp_dir().join(format!("sparbank-cluster-{}.json", address.ip()));
             Node { address, discovery, config_file, child: None, start_count: 0 }
         };
--- a/crates/test-support/src/handover_node.rs
+++ b/crates/test-support/src/handover_node.rs
@@ -1,6 +1,6 @@
 //! A node whose process can be replaced by a successor.
 
-use crate::bench::Bench;
+use crate::bench::TestNode;
 use crate::listeners::listener;
 use crate::log::log_field;
 use crate::node_config::temp_file;
@@ -33,7 +33,7 @@
 /// A node that gets the listening socket for its clients from the test, in place of the platform.
 pub struct HandoverNode {
     /// The node, with its discovery and its server.
-    pub bench: Bench,
+    pub bench: TestNode,
     /// Path of the handover socket.
     pub socket: PathBuf,
     /// Address of the newest process's admin API.
@@ -71,10 +71,10 @@
         ];
         let env = [&handover_env, extra_env].concat();
         let edit = |text: &str| text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#);
-        let mut bench = Bench::with_env(program, vec![listener()], amqp, &[], edit, &env);
+        let mut bench = TestNode::start_with_env(program, vec![listener()], amqp, &[], edit, &env);
         let passed_addr = passed_listener.local_addr().expect("failed to read a socket address");
         assert_eq!(
-            bench.addr, passed_addr,
+            bench.text_addr, passed_addr,
             "the node must use the passed socket, not the configured address"
         );
         let admin = admin_address(&mut bench);
@@ -103,7 +103,7 @@
 }
 
 /// Reads the address of the admin API from the log of the newest process.
-fn admin_address(bench: &mut Bench) -> SocketAddr {
+fn admin_address(bench: &mut TestNode) -> SocketAddr {
     let line = bench.wait_for_log("admin API ready");
     log_field(&line, "listen").parse().expect("invalid address in the log")
 }
--- a/crates/test-support/src/invariants/mod.rs
+++ b/crates/test-support/src/invariants/mod.rs
@@ -68,8 +68,8 @@
 pub enum ServerNotice {
     /// The server accepts requests.
     Ready,
-    /// The server drains or is gone, and must get no new requests.
-    Stop,
+    /// The server is draining or was removed from the list, and must get no new requests.
+    Unavailable,
 }
 
 /// A request as sent by its client.
--- a/crates/test-support/src/invariants/process_record.rs
+++ b/crates/test-support/src/invariants/process_record.rs
@@ -46,7 +46,7 @@
     pub(super) fn on_notified(&mut self, server: usize, notice: ServerNotice) {
         match notice {
             ServerNotice::Ready => drop(self.stop_notices.remove(&server)),
-            ServerNotice::Stop => {
+            ServerNotice::Unavailable => {
                 self.stop_notices.entry(server).or_insert_with(Instant::now);
             }
         }
--- a/crates/test-support/src/invariants/tests.rs
+++ b/crates/test-support/src/invariants/tests.rs
@@ -60,7 +60,7 @@
 #[test]
 fn an_attempt_at_a_server_that_drains_is_reported_until_it_returns() {
     let mut checker = checker(RetrySafety::Idempotent);
-    checker.on_notified(0, 1, 3, ServerNotice::Stop);
+    checker.on_notified(0, 1, 3, ServerNotice::Unavailable);
     wait(&mut checker, DRAIN_GRACE + REORDERING_SLACK);
     checker.on_attempt("a", 3, LINE);
     checker.on_attempt_ended("a", 3);
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,6 +1,6 @@
 //! Shared support for tests of the node: node processes and their logs, and stand-ins for the node's peers.
 //!
-//! Integration tests of a single node use a [`Bench`]: a node process, plus discovery and servers that the test drives
+//! Integration tests of a single node use a [`TestNode`]: a node process, plus discovery and servers that the test drives
 //! step by step over blocking sockets ([`Peer`], [`AmqpPeer`]). Tests of many nodes under load use a
 //! [`Cluster`](cluster::Cluster), whose simulated peers run on their own. The soak test (`crates/soak`) has its own
 //! peers and uses only the parts that depend on neither. The cluster and the soak test check the same [`invariants`].
@@ -28,14 +28,14 @@
 mod process;
 pub mod watch_protocol;
 
-pub use amqp_messages::{addressed, message};
+pub use amqp_messages::{message_to, message_with_key};
 pub use amqp_peer::{AmqpPeer, NextFrame, ReceivedMessage};
-pub use bench::{establish, established_client, Bench};
+pub use bench::{establish, established_client, TestNode};
 pub use handover_node::{HandoverFolder, HandoverNode};
 pub use handover_peer::{listen_for_handover, HandoverPeer};
 pub use listeners::{accept_any, listener, refusing_port, try_accept, FullBacklogServer};
 pub use log::{counter_value, counter_values, is_log_of, log_field};
-pub use node_config::{config, instance, open_line, temp_file};
+pub use node_config::{config, endpoint_entry, request_line, temp_file};
 pub use peer::Peer;
 pub use process::{configure_node, node_command, ChildProcess, NodeProcess, StartOptions};
 pub use rustix::process::Signal;
--- a/crates/test-support/src/loopback.rs
+++ b/crates/test-support/src/loopback.rs
@@ -43,7 +43,7 @@
 
 impl AddressBlock {
     /// Takes the block for a new run.
-    pub fn of_new_run(range: AddressRange) -> AddressBlock {
+    pub fn allocate(range: AddressRange) -> AddressBlock {
         static RUN_COUNT: AtomicU32 = AtomicU32::new(0);
         let run = RUN_COUNT.fetch_add(1, Ordering::Relaxed);
         let block = std::process::id().wrapping_mul(37).wrapping_add(run.wrapping_mul(11)) % BLOCK_COUNT;
@@ -51,7 +51,7 @@
     }
 
     /// The address of a node. Each node has its own IP address in the block.
-    pub fn of_node(&self, node: usize, port: u16) -> SocketAddr {
+    pub fn node_address(&self, node: usize, port: u16) -> SocketAddr {
         SocketAddr::from((Ipv4Addr::from(self.first + 1 + node as u32), port))
     }
 }
--- a/crates/test-support/src/node_config.rs
+++ b/crates/test-support/src/node_config.rs
@@ -10,7 +10,7 @@
 /// A request line with this number as its id and key. Numbers must differ between open requests, because the node
 /// rejects a duplicate id. Each number has its own group, because requests of one group are placed on the same few
 /// servers.
-pub fn open_line(number: u64) -> String {
+pub fn request_line(number: u64) -> String {
     format!("OPEN {number:x} {number:x} c=live-readings,t=acme,d=1200,g=5c{number:x}")
 }
 
@@ -24,7 +24,7 @@
 }
 
 /// The entry of a server in the endpoint list.
-pub fn instance(server: usize, address: SocketAddr, lifecycle: &str) -> String {
+pub fn endpoint_entry(server: usize, address: SocketAddr, lifecycle: &str) -> String {
     endpoint_json(server, address, lifecycle, 0)
 }
 
--- a/crates/test-support/src/watch_protocol.rs
+++ b/crates/test-support/src/watch_protocol.rs
@@ -8,7 +8,7 @@
 /// Head of the response to a watch request.
 pub const WATCH_RESPONSE_HEAD: &str = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 /// Response that rejects a watch request.
-pub const REJECTION: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+pub const REJECTION_RESPONSE: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
 /// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/tests/admin.rs
+++ b/tests/admin.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    config, counter_value, established_client, listener, log_field, node_command, temp_file, Bench, Peer,
-    Signal,
+    config, counter_value, established_client, listener, log_field, node_command, temp_file, Peer, Signal,
+    TestNode,
 };
 use std::net::SocketAddr;
 use std::process::Output;
@@ -13,9 +13,9 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 /// Starts a node with an admin API. Returns it and the address of the API.
-fn start_node(servers: usize) -> (Bench, SocketAddr) {
+fn start_node(servers: usize) -> (TestNode, SocketAddr) {
     let servers = (0..servers).map(|_| listener()).collect();
-    let mut bench = Bench::with_args(PROGRAM, servers, None, &[], |text| {
+    let mut bench = TestNode::start_with_args(PROGRAM, servers, None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
     let line = bench.wait_for_log("admin API ready");
@@ -39,8 +39,8 @@
     read_response(Peer::connect(address).send(&format!("{head} HTTP/1.1\r\nHost: node\r\n\r\n")))
 }
 
-fn ping(bench: &Bench) -> String {
-    Peer::connect(bench.addr).send("PING\r\n").read_line()
+fn ping(bench: &TestNode) -> String {
+    Peer::connect(bench.text_addr).send("PING\r\n").read_line()
 }
 
 #[rstest]
@@ -65,7 +65,7 @@
 #[rstest]
 fn silent_callers_and_many_clients_delay_no_call() {
     let (mut bench, address) = start_node(1);
-    let _clients: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
+    let _clients: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.text_addr)).collect();
     let mut silent: Vec<Peer> = Vec::new();
     for number in 0..50 {
         let mut caller = Peer::connect(address);
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -3,7 +3,8 @@
 use rstest::rstest;
 use sparbank_amqp::{condition, Detach, Message, Performative, State, Tag, Transfer, Value};
 use sparbank_test_support::{
-    accept_any, counter_value, instance, listener, message, until, AmqpPeer, Bench, NextFrame, Peer, Signal,
+    accept_any, counter_value, endpoint_entry, listener, message_with_key, read_until, AmqpPeer, NextFrame,
+    Peer, Signal, TestNode,
 };
 use std::collections::VecDeque;
 use std::net::TcpListener;
@@ -19,20 +20,20 @@
     State::Modified { delivery_failed: failed, undeliverable_here: false, annotations: None }
 }
 
-fn start_bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
+fn start_bench(servers: usize) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
 /// Connects a client and attaches a sending link to this class.
-fn connect_client(bench: &Bench, class: &str) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
-    assert!(client.attach(class).expect("the class is known") > 0);
+fn connect_client(bench: &TestNode, class: &str) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
+    assert!(client.attach_sender(class).expect("the class is known") > 0);
     client
 }
 
 /// Reads the final answer to a delivery, which must settle it.
 fn receive_answer(client: &mut AmqpPeer) -> State {
-    let (disposition, _) = until!(client, Disposition);
+    let (disposition, _) = read_until!(client, Disposition);
     assert_eq!((disposition.role, disposition.settled), (Some(true), Some(true)));
     disposition.state.expect("a state")
 }
@@ -54,11 +55,11 @@
 fn a_delivery_is_forwarded_unchanged_except_for_its_ttl_and_accepted() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench, CLASS);
-    let sent = message(1200, "7f3a", b"wind 12");
-    client.deliver(0, &sent);
+    let sent = message_with_key(1200, "7f3a", b"wind 12");
+    client.send_on_first_link(0, &sent);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    let (transfer, payload) = until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    let (transfer, payload) = read_until!(server, Transfer);
     let (original, forwarded) =
         (Message::decode(&sent).expect("valid"), Message::decode(&payload).expect("valid"));
     assert!(forwarded.head.ttl.expect("a ttl") < 1200);
@@ -89,10 +90,10 @@
     let bench = start_bench(1);
     // Requests of this class are not idempotent: an attempt that may have run makes the answer failed.
     let mut client = connect_client(&bench, "station-notes");
-    client.deliver(0, &message(800, "7f3a", b"note"));
+    client.send_on_first_link(0, &message_with_key(800, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    let (transfer, _) = until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), outcome);
     let state = receive_answer(&mut client);
     assert_eq!((is_delivery_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
@@ -109,9 +110,9 @@
 ) {
     let bench = start_bench(1);
     let mut client = connect_client(&bench, "station-notes");
-    client.deliver(0, &message(400, "7f3a", b"note"));
+    client.send_on_first_link(0, &message_with_key(400, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(u32::from(credit) * 10, 100);
+    server.accept_sending_link(u32::from(credit) * 10, 100);
     let state = receive_answer(&mut client);
     assert_eq!((is_delivery_failed(&state), is_rejection(&state)), (may_have_run, !may_have_run));
     assert!(counter_value(&bench.stop(), counter) >= 1);
@@ -123,12 +124,12 @@
 fn an_attempt_whose_link_is_lost_after_the_last_transfer_may_have_run(#[case] detach: bool) {
     let bench = start_bench(1);
     let mut client = connect_client(&bench, "station-notes");
-    client.deliver(0, &message(60_000, "7f3a", b"note"));
+    client.send_on_first_link(0, &message_with_key(60_000, "7f3a", b"note"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
     if detach {
-        server.put(Detach { handle: Some(7), closed: Some(true), error: None });
+        server.send_performative(Detach { handle: Some(7), closed: Some(true), error: None });
     } else {
         drop(server);
     }
@@ -141,21 +142,21 @@
     let mut bench = start_bench(2);
     let mut watch = bench.accept_watch();
     let mut client = connect_client(&bench, CLASS);
-    client.deliver(0, &message(60_000, "7f3a", &[7; 3000]));
+    client.send_on_first_link(0, &message_with_key(60_000, "7f3a", &[7; 3000]));
     let (first, stream) = accept_any(&bench.servers);
     // Frames of 512 octets and a window of one frame: the delivery stops after its first transfer.
     let mut server = AmqpPeer::server(stream, 1, 512);
-    server.link(10, 1);
-    assert_eq!(until!(server, Transfer).0.more, Some(true));
+    server.accept_sending_link(10, 1);
+    assert_eq!(read_until!(server, Transfer).0.more, Some(true));
     bench.update_lifecycle(&mut watch, first, "draining");
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
-    other.link(10, 100);
-    let (transfer, _) = until!(other, Transfer);
+    other.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(other, Transfer);
     other.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(receive_answer(&mut client), State::Accepted);
     // The abort needs window too: it is sent once the server has opened its window.
-    server.flow(10, 1, 100);
-    assert_eq!(until!(server, Transfer).0.aborted, Some(true));
+    server.grant_server_credit(10, 1, 100);
+    assert_eq!(read_until!(server, Transfer).0.aborted, Some(true));
     let counters = bench.stop();
     assert_eq!(
         [counter_value(&counters, "sent"), counter_value(&counters, "attempt_connect_failed")],
@@ -165,12 +166,12 @@
 
 #[rstest]
 #[case::no_sections(b"\x01\x02".to_vec())]
-#[case::no_body(message(5, "k", b"")[..12].to_vec())]
-#[case::truncated_body({ let m = message(5, "k", b"body"); m[..m.len() - 2].to_vec() })]
+#[case::no_body(message_with_key(5, "k", b"")[..12].to_vec())]
+#[case::truncated_body({ let m = message_with_key(5, "k", b"body"); m[..m.len() - 2].to_vec() })]
 fn a_malformed_delivery_is_rejected_with_the_standard_condition(#[case] bytes: Vec<u8>) {
     let bench = start_bench(1);
     let mut client = connect_client(&bench, CLASS);
-    client.deliver(0, &bytes);
+    client.send_on_first_link(0, &bytes);
     let State::Rejected(Some(error)) = receive_answer(&mut client) else {
         panic!("the delivery is not rejected")
     };
@@ -182,8 +183,8 @@
 #[rstest]
 fn an_address_that_names_no_class_is_detached() {
     let bench = start_bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
-    let detach = client.attach("nothing").expect_err("the class is unknown");
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
+    let detach = client.attach_sender("nothing").expect_err("the class is unknown");
     assert_eq!(detach.error.expect("an error").condition, condition::NOT_FOUND);
 }
 
@@ -191,8 +192,8 @@
 fn a_frame_above_the_agreed_size_closes_the_connection() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench, CLASS);
-    client.deliver(0, &[0; 70_000]);
-    let (close, _) = until!(client, Close);
+    client.send_on_first_link(0, &[0; 70_000]);
+    let (close, _) = read_until!(client, Close);
     assert_eq!(close.error.expect("an error").condition, condition::FRAMING_ERROR);
     client.peer.expect_closed();
 }
@@ -206,20 +207,20 @@
     let (handle, delivery_id) = (Some(0), Some(0));
     let delivery_tag = Tag::new(b"t");
     let transfer = Transfer { handle, delivery_id, delivery_tag, more: Some(true), ..Default::default() };
-    client.put(transfer);
-    client.put(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
-    client.deliver(1, &message(60_000, "7f3a", b"gone"));
+    client.send_performative(transfer);
+    client.send_performative(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"gone"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    until!(server, Transfer);
-    client.put(Detach { handle, closed: Some(true), error: None });
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
+    client.send_performative(Detach { handle, closed: Some(true), error: None });
     // The node settles the delivery itself, since no client waits for it any more.
-    assert_eq!(until!(server, Disposition).0.settled, Some(true));
-    until!(client, Detach);
+    assert_eq!(read_until!(server, Disposition).0.settled, Some(true));
+    read_until!(client, Detach);
     assert_eq!([bench.counter("requests"), bench.counter("client_disconnected")], [1, 1]);
     // A delivery whose ttl has expired is rejected and never reaches a server.
-    assert!(client.attach(CLASS).expect("a second link") > 0);
-    client.deliver(2, &message(0, "7f3a", b"late"));
+    assert!(client.attach_sender(CLASS).expect("a second link") > 0);
+    client.send_on_first_link(2, &message_with_key(0, "7f3a", b"late"));
     assert!(is_rejection(&receive_answer(&mut client)));
     assert_eq!(bench.counter("sent"), 1);
 }
@@ -228,20 +229,24 @@
 #[rstest]
 fn heartbeats_keep_the_clients_idle_time_out() {
     let bench = start_bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), Some(400));
-    assert!(matches!(client.frame(), NextFrame::Heartbeat), "an empty frame");
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), Some(400));
+    assert!(matches!(client.read_frame(), NextFrame::Heartbeat), "an empty frame");
 }
 
 #[rstest]
 fn a_message_too_large_detaches_its_link_and_the_connection_goes_on() {
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0","max_message":100}"#));
+    let bench = TestNode::start_with_servers(
+        PROGRAM,
+        vec![listener()],
+        Some(r#"{"listen":"127.0.0.1:0","max_message":100}"#),
+    );
     let mut client = connect_client(&bench, CLASS);
-    client.deliver(0, &message(1200, "7f3a", &[0; 200]));
-    client.deliver(1, &message(1200, "7f3a", b"sent before the detach came"));
-    let (detach, _) = until!(client, Detach);
+    client.send_on_first_link(0, &message_with_key(1200, "7f3a", &[0; 200]));
+    client.send_on_first_link(1, &message_with_key(1200, "7f3a", b"sent before the detach came"));
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::MESSAGE_SIZE_EXCEEDED);
-    client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    assert!(client.attach(CLASS).expect("the link may be attached again") > 0);
+    client.send_performative(Detach { handle: Some(0), closed: Some(true), error: None });
+    assert!(client.attach_sender(CLASS).expect("the link may be attached again") > 0);
 }
 
 #[rstest]
@@ -249,7 +254,7 @@
     let mut bench = start_bench(2);
     let mut watch = bench.accept_watch();
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("after 1970");
-    let entry = instance(1, bench.servers[1].local_addr().expect("bound"), "ready")
+    let entry = endpoint_entry(1, bench.servers[1].local_addr().expect("bound"), "ready")
         .replace(r#""startedAtMs":0"#, &format!(r#""startedAtMs":{}"#, now.as_millis()));
     bench.send_endpoint(&mut watch, &entry);
     // The watch ends after the list, so the log line about its loss shows that the list was applied.
@@ -263,7 +268,7 @@
     }
     let mut client = connect_client(&bench, CLASS);
     for id in 0..12 {
-        client.deliver(id, &message(60_000, &format!("{id:x}"), b"reading"));
+        client.send_on_first_link(id, &message_with_key(60_000, &format!("{id:x}"), b"reading"));
         assert_eq!(receive_answer(&mut client), State::Accepted);
     }
     // The policy sends one request to a server that is warming up in the time in which it would be overloaded,
@@ -276,17 +281,17 @@
 fn on_sigterm_running_requests_are_answered_before_the_connection_closes() {
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench, CLASS);
-    client.deliver(0, &message(1200, "7f3a", b"running"));
+    client.send_on_first_link(0, &message_with_key(1200, "7f3a", b"running"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    let (transfer, _) = until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(server, Transfer);
     bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
     // The node first withdraws the credit that it granted.
-    while until!(client, Flow).0.link_credit != Some(0) {}
+    while read_until!(client, Flow).0.link_credit != Some(0) {}
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     assert_eq!(receive_answer(&mut client), State::Accepted);
-    let error = until!(client, Close).0.error.expect("an error");
+    let error = read_until!(client, Close).0.error.expect("an error");
     assert_eq!(error.condition, condition::CONNECTION_FORCED);
     assert!(bench.process.wait().success());
 }
@@ -317,8 +322,8 @@
 
 fn amqp_server(connection: Peer, script: &Script) {
     let mut server = AmqpPeer::server(connection, 100, 4096);
-    server.link(100, 100);
-    while let NextFrame::Body(body, _) = server.frame() {
+    server.accept_sending_link(100, 100);
+    while let NextFrame::Body(body, _) = server.read_frame() {
         if let Performative::Transfer(transfer) = *body {
             let state = match next_outcome(script) {
                 Outcome::Serve => State::Accepted,
@@ -361,7 +366,7 @@
     let copies: Vec<TcpListener> = servers.iter().map(|l| l.try_clone().expect("a second handle")).collect();
     serve_script(copies, &script, text_server);
     serve_script(amqp, &script, amqp_server);
-    let mut bench = Bench::with(PROGRAM, servers, Some(&settings));
+    let mut bench = TestNode::start_with_servers(PROGRAM, servers, Some(&settings));
     let mut client = connect_client(&bench, CLASS);
     let mut counted = Vec::new();
     for text in [true, false] {
@@ -374,7 +379,7 @@
                 assert_eq!(client.read_line() == "UP r", served);
                 while !client.read_line().is_empty() {}
             } else {
-                client.deliver(id as u32, &message(60_000, "7f3a", b"reading"));
+                client.send_on_first_link(id as u32, &message_with_key(60_000, "7f3a", b"reading"));
                 assert_eq!(receive_answer(&mut client) == State::Accepted, served);
             }
         }
@@ -395,7 +400,7 @@
 #[case::header_only("AMQP\u{0}\u{1}\u{0}\u{0}")]
 fn a_connection_without_an_open_is_closed(#[case] input: &str) {
     let bench = start_bench(1);
-    let mut client = Peer::connect(bench.amqp.expect("AMQP is on"));
+    let mut client = Peer::connect(bench.amqp_addr.expect("AMQP is on"));
     client.send(input);
     if input.len() == 8 {
         client.read_exact(&mut [0; 8]);
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -3,8 +3,8 @@
 use rstest::rstest;
 use sparbank_amqp::{condition, Connection, Credentials, Event, SaslRequest, Settings, State, Transfer};
 use sparbank_test_support::{
-    config, counter_value, listener, message, node_command, temp_file, until, AmqpPeer, Bench, NextFrame,
-    Peer,
+    config, counter_value, listener, message_with_key, node_command, read_until, temp_file, AmqpPeer,
+    NextFrame, Peer, TestNode,
 };
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
@@ -35,12 +35,12 @@
     path
 }
 
-fn start_bench(users: &std::path::Path) -> Bench {
+fn start_bench(users: &std::path::Path) -> TestNode {
     let settings = format!(
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users.to_str().expect("a path")
     );
-    Bench::with(PROGRAM, vec![listener()], Some(&settings))
+    TestNode::start_with_servers(PROGRAM, vec![listener()], Some(&settings))
 }
 
 /// Authenticates by SCRAM-SHA-256 with the client of the AMQP crate; returns whether the node accepts it.
@@ -82,10 +82,10 @@
 #[rstest]
 fn plain_and_scram_let_in_who_knows_the_password() {
     let mut bench = start_bench(&create_users_file("anna", "wind and rain", &[]));
-    let addr = bench.amqp.expect("AMQP is on");
-    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind and rain").expect("authenticated");
+    let addr = bench.amqp_addr.expect("AMQP is on");
+    let mut client = AmqpPeer::authenticated(addr, "PLAIN", b"\0anna\0wind and rain").expect("authenticated");
     client.open("c", None, 4096);
-    until!(client, Open);
+    read_until!(client, Open);
     assert!(authenticates_by_scram(addr, "anna", "wind and rain"));
     assert!(!authenticates_by_scram(addr, "anna", "wind"));
     assert!(!authenticates_by_scram(addr, "nobody", "wind and rain"));
@@ -106,7 +106,7 @@
 ) {
     let bench = start_bench(&create_users_file("anna", "wind", &[]));
     let started = Instant::now();
-    let code = AmqpPeer::known(bench.amqp.expect("AMQP is on"), mechanism, response).err();
+    let code = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), mechanism, response).err();
     assert_eq!(code, Some(1));
     assert_eq!(started.elapsed() >= Duration::from_secs(1), is_delayed);
 }
@@ -114,7 +114,7 @@
 #[rstest]
 fn without_sasl_nobody_gets_in_where_there_are_users() {
     let bench = start_bench(&create_users_file("anna", "wind", &[]));
-    let mut peer = Peer::connect(bench.amqp.expect("AMQP is on"));
+    let mut peer = Peer::connect(bench.amqp_addr.expect("AMQP is on"));
     peer.send("AMQP\u{0}\u{1}\u{0}\u{0}");
     let mut header = [0; 8];
     peer.read_exact(&mut header);
@@ -125,27 +125,27 @@
 #[rstest]
 fn a_user_attaches_to_its_classes_only() {
     let bench = start_bench(&create_users_file("anna", "wind", &[CLASS]));
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "PLAIN", b"\0anna\0wind").expect("authenticated");
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "PLAIN", b"\0anna\0wind")
+        .expect("authenticated");
     client.open("c", None, 4096);
-    until!(client, Open);
+    read_until!(client, Open);
     client.begin(None, 100);
-    until!(client, Begin);
-    let detach = client.attach("station-notes").expect_err("not a class of this user");
+    read_until!(client, Begin);
+    let detach = client.attach_sender("station-notes").expect_err("not a class of this user");
     assert_eq!(detach.error.expect("an error").condition, condition::UNAUTHORIZED_ACCESS);
-    client.put(sparbank_amqp::Detach { handle: Some(0), closed: Some(true), error: None });
+    client.send_performative(sparbank_amqp::Detach { handle: Some(0), closed: Some(true), error: None });
     let source = sparbank_amqp::Source { address: Some("station-notes".into()), ..Default::default() };
-    let detach = client.receive(4, source).expect_err("nor for receiving");
+    let detach = client.attach_receiver(4, source).expect_err("nor for receiving");
     assert_eq!(detach.error.expect("an error").condition, condition::UNAUTHORIZED_ACCESS);
-    assert!(client.attach(CLASS).expect("a class of this user") > 0);
+    assert!(client.attach_sender(CLASS).expect("a class of this user") > 0);
 }
 
 /// Starts a server that accepts all deliveries of one connection.
 fn accept_all_deliveries(listener: TcpListener) {
     std::thread::spawn(move || {
         let mut server = AmqpPeer::server(Peer::accept(&listener), 1000, 65536);
-        server.link(1000, 1000);
-        while let NextFrame::Body(body, _) = server.frame() {
+        server.accept_sending_link(1000, 1000);
+        while let NextFrame::Body(body, _) = server.read_frame() {
             if let sparbank_amqp::Performative::Transfer(Transfer { delivery_id: Some(id), .. }) = *body {
                 server.settle(id, State::Accepted);
             }
@@ -160,16 +160,16 @@
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         create_users_file("anna", "wind", &[]).to_str().expect("a path")
     );
-    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(&settings), &[], |text| {
+    let bench = TestNode::start_with_args(PROGRAM, vec![listener()], Some(&settings), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
-    let addr = bench.amqp.expect("AMQP is on");
-    let mut client = AmqpPeer::known(addr, "PLAIN", b"\0anna\0wind").expect("authenticated");
+    let addr = bench.amqp_addr.expect("AMQP is on");
+    let mut client = AmqpPeer::authenticated(addr, "PLAIN", b"\0anna\0wind").expect("authenticated");
     client.open("c", None, 4096);
-    until!(client, Open);
+    read_until!(client, Open);
     client.begin(None, 1000);
-    until!(client, Begin);
-    assert!(client.attach(CLASS).expect("the class is known") > 0);
+    read_until!(client, Begin);
+    assert!(client.attach_sender(CLASS).expect("the class is known") > 0);
     let mut guessing_peers: Vec<Peer> = (0..100).map(|_| Peer::connect(addr)).collect();
     let init = sparbank_amqp::SaslInit {
         mechanism: Some(sparbank_amqp::Symbol("PLAIN".into())),
@@ -183,9 +183,9 @@
     }
     accept_all_deliveries(bench.servers[0].try_clone().expect("a second handle"));
     for id in 0..20 {
-        client.deliver(id, &message(1000, "7f3a", b"reading"));
+        client.send_on_first_link(id, &message_with_key(1000, "7f3a", b"reading"));
         assert_eq!(
-            until!(client, Disposition).0.state,
+            read_until!(client, Disposition).0.state,
             Some(State::Accepted),
             "within the ttl of one second"
         );
--- a/tests/amqp_clients.rs
+++ b/tests/amqp_clients.rs
@@ -8,7 +8,7 @@
 use fe2o3_amqp::types::primitives::Value;
 use fe2o3_amqp::{Connection, Receiver, Sender, Session};
 use rstest::rstest;
-use sparbank_test_support::{listener, node_command, temp_file, Bench};
+use sparbank_test_support::{listener, node_command, temp_file, TestNode};
 use std::net::TcpListener;
 use std::time::Duration;
 
@@ -78,8 +78,8 @@
 #[case::server_with_sasl(true)]
 #[case::server_without_sasl(false)]
 fn the_library_sends_receives_and_resumes_a_link(#[case] sasl: bool) {
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(AMQP_SETTINGS));
-    let addr = bench.amqp.expect("AMQP is on");
+    let mut bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(AMQP_SETTINGS));
+    let addr = bench.amqp_addr.expect("AMQP is on");
     let copy = bench.servers[0].try_clone().expect("a second handle");
     let runtime = runtime();
     runtime.spawn(run_server(copy, sasl));
@@ -135,8 +135,8 @@
         r#"{{"listen":"127.0.0.1:0","users":{:?},"plain_unencrypted":true}}"#,
         users.to_str().expect("a path")
     );
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(&settings));
-    let url = format!("amqp://{}", bench.amqp.expect("AMQP is on"));
+    let bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(&settings));
+    let url = format!("amqp://{}", bench.amqp_addr.expect("AMQP is on"));
     runtime().block_on(with_timeout(async {
         let (username, password) = ("anna".to_string(), password.to_string());
         let profile = SaslProfile::Plain { username, password };
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -6,7 +6,7 @@
     condition, encode, Attach, Begin, Close, Composite, Detach, Disposition, End, Flow, Open, Performative,
     State, Target, Terminus, Transfer, Value,
 };
-use sparbank_test_support::{listener, message, until, AmqpPeer, Bench, Peer};
+use sparbank_test_support::{listener, message_with_key, read_until, AmqpPeer, Peer, TestNode};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
@@ -14,12 +14,12 @@
 const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn start_bench(settings: &str) -> Bench {
-    Bench::with(PROGRAM, vec![listener()], Some(settings))
+fn start_bench(settings: &str) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, vec![listener()], Some(settings))
 }
 
-fn connect_client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
+fn connect_client(bench: &TestNode) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None)
 }
 
 /// The attach of a sending link.
@@ -46,7 +46,7 @@
 
 /// Waits for the node to close the connection; returns the condition of its close.
 fn expect_close(client: &mut AmqpPeer) -> String {
-    let error = until!(client, Close).0.error.expect("an error");
+    let error = read_until!(client, Close).0.error.expect("an error");
     client.peer.expect_closed();
     error.condition
 }
@@ -72,7 +72,7 @@
 #[case::other_protocol(b"HTTP/1.1")]
 fn a_header_that_is_not_spoken_is_answered_with_one_that_is(#[case] header: &[u8]) {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut peer = Peer::connect(bench.amqp.expect("AMQP is on"));
+    let mut peer = Peer::connect(bench.amqp_addr.expect("AMQP is on"));
     std::io::Write::write_all(&mut peer.stream, header).expect("written");
     let mut answer = [0; 8];
     peer.read_exact(&mut answer);
@@ -83,37 +83,37 @@
 #[rstest]
 fn an_extended_frame_header_is_skipped() {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
+        .expect("authenticated");
     let mut open = frame(0, Open { container_id: Some("c".into()), ..Default::default() });
     open.splice(8..8, [0xde, 0xad, 0xbe, 0xef]);
     open[4] = 3;
     open[3] += 4;
     std::io::Write::write_all(&mut client.peer.stream, &open).expect("written");
-    until!(client, Open);
+    read_until!(client, Open);
 }
 
 /// A client may pipeline open, begin and attach without waiting for the answers.
 #[rstest]
 fn all_that_a_client_may_say_ahead_is_taken_in_one_go() {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
+        .expect("authenticated");
     let mut bytes = frame(0, Open { container_id: Some("c".into()), ..Default::default() });
     bytes.extend(frame(0, begin()));
     bytes.extend(frame(0, sender_attach("l", 0)));
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
-    until!(client, Open);
-    until!(client, Begin);
-    until!(client, Attach);
-    assert!(until!(client, Flow).0.link_credit > Some(0));
+    read_until!(client, Open);
+    read_until!(client, Begin);
+    read_until!(client, Attach);
+    assert!(read_until!(client, Flow).0.link_credit > Some(0));
 }
 
 #[rstest]
 fn performatives_by_their_symbolic_descriptors_are_read() {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
+        .expect("authenticated");
     let mut body = Vec::new();
     let fields = Value::List(vec![Value::text("c")]);
     encode(&Value::Described(Box::new(Value::symbol(Open::NAME)), Box::new(fields)), &mut body);
@@ -121,7 +121,7 @@
     bytes.extend([2, 0, 0, 0]);
     bytes.extend(body);
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
-    until!(client, Open);
+    read_until!(client, Open);
 }
 
 #[rstest]
@@ -132,9 +132,9 @@
 )]
 fn an_open_that_lacks_what_it_must_say_is_refused(#[case] open: Open, #[case] expected: &str) {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
-    client.put(open);
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
+        .expect("authenticated");
+    client.send_performative(open);
     assert_eq!(expect_close(&mut client), expected);
 }
 
@@ -157,8 +157,8 @@
 fn close_is_answered_with_close_and_nothing_follows() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(Close::default());
-    assert_eq!(until!(client, Close).0.error, None);
+    client.send_performative(Close::default());
+    assert_eq!(read_until!(client, Close).0.error, None);
     client.peer.expect_closed();
 }
 
@@ -166,13 +166,13 @@
 fn end_is_answered_with_end_and_its_channel_may_begin_again() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
-    client.put(End::default());
-    assert_eq!(until!(client, End).0.error, None);
-    client.put(begin());
-    until!(client, Begin);
-    assert!(client.attach(CLASS).expect("the handle may be used again") > 0);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
+    client.send_performative(End::default());
+    assert_eq!(read_until!(client, End).0.error, None);
+    client.send_performative(begin());
+    read_until!(client, Begin);
+    assert!(client.attach_sender(CLASS).expect("the handle may be used again") > 0);
 }
 
 #[rstest]
@@ -186,14 +186,14 @@
 fn what_breaks_a_session_ends_it_and_the_connection_goes_on(#[case] bytes: Vec<u8>, #[case] expected: &str) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
-    assert_eq!(until!(client, End).0.error.expect("an error").condition, expected);
-    client.put(End::default());
-    client.put(begin());
-    until!(client, Begin);
-    assert!(client.attach(CLASS).expect("the connection goes on") > 0);
+    assert_eq!(read_until!(client, End).0.error.expect("an error").condition, expected);
+    client.send_performative(End::default());
+    client.send_performative(begin());
+    read_until!(client, Begin);
+    assert!(client.attach_sender(CLASS).expect("the connection goes on") > 0);
 }
 
 /// The configured limits are announced in the node's open, begin and attach.
@@ -202,20 +202,20 @@
     let bench = start_bench(
         r#"{"listen":"127.0.0.1:0","max_frame":4096,"channel_max":2,"handle_max":5,"window":9,"max_message":1000}"#,
     );
-    let mut client =
-        AmqpPeer::known(bench.amqp.expect("AMQP is on"), "ANONYMOUS", b"").expect("authenticated");
+    let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
+        .expect("authenticated");
     client.open("c", None, 4096);
-    let (open, _) = until!(client, Open);
+    let (open, _) = read_until!(client, Open);
     assert_eq!((open.max_frame_size, open.channel_max), (Some(4096), Some(2)));
     assert!(open.idle_time_out.is_some());
-    client.put(begin());
-    let (node_begin, _) = until!(client, Begin);
+    client.send_performative(begin());
+    let (node_begin, _) = read_until!(client, Begin);
     assert_eq!(
         (node_begin.remote_channel, node_begin.handle_max, node_begin.incoming_window),
         (Some(0), Some(5), Some(9))
     );
-    client.put(sender_attach("l", 0));
-    let (node_attach, _) = until!(client, Attach);
+    client.send_performative(sender_attach("l", 0));
+    let (node_attach, _) = read_until!(client, Attach);
     assert_eq!((node_attach.role, node_attach.max_message_size), (Some(true), Some(1000)));
 }
 
@@ -223,13 +223,13 @@
 fn a_link_attached_again_under_its_name_is_stolen_from_its_older_self() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
-    client.put(sender_attach("l", 1));
-    let (detach, _) = until!(client, Detach);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
+    client.send_performative(sender_attach("l", 1));
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::STOLEN);
-    until!(client, Attach);
-    assert!(until!(client, Flow).0.link_credit > Some(0));
+    read_until!(client, Attach);
+    assert!(read_until!(client, Flow).0.link_credit > Some(0));
 }
 
 /// A detach is answered by a detach with the same `closed` flag.
@@ -239,10 +239,10 @@
 fn a_detach_is_answered_alike(#[case] closed: Option<bool>) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
-    client.put(Detach { handle: Some(0), closed, error: None });
-    let (answer, _) = until!(client, Detach);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
+    client.send_performative(Detach { handle: Some(0), closed, error: None });
+    let (answer, _) = read_until!(client, Detach);
     assert_eq!((answer.closed, answer.error), (closed, None));
 }
 
@@ -250,11 +250,11 @@
 fn a_delivery_beyond_the_credit_detaches_its_link() {
     let bench = start_bench(r#"{"listen":"127.0.0.1:0","unsettled":3}"#);
     let mut client = connect_client(&bench);
-    assert_eq!(client.attach(CLASS).expect("the class is known"), 3);
+    assert_eq!(client.attach_sender(CLASS).expect("the class is known"), 3);
     for id in 0..4 {
-        client.deliver(id, &message(60_000, "7f3a", b"reading"));
+        client.send_on_first_link(id, &message_with_key(60_000, "7f3a", b"reading"));
     }
-    let (detach, _) = until!(client, Detach);
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::TRANSFER_LIMIT_EXCEEDED);
 }
 
@@ -263,15 +263,15 @@
 fn a_disposition_of_what_is_not_there_changes_nothing_however_wide() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
     let (first, last, settled) = (Some(7), Some(6), Some(true));
     for role in [Some(true), Some(false)] {
         let state = Some(State::Accepted);
-        client.put(Disposition { role, first, last, settled, state, ..Default::default() });
+        client.send_performative(Disposition { role, first, last, settled, state, ..Default::default() });
     }
-    client.put(Flow { echo: Some(true), ..session_flow() });
-    until!(client, Flow);
+    client.send_performative(Flow { echo: Some(true), ..session_flow() });
+    read_until!(client, Flow);
 }
 
 /// A session flow with all of its mandatory fields.
@@ -289,15 +289,15 @@
 fn a_sender_that_settles_what_it_sent_wants_no_answer_any_more() {
     let mut bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
-    client.deliver(0, &message(60_000, "7f3a", b"reading"));
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
+    client.send_on_first_link(0, &message_with_key(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
     let (role, first, settled) = (Some(false), Some(0), Some(true));
-    client.put(Disposition { role, first, settled, ..Default::default() });
-    assert_eq!(until!(server, Disposition).0.settled, Some(true), "the node settles it at the server");
+    client.send_performative(Disposition { role, first, settled, ..Default::default() });
+    assert_eq!(read_until!(server, Disposition).0.settled, Some(true), "the node settles it at the server");
     assert_eq!(bench.counter("client_disconnected"), 1);
 }
 
@@ -328,19 +328,19 @@
 fn a_message_out_of_its_form_is_rejected_and_the_link_goes_on(#[case] bytes: Vec<u8>) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
-    client.put(sender_attach("l", 0));
-    until!(client, Flow);
-    client.deliver(0, &bytes);
-    let (disposition, _) = until!(client, Disposition);
+    client.send_performative(sender_attach("l", 0));
+    read_until!(client, Flow);
+    client.send_on_first_link(0, &bytes);
+    let (disposition, _) = read_until!(client, Disposition);
     assert!(matches!(disposition.state, Some(State::Rejected(Some(_)))));
-    client.deliver(1, &bytes);
-    assert_eq!(until!(client, Disposition).0.first, Some(1));
+    client.send_on_first_link(1, &bytes);
+    assert_eq!(read_until!(client, Disposition).0.first, Some(1));
 }
 
 #[rstest]
 fn sasl_frames_are_read_on_any_channel_and_are_no_larger_than_512_octets() {
     let bench = start_bench(AMQP_SETTINGS);
-    let addr = bench.amqp.expect("AMQP is on");
+    let addr = bench.amqp_addr.expect("AMQP is on");
     for (size, is_accepted) in [(10, true), (600, false)] {
         let mut peer = Peer::connect(addr);
         let init = sparbank_amqp::SaslInit {
@@ -382,23 +382,23 @@
 #[rstest]
 fn numbers_near_their_wrap_are_taken() {
     let bench = start_bench(AMQP_SETTINGS);
-    let mut client = AmqpPeer::opened(bench.amqp.expect("AMQP is on"), "c", None);
-    client.put(Begin { next_outgoing_id: Some(u32::MAX - 1), ..begin() });
-    until!(client, Begin);
-    client.put(Attach { initial_delivery_count: Some(u32::MAX - 1), ..sender_attach("l", 0) });
-    let (flow, _) = until!(client, Flow);
+    let mut client = AmqpPeer::client_without_session(bench.amqp_addr.expect("AMQP is on"), "c", None);
+    client.send_performative(Begin { next_outgoing_id: Some(u32::MAX - 1), ..begin() });
+    read_until!(client, Begin);
+    client.send_performative(Attach { initial_delivery_count: Some(u32::MAX - 1), ..sender_attach("l", 0) });
+    let (flow, _) = read_until!(client, Flow);
     assert_eq!(flow.delivery_count, Some(u32::MAX - 1));
     let mut server = None;
     for n in 0..5u32 {
         let id = (u32::MAX - 1).wrapping_add(n);
-        client.send(0, id, &message(60_000, "7f3a", b"reading"));
+        client.send(0, id, &message_with_key(60_000, "7f3a", b"reading"));
         let server = server.get_or_insert_with(|| {
             let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-            server.link(10, 100);
+            server.accept_sending_link(10, 100);
             server
         });
-        let (transfer, _) = until!(server, Transfer);
+        let (transfer, _) = read_until!(server, Transfer);
         server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-        assert_eq!(until!(client, Disposition).0.first, Some(id));
+        assert_eq!(read_until!(client, Disposition).0.first, Some(id));
     }
 }
--- a/tests/amqp_large_messages.rs
+++ b/tests/amqp_large_messages.rs
@@ -3,7 +3,8 @@
 use rstest::rstest;
 use sparbank_amqp::{Attach, Flow, Performative, State, Tag, Transfer};
 use sparbank_test_support::{
-    accept_any, counter_value, listener, message, until, AmqpPeer, Bench, Peer, ReceivedMessage,
+    accept_any, counter_value, listener, message_with_key, read_until, AmqpPeer, Peer, ReceivedMessage,
+    TestNode,
 };
 use std::collections::HashMap;
 use std::time::Duration;
@@ -14,13 +15,13 @@
 const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn start_bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
+fn start_bench(servers: usize) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn connect_client(bench: &Bench) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
-    assert!(client.attach(CLASS).expect("the class is known") > 0);
+fn connect_client(bench: &TestNode) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
+    assert!(client.attach_sender(CLASS).expect("the class is known") > 0);
     client
 }
 
@@ -31,33 +32,33 @@
 fn a_frame_of_any_agreed_size_is_accepted(#[case] size: usize) {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    client.deliver(0, &message(5000, "7f3a", &vec![7; size]));
+    client.send_on_first_link(0, &message_with_key(5000, "7f3a", &vec![7; size]));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let ReceivedMessage { delivery_id: id, bytes } = server.receive_message();
     assert!(bytes.len() > size);
     server.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
 }
 
 #[rstest]
 fn a_large_message_is_streamed_and_never_buffered_completely() {
     let settings = r#"{"listen":"127.0.0.1:0","max_held":300000}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
+    let mut bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(settings));
     let mut client = connect_client(&bench);
     let body: Vec<u8> = (0..900_000u32).map(|n| (n ^ (n >> 9)) as u8).collect();
-    let sent = message(60_000, "7f3a", &body);
+    let sent = message_with_key(60_000, "7f3a", &body);
     // The client writes from its own thread, since the node reads only as fast as the server does.
     let mut writer = client.try_clone();
     let copy = sent.clone();
     let writing = std::thread::spawn(move || writer.deliver_in_transfers(0, &copy, 12_000));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 10_000, 16_384);
-    server.link(10, 10_000);
+    server.accept_sending_link(10, 10_000);
     let ReceivedMessage { delivery_id: id, bytes } = server.receive_message();
     writing.join().expect("all written");
     assert!(bytes.ends_with(&body), "the body is unchanged");
     server.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     let buffered = counter_value(&bench.frontend_counters("amqp"), "max_buffered_bytes");
     assert!(buffered < 350_000, "{buffered} octets were buffered");
 }
@@ -66,24 +67,25 @@
 fn a_large_message_is_retried_only_while_it_is_buffered_completely() {
     for (keep, expected_attempts) in [(1_000_000, 2), (10_000, 1)] {
         let settings = format!(r#"{{"listen":"127.0.0.1:0","keep":{keep}}}"#);
-        let bench = Bench::with(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&settings));
+        let bench =
+            TestNode::start_with_servers(PROGRAM, (0..2).map(|_| listener()).collect(), Some(&settings));
         let mut client = connect_client(&bench);
-        client.deliver_in_transfers(0, &message(60_000, "7f3a", &vec![7; 200_000]), 10_000);
+        client.deliver_in_transfers(0, &message_with_key(60_000, "7f3a", &vec![7; 200_000]), 10_000);
         let (failed, peer) = accept_any(&bench.servers);
         let mut server = AmqpPeer::server(peer, 40, 4096);
-        server.link(10, 40);
+        server.accept_sending_link(10, 40);
         for _ in 0..40 {
-            until!(server, Transfer);
+            read_until!(server, Transfer);
         }
         drop(server);
         if expected_attempts == 2 {
             let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - failed]), 1000, 65536);
-            other.link(10, 1000);
+            other.accept_sending_link(10, 1000);
             let id = other.receive_message().delivery_id;
             other.settle(id, State::Accepted);
-            assert_eq!(client.receive_answer(), State::Accepted);
+            assert_eq!(client.receive_delivery_state(), State::Accepted);
         } else {
-            assert!(matches!(client.receive_answer(), State::Modified { delivery_failed: true, .. }));
+            assert!(matches!(client.receive_delivery_state(), State::Modified { delivery_failed: true, .. }));
         }
         let counters = bench.stop();
         assert_eq!(
@@ -103,7 +105,7 @@
 fn a_client_that_stops_mid_message_has_it_aborted_at_the_server(#[case] abort: bool) {
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench);
-    let sent = message(60_000, "7f3a", &[7; 60_000]);
+    let sent = message_with_key(60_000, "7f3a", &[7; 60_000]);
     let (handle, delivery_id) = (Some(0), Some(0));
     let first = Transfer {
         handle,
@@ -112,16 +114,16 @@
         more: Some(true),
         ..Default::default()
     };
-    client.put_kind(0, first.into(), &sent[..12_000]);
+    client.send_frame(0, first.into(), &sent[..12_000]);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 4096);
-    server.link(10, 100);
-    until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
     if abort {
-        client.put(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
+        client.send_performative(Transfer { handle, delivery_id, aborted: Some(true), ..Default::default() });
     } else {
         drop(client);
     }
-    while until!(server, Transfer).0.aborted != Some(true) {}
+    while read_until!(server, Transfer).0.aborted != Some(true) {}
     assert_eq!([bench.counter("client_disconnected"), bench.counter("served")], [1, 0]);
 }
 
@@ -129,23 +131,23 @@
 fn a_delivery_settled_before_its_last_frame_is_answered_and_the_rest_is_not_sent() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    let sent = message(60_000, "7f3a", &[7; 40_000]);
+    let sent = message_with_key(60_000, "7f3a", &[7; 40_000]);
     let (handle, delivery_id) = (Some(0), Some(0));
     let tag = Tag::new(b"t");
     let first = Transfer { handle, delivery_id, delivery_tag: tag, more: Some(true), ..Default::default() };
-    client.put_kind(0, first.into(), &sent[..12_000]);
+    client.send_frame(0, first.into(), &sent[..12_000]);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65_536);
-    server.link(10, 100);
-    let (transfer, _) = until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(server, Transfer);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     // Later transfers of this delivery belong to no request; the link stays attached.
     let rest = Transfer { handle, delivery_id, more: Some(false), ..Default::default() };
-    client.put_kind(0, rest.into(), &sent[12_000..20_000]);
-    client.deliver(1, &message(60_000, "7f3a", b"next"));
-    while until!(server, Transfer).0.delivery_id == transfer.delivery_id {}
+    client.send_frame(0, rest.into(), &sent[12_000..20_000]);
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"next"));
+    while read_until!(server, Transfer).0.delivery_id == transfer.delivery_id {}
     server.settle(1, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     assert_eq!(counter_value(&bench.stop(), "requests"), 2);
 }
 
@@ -153,20 +155,20 @@
 fn a_window_of_one_and_frames_of_512_octets_carry_a_message_of_any_size() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    let sent = message(60_000, "7f3a", &[9; 20_000]);
+    let sent = message_with_key(60_000, "7f3a", &[9; 20_000]);
     client.deliver_in_transfers(0, &sent, 5000);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1, 512);
-    server.link(10, 1);
+    server.accept_sending_link(10, 1);
     let (mut frames, mut size, mut id) = (0u32, 0, None);
     loop {
-        let (transfer, payload) = until!(server, Transfer);
+        let (transfer, payload) = read_until!(server, Transfer);
         id = id.or(transfer.delivery_id);
         size += payload.len();
         frames += 1;
         if transfer.more != Some(true) {
             break;
         }
-        server.put(Flow {
+        server.send_performative(Flow {
             next_incoming_id: Some(frames),
             incoming_window: Some(1),
             next_outgoing_id: Some(0),
@@ -176,14 +178,14 @@
     }
     assert!(size > 20_000 && frames > 40);
     server.settle(id.expect("an id"), State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
 }
 
 #[rstest]
 fn an_incomplete_message_delays_no_other_client() {
     let bench = start_bench(1);
     let mut slow = connect_client(&bench);
-    let sent = message(60_000, "7f3a", &[7; 30_000]);
+    let sent = message_with_key(60_000, "7f3a", &[7; 30_000]);
     let first = Transfer {
         handle: Some(0),
         delivery_id: Some(0),
@@ -191,31 +193,43 @@
         more: Some(true),
         ..Default::default()
     };
-    slow.put_kind(0, first.into(), &sent[..12_000]);
+    slow.send_frame(0, first.into(), &sent[..12_000]);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
     // The rest of the message is not sent. The node attaches a second link for another client's delivery.
     let mut quick = connect_client(&bench);
-    quick.deliver(0, &message(60_000, "7f3b", b"quick"));
-    let (attach, _) = until!(server, Attach);
+    quick.send_on_first_link(0, &message_with_key(60_000, "7f3b", b"quick"));
+    let (attach, _) = read_until!(server, Attach);
     let (name, target) = (attach.name, attach.target);
-    server.put(Attach { name, handle: Some(8), role: Some(true), target, ..Default::default() });
-    server.grant(8, 0, 10);
+    server.send_performative(Attach {
+        name,
+        handle: Some(8),
+        role: Some(true),
+        target,
+        ..Default::default()
+    });
+    server.grant_credit(8, 0, 10);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(quick.receive_answer(), State::Accepted);
+    assert_eq!(quick.receive_delivery_state(), State::Accepted);
 }
 
 /// Runs a server that accepts all links and this many messages of more than 1 MiB, with a pause after each frame.
 fn receive_slowly(server: &mut AmqpPeer, messages: u32) {
     let (mut completed, mut sizes) = (0, HashMap::<u32, usize>::new());
     while completed < messages {
-        match server.next_body() {
+        match server.read_performative() {
             (Performative::Attach(attach), _) => {
                 let (name, handle, target) = (attach.name, attach.handle, attach.target);
-                server.put(Attach { name, handle, role: Some(true), target, ..Default::default() });
-                server.grant_wide(handle.expect("a handle"), 10);
+                server.send_performative(Attach {
+                    name,
+                    handle,
+                    role: Some(true),
+                    target,
+                    ..Default::default()
+                });
+                server.grant_credit_wide(handle.expect("a handle"), 10);
             }
             (Performative::Transfer(transfer), payload) => {
                 std::thread::sleep(Duration::from_millis(3));
@@ -239,8 +253,8 @@
 #[rstest]
 fn memory_stays_bounded_with_a_slow_server() {
     let settings = r#"{"listen":"127.0.0.1:0","max_held":400000,"max_message":2000000}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
-    let sent = message(60_000, "7f3a", &vec![7; 1024 * 1024]);
+    let mut bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(settings));
+    let sent = message_with_key(60_000, "7f3a", &vec![7; 1024 * 1024]);
     let clients: Vec<AmqpPeer> = (0..3).map(|_| connect_client(&bench)).collect();
     let writing: Vec<_> = clients
         .into_iter()
@@ -248,7 +262,7 @@
             let sent = sent.clone();
             std::thread::spawn(move || {
                 client.deliver_in_transfers(0, &sent, 12_000);
-                client.receive_answer()
+                client.receive_delivery_state()
             })
         })
         .collect();
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -6,7 +6,8 @@
     condition, Attach, Detach, Flow, Performative, Source, State, Tag, Terminus, Transfer, Value,
 };
 use sparbank_test_support::{
-    accept_any, addressed, counter_value, listener, message, until, AmqpPeer, Bench, NextFrame, Peer, Signal,
+    accept_any, counter_value, listener, message_to, message_with_key, read_until, AmqpPeer, NextFrame, Peer,
+    Signal, TestNode,
 };
 use std::time::{Duration, Instant};
 
@@ -16,12 +17,12 @@
 const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn start_bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
+fn start_bench(servers: usize) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn connect_client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
+fn connect_client(bench: &TestNode) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None)
 }
 
 fn source(address: &str) -> Source {
@@ -32,17 +33,27 @@
 fn attach_receiver(client: &mut AmqpPeer, handle: u32) {
     let (name, role) = (Some(format!("from-{handle}")), Some(true));
     let (source, target) = (Some(source(CLASS)), Some(Terminus::Target(Default::default())));
-    client.put(Attach { name, handle: Some(handle), role, source, target, ..Default::default() });
+    client.send_performative(Attach {
+        name,
+        handle: Some(handle),
+        role,
+        source,
+        target,
+        ..Default::default()
+    });
 }
 
 /// Establishes a receiving link: the client, the index of its server, and the server, which sends at handle 7.
-fn established_link(bench: &Bench) -> (AmqpPeer, usize, AmqpPeer) {
+fn established_link(bench: &TestNode) -> (AmqpPeer, usize, AmqpPeer) {
     let mut client = connect_client(bench);
     attach_receiver(&mut client, 0);
     let (index, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 1000, 65536);
-    assert_eq!(server.source(7).source.expect("the source is passed on").address.as_deref(), Some(CLASS));
-    assert!(until!(client, Attach).0.source.is_some());
+    assert_eq!(
+        server.accept_receiving_link(7).source.expect("the source is passed on").address.as_deref(),
+        Some(CLASS)
+    );
+    assert!(read_until!(client, Attach).0.source.is_some());
     (client, index, server)
 }
 
@@ -50,30 +61,30 @@
 fn deliveries_follow_the_clients_credit_and_outcomes_reach_the_server() {
     let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
-    client.grant(0, 0, 3);
-    let (flow, _) = until!(server, Flow);
+    client.grant_credit(0, 0, 3);
+    let (flow, _) = read_until!(server, Flow);
     assert_eq!((flow.handle.is_some(), flow.link_credit), (true, Some(3)));
     for id in 0..3 {
-        server.send(7, id, &message(60_000, "k", format!("reading {id}").as_bytes()));
+        server.send(7, id, &message_with_key(60_000, "k", format!("reading {id}").as_bytes()));
     }
     for id in 0..3u32 {
-        let (transfer, payload) = until!(client, Transfer);
+        let (transfer, payload) = read_until!(client, Transfer);
         assert_eq!(transfer.delivery_tag, Tag::new(&id.to_be_bytes()), "the tag that the server chose");
         assert!(payload.ends_with(format!("reading {id}").as_bytes()));
         let state = if id == 1 { State::Released } else { State::Accepted };
         client.settle(transfer.delivery_id.expect("an id"), state);
-        let (disposition, _) = until!(server, Disposition);
+        let (disposition, _) = read_until!(server, Disposition);
         let expected = if id == 1 { State::Released } else { State::Accepted };
         assert_eq!(
             (disposition.first, disposition.settled, disposition.state),
             (Some(id), Some(true), Some(expected))
         );
     }
-    client.grant(0, 3, 5);
-    assert_eq!(until!(server, Flow).0.link_credit, Some(5));
-    client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    until!(client, Detach);
-    until!(server, Detach);
+    client.grant_credit(0, 3, 5);
+    assert_eq!(read_until!(server, Flow).0.link_credit, Some(5));
+    client.send_performative(Detach { handle: Some(0), closed: Some(true), error: None });
+    read_until!(client, Detach);
+    read_until!(server, Detach);
     let counters = bench.stop();
     let values = ["requests", "sent", "established", "served", "ended", "failed"]
         .map(|name| counter_value(&counters, name));
@@ -84,8 +95,8 @@
 fn multi_transfer_deliveries_and_aborts_are_passed_through() {
     let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
-    client.grant(0, 0, 10);
-    until!(server, Flow);
+    client.grant_credit(0, 0, 10);
+    read_until!(server, Flow);
     let transfer = |id: u32, more: bool, aborted: bool| Transfer {
         handle: Some(7),
         delivery_id: Some(id),
@@ -94,15 +105,15 @@
         aborted: Some(aborted),
         ..Default::default()
     };
-    server.put_kind(0, transfer(0, true, false).into(), &[1; 10_000]);
-    assert_eq!(until!(client, Transfer).0.more, Some(true));
-    server.put(transfer(0, false, true));
-    assert_eq!(until!(client, Transfer).0.aborted, Some(true));
-    server.put_kind(0, transfer(1, true, false).into(), &[2; 10_000]);
-    server.put_kind(0, transfer(1, false, false).into(), &[3; 10_000]);
+    server.send_frame(0, transfer(0, true, false).into(), &[1; 10_000]);
+    assert_eq!(read_until!(client, Transfer).0.more, Some(true));
+    server.send_performative(transfer(0, false, true));
+    assert_eq!(read_until!(client, Transfer).0.aborted, Some(true));
+    server.send_frame(0, transfer(1, true, false).into(), &[2; 10_000]);
+    server.send_frame(0, transfer(1, false, false).into(), &[3; 10_000]);
     let mut size = 0;
     loop {
-        let (transfer, payload) = until!(client, Transfer);
+        let (transfer, payload) = read_until!(client, Transfer);
         size += payload.len();
         if transfer.more != Some(true) {
             break;
@@ -121,12 +132,12 @@
         let listener = listener.try_clone().expect("a second handle");
         std::thread::spawn(move || {
             let mut server = AmqpPeer::server(Peer::accept(&listener), 100, 65536);
-            while let NextFrame::Body(body, _) = server.frame() {
+            while let NextFrame::Body(body, _) = server.read_frame() {
                 if let Performative::Attach(attach) = *body {
                     let handle = attach.handle;
                     let name = attach.name;
                     let (role, count) = (Some(false), Some(0));
-                    server.put(Attach {
+                    server.send_performative(Attach {
                         name,
                         handle,
                         role,
@@ -134,13 +145,17 @@
                         ..Default::default()
                     });
                     let error = sparbank_amqp::Error::new(condition::RESOURCE_LIMIT_EXCEEDED, "full");
-                    server.put(Detach { handle, closed: Some(true), error: Some(Box::new(error)) });
+                    server.send_performative(Detach {
+                        handle,
+                        closed: Some(true),
+                        error: Some(Box::new(error)),
+                    });
                 }
             }
         });
     }
-    assert_eq!(until!(client, Attach).0.source, None);
-    let error = until!(client, Detach).0.error.expect("an error");
+    assert_eq!(read_until!(client, Attach).0.source, None);
+    let error = read_until!(client, Detach).0.error.expect("an error");
     assert_eq!(error.condition, condition::RESOURCE_LIMIT_EXCEEDED);
     assert!(matches!(error.info.expect("info").get("retry-after"), Some(Value::Uint(_))));
     let counters = bench.stop();
@@ -155,12 +170,12 @@
     attach_receiver(&mut client, 0);
     let (silent_index, peer) = accept_any(&bench.servers);
     let mut silent = AmqpPeer::server(peer, 100, 65536);
-    until!(silent, Attach);
+    read_until!(silent, Attach);
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - silent_index]), 100, 65536);
-    other.source(7);
-    assert!(until!(client, Attach).0.source.is_some());
+    other.accept_receiving_link(7);
+    assert!(read_until!(client, Attach).0.source.is_some());
     // The node detaches the link at the first server, since no request waits there any more.
-    until!(silent, Detach);
+    read_until!(silent, Detach);
     let counters = bench.stop();
     assert_eq!([counter_value(&counters, "attempt_timeout"), counter_value(&counters, "served")], [1, 1]);
 }
@@ -171,17 +186,17 @@
     let (mut client, _, server) = established_link(&bench);
     let killed = Instant::now();
     drop(server);
-    let (detach, _) = until!(client, Detach);
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::DETACH_FORCED);
     assert!(killed.elapsed() < Duration::from_secs(1));
-    client.put(Detach { handle: Some(0), closed: Some(true), error: None });
+    client.send_performative(Detach { handle: Some(0), closed: Some(true), error: None });
     // The client attaches again; this server then sends nothing more, not even a heartbeat.
     attach_receiver(&mut client, 0);
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
-    server.source(7);
-    until!(client, Attach);
+    server.accept_receiving_link(7);
+    read_until!(client, Attach);
     let silent = Instant::now();
-    until!(client, Detach);
+    read_until!(client, Detach);
     assert!(silent.elapsed() < Duration::from_secs(7));
     assert_eq!([bench.counter("served"), bench.counter("ended")], [2, 2]);
 }
@@ -197,8 +212,8 @@
     let mut bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     let error = sent.map(|condition| Box::new(sparbank_amqp::Error::new(condition, "why")));
-    server.put(Detach { handle: Some(7), closed: Some(true), error });
-    let (detach, _) = until!(client, Detach);
+    server.send_performative(Detach { handle: Some(7), closed: Some(true), error });
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.as_ref().map(|e| e.condition.as_str()), expected);
     assert_eq!([bench.counter("served"), bench.counter("ended")], [1, 1]);
 }
@@ -207,8 +222,8 @@
 fn on_sigterm_established_links_are_detached_between_deliveries() {
     let mut bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
-    client.grant(0, 0, 10);
-    until!(server, Flow);
+    client.grant_credit(0, 0, 10);
+    read_until!(server, Flow);
     // The client has an incomplete delivery when the node shuts down.
     let half = Transfer {
         handle: Some(7),
@@ -217,14 +232,18 @@
         more: Some(true),
         ..Default::default()
     };
-    server.put_kind(0, half.into(), b"half");
-    until!(client, Transfer);
+    server.send_frame(0, half.into(), b"half");
+    read_until!(client, Transfer);
     bench.signal(Signal::TERM);
-    assert_eq!(until!(client, Transfer).0.aborted, Some(true), "the incomplete delivery is aborted first");
-    let error = until!(client, Detach).0.error.expect("an error");
+    assert_eq!(
+        read_until!(client, Transfer).0.aborted,
+        Some(true),
+        "the incomplete delivery is aborted first"
+    );
+    let error = read_until!(client, Detach).0.error.expect("an error");
     assert_eq!(error.condition, condition::DETACH_FORCED);
     assert_eq!(error.info.expect("info").get("retry-after"), Some(&Value::Uint(0)));
-    assert_eq!(until!(client, Close).0.error.expect("an error").condition, condition::CONNECTION_FORCED);
+    assert_eq!(read_until!(client, Close).0.error.expect("an error").condition, condition::CONNECTION_FORCED);
     let counters = bench.wait_for_log("counters");
     assert_eq!(counter_value(&counters, "migrated"), 1);
 }
@@ -232,11 +251,14 @@
 #[rstest]
 fn when_the_node_leaves_clients_are_redirected_where_the_settings_say_so() {
     let redirect = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
-    let bench =
-        Bench::with(PROGRAM, vec![listener()], Some(&format!(r#"{{"listen":"127.0.0.1:0",{redirect}}}"#)));
+    let bench = TestNode::start_with_servers(
+        PROGRAM,
+        vec![listener()],
+        Some(&format!(r#"{{"listen":"127.0.0.1:0",{redirect}}}"#)),
+    );
     let mut client = connect_client(&bench);
     bench.signal(Signal::TERM);
-    let error = until!(client, Close).0.error.expect("an error");
+    let error = read_until!(client, Close).0.error.expect("an error");
     assert_eq!(error.condition, condition::CONNECTION_REDIRECT);
     let info = error.info.expect("info");
     assert_eq!(info.get("network-host"), Some(&Value::text("127.0.0.2")));
@@ -249,28 +271,28 @@
     let (mut slow, _, mut server) = established_link(&bench);
     let mut quick = connect_client(&bench);
     attach_receiver(&mut quick, 0);
-    server.source(8);
-    until!(quick, Attach);
-    quick.grant(0, 0, 1000);
-    until!(server, Flow);
-    slow.grant(0, 0, 1000);
+    server.accept_receiving_link(8);
+    read_until!(quick, Attach);
+    quick.grant_credit(0, 0, 1000);
+    read_until!(server, Flow);
+    slow.grant_credit(0, 0, 1000);
     // The slow client reads nothing while its server uses up all of the credit.
-    let body = message(60_000, "k", &[7; 16_000]);
-    let (mut sent, mut granted) = (0, until!(server, Flow).0.link_credit.expect("credit"));
+    let body = message_with_key(60_000, "k", &[7; 16_000]);
+    let (mut sent, mut granted) = (0, read_until!(server, Flow).0.link_credit.expect("credit"));
     let mut id = 0;
     while granted > 0 {
         server.send(7, id, &body);
         (id, sent, granted) = (id + 1, sent + 1, granted - 1);
     }
     for _ in 0..20 {
-        server.send(8, id, &message(60_000, "k", b"quick"));
+        server.send(8, id, &message_with_key(60_000, "k", b"quick"));
         id += 1;
-        let (transfer, _) = until!(quick, Transfer);
+        let (transfer, _) = read_until!(quick, Transfer);
         quick.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     }
     // When the slow client reads at last, none of its deliveries is lost.
     for _ in 0..sent {
-        while until!(slow, Transfer).0.more == Some(true) {}
+        while read_until!(slow, Transfer).0.more == Some(true) {}
     }
 }
 
@@ -278,9 +300,9 @@
 fn a_drain_by_the_client_gives_its_credit_back() {
     let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
-    client.grant(0, 0, 5);
-    until!(server, Flow);
-    client.put(Flow {
+    client.grant_credit(0, 0, 5);
+    read_until!(server, Flow);
+    client.send_performative(Flow {
         next_incoming_id: Some(0),
         incoming_window: Some(1000),
         next_outgoing_id: Some(0),
@@ -291,7 +313,7 @@
         drain: Some(true),
         ..Default::default()
     });
-    let (flow, _) = until!(client, Flow);
+    let (flow, _) = read_until!(client, Flow);
     assert_eq!((flow.delivery_count, flow.link_credit), (Some(5), Some(0)));
 }
 
@@ -314,7 +336,7 @@
 fn expect_reply_and_answer(client: &mut AmqpPeer, reply: &[u8]) {
     let (mut is_replied, mut is_answered) = (false, false);
     while !(is_replied && is_answered) {
-        match client.next_body() {
+        match client.read_performative() {
             (Performative::Transfer(transfer), payload) => {
                 assert!(payload.ends_with(reply));
                 client.settle(transfer.delivery_id.expect("an id"), State::Accepted);
@@ -334,26 +356,26 @@
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench);
     let source = Source { dynamic: Some(true), ..Default::default() };
-    let attach = client.receive(5, source).expect("accepted");
+    let attach = client.attach_receiver(5, source).expect("accepted");
     let address = attach.source.expect("a source").address.expect("an address that the node generated");
-    client.grant(5, 0, 10);
-    assert!(client.attach(CLASS).expect("the class is known") > 0);
-    client.deliver(0, &addressed(CLASS, Some(&address), 60_000, b"request"));
+    client.grant_credit(5, 0, 10);
+    assert!(client.attach_sender(CLASS).expect("the class is known") > 0);
+    client.send_on_first_link(0, &message_to(CLASS, Some(&address), 60_000, b"request"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
-    server.link(10, 1000);
-    let (request, payload) = until!(server, Transfer);
+    server.accept_sending_link(10, 1000);
+    let (request, payload) = read_until!(server, Transfer);
     let head = sparbank_amqp::Head::read(&payload).expect("valid").expect("complete");
     assert_eq!(head.reply_to.as_deref(), Some(address.as_str()));
     // The server replies on a link that it attaches. A guessed reply address is refused.
-    server.put(reply_attach(9, "reply/1/guessed"));
-    until!(server, Attach);
-    assert_eq!(until!(server, Detach).0.error.expect("an error").condition, condition::NOT_FOUND);
-    server.put(reply_attach(10, &address));
-    assert!(until!(server, Flow).0.link_credit > Some(0));
-    server.send(10, 0, &message(60_000, "k", b"reply"));
+    server.send_performative(reply_attach(9, "reply/1/guessed"));
+    read_until!(server, Attach);
+    assert_eq!(read_until!(server, Detach).0.error.expect("an error").condition, condition::NOT_FOUND);
+    server.send_performative(reply_attach(10, &address));
+    assert!(read_until!(server, Flow).0.link_credit > Some(0));
+    server.send(10, 0, &message_with_key(60_000, "k", b"reply"));
     server.settle(request.delivery_id.expect("an id"), State::Accepted);
     expect_reply_and_answer(&mut client, b"reply");
-    let (disposition, _) = until!(server, Disposition);
+    let (disposition, _) = read_until!(server, Disposition);
     assert_eq!((disposition.first, disposition.state), (Some(0), Some(State::Accepted)));
     assert_eq!([bench.counter("requests"), bench.counter("served")], [1, 1]);
 }
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -3,15 +3,17 @@
 
 use rstest::rstest;
 use sparbank_amqp::{Attach, Detach, State, Tag, Target, Terminus, Transfer, Value};
-use sparbank_test_support::{counter_value, listener, message, until, AmqpPeer, Bench, Peer};
+use sparbank_test_support::{
+    counter_value, listener, message_with_key, read_until, AmqpPeer, Peer, TestNode,
+};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
 
 const CLASS: &str = "live-readings";
 
-fn start_bench(settings: &str) -> Bench {
-    Bench::with(PROGRAM, vec![listener()], Some(settings))
+fn start_bench(settings: &str) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, vec![listener()], Some(settings))
 }
 
 /// Attaches a link that may be resumed for this many seconds, with these tags in the client's unsettled map.
@@ -20,7 +22,7 @@
     let timeout = Some(seconds).filter(|seconds| *seconds > 0);
     let target = Target { address: Some(CLASS.into()), timeout, ..Default::default() };
     let map = unsettled.iter().map(|tag| (Value::Binary(vec![*tag]), Value::Null)).collect();
-    client.put(Attach {
+    client.send_performative(Attach {
         name: Some("feed".into()),
         handle: Some(0),
         role: Some(false),
@@ -29,16 +31,16 @@
         initial_delivery_count: Some(0),
         ..Default::default()
     });
-    let (attach, _) = until!(client, Attach);
-    until!(client, Flow);
+    let (attach, _) = read_until!(client, Attach);
+    read_until!(client, Flow);
     match attach.unsettled {
         Some(Value::Map(pairs)) => pairs,
         _ => Vec::new(),
     }
 }
 
-fn connect_client(bench: &Bench) -> AmqpPeer {
-    AmqpPeer::client(bench.amqp.expect("AMQP is on"), None)
+fn connect_client(bench: &TestNode) -> AmqpPeer {
+    AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None)
 }
 
 /// Resumes a delivery under a new delivery id.
@@ -50,12 +52,12 @@
         resume: Some(true),
         ..Default::default()
     };
-    client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"again"));
+    client.send_frame(0, transfer.into(), &message_with_key(60_000, "7f3a", b"again"));
 }
 
 /// Reads the next disposition; returns its first delivery id and its state.
 fn receive_answer(client: &mut AmqpPeer) -> (Option<u32>, State) {
-    let (disposition, _) = until!(client, Disposition);
+    let (disposition, _) = read_until!(client, Disposition);
     (disposition.first, disposition.state.expect("a state"))
 }
 
@@ -64,11 +66,11 @@
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut first = connect_client(&bench);
     attach_resumable(&mut first, 10, &[]);
-    first.deliver(1, &message(60_000, "7f3a", b"one"));
-    first.deliver(2, &message(60_000, "7f3a", b"two"));
+    first.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"one"));
+    first.send_on_first_link(2, &message_with_key(60_000, "7f3a", b"two"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    let ids: Vec<u32> = (0..2).map(|_| until!(server, Transfer).0.delivery_id.expect("an id")).collect();
+    server.accept_sending_link(10, 100);
+    let ids: Vec<u32> = (0..2).map(|_| read_until!(server, Transfer).0.delivery_id.expect("an id")).collect();
     server.settle(ids[0], State::Accepted);
     assert_eq!(receive_answer(&mut first), (Some(1), State::Accepted));
     // The connection is lost. The client resumes below as though it had not read this disposition.
@@ -100,10 +102,10 @@
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut first = connect_client(&bench);
     attach_resumable(&mut first, 10, &[]);
-    first.deliver(1, &message(60_000, "7f3a", b"one"));
+    first.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    let (transfer, _) = until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(server, Transfer);
     drop(first);
     server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     while bench.counter("served") == 0 {}
@@ -117,12 +119,12 @@
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = connect_client(&bench);
     attach_resumable(&mut client, 0, &[]);
-    client.deliver(1, &message(60_000, "7f3a", b"one"));
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    let (transfer, _) = until!(server, Transfer);
-    client.put(Detach { handle: Some(0), closed: None, error: None });
-    until!(client, Detach);
+    server.accept_sending_link(10, 100);
+    let (transfer, _) = read_until!(server, Transfer);
+    client.send_performative(Detach { handle: Some(0), closed: None, error: None });
+    read_until!(client, Detach);
     let node_unsettled = attach_resumable(&mut client, 0, &[1]);
     assert_eq!(node_unsettled, [(Value::Binary(vec![1]), Value::Null)]);
     resume_delivery(&mut client, 5, 1);
@@ -143,7 +145,7 @@
         delivery_tag: Tag::new(&[1]),
         ..Default::default()
     };
-    client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"one"));
+    client.send_frame(0, transfer.into(), &message_with_key(60_000, "7f3a", b"one"));
     let (_, State::Modified { delivery_failed: true, annotations: Some(annotations), .. }) =
         receive_answer(&mut client)
     else {
@@ -159,18 +161,18 @@
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0","resume_links":1,"resume_ms":300}"#);
     let mut first = connect_client(&bench);
     attach_resumable(&mut first, 3600, &[]);
-    first.deliver(1, &message(60_000, "7f3a", b"one"));
+    first.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    until!(server, Transfer);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
     // A second resumable link exceeds the limit of one: it is served, but its state is not kept.
-    let mut other = AmqpPeer::opened(bench.amqp.expect("AMQP is on"), "another", None);
+    let mut other = AmqpPeer::client_without_session(bench.amqp_addr.expect("AMQP is on"), "another", None);
     other.begin(None, 100);
-    until!(other, Begin);
+    read_until!(other, Begin);
     attach_resumable(&mut other, 10, &[]);
     drop(first);
     // When the state expires, the request is abandoned and its server is notified.
-    until!(server, Disposition);
+    read_until!(server, Disposition);
     assert_eq!([bench.counter("client_disconnected"), bench.counter("requests")], [1, 1]);
     let mut second = connect_client(&bench);
     assert!(attach_resumable(&mut second, 10, &[1]).is_empty());
@@ -182,12 +184,12 @@
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = connect_client(&bench);
     attach_resumable(&mut client, 10, &[]);
-    client.deliver(1, &message(60_000, "7f3a", b"one"));
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"one"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
-    until!(server, Transfer);
-    client.put(Detach { handle: Some(0), closed: Some(true), error: None });
-    until!(client, Detach);
-    until!(server, Disposition);
+    server.accept_sending_link(10, 100);
+    read_until!(server, Transfer);
+    client.send_performative(Detach { handle: Some(0), closed: Some(true), error: None });
+    read_until!(client, Detach);
+    read_until!(server, Disposition);
     assert_eq!(bench.counter("client_disconnected"), 1);
 }
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -5,7 +5,7 @@
     condition, Attach, Detach, Disposition, Flow, Source, State, Tag, Target, Terminus, Transfer,
 };
 use sparbank_test_support::{
-    accept_any, addressed, counter_value, listener, message, until, AmqpPeer, Bench, Peer,
+    accept_any, counter_value, listener, message_to, message_with_key, read_until, AmqpPeer, Peer, TestNode,
 };
 use std::time::{Duration, Instant};
 
@@ -15,13 +15,13 @@
 const AMQP_SETTINGS: &str = r#"{"listen":"127.0.0.1:0"}"#;
 const CLASS: &str = "live-readings";
 
-fn start_bench(servers: usize) -> Bench {
-    Bench::with(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
+fn start_bench(servers: usize) -> TestNode {
+    TestNode::start_with_servers(PROGRAM, (0..servers).map(|_| listener()).collect(), Some(AMQP_SETTINGS))
 }
 
-fn connect_client(bench: &Bench) -> AmqpPeer {
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
-    assert!(client.attach(CLASS).expect("the class is known") > 0);
+fn connect_client(bench: &TestNode) -> AmqpPeer {
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
+    assert!(client.attach_sender(CLASS).expect("the class is known") > 0);
     client
 }
 
@@ -29,12 +29,12 @@
 fn a_server_without_sasl_is_reconnected_without_sasl() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    client.deliver(0, &message(5000, "7f3a", b"reading"));
+    client.send_on_first_link(0, &message_with_key(5000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server_without_sasl(&bench.servers[0], 100);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     assert_eq!(counter_value(&bench.stop(), "sent"), 1);
 }
 
@@ -42,20 +42,25 @@
 fn a_server_that_grants_credit_without_a_target_receives_deliveries() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    client.deliver(0, &message(5000, "7f3a", b"reading"));
+    client.send_on_first_link(0, &message_with_key(5000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    let (attach, _) = until!(server, Attach);
-    server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
-    server.flow(10, 0, 100);
+    let (attach, _) = read_until!(server, Attach);
+    server.send_performative(Attach {
+        name: attach.name,
+        handle: Some(7),
+        role: Some(true),
+        ..Default::default()
+    });
+    server.grant_server_credit(10, 0, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
 }
 
 #[rstest]
 fn at_the_anonymous_terminus_each_message_names_its_class() {
     let bench = start_bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
     let target = Some(Terminus::Target(Target::default()));
     let (name, initial_delivery_count) = (Some("any".to_string()), Some(0));
     let attach = Attach {
@@ -66,36 +71,36 @@
         initial_delivery_count,
         ..Default::default()
     };
-    client.put(attach);
-    until!(client, Flow);
-    client.deliver(0, &addressed("nowhere", None, 5000, b"x"));
-    let State::Rejected(Some(error)) = client.receive_answer() else {
+    client.send_performative(attach);
+    read_until!(client, Flow);
+    client.send_on_first_link(0, &message_to("nowhere", None, 5000, b"x"));
+    let State::Rejected(Some(error)) = client.receive_delivery_state() else {
         panic!("the delivery is not rejected")
     };
     assert_eq!(error.condition, condition::NOT_FOUND);
-    client.deliver(1, &addressed(CLASS, None, 5000, b"x"));
+    client.send_on_first_link(1, &message_to(CLASS, None, 5000, b"x"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
 }
 
 #[rstest]
 fn one_credit_is_shared_by_a_hundred_clients_in_turns() {
-    let bench = Bench::with_args(PROGRAM, vec![listener()], Some(AMQP_SETTINGS), &[], |text| {
+    let bench = TestNode::start_with_args(PROGRAM, vec![listener()], Some(AMQP_SETTINGS), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| connect_client(&bench)).collect();
     for client in &mut clients {
-        client.deliver(0, &message(60_000, "7f3a", b"reading"));
+        client.send_on_first_link(0, &message_with_key(60_000, "7f3a", b"reading"));
     }
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
-    server.link(1, 1000);
+    server.accept_sending_link(1, 1000);
     for count in 1..=100u32 {
         let id = server.receive_message().delivery_id;
         server.settle(id, State::Accepted);
-        server.put(Flow {
+        server.send_performative(Flow {
             next_incoming_id: Some(count),
             incoming_window: Some(1000),
             next_outgoing_id: Some(0),
@@ -107,7 +112,7 @@
         });
     }
     for client in &mut clients {
-        assert_eq!(client.receive_answer(), State::Accepted);
+        assert_eq!(client.receive_delivery_state(), State::Accepted);
     }
     assert_eq!(counter_value(&bench.stop(), "served"), 100);
 }
@@ -118,14 +123,14 @@
     let bench = start_bench(1);
     let mut servers = Vec::new();
     for class in [CLASS, "station-notes"] {
-        let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
-        assert!(client.attach(class).expect("the class is known") > 0);
-        client.deliver(0, &message(5000, "7f3a", b"reading"));
-        let mut server = AmqpPeer::narrow_server(Peer::accept(&bench.servers[0]));
-        server.link(10, 100);
+        let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
+        assert!(client.attach_sender(class).expect("the class is known") > 0);
+        client.send_on_first_link(0, &message_with_key(5000, "7f3a", b"reading"));
+        let mut server = AmqpPeer::single_link_server(Peer::accept(&bench.servers[0]));
+        server.accept_sending_link(10, 100);
         let id = server.receive_message().delivery_id;
         server.settle(id, State::Accepted);
-        assert_eq!(client.receive_answer(), State::Accepted);
+        assert_eq!(client.receive_delivery_state(), State::Accepted);
         servers.push(server);
     }
     assert_eq!(counter_value(&bench.stop(), "served"), 2);
@@ -142,15 +147,15 @@
         settled: Some(true),
         ..Default::default()
     };
-    client.put_kind(0, transfer.into(), &message(60_000, "7f3a", b"settled"));
-    client.deliver(1, &message(60_000, "7f3a", b"not settled"));
+    client.send_frame(0, transfer.into(), &message_with_key(60_000, "7f3a", b"settled"));
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"not settled"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     for _ in 0..2 {
         let id = server.receive_message().delivery_id;
         server.settle(id, State::Accepted);
     }
-    let (disposition, _) = until!(client, Disposition);
+    let (disposition, _) = read_until!(client, Disposition);
     assert_eq!((disposition.first, disposition.last), (Some(1), None), "only the second is answered");
     assert_eq!(bench.counter("served"), 2);
 }
@@ -159,9 +164,9 @@
 #[rstest]
 fn a_client_that_settles_second_is_answered_first_and_then_settles() {
     let bench = start_bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
-    client.put(Attach {
+    client.send_performative(Attach {
         name: Some("second".into()),
         handle: Some(0),
         role: Some(false),
@@ -170,20 +175,20 @@
         initial_delivery_count: Some(0),
         ..Default::default()
     });
-    assert_eq!(until!(client, Attach).0.rcv_settle_mode, Some(1));
-    client.deliver(0, &message(60_000, "7f3a", b"reading"));
+    assert_eq!(read_until!(client, Attach).0.rcv_settle_mode, Some(1));
+    client.send_on_first_link(0, &message_with_key(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    let (disposition, _) = until!(client, Disposition);
+    let (disposition, _) = read_until!(client, Disposition);
     assert_eq!((disposition.settled, disposition.state), (None, Some(State::Accepted)));
     let (role, first, settled) = (Some(false), Some(0), Some(true));
-    client.put(Disposition { role, first, settled, ..Default::default() });
-    client.deliver(1, &message(60_000, "7f3a", b"the session goes on"));
+    client.send_performative(Disposition { role, first, settled, ..Default::default() });
+    client.send_on_first_link(1, &message_with_key(60_000, "7f3a", b"the session goes on"));
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(until!(client, Disposition).0.first, Some(1));
+    assert_eq!(read_until!(client, Disposition).0.first, Some(1));
 }
 
 #[rstest]
@@ -191,17 +196,24 @@
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
     for id in 0..10 {
-        client.deliver(id, &message(60_000, "7f3a", b"reading"));
+        client.send_on_first_link(id, &message_with_key(60_000, "7f3a", b"reading"));
     }
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let mut last = 0;
     for _ in 0..10 {
         last = server.receive_message().delivery_id;
     }
     let (role, first, last, settled) = (Some(true), Some(0), Some(last), Some(true));
-    server.put(Disposition { role, first, last, settled, state: Some(State::Accepted), batchable: None });
-    let (disposition, _) = until!(client, Disposition);
+    server.send_performative(Disposition {
+        role,
+        first,
+        last,
+        settled,
+        state: Some(State::Accepted),
+        batchable: None,
+    });
+    let (disposition, _) = read_until!(client, Disposition);
     assert_eq!(
         (disposition.first, disposition.last, disposition.state),
         (Some(0), Some(9), Some(State::Accepted))
@@ -221,18 +233,23 @@
 fn a_delivery_whose_link_is_refused_is_retried_whatever_the_condition(#[case] condition: &str) {
     let bench = start_bench(2);
     let mut client = connect_client(&bench);
-    client.deliver(0, &message(5000, "7f3a", b"reading"));
+    client.send_on_first_link(0, &message_with_key(5000, "7f3a", b"reading"));
     let (first, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
-    let (attach, _) = until!(server, Attach);
-    server.put(Attach { name: attach.name, handle: Some(7), role: Some(true), ..Default::default() });
+    let (attach, _) = read_until!(server, Attach);
+    server.send_performative(Attach {
+        name: attach.name,
+        handle: Some(7),
+        role: Some(true),
+        ..Default::default()
+    });
     let error = Some(Box::new(sparbank_amqp::Error::new(condition, "no")));
-    server.put(Detach { handle: Some(7), closed: Some(true), error });
+    server.send_performative(Detach { handle: Some(7), closed: Some(true), error });
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
-    other.link(10, 100);
+    other.accept_sending_link(10, 100);
     let id = other.receive_message().delivery_id;
     other.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     let counters = bench.stop();
     assert_eq!(
         [counter_value(&counters, "sent"), counter_value(&counters, "attempt_connect_failed")],
@@ -244,21 +261,21 @@
 fn a_server_that_breaks_the_protocol_is_disconnected_and_the_delivery_is_retried_elsewhere() {
     let mut bench = start_bench(2);
     let mut client = connect_client(&bench);
-    client.deliver(0, &message(5000, "7f3a", b"reading"));
+    client.send_on_first_link(0, &message_with_key(5000, "7f3a", b"reading"));
     let (first, peer) = accept_any(&bench.servers);
     let mut server = AmqpPeer::server(peer, 100, 65536);
-    until!(server, Attach);
+    read_until!(server, Attach);
     // The server sends on a handle that is not attached.
     let (handle, delivery_tag) = (Some(99), Tag::new(b"t"));
     for id in 0..500 {
         let transfer = Transfer { handle, delivery_id: Some(id), delivery_tag, ..Default::default() };
-        server.put_kind(0, transfer.into(), &[0; 100]);
+        server.send_frame(0, transfer.into(), &[0; 100]);
     }
     let mut other = AmqpPeer::server(Peer::accept(&bench.servers[1 - first]), 100, 65536);
-    other.link(10, 100);
+    other.accept_sending_link(10, 100);
     let id = other.receive_message().delivery_id;
     other.settle(id, State::Accepted);
-    assert_eq!(client.receive_answer(), State::Accepted);
+    assert_eq!(client.receive_delivery_state(), State::Accepted);
     assert_eq!(bench.counter("sent"), 2);
 }
 
@@ -266,7 +283,7 @@
 fn flow_with_echo_is_answered_and_credit_comes_back_before_it_runs_out() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
-    client.put(Flow {
+    client.send_performative(Flow {
         next_incoming_id: Some(0),
         incoming_window: Some(100),
         next_outgoing_id: Some(0),
@@ -274,22 +291,22 @@
         echo: Some(true),
         ..Default::default()
     });
-    let (flow, _) = until!(client, Flow);
+    let (flow, _) = read_until!(client, Flow);
     assert_eq!((flow.handle, flow.next_incoming_id), (None, Some(0)));
     for id in 0..40 {
-        client.deliver(id, &message(60_000, "7f3a", b"reading"));
+        client.send_on_first_link(id, &message_with_key(60_000, "7f3a", b"reading"));
     }
-    let (flow, _) = until!(client, Flow);
+    let (flow, _) = read_until!(client, Flow);
     assert!(flow.delivery_count >= Some(32) && flow.link_credit >= Some(32));
 }
 
 #[rstest]
 fn a_transaction_coordinator_link_is_refused() {
     let bench = start_bench(1);
-    let mut client = AmqpPeer::client(bench.amqp.expect("AMQP is on"), None);
+    let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
     let (name, initial_delivery_count) = (Some("tx".to_string()), Some(0));
     let target = Some(Terminus::Coordinator);
-    client.put(Attach {
+    client.send_performative(Attach {
         name,
         handle: Some(3),
         role: Some(false),
@@ -298,26 +315,33 @@
         initial_delivery_count,
         ..Default::default()
     });
-    assert_eq!(until!(client, Attach).0.target, None);
-    let (detach, _) = until!(client, Detach);
+    assert_eq!(read_until!(client, Attach).0.target, None);
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::NOT_IMPLEMENTED);
-    client.put(Detach { handle: Some(3), closed: Some(true), error: None });
-    assert!(client.attach(CLASS).expect("the connection goes on") > 0);
+    client.send_performative(Detach { handle: Some(3), closed: Some(true), error: None });
+    assert!(client.attach_sender(CLASS).expect("the connection goes on") > 0);
 }
 
 #[rstest]
 fn links_sessions_and_connections_are_bounded_by_their_settings() {
     let settings = r#"{"listen":"127.0.0.1:0","max_links":3,"channel_max":1,"peer_connections":2}"#;
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(settings));
-    let addr = bench.amqp.expect("AMQP is on");
+    let bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(settings));
+    let addr = bench.amqp_addr.expect("AMQP is on");
     let mut client = AmqpPeer::client(addr, None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
     for handle in 0..4 {
         let (name, initial_delivery_count) = (Some(format!("l{handle}")), Some(0));
         let (handle, role, target) = (Some(handle), Some(false), target.clone());
-        client.put(Attach { name, handle, role, target, initial_delivery_count, ..Default::default() });
+        client.send_performative(Attach {
+            name,
+            handle,
+            role,
+            target,
+            initial_delivery_count,
+            ..Default::default()
+        });
     }
-    let (detach, _) = until!(client, Detach);
+    let (detach, _) = read_until!(client, Detach);
     assert_eq!(detach.error.expect("an error").condition, condition::RESOURCE_LIMIT_EXCEEDED);
     let mut second = AmqpPeer::client(addr, None);
     // A third connection from the same address is closed at once.
@@ -329,15 +353,15 @@
         outgoing_window: Some(1),
         ..Default::default()
     };
-    second.put_on(2, begin);
-    assert_eq!(until!(second, Close).0.error.expect("an error").condition, condition::FRAMING_ERROR);
+    second.send_performative_on(2, begin);
+    assert_eq!(read_until!(second, Close).0.error.expect("an error").condition, condition::FRAMING_ERROR);
     assert_eq!(counter_value(&bench.stop(), "capacity_rejected"), 1);
 }
 
 #[rstest]
 fn bad_clients_get_an_error_or_a_close_within_three_seconds_and_harm_nobody() {
     let bench = start_bench(1);
-    let addr = bench.amqp.expect("AMQP is on");
+    let addr = bench.amqp_addr.expect("AMQP is on");
     let mut well_behaved = connect_client(&bench);
     let started = Instant::now();
     let inputs: [&[u8]; 8] = [
@@ -357,10 +381,10 @@
         peer.drain_until_closed(Duration::from_secs(3));
     }
     assert!(started.elapsed() < Duration::from_secs(10), "no connection was held until its time-out");
-    well_behaved.deliver(0, &message(60_000, "7f3a", b"reading"));
+    well_behaved.send_on_first_link(0, &message_with_key(60_000, "7f3a", b"reading"));
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 100, 65536);
-    server.link(10, 100);
+    server.accept_sending_link(10, 100);
     let id = server.receive_message().delivery_id;
     server.settle(id, State::Accepted);
-    assert_eq!(well_behaved.receive_answer(), State::Accepted);
+    assert_eq!(well_behaved.receive_delivery_state(), State::Accepted);
 }
--- a/tests/amqp_size.rs
+++ b/tests/amqp_size.rs
@@ -2,7 +2,9 @@
 
 use rstest::rstest;
 use sparbank_amqp::{Attach, State, Target, Terminus};
-use sparbank_test_support::{counter_value, listener, message, until, AmqpPeer, Bench, Peer};
+use sparbank_test_support::{
+    counter_value, listener, message_with_key, read_until, AmqpPeer, Peer, TestNode,
+};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
@@ -18,13 +20,13 @@
 
 #[rstest]
 fn ten_thousand_links_on_a_hundred_connections_fit_in_memory_and_are_served() {
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
-    let addr = bench.amqp.expect("AMQP is on");
+    let bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(r#"{"listen":"127.0.0.1:0"}"#));
+    let addr = bench.amqp_addr.expect("AMQP is on");
     let mut clients: Vec<AmqpPeer> = (0..100).map(|_| AmqpPeer::client(addr, None)).collect();
     for client in &mut clients {
         for handle in 0..100 {
             let target = Target { address: Some(CLASS.into()), ..Default::default() };
-            client.put(Attach {
+            client.send_performative(Attach {
                 name: Some(format!("link-{handle}")),
                 handle: Some(handle),
                 role: Some(false),
@@ -34,7 +36,7 @@
             });
         }
         for _ in 0..100 {
-            assert!(until!(client, Flow).0.link_credit > Some(0));
+            assert!(read_until!(client, Flow).0.link_credit > Some(0));
         }
     }
     let resident_mb = resident_memory_mb(bench.process.id());
@@ -42,16 +44,16 @@
     println!("{resident_mb:.1} MB resident with 10,000 links");
     // The last link of each connection sends a delivery.
     for client in &mut clients {
-        client.send(99, 0, &message(60_000, "7f3a", b"reading"));
+        client.send(99, 0, &message_with_key(60_000, "7f3a", b"reading"));
     }
     let mut server = AmqpPeer::server(Peer::accept(&bench.servers[0]), 1000, 65536);
-    server.link(1000, 1000);
+    server.accept_sending_link(1000, 1000);
     for _ in 0..100 {
-        let (transfer, _) = until!(server, Transfer);
+        let (transfer, _) = read_until!(server, Transfer);
         server.settle(transfer.delivery_id.expect("an id"), State::Accepted);
     }
     for client in &mut clients {
-        assert_eq!(until!(client, Disposition).0.state, Some(State::Accepted));
+        assert_eq!(read_until!(client, Disposition).0.state, Some(State::Accepted));
     }
     assert_eq!(counter_value(&bench.stop(), "served"), 100);
 }
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -5,7 +5,7 @@
 use rustls::pki_types::{CertificateDer, PrivateKeyDer, ServerName};
 use rustls::{ClientConfig, ClientConnection, RootCertStore, StreamOwned};
 use sparbank_amqp::{Connection, Credentials, Event, Settings};
-use sparbank_test_support::{listener, log_field, node_command, temp_file, AmqpPeer, Bench, Peer, Signal};
+use sparbank_test_support::{listener, log_field, node_command, temp_file, AmqpPeer, Peer, Signal, TestNode};
 use sparbank_time::MonotonicTime;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -61,7 +61,7 @@
 }
 
 /// Starts a node with TLS; returns it with the address on which it listens for TLS.
-fn start_bench(folder: &Path, more_settings: &str) -> (Bench, SocketAddr) {
+fn start_bench(folder: &Path, more_settings: &str) -> (TestNode, SocketAddr) {
     let path = |name: &str| folder.join(name).to_str().expect("a path").to_string();
     let tls = format!(
         r#"{{"listen":"127.0.0.1:0","certificate":{:?},"key":{:?},"client_ca":{:?}}}"#,
@@ -70,8 +70,8 @@
         path("ca.pem")
     );
     let settings = format!(r#"{{"listen":"127.0.0.1:0","tls":{tls}{more_settings}}}"#);
-    let bench = Bench::with(PROGRAM, vec![listener()], Some(&settings));
-    let addr = log_field(&bench.amqp_line, "tls_listen").parse().expect("an address");
+    let bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(&settings));
+    let addr = log_field(&bench.amqp_log_line, "tls_listen").parse().expect("an address");
     (bench, addr)
 }
 
@@ -167,7 +167,8 @@
 #[rstest]
 fn plain_is_not_offered_without_tls(authority: TestAuthority) {
     let (bench, _) = start_bench(&authority.folder, &create_users_setting(&authority));
-    let refused = AmqpPeer::known(bench.amqp.expect("AMQP is on"), "PLAIN", b"\0anna.test\0wind").err();
+    let refused =
+        AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "PLAIN", b"\0anna.test\0wind").err();
     assert_eq!(refused, Some(1));
 }
 
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, counter_value, counter_values, established_client, listener, open_line, Bench, Peer,
+    accept_any, counter_value, counter_values, established_client, listener, request_line, Peer, TestNode,
 };
 use std::io::Write;
 use std::time::Duration;
@@ -18,8 +18,8 @@
 /// The limit on the node's sockets in the test of that limit.
 const SOCKET_LIMIT: usize = 72;
 
-fn request_line(class: &str) -> String {
-    open_line(1).replace("c=live-readings", &format!("c={class}"))
+fn request_line_of_class(class: &str) -> String {
+    request_line(1).replace("c=live-readings", &format!("c={class}"))
 }
 
 #[rstest]
@@ -35,8 +35,8 @@
     #[case] never_ran: bool,
     #[values(IDEMPOTENT, NON_IDEMPOTENT)] class: &str,
 ) {
-    let mut bench = Bench::start(PROGRAM, 2);
-    let mut client = bench.connect_client(&request_line(class));
+    let mut bench = TestNode::start(PROGRAM, 2);
+    let mut client = bench.connect_client(&request_line_of_class(class));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     attempt.send(answer);
@@ -60,8 +60,8 @@
 /// like any line.
 #[rstest]
 fn an_up_in_pieces_is_one_answer() {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = bench.connect_client(&request_line_of_class(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     for piece in ["U", "P ", "r1", "\r", "\n"] {
@@ -76,8 +76,8 @@
 /// An attempt whose answer has no line end times out, and the client gets its final answer within its deadline.
 #[rstest]
 fn an_attempt_whose_answer_has_no_end_times_out() {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = bench.connect_client(&request_line(NON_IDEMPOTENT));
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = bench.connect_client(&request_line_of_class(NON_IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("UP r1 and so on");
@@ -90,8 +90,8 @@
 /// The answer arrives and the attempt times out in the same iteration of the event loop: the answer counts, once.
 #[rstest]
 fn an_answer_in_the_iteration_of_the_attempt_timeout_counts() {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = bench.connect_client(&request_line(IDEMPOTENT));
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = bench.connect_client(&request_line_of_class(IDEMPOTENT));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     bench.pause();
@@ -105,11 +105,11 @@
 
 /// A client sends a hundred commands in one write: it gets one failed answer, and no attempt starts.
 #[rstest]
-#[case::requests(|number| format!("{}\r\n", open_line(number)))]
+#[case::requests(|number| format!("{}\r\n", request_line(number)))]
 #[case::unknown_commands(|number| format!("GET /{number} HTTP/1.1\r\n"))]
 fn a_hundred_commands_in_one_write_get_one_failed_answer(#[case] command: fn(u64) -> String) {
-    let mut bench = Bench::start(PROGRAM, 1);
-    let mut client = Peer::connect(bench.addr);
+    let mut bench = TestNode::start(PROGRAM, 1);
+    let mut client = Peer::connect(bench.text_addr);
     let commands: String = (0..100).map(command).collect();
     client.send(&commands);
     assert_eq!(client.read_to_end(), "ERR\r\n");
@@ -125,9 +125,10 @@
 /// discovery is available again, a client with a request is served, and the node never exceeds its limit.
 #[rstest]
 fn idle_clients_do_not_take_the_watch_descriptor() {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], with_socket_limit);
+    let mut bench =
+        TestNode::start_with_args(PROGRAM, vec![listener(), listener()], None, &[], with_socket_limit);
     let watch = bench.accept_watch();
-    let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.addr)).collect();
+    let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.text_addr)).collect();
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
     let open_descriptors =
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -2,7 +2,7 @@
 //! the events happen, so that it handles them in one iteration of its event loop.
 
 use rstest::rstest;
-use sparbank_test_support::{accept_any, listener, open_line, Bench, FullBacklogServer, Peer};
+use sparbank_test_support::{accept_any, listener, request_line, FullBacklogServer, Peer, TestNode};
 use std::net::Shutdown;
 use std::time::Duration;
 
@@ -48,10 +48,10 @@
 #[case::fin(Disconnect::Fin)]
 #[case::rst(Disconnect::Rst)]
 fn a_disconnect_before_the_request_is_read_prevents_any_attempt(#[case] how: Disconnect) {
-    let mut bench = Bench::start(PROGRAM, 2);
-    let mut client = Peer::connect(bench.addr);
+    let mut bench = TestNode::start(PROGRAM, 2);
+    let mut client = Peer::connect(bench.text_addr);
     bench.pause();
-    client.send(&open_line(1)).send("\r\n");
+    client.send(&request_line(1)).send("\r\n");
     let client = disconnect(client, how);
     wait_for_kernel();
     bench.resume();
@@ -67,8 +67,8 @@
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
     #[values(true, false)] fails_first: bool,
 ) {
-    let mut bench = Bench::start(PROGRAM, 3);
-    let client = bench.connect_client(&open_line(1));
+    let mut bench = TestNode::start(PROGRAM, 3);
+    let client = bench.connect_client(&request_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     bench.pause();
@@ -90,8 +90,8 @@
 fn a_disconnect_during_a_retry_backoff_prevents_the_retry(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
-    let mut bench = Bench::start(PROGRAM, 1);
-    let client = bench.connect_client(&open_line(1));
+    let mut bench = TestNode::start(PROGRAM, 1);
+    let client = bench.connect_client(&request_line(1));
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("BUSY\r\n");
@@ -108,8 +108,8 @@
 }
 
 /// The first line of a request with a deadline of 9 s.
-fn open_line_with_long_deadline(number: u64) -> String {
-    open_line(number).replace("d=1200", "d=9000")
+fn request_line_with_long_deadline(number: u64) -> String {
+    request_line(number).replace("d=1200", "d=9000")
 }
 
 /// The connection to the server is established late, together with the client's disconnect.
@@ -119,8 +119,8 @@
 ) {
     let mut full_server = FullBacklogServer::start();
     let server = full_server.listener.try_clone().expect("a second handle");
-    let mut bench = Bench::with_args(PROGRAM, vec![server], None, &["--trace"], long_timeouts);
-    let client = bench.connect_client(&open_line_with_long_deadline(1));
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![server], None, &["--trace"], long_timeouts);
+    let client = bench.connect_client(&request_line_with_long_deadline(1));
     bench.wait_for_log("client arrived");
     wait_for_kernel();
     bench.pause();
@@ -137,11 +137,12 @@
 fn a_drain_as_the_server_connection_is_established_redirects_the_attempt() {
     let mut full_server = FullBacklogServer::start();
     let server = full_server.listener.try_clone().expect("a second handle");
-    let mut bench = Bench::with_args(PROGRAM, vec![server, listener()], None, &["--trace"], long_timeouts);
+    let mut bench =
+        TestNode::start_with_args(PROGRAM, vec![server, listener()], None, &["--trace"], long_timeouts);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 1, "gone");
     bench.wait_for_log("endpoint list received kind=Incremental");
-    let mut client = bench.connect_client(&open_line_with_long_deadline(1));
+    let mut client = bench.connect_client(&request_line_with_long_deadline(1));
     bench.wait_for_log("client arrived");
     wait_for_kernel();
     bench.pause();
@@ -161,21 +162,21 @@
 /// that arrives later, the node has already sent the answer.
 #[rstest]
 fn a_request_that_races_with_an_idle_close_is_answered() {
-    let mut bench = Bench::start(PROGRAM, 1);
-    let (mut early, mut late) = (Peer::connect(bench.addr), Peer::connect(bench.addr));
+    let mut bench = TestNode::start(PROGRAM, 1);
+    let (mut early, mut late) = (Peer::connect(bench.text_addr), Peer::connect(bench.text_addr));
     // A later connection has its answer, so both have been accepted.
     let mut third = bench.connect_client("PING");
     assert_eq!(third.read_line(), "PONG");
     bench.pause();
     std::thread::sleep(NEARLY_IDLE_TIMEOUT);
-    early.send(&open_line(1)).send("\r\n");
+    early.send(&request_line(1)).send("\r\n");
     bench.resume();
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
     attempt.send("UP r1\r\n");
     assert_eq!(early.read_line(), "UP r1");
     assert_eq!(late.read_line(), "BUSY");
-    late.send(&open_line(2)).send("\r\n");
+    late.send(&request_line(2)).send("\r\n");
     late.expect_closed();
     bench.assert_no_attempts();
 }
@@ -185,8 +186,8 @@
 fn a_disconnect_within_the_request_line_is_no_request(
     #[values(Disconnect::Fin, Disconnect::Rst)] how: Disconnect,
 ) {
-    let mut bench = Bench::start(PROGRAM, 1);
-    let mut client = Peer::connect(bench.addr);
+    let mut bench = TestNode::start(PROGRAM, 1);
+    let mut client = Peer::connect(bench.text_addr);
     client.send("OPEN 1 1 c=live");
     let _client = disconnect(client, how);
     wait_for_kernel();
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -3,8 +3,8 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, established_client, instance, listener, open_line, temp_file, Bench, HandoverFolder,
-    HandoverNode, Peer, Signal,
+    accept_any, endpoint_entry, established_client, listener, request_line, temp_file, HandoverFolder,
+    HandoverNode, Peer, Signal, TestNode,
 };
 use std::path::PathBuf;
 use std::process::Command;
@@ -59,9 +59,16 @@
         [("LD_PRELOAD", library), ("CLOCK_OFFSET_FILE", offset_file)]
     }
 
-    fn start_node(&self, servers: usize, edit: fn(&str) -> String) -> Bench {
+    fn start_node(&self, servers: usize, edit: fn(&str) -> String) -> TestNode {
         let env = self.env();
-        Bench::with_env(PROGRAM, (0..servers).map(|_| listener()).collect(), None, &["--trace"], edit, &env)
+        TestNode::start_with_env(
+            PROGRAM,
+            (0..servers).map(|_| listener()).collect(),
+            None,
+            &["--trace"],
+            edit,
+            &env,
+        )
     }
 }
 
@@ -73,18 +80,18 @@
 }
 
 /// Notifies the node that a server has started now, by a wall clock that differs from the real one by `seconds`.
-fn announce_start(bench: &mut Bench, watch: &mut Peer, server: usize, seconds: i64) {
+fn announce_start(bench: &mut TestNode, watch: &mut Peer, server: usize, seconds: i64) {
     let address = bench.servers[server].local_addr().expect("an address");
     let started = format!(r#""startedAtMs":{}"#, WallClock::now_ms(seconds));
-    let entry = instance(server, address, "ready").replace(r#""startedAtMs":0"#, &started);
+    let entry = endpoint_entry(server, address, "ready").replace(r#""startedAtMs":0"#, &started);
     bench.send_endpoint(watch, &entry);
     bench.wait_for_log("endpoint list received kind=Incremental");
 }
 
 /// Sends a burst of requests. Returns how many of their first attempts reached this server.
-fn burst_attempts_at(bench: &Bench, server: usize) -> usize {
+fn burst_attempts_at(bench: &TestNode, server: usize) -> usize {
     let _clients: Vec<Peer> =
-        (0..BURST).map(|number| bench.connect_client(&open_line(number as u64))).collect();
+        (0..BURST).map(|number| bench.connect_client(&request_line(number as u64))).collect();
     let mut attempts = Vec::new();
     let mut count = 0;
     for _ in 0..BURST {
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -2,7 +2,7 @@
 //! classes, names, effects, deadlines and kinds of discovery. Many processes start at once without discovery.
 
 use rstest::rstest;
-use sparbank_test_support::{accept_any, listener, open_line, Bench, Peer};
+use sparbank_test_support::{accept_any, listener, request_line, Peer, TestNode};
 use std::time::{Duration, Instant};
 
 /// The program under test.
@@ -90,7 +90,7 @@
     #[case] edit: fn(&str) -> String,
     #[case] classes: std::ops::Range<usize>,
 ) {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], edit);
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener(), listener()], None, &[], edit);
     let watch = bench.accept_watch();
     for class in classes.clone() {
         serve_after_a_retry(&bench, class);
@@ -103,16 +103,16 @@
 }
 
 /// The first line of a request of this class.
-fn request_line(number: usize, class: usize) -> String {
+fn request_line_of_class(number: usize, class: usize) -> String {
     let ClassSettings { name, deadline_ms, .. } = &CLASSES[class];
     format!("OPEN r{number} k{number} c={name},d={deadline_ms},g=g{number}")
 }
 
 /// An attempt that never ran is retried at another server, whatever the class. After that, lines are forwarded.
-fn serve_after_a_retry(bench: &Bench, class: usize) {
+fn serve_after_a_retry(bench: &TestNode, class: usize) {
     /// The longest deadline that leaves no time for a retry.
     const MAX_DEADLINE_WITHOUT_RETRY_MS: u64 = 500;
-    let mut client = bench.connect_client(&request_line(class, class));
+    let mut client = bench.connect_client(&request_line_of_class(class, class));
     let (_, mut attempt) = accept_any(&bench.servers);
     assert!(attempt.read_line().contains(&format!("c={}", CLASSES[class].name)));
     if CLASSES[class].deadline_ms > MAX_DEADLINE_WITHOUT_RETRY_MS {
@@ -126,9 +126,9 @@
 }
 
 /// All servers reject the request: the client gets its answer in time.
-fn reject_before_the_deadline(bench: &Bench, class: usize) {
+fn reject_before_the_deadline(bench: &TestNode, class: usize) {
     let requested_at = Instant::now();
-    let mut client = bench.connect_client(&request_line(100, class));
+    let mut client = bench.connect_client(&request_line_of_class(100, class));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     attempt.send("BUSY\r\n");
@@ -141,12 +141,12 @@
 }
 
 /// The first server drains, and then the watch is lost: new requests go to the second server.
-fn drain_the_first_server(bench: &mut Bench, mut watch: Peer, class: usize) {
+fn drain_the_first_server(bench: &mut TestNode, mut watch: Peer, class: usize) {
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
     for number in 200..204 {
-        let _client = bench.connect_client(&request_line(number, class));
+        let _client = bench.connect_client(&request_line_of_class(number, class));
         let (server, mut attempt) = accept_any(&bench.servers);
         attempt.read_line();
         assert_eq!(server, 1, "a draining server gets no new request");
@@ -156,8 +156,8 @@
 /// A request whose class is not in the settings is malformed.
 #[rstest]
 fn a_request_of_an_unknown_class_is_malformed() {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], sixteen_classes_polled);
-    let mut client = bench.connect_client(&open_line(1));
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener()], None, &[], sixteen_classes_polled);
+    let mut client = bench.connect_client(&request_line(1));
     assert_eq!(client.read_to_end(), "ERR\r\n");
     bench.assert_no_attempts();
 }
@@ -169,7 +169,7 @@
     let starts: Vec<_> = (0..24)
         .map(|_| {
             std::thread::spawn(move || {
-                let bench = Bench::start(PROGRAM, 1);
+                let bench = TestNode::start(PROGRAM, 1);
                 assert_eq!(bench.connect_client("PING").read_line(), "PONG");
                 (started_at.elapsed(), bench)
             })
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -2,7 +2,7 @@
 //! that discovery has written to its watch.
 
 use rstest::rstest;
-use sparbank_test_support::{accept_any, instance, listener, open_line, Bench, ListKind, Peer};
+use sparbank_test_support::{accept_any, endpoint_entry, listener, request_line, ListKind, Peer, TestNode};
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
@@ -17,7 +17,7 @@
         text.replace(r#""Discovery":"ask""#, r#""Discovery":"push""#)
             .replace(r#""AskWithinNs":1600000000,"#, "")
     };
-    let mut bench = Bench::with_args(PROGRAM, vec![listener(), listener()], None, &[], pushed);
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener(), listener()], None, &[], pushed);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
@@ -28,9 +28,9 @@
 }
 
 /// Asserts that all these clients are connected to server 1, and none to server 0, which is draining.
-fn assert_clients_connect_to_server_1(bench: &Bench, clients: Range<u64>) {
+fn assert_clients_connect_to_server_1(bench: &TestNode, clients: Range<u64>) {
     for number in clients {
-        let mut client = bench.connect_client(&open_line(number));
+        let mut client = bench.connect_client(&request_line(number));
         let (server, mut attempt) = accept_any(&bench.servers);
         assert_eq!(server, 1, "a draining server gets no new request");
         attempt.read_line();
@@ -49,9 +49,9 @@
 #[case::in_one_chunk(usize::MAX)]
 #[case::byte_by_byte(1)]
 fn an_indented_object_is_one_list(#[case] chunk_bytes: usize) {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
-    let entry = instance(0, bench.servers[0].local_addr().expect("an address"), "draining");
+    let entry = endpoint_entry(0, bench.servers[0].local_addr().expect("an address"), "draining");
     let text = format!(
         "{{\r\n  \"generation\": 2,\n  \"reset\": false,\n  \"instances\": [\n    {entry}\n  ]\n}}\n\n"
     );
@@ -70,7 +70,7 @@
 #[case::empty_line_follows("{\"generation\":2,\"inst\n\n")]
 #[case::line_end_inside_a_string("{\"generation\":2,\"instances\":[{\"instanceId\":\"s-\n")]
 fn a_truncated_object_ends_the_watch(#[case] text: &str) {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let mut watch = bench.accept_watch();
     send_chunk(&mut watch, text);
     assert!(bench.wait_for_log("endpoint watch lost").ends_with("error=malformed JSON"));
@@ -80,7 +80,7 @@
 /// While nothing changes, discovery writes only an empty line every 2 s. Such a watch is healthy.
 #[rstest]
 fn a_watch_with_empty_lines_only_stays_open() {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     send_chunk(&mut watch, "\n");
     std::thread::sleep(Duration::from_millis(2_600));
@@ -95,7 +95,7 @@
 #[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
 fn a_silent_watch_is_reopened_within_six_seconds(#[case] text: &str) {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     let silent_since = Instant::now();
     if !text.is_empty() {
@@ -113,7 +113,7 @@
 /// loop, and the new address is silent. The change counts.
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
     bench.pause();
@@ -129,7 +129,7 @@
 /// undo that change.
 #[rstest]
 fn a_stale_list_from_a_new_address_does_not_undo_a_drain() {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut old_watch = bench.accept_watch();
     bench.update_lifecycle(&mut old_watch, 1, "ready");
     bench.update_lifecycle(&mut old_watch, 0, "draining");
@@ -138,7 +138,7 @@
     bench.generation = 2;
     let mut watch = bench.accept_watch();
     let address = |server: usize| bench.servers[server].local_addr().expect("an address");
-    let entries = [instance(0, address(0), "ready"), instance(1, address(1), "ready")].join(",");
+    let entries = [endpoint_entry(0, address(0), "ready"), endpoint_entry(1, address(1), "ready")].join(",");
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries);
     drop(watch);
     bench.wait_for_log("endpoint watch lost error=ended");
--- a/tests/forwarding_races.rs
+++ b/tests/forwarding_races.rs
@@ -1,6 +1,6 @@
 //! Races between forwarding and backpressure: buffered lines are forwarded as soon as a slow side reads again.
 
-use sparbank_test_support::{counter_value, established_client, Bench};
+use sparbank_test_support::{counter_value, established_client, TestNode};
 use std::io::Write;
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 /// gets every line and the close, although the server sends nothing more that would wake the node.
 #[test]
 fn a_client_that_stalls_in_a_burst_gets_all_lines_and_the_close() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     let mut sender = attempt.stream.try_clone().expect("a second handle");
     drop(attempt);
@@ -37,7 +37,7 @@
 /// A server that sends an overlong line can no longer be used: its client is migrated and not just disconnected.
 #[test]
 fn the_client_of_a_server_that_sends_an_overlong_line_is_migrated() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let (mut client, mut attempt) = established_client(&bench, 1);
     attempt.send("M 1\r\n").send(&"x".repeat(5_000));
     assert_eq!([client.read_line(), client.read_line()], ["M 1", "MOVE"]);
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    config, counter_value, established_client, listen_for_handover, listener, node_command, open_line,
+    config, counter_value, established_client, listen_for_handover, listener, node_command, request_line,
     temp_file, HandoverFolder, HandoverNode, HandoverPeer, Peer, Signal,
 };
 use std::net::TcpStream;
@@ -34,10 +34,10 @@
     // Half a line in each direction, and half of a request line on another connection.
     client.send("M 2");
     server.send("N 2");
-    let mut new_client = Peer::connect(node.bench.addr);
+    let mut new_client = Peer::connect(node.bench.text_addr);
     new_client.send("OPEN 2 2 c=live-rea");
     // Once this is answered, the node has read everything that arrived earlier.
-    assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "PONG");
+    assert_eq!(Peer::connect(node.bench.text_addr).send("PING\r\n").read_line(), "PONG");
     let counters = node.replace();
     assert_eq!(
         ["handed_over", "migrated", "handovers"].map(|name| counter_value(&counters, name)),
@@ -60,7 +60,7 @@
     let counts = ["inherited", "requests", "migrated", "discovery_polls"].map(|name| counters[name]);
     assert_eq!(counts, [1, 1, 0, 0]);
     // The id of a transferred connection is also in use in the successor.
-    assert_eq!(node.bench.connect_client(&open_line(1)).read_line(), "ERR");
+    assert_eq!(node.bench.connect_client(&request_line(1)).read_line(), "ERR");
     drop(server);
     client.expect_closed();
 }
@@ -68,7 +68,7 @@
 #[rstest]
 fn a_request_in_flight_is_answered_and_then_transferred() {
     let mut node = HandoverNode::start(PROGRAM);
-    let mut client = node.bench.connect_client(&open_line(1));
+    let mut client = node.bench.connect_client(&request_line(1));
     let mut server = Peer::accept(&node.bench.servers[0]);
     server.read_line();
     let mut predecessor = node.start_successor();
@@ -91,7 +91,7 @@
     assert_eq!(status_line, "HTTP/1.1 200 OK");
     assert_eq!(client.read_line(), "MOVE");
     node.replace();
-    assert_eq!(Peer::connect(node.bench.addr).send("PING\r\n").read_line(), "BUSY");
+    assert_eq!(Peer::connect(node.bench.text_addr).send("PING\r\n").read_line(), "BUSY");
 }
 
 /// The successor exits because of its configuration, before it requests the state.
@@ -205,7 +205,7 @@
 fn the_successor_inherits_the_amqp_listener() {
     let folder = HandoverFolder::create();
     let mut node = HandoverNode::start_in(PROGRAM, &folder, Some(r#"{"listen":"127.0.0.1:0"}"#));
-    let amqp = node.bench.amqp.expect("the AMQP frontend is on");
+    let amqp = node.bench.amqp_addr.expect("the AMQP frontend is on");
     node.replace();
     assert!(TcpStream::connect(amqp).is_ok());
 }
--- a/tests/handover_recording.rs
+++ b/tests/handover_recording.rs
@@ -298,7 +298,7 @@
 fn a_recorded_drain_continues(#[values("00677b7", "fd894e1")] version: &str) {
     let recording = Recording::read(version, "drained");
     let mut successor = start_successor(&recording, str::to_string);
-    assert_eq!(Peer::connect(successor.node.bench.addr).send("PING\r\n").read_line(), "BUSY");
+    assert_eq!(Peer::connect(successor.node.bench.text_addr).send("PING\r\n").read_line(), "BUSY");
     successor.node.bench.signal(Signal::TERM);
     let counters = successor.node.bench.wait_for_log("counters");
     assert_eq!(counter_value(&counters, "handovers"), 1);
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -1,7 +1,7 @@
 //! Records of ended flows, as an IPFIX collector receives them.
 
 use rstest::rstest;
-use sparbank_test_support::{listener, Bench, Peer};
+use sparbank_test_support::{listener, Peer, TestNode};
 use std::collections::HashMap;
 use std::net::UdpSocket;
 
@@ -79,7 +79,8 @@
     let collector = UdpSocket::bind("127.0.0.1:0").expect("a UDP socket");
     collector.set_read_timeout(Some(std::time::Duration::from_secs(20))).expect("a time-out");
     let address = collector.local_addr().expect("bound").to_string();
-    let bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--ipfix", &address], str::to_string);
+    let bench =
+        TestNode::start_with_args(PROGRAM, vec![listener()], None, &["--ipfix", &address], str::to_string);
     let mut client = bench.connect_client("OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f");
     let mut attempt = Peer::accept(&bench.servers[0]);
     attempt.read_line();
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -1,6 +1,6 @@
 //! The log: a reader that does not read its pipe delays no client.
 
-use sparbank_test_support::{listener, open_line, Bench, Peer};
+use sparbank_test_support::{listener, request_line, Peer, TestNode};
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_sparbank");
@@ -14,12 +14,13 @@
 #[test]
 fn a_log_that_nobody_reads_delays_no_answer() {
     let servers = vec![listener()];
-    let bench = Bench::with_args(PROGRAM, servers, None, &["--trace"], |text| {
+    let bench = TestNode::start_with_args(PROGRAM, servers, None, &["--trace"], |text| {
         text.replace(r#""lifecycle":"ready""#, r#""lifecycle":"draining""#)
     });
     for batch in 0..BATCHES {
         let numbers = batch * BATCH..(batch + 1) * BATCH;
-        let mut clients: Vec<Peer> = numbers.map(|number| bench.connect_client(&open_line(number))).collect();
+        let mut clients: Vec<Peer> =
+            numbers.map(|number| bench.connect_client(&request_line(number))).collect();
         for client in &mut clients {
             assert!(client.read_line().starts_with("BUSY"));
         }
--- a/tests/mixed/faults.rs
+++ b/tests/mixed/faults.rs
@@ -1,7 +1,7 @@
 //! Injects one fault after another. The number of a fault determines its kind and its server.
 
 use crate::servers::{Mode, Server};
-use sparbank_test_support::{Bench, ListKind, Peer};
+use sparbank_test_support::{ListKind, Peer, TestNode};
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
 
     /// Waits for the time of the next fault, and injects it. The server recovers instead if it has such a fault already, if
     /// the limits allow no further one, or if the number of the fault selects a recovery.
-    pub fn wait_and_inject(&mut self, bench: &mut Bench, servers: &[Arc<Server>]) {
+    pub fn wait_and_inject(&mut self, bench: &mut TestNode, servers: &[Arc<Server>]) {
         self.step += 1;
         std::thread::sleep(FAULT_INTERVAL);
         let fault = mix(self.step) % 4;
@@ -50,7 +50,7 @@
         }
     }
 
-    fn recover(&mut self, bench: &mut Bench, server: &Server, number: usize) {
+    fn recover(&mut self, bench: &mut TestNode, server: &Server, number: usize) {
         server.set_mode(Mode::Up);
         if server.is_draining() {
             server.end_drain();
--- a/tests/mixed/main.rs
+++ b/tests/mixed/main.rs
@@ -16,7 +16,7 @@
 use items::ItemNumbers;
 use rstest::rstest;
 use servers::Server;
-use sparbank_test_support::{listener, Bench};
+use sparbank_test_support::{listener, TestNode};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -37,7 +37,7 @@
 
 /// The node and its simulated servers.
 struct Environment {
-    bench: Bench,
+    bench: TestNode,
     servers: Vec<Arc<Server>>,
     attempts: Arc<AttemptLog>,
     /// Set at the end of the test: the threads of the servers exit.
@@ -57,7 +57,7 @@
             server
         };
         let servers = text.iter().zip(amqp).map(start_server).collect();
-        let bench = Bench::with_args(PROGRAM, text, Some(&amqp_settings), &[], |text| {
+        let bench = TestNode::start_with_args(PROGRAM, text, Some(&amqp_settings), &[], |text| {
             text.replace(r#""sockets":256"#, r#""sockets":900"#)
         });
         Environment { bench, servers, attempts, stop }
@@ -116,11 +116,11 @@
     let seconds = std::env::var("MIXED_SECONDS").ok().and_then(|text| text.parse().ok());
     let seconds = seconds.unwrap_or(DEFAULT_SECONDS);
     let mut environment = Environment::start();
-    let amqp_address = environment.bench.amqp.expect("the AMQP frontend is enabled");
+    let amqp_address = environment.bench.amqp_addr.expect("the AMQP frontend is enabled");
     let numbers = Arc::new(ItemNumbers::default());
     let mut faults = FaultInjector::new(environment.bench.accept_watch());
     let until = Instant::now() + Duration::from_secs(seconds);
-    let text_clients = start_clients(text_client, environment.bench.addr, &numbers, until);
+    let text_clients = start_clients(text_client, environment.bench.text_addr, &numbers, until);
     let amqp_clients = start_clients(amqp_client, amqp_address, &numbers, until);
     while Instant::now() < until {
         faults.wait_and_inject(&mut environment.bench, &environment.servers);
--- a/tests/reload.rs
+++ b/tests/reload.rs
@@ -2,7 +2,7 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, counter_value, instance, listener, open_line, Bench, ListKind, Peer,
+    accept_any, counter_value, endpoint_entry, listener, request_line, ListKind, Peer, TestNode,
 };
 
 /// The program under test.
@@ -12,8 +12,8 @@
 
 /// Establishes a connection of a new client, which must be placed at this server. Returns the ends of client and
 /// server.
-fn establish_at(bench: &Bench, server: usize, key: u64) -> (Peer, Peer) {
-    let mut client = bench.connect_client(&open_line(key));
+fn establish_at(bench: &TestNode, server: usize, key: u64) -> (Peer, Peer) {
+    let mut client = bench.connect_client(&request_line(key));
     let mut attempt = Peer::accept(&bench.servers[server]);
     attempt.read_line();
     attempt.send("UP r1\r\n");
@@ -25,7 +25,7 @@
 #[case::draining("draining")]
 #[case::missing("")]
 fn after_discovery_moves_the_first_list_replaces_the_known_one(#[case] lifecycle: &str) {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let _old = bench.accept_watch();
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -38,9 +38,9 @@
     bench.generation = 0;
     let mut watch = bench.accept_watch();
     let address = |server: usize| bench.servers[server].local_addr().expect("an address");
-    let mut entries = vec![instance(1, address(1), "ready")];
+    let mut entries = vec![endpoint_entry(1, address(1), "ready")];
     if !lifecycle.is_empty() {
-        entries.push(instance(0, address(0), lifecycle));
+        entries.push(endpoint_entry(0, address(0), lifecycle));
     }
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries.join(","));
     // The watch ends after the list: once its loss is logged, the list has been handled.
@@ -57,7 +57,7 @@
 
 #[rstest]
 fn a_failed_poll_of_a_new_address_is_repeated_and_known_servers_are_kept() {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let _old = bench.accept_watch();
     bench.move_discovery();
     drop(Peer::accept(&bench.discovery));
@@ -80,7 +80,7 @@
 #[case::a_field_with_an_invalid_value(|text: &str| text.replace("read_like", "odd"), "field settings.Profiles[0].Effect")]
 #[case::no_discovery(|text: &str| text.replace("\"discovery\"", "\"elsewhere\""), "discovery")]
 fn an_invalid_file_changes_nothing(#[case] edit: fn(&str) -> String, #[case] expected: &str) {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let mut watch = bench.accept_watch();
     bench.reconfigure(edit);
     let rejection = bench.wait_for_log("configuration reload rejected");
@@ -96,7 +96,7 @@
 #[rstest]
 fn fields_that_need_a_restart_are_named_and_the_others_are_applied() {
     let amqp = r#"{"listen":"127.0.0.1:0"}"#;
-    let mut bench = Bench::with(PROGRAM, vec![listener()], Some(amqp));
+    let mut bench = TestNode::start_with_servers(PROGRAM, vec![listener()], Some(amqp));
     let _watch = bench.accept_watch();
     bench.reconfigure(|text| {
         // With a limit of 20 sockets, none is left for a client.
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -3,7 +3,7 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, counter_value, established_client, listener, log_field, open_line, Bench, Peer, Signal,
+    accept_any, counter_value, established_client, listener, log_field, request_line, Peer, Signal, TestNode,
 };
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
 const ADMIN_DRAIN_DURATION: Duration = Duration::from_millis(4_000);
 
 /// Asserts that the node exits by itself before SIGKILL. Returns its last `counters` line.
-fn expect_exit(mut bench: Bench, sigterm_at: Instant) -> String {
+fn expect_exit(mut bench: TestNode, sigterm_at: Instant) -> String {
     let counters = bench.wait_for_log("counters");
     assert!(bench.process.wait().success(), "exit 0");
     assert!(sigterm_at.elapsed() < SIGKILL_AFTER, "{:?} after SIGTERM", sigterm_at.elapsed());
@@ -46,9 +46,9 @@
 fn a_request_arriving_at_sigterm_is_served_and_migrated(
     #[values(Arrival::PartialLine, Arrival::Unread, Arrival::Queued)] arrival: Arrival,
 ) {
-    let bench = Bench::start(PROGRAM, 1);
-    let line = format!("{}\r\n", open_line(1));
-    let mut early = Peer::connect(bench.addr);
+    let bench = TestNode::start(PROGRAM, 1);
+    let line = format!("{}\r\n", request_line(1));
+    let mut early = Peer::connect(bench.text_addr);
     if let Arrival::PartialLine = arrival {
         early.send(&line[..9]);
         // A later request has its answer, so the first part of the line has been read.
@@ -61,7 +61,7 @@
             early.send(&line);
             early
         }
-        Arrival::Queued => Peer::connect(bench.addr),
+        Arrival::Queued => Peer::connect(bench.text_addr),
     };
     bench.signal(Signal::TERM);
     let sigterm_at = Instant::now();
@@ -95,8 +95,8 @@
     #[values(Server::Answers, Server::Hangs, Server::Rejects)] server: Server,
     #[values(1, 2)] sigterms: u32,
 ) {
-    let bench = Bench::start(PROGRAM, 2);
-    let mut client = bench.connect_client(&open_line(1));
+    let bench = TestNode::start(PROGRAM, 2);
+    let mut client = bench.connect_client(&request_line(1));
     let (_, mut attempt) = accept_any(&bench.servers);
     attempt.read_line();
     if let Server::Rejects = server {
@@ -129,7 +129,7 @@
 /// SIGHUP arrives just before or just after SIGTERM: the node still migrates its clients and exits.
 #[rstest]
 fn sighup_together_with_sigterm_does_not_disturb_the_shutdown(#[values(true, false)] before: bool) {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let (mut client, attempt) = established_client(&bench, 1);
     bench.pause();
     if before {
@@ -151,7 +151,7 @@
 /// open: the process still exits before SIGKILL.
 #[test]
 fn a_node_that_is_stalled_at_sigterm_exits_before_sigkill() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let _hung = bench.servers[0].try_clone().expect("a second handle");
     bench.pause();
     bench.signal(Signal::TERM);
@@ -159,7 +159,7 @@
     std::thread::sleep(MAX_STALL);
     bench.resume();
     std::thread::sleep(LAST_ARRIVAL.saturating_sub(sigterm_at.elapsed()));
-    let mut client = bench.connect_client(&open_line(1));
+    let mut client = bench.connect_client(&request_line(1));
     assert!(["ERR", "BUSY"].contains(&client.read_line().split(' ').next().expect("a word")));
     expect_exit(bench, sigterm_at);
 }
@@ -168,7 +168,7 @@
 /// on a new connection or on an idle one, gets its final answer.
 #[rstest]
 fn a_request_arriving_as_a_drained_node_exits_is_answered(#[values(true, false)] is_connected: bool) {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &[], |text| {
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener()], None, &[], |text| {
         text.replace(r#""listen":"#, r#""operator":"127.0.0.1:0","listen":"#)
     });
     let line = bench.wait_for_log("admin API ready");
@@ -176,12 +176,12 @@
     let mut caller = Peer::connect(admin);
     caller.send("POST /-/drain HTTP/1.1\r\nHost: node\r\n\r\n").read_to_end();
     std::thread::sleep(ADMIN_DRAIN_DURATION);
-    let idle = is_connected.then(|| Peer::connect(bench.addr));
+    let idle = is_connected.then(|| Peer::connect(bench.text_addr));
     assert_eq!(bench.connect_client("PING").read_line(), "BUSY", "the node is drained");
     bench.pause();
     bench.signal(Signal::TERM);
-    let mut client = idle.unwrap_or_else(|| Peer::connect(bench.addr));
-    client.send(&open_line(1)).send("\r\n");
+    let mut client = idle.unwrap_or_else(|| Peer::connect(bench.text_addr));
+    client.send(&request_line(1)).send("\r\n");
     bench.resume();
     let answer = client.read_line();
     assert!(answer == "BUSY" || answer == "ERR", "{answer:?}");
@@ -193,14 +193,14 @@
 /// forwarded.
 #[rstest]
 fn idle_connections_are_closed_before_the_process_exits() {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut idle: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.addr)).collect();
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut idle: Vec<Peer> = (0..20).map(|_| Peer::connect(bench.text_addr)).collect();
     assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     bench.signal(Signal::TERM);
     let sigterm_at = Instant::now();
     for (number, client) in idle.iter_mut().enumerate() {
         assert_eq!(client.read_line(), "BUSY");
-        client.send(&open_line(number as u64)).send("\r\n");
+        client.send(&request_line(number as u64)).send("\r\n");
     }
     idle.iter_mut().for_each(Peer::expect_closed);
     drop(idle);
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, counter_value, counter_values, establish, established_client, is_log_of, listener, open_line,
-    refusing_port, try_accept, Bench, FullBacklogServer, Peer, Signal,
+    accept_any, counter_value, counter_values, establish, established_client, is_log_of, listener,
+    refusing_port, request_line, try_accept, FullBacklogServer, Peer, Signal, TestNode,
 };
 use std::net::TcpListener;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 const OPEN: &str = "OPEN 9b1f 7f3a c=live-readings,t=acme,d=1200,g=5c0f";
 
 /// Accepts an attempt at whichever server it reaches. Returns the server's index and the connection.
-fn accept_attempt(bench: &Bench) -> (usize, Peer) {
+fn accept_attempt(bench: &TestNode) -> (usize, Peer) {
     accept_any(&bench.servers)
 }
 
@@ -27,7 +27,7 @@
 
 #[rstest]
 fn lines_are_forwarded_unchanged_and_the_end_is_propagated() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     let request_line = attempt.read_line();
@@ -53,7 +53,7 @@
 fn every_load_line_is_a_load() {
     let with_latencies =
         |text: &str| text.replace(r#""FamilyInfo":{"#, r#""FamilyInfo":{"TellsDelay":true,"#);
-    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], with_latencies);
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener()], None, &["--trace"], with_latencies);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     attempt.read_line();
@@ -76,7 +76,7 @@
 #[case::report("BYE inflight=7,queue=2,util=0.61\r\n")]
 #[case::malformed_report("BYE inflight\r\n")]
 fn a_bye_with_a_load_report_ends_the_connection_without_failure(#[case] bye: &str) {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], str::to_string);
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener()], None, &["--trace"], str::to_string);
     let mut client = bench.connect_client(OPEN);
     let (_, mut attempt) = accept_attempt(&bench);
     establish(&mut client, &mut attempt);
@@ -92,7 +92,7 @@
 
 #[rstest]
 fn the_client_of_a_server_that_stops_answering_is_migrated() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let (mut client, mut server) = established_client(&bench, 0x9b1f);
     client.send("M 1 x\r\n");
     assert_eq!([server.read_line(), client.read_line()], ["M 1 x", "MOVE"]);
@@ -108,7 +108,7 @@
 #[case::full("BUSY\r\n")]
 #[case::garbage("\u{1}what\r\n")]
 fn a_failed_attempt_is_retried_at_another_server(#[case] answer: &str) {
-    let bench = Bench::start(PROGRAM, 2);
+    let bench = TestNode::start(PROGRAM, 2);
     let mut client = bench.connect_client(OPEN);
     let (first, mut failing) = accept_attempt(&bench);
     failing.read_line();
@@ -125,9 +125,9 @@
 #[case::refused(refusing_port())]
 #[case::never_established(full_backlog())]
 fn an_attempt_at_an_unreachable_server_never_ran(#[case] unreachable: TcpListener) {
-    let mut bench = Bench::with(PROGRAM, vec![unreachable, listener()], None);
+    let mut bench = TestNode::start_with_servers(PROGRAM, vec![unreachable, listener()], None);
     for key in 0..6 {
-        let mut client = bench.connect_client(&open_line(key));
+        let mut client = bench.connect_client(&request_line(key));
         let mut attempt = Peer::accept(&bench.servers[1]);
         establish(&mut client, &mut attempt);
     }
@@ -137,7 +137,7 @@
 
 #[rstest]
 fn if_all_servers_reject_the_answer_is_busy_with_retry_after_at_once() {
-    let bench = Bench::start(PROGRAM, 3);
+    let bench = TestNode::start(PROGRAM, 3);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     for _ in 0..3 {
         let (_, mut attempt) = accept_attempt(&bench);
@@ -152,7 +152,7 @@
 
 #[rstest]
 fn a_client_whose_server_never_answers_is_rejected_in_time() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=400"));
     let (_, mut hung) = accept_attempt(&bench);
     hung.read_line();
@@ -183,7 +183,7 @@
 #[case::too_long(&"x".repeat(5000))]
 #[case::not_text("\u{0}\u{1}")]
 fn a_malformed_line_gets_one_failed_answer(#[case] line: &str) {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     let mut client = bench.connect_client(line);
     assert_eq!(client.read_line(), "ERR");
     client.expect_closed();
@@ -192,7 +192,7 @@
 
 #[rstest]
 fn a_request_with_the_id_of_an_open_request_is_rejected_and_the_open_one_continues() {
-    let bench = Bench::start(PROGRAM, 2);
+    let bench = TestNode::start(PROGRAM, 2);
     let (mut client, mut server) = established_client(&bench, 0x9b1f);
     assert_eq!(bench.connect_client(OPEN).read_line(), "ERR");
     client.send("M 1 x\r\n");
@@ -209,8 +209,8 @@
 #[case::at_once("M 1 x\r\n", "")]
 #[case::later("", "OPEN 8 9 c=live-readings,d=100\r\n")]
 fn a_second_line_before_up_is_an_error(#[case] with_request: &str, #[case] after_request: &str) {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = Peer::connect(bench.addr);
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = Peer::connect(bench.text_addr);
     client.send(&format!("{OPEN}\r\n{with_request}"));
     if !after_request.is_empty() {
         let (_, mut attempt) = accept_attempt(&bench);
@@ -225,7 +225,7 @@
 
 #[rstest]
 fn a_resumed_client_reaches_its_server_and_does_not_count_as_placed() {
-    let mut bench = Bench::start(PROGRAM, 3);
+    let mut bench = TestNode::start(PROGRAM, 3);
     let mut client = bench.connect_client("PING");
     assert_eq!(client.read_line(), "PONG");
     client.send(&format!("{OPEN},at=s-2\r\n"));
@@ -242,14 +242,14 @@
 
 #[rstest]
 fn a_draining_server_gets_no_attempts_and_an_ended_watch_is_reopened() {
-    let mut bench = Bench::start(PROGRAM, 2);
+    let mut bench = TestNode::start(PROGRAM, 2);
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     // The watch ends after the change: once its loss is logged, the change has been handled.
     watch.send("0\r\n\r\n");
     bench.wait_for_log("endpoint watch lost");
     for key in 0..4 {
-        let mut client = bench.connect_client(&open_line(key));
+        let mut client = bench.connect_client(&request_line(key));
         let mut attempt = Peer::accept(&bench.servers[1]);
         establish(&mut client, &mut attempt);
     }
@@ -262,12 +262,12 @@
     let long_connect_timeout =
         |text: &str| text.replace(r#""DialTimeoutNs":250000000"#, r#""DialTimeoutNs":60000000000"#);
     let mut bench =
-        Bench::with_args(PROGRAM, vec![full_backlog(), listener()], None, &[], long_connect_timeout);
+        TestNode::start_with_args(PROGRAM, vec![full_backlog(), listener()], None, &[], long_connect_timeout);
     let mut watch = bench.accept_watch();
     // Connects clients until the first server is selected; the second one accepts those before.
     let mut key = 0;
     let mut client = loop {
-        let mut client = bench.connect_client(&open_line(key).replace("1200", "60000"));
+        let mut client = bench.connect_client(&request_line(key).replace("1200", "60000"));
         while bench.counter("sent") == key {}
         let Some(mut attempt) = try_accept(&bench.servers[1]) else { break client };
         establish(&mut client, &mut attempt);
@@ -284,7 +284,7 @@
 #[case::not_json("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{]\n\r\n")]
 #[case::unavailable("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")]
 fn an_invalid_response_from_discovery_is_a_failed_poll(#[case] answer: &str) {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let mut poll = Peer::accept(&bench.discovery);
     poll.send(answer);
     bench.wait_for_log("endpoint watch lost");
@@ -297,11 +297,11 @@
 
 #[rstest]
 fn sigterm_answers_late_requests_and_migrates_established_clients() {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let (mut first, _first_server) = established_client(&bench, 0x9b1f);
     bench.signal(Signal::TERM);
     bench.wait_for_log("shutting down");
-    let mut second = bench.connect_client(&open_line(2));
+    let mut second = bench.connect_client(&request_line(2));
     let (_, mut attempt) = accept_attempt(&bench);
     attempt.read_line();
     attempt.send("UP r2\r\n");
@@ -316,7 +316,7 @@
 /// it.
 #[rstest]
 fn sigterm_leaves_no_request_without_an_answer() {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let mut client = bench.connect_client(&OPEN.replace("d=1200", "d=60000"));
     let (_, mut hung) = accept_attempt(&bench);
     hung.read_line();
