--- a/tests/text_overload.rs
+++ b/tests/text_overload.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 use sparbank_test_support::{
-    accept_any, counter_value, counter_values, establish, established_client, listener, open_line, Bench,
-    Peer,
+    accept_any, counter_value, counter_values, establish, established_client, listener, request_line, Peer,
+    TestNode,
 };
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -20,16 +20,16 @@
 const DESCRIPTOR_SHORTAGE: Duration = Duration::from_millis(2_000);
 
 /// Changes the number of descriptors that the system allows the node.
-fn limit_descriptors(bench: &Bench, descriptors: u64) {
+fn limit_descriptors(bench: &TestNode, descriptors: u64) {
     bench.process.limit_descriptors(descriptors, MAX_DESCRIPTORS);
 }
 
 /// A request that needs sockets evicts idle clients, the oldest first.
 #[rstest]
 fn idle_clients_are_evicted_for_a_request() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     // The node may hold 256 sockets, of which it reserves some for established connections.
-    let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.addr)).collect();
+    let mut idle: Vec<Peer> = (0..400).map(|_| Peer::connect(bench.text_addr)).collect();
     let _established = established_client(&bench, 0x9b1f);
     assert_eq!(
         idle[0].read_line(),
@@ -49,8 +49,8 @@
 #[case::half_a_line("OPEN 1 2 c=live-re", "BUSY")]
 #[case::only_pings("PING\r\n", "PONG")]
 fn a_client_without_a_request_line_is_closed(#[case] sent: &str, #[case] answer: &str) {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = Peer::connect(bench.addr);
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = Peer::connect(bench.text_addr);
     client.send(sent);
     let sent_at = Instant::now();
     assert_eq!(client.read_line(), answer);
@@ -63,8 +63,8 @@
 #[rstest]
 fn a_line_without_an_end_is_answered_while_it_is_sent() {
     const CHUNKS: usize = 960;
-    let bench = Bench::start(PROGRAM, 1);
-    let mut client = Peer::connect(bench.addr);
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut client = Peer::connect(bench.text_addr);
     let mut sender = client.stream.try_clone().expect("a second handle");
     let sending = std::thread::spawn(move || {
         let chunk = [b'x'; 64 * 1024];
@@ -77,18 +77,18 @@
 
 #[rstest]
 fn idle_clients_are_evicted_if_the_system_allows_fewer_descriptors_than_configured() {
-    let bench = Bench::start(PROGRAM, 1);
+    let bench = TestNode::start(PROGRAM, 1);
     limit_descriptors(&bench, 32);
-    let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.addr)).collect();
+    let _idle: Vec<Peer> = (0..60).map(|_| Peer::connect(bench.text_addr)).collect();
     established_client(&bench, 0x9b1f);
     assert!(counter_value(&bench.stop(), "idle_closed") > 30);
 }
 
 #[rstest]
 fn accepting_pauses_while_no_descriptor_is_available_and_resumes() {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     limit_descriptors(&bench, 4);
-    let mut client = bench.connect_client(&open_line(0x9b1f));
+    let mut client = bench.connect_client(&request_line(0x9b1f));
     bench.wait_for_log("accepting paused, no descriptor available");
     limit_descriptors(&bench, 64);
     let (_, mut attempt) = accept_any(&bench.servers);
@@ -99,13 +99,13 @@
 /// request waits, uses none of its attempts, and is served once descriptors are available.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_the_server() {
-    let mut bench = Bench::with_args(PROGRAM, vec![listener()], None, &["--trace"], |text| {
+    let mut bench = TestNode::start_with_args(PROGRAM, vec![listener()], None, &["--trace"], |text| {
         text.replace(r#""HardLimitNs":1200000000"#, r#""HardLimitNs":9000000000"#)
     });
     let mut client = bench.connect_client("PING");
     assert_eq!(client.read_line(), "PONG");
     limit_descriptors(&bench, 4);
-    client.send(&open_line(0x9b1f).replace("d=1200", "d=9000")).send("\r\n");
+    client.send(&request_line(0x9b1f).replace("d=1200", "d=9000")).send("\r\n");
     bench.wait_for_log("client arrived");
     std::thread::sleep(DESCRIPTOR_SHORTAGE);
     limit_descriptors(&bench, 64);
@@ -116,7 +116,7 @@
 /// Without a free descriptor the watch cannot be reopened. Discovery has not failed, so no backoff follows.
 #[test]
 fn a_shortage_of_descriptors_is_no_failure_of_discovery() {
-    let mut bench = Bench::start(PROGRAM, 1);
+    let mut bench = TestNode::start(PROGRAM, 1);
     let watch = bench.accept_watch();
     assert_eq!(bench.counter("discovery_failures"), 0);
     limit_descriptors(&bench, 4);
@@ -131,12 +131,12 @@
 /// A client that is evicted for its descriptor is answered first, since its request may be in transit.
 #[test]
 fn an_evicted_client_is_answered() {
-    let bench = Bench::start(PROGRAM, 1);
-    let mut half_a_line = Peer::connect(bench.addr);
+    let bench = TestNode::start(PROGRAM, 1);
+    let mut half_a_line = Peer::connect(bench.text_addr);
     half_a_line.send("OPEN 9b1f 7f3a c=li");
-    let mut idle = Peer::connect(bench.addr);
+    let mut idle = Peer::connect(bench.text_addr);
     assert_eq!(bench.connect_client("PING").read_line(), "PONG");
     limit_descriptors(&bench, 4);
-    let _later: Vec<Peer> = (0..4).map(|_| Peer::connect(bench.addr)).collect();
+    let _later: Vec<Peer> = (0..4).map(|_| Peer::connect(bench.text_addr)).collect();
     assert_eq!([half_a_line.read_line(), idle.read_line()], ["BUSY", "BUSY"]);
 }
