--- a/crates/amqp/tests/pair.rs
+++ b/crates/amqp/tests/pair.rs
@@ -114,7 +114,7 @@
 }
 
 #[rstest]
-fn a_receiver_that_settles_second_hears_the_senders_settlement() {
+fn with_receiver_settle_mode_second_the_sender_settles_first() {
     let mut pair = Pair::new(Settings::default(), Settings::default());
     pair.exchange_all();
     let channel = pair.ends[0].begin().expect("a free channel");
@@ -182,7 +182,10 @@
 #[case::scram_wrong(Credentials::Scram { user: "anna".into(), password: "rain".into(), nonce: "abc".into() }, false)]
 #[case::external(Credentials::External, true)]
 #[case::anonymous_is_not_offered(Credentials::Anonymous, false)]
-fn a_peer_makes_itself_known(#[case] credentials: Credentials, #[case] is_valid: bool) {
+fn authentication_succeeds_only_with_valid_credentials_of_an_offered_mechanism(
+    #[case] credentials: Credentials,
+    #[case] is_valid: bool,
+) {
     let salted = Pbkdf2::new(b"wind", b"salt", 64).step(64).expect("all iterations are done");
     let keys = SaltedKeys::from_salted(&salted, b"salt".to_vec(), 64);
     let offered = vec![Mechanism::ScramSha256, Mechanism::Plain, Mechanism::External];
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -82,7 +82,7 @@
 #[case::modified_unfailed(modified(false), "attempt_rejected", false)]
 #[case::modified_failed(modified(true), "attempt_error", true)]
 #[case::rejected(State::Rejected(None), "attempt_error", true)]
-fn what_a_server_settles_with_decides_whether_it_may_have_run(
+fn the_servers_outcome_decides_whether_the_attempt_may_have_run(
     #[case] outcome: State,
     #[case] counter: &str,
     #[case] may_have_run: bool,
@@ -138,7 +138,7 @@
 }
 
 #[rstest]
-fn a_drain_notice_in_mid_transfer_aborts_it_and_it_is_delivered_elsewhere() {
+fn a_drain_notice_mid_transfer_aborts_the_delivery_and_retries_it_elsewhere() {
     let mut bench = start_bench(2);
     let mut watch = bench.accept_watch();
     let mut client = connect_client(&bench, CLASS);
@@ -181,7 +181,7 @@
 }
 
 #[rstest]
-fn an_address_that_names_no_class_is_detached() {
+fn a_link_to_an_unknown_class_is_detached() {
     let bench = start_bench(1);
     let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
     let detach = client.attach_sender("nothing").expect_err("the class is unknown");
@@ -201,7 +201,7 @@
 /// An aborted delivery is no request, a detach settles the running delivery at its server and counts its client as
 /// disconnected, and an expired delivery is rejected without an attempt.
 #[rstest]
-fn a_client_that_aborts_detaches_or_expires_is_owed_nothing_twice() {
+fn aborted_detached_and_expired_deliveries_get_no_further_attempt() {
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench, CLASS);
     let (handle, delivery_id) = (Some(0), Some(0));
@@ -227,14 +227,14 @@
 
 /// The node sends heartbeats within the idle time-out that the client announces.
 #[rstest]
-fn heartbeats_keep_the_clients_idle_time_out() {
+fn heartbeats_are_sent_within_the_clients_idle_timeout() {
     let bench = start_bench(1);
     let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), Some(400));
     assert!(matches!(client.read_frame(), NextFrame::Heartbeat), "an empty frame");
 }
 
 #[rstest]
-fn a_message_too_large_detaches_its_link_and_the_connection_goes_on() {
+fn a_message_above_the_size_limit_detaches_its_link_but_not_the_connection() {
     let bench = TestNode::start_with_servers(
         PROGRAM,
         vec![listener()],
--- a/tests/amqp_access.rs
+++ b/tests/amqp_access.rs
@@ -80,7 +80,7 @@
 }
 
 #[rstest]
-fn plain_and_scram_let_in_who_knows_the_password() {
+fn plain_and_scram_accept_only_the_right_password() {
     let mut bench = start_bench(&create_users_file("anna", "wind and rain", &[]));
     let addr = bench.amqp_addr.expect("AMQP is on");
     let mut client = AmqpPeer::authenticated(addr, "PLAIN", b"\0anna\0wind and rain").expect("authenticated");
@@ -99,7 +99,7 @@
 #[case::malformed_plain_response("PLAIN", b"anna", false)]
 #[case::anonymous("ANONYMOUS", b"", false)]
 #[case::mechanism_not_offered("CRAM-MD5", b"", false)]
-fn who_is_not_known_is_refused_and_a_guess_costs_time(
+fn failed_authentication_is_refused_and_wrong_passwords_are_delayed(
     #[case] mechanism: &str,
     #[case] response: &[u8],
     #[case] is_delayed: bool,
@@ -112,7 +112,7 @@
 }
 
 #[rstest]
-fn without_sasl_nobody_gets_in_where_there_are_users() {
+fn a_connection_without_sasl_is_refused_where_users_are_configured() {
     let bench = start_bench(&create_users_file("anna", "wind", &[]));
     let mut peer = Peer::connect(bench.amqp_addr.expect("AMQP is on"));
     peer.send("AMQP\u{0}\u{1}\u{0}\u{0}");
--- a/tests/amqp_conformance.rs
+++ b/tests/amqp_conformance.rs
@@ -70,7 +70,7 @@
 #[case::unsupported_version(b"AMQP\x00\x02\x00\x00")]
 #[case::tls(b"AMQP\x02\x01\x00\x00")]
 #[case::other_protocol(b"HTTP/1.1")]
-fn a_header_that_is_not_spoken_is_answered_with_one_that_is(#[case] header: &[u8]) {
+fn an_unsupported_protocol_header_is_answered_with_a_supported_one(#[case] header: &[u8]) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut peer = Peer::connect(bench.amqp_addr.expect("AMQP is on"));
     std::io::Write::write_all(&mut peer.stream, header).expect("written");
@@ -95,7 +95,7 @@
 
 /// A client may pipeline open, begin and attach without waiting for the answers.
 #[rstest]
-fn all_that_a_client_may_say_ahead_is_taken_in_one_go() {
+fn pipelined_open_begin_and_attach_are_accepted() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
         .expect("authenticated");
@@ -110,7 +110,7 @@
 }
 
 #[rstest]
-fn performatives_by_their_symbolic_descriptors_are_read() {
+fn symbolic_descriptors_are_accepted() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
         .expect("authenticated");
@@ -130,7 +130,7 @@
     Open { container_id: Some("c".into()), max_frame_size: Some(511), ..Default::default() },
     condition::INVALID_FIELD
 )]
-fn an_open_that_lacks_what_it_must_say_is_refused(#[case] open: Open, #[case] expected: &str) {
+fn an_invalid_open_is_refused(#[case] open: Open, #[case] expected: &str) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = AmqpPeer::authenticated(bench.amqp_addr.expect("AMQP is on"), "ANONYMOUS", b"")
         .expect("authenticated");
@@ -146,7 +146,10 @@
 #[case::tag_of_33_octets(tag_of_33_octets(), condition::INVALID_FIELD)]
 #[case::unknown_performative(b"\x00\x00\x00\x0c\x02\x00\x00\x00\x00\x53\x77\x45".to_vec(), condition::DECODE_ERROR)]
 #[case::truncated_performative(b"\x00\x00\x00\x0d\x02\x00\x00\x00\x00\x53\x13\xc0\x20".to_vec(), condition::DECODE_ERROR)]
-fn what_breaks_the_connection_closes_it_with_its_condition(#[case] bytes: Vec<u8>, #[case] expected: &str) {
+fn connection_errors_close_the_connection_with_their_condition(
+    #[case] bytes: Vec<u8>,
+    #[case] expected: &str,
+) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     std::io::Write::write_all(&mut client.peer.stream, &bytes).expect("written");
@@ -183,7 +186,7 @@
     frame(0, Transfer { handle: Some(9), ..Default::default() }),
     condition::UNATTACHED_HANDLE
 )]
-fn what_breaks_a_session_ends_it_and_the_connection_goes_on(#[case] bytes: Vec<u8>, #[case] expected: &str) {
+fn a_session_error_ends_the_session_and_not_the_connection(#[case] bytes: Vec<u8>, #[case] expected: &str) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -198,7 +201,7 @@
 
 /// The configured limits are announced in the node's open, begin and attach.
 #[rstest]
-fn the_bounds_are_announced_before_they_bind() {
+fn configured_limits_are_announced_to_the_client() {
     let bench = start_bench(
         r#"{"listen":"127.0.0.1:0","max_frame":4096,"channel_max":2,"handle_max":5,"window":9,"max_message":1000}"#,
     );
@@ -220,7 +223,7 @@
 }
 
 #[rstest]
-fn a_link_attached_again_under_its_name_is_stolen_from_its_older_self() {
+fn a_second_attach_under_the_same_name_steals_the_link() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -236,7 +239,7 @@
 #[rstest]
 #[case::closing(Some(true))]
 #[case::not_closing(None)]
-fn a_detach_is_answered_alike(#[case] closed: Option<bool>) {
+fn a_detach_is_answered_with_the_same_closed_flag(#[case] closed: Option<bool>) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -260,7 +263,7 @@
 
 /// A disposition of unknown deliveries is ignored, even one whose range wraps around all delivery ids.
 #[rstest]
-fn a_disposition_of_what_is_not_there_changes_nothing_however_wide() {
+fn a_disposition_of_unknown_deliveries_is_ignored() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -286,7 +289,7 @@
 }
 
 #[rstest]
-fn a_sender_that_settles_what_it_sent_wants_no_answer_any_more() {
+fn a_request_settled_early_by_its_sender_is_abandoned() {
     let mut bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -325,7 +328,7 @@
     encode(&Value::described(0x79, Value::Null), &mut bytes);
     bytes
 })]
-fn a_message_out_of_its_form_is_rejected_and_the_link_goes_on(#[case] bytes: Vec<u8>) {
+fn a_malformed_message_is_rejected_and_its_link_stays_attached(#[case] bytes: Vec<u8>) {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = connect_client(&bench);
     client.send_performative(sender_attach("l", 0));
@@ -380,7 +383,7 @@
 
 /// Transfer ids and delivery counts wrap around at 2^32.
 #[rstest]
-fn numbers_near_their_wrap_are_taken() {
+fn serial_numbers_wrap_around() {
     let bench = start_bench(AMQP_SETTINGS);
     let mut client = AmqpPeer::client_without_session(bench.amqp_addr.expect("AMQP is on"), "c", None);
     client.send_performative(Begin { next_outgoing_id: Some(u32::MAX - 1), ..begin() });
--- a/tests/amqp_receiving.rs
+++ b/tests/amqp_receiving.rs
@@ -123,7 +123,7 @@
 }
 
 #[rstest]
-fn a_server_that_refuses_is_passed_over_and_when_all_do_the_client_hears_when_to_come_again() {
+fn when_all_servers_refuse_a_link_the_client_gets_a_retry_after() {
     let bench = start_bench(2);
     let mut client = connect_client(&bench);
     attach_receiver(&mut client, 0);
@@ -249,7 +249,7 @@
 }
 
 #[rstest]
-fn when_the_node_leaves_clients_are_redirected_where_the_settings_say_so() {
+fn on_shutdown_clients_are_redirected_as_configured() {
     let redirect = r#""redirect":{"hostname":"sparbank-2","network_host":"127.0.0.2","port":5673}"#;
     let bench = TestNode::start_with_servers(
         PROGRAM,
@@ -297,7 +297,7 @@
 }
 
 #[rstest]
-fn a_drain_by_the_client_gives_its_credit_back() {
+fn a_drain_by_the_client_uses_up_its_credit() {
     let bench = start_bench(1);
     let (mut client, _, mut server) = established_link(&bench);
     client.grant_credit(0, 0, 5);
@@ -352,7 +352,7 @@
 }
 
 #[rstest]
-fn replies_come_to_a_dynamic_node_from_whichever_server_has_the_request() {
+fn replies_reach_a_dynamic_node_from_the_server_of_the_request() {
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench);
     let source = Source { dynamic: Some(true), ..Default::default() };
--- a/tests/amqp_recovery.rs
+++ b/tests/amqp_recovery.rs
@@ -62,7 +62,7 @@
 }
 
 #[rstest]
-fn what_was_settled_before_the_connection_was_lost_is_not_run_again() {
+fn a_settled_delivery_is_not_run_again_after_a_lost_connection() {
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut first = connect_client(&bench);
     attach_resumable(&mut first, 10, &[]);
@@ -134,7 +134,7 @@
 }
 
 #[rstest]
-fn a_resumed_delivery_of_unknown_fate_is_answered_so_and_not_run() {
+fn a_resumed_delivery_with_an_unknown_outcome_is_reported_and_not_run() {
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = connect_client(&bench);
     // The node has no state of this link, as after a restart or an expiry.
@@ -157,7 +157,7 @@
 
 /// The state that is kept for the resumption of links expires, and `resume_links` limits it.
 #[rstest]
-fn what_is_remembered_expires_and_is_bounded() {
+fn state_retained_for_resumption_expires_and_is_limited() {
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0","resume_links":1,"resume_ms":300}"#);
     let mut first = connect_client(&bench);
     attach_resumable(&mut first, 3600, &[]);
@@ -180,7 +180,7 @@
 }
 
 #[rstest]
-fn a_link_that_is_closed_is_forgotten_at_once() {
+fn state_of_a_closed_link_is_discarded_at_once() {
     let mut bench = start_bench(r#"{"listen":"127.0.0.1:0"}"#);
     let mut client = connect_client(&bench);
     attach_resumable(&mut client, 10, &[]);
--- a/tests/amqp_sending.rs
+++ b/tests/amqp_sending.rs
@@ -87,7 +87,7 @@
 }
 
 #[rstest]
-fn one_credit_is_shared_by_a_hundred_clients_in_turns() {
+fn a_hundred_clients_share_a_credit_of_one() {
     let bench = TestNode::start_with_args(PROGRAM, vec![listener()], Some(AMQP_SETTINGS), &[], |text| {
         text.replace(r#""sockets":256"#, r#""sockets":600"#)
     });
@@ -119,7 +119,7 @@
 
 /// The node opens one connection per class to a server that allows one link on a connection.
 #[rstest]
-fn a_server_of_one_link_a_connection_is_met_on_a_connection_for_each_class() {
+fn a_server_limited_to_one_link_gets_a_connection_for_each_class() {
     let bench = start_bench(1);
     let mut servers = Vec::new();
     for class in [CLASS, "station-notes"] {
@@ -137,7 +137,7 @@
 }
 
 #[rstest]
-fn a_delivery_that_its_sender_settled_is_a_request_without_an_answer() {
+fn a_presettled_delivery_is_forwarded_without_an_answer() {
     let mut bench = start_bench(1);
     let mut client = connect_client(&bench);
     let transfer = Transfer {
@@ -162,7 +162,7 @@
 
 /// Receiver settle mode second: the node answers without settling, and the client settles after that.
 #[rstest]
-fn a_client_that_settles_second_is_answered_first_and_then_settles() {
+fn in_settle_mode_second_the_answer_precedes_the_clients_settlement() {
     let bench = start_bench(1);
     let mut client = AmqpPeer::client(bench.amqp_addr.expect("AMQP is on"), None);
     let target = Some(Terminus::Target(Target { address: Some(CLASS.into()), ..Default::default() }));
@@ -192,7 +192,7 @@
 }
 
 #[rstest]
-fn answers_that_run_on_come_as_one_range() {
+fn consecutive_answers_are_sent_as_one_range() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
     for id in 0..10 {
@@ -280,7 +280,7 @@
 }
 
 #[rstest]
-fn flow_with_echo_is_answered_and_credit_comes_back_before_it_runs_out() {
+fn flow_with_echo_is_answered_and_credit_is_renewed_before_it_runs_out() {
     let bench = start_bench(1);
     let mut client = connect_client(&bench);
     client.send_performative(Flow {
@@ -359,7 +359,7 @@
 }
 
 #[rstest]
-fn bad_clients_get_an_error_or_a_close_within_three_seconds_and_harm_nobody() {
+fn invalid_input_gets_an_error_or_a_close_within_three_seconds_and_affects_no_other_client() {
     let bench = start_bench(1);
     let addr = bench.amqp_addr.expect("AMQP is on");
     let mut well_behaved = connect_client(&bench);
--- a/tests/amqp_tls.rs
+++ b/tests/amqp_tls.rs
@@ -152,7 +152,7 @@
 }
 
 #[rstest]
-fn a_certificate_is_a_user_by_external_and_a_password_may_come_under_tls(authority: TestAuthority) {
+fn external_and_plain_authenticate_under_tls(authority: TestAuthority) {
     let (_bench, addr) = start_bench(&authority.folder, &create_users_setting(&authority));
     let external = || Credentials::External;
     assert!(connect(&authority, addr, "node.test", Some("anna.test"), external()).is_ok());
@@ -201,7 +201,10 @@
 #[case::amqp_without_tls(b"AMQP\x03\x01\x00\x00".to_vec())]
 #[case::garbage(vec![0x16; 4000])]
 #[case::incomplete_record(vec![0x16, 3, 1, 0x40, 0])]
-fn what_is_not_tls_is_closed_within_three_seconds(authority: TestAuthority, #[case] bytes: Vec<u8>) {
+fn a_connection_that_is_not_tls_is_closed_within_three_seconds(
+    authority: TestAuthority,
+    #[case] bytes: Vec<u8>,
+) {
     let (_bench, addr) = start_bench(&authority.folder, "");
     let mut peer = Peer::connect(addr);
     let _ = peer.stream.write_all(&bytes);
