--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -54,7 +54,7 @@
 pub struct Quota {
     /// The name that appears in log lines.
     pub name: String,
-    /// What the quota counts.
+    /// The events or objects that the quota counts.
     #[serde(rename = "limits")]
     pub resource: Resource,
     /// The limit: connections, or events per second.
@@ -74,7 +74,7 @@
     pub class: Option<String>,
 }
 
-/// What a quota counts.
+/// The events or objects that a quota counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Resource {
--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -21,11 +21,11 @@
 pub struct PlanError {
     /// The path of the field, as in `budgets[2].burst`.
     pub field: String,
-    /// What is wrong with its value.
+    /// The rule that the value of the field violates.
     pub problem: PlanProblem,
 }
 
-/// What is wrong with the value of a field.
+/// A rule that the value of a field violates.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PlanProblem {
     /// A name is empty.
--- a/crates/quota/tests/liveness.rs
+++ b/crates/quota/tests/liveness.rs
@@ -52,11 +52,11 @@
     SharedPool,
 }
 
-/// What happens to half of the nodes.
+/// The event that affects half of the nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Event {
     None,
-    /// They shut down and end their connections within [`SHUTDOWN_MS`].
+    /// The nodes shut down and end their connections within [`SHUTDOWN_MS`].
     Shutdown,
     Kill,
 }
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -64,7 +64,7 @@
     pub servers: Servers,
     /// The client faults that are active.
     pub behaviour: Rc<ClientBehaviour>,
-    /// Its number, which makes its request ids unique.
+    /// Number of the client, part of its request ids, which are therefore unique.
     pub number: u64,
     rng: Pcg64Mcg,
     requests: u64,
@@ -235,7 +235,7 @@
         self.checker.borrow_mut().on_client_gone(id);
     }
 
-    /// Checks that the server is not silent for too long, and that the end of the session arrives in time.
+    /// Checks that the gap between lines of the server is not too long, and that the end of the session arrives in time.
     fn check_progress(&self, node: usize, incarnation: u64, id: &str, lines: &ReceivedLines) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_excused(node, incarnation) {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Simulated discovery. It listens on two addresses for each node, so that it knows which node a watch belongs to.
+//! Simulated discovery. Each node has two listen addresses of its own, by which a watch is attributed to its node.
 
 use crate::server::Servers;
 use sparbank_test_support::invariants::{InvariantChecker, ServerNotice};
@@ -21,19 +21,19 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Size of each write in [`Mode::Fragmented`].
 const FRAGMENT_BYTES: usize = 7;
-/// A node is assumed to know a change once discovery has had it, and was reachable, for this long.
+/// A node is assumed to have received a change once discovery has had it, and was reachable, for this long.
 const ASSUMED_NOTIFIED_AFTER: Duration = Duration::from_secs(6);
 
 /// How discovery responds to watch requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves watches normally.
+    /// Discovery serves watches normally.
     Serves,
-    /// It resets every connection.
+    /// Discovery resets every connection.
     Down,
-    /// It rejects requests with status 503.
+    /// Discovery rejects requests with status 503.
     Rejects,
-    /// It serves watches, and writes a few bytes at a time.
+    /// Discovery serves watches, and writes [`FRAGMENT_BYTES`] at a time.
     Fragmented,
 }
 
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -13,7 +13,7 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{sleep, timeout, Instant};
 
-/// How often an established session checks whether its server has been told to end it.
+/// How often an established session checks whether its server has been ordered to end it.
 const COMMAND_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// Time to an answer in [`Mode::Serves`].
 const ANSWER_DELAY: Duration = Duration::from_millis(5);
@@ -27,17 +27,17 @@
 /// How a server responds to request lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves requests.
+    /// The server accepts requests after [`ANSWER_DELAY`].
     Serves,
-    /// It reads and never answers.
+    /// The server reads request lines and never answers.
     Hangs,
-    /// It rejects requests.
+    /// The server rejects every request.
     Rejects,
-    /// It resets the connection once the line has arrived.
+    /// The server resets the connection once the line has arrived.
     Resets,
-    /// It sends a part of its answer and resets the connection.
+    /// The server sends a part of its answer and resets the connection.
     Truncates,
-    /// It serves requests, later than the timeout of an attempt.
+    /// The server accepts requests later than the timeout of an attempt.
     Late,
 }
 
--- a/crates/test-support/src/bench.rs
+++ b/crates/test-support/src/bench.rs
@@ -36,8 +36,6 @@
 }
 
 impl TestNode {
-    // ---- Starting ------------------------------------------------------------------------------
-
     /// Starts a node with this many servers and with the text protocol only.
     pub fn start(program: &str, servers: usize) -> TestNode {
         TestNode::start_with_servers(program, (0..servers).map(|_| listener()).collect(), None)
@@ -106,8 +104,6 @@
         self.start_options.spawn(&self.config_path)
     }
 
-    // ---- Discovery -----------------------------------------------------------------------------
-
     /// Accepts the node's watch at discovery and sends the head of the response, without any changes.
     pub fn accept_watch(&mut self) -> Peer {
         let mut watch = Peer::accept(&self.discovery);
@@ -143,8 +139,6 @@
         self.reconfigure(str::to_string);
     }
 
-    // ---- Configuration and signals -------------------------------------------------------------
-
     /// Overwrites the configuration file with an edited version of the configuration.
     pub fn rewrite_config(&mut self, edit: impl FnOnce(&str) -> String) {
         std::fs::write(&self.config_path, edit(&self.config)).expect("failed to write the configuration");
@@ -171,8 +165,6 @@
         self.process.resume();
     }
 
-    // ---- Clients and servers -------------------------------------------------------------------
-
     /// Connects a client and sends a request line.
     pub fn connect_client(&self, line: &str) -> Peer {
         let mut client = Peer::connect(self.text_addr);
@@ -189,8 +181,6 @@
         }
     }
 
-    // ---- Log and counters ----------------------------------------------------------------------
-
     /// Reads the log up to a line with this message; see [`NodeProcess::wait_for_log`].
     pub fn wait_for_log(&mut self, message: &str) -> String {
         self.process.wait_for_log(message)
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -1,8 +1,8 @@
 //! Records what the simulated peers observe, by their own clocks, and checks the invariants.
 //!
 //! Invariants ([`crate::invariants`]): an accepted request gets one final answer in time; no request has two attempts
-//! in flight at once; a node sends no new requests to a server after it was notified that the server drains or is
-//! gone; no server that is warming up is overloaded. Missing answers of a killed or stopped node are no violations.
+//! in flight at once; a node sends no new requests to a server after it was notified that the server drains or
+//! was removed; no server that is warming up is overloaded. Missing answers of a killed or stopped node are no violations.
 //! Time limits are extended by the measured lateness of the harness's own thread.
 
 use super::clients::ANSWER_TIMEOUT;
@@ -17,7 +17,7 @@
 /// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Outcome {
-    /// It got its final answer.
+    /// The request got its final answer.
     Answered(Answer),
     /// The connection ended without an answer.
     ConnectionEnded,
@@ -52,7 +52,7 @@
     pub polls: u32,
     /// Attempts at servers that were warming up.
     pub attempts_at_warming_up: u32,
-    /// Attempts at dead servers.
+    /// Attempts at servers whose process has ended.
     pub attempts_at_dead: u32,
 }
 
@@ -73,7 +73,7 @@
     pub server: usize,
     /// Whether the server is warming up.
     pub is_warming_up: bool,
-    /// Whether the server's process is gone.
+    /// Whether the server's process has ended.
     pub is_dead: bool,
 }
 
@@ -82,7 +82,7 @@
     timeline: Timeline,
     checker: InvariantChecker,
     established: i64,
-    /// By node, and then by server: attempts of the node's newest process at the server while it is dead.
+    /// By node, and then by server: attempts of the node's newest process at the server while the server has no process.
     attempts_at_dead: Vec<HashMap<usize, u32>>,
     /// Names of servers for which an overload while warming up was reported.
     overloaded: HashSet<String>,
@@ -158,7 +158,7 @@
         self.timeline.current_second().setups += 1;
     }
 
-    /// A list was written to the watch of a node's incarnation. Servers that a complete list leaves out are gone.
+    /// A list was written to the watch of a node's incarnation. Servers that a complete list leaves out are removed.
     pub fn on_list_sent(&mut self, node: usize, incarnation: u64, list: &EndpointList) {
         let mut notify = |server, notice| self.checker.on_notified(node, incarnation, server, notice);
         for endpoint in &list.endpoints {
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -1,6 +1,6 @@
 //! Simulated discovery: serves the platform's endpoint list over HTTP/1.1. One queue holds the polls of all nodes.
 //!
-//! Each node gets its own discovery address, so that the auditor knows which node was notified of what, and when.
+//! Each node gets its own discovery address, so that the auditor can record which node was notified of what, and when.
 
 use super::servers::Servers;
 use super::Shared;
@@ -20,13 +20,13 @@
 /// The behaviour of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryMode {
-    /// It answers polls and serves watches.
+    /// Discovery answers polls and serves watches.
     Healthy,
     /// Polls are reset, and watches end.
     Unreachable,
-    /// It answers polls at a quarter of its rate, and delays half of the rejections when its queue is full.
+    /// Discovery answers polls at a quarter of its rate, and delays half of the rejections when its queue is full.
     Overloaded,
-    /// It serves the saved complete list, under its old generation, instead of the current one.
+    /// Discovery serves the saved complete list, under its old generation, instead of the current one.
     Stale,
 }
 
--- a/crates/test-support/src/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -34,22 +34,22 @@
 /// The state of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Status {
-    /// It accepts new requests.
+    /// The server accepts new requests.
     Ready,
-    /// It accepts no new requests.
+    /// The server accepts no new requests.
     Draining,
-    /// It is not in the list any more.
+    /// The server was removed from the list.
     Removed,
 }
 
 /// How a server handles connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Health {
-    /// It serves them.
+    /// The server accepts connections and answers requests.
     Healthy,
-    /// Its process is gone: each attempt is counted and reset.
+    /// The server has no process: each attempt is counted and reset.
     Dead,
-    /// It accepts connections but never answers.
+    /// The server accepts connections but never answers.
     Hung,
 }
 
@@ -212,7 +212,7 @@
         server.changed_at = Instant::now();
     }
 
-    /// Sets how a server handles connections. A server that becomes dead drops its connections, but stays in the list.
+    /// Sets how a server handles connections. A server that becomes [`Health::Dead`] drops its connections, but stays in the list.
     pub fn set_health(&self, number: usize, health: Health) {
         let tasks = {
             let server = &mut self.state.borrow_mut().servers[number];
--- a/crates/test-support/src/cluster/summary.rs
+++ b/crates/test-support/src/cluster/summary.rs
@@ -23,7 +23,7 @@
     /// Time from the last fault to the start of the first 5 s in which at least 95% of the connections from before the
     /// first fault are established.
     pub recovery_from_last_fault: Option<Duration>,
-    /// The same, measured from the first fault.
+    /// Like `recovery_from_last_fault`, but measured from the first fault.
     pub recovery_from_first_fault: Option<Duration>,
     /// Mean number of established connections just before the first fault.
     pub established_before: i64,
@@ -33,7 +33,7 @@
     pub peak_setups: u32,
     /// Maximum number of polls of discovery in a second.
     pub peak_polls: u32,
-    /// Maximum number of attempts by one process at one dead server.
+    /// Maximum number of attempts by one process at one server whose process has ended.
     pub max_attempts_at_dead_server: u32,
     /// Maximum load of a server that was warming up, relative to its limit.
     pub max_slow_start_load: f64,
@@ -51,7 +51,7 @@
 pub struct Recovery {
     /// See [`Summary::recovery_from_last_fault`].
     pub from_last_fault: Option<Duration>,
-    /// The same, measured from the first fault.
+    /// Like `from_last_fault`, but measured from the first fault.
     pub from_first_fault: Option<Duration>,
     /// Mean number of established connections just before the first fault.
     pub established_before: i64,
--- a/crates/test-support/src/invariants/mod.rs
+++ b/crates/test-support/src/invariants/mod.rs
@@ -44,26 +44,26 @@
 /// Whether a request that may have run already may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// It may be retried at any time.
+    /// The request may be retried at any time.
     Idempotent,
-    /// It has an idempotency key, and may be retried while servers discard duplicates ([`Limits::dedup_window`]).
+    /// The request has an idempotency key, and may be retried while servers discard duplicates ([`Limits::dedup_window`]).
     Keyed,
-    /// It must not run twice, so it must not be retried.
+    /// The request must not run twice, so it must not be retried.
     NonIdempotent,
 }
 
 /// A final answer as seen by the client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// Served.
+    /// Served: the client received `UP`.
     Up,
-    /// Rejected.
+    /// Rejected: the client received `BUSY`.
     Busy,
     /// Failed.
     Failed,
 }
 
-/// What discovery notifies a node of about a server.
+/// The state of a server that discovery notifies a node of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerNotice {
     /// The server accepts requests.
@@ -145,8 +145,6 @@
         self.served
     }
 
-    // ---- Nodes -------------------------------------------------------------------------------
-
     /// A new process of a node starts, or a suspended one continues and counts as a new one.
     pub fn on_start(&mut self, node: usize) {
         self.processes[node].restart();
@@ -192,8 +190,6 @@
         }
     }
 
-    // ---- Requests ----------------------------------------------------------------------------
-
     /// A client sends a request, or has just written its last byte.
     pub fn on_request(&mut self, request: SentRequest<'_>) {
         self.sent += 1;
@@ -244,8 +240,6 @@
         self.requests.get(id).is_some_and(RequestRecord::has_open_attempt)
     }
 
-    // ---- Attempts ----------------------------------------------------------------------------
-
     /// A server has read the complete line of an attempt.
     pub fn on_attempt(&mut self, id: &str, server: usize, line: &str) {
         let lateness = self.lateness();
--- a/crates/test-support/src/invariants/process_record.rs
+++ b/crates/test-support/src/invariants/process_record.rs
@@ -1,4 +1,4 @@
-//! What the checker knows about the newest process of a node.
+//! The state that the checker tracks for the newest process of a node.
 
 use super::{Rule, ServerNotice, DRAIN_GRACE};
 use std::collections::HashMap;
@@ -53,7 +53,7 @@
     }
 
     /// Returns a violation if an attempt reaches a server longer than [`DRAIN_GRACE`] (plus allowances) after this
-    /// process was notified that the server drains or is gone.
+    /// process was notified that the server drains or was removed.
     pub(super) fn check_drain(
         &self,
         node: usize,
--- a/crates/test-support/src/invariants/request_record.rs
+++ b/crates/test-support/src/invariants/request_record.rs
@@ -1,4 +1,4 @@
-//! What the checker knows about a request.
+//! The state that the checker tracks for a request.
 
 use super::{RetrySafety, Rule, SentRequest, DISCONNECT_GRACE, REORDERING_SLACK, SOCKET_SLACK};
 use std::time::{Duration, Instant};
--- a/crates/test-support/src/invariants/violation.rs
+++ b/crates/test-support/src/invariants/violation.rs
@@ -9,7 +9,7 @@
     Lost,
     /// No request has attempts at two servers at the same time, and no request that must not be retried runs twice.
     Duplicate,
-    /// A node sends no new requests to a server after it was notified that the server drains or is gone.
+    /// A node sends no new requests to a server after it was notified that the server drains or was removed.
     Drain,
     /// No attempt begins after the request's client has disconnected.
     ClientGone,
--- a/crates/test-support/src/watch_protocol.rs
+++ b/crates/test-support/src/watch_protocol.rs
@@ -13,7 +13,7 @@
 /// Which endpoints a list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// All endpoints; those that it leaves out are gone.
+    /// All endpoints; those that it leaves out are removed.
     Complete,
     /// Only the endpoints that have changed.
     Incremental,
--- a/tests/amqp.rs
+++ b/tests/amqp.rs
@@ -38,7 +38,7 @@
     disposition.state.expect("a state")
 }
 
-/// Whether an answer is a rejection that tells the client when to retry.
+/// Whether an answer is a rejection that states when the client may retry.
 fn is_rejection(state: &State) -> bool {
     let State::Modified { delivery_failed: false, annotations: Some(annotations), .. } = state else {
         return false;
@@ -392,7 +392,7 @@
     assert!(counted[0].contains(&("served".to_string(), 4)), "{:?}", counted[0]);
 }
 
-/// A connection without an `open` holds a descriptor, as a silent client of the text frontend does, and is
+/// A connection without an `open` holds a descriptor, as an idle client of the text frontend does, and is
 /// closed as idle in the same way.
 #[rstest]
 #[case::nothing("")]
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -82,7 +82,7 @@
     attempt.read_line();
     attempt.send("UP r1 and so on");
     assert_eq!(client.read_to_end(), "ERR\r\n");
-    // What the server sends now reaches no client. The write may fail, if the connection is closed already.
+    // Data that the server sends now reaches no client. The write may fail, if the connection is closed already.
     let _ = attempt.stream.write_all(b"\r\n");
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 0, 1]);
 }
--- a/tests/client_disconnect_races.rs
+++ b/tests/client_disconnect_races.rs
@@ -12,9 +12,9 @@
 /// How a client disconnects.
 #[derive(Clone, Copy)]
 enum Disconnect {
-    /// It shuts down its sending side, by which a client disconnects in this protocol, and still reads.
+    /// The client shuts down its sending side, by which a client disconnects in this protocol, and still reads.
     Fin,
-    /// It resets the connection.
+    /// The client resets the connection.
     Rst,
 }
 
--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -20,7 +20,7 @@
 const MAX_AT_WARMING_UP_SERVER: usize = 6;
 /// The smallest number of first attempts of a burst at one of two servers whose slow start is over.
 const MIN_AT_WARM_SERVER: usize = 8;
-/// A watch that was recently active is reopened only after it has been silent for at least this long.
+/// A watch that was recently active is reopened only after it has delivered no data for at least this long.
 const MIN_SILENCE: Duration = Duration::from_millis(500);
 /// The node reads the wall clock at least this often.
 const CLOCK_CHECK_INTERVAL: Duration = Duration::from_millis(300);
@@ -140,13 +140,13 @@
     assert_eq!(attempt.read_line(), "M 1");
     attempt.send("M 2\r\n");
     assert_eq!(client.read_line(), "M 2");
-    // The watch is silent after the step and is reopened.
+    // The watch delivers no data after the step and is reopened.
     bench.accept_watch();
     drop((client, attempt));
     bench.stop();
 }
 
-/// A watch that a successor has received is silent after a step. It is reopened in time, since the successor
+/// A watch that a successor has received delivers no data after a step. It is reopened in time, since the successor
 /// continues with its predecessor's clock.
 #[rstest]
 fn a_transferred_watch_that_is_silent_after_a_step_is_reopened(#[values(-HOUR, HOUR)] step: i64) {
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -21,7 +21,7 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    // The node reopens the watch that was reset. By then it knows of the drain.
+    // The node reopens the watch that was reset. By then it has received the drain.
     let mut watch = bench.accept_watch();
     assert_clients_connect_to_server_1(&bench, 0..6);
     bench.send_endpoints(&mut watch, ListKind::Incremental, "");
@@ -90,7 +90,7 @@
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// A silent watch is reopened early enough: the node has to know of a change within 6 s.
+/// A watch without data is reopened early enough for the node to receive a change within 6 s.
 #[rstest]
 #[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
@@ -110,7 +110,7 @@
 }
 
 /// The node handles a change on the old watch and the signal that moves discovery in the same iteration of the event
-/// loop, and the new address is silent. The change counts.
+/// loop, and the new address sends nothing. The change takes effect.
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
     let mut bench = TestNode::start(PROGRAM, 2);
--- a/tests/fleet_quotas.rs
+++ b/tests/fleet_quotas.rs
@@ -34,7 +34,7 @@
     config.quota.expect("config sets a quota").total
 }
 
-/// What the auditor counted in one run.
+/// The counts of the auditor in one run.
 #[derive(Debug)]
 struct Audit {
     /// Highest number of connections that were open at once.
@@ -128,7 +128,7 @@
 }
 
 /// Most holders are paused while the grantor restarts: they keep their connections, and their leases, which the restarted
-/// grantor does not know, are still in use.
+/// grantor has no record of, are still in use.
 #[test]
 fn grantor_restart_while_holders_are_stopped_never_exceeds_the_total() {
     run_within_total("the grantor killed while others are stopped", LONG_CLEAR_MS, async |cluster| {
--- a/tests/logging.rs
+++ b/tests/logging.rs
@@ -10,7 +10,7 @@
 /// Enough batches that their trace lines exceed the capacity of a pipe.
 const BATCHES: u64 = 4;
 
-/// The pipe of the node's log is full because nobody reads it. Every request still gets its answer.
+/// The pipe of the node's log is full because the test does not read it. Every request still gets its answer.
 #[test]
 fn a_log_that_nobody_reads_delays_no_answer() {
     let servers = vec![listener()];
--- a/tests/mixed/faults.rs
+++ b/tests/mixed/faults.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const FAULT_INTERVAL: Duration = Duration::from_millis(200);
-/// Upper limit on the servers that are hung or dead at a time, and on those that drain.
+/// Upper limit on the servers that are `Hung` or `Dead` at a time, and on those that drain.
 const MAX_FAULTY_SERVERS: usize = 2;
 /// After this many faults, an empty list is sent on the watch as a heartbeat.
 const FAULTS_PER_HEARTBEAT: u64 = 5;
--- a/tests/mixed/servers.rs
+++ b/tests/mixed/servers.rs
@@ -26,11 +26,11 @@
 /// How a server responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// It serves requests.
+    /// The server serves requests.
     Up,
-    /// It reads and never answers.
+    /// The server reads and never answers.
     Hung,
-    /// It closes all connections, and accepts none.
+    /// The server closes all connections, and accepts none.
     Dead,
 }
 
--- a/tests/policy_rules/migration.rs
+++ b/tests/policy_rules/migration.rs
@@ -41,7 +41,7 @@
 }
 
 /// Regression: servers stalled for 120 to 390 ms every few seconds, and each stall migrated some of the connections
-/// there. Where health checks are available, one first tells whether the server is over capacity; a second late
+/// there. Where health checks are available, one first shows whether the server is over capacity; a second late
 /// report in a row migrates connections without one.
 #[test]
 fn a_late_server_is_health_checked_before_connections_migrate() {
--- a/tests/properties/simulation.rs
+++ b/tests/properties/simulation.rs
@@ -244,7 +244,7 @@
         self.clients.get_mut(&id).expect("a client whose request has arrived")
     }
 
-    /// Ends the last attempt of a client, and tells the balancer.
+    /// Ends the last attempt of a client, and reports it to the balancer.
     fn end_attempt(&mut self, id: u64, server: ServerId, outcome: Outcome) {
         let client = self.client_mut(id);
         let was_established = client.is_established();
--- a/tests/shutdown_races.rs
+++ b/tests/shutdown_races.rs
@@ -33,11 +33,11 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Arrival {
-    /// The node has read half of its first line.
+    /// The node has read half of the client's first line.
     PartialLine,
-    /// Its complete line is unread in the kernel's buffer.
+    /// The client's complete line is unread in the kernel's buffer.
     Unread,
-    /// Its connection is in the accept queue, and its line follows SIGTERM.
+    /// The connection is in the accept queue, and the client's line follows SIGTERM.
     Queued,
 }
 
@@ -84,9 +84,9 @@
 enum Server {
     /// `UP` arrives just after SIGTERM.
     Answers,
-    /// It never answers.
+    /// The server never answers.
     Hangs,
-    /// It rejects every attempt, so a retry waits for its backoff.
+    /// The server rejects every attempt, so a retry waits for its backoff.
     Rejects,
 }
 
--- a/tests/text.rs
+++ b/tests/text.rs
@@ -23,8 +23,6 @@
     FullBacklogServer::start().into_listener()
 }
 
-// ---- Forwarding --------------------------------------------------------------------------------
-
 #[rstest]
 fn lines_are_forwarded_unchanged_and_the_end_is_propagated() {
     let bench = TestNode::start(PROGRAM, 1);
@@ -35,7 +33,7 @@
     let (deadline, after) = rest.split_once(',').expect("a field after d");
     assert_eq!((before, after), ("OPEN 9b1f 7f3a c=live-readings,t=acme,", "g=5c0f"));
     assert!(deadline.parse::<u32>().expect("a number") < 1200, "d is the time that is left");
-    // What arrives in the same read as UP is forwarded too.
+    // Data that arrives in the same read as UP is forwarded too.
     attempt.send("UP r1\r\nLOAD 12.5\r\nhel").send("lo\r\n");
     assert_eq!([client.read_line(), client.read_line(), client.read_line()], ["UP r1", "LOAD 12.5", "hello"]);
     client.send("M 1 x\r\n");
@@ -100,8 +98,6 @@
     server.expect_closed();
 }
 
-// ---- Attempts ----------------------------------------------------------------------------------
-
 #[rstest]
 #[case::reset_before_an_answer("")]
 #[case::error("ERR\r\n")]
@@ -163,8 +159,6 @@
     assert_eq!(counter_values(&counters, ["requests", "rejected"]), [1, 1]);
 }
 
-// ---- Request lines -----------------------------------------------------------------------------
-
 #[rstest]
 #[case::unknown_class("OPEN 1 2 c=nothing,t=a,d=100")]
 #[case::no_class("OPEN 1 2 t=a,d=100")]
@@ -238,8 +232,6 @@
     server.expect_closed();
 }
 
-// ---- Endpoint lists ----------------------------------------------------------------------------
-
 #[rstest]
 fn a_draining_server_gets_no_attempts_and_an_ended_watch_is_reopened() {
     let mut bench = TestNode::start(PROGRAM, 2);
@@ -293,8 +285,6 @@
     assert_eq!(bench.counter("discovery_failures"), 1);
 }
 
-// ---- Shutdown ----------------------------------------------------------------------------------
-
 #[rstest]
 fn sigterm_answers_late_requests_and_migrates_established_clients() {
     let mut bench = TestNode::start(PROGRAM, 1);
