--- a/benches/amqp_node/generator.rs
+++ b/benches/amqp_node/generator.rs
@@ -49,7 +49,7 @@
 
 /// Limits the rate of deliveries.
 struct Pacer {
-    /// Deliveries per second.
+    /// Target rate, in deliveries per second.
     rate: f64,
     /// Deliveries that may be sent now.
     allowance: f64,
--- a/benches/amqp_node/node.rs
+++ b/benches/amqp_node/node.rs
@@ -7,7 +7,7 @@
 const AMQP_CONFIG: &str =
     r#"{"listen":"127.0.0.1:0","max_frame":70000,"peer_connections":5000,"credit":256,"max_held":16000000}"#;
 
-/// A running node.
+/// A running node with the AMQP frontend.
 pub struct Node {
     pub pid: u32,
     /// The address of the AMQP frontend.
--- a/crates/quota/src/division.rs
+++ b/crates/quota/src/division.rs
@@ -9,7 +9,7 @@
 /// The demand of one claimant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Demand {
-    /// The units that the claimant wants.
+    /// The units that the claimant requests.
     pub(crate) wanted: u64,
     /// The claimant's weight relative to the others, at least one.
     pub(crate) weight: u64,
@@ -26,7 +26,7 @@
     }
 }
 
-/// Divides a total with weighted max-min fairness: no claimant gets less than it wants while another gets more in
+/// Divides a total with weighted max-min fairness: no claimant gets less than it requests while another gets more in
 /// proportion to its weight. Units that exceed all demand are divided by weight as well, so that claimants have spare
 /// units when their demand grows. The shares are in the order of the demands and add up to at most the total.
 pub(crate) fn divide_by_demand(total: u64, demands: &[Demand]) -> Vec<u64> {
--- a/crates/quota/src/division/tests.rs
+++ b/crates/quota/src/division/tests.rs
@@ -24,7 +24,7 @@
 
 proptest! {
     /// The shares add up to at most the total, and to at least the total less one unit per claimant. If the total
-    /// covers all demand, each claimant gets what it wants.
+    /// covers all demand, each claimant gets what it requests.
     #[test]
     fn shares_never_exceed_the_total(
         total in 0..1u64 << 40,
--- a/crates/quota/src/grantor.rs
+++ b/crates/quota/src/grantor.rs
@@ -39,7 +39,7 @@
         Grantor { lease_table, applied }
     }
 
-    /// The lease table.
+    /// The leases as of the requests applied so far.
     pub fn lease_table(&self) -> &LeaseTable {
         &self.lease_table
     }
--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -46,7 +46,7 @@
     /// A grantor is not a member.
     #[error("no member is named {name:?}")]
     UnknownMember {
-        /// The unknown name.
+        /// The name in the list of grantors that is no member's name.
         name: String,
     },
     /// The lease is shorter or longer than allowed.
--- a/crates/quota/src/protocol.rs
+++ b/crates/quota/src/protocol.rs
@@ -17,7 +17,7 @@
 /// retains.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct LeaseRequest {
-    /// The sender.
+    /// The holder that sent the request.
     pub holder: HolderId,
     /// The number of this request, counted from one for each holder. A request that arrives after a newer one has no
     /// effect.
@@ -26,7 +26,7 @@
     pub layout: u64,
     /// The units of each quota that the sender retains; it has already lowered its allotments to these values.
     pub retained: Vec<u64>,
-    /// The units of each quota that the sender wants in addition to its floor.
+    /// The units of each quota that the sender requests in addition to its floor.
     pub wanted: Vec<u64>,
     /// The sender is shutting down; its lease is removed when this request is applied.
     pub shutting_down: bool,
@@ -35,7 +35,7 @@
 /// The reply to a [`LeaseRequest`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize, Serialize)]
 pub struct LeaseGrant {
-    /// The receiver.
+    /// The holder whose lease this is; it sent the request.
     pub holder: HolderId,
     /// The sequence number of the request that this grant answers.
     pub sequence: u64,
--- a/crates/quota/src/quota_usage.rs
+++ b/crates/quota/src/quota_usage.rs
@@ -15,7 +15,7 @@
 const HEADROOM_DIVISOR: u64 = 16;
 /// An allotment is retained in full if it exceeds its target by at most a sixteenth of itself.
 const TARGET_TOLERANCE_DIVISOR: u64 = 16;
-/// The largest Retry-After.
+/// Upper limit on the Retry-After of a rejected request.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(60);
 
 /// The state of one quota at one node, for log lines. Units are connections, or thousandths of an event per second.
@@ -191,7 +191,7 @@
         self.target = target;
     }
 
-    /// Computes the units that the next lease request wants in addition to the floor, from the use and the rejections
+    /// Computes the units that the next lease request claims in addition to the floor, from the use and the rejections
     /// since the last request.
     pub(crate) fn update_wanted(&mut self, since_last_request: Duration, returns_allotment: bool) {
         let rejected = self.rejected - self.rejected_at_last_request;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -235,7 +235,7 @@
         self.checker.borrow_mut().on_client_gone(id);
     }
 
-    /// Checks that the gap between lines of the server is not too long, and that the end of the session arrives in time.
+    /// Checks that the last line of the server is not too old, and that the end of the session arrives in time.
     fn check_progress(&self, node: usize, incarnation: u64, id: &str, lines: &ReceivedLines) {
         let mut checker = self.checker.borrow_mut();
         if checker.is_excused(node, incarnation) {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -48,7 +48,7 @@
 struct State {
     mode: Cell<Mode>,
     generation: Cell<u64>,
-    /// Indexed by server.
+    /// The state of each server in the endpoint list, indexed by server number.
     entries: RefCell<Vec<ServerEntry>>,
     /// Watches with a lower number send nothing more.
     silent_before: Cell<u64>,
--- a/crates/soak/src/environment.rs
+++ b/crates/soak/src/environment.rs
@@ -28,7 +28,8 @@
 const FAULT_MS: std::ops::Range<u64> = 150..1_600;
 /// Upper limit for a shortage of descriptors: shorter than the time by which an answer may be late.
 const MAX_DESCRIPTOR_SHORTAGE: Duration = Duration::from_millis(400);
-/// A drain that no watch announces lasts until after the nodes are assumed to have received it (6 s), as `drain_server` adds 2 s.
+/// A drain that no watch announces lasts until after the nodes are assumed to have received it (6 s), as
+/// `drain_server` adds 2 s.
 const UNANNOUNCED_DRAIN: Duration = Duration::from_millis(5_500);
 /// How long the clients go on after the last round, and how long the nodes then have to answer pending requests.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
@@ -157,7 +158,8 @@
     async fn drain_server(&self, target: u64, duration: Duration) {
         let server = target as usize % SERVERS;
         self.discovery.set_ready(server, false);
-        // With this, `UNANNOUNCED_DRAIN` outlasts the time after which the nodes are assumed to have received the drain.
+        // With this margin, `UNANNOUNCED_DRAIN` outlasts the time after which the nodes are assumed to have received
+        // the drain.
         sleep(duration + Duration::from_secs(2)).await;
         self.discovery.set_ready(server, true);
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -19,7 +19,7 @@
 
 use std::path::PathBuf;
 
-/// What to run.
+/// The options of a run of the soak test.
 #[derive(Clone, Debug)]
 pub struct Options {
     /// The program under test.
--- a/crates/soak/src/schedule.rs
+++ b/crates/soak/src/schedule.rs
@@ -110,7 +110,7 @@
 pub struct ScheduledFault {
     /// Milliseconds from the start of the run.
     pub at_ms: u64,
-    /// The fault.
+    /// The fault that begins at this time.
     pub fault: Fault,
     /// A random number that selects the node or the servers that are affected.
     pub target: u64,
--- a/crates/test-support/src/amqp_peer.rs
+++ b/crates/test-support/src/amqp_peer.rs
@@ -11,7 +11,7 @@
 /// The test's end of an AMQP connection after the protocol headers, usually with one session on channel 0.
 #[derive(Debug)]
 pub struct AmqpPeer {
-    /// The connection.
+    /// The blocking connection to the node, for input and output other than frames.
     pub peer: Peer,
     /// Received bytes that are not a complete frame yet.
     bytes: Vec<u8>,
@@ -22,7 +22,7 @@
 pub struct ReceivedMessage {
     /// Delivery id assigned by the sender.
     pub delivery_id: u32,
-    /// The encoded message.
+    /// The encoded message, assembled from the payloads of its transfers.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/test-support/src/cluster/auditor.rs
+++ b/crates/test-support/src/cluster/auditor.rs
@@ -1,9 +1,9 @@
 //! Records what the simulated peers observe, by their own clocks, and checks the invariants.
 //!
 //! Invariants ([`crate::invariants`]): an accepted request gets one final answer in time; no request has two attempts
-//! in flight at once; a node sends no new requests to a server after it was notified that the server drains or
-//! was removed; no server that is warming up is overloaded. Missing answers of a killed or stopped node are no violations.
-//! Time limits are extended by the measured lateness of the harness's own thread.
+//! in flight at once; a node sends no new requests to a server after it was notified that the server drains or was
+//! removed; no server that is warming up is overloaded. Missing answers of a killed or stopped node are no
+//! violations. Time limits are extended by the measured lateness of the harness's own thread.
 
 use super::clients::ANSWER_TIMEOUT;
 use super::endpoint_list::EndpointList;
@@ -40,11 +40,11 @@
 pub struct PerSecondCounts {
     /// Requests sent by clients.
     pub requests: u32,
-    /// Requests served.
+    /// Number of requests that were served (`UP`).
     pub up: u32,
-    /// Requests rejected.
+    /// Number of requests that were rejected (`BUSY`).
     pub busy: u32,
-    /// Requests failed.
+    /// Number of requests that failed.
     pub failed: u32,
     /// Connections that servers started to set up.
     pub setups: u32,
@@ -82,7 +82,8 @@
     timeline: Timeline,
     checker: InvariantChecker,
     established: i64,
-    /// By node, and then by server: attempts of the node's newest process at the server while the server has no process.
+    /// By node, and then by server: attempts of the node's newest process at the server while the server's process has
+    /// ended.
     attempts_at_dead: Vec<HashMap<usize, u32>>,
     /// Names of servers for which an overload while warming up was reported.
     overloaded: HashSet<String>,
--- a/crates/test-support/src/cluster/discovery.rs
+++ b/crates/test-support/src/cluster/discovery.rs
@@ -92,7 +92,7 @@
     }
 }
 
-/// What has been sent on a watch so far.
+/// The progress of a watch: what has been sent on it so far.
 struct WatchProgress {
     /// Incarnation of the node's process that opened the watch.
     incarnation: u64,
--- a/crates/test-support/src/cluster/links.rs
+++ b/crates/test-support/src/cluster/links.rs
@@ -11,7 +11,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, Instant};
 
-/// What a link does with connections and their data.
+/// The treatment of connections and their data by a link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LinkMode {
     /// All data is forwarded.
--- a/crates/test-support/src/cluster/mod.rs
+++ b/crates/test-support/src/cluster/mod.rs
@@ -54,7 +54,7 @@
     pub config: Rc<ClusterConfig>,
 }
 
-/// A running cluster.
+/// A running cluster: nodes, and the simulated peers that they connect to.
 pub struct Cluster {
     /// State that all simulated peers share.
     pub shared: Shared,
--- a/crates/test-support/src/cluster/servers.rs
+++ b/crates/test-support/src/cluster/servers.rs
@@ -212,7 +212,8 @@
         server.changed_at = Instant::now();
     }
 
-    /// Sets how a server handles connections. A server that becomes [`Health::Dead`] drops its connections, but stays in the list.
+    /// Sets how a server handles connections. A server that becomes [`Health::Dead`] drops its connections, but stays
+    /// in the list.
     pub fn set_health(&self, number: usize, health: Health) {
         let tasks = {
             let server = &mut self.state.borrow_mut().servers[number];
--- a/crates/test-support/src/cluster/summary.rs
+++ b/crates/test-support/src/cluster/summary.rs
@@ -18,7 +18,7 @@
 /// The results of a run.
 #[derive(Clone, Debug)]
 pub struct Summary {
-    /// Violations of invariants.
+    /// Violations of [`crate::invariants`] in the run.
     pub violations: Vec<Violation>,
     /// Time from the last fault to the start of the first 5 s in which at least 95% of the connections from before the
     /// first fault are established.
@@ -49,7 +49,7 @@
 
 /// How a cluster recovered from its faults.
 pub struct Recovery {
-    /// See [`Summary::recovery_from_last_fault`].
+    /// The value of [`Summary::recovery_from_last_fault`].
     pub from_last_fault: Option<Duration>,
     /// Like `from_last_fault`, but measured from the first fault.
     pub from_first_fault: Option<Duration>,
--- a/crates/test-support/src/handover_node.rs
+++ b/crates/test-support/src/handover_node.rs
@@ -13,7 +13,7 @@
 /// The folder that a node gets as `$TMPDIR`, and the path of the handover socket in it.
 #[derive(Debug)]
 pub struct HandoverFolder {
-    /// The folder.
+    /// Path of the folder.
     pub path: PathBuf,
     /// Path of the handover socket.
     pub socket: PathBuf,
--- a/crates/test-support/src/invariants/mod.rs
+++ b/crates/test-support/src/invariants/mod.rs
@@ -46,7 +46,8 @@
 pub enum RetrySafety {
     /// The request may be retried at any time.
     Idempotent,
-    /// The request has an idempotency key, and may be retried while servers discard duplicates ([`Limits::dedup_window`]).
+    /// The request has an idempotency key, and may be retried while servers discard duplicates
+    /// ([`Limits::dedup_window`]).
     Keyed,
     /// The request must not run twice, so it must not be retried.
     NonIdempotent,
@@ -59,7 +60,7 @@
     Up,
     /// Rejected: the client received `BUSY`.
     Busy,
-    /// Failed.
+    /// Failed: the client received any other answer.
     Failed,
 }
 
--- a/crates/test-support/src/invariants/violation.rs
+++ b/crates/test-support/src/invariants/violation.rs
@@ -45,7 +45,7 @@
     pub rule: Rule,
     /// When the violation was recorded, in milliseconds since the start of the run.
     pub at_ms: u128,
-    /// What was observed.
+    /// The observation that violates the rule.
     pub detail: String,
 }
 
--- a/crates/test-support/src/loopback.rs
+++ b/crates/test-support/src/loopback.rs
@@ -19,9 +19,9 @@
 /// The range of 127.0.0.0/8 from which a test harness takes its blocks of addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AddressRange {
-    /// For clusters.
+    /// The range of [`crate::cluster`].
     Cluster,
-    /// For the soak test.
+    /// The range of the soak test (`crates/soak`).
     Soak,
 }
 
--- a/crates/test-support/src/peer.rs
+++ b/crates/test-support/src/peer.rs
@@ -37,7 +37,7 @@
         accept_any(std::slice::from_ref(listener)).1
     }
 
-    /// Sends text.
+    /// Writes this text to the connection, without adding a line end.
     pub fn send(&mut self, text: &str) -> &mut Peer {
         self.stream.write_all(text.as_bytes()).expect("failed to write to the connection");
         self
--- a/crates/test-support/src/process.rs
+++ b/crates/test-support/src/process.rs
@@ -40,7 +40,7 @@
         ChildProcess(command.spawn().expect("failed to start the program under test"))
     }
 
-    /// The process id.
+    /// The operating system's id of the process.
     pub fn id(&self) -> u32 {
         self.0.id()
     }
@@ -90,7 +90,7 @@
 pub struct StartOptions {
     /// The path of the program under test.
     pub program: String,
-    /// Command-line arguments.
+    /// Arguments that follow the program on the command line.
     pub args: Vec<String>,
     /// Additional environment variables, as pairs of name and value.
     pub env: Vec<(String, String)>,
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The process id.
+    /// The operating system's id of the process.
     pub fn id(&self) -> u32 {
         self.process.id()
     }
--- a/crates/time/src/duration.rs
+++ b/crates/time/src/duration.rs
@@ -4,7 +4,7 @@
 
 /// Conversions of a [`Duration`] to `u64` and `f64`. The conversions of the standard library to integers yield `u128`.
 pub trait DurationExt {
-    /// Whole nanoseconds; `u64::MAX` for durations over 584 years.
+    /// The duration in nanoseconds; `u64::MAX` for durations over 584 years.
     fn as_nanos_u64(&self) -> u64;
     /// Whole milliseconds; `u64::MAX` for durations that do not fit.
     fn as_millis_u64(&self) -> u64;
--- a/tests/handover.rs
+++ b/tests/handover.rs
@@ -52,7 +52,7 @@
     second.read_line();
     second.send("UP r2\r\n");
     assert_eq!(new_client.read_line(), "UP r2");
-    // The same watch continues, and the successor receives its changes.
+    // The watch of the predecessor continues, and the successor receives its changes.
     node.bench.update_lifecycle(&mut watch, 0, "draining");
     watch.send("0\r\n\r\n");
     node.bench.wait_for_log("endpoint watch lost");
@@ -119,7 +119,8 @@
     successor.send(STATE_REQUEST);
     while successor.receive() != STATE_COMPLETE {}
     if is_ready {
-        // It exits without having continued the connection that was sent to it, so that client is disconnected.
+        // The successor exits without having continued the connection that was sent to it, so the client is
+        // disconnected.
         successor.send(READY);
         node.bench.wait_for_log("handover to successor started");
         assert!(successor.receive().starts_with("{\"Terminal\""));
--- a/tests/ipfix.rs
+++ b/tests/ipfix.rs
@@ -19,7 +19,7 @@
 /// A time in 2017, in Unix milliseconds: exported times are Unix times.
 const SOME_PAST_TIME_MS: u64 = 1_500_000_000_000;
 
-/// A big-endian number.
+/// Decodes an unsigned big-endian number of up to eight bytes.
 fn number(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |number, byte| (number << 8) | u64::from(*byte))
 }
--- a/tests/mixed/attempts.rs
+++ b/tests/mixed/attempts.rs
@@ -24,7 +24,6 @@
     after_drain: u64,
 }
 
-/// Identifies an attempt.
 #[derive(Clone, Copy)]
 pub struct AttemptId {
     pub item: u64,
--- a/tests/policy_rules/groups.rs
+++ b/tests/policy_rules/groups.rs
@@ -5,8 +5,8 @@
 use sparbank::model::{Arrival, Event, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Regression: in a large fleet no node has enough connections to find out which servers serve a group, and every server
-/// ended up serving every group. Each group of which a server serves any request adds a fixed load to it.
+/// Regression: in a large fleet no node has enough connections to find out which servers serve a group, and every
+/// server ended up serving every group. Each group of which a server serves any request adds a fixed load to it.
 #[test]
 fn nodes_with_few_connections_concentrate_a_group_without_coordination() {
     let mut placed: BTreeMap<ServerId, usize> = BTreeMap::new();
