--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -130,7 +130,7 @@
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.text_addr)).collect();
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     let open_descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", bench.process.id())).expect("a readable folder").count();
     let descriptors = open_descriptors();
@@ -138,7 +138,7 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     let (mut client, _attempt) = established_client(&bench, 1);
     drop(idle);
     client.send("M 1\r\n");
--- a/tests/deployment_settings.rs
+++ b/tests/deployment_settings.rs
@@ -144,7 +144,7 @@
 fn drain_the_first_server(bench: &mut TestNode, mut watch: Peer, class: usize) {
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     for number in 200..204 {
         let _client = bench.connect_client(&request_line_of_class(number, class));
         let (server, mut attempt) = accept_any(&bench.servers);
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -86,7 +86,7 @@
     std::thread::sleep(Duration::from_millis(2_600));
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -105,7 +105,7 @@
     bench.update_lifecycle(&mut next_watch, 0, "draining");
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     drop(next_watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
@@ -141,6 +141,6 @@
     let entries = [endpoint_entry(0, address(0), "ready"), endpoint_entry(1, address(1), "ready")].join(",");
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries);
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery closed the connection");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
