--- a/crates/quota/src/plan/validation.rs
+++ b/crates/quota/src/plan/validation.rs
@@ -21,11 +21,11 @@
 pub struct PlanError {
     /// The path of the field, as in `budgets[2].burst`.
     pub field: String,
-    /// What is wrong with its value.
+    /// The rule that the value of the field violates.
     pub problem: PlanProblem,
 }
 
-/// What is wrong with the value of a field.
+/// A rule that the value of a field violates.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum PlanProblem {
     /// A name is empty.
@@ -46,7 +46,7 @@
     /// A grantor is not a member.
     #[error("no member is named {name:?}")]
     UnknownMember {
-        /// The unknown name.
+        /// The name in the list of grantors that is no member's name.
         name: String,
     },
     /// The lease is shorter or longer than allowed.
--- a/tests/attempt_races.rs
+++ b/tests/attempt_races.rs
@@ -82,7 +82,7 @@
     attempt.read_line();
     attempt.send("UP r1 and so on");
     assert_eq!(client.read_to_end(), "ERR\r\n");
-    // What the server sends now reaches no client. The write may fail, if the connection is closed already.
+    // Data that the server sends now reaches no client. The write may fail, if the connection is closed already.
     let _ = attempt.stream.write_all(b"\r\n");
     assert_eq!(counter_values(&bench.stop(), ["requests", "served", "failed"]), [1, 0, 1]);
 }
@@ -130,7 +130,7 @@
     let watch = bench.accept_watch();
     let idle: Vec<Peer> = (0..300).map(|_| Peer::connect(bench.text_addr)).collect();
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery ended the response");
     let open_descriptors =
         || std::fs::read_dir(format!("/proc/{}/fd", bench.process.id())).expect("a readable folder").count();
     let descriptors = open_descriptors();
@@ -138,7 +138,7 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery ended the response");
     let (mut client, _attempt) = established_client(&bench, 1);
     drop(idle);
     client.send("M 1\r\n");
--- a/tests/endpoint_list_races.rs
+++ b/tests/endpoint_list_races.rs
@@ -21,7 +21,7 @@
     let mut watch = bench.accept_watch();
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    // The node reopens the watch that was reset. By then it knows of the drain.
+    // The node reopens the watch that was reset. By then it has received the drain.
     let mut watch = bench.accept_watch();
     assert_clients_connect_to_server_1(&bench, 0..6);
     bench.send_endpoints(&mut watch, ListKind::Incremental, "");
@@ -86,11 +86,11 @@
     std::thread::sleep(Duration::from_millis(2_600));
     bench.update_lifecycle(&mut watch, 0, "draining");
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery ended the response");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
-/// A silent watch is reopened early enough: the node has to know of a change within 6 s.
+/// A watch without data is reopened early enough for the node to receive a change within 6 s.
 #[rstest]
 #[case::before_the_first_byte("")]
 #[case::inside_an_object("{\"generation\":2,\"instances\":[")]
@@ -105,12 +105,12 @@
     bench.update_lifecycle(&mut next_watch, 0, "draining");
     assert!(silent_since.elapsed() < Duration::from_secs(6));
     drop(next_watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery ended the response");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
 
 /// The node handles a change on the old watch and the signal that moves discovery in the same iteration of the event
-/// loop, and the new address is silent. The change counts.
+/// loop, and the new address sends nothing. The change takes effect.
 #[rstest]
 fn a_change_on_the_old_watch_counts_when_discovery_moves_in_the_same_iteration() {
     let mut bench = TestNode::start(PROGRAM, 2);
@@ -141,6 +141,6 @@
     let entries = [endpoint_entry(0, address(0), "ready"), endpoint_entry(1, address(1), "ready")].join(",");
     bench.send_endpoints(&mut watch, ListKind::Complete, &entries);
     drop(watch);
-    bench.wait_for_log("endpoint watch lost error=ended");
+    bench.wait_for_log("endpoint watch lost error=discovery ended the response");
     assert_clients_connect_to_server_1(&bench, 0..6);
 }
