--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -33,7 +33,7 @@
     Down,
     /// Discovery rejects requests with status 503.
     Rejects,
-    /// Discovery serves watches, and writes [`FRAGMENT_BYTES`] at a time.
+    /// Discovery serves watches, and writes `FRAGMENT_BYTES` at a time.
     Fragmented,
 }
 
--- a/crates/soak/src/server.rs
+++ b/crates/soak/src/server.rs
@@ -27,7 +27,7 @@
 /// How a server responds to request lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The server accepts requests after [`ANSWER_DELAY`].
+    /// The server accepts requests after `ANSWER_DELAY`.
     Serves,
     /// The server reads request lines and never answers.
     Hangs,
